--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -80,7 +80,7 @@
         JobSpec spec;
         Set<String> awaits;
         try {
-            spec = JobCodec.read(body);
+            spec = JobCodec.submission(body);
             awaits = JobCodec.awaits(body);
         } catch (JobCodec.Invalid e) {
             unlessKnown(id, Answer.error(400, "missing or invalid: " + e.getMessage()), answer);
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -29,6 +29,12 @@
         return ID.matcher(id).matches();
     }
 
+    /** A submission. It has to name its team; records without one, of earlier versions, stay readable. */
+    public static JobSpec submission(JsonNode b) throws Invalid {
+        text(b, "owner");
+        return read(b);
+    }
+
     public static JobSpec read(JsonNode b) throws Invalid {
         String id = text(b, "name_id");
         if (!isId(id)) {
