--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -20,6 +20,7 @@
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
+import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
@@ -61,15 +62,21 @@
             answer.accept(Answer.later("no owner"));
             return;
         }
-        ObjectNode passed = Codec.object().put("method", method).put("path", path);
+        ObjectNode passed = Codec.object().put("method", method).put("path", path).put(UserApi.REVISION, view.revision());
         passed.set("body", body);
-        runtime.call(new Call(owner, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true), r -> {
-            if (r.ok() && r.body().path("status").isInt() && r.body().path("status").asInt() != 503) {
-                answer.accept(Answer.of(r.body().path("status").asInt(), r.body().path("body")));
-            } else {
-                answer.accept(Answer.later("owner"));
-            }
-        });
+        runtime.call(new Call(owner, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true), r -> answer.accept(told(method, r)));
+    }
+
+    /** The owner's answer; of two that overtake one another on their way the older one, by its revision, isn't given to who only asks. */
+    private Answer told(String method, Reply r) {
+        int status = r.ok() ? r.body().path("status").asInt() : 503;
+        JsonNode revision = r.body().path(UserApi.REVISION);
+        boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
+        if (status == 0 || status == 503 || older && method.equals("GET")) {
+            return Answer.later("owner");
+        }
+        view.answeredFrom(Codec.u64(revision));
+        return Answer.of(status, r.body().path("body"));
     }
 
     /** A call that another controller passes on. */
@@ -78,8 +85,9 @@
             answer.accept(Answer.later("not the owner"));
             return;
         }
+        view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
         owned(call.path("method").asText(), call.path("path").asText(), call.path("body").isObject() ? call.path("body") : null,
-                a -> answer.accept(Answer.of(200, Codec.object().put("status", a.status()).set("body", a.body()))));
+                a -> answer.accept(Answer.of(200, Codec.object().put(UserApi.REVISION, view.revision()).put("status", a.status()).set("body", a.body()))));
     }
 
     private void owned(String method, String path, JsonNode body, Consumer<Answer> answer) {
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -16,6 +16,7 @@
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.control.Ends;
 import org.hollypick.control.JobRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
@@ -33,6 +34,9 @@
 
 /** What users ask, on any node. The owner answers from its own state, the others ask it or read the records. */
 public final class UserApi {
+    /** Between nodes: the newest revision that answers of the sender were built on (docs/safety.md, "went_back"). */
+    static final String REVISION = "epoch";
+
     private final Runtime runtime;
     private final Settings settings;
     private final View view;
@@ -131,8 +135,7 @@
         }
         records.create(spec, awaits, outcome -> {
             switch (outcome) {
-                // One that awaits what was cancelled is accepted, and over at once.
-                case CREATED -> answer.accept(Answer.of(201, body(spec.id(), dependencies.anyCancelled(awaits) ? Records.ABORTED : "pending", 0, 0)));
+                case CREATED -> answer.accept(created(spec.id(), awaits));
                 case KNOWN -> status(spec.id(), answer);
                 case TOO_LARGE -> unlessKnown(spec.id(), Answer.error(400, "larger than the state service can hold"), answer);
                 default -> answer.accept(Answer.crowded(refused++));
@@ -140,13 +143,23 @@
         });
     }
 
+    /** The write's own answer may come after others have told that the job is over. One that awaits what was cancelled is over at once. */
+    private Answer created(String id, Set<String> awaits) {
+        Answer over = over(id);
+        if (over != null) {
+            return over;
+        }
+        String status = dependencies.anyCancelled(awaits) ? Records.ABORTED : "pending";
+        return Answer.of(201, body(id, status, 0, 0)).only(() -> over(id) == null);
+    }
+
     /** A refusal that is final is only given after a fresh read: a job that was accepted stays accepted. */
     private void unlessKnown(String id, Answer refusal, Consumer<Answer> answer) {
         view.fresh(fresh -> {
             if (!fresh) {
                 answer.accept(Answer.later("state service"));
-            } else if (view.get(Keys.job(id)) == null) {
-                answer.accept(refusal);
+            } else if (unknown(id)) {
+                answer.accept(refusal.only(() -> unknown(id)));
             } else {
                 status(id, answer);
             }
@@ -186,26 +199,43 @@
             asked.forEach((id, answers) -> answers.forEach(a -> fromRecord(id, a)));
             return;
         }
-        ObjectNode body = Codec.object();
+        ObjectNode body = Codec.object().put(REVISION, view.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
         runtime.call(new Call(owner, "POST", "/jobs", body, Constants.MESH_TIMEOUT_MS, true), r -> {
             if (r.status() <= 0) {
                 ownerSilentUntil = runtime.now() + Constants.OWNER_SILENT_MS;
             }
+            long revision = Codec.u64(r.body().path(REVISION));
             asked.forEach((id, answers) -> {
                 JsonNode told = r.ok() ? r.body().path(id) : MissingNode.getInstance();
-                answers.forEach(a -> {
-                    if (told.isObject()) {
-                        a.accept(Answer.of(200, told));
-                    } else {
-                        fromRecord(id, a);
-                    }
-                });
+                answers.forEach(a -> ownerTold(id, told, revision, a));
             });
         });
     }
 
+    /**
+     * The owner's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't final is only told if
+     * it is built on a revision no older than any answer before.
+     */
+    private void ownerTold(String id, JsonNode told, long revision, Consumer<Answer> answer) {
+        Answer over = over(id);
+        if (over != null) {
+            answer.accept(over);
+        } else if (told.isObject() && (ended(told) || view.mayAnswerFrom(revision))) {
+            view.answeredFrom(revision);
+            answer.accept(Answer.of(200, told).only(() -> ended(told) || over(id) == null));
+        } else {
+            fromRecord(id, answer);
+        }
+    }
+
+    /** Whether an answer's body tells a final state. */
+    private static boolean ended(JsonNode body) {
+        String status = Records.status(body);
+        return status.equals(Records.DONE) || status.equals(Records.ABORTED);
+    }
+
     /** What this node knows for certain: a terminal state, or a live job that it owns. Null if nothing. */
     private Answer certain(String id) {
         Answer over = over(id);
@@ -213,17 +243,30 @@
             return over;
         }
         Job job = owned(id);
-        // While an end is in doubt it may be durable already, and another node may have told it: only the record knows.
-        return job == null || term.get().ends.inDoubt(job) ? null : live(job);
+        return job != null && certainlyLive(job) ? live(job).only(() -> certainlyLive(job)) : null;
+    }
+
+    /** While an end is in doubt it may be durable already, and another node may have told it: only the record knows. */
+    private boolean certainlyLive(Job job) {
+        return owned(job.spec.id()) == job && !term.get().ends.inDoubt(job);
+    }
+
+    private boolean unknown(String id) {
+        return view.get(Keys.job(id)) == null;
     }
 
     /** A terminal state that is durable; null without one. Nobody needs to write that a job is cancelled with one that it needs. */
     private Answer over(String id) {
         View.Entry e = view.get(Keys.job(id));
         if (e != null && Records.isOver(e.data())) {
+            view.answeredFrom(e.stamp());
             return Answer.of(200, body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
         }
-        return e != null && dependencies.isCancelled(id) ? Answer.of(200, body(id, Records.ABORTED, 0, 0)) : null;
+        if (e != null && dependencies.isCancelled(id)) {
+            view.answeredFrom(view.epoch());
+            return Answer.of(200, body(id, Records.ABORTED, 0, 0));
+        }
+        return null;
     }
 
     private Job owned(String id) {
@@ -242,10 +285,10 @@
             Answer over = over(id);
             if (!fresh) {
                 answer.accept(Answer.later("state service"));
-            } else if (view.get(Keys.job(id)) == null) {
-                answer.accept(Answer.error(404, "no such job"));
+            } else if (unknown(id)) {
+                answer.accept(Answer.error(404, "no such job").only(() -> unknown(id)));
             } else {
-                answer.accept(over != null ? over : Answer.of(200, body(id, "pending", 0, 0)));
+                answer.accept(over != null ? over : Answer.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
             }
         });
     }
@@ -272,16 +315,27 @@
             answer.accept(Answer.later("no owner"));
             return;
         }
-        runtime.call(new Call(owner, "POST", "/estimate", Codec.object().put("job", id), Constants.MESH_TIMEOUT_MS, true), r -> {
+        ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
+        runtime.call(new Call(owner, "POST", "/estimate", question, Constants.MESH_TIMEOUT_MS, true), r -> {
             int status = r.body().path("status").asInt();
-            answer.accept(r.ok() && status != 503 ? Answer.of(status, r.body().path("body")) : Answer.later("owner"));
+            long revision = Codec.u64(r.body().path(REVISION));
+            Answer over = over(id);
+            if (over != null) {
+                answer.accept(over);
+            } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
+                view.answeredFrom(revision);
+                answer.accept(Answer.of(status, r.body().path("body")).only(() -> over(id) == null));
+            } else {
+                answer.accept(Answer.later("owner"));
+            }
         });
     }
 
     /** Another controller asks for one of its users. */
     public Answer meshEstimate(JsonNode body) {
+        learn(body);
         Answer a = body != null && term.get() != null && term.get().acting() ? estimated(body.path("job").asText()) : Answer.later("not the owner");
-        return Answer.of(200, Codec.object().put("status", a.status()).set("body", a.body()));
+        return Answer.of(200, Codec.object().put(REVISION, view.revision()).put("status", a.status()).set("body", a.body()));
     }
 
     private Answer estimated(String id) {
@@ -290,8 +344,8 @@
             return over;
         }
         Job job = term.get().scheduler.jobs.get(id);
-        if (job == null) {
-            return Answer.later("not known here yet"); // only a fresh view could tell that there is none; GET /submissions/ID does
+        if (job == null || !certainlyLive(job)) {
+            return Answer.later("not known here yet"); // its end may be durable, and told by another node; only a fresh view could tell that there is none; GET /submissions/ID does
         }
         ObjectNode b = Codec.object().put("name_id", id).put("status", job.running > 0 ? "running" : "pending");
         if (job.spec.service()) {
@@ -322,15 +376,21 @@
         }
         Job job = owned(id);
         if (job != null) {
-            term.get().ends.cancel(job, done -> answer.accept(done ? Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0))
-                    : Answer.later("state service")));
+            Ends ends = term.get().ends;
+            ends.cancel(job, done -> {
+                view.answeredFrom(ends.cancelledAt());
+                answer.accept(done ? Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0)) : Answer.later("state service"));
+            });
             return;
         }
         String owner = ownerToAsk();
         if (owner != null) {
             runtime.call(new Call(owner, "POST", "/jobs/" + id + "/abort", Codec.object(), Constants.STATE_TIMEOUT_MS, true), r -> {
                 if (r.ok()) {
-                    answer.accept(Answer.of(200, r.body()));
+                    view.answeredFrom(Codec.u64(r.body().path(REVISION)));
+                    ObjectNode told = r.body().deepCopy();
+                    told.remove(REVISION);
+                    answer.accept(Answer.of(200, told));
                 } else {
                     withdrawn(id, answer);
                 }
@@ -344,8 +404,8 @@
     private void withdrawn(String id, Consumer<Answer> answer) {
         view.fresh(fresh -> {
             Answer over = over(id);
-            if (fresh && view.get(Keys.job(id)) == null) {
-                answer.accept(Answer.error(404, "no such job"));
+            if (fresh && unknown(id)) {
+                answer.accept(Answer.error(404, "no such job").only(() -> unknown(id)));
             } else if (fresh && over != null) {
                 answer.accept(over);
             } else {
@@ -358,7 +418,8 @@
 
     /** Another node asks about jobs; only an acting owner knows more than the records. What isn't certain is left out. */
     public Answer meshStatus(JsonNode body) {
-        ObjectNode told = Codec.object();
+        learn(body);
+        ObjectNode told = Codec.object().put(REVISION, view.revision());
         for (JsonNode n : body == null ? Codec.array() : body.path("jobs")) {
             Answer a = certain(n.asText());
             if (a != null) {
@@ -370,10 +431,23 @@
 
     public void meshAbort(String id, Consumer<Answer> answer) {
         if (owned(id) != null) {
-            withdraw(id, answer);
+            withdraw(id, a -> answer.accept(a.status() == 200 ? revised(a) : a));
         } else {
             Answer known = certain(id);
-            answer.accept(known != null ? known : Answer.error(404, "not owned here"));
+            answer.accept(known != null ? revised(known) : Answer.error(404, "not owned here"));
+        }
+    }
+
+    /** The answer, and the revision that it is built on. */
+    private Answer revised(Answer a) {
+        ObjectNode body = a.body().deepCopy();
+        return Answer.of(a.status(), body.put(REVISION, view.revision())).only(a.still());
+    }
+
+    /** Another node tells the newest revision that an answer of its was built on. */
+    private void learn(JsonNode body) {
+        if (body != null) {
+            view.answeredFrom(Codec.u64(body.path(REVISION)));
         }
     }
 }
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/View.java
@@ -27,6 +27,8 @@
     private final Consumer<List<String>> changed;
     private Map<String, Entry> entries = new HashMap<>();
     private long epoch;
+    /** The newest revision that an answer of this node to its users was built on, as far as this node knows. */
+    private long answered;
     private boolean loaded;
     private long watchedAt;
     /** Who wants to know when this copy holds all that was true when they asked; those of the read under way, and later ones. */
@@ -53,6 +55,28 @@
         return epoch;
     }
 
+    /** The newest revision that this node knows of: of its copy, or of an answer that it has passed on or made durable. */
+    public long revision() {
+        return newer(epoch, answered);
+    }
+
+    /**
+     * An answer that is built on this revision is about to be given, or was given by another node: from now on {@link #fresh} waits until
+     * this copy has reached it too.
+     */
+    public void answeredFrom(long revision) {
+        answered = newer(answered, revision);
+    }
+
+    /** Whether an answer that is built on this revision isn't older than the ones that were given before. */
+    public boolean mayAnswerFrom(long revision) {
+        return Long.compareUnsigned(revision, answered) >= 0;
+    }
+
+    private static long newer(long a, long b) {
+        return Long.compareUnsigned(a, b) >= 0 ? a : b;
+    }
+
     public Entry get(String key) {
         return entries.get(key);
     }
@@ -67,8 +91,8 @@
     }
 
     /**
-     * Calls back once this copy is at least as new as the service was at some moment after this call, or with false if that can't
-     * be told. One read of the epoch serves all who ask in the meantime: the answer to a key that doesn't exist carries it.
+     * Calls back once this copy is at least as new as the service was at some moment after this call, and as every answer that this
+     * node gave meanwhile, or with false if that can't be told. One read of the epoch serves all who ask in the meantime: the answer to a key that doesn't exist carries it.
      */
     public void fresh(Consumer<Boolean> then) {
         asking.add(then);
@@ -100,7 +124,7 @@
 
     private void caughtUp() {
         for (CatchUp c : new ArrayList<>(catchingUp)) {
-            boolean reached = Long.compareUnsigned(epoch, c.epoch) >= 0;
+            boolean reached = Long.compareUnsigned(epoch, c.epoch) >= 0 && mayAnswerFrom(epoch);
             if (reached || runtime.now() >= c.until) {
                 catchingUp.remove(c);
                 c.then.forEach(t -> t.accept(reached));
--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/Ends.java
@@ -181,6 +181,11 @@
         over(job, Records.ABORTED);
     }
 
+    /** The newest revision by which a job was cancelled in this term, as far as this node knows. */
+    public long cancelledAt() {
+        return cancelledAt;
+    }
+
     /** Whether whoever has followed the records up to there knows every cancellation that may have been told to anyone. */
     boolean allCancelledKnown(long epoch) {
         return abortsInDoubt.isEmpty() && Long.compareUnsigned(epoch, cancelledAt) >= 0;
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -14,6 +14,7 @@
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
@@ -146,12 +147,14 @@
         StateClient.Txn txn = new StateClient.Txn().when(key, 0).when(Keys.ROSTER, roster).put(key, Records.live(spec, roster, awaits, more));
         state.commit(txn, r -> {
             if (r.ok()) {
+                view.answeredFrom(Codec.u64(r.body().path("epoch")));
                 then.accept(Outcome.CREATED);
                 return;
             }
             if (r.status() == 409) {
                 for (JsonNode failed : r.body().path("failed")) {
                     if (failed.asText().equals(key)) {
+                        view.answeredFrom(Codec.u64(r.body().path("epoch")));
                         then.accept(Outcome.KNOWN);
                         return;
                     }
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -0,0 +1,264 @@
+package org.hollypick.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import java.util.function.IntFunction;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Call;
+import org.hollypick.io.Codec;
+import org.hollypick.io.Reply;
+import org.hollypick.io.Runtime;
+import org.junit.jupiter.api.Test;
+
+/** No controller gives an older answer than any gave before (docs/safety.md, "went_back"), whoever asks what, where and in which moment. */
+class AnswerConsistencyTest {
+    /** Each of the runtime's replies may be another one, or be there without the call. {@code reply}: the right one; null before the call. */
+    private interface Replies {
+        Reply of(Call call, Reply reply);
+    }
+
+    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.parse("{:estimates true, :graphs true}"));
+    /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
+    private static final int DAYS = Integer.getInteger("answers.days", 4);
+    private static final int FIRST = Integer.getInteger("answers.first", 1);
+
+    @Test
+    void drawnDaysOfCloseLooksKeepTheOrder() {
+        Map<Integer, List<String>> broken = new TreeMap<>();
+        int compared = 0;
+        int overtaken = 0;
+        long longest = 0;
+        for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
+            Day day = drawn(seed, NEW);
+            if (!day.checker.broken.isEmpty()) {
+                broken.put(seed, day.checker.broken);
+            }
+            compared += day.checker.order.compared;
+            overtaken += day.checker.order.overtaken;
+            longest = Math.max(longest, day.checker.order.longestMs);
+        }
+        System.out.println("days=" + DAYS + " compared=" + compared + " overtaken=" + overtaken + " longest_ms=" + longest + " broken=" + broken.size());
+        assertEquals(Map.of(), broken);
+    }
+
+    private static Day drawn(int seed, BiFunction<Runtime, Settings, Node> version) {
+        Day day = new Day(seed, 1, null, null, version);
+        day.cancelledOf = 2;
+        day.closeLooks();
+        day.submitSome(12, 60_000);
+        day.pipelines(2, 40_000);
+        day.oddRequests(8, 80_000);
+        GraphUser graph = new GraphUser(day, "req-700000", 2, 2);
+        day.world.at(5_000 + day.world.random.nextInt(20_000), graph::start);
+        if (seed % 4 > 0) {
+            day.world.at(10_000, () -> day.world.lostAnswerShare = 0.2);
+            day.world.at(60_000, () -> day.world.lostAnswerShare = 0);
+            day.drawAnswerTroubles(6, 10_000, 80_000);
+        }
+        day.play(130_000);
+        return day;
+    }
+
+    /** A version whose calls are answered otherwise. */
+    private static BiFunction<Runtime, Settings, Node> answered(Replies replies) {
+        return (r, s) -> NEW.apply(new Runtime() {
+            @Override
+            public long now() {
+                return r.now();
+            }
+
+            @Override
+            public long timeOfDay() {
+                return r.timeOfDay();
+            }
+
+            @Override
+            public void after(long ms, Runnable task) {
+                r.after(ms, task);
+            }
+
+            @Override
+            public void call(Call call, Consumer<Reply> reply) {
+                Reply known = replies.of(call, null);
+                if (known != null) {
+                    r.after(0, () -> reply.accept(known));
+                } else {
+                    r.call(call, answer -> reply.accept(replies.of(call, answer)));
+                }
+            }
+        }, s);
+    }
+
+    private static boolean noticed(String rule, IntFunction<Day> days) {
+        for (int seed = 1; seed <= 12; seed++) {
+            if (days.apply(seed).checker.broken.stream().anyMatch(b -> b.startsWith(rule))) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Any reading of the epoch seems to say that this node's copy of the records is fresh. */
+    @Test
+    void theCheckerNoticesAnswersFromMemoryWithoutTheRevision() {
+        var version = answered((call, r) -> call.path().equals("/keys/h/never") ? new Reply(404, Codec.object().put("epoch", 0)) : r);
+        assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
+    }
+
+    /** A transaction without an answer is taken for one that wasn't carried out. */
+    @Test
+    void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
+        var version = answered((call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER ? new Reply(503, Codec.object()) : r);
+        assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
+    }
+
+    /** A controller that gives an answer once more for some milliseconds. */
+    @Test
+    void theCheckerNoticesAnswersThatAreGivenOnceMore() {
+        assertTrue(noticed("went_back (same controller)", seed -> {
+            Day day = new Day(seed, 1, null, null, NEW);
+            Map<String, Reply> known = new HashMap<>();
+            day.faulty = (q, r) -> q == null || q.creates() || r.status() != 200 ? r
+                    : day.world.random.nextBoolean() ? known.getOrDefault(q.node() + q.id(), r) : keep(known, q, r);
+            return look(day);
+        }));
+    }
+
+    private static Reply keep(Map<String, Reply> known, AnswerOrder.Question q, Reply r) {
+        known.putIfAbsent(q.node() + q.id(), r);
+        return r;
+    }
+
+    /** What can't run, or lacks a field, is accepted. */
+    @Test
+    void theCheckerNoticesThatWhatCantRunIsAccepted() {
+        assertTrue(noticed("accepted req-8", seed -> {
+            Day day = new Day(seed, 1, null, null, NEW);
+            day.faulty = (q, r) -> r.status() == 422 ? new Reply(201, Codec.object().put("status", "pending")) : r;
+            day.oddRequests(6, 10_000);
+            return day.play(20_000);
+        }));
+    }
+
+    /** The state service's answers, the watches' too, take up to that much longer, and some of transactions are lost. */
+    private static Day slow(int seed, int byMs, BiFunction<Runtime, Settings, Node> version) {
+        Day day = new Day(seed, 1, null, null, version);
+        day.world.slow("state:1", byMs, 60_000);
+        day.world.lateWrites = txn -> txn.path("then").toString().contains("\"h/j/");
+        day.world.lostAnswerShare = 0.3;
+        return look(day);
+    }
+
+    private static Day look(Day day) {
+        day.cancelledOf = 2;
+        day.closeLooks();
+        day.submitSome(6, 20_000);
+        return day.play(60_000);
+    }
+
+    @Test
+    void slowAndLostAnswersOfTheStateServiceTellNothingOlder() {
+        for (int seed = 1; seed <= 4; seed++) {
+            assertEquals(List.of(), slow(seed, seed % 2 == 0 ? 300 : 1_500, NEW).checker.broken, "seed " + seed);
+        }
+    }
+
+    /** Of every second transaction of a kind only the answer is lost, while users look closely and the leader ends. */
+    @Test
+    void whatIsCarriedOutWithoutAnAnswerIsToldByNobodyAndThenTakenBack() {
+        for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
+            Day day = lostAnswers(3, kind, NEW);
+            assertEquals(List.of(), day.checker.broken, kind);
+            assertTrue(day.checker.order.compared > 1_000, kind + ": " + day.checker.order.compared);
+        }
+    }
+
+    private static Day lostAnswers(int seed, String kind, BiFunction<Runtime, Settings, Node> version) {
+        Day day = new Day(seed, 1, null, null, version);
+        day.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
+        day.world.lostAnswerShare = 0.5;
+        day.world.at(20_000, () -> day.crash(day.leader(), 400));
+        if (kind.equals("h/x/")) {
+            day.world.at(8_000, new GraphUser(day, "req-700000", 2, 2)::start);
+        }
+        return look(day);
+    }
+
+    /**
+     * An abort is durable and its answer to the leader lost; another controller has told it. The leader gives no estimate of a job that it
+     * takes for a running one, nor any other answer that isn't from the records.
+     */
+    @Test
+    void noEstimateOfAJobWhoseEndIsInDoubt() {
+        Day day = new Day(1, 1, null, null, NEW).withRunningServices();
+        int leader = day.leader();
+        assertEquals("running", day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).body().path("status").asText());
+        day.world.cutOneWay("state:1", "bothy-" + leader, 5_000);
+        day.withdrawAt(leader, "req-000000");
+        day.play(100);
+        Reply other = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
+        assertEquals("aborted", other.body().path("status").asText());
+        assertEquals(503, day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).status());
+        day.play(8_000);
+        assertEquals("aborted", day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).body().path("status").asText());
+        assertEquals(List.of(), day.checker.broken);
+    }
+
+    /** The leader's word, which was held up on its way, isn't given after the newer one that the controller's own records told. */
+    @Test
+    void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
+        for (int seed = 1; seed <= 4; seed++) {
+            Day day = new Day(seed, 1, null, null, NEW).withRunningServices();
+            int leader = day.leader();
+            int other = (leader + 1) % 3;
+            day.world.slow("m" + leader + ":1", 300, 10_000);
+            for (int ms = 0; ms < 600; ms += 5) {
+                day.world.at(ms, () -> day.lookAt(other, "req-000000", "/submissions/req-000000"));
+            }
+            day.world.at(300, () -> day.withdrawAt(leader, "req-000000"));
+            day.play(10_000);
+            assertTrue(day.checker.isOver("req-000000"));
+            assertEquals(List.of(), day.checker.broken, "seed " + seed);
+        }
+    }
+
+    /** Unknown jobs, wrong ones at every controller, what is done and a flood of repetitions, beside a service that is away. */
+    @Test
+    void wrongAndRepeatedRequestsAreAnsweredAlikeEverywhere() {
+        Day day = new Day(1, 1, null, null, NEW);
+        day.oddRequests(40, 20_000);
+        day.play(5_000);
+        day.submitArrays(1, 1);
+        day.play(60_000);
+        var spec = day.checker.submitted.get("req-000000");
+        var wrong = ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
+        int[] writes = {0};
+        day.world.sending = (from, call) -> writes[0] += call.path().equals("/commit") && call.body().toString().contains("h/j/") ? 1 : 0;
+        for (int node = 0; node < 3; node++) {
+            assertEquals("done", day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object()).body().path("status").asText());
+            for (int i = 0; i < 50; i++) {
+                Reply again = day.askAt(node, "POST", "/submissions", spec);
+                assertEquals("200 done", again.status() + " " + again.body().path("status").asText());
+            }
+            assertEquals(404, day.askAt(node, "GET", "/submissions/req-777777", null).status());
+        }
+        assertEquals(0, writes[0], "repetitions cost no write");
+        day.state.outage(5_000);
+        for (int node = 0; node < 3; node++) {
+            assertEquals(503, day.askAt(node, "GET", "/submissions/req-777777", null).status(), "nobody can know");
+            assertEquals(503, day.askAt(node, "POST", "/submissions", wrong).status(), "422 only from fresh records");
+            assertEquals(200, day.askAt(node, "POST", "/submissions", spec).status(), "what is over is known");
+        }
+        assertEquals(List.of(), day.checker.broken);
+    }
+}
--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -15,6 +15,7 @@
     private static final long FORGOTTEN_MS = 75_000;
 
     final List<String> broken = new ArrayList<>();
+    final AnswerOrder order = new AnswerOrder(broken);
     final Map<String, JsonNode> submitted = new HashMap<>();
     private final Map<String, Set<WorkerStandIn>> on = new HashMap<>();
     private final Map<String, Set<Integer>> done = new HashMap<>();
@@ -147,6 +148,7 @@
             firstAnswer.putIfAbsent(id, now - calmFrom);
         }
         acceptedSince.putIfAbsent(id, now);
+        order.arrived(id, status, now);
         String before = over.get(id);
         if (before != null && !before.equals(status) && asked > overSince.get(id)) {
             broken.add("went_back " + id + " from " + before + " to " + status);
@@ -208,10 +210,15 @@
         }
     }
 
-    /** A submission that must be refused, at once or by and by. */
+    /** A submission that must be refused, at once or by and by, since it awaits what never was. */
     void neverAccepted(String id, int status) {
-        if (status != 422 && status != 503 && status != Reply.NO_ANSWER && status != Reply.NOT_SENT) {
-            broken.add("accepted " + id + " that awaits what never was: " + status);
+        neverAccepted(id, 422, status);
+    }
+
+    /** A submission that must be refused with that status by every controller, each time: it lacks a field, or can't run. */
+    void neverAccepted(String id, int due, int status) {
+        if (status != due && status != 503 && status != Reply.NO_ANSWER && status != Reply.NOT_SENT) {
+            broken.add((status == 200 || status == 201 ? "accepted " : "refused otherwise ") + id + ", due " + due + ", answered " + status);
         }
     }
 
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -80,8 +80,10 @@
                 return;
             }
             byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
+            AnswerOrder.Question question = AnswerOrder.question(name(), method, path, body, world.now);
             at.awake(() -> metering.run(name(), Growth.Metering.activity(path, body), () -> node.handle(method, path, bytes, answer -> at.out(() -> {
-                Reply r = answer.get();
+                Reply r = faulty.apply(question, answer.get());
+                checker.order.left(question, r, world.now);
                 if (reporter != null) {
                     at.answered(reporter);
                 }
@@ -105,6 +107,8 @@
     private final BiFunction<Runtime, Settings, Node> version;
     /** Takes the time of what the controllers are asked. */
     Growth.Metering metering = (node, activity, handling) -> handling.run();
+    /** A faulty version's answers in the place of the right ones. */
+    BiFunction<AnswerOrder.Question, Reply, Reply> faulty = (question, reply) -> reply;
     /** A job about which nothing is told to its users, for whatever reason. */
     String withheld;
     /** Of each controller started from now on; 0: no limit. */
@@ -118,6 +122,7 @@
     int cancelledOf = 6;
     private final Set<String> keep = new HashSet<>();
     private final Set<String> hasty = new HashSet<>();
+    private final Set<String> looked = new HashSet<>();
 
     Day(long seed) {
         this(seed, 1);
@@ -393,6 +398,91 @@
         world.at(50, this::withdrawOnceComplete);
     }
 
+    // ---- users who look closely ----
+
+    /** Milliseconds after the news of a job at which users ask all controllers about it. */
+    private static final List<Integer> LOOKS_MS = List.of(0, 1, 2, 4, 8, 12, 16, 24, 32, 48, 64, 100);
+
+    /** From now on users ask at all controllers, for estimates too, again and again, and repeat the submission when a job is accepted, complete or over; some cancel at once. */
+    void closeLooks() {
+        checker.order.news = this::closeLook;
+        lookOnceComplete();
+    }
+
+    private void lookOnceComplete() {
+        checker.submitted.keySet().stream().filter(id -> checker.isAccepted(id) && checker.isComplete(id) && looked.add(id)).toList().forEach(this::closeLook);
+        world.at(25, this::lookOnceComplete);
+    }
+
+    private void closeLook(String id) {
+        JsonNode b = checker.submitted.get(id);
+        boolean graph = b.has("nodes");
+        for (int ms : LOOKS_MS) {
+            for (int node = 0; node < hosts.size(); node++) {
+                int at = node;
+                world.at(ms, () -> lookAt(at, id, (graph ? "/graphs/" : "/submissions/") + id));
+                if (ms % 32 == 0 && !graph) {
+                    world.at(ms, () -> lookAt(at, id, "/submissions/" + id + "/estimate"));
+                }
+                if (ms < 16 && !graph) {
+                    world.at(ms, () -> againAt(at, id, b));
+                }
+            }
+        }
+        if (!keep.contains(id) && !checker.isOver(id) && !graph && world.random.nextInt(3) == 0) {
+            world.at(world.random.nextInt(16), () -> withdraw(id));
+        }
+    }
+
+    void lookAt(int node, String id, String path) {
+        long asked = world.now;
+        world.send("user", new Call("p" + node + ":1", "GET", path, null, 2_000, false), r -> {
+            if (r.status() == 200) {
+                checker.told(id, r.body().path("status").asText(), asked, world.now);
+            } else {
+                checker.refused(id, r.status(), asked);
+            }
+        });
+    }
+
+    /** Submissions that can't be accepted, each at all controllers, some of them twice. */
+    void oddRequests(int count, long within) {
+        for (int i = 0; i < count; i++) {
+            String id = "req-8" + String.format("%05d", i);
+            world.at(world.random.nextInt((int) within), () -> oddRequest(id));
+        }
+    }
+
+    private void oddRequest(String id) {
+        ObjectNode b = batch(id, 1, 5);
+        int due = 422;
+        switch (world.random.nextInt(6)) {
+            case 0 -> b.put("owner", "nobody");
+            case 1 -> b.put("cores", CloudStandIn.CPUS + 1.0);
+            case 2 -> b.put("hall", "nowhere");
+            case 3 -> b.putArray("flavours").add("none");
+            case 4 -> b.put("shape", "standing").put("shards", (int) (TEAM_CPUS * size) + 1);
+            default -> {
+                List<String> fields = new ArrayList<>();
+                b.fieldNames().forEachRemaining(fields::add);
+                b.remove(fields.get(world.random.nextInt(fields.size())));
+                due = 400;
+            }
+        }
+        int expected = due;
+        for (int node = 0; node < hosts.size(); node++) {
+            Call call = new Call("p" + node + ":1", "POST", "/submissions", b, 5_000, false);
+            world.at(world.random.nextInt(3_000), () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status())));
+            world.at(world.random.nextInt(3_000), () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status())));
+        }
+    }
+
+    private static ObjectNode batch(String id, int tasks, double seconds) {
+        return Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", "team").put("shape", "batch").put("rank", "standard")
+                .put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0).put("together", false).put("spread", false)
+                .put("lendable", true).put("bundle", "img-0").put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0);
+    }
+
     private String anyNode() {
         return "p" + world.random.nextInt(3) + ":1";
     }
@@ -418,8 +508,12 @@
 
     /** A late retry of an accepted submission. */
     private void again(String id, ObjectNode b) {
+        againAt(world.random.nextInt(3), id, b);
+    }
+
+    private void againAt(int node, String id, JsonNode b) {
         long asked = world.now;
-        world.send("user", new Call(anyNode(), "POST", "/submissions", b, 5_000, false), r -> {
+        world.send("user", new Call("p" + node + ":1", "POST", "/submissions", b, 5_000, false), r -> {
             if (r.status() == 200 || r.status() == 201) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
             } else {
@@ -705,6 +799,27 @@
         }
     }
 
+    /** Troubles in which answers overtake one another: slow ways to the state service and between controllers, a leader that is refused, stands still or ends. */
+    void drawAnswerTroubles(int count, long from, long to) {
+        for (int i = 0; i < count; i++) {
+            world.at(from + world.random.nextInt((int) (to - from)), this::answerTrouble);
+        }
+    }
+
+    private void answerTrouble() {
+        int led = state.data("h/roster") == null ? 0 : leader();
+        long ms = 1_000 + world.random.nextInt(8_000);
+        switch (world.random.nextInt(8)) {
+            case 0 -> world.slow("state:1", 700, ms);
+            case 1, 2 -> world.slow("m" + led + ":1", 400, 2 * ms);
+            case 3 -> world.refuse("bothy-" + led, "state:1", ms);
+            case 4 -> freeze(world.random.nextInt(3), 100 + ms / 2);
+            case 5 -> world.cutOneWay("state:1", "bothy-" + world.random.nextInt(3), ms);
+            case 6 -> crash(led, restartMs(5_000));
+            default -> state.outage(ms);
+        }
+    }
+
     /** The names of some machines. */
     private Set<String> some() {
         Set<String> names = new HashSet<>(cloud.names());
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -64,7 +64,9 @@
     double copyShare;
     /** Chance that a transaction gets no answer and is carried out 2 to 12 s later. */
     double lateWriteShare;
-    /** Which transactions that may happen to. */
+    /** Chance that a transaction is carried out at once and only its answer is lost. */
+    double lostAnswerShare;
+    /** Which transactions those two may happen to. */
     Predicate<JsonNode> lateWrites = txn -> true;
     /** Hosts whose calls to an address are answered with 503 at once, as one that is overloaded refuses a single caller. */
     private final Set<String> refused = new HashSet<>();
@@ -201,6 +203,7 @@
             at(2_000 + random.nextInt(10_000), () -> e.request(call.method(), call.path(), call.body(), r -> { }));
             return;
         }
+        boolean unheard = lostAnswerShare > 0 && call.path().equals("/commit") && lateWrites.test(call.body()) && random.nextDouble() < lostAnswerShare;
         long latency = latency(call.address());
         int life = e.life();
         Runnable deliver = () -> {
@@ -208,6 +211,9 @@
                 return;
             }
             e.request(call.method(), call.path(), call.body(), r -> {
+                if (unheard) {
+                    return;
+                }
                 Runnable answer = () -> at(latency(call.address()), () -> once.accept(r));
                 if (shut(link, from, call.address(), true)) {
                     held.computeIfAbsent(link, k -> new ArrayList<>()).add(answer);
