--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.hollypick.io.Reply;
 
 /** One check a rule, fed by the stand-ins with what really happened. */
@@ -38,16 +39,22 @@
     Program program;
     /** When the user of a job was told that one that it needs is cancelled. */
     private final Map<String, Long> orphanedAt = new HashMap<>();
-    private final double teamCpus;
+    /** Cores that each team's tasks may take together. */
+    final Map<String, Double> teamCpus = new HashMap<>();
     private final long cancelMs;
     int starts;
+    /** Tasks that started after a user was told that their job is cancelled, however soon after. */
+    final List<String> startsAfterCancellation = new ArrayList<>();
+    /** Tasks of jobs called cancelled that went on, for a moment or longer, when their machine no longer hung. */
+    int wentOnCancelled;
+    /** Hears of each task in the moment in which it completes. */
+    Consumer<String> onCompleted = task -> { };
     final Map<String, Integer> startsOf = new HashMap<>();
     int completed;
     /** Tasks that ended with their worker's lease. */
     int lost;
 
-    Checker(double teamCpus, long cancelMs) {
-        this.teamCpus = teamCpus;
+    Checker(long cancelMs) {
         this.cancelMs = cancelMs;
     }
 
@@ -75,16 +82,11 @@
                 broken.add("too_early " + task + " before " + awaited.asText());
             }
         }
-        Long told = toldCancelledAt.get(job(task));
-        if (told != null && now > told + cancelMs) {
-            broken.add("ran_cancelled (started) " + task);
-        }
+        checkCancelledStart(task, now);
         int inZone = 0;
         int elsewhere = 0;
-        double cpus = 0;
         for (Map.Entry<String, Set<WorkerStandIn>> e : on.entrySet()) {
             for (WorkerStandIn other : e.getValue()) {
-                cpus += spec(e.getKey()).path("cores").asDouble();
                 if (job(e.getKey()).equals(job(task))) {
                     if (other.zone.equals(w.zone)) {
                         inZone++;
@@ -94,9 +96,7 @@
                 }
             }
         }
-        if (teamCpus > 0 && cpus > teamCpus + 1e-6) {
-            broken.add("quota " + cpus);
-        }
+        checkQuota(teamOf(task));
         if (w.spot && !spec.path("lendable").asBoolean()
                 || spec.path("hall").isTextual() && !spec.path("hall").asText().equals(w.zone)
                 || spec.path("spread").asBoolean() && inZone > (spec.path("shards").asInt() + 1) / 2
@@ -105,6 +105,49 @@
         }
     }
 
+    /** What a team's tasks take together now, whether their job is over or not. */
+    double cpusOf(String team) {
+        double cpus = 0;
+        for (Map.Entry<String, Set<WorkerStandIn>> e : on.entrySet()) {
+            if (!e.getValue().isEmpty() && teamOf(e.getKey()).equals(team)) {
+                cpus += e.getValue().size() * spec(e.getKey()).path("cores").asDouble();
+            }
+        }
+        return cpus;
+    }
+
+    private String teamOf(String task) {
+        return submitted.get(job(task)).path("owner").asText();
+    }
+
+    private void checkQuota(String team) {
+        double cpus = cpusOf(team);
+        if (cpus > teamCpus.getOrDefault(team, 0.0) + 1e-6) {
+            broken.add("quota of " + team + " " + cpus);
+        }
+    }
+
+    private void checkCancelledStart(String task, long now) {
+        Long told = toldCancelledAt.get(job(task));
+        if (told != null) {
+            startsAfterCancellation.add(task + " " + (now - told) + " ms after");
+            if (now > told + cancelMs) {
+                broken.add("ran_cancelled (started) " + task);
+            }
+        }
+    }
+
+    /** Its machine hung and goes on, within its lease, and the task with it. */
+    void wentOn(String task, long now) {
+        Long told = toldCancelledAt.get(job(task));
+        if (told != null) {
+            wentOnCancelled++;
+            if (now > told + cancelMs) {
+                once("ran_cancelled (went on after its machine hung) " + task);
+            }
+        }
+    }
+
     /** Tasks that run somewhere. */
     int running() {
         return (int) on.values().stream().filter(where -> !where.isEmpty()).count();
@@ -127,6 +170,7 @@
     void completed(String task) {
         completed++;
         done.computeIfAbsent(job(task), k -> new HashSet<>()).add(Integer.parseInt(task.substring(task.indexOf('/') + 1)));
+        onCompleted.accept(task);
     }
 
     void withdrawing(String id) {
@@ -232,6 +276,11 @@
         return done.getOrDefault(job(task), Set.of()).contains(Integer.parseInt(task.substring(task.indexOf('/') + 1)));
     }
 
+    /** Jobs whose users were told that they are cancelled. */
+    int told() {
+        return toldCancelledAt.size();
+    }
+
     boolean isOver(String id) {
         return over.containsKey(id);
     }
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.HashMap;
 import java.util.List;
 import java.util.HashSet;
 import java.util.Map;
@@ -27,6 +28,7 @@
     /** What a cancelled task has beyond a lease. */
     private static final long CANCEL_MS = 20_000;
     private static final double TEAM_CPUS = 40;
+    private static final String TEAM = "team";
 
     /** A controller's host; processes come and go on it. */
     private final class Host implements World.Endpoint {
@@ -116,6 +118,8 @@
     double length = 1;
     /** One in so many arrays is cancelled. */
     int cancelledOf = 6;
+    /** Teams that submit jobs, in turn; a day with more than the usual one needs a version that knows them. */
+    List<String> owners = List.of(TEAM);
     private final Set<String> keep = new HashSet<>();
     private final Set<String> hasty = new HashSet<>();
 
@@ -142,7 +146,8 @@
         this.version = version;
         world = new World(seed);
         state = new StateStandIn(world);
-        checker = new Checker(TEAM_CPUS * size, leaseMs + CANCEL_MS);
+        checker = new Checker(leaseMs + CANCEL_MS);
+        checker.teamCpus.put(TEAM, TEAM_CPUS * size);
         List<String> nodes = List.of("p0:1", "p1:1", "p2:1");
         cloud = new CloudStandIn(world, checker, nodes, ZONES, leaseMs, size);
         world.listen("state:1", state);
@@ -192,6 +197,15 @@
                 s.reportS(), s.leaseS(), s.cancelS() + moreS, s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets());
     }
 
+    /** The same settings with these teams, which each may take that many cores at once. */
+    static Settings withTeams(Settings s, List<String> names, double cpusMax) {
+        Map<String, Settings.Team> teams = new HashMap<>();
+        names.forEach(n -> teams.put(n, new Settings.Team(n, cpusMax / 2, cpusMax, 0, 0)));
+        return new Settings(s.node(), s.zone(), s.publicAddr(), s.meshAddr(), s.siblings(), s.cloud(), s.state(),
+                s.zones(), teams, s.objectives(), s.reportS(), s.leaseS(), s.cancelS(), s.stateRps(), s.stateWriteRps(),
+                s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets());
+    }
+
     /** Limits of the state service. */
     record Limits(int valueBytes, int txnOps, double writeRps) {}
 
@@ -207,7 +221,7 @@
             }
         }
         return new Settings("bothy-" + index, "a", "p" + index + ":1", "m" + index + ":1", siblings, "cloud:1", "state:1", ZONES,
-                Map.of("team", new Settings.Team("team", 20 * size, TEAM_CPUS * size, 0, 0)), List.of(), 3, leaseMs / 1000.0, (leaseMs + CANCEL_MS) / 1000.0, 150,
+                Map.of(TEAM, new Settings.Team(TEAM, 20 * size, TEAM_CPUS * size, 0, 0)), List.of(), 3, leaseMs / 1000.0, (leaseMs + CANCEL_MS) / 1000.0, 150,
                 tight ? tightened.writeRps : 60, tight ? tightened.valueBytes : 8192, tight ? tightened.txnOps : 12, 8, 4, 1000);
     }
 
@@ -264,7 +278,7 @@
         if (lasting) {
             keep.add(id);
         }
-        ObjectNode b = Codec.object().put("name_id", id).put("jobkind", service ? "web" : "batch").put("owner", "team")
+        ObjectNode b = Codec.object().put("name_id", id).put("jobkind", service ? "web" : "batch").put("owner", owners.get(jobs % owners.size()))
                 .put("shape", service ? "standing" : "batch").put("rank", service ? "prod" : world.random.nextBoolean() ? "standard" : "low")
                 .put("shards", 1 + world.random.nextInt(6 * size)).put("cores", 1.0 + world.random.nextInt(2)).put("gpus", 0.0).put("ram_gb", 2.0)
                 .put("together", !service && world.random.nextInt(4) == 0).put("spread", service).put("lendable", !service)
@@ -335,6 +349,18 @@
         world.send("user", new Call(anyNode(), "POST", "/submissions", b, 5_000, false), r -> checker.neverAccepted(b.path("name_id").asText(), r.status()));
     }
 
+    /** A batch job of tasks of one core that run for about so long, all alike; nobody cancels it by chance. */
+    String submitBatch(int tasks, double seconds, String image) {
+        String id = String.format("req-%06d", jobs);
+        keep.add(id);
+        String owner = owners.get(jobs++ % owners.size());
+        begin(id, Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", owner).put("shape", "batch")
+                .put("rank", "standard").put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0)
+                .put("together", false).put("spread", false).put("lendable", true).put("bundle", image)
+                .put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0));
+        return id;
+    }
+
     /** Kills the controllers one after the other; they come back with the new version. */
     void roll(long from, long every) {
         for (Host h : hosts) {
--- a/src/test/java/org/hollypick/sim/WorkerStandIn.java
+++ b/src/test/java/org/hollypick/sim/WorkerStandIn.java
@@ -35,6 +35,12 @@
     private final List<Runnable> frozen = new ArrayList<>();
     boolean gone;
     private boolean hung;
+    /** For how long it has hung in all: its tasks don't run meanwhile. */
+    private long hungMs;
+    /** Orders of that kind don't reach it, as if no controller sent them: breaks rules in tests of the checker. */
+    String ignored = "";
+    /** It reports tasks that wait for their image as running: a leader acts as one that doesn't tell them apart. */
+    boolean callsFetchingRunning;
     /** Counts its starts: what an earlier life has under way means nothing to the present one. */
     private int life;
     private boolean down;
@@ -70,6 +76,12 @@
         return tasks.size();
     }
 
+    /** Whether a task of that job is on it and hasn't ended. */
+    boolean has(String job) {
+        return tasks.entrySet().stream()
+                .anyMatch(e -> e.getKey().startsWith(job + "/") && !e.getValue().status.equals("exited"));
+    }
+
     /** Tasks that haven't ended. */
     int running() {
         return (int) tasks.values().stream().filter(t -> !t.status.equals("exited")).count();
@@ -107,12 +119,35 @@
         hung = true;
         world.at(ms, () -> {
             hung = false;
+            hungMs += ms;
+            checkLease();
+            tasks.forEach((k, t) -> {
+                if (t.status.equals("running")) {
+                    checker.wentOn(taskOf(k), world.now);
+                }
+            });
             List<Runnable> list = new ArrayList<>(frozen);
             frozen.clear();
             list.forEach(r -> act(life, r));
         });
     }
 
+    void hangLater(long afterMs, long ms) {
+        world.at(afterMs, () -> hang(ms));
+    }
+
+    /** Ends a task that has run for so long, times in which the machine hung left out. */
+    private void runFor(long ms, Runnable end) {
+        long before = hungMs;
+        later(ms, () -> {
+            if (hungMs > before) {
+                runFor(hungMs - before, end);
+            } else {
+                end.run();
+            }
+        });
+    }
+
     /** It ends and is back soon with nothing on it; {@code anew}: with its counts at their first values, and no token. */
     void restart(long ms, boolean anew) {
         if (gone || down || hung) {
@@ -200,7 +235,9 @@
         }
         ArrayNode list = b.putArray("shards");
         tasks.forEach((k, t) -> {
-            ObjectNode n = list.addObject().put("shard", taskOf(k)).put("try", Long.parseLong(k.substring(k.indexOf('#') + 1))).put("status", t.status);
+            ObjectNode n = list.addObject().put("shard", taskOf(k))
+                    .put("try", Long.parseLong(k.substring(k.indexOf('#') + 1)))
+                    .put("status", callsFetchingRunning && t.status.equals("fetching") ? "running" : t.status);
             if (t.cause != null) {
                 n.put("cause", t.cause);
             }
@@ -240,6 +277,9 @@
 
     private void execute(JsonNode orders) {
         for (JsonNode o : orders) {
+            if (o.path("verb").asText().equals(ignored)) {
+                continue;
+            }
             String task = o.path("shard").asText();
             String key = task + "#" + o.path("try").asLong();
             Task t = tasks.get(key);
@@ -302,7 +342,8 @@
                 } else if (sick) {
                     later(500, () -> end(key, t, "error"));
                 } else if (spec.path("shape").asText().equals("batch")) {
-                    later((long) (spec.path("expect_s").asDouble() * (500 + world.random.nextInt(1_000))), () -> end(key, t, "done"));
+                    long ms = (long) (spec.path("expect_s").asDouble() * (500 + world.random.nextInt(1_000)));
+                    runFor(ms, () -> end(key, t, "done"));
                 }
             }
         });
