--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/Ends.java
@@ -116,10 +116,10 @@
     }
 
     /**
-     * Writes the cancellations that wait. None while a launch of the job may yet be carried out: so from the moment when
-     * anybody can be told, all that there is of it is shown by the reports that are answered, and told to end by each
-     * answer. {@code reachable}: the state service answers; without a user who waits it is written only then, and after
-     * everything that users wait for.
+     * Writes the cancellations that wait. None while a task of the job may yet start, by a launch under way or once its
+     * image is there: so from the moment when anybody can be told nothing of it starts, and all that there is of it is
+     * shown by the reports that are answered, and told to end by each answer. {@code reachable}: the state service
+     * answers; without a user who waits it is written only then, and after everything that users wait for.
      */
     void writeCancellations(boolean reachable) {
         long now = runtime.now();
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -397,6 +397,20 @@
         }
     }
 
+    /**
+     * Whether a task of this job may yet start by a launch that was sent: the launch may be carried out, whichever way it
+     * went out, or the machine waits for the image. A machine that can't be reached starts the task once the image is
+     * there, as long as its lease lasts.
+     */
+    public boolean startMayCome(Job job) {
+        for (Placement p : job.live.values()) {
+            if (p.state() == State.FETCHING || p.state() == State.SENT && p.launchMayFollow()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     /**
      * Whether a launch of this job that went out directly may yet be carried out, at any time while the machine's session
      * and token last.
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -239,11 +239,11 @@
     }
 
     /**
-     * Whether a launch of the job may yet be carried out that no report has shown: this owner's, or an older one's on a
-     * machine that isn't heard yet.
+     * Whether a task of the job may yet start by a launch that was sent: this owner's, or an older one's on a machine that
+     * isn't heard yet. As long as so nobody may be told that the job is cancelled: none of its tasks may start after that.
      */
     public boolean launchMayCome(Job job) {
-        return ledger.launchUnderWay(job) || job.under != token && !allHeard();
+        return ledger.startMayCome(job) || job.under != token && !allHeard();
     }
 
     /** Once so, it stays so; asked for many jobs in one moment. */
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -0,0 +1,333 @@
+package org.hollypick.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BiConsumer;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import java.util.stream.Stream;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Runtime;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Cancellations at enumerated moments around a fault: a change of leader, a refusal, an outage, a hang, a cut. Workers'
+ * leases last 15 s, and a cancelled task has 35 s. Besides the rules, no task may start once its user was told that its
+ * job is cancelled.
+ */
+class CancellationFaultsTest {
+    private static final List<String> TEAMS = List.of("team", "other");
+    /** Of each team: the machines have room for more than both, so that only the limits keep work waiting. */
+    private static final double LIMIT = 24;
+    private static final BiFunction<Runtime, Settings, Node> TWO_TEAMS =
+            (r, s) -> new Node(r, Day.withTeams(s, TEAMS, LIMIT), OperatorSettings.defaults());
+    /** Longer than the time that a cancelled task has. */
+    private static final long OUTAGE_MS = 50_000;
+    /** More are played outside CI: {@code mvn test -Dtest=CancellationFaultsTest -Dcancellations.seeds=50}. */
+    private static final int SEEDS = Integer.getInteger("cancellations.seeds", 1);
+
+    /** What ends, or stops, the leader's work. */
+    private enum Change {
+        BACK_AT_ONCE, AWAY, FROZEN, CUT_OFF, OUT_OF_REACH_OF_MACHINES, BOTH_WAYS;
+
+        void strike(Day day) {
+            int leader = day.leader();
+            switch (this) {
+                case BACK_AT_ONCE -> day.crash(leader, 200);
+                case AWAY -> day.crash(leader, 20_000);
+                case FROZEN -> day.freeze(leader, 7_000);
+                case CUT_OFF -> day.cutFromStateAndPeers(leader, 25_000);
+                case OUT_OF_REACH_OF_MACHINES -> day.cutFromWorkers(leader, 12_000);
+                default -> {
+                    day.crash(leader, 300);
+                    day.world.at(4_000, () -> day.crash(day.leader(), 300));
+                }
+            }
+        }
+    }
+
+    /** What befalls the machines of the cancelled jobs. */
+    private enum Loss {
+        SHORT_HANG, SLOW_HANG, HANG_WITHIN_LEASE, LONG_HANG, CUT, DEAF;
+
+        void strike(Day day, WorkerStandIn w) {
+            switch (this) {
+                case SHORT_HANG -> w.hang(1_500);
+                case SLOW_HANG -> w.hang(3_500);
+                case HANG_WITHIN_LEASE -> w.hang(12_000);
+                case LONG_HANG -> w.hang(40_000);
+                case CUT -> {
+                    for (int node = 0; node < 3; node++) {
+                        day.world.cut(w.name, "p" + node + ":1", 30_000);
+                        day.world.cut("bothy-" + node, w.addr, 30_000);
+                    }
+                }
+                default -> day.deafen(w, 30_000);
+            }
+        }
+    }
+
+    private static void assertRulesKept(Day day, String where) {
+        assertEquals(List.of(), day.checker.broken, where);
+        assertEquals(List.of(), day.checker.startsAfterCancellation, where + ": started after its user was told");
+    }
+
+    private static Stream<WorkerStandIn> machinesOf(Day day, String job) {
+        return day.cloud.workers().stream().filter(w -> w.has(job));
+    }
+
+    /** One-task jobs, some for seconds and some for long, so that at any moment some wait, fetch, run and end. */
+    private static List<String> smallJobs(Day day, int count, long everyMs) {
+        List<String> ids = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            int number = i;
+            day.world.at(everyMs * i, () -> ids.add(day.submitBatch(1, number % 3 == 0 ? 60 : 4, "img-" + number % 7)));
+        }
+        return ids;
+    }
+
+    /** One after the other of those jobs is cancelled, the youngest first. */
+    private static void cancelEvery(Day day, List<String> ids, long everyMs, int count) {
+        for (int i = 0; i < count; i++) {
+            int number = i;
+            day.world.at(everyMs * i, () -> {
+                if (number < ids.size()) {
+                    day.withdraw(ids.get(ids.size() - 1 - number));
+                }
+            });
+        }
+    }
+
+    private static Day changesHands(int seed, Change change) {
+        Day day = new Day(seed);
+        day.play(5_000);
+        List<String> ids = smallJobs(day, 120, 100);
+        day.play(13_000);
+        cancelEvery(day, ids, 50, 120);
+        day.world.at(500, () -> change.strike(day));
+        return day.play(55_000);
+    }
+
+    /** Jobs are cancelled every 50 ms, from before a change of the leader until after the next one has begun. */
+    @Test
+    void jobsCancelledWhileTheWorkChangesHands() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            for (Change change : Change.values()) {
+                assertRulesKept(changesHands(seed, change), change + " seed " + seed);
+            }
+        }
+    }
+
+    /** Two teams at their limits; jobs that run are cancelled as their machines are lost and the leader changes. */
+    private static Day atTheLimit(int seed, Change change, Loss loss, long changeAfterMs, Consumer<Day> fault) {
+        Day day = new Day(seed, 1, null, null, TWO_TEAMS);
+        day.owners = TEAMS;
+        TEAMS.forEach(t -> day.checker.teamCpus.put(t, LIMIT));
+        day.play(5_000);
+        List<String> ids = new ArrayList<>();
+        for (int i = 0; i < 20; i++) {
+            int number = i;
+            day.world.at(200 * i, () -> ids.add(day.submitBatch(6, 40, "img-" + number % 5)));
+        }
+        day.play(25_000);
+        TEAMS.forEach(t -> assertEquals(LIMIT, day.checker.cpusOf(t), t + " isn't at its limit"));
+        fault.accept(day);
+        for (int i = 0; i < 4; i++) {
+            String id = ids.get(i);
+            day.world.at(1_000 + 300 * i, () -> {
+                day.withdraw(id);
+                machinesOf(day, id).limit(2).forEach(w -> loss.strike(day, w));
+            });
+        }
+        day.world.at(1_000 + changeAfterMs, () -> change.strike(day));
+        return day.play(80_000);
+    }
+
+    /** Each change with each loss, a second before the first cancellation to three after; a third of them a seed. */
+    private static void forEachPair(int seed, Consumer<Day> fault, BiConsumer<Day, String> then) {
+        for (Change change : Change.values()) {
+            for (Loss loss : Loss.values()) {
+                if ((change.ordinal() + loss.ordinal() + seed) % 3 == 0) {
+                    long after = -1_000 + 100 * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
+                    Day day = atTheLimit(seed, change, loss, after, fault);
+                    then.accept(day, change + " " + loss + " after " + after + " seed " + seed);
+                }
+            }
+        }
+    }
+
+    @Test
+    void teamsAtTheirLimitsWhileCancelledMachinesAreLostAndTheLeaderChanges() {
+        int[] wentOn = {0};
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            forEachPair(seed, day -> { }, (day, where) -> {
+                assertRulesKept(day, where);
+                wentOn[0] += day.checker.wentOnCancelled;
+            });
+        }
+        assertTrue(wentOn[0] > 0, "no cancelled task went on for a moment after a hang: the test does nothing");
+    }
+
+    /** A successor that doesn't know of the machines takes their silence for room under the limit. */
+    @Test
+    void theCheckerNoticesALimitThatIsFreedOnSilence() {
+        Consumer<Day> forgets = day -> day.state.hidden = key -> key.startsWith("h/m/");
+        Day day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
+        assertTrue(day.checker.broken.stream().anyMatch(b -> b.startsWith("quota of")), day.checker.broken::toString);
+    }
+
+    /** Jobs are cancelled while their tasks wait for their image, on machines that are lost just then. */
+    private static Day whileFetching(int seed, Loss loss, Consumer<WorkerStandIn> fault) {
+        Day day = new Day(seed).withRunningServices();
+        day.cloud.workers().forEach(fault);
+        for (int i = 0; i < 8; i++) {
+            String id = day.submitBatch(3, 60, "img-fetched-" + i);
+            long after = 300 * i;
+            day.world.at(1_500 + after, () -> machinesOf(day, id).forEach(w -> loss.strike(day, w)));
+            day.world.at(1_500 + after + 50 * i, () -> day.withdraw(id));
+        }
+        return day.play(75_000);
+    }
+
+    @Test
+    void jobsCancelledWhileTheirTasksFetchOnMachinesThatAreLost() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            for (Loss loss : Loss.values()) {
+                assertRulesKept(whileFetching(seed, loss, w -> { }), loss + " seed " + seed);
+            }
+        }
+    }
+
+    /** As it was: only a launch that no report had shown kept a cancellation from being told. */
+    @Test
+    void theCheckerNoticesACancellationThatIsToldWhileAMachineFetches() {
+        Day day = whileFetching(1, Loss.CUT, w -> w.callsFetchingRunning = true);
+        assertFalse(day.checker.startsAfterCancellation.isEmpty());
+    }
+
+    /** Launches go out in answers that are held up for a while; their jobs are cancelled at each moment of that. */
+    private static Day answersHeldUp(int seed) {
+        Day day = new Day(seed).withRunningServices();
+        for (int spell = 0; spell < 10; spell++) {
+            day.world.at(4_000 * spell, () -> day.cloud.workers().forEach(w -> day.deafen(w, 2_500)));
+        }
+        List<String> ids = smallJobs(day, 200, 200);
+        for (int i = 0; i < 200; i++) {
+            int number = i;
+            day.world.at(200 * i + 150 + 13 * i % 2_000, () -> day.withdraw(ids.get(number)));
+        }
+        return day.play(70_000);
+    }
+
+    @Test
+    void jobsCancelledWhileTheirLaunchIsHeldUp() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            assertRulesKept(answersHeldUp(seed), "seed " + seed);
+        }
+    }
+
+    /**
+     * One-task jobs, four a second, a quarter cancelled within seconds. The leader ends; then the gap: answers to the
+     * leader are lost, it is refused alone, then everybody.
+     */
+    private static Day throughTheGap(int seed) {
+        Day day = new Day(seed);
+        day.play(5_000);
+        for (int i = 0; i < 480; i++) {
+            int number = i;
+            day.world.at(250 * i, () -> {
+                String id = day.submitBatch(1, 3, "img-" + number % 5);
+                if (number % 4 == 0) {
+                    day.world.at(200 + 37 * number % 3_000, () -> day.withdraw(id));
+                }
+            });
+        }
+        day.play(40_000);
+        day.crash(day.leader(), 300);
+        day.play(20_000);
+        int leader = day.leader();
+        day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
+        day.play(1_500);
+        day.world.refuse("bothy-" + leader, "state:1", 4_000);
+        day.play(1_000);
+        day.state.outage(OUTAGE_MS);
+        return day.play(OUTAGE_MS + 60_000);
+    }
+
+    @Test
+    void oneTaskJobsThroughAChangeOfTheLeaderAndTheGap() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            Day day = throughTheGap(seed);
+            assertRulesKept(day, "seed " + seed);
+            assertTrue(day.checker.told() > 80, "only " + day.checker.told() + " were cancelled");
+        }
+    }
+
+    /** The leader alone is refused, a second later everybody for long; jobs are cancelled every 40 ms around both. */
+    private static Day refusedThenOut(int seed, Consumer<WorkerStandIn> fault) {
+        Day day = new Day(seed);
+        day.play(5_000);
+        List<String> ids = smallJobs(day, 60, 100);
+        day.play(30_000);
+        day.cloud.workers().forEach(fault);
+        cancelEvery(day, ids, 40, 50);
+        day.play(500);
+        day.world.refuse("bothy-" + day.leader(), "state:1", 1_000);
+        day.play(1_000);
+        day.state.outage(OUTAGE_MS);
+        return day.play(OUTAGE_MS + 30_000);
+    }
+
+    @Test
+    void jobsCancelledAtTheRefusalOfTheLeaderAloneJustBeforeAnOutage() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            assertRulesKept(refusedThenOut(seed, w -> { }), "seed " + seed);
+        }
+    }
+
+    /** A machine that isn't told to end a cancelled task goes on with it, also after it hung. */
+    @Test
+    void theCheckerNoticesACancelledTaskThatNobodyEnds() {
+        Day day = refusedThenOut(1, w -> {
+            w.ignored = "kill";
+            w.hangLater(45_000, 2_000);
+        });
+        for (String rule : List.of("ran_cancelled (still there)", "ran_cancelled (went on after its machine hung)")) {
+            assertTrue(day.checker.broken.stream().anyMatch(b -> b.startsWith(rule)), rule);
+        }
+    }
+
+    /** Without any other trouble a job's user cancels it as its last task ends, or up to 60 ms later. */
+    private static Day atTheEnd(int seed) {
+        Day day = new Day(seed);
+        day.play(5_000);
+        int[] ends = {0};
+        day.checker.onCompleted = task -> {
+            String id = task.substring(0, task.indexOf('/'));
+            if (day.checker.isComplete(id)) {
+                day.world.at(ends[0]++ % 60, () -> day.withdraw(id));
+            }
+        };
+        for (int i = 0; i < 120; i++) {
+            int number = i;
+            day.world.at(250 * i, () -> day.submitBatch(1 + number % 2, 4, "img-" + number % 3));
+        }
+        return day.play(70_000);
+    }
+
+    @Test
+    void jobsCancelledAtTheEndOfTheirLastTask() {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            Day day = atTheEnd(seed);
+            assertRulesKept(day, "seed " + seed);
+            int cancelled = day.checker.told();
+            assertTrue(cancelled > 10 && cancelled < 110, "both ends should have won, cancelled: " + cancelled);
+        }
+    }
+}
