--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/CancelModelTest.java
@@ -1,17 +1,15 @@
 package org.hollypick;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.hollypick.model.StateSearch;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -44,7 +42,6 @@
 
     /** One moment; copied for each thing that may happen next. */
     private static final class State implements Cloneable {
-        State before;
         int now;
         boolean up = true;
         /** Until when the first one counts on its hold, the service does, and its promise from the second lasts. */
@@ -303,43 +300,24 @@
         }
     }
 
-    /** Breadth first, so that what is found is found on the shortest way; null if nothing is. */
-    private static List<State> search(Fault fault, int[] states) {
+    private static StateSearch.Result<State> search(Fault fault) {
         State launching = new State();
         State running = launching.next(t -> {
             t.launchUnderWay = false;
             t.there = true;
             t.shown = true;
         });
-        LongOpenHashSet seen = new LongOpenHashSet(new long[] {launching.key(), running.key()});
-        ArrayDeque<State> open = new ArrayDeque<>(List.of(launching, running));
-        State[] found = {null};
-        while (!open.isEmpty() && found[0] == null) {
-            State s = open.poll();
-            next(s, fault, t -> {
-                t.before = s;
-                if (t.broken != null) {
-                    found[0] = found[0] == null ? t : found[0];
-                } else if (seen.add(t.key())) {
-                    open.add(t);
-                }
-            });
-        }
-        List<State> trace = new ArrayList<>();
-        for (State t = found[0]; t != null; t = t.before) {
-            trace.add(0, t);
-        }
-        states[0] = seen.size();
-        return trace.isEmpty() ? null : trace;
+        LongOpenHashSet seen = new LongOpenHashSet();
+        return StateSearch.run(List.of(launching, running), (s, to) -> next(s, fault, t -> to.add("", t)),
+                s -> s.broken != null, s -> seen.add(s.key()));
     }
 
     @Test
     void aCancelledTaskIsGoneInTimeWhateverMeets() {
-        int[] states = {0};
-        List<State> trace = search(Fault.NONE, states);
-        assertNull(trace, () -> "" + trace);
-        assertTrue(states[0] > 50_000, "states " + states[0]);
-        System.out.println("cancellation model: states " + states[0]);
+        StateSearch.Result<State> result = search(Fault.NONE);
+        assertFalse(result.broken(), () -> "" + result.trace());
+        assertTrue(result.states() > 50_000, "states " + result.states());
+        System.out.println("cancellation model: states " + result.states());
     }
 
     @Test
@@ -347,10 +325,10 @@
         Map<Fault, Rule> found = new HashMap<>();
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
-                List<State> trace = search(fault, new int[1]);
-                assertNotNull(trace, fault.toString());
-                found.put(fault, trace.get(trace.size() - 1).broken);
-                System.out.println("cancellation model: " + fault + " found after " + trace.size() + " steps: " + found.get(fault));
+                StateSearch.Result<State> result = search(fault);
+                assertTrue(result.broken(), fault.toString());
+                found.put(fault, result.last().broken);
+                System.out.println("cancellation model: " + fault + " found after " + result.trace().size() + " steps: " + found.get(fault));
             }
         }
         assertEquals(Rule.WENT_BACK, found.get(Fault.TELLS_WHAT_IS_IN_DOUBT));
--- a/src/test/java/org/hollypick/HandoverModelTest.java
+++ b/src/test/java/org/hollypick/HandoverModelTest.java
@@ -1,16 +1,15 @@
 package org.hollypick;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
+import org.hollypick.model.StateSearch;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -96,50 +95,27 @@
         }
     }
 
-    /** Breadth first, so that what is found is found on the shortest way; null if nothing is. */
-    private static List<State> search(Fault fault, int[] states) {
+    private static StateSearch.Result<State> search(Fault fault) {
         Relay fresh = new Relay(-1, false, -1, false, -1, false, false);
         State first = new State(0, -1, false, false, false, -1, List.of(fresh, fresh), 0, 0);
-        Map<State, State> cameFrom = new HashMap<>(Map.of(first, first));
-        ArrayDeque<State> open = new ArrayDeque<>(List.of(first));
-        while (!open.isEmpty()) {
-            State s = open.poll();
-            if (s.wrong) {
-                List<State> trace = new ArrayList<>();
-                for (State t = s; !t.equals(first); t = cameFrom.get(t)) {
-                    trace.add(0, t);
-                }
-                return trace;
-            }
-            next(s, fault, t -> {
-                if (cameFrom.putIfAbsent(t, s) == null) {
-                    open.add(t);
-                }
-            });
-        }
-        states[0] = cameFrom.size();
-        return null;
+        Set<State> seen = new HashSet<>();
+        return StateSearch.run(List.of(first), (s, to) -> next(s, fault, t -> to.add("", t)), s -> s.wrong, seen::add);
     }
 
     @Test
     void nothingOfTheOldOwnerIsPassedOnOnceAnotherHasBegun() {
-        int[] states = {0};
-        List<State> trace = search(Fault.NONE, states);
-        assertNull(trace, () -> "" + trace);
-        assertTrue(states[0] > 50_000, "states " + states[0]);
-        System.out.println("handover model: states " + states[0]);
+        StateSearch.Result<State> result = search(Fault.NONE);
+        assertFalse(result.broken(), () -> "" + result.trace());
+        assertTrue(result.states() > 50_000, "states " + result.states());
+        System.out.println("handover model: states " + result.states());
     }
 
     @Test
     void eachFaultIsFound() {
         for (Fault fault : Fault.values()) {
-            List<State> trace = search(fault, new int[1]);
-            if (fault == Fault.NONE) {
-                assertNull(trace);
-            } else {
-                assertNotNull(trace, fault.toString());
-                assertEquals(true, trace.get(trace.size() - 1).wrong, fault.toString());
-            }
+            StateSearch.Result<State> result = search(fault);
+            assertEquals(fault != Fault.NONE, result.broken(), fault.toString());
+            assertTrue(fault == Fault.NONE || result.last().wrong, fault.toString());
         }
     }
 }
