--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -27,10 +27,19 @@
     private final RateBudget requests;
     private final RateBudget writes;
     private final ArrayDeque<Queued> queue = new ArrayDeque<>();
+    private final StateUsage usage = new StateUsage();
     private int queuedPuts;
     private boolean draining;
 
-    private record Queued(Call call, Ways.Kind kind, int puts, long deadline, Consumer<Reply> reply) {}
+    private record Queued(Call call, Ways.Kind kind, Txn txn, long since, Consumer<Reply> reply) {
+        int puts() {
+            return txn == null ? 0 : txn.ops();
+        }
+
+        boolean late(long now) {
+            return now >= since + Constants.STATE_QUEUE_MS;
+        }
+    }
 
     /** A transaction under construction. */
     public static final class Txn {
@@ -62,6 +71,13 @@
             return then.size();
         }
 
+        private void count(StateUsage usage) {
+            for (JsonNode change : then) {
+                String key = change.path(change.has("put") ? "put" : "drop").asText();
+                usage.changed(key, when.containsKey(key) && when.getLong(key) == 0);
+            }
+        }
+
         JsonNode body() {
             ObjectNode body = Codec.object();
             ArrayNode conditions = body.putArray("when");
@@ -80,6 +96,12 @@
         this.requests = new RateBudget(settings.stateRps() * Constants.STATE_BUDGET / nodes, runtime.now());
         this.writes = new RateBudget(1, runtime.now());
         setOwner(false);
+        runtime.after(Constants.SUMMARY_MS, this::logUsage);
+    }
+
+    private void logUsage() {
+        usage.log();
+        runtime.after(Constants.SUMMARY_MS, this::logUsage);
     }
 
     /** How calls get there; other controllers' too. */
@@ -97,7 +119,11 @@
 
     /** Whether a new write would wait here for longer than it may: whoever wants it is told so at once. */
     public boolean crowded() {
-        return full() || queuedPuts > Math.max(1, writes.rate() * Constants.STATE_QUEUE_MS / 1000.0 * Constants.QUEUE_PROMISE);
+        boolean crowded = full() || queuedPuts > Math.max(1, writes.rate() * Constants.STATE_QUEUE_MS / 1000.0 * Constants.QUEUE_PROMISE);
+        if (crowded) {
+            usage.refused();
+        }
+        return crowded;
     }
 
     private boolean full() {
@@ -110,7 +136,7 @@
     }
 
     public void get(String key, Consumer<Reply> reply) {
-        submit(Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, 0, reply);
+        submit(Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, null, reply);
     }
 
     /** The answer is 404 and tells the epoch. */
@@ -120,49 +146,54 @@
 
     public void list(String prefix, String from, Consumer<Reply> reply) {
         String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
-        submit(Call.of(address, "GET", path, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, 0, reply);
+        submit(Call.of(address, "GET", path, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, null, reply);
     }
 
     public void commit(Txn txn, Consumer<Reply> reply) {
-        submit(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, txn.ops(), reply);
+        submit(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, txn, reply);
     }
 
     /** Leadership and membership: ahead of the queue, like leases. */
     public void commitNow(Txn txn, Consumer<Reply> reply) {
         writes.take(txn.ops(), runtime.now());
-        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, reply);
+        txn.count(usage);
+        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, StateUsage.Request.COMMIT, reply);
     }
 
     /** Asked twice, one of two holds is never used and ends by itself. */
     public void grant(long lifeMs, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, reply);
+        urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void extend(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(tenancy) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, reply);
+        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(tenancy) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void end(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(tenancy), null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, reply);
+        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(tenancy), null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void watch(String prefix, long from, Consumer<Reply> reply) {
         urgent(Call.of(address, "GET", "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms=" + Constants.WATCH_MS,
-                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Ways.Kind.WATCH, reply);
+                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Ways.Kind.WATCH, StateUsage.Request.WATCH, reply);
     }
 
-    private void urgent(Call call, Ways.Kind kind, Consumer<Reply> reply) {
+    private void urgent(Call call, Ways.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
         requests.take(1, runtime.now());
+        usage.sent(counted);
         ways.call(call, kind, reply);
     }
 
-    private void submit(Call call, Ways.Kind kind, int puts, Consumer<Reply> reply) {
+    private void submit(Call call, Ways.Kind kind, Txn txn, Consumer<Reply> reply) {
         if (full()) {
+            usage.notSent();
             reply.accept(Reply.notSent());
             return;
         }
-        queuedPuts += puts;
-        queue.add(new Queued(call, kind, puts, runtime.now() + Constants.STATE_QUEUE_MS, reply));
+        Queued next = new Queued(call, kind, txn, runtime.now(), reply);
+        queuedPuts += next.puts();
+        queue.add(next);
+        usage.queued(queue.size());
         drain();
     }
 
@@ -173,16 +204,14 @@
         long now = runtime.now();
         while (!queue.isEmpty()) {
             Queued next = queue.peek();
-            if (now >= next.deadline) {
+            if (next.late(now)) {
                 queue.poll();
-                queuedPuts -= next.puts;
+                queuedPuts -= next.puts();
+                usage.notSent();
                 next.reply.accept(Reply.notSent());
-            } else if (requests.has(1, now) && writes.has(next.puts, now)) {
+            } else if (requests.has(1, now) && writes.has(next.puts(), now)) {
                 queue.poll();
-                queuedPuts -= next.puts;
-                requests.take(1, now);
-                writes.take(next.puts, now);
-                ways.call(next.call, next.kind, next.reply);
+                send(next, now);
             } else {
                 draining = true;
                 runtime.after(20, () -> {
@@ -193,4 +222,16 @@
             }
         }
     }
+
+    private void send(Queued next, long now) {
+        queuedPuts -= next.puts();
+        requests.take(1, now);
+        writes.take(next.puts(), now);
+        usage.sent(next.txn == null ? StateUsage.Request.READ : StateUsage.Request.COMMIT);
+        usage.waited(now - next.since);
+        if (next.txn != null) {
+            next.txn.count(usage);
+        }
+        ways.call(next.call, next.kind, next.reply);
+    }
 }
