--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -246,6 +246,8 @@
     public static final int STATE_QUEUE = 100;
     /** Milliseconds a queued state request may wait for its turn; users give up after 5 s. */
     public static final long STATE_QUEUE_MS = 2_500;
+    /** Milliseconds until queued state requests are looked at again: far less than users wait, and few timers. */
+    public static final long STATE_QUEUE_STEP_MS = 20;
     /** Share of that time which may be used up by what is queued already when something new is taken on: other requests share the way. */
     public static final double QUEUE_PROMISE = 0.8;
 
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -26,10 +26,13 @@
     private final Settings settings;
     private final RateBudget requests;
     private final RateBudget writes;
-    private final ArrayDeque<Queued> queue = new ArrayDeque<>();
+    /** Requests that change nothing: they need no share of the changes and so never wait behind one that does. */
+    private final ArrayDeque<Queued> reads = new ArrayDeque<>();
+    private final ArrayDeque<Queued> commits = new ArrayDeque<>();
     private final StateUsage usage = new StateUsage();
     private int queuedPuts;
-    private boolean draining;
+    /** The queues will be looked at again shortly. */
+    private boolean wakes;
 
     private record Queued(Call call, Ways.Kind kind, Txn txn, long since, Consumer<Reply> reply) {
         int puts() {
@@ -127,12 +130,12 @@
     }
 
     private boolean full() {
-        return queue.size() >= Constants.STATE_QUEUE;
+        return commits.size() >= Constants.STATE_QUEUE;
     }
 
     /** Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what users wait for. */
     public boolean spare() {
-        return queue.isEmpty() && writes.has(writes.rate() / 2, runtime.now());
+        return reads.isEmpty() && commits.isEmpty() && writes.has(writes.rate() / 2, runtime.now());
     }
 
     public void get(String key, Consumer<Reply> reply) {
@@ -185,7 +188,8 @@
     }
 
     private void submit(Call call, Ways.Kind kind, Txn txn, Consumer<Reply> reply) {
-        if (full()) {
+        ArrayDeque<Queued> queue = txn == null ? reads : commits;
+        if (queue.size() >= Constants.STATE_QUEUE) {
             usage.notSent();
             reply.accept(Reply.notSent());
             return;
@@ -193,33 +197,45 @@
         Queued next = new Queued(call, kind, txn, runtime.now(), reply);
         queuedPuts += next.puts();
         queue.add(next);
-        usage.queued(queue.size());
+        usage.queued(reads.size() + commits.size());
         drain();
     }
 
     private void drain() {
-        if (draining) {
-            return;
-        }
         long now = runtime.now();
-        while (!queue.isEmpty()) {
-            Queued next = queue.peek();
-            if (next.late(now)) {
-                queue.poll();
-                queuedPuts -= next.puts();
-                usage.notSent();
-                next.reply.accept(Reply.notSent());
-            } else if (requests.has(1, now) && writes.has(next.puts(), now)) {
-                queue.poll();
-                send(next, now);
-            } else {
-                draining = true;
-                runtime.after(20, () -> {
-                    draining = false;
-                    drain();
-                });
-                return;
-            }
+        dropLate(reads, now);
+        dropLate(commits, now);
+        for (ArrayDeque<Queued> queue = sendable(now); queue != null; queue = sendable(now)) {
+            send(queue.poll(), now);
+        }
+        if (!wakes && !(reads.isEmpty() && commits.isEmpty())) {
+            wakes = true;
+            runtime.after(Constants.STATE_QUEUE_STEP_MS, () -> {
+                wakes = false;
+                drain();
+            });
+        }
+    }
+
+    /** The queue whose first request has waited longest of those that the limits allow now; null if they allow none. */
+    private ArrayDeque<Queued> sendable(long now) {
+        if (!requests.has(1, now)) {
+            return null;
+        }
+        Queued read = reads.peek();
+        Queued commit = commits.peek();
+        if (commit == null || !writes.has(commit.puts(), now)) {
+            return read == null ? null : reads;
+        }
+        return read == null || commit.since <= read.since ? commits : reads;
+    }
+
+    private void dropLate(ArrayDeque<Queued> queue, long now) {
+        while (!queue.isEmpty() && queue.peek().late(now)) {
+            Queued late = queue.poll();
+            queuedPuts -= late.puts();
+            usage.notSent();
+            late.reply.accept(Reply.notSent());
         }
     }
 
