--- /dev/null
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -0,0 +1,244 @@
+package org.hollypick.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import java.util.function.IntFunction;
+import java.util.function.Predicate;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Call;
+import org.hollypick.io.Codec;
+import org.hollypick.io.Reply;
+import org.hollypick.io.Runtime;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Partitions, long absences and overload that meet other troubles (docs/meetings.md). Workers' leases last 15 s, and a cancelled task has 35 s. After each day's
+ * troubles no job may go unanswered for 75 s, nor wait for 90 s beside room. Each check has a faulty variant that it notices.
+ */
+class PartitionFaultsTest {
+    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    /** Days of each kind: more are played outside CI with {@code -Dpartition.days=...}. */
+    private static final int SEEDS = Integer.getInteger("partition.days", 3);
+    /** Days of which a faulty variant has to be noticed on one. */
+    private static final int FAULTY_SEEDS = 6;
+    /** Longer than a worker's lease. */
+    private static final long CUT_MS = 25_000;
+    /** Longer than a cancelled task has. */
+    private static final long OUTAGE_MS = 50_000;
+    /** By then all that follows from a trouble of that day is over. */
+    private static final long SETTLED_MS = 20_000;
+
+    private static void keepsTheRules(IntFunction<Day> day) {
+        for (int seed = 1; seed <= SEEDS; seed++) {
+            assertEquals(List.of(), day.apply(seed).checker.broken, "seed " + seed);
+        }
+    }
+
+    private static void notices(String rule, IntFunction<Day> faulty) {
+        boolean noticed = false;
+        for (int seed = 1; seed <= FAULTY_SEEDS && !noticed; seed++) {
+            noticed = faulty.apply(seed).checker.broken.stream().anyMatch(b -> b.startsWith(rule));
+        }
+        assertTrue(noticed, rule);
+    }
+
+    /** The troubles are over soon: from then on every job is answered about, and none waits beside room. */
+    private static Day calm(Day day) {
+        day.play(SETTLED_MS);
+        day.checker.calm(day.world.now);
+        return day.play(WaitingCheck.NEGLECTED_MS + 5_000);
+    }
+
+    /** Arrays, half of them bound to a zone or spread, and some services. */
+    private static Day busy(int seed, BiFunction<Runtime, Settings, Node> version) {
+        Day day = new Day(seed, 1, null, null, version);
+        day.zoneBound = true;
+        day.length = 3;
+        day.cancelledOf = 3;
+        day.play(5_000);
+        day.submitSome(16, 25_000);
+        return day.play(30_000);
+    }
+
+    @Test
+    void allControllersAreAwayForLongerThanALease() {
+        keepsTheRules(seed -> allAway(seed, key -> false));
+    }
+
+    @Test
+    void theCheckerNoticesAJobWithoutRecordAfterAllControllersWereAway() {
+        notices("forgotten", seed -> allAway(seed, key -> key.equals("h/j/req-000003")));
+    }
+
+    private static Day allAway(int seed, Predicate<String> hidden) {
+        Day day = busy(seed, NEW);
+        day.state.hidden = hidden;
+        day.allAwayForLongerThanALease();
+        day.submitArrays(4, CUT_MS);
+        return calm(day.play(CUT_MS));
+    }
+
+    /** Jobs are cancelled through the outside while a zone with a controller, the leader or another, goes on without it. */
+    @Test
+    void jobsAreCancelledOutsideWhileAZoneIsCutOff() {
+        keepsTheRules(seed -> zoneCut(seed, seed % 2 == 0, 2 * CUT_MS, NEW));
+    }
+
+    @Test
+    void theCheckerNoticesAZoneThatKeepsLeasesForLonger() {
+        // Only the controller that leads, inside, is greedy: the others reckon with the rights that there should be.
+        notices("ran_cancelled", seed -> zoneCut(seed, true, 5 * CUT_MS, (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? Day.greedy(s, 90) : s)));
+    }
+
+    private static Day zoneCut(int seed, boolean leaderInside, long cutMs, BiFunction<Runtime, Settings, Node> version) {
+        Day day = new Day(seed, 1, null, null, version).withRunningServices();
+        int inside = leaderInside ? day.leader() : (day.leader() + 1) % 3;
+        day.controllerInZone(inside, "b");
+        day.cutZone("b", cutMs);
+        for (int i = 0; i < 6; i++) {
+            String id = "req-00000" + i;
+            day.world.at(i * 4_000 + day.world.random.nextInt(4_000), () -> day.withdrawAt((inside + 1) % 3, id));
+        }
+        return calm(day.play(cutMs));
+    }
+
+    /** Arrays bound to a zone, spread or held together, lose machines while that zone is cut off and comes back, and the leader changes in between and just after. */
+    @Test
+    void jobsBoundToAZoneLoseMachines() {
+        keepsTheRules(seed -> boundToAZone(seed, key -> false));
+    }
+
+    /** A new leader that doesn't know of machines out of reach takes what runs there for gone. */
+    @Test
+    void theCheckerNoticesPlacesChosenWithoutTheMachinesOutOfReach() {
+        notices("wrong_place", seed -> boundToAZone(seed, key -> key.startsWith("h/m/")));
+    }
+
+    private static Day boundToAZone(int seed, Predicate<String> hidden) {
+        Day day = busy(seed, NEW);
+        day.state.hidden = hidden;
+        String zone = seed % 2 == 0 ? "a" : "b";
+        day.cloud.workers().stream().filter(w -> w.spot && day.world.random.nextBoolean()).forEach(day.cloud::take);
+        day.controllerInZone((day.leader() + seed) % 3, "b");
+        day.cutZone(zone, 12_000 + 3_000 * seed);
+        day.world.at(4_000, () -> day.crash(day.leader(), 200 + 4_000 * (seed % 2)));
+        day.world.at(12_000 + 3_000 * seed + day.world.random.nextInt(300), () -> day.crash(day.leader(), 200));
+        return calm(day.play(CUT_MS + 15_000));
+    }
+
+    /** What direct commands launch ends with the machines' leases, since no report renews them. */
+    @Test
+    void workersReachNoControllerWhileDirectCommandsReachThem() {
+        keepsTheRules(seed -> muteWorkers(seed, NEW));
+    }
+
+    @Test
+    void theCheckerNoticesALeaderThatTakesLeasesForOverTooEarly() {
+        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, Day.shortLease(s, 4))));
+    }
+
+    private static Day muteWorkers(int seed, BiFunction<Runtime, Settings, Node> version) {
+        Day day = busy(seed, version);
+        List<String> names = day.cloud.workers().stream().filter(w -> seed % 3 == 0 || w.zone.equals("a") || day.world.random.nextBoolean()).map(w -> w.name).toList();
+        day.mute(names, 2 * CUT_MS);
+        day.submitArrays(5, CUT_MS);
+        if (seed % 2 == 0) {
+            day.world.at(CUT_MS, () -> day.crash(day.leader(), 200));
+        }
+        return calm(day.play(2 * CUT_MS));
+    }
+
+    /** Six times what there is room for, urgent and not, while everything that passes between controllers and machines takes up to a second longer. */
+    @Test
+    void moreWorkThanRoomOverSlowLinks() {
+        keepsTheRules(seed -> moreThanRoom(seed, key -> false));
+    }
+
+    @Test
+    void theCheckerNoticesAJobThatNobodyStarts() {
+        notices("neglected req-000020", seed -> moreThanRoom(seed, key -> key.equals("h/j/req-000020")));
+    }
+
+    private static Day moreThanRoom(int seed, Predicate<String> hidden) {
+        Day day = new Day(seed);
+        day.zoneBound = true;
+        day.submitLasting(2); // their machines stay, with room beside them
+        day.play(8_000);
+        for (int node = 0; node < 3; node++) {
+            day.world.slow("p" + node + ":1", 1_000, 80_000);
+        }
+        day.cloud.workers().forEach(w -> day.world.slow(w.addr, 1_000, 80_000));
+        day.submitSome(40, 20_000);
+        day.state.hidden = hidden;
+        day.world.at(6_000, () -> day.crash(day.leader(), 300));
+        day.world.at(25_000, day::crashAll);
+        return calm(day.play(80_000));
+    }
+
+    /** Ten changes in two minutes, every second day inside an outage, with cancellations. */
+    @Test
+    void theLeaderChangesTenTimesInTwoMinutes() {
+        keepsTheRules(seed -> tenChanges(seed, 1));
+    }
+
+    /** Another one leads while the one before is still sure of its hold. */
+    @Test
+    void theCheckerNoticesHoldsThatEndEarly() {
+        notices("without_right", seed -> tenChanges(seed, 0.3));
+    }
+
+    private static Day tenChanges(int seed, double holdShare) {
+        Day day = busy(seed, NEW);
+        day.state.holdShare = holdShare;
+        day.changeLeaders(10, 12_000);
+        day.submitSome(8, 100_000);
+        for (int i = 0; i < 4; i++) {
+            day.world.at(5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.cancelSome(0));
+        }
+        if (seed % 2 == 0) {
+            day.world.at(30_000, () -> day.state.outage(OUTAGE_MS));
+        }
+        if (holdShare < 1) {
+            day.world.at(40_000, () -> day.freeze(day.leader(), 3_000));
+        }
+        return calm(day.play(125_000));
+    }
+
+    /** Users cancel at the moment at which the state service refuses the leader alone, or answers slowly, and it is out for all a second later; they go on asking. */
+    @Test
+    void jobsAreCancelledAsTheStateServiceRefusesTheLeader() {
+        keepsTheRules(seed -> refusalThenOutage(seed, NEW));
+    }
+
+    /** It takes its cancellations for durable as soon as it has sent them. */
+    @Test
+    void theCheckerNoticesACancellationToldBeforeItIsDurable() {
+        notices("ran_cancelled", seed -> refusalThenOutage(seed, (r, s) -> NEW.apply(new Passing(r) {
+            @Override
+            public void call(Call call, Consumer<Reply> reply) {
+                if (call.path().equals("/commit") && call.body().toString().contains("aborted")) {
+                    r.after(1, () -> reply.accept(new Reply(200, Codec.object().put("epoch", 1))));
+                } else {
+                    super.call(call, reply);
+                }
+            }
+        }, s)));
+    }
+
+    private static Day refusalThenOutage(int seed, BiFunction<Runtime, Settings, Node> version) {
+        Day day = busy(seed, version);
+        if (seed % 2 == 0) {
+            day.world.slow("state:1", 800, 10_000);
+        }
+        day.refusalThenOutage(OUTAGE_MS);
+        day.world.at(1_500 + 500 * seed, () -> day.cancelSome(3_000));
+        day.world.at(OUTAGE_MS + 5_000, () -> day.crash(day.leader(), 300));
+        return calm(day.play(OUTAGE_MS + 5_000));
+    }
+}
