--- a/src/test/java/org/hollypick/FleetTest.java
+++ b/src/test/java/org/hollypick/FleetTest.java
@@ -190,4 +190,62 @@
         plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(plan.rents().stream().mapToInt(Fleet.Rent::count).sum() > 4, "without a limit");
     }
+
+    /** A scheduler whose only team may use that many cores. */
+    private static Scheduler withLimit(double cores) {
+        Settings limited = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES,
+                Map.of("team", new Settings.Team("team", 0, cores, 0, 0)), List.of(),
+                3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        return new Scheduler(5, limited, 0.3, new Leases(limited, List.of(), 0, true));
+    }
+
+    private static Job addService(Scheduler to, String id, int tasks) {
+        return to.addJob(new JobSpec(id, "web", "team", true, JobSpec.Rank.PRODUCTION, tasks, 1, 0, 1, null, null,
+                false, true, false, "img", 1, 0, 0, 0, Double.NaN), 1, 5);
+    }
+
+    private static Job addArray(Scheduler to, String id, int tasks) {
+        return to.addJob(new JobSpec(id, "batch", "team", false, JobSpec.Rank.NORMAL, tasks, 2, 0, 1, null, null,
+                false, false, true, "img", 1, 30, 0, 0, Double.NaN), 1, 5);
+    }
+
+    private static double rentedCores(Fleet.Plan plan) {
+        return plan.rents().stream().mapToDouble(r -> r.count() * TYPE.cpus()).sum();
+    }
+
+    /** Plans until the mean load of arrays is known: one of 30 tasks, 1,800 core-seconds, arrives each second. */
+    private static long followArrays(Fleet fleet, Scheduler scheduler) {
+        long now = 0;
+        for (; now < 200_000; now += 1_000) {
+            scheduler.jobs.clear();
+            addArray(scheduler, "req-" + now, 30);
+            fleet.plan(scheduler, TYPES, ZONES, now);
+        }
+        return now;
+    }
+
+    /** Room for the mean load was rented far beyond what the limits let run: twice the limits, a third of it idle. */
+    @Test
+    void roomForArraysToComeKeepsWithinTheLimits() {
+        Scheduler limited = withLimit(320);
+        Fleet rents = new Fleet(OperatorSettings.defaults(), true);
+        long now = followArrays(rents, limited);
+        assertTrue(rents.load() > 1_000, "mean load " + rents.load());
+        assertEquals(320, rentedCores(rents.plan(limited, TYPES, ZONES, now)), "all of the limit");
+        addService(limited, "req-service", 160);
+        double rented = rentedCores(rents.plan(limited, TYPES, ZONES, now + 1_000));
+        double wholeMachines = ZONES.size() * TYPE.cpus(); // the last one of each zone is rented whole
+        assertTrue(rented >= 320 && rented <= 320 + wholeMachines, "services, room for more, and arrays: " + rented);
+        addService(limited, "req-more", 160);
+        Fleet.Plan plan = rents.plan(limited, TYPES, ZONES, now + 2_000);
+        assertEquals(320, rentedCores(plan), "services take all of the limit");
+    }
+
+    /** What services await beyond their team's limit can't start either. */
+    @Test
+    void servicesAwaitedBeyondTheLimitRentNothing() {
+        Scheduler limited = withLimit(320);
+        addService(limited, "req-1", 400);
+        assertEquals(320, rentedCores(new Fleet(OperatorSettings.defaults(), true).plan(limited, TYPES, ZONES, 1_000)));
+    }
 }
