--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -253,6 +253,10 @@
 
     /** Share of the state service's limit on a value that is used, by the bytes of compact JSON: it may count white space too. */
     public static final double VALUE_SHARE = 0.875;
+    /** Transactions under way at once that end finished jobs: one whose answer is lost blocks its place for two seconds. */
+    public static final int ENDS_UNDER_WAY = 4;
+    /** Seconds' worth of changes in one transaction of ends at most: a larger one would hold up for longer what users wait for. */
+    public static final double BATCH_S = 0.5;
     /** Times that a submission's record is tried: the roster may have changed since this node last heard of it. */
     public static final int CREATE_TRIES = 2;
 
--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/Ends.java
@@ -1,5 +1,6 @@
 package org.hollypick.control;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -38,6 +39,10 @@
     private final Consumer<String> ended;
     /** Jobs whose cancellation went out and may be, or become, durable. */
     private final Set<String> abortsInDoubt = new HashSet<>();
+    /** Finished jobs whose records weren't as expected: each is written in a transaction of its own, so that it holds up no others. */
+    private final Set<String> writtenAlone = new HashSet<>();
+    /** Transactions under way that end finished jobs. */
+    private int closings;
     /** Live jobs that are to be cancelled. */
     private final Map<String, Cancellation> cancelling = new LinkedHashMap<>();
     /** The newest change by which a job was cancelled in this term, as far as this node knows. */
@@ -81,6 +86,7 @@
         scheduler.jobs.remove(id);
         ended.accept(id);
         abortsInDoubt.remove(id);
+        writtenAlone.remove(id);
         if (status.equals(Records.ABORTED)) {
             scheduler.abort(job);
             dependencies.cancelled(id);
@@ -134,7 +140,7 @@
     private void write(Cancellation c) {
         c.writing = true;
         c.writtenAt = runtime.now();
-        commit(c.job, Records.ABORTED, r -> {
+        commit(List.of(ending(c.job, Records.ABORTED)), r -> {
             c.writing = false;
             LOG.info("abort job={} status={} token={}", c.job.spec.id(), r.status(), token);
             if (r.ok()) {
@@ -154,18 +160,29 @@
         return cancelling.values().stream().anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
     }
 
-    /** Until the outcome is known for certain, this node's own idea of the job is no answer to users. */
-    private void commit(Job job, String status, Consumer<Reply> reply) {
-        String id = job.spec.id();
-        job.endsInDoubt++;
-        if (status.equals(Records.ABORTED)) {
-            abortsInDoubt.add(id);
+    /** The end of one job as it is to be written. */
+    private record Ending(Job job, String status, ObjectNode record) {}
+
+    private Ending ending(Job job, String status) {
+        return new Ending(job, status, record.apply(job, status));
+    }
+
+    /** Until the outcome is known for certain, this node's own idea of the jobs is no answer to users. */
+    private void commit(List<Ending> endings, Consumer<Reply> reply) {
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token);
+        for (Ending e : endings) {
+            String id = e.job.spec.id();
+            e.job.endsInDoubt++;
+            if (e.status.equals(Records.ABORTED)) {
+                abortsInDoubt.add(id);
+            }
+            txn.when(Keys.job(id), e.job.order).put(Keys.job(id), e.record);
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token).when(Keys.job(id), job.order)
-                .put(Keys.job(id), record.apply(job, status));
         state.commit(txn, r -> {
-            if (r.status() != Reply.NO_ANSWER && --job.endsInDoubt == 0) {
-                abortsInDoubt.remove(id);
+            for (Ending e : endings) {
+                if (r.status() != Reply.NO_ANSWER && --e.job.endsInDoubt == 0) {
+                    abortsInDoubt.remove(e.job.spec.id());
+                }
             }
             reply.accept(r);
         });
@@ -196,24 +213,71 @@
         return job.endsInDoubt > 0 || !abortsInDoubt.isEmpty() && dependencies.needsAny(job.spec.id(), abortsInDoubt);
     }
 
-    /** Writes the ends of the jobs that are finished. */
+    /**
+     * Writes the ends of the jobs that are finished, several to a transaction. A further transaction is begun while one is under way only
+     * if nothing waits for its turn at the state service: ends that waited there would keep new jobs from being accepted.
+     */
     void closeFinished() {
-        for (Job job : new ArrayList<>(scheduler.progressDirty)) {
-            if (!job.finished() || job.closing) {
-                continue;
+        List<Job> finished = new ArrayList<>();
+        for (Job job : scheduler.progressDirty) {
+            if (job.finished() && !job.closing) {
+                finished.add(job);
             }
-            scheduler.progressDirty.remove(job);
-            job.closing = true;
-            String status = job.successful() ? Records.DONE : Records.ABORTED;
-            commit(job, status, r -> {
-                job.closing = false;
-                if (r.ok()) {
-                    LOG.info("job {} job={} token={}", status, job.spec.id(), token);
-                    over(job, status);
-                } else if (job.status == Job.Status.LIVE) {
-                    scheduler.progressDirty.add(job);
+        }
+        int next = 0;
+        while (next < finished.size() && (closings == 0 || closings < Constants.ENDS_UNDER_WAY && state.nothingWaits())) {
+            List<Ending> batch = batch(finished, next);
+            next += batch.size();
+            close(batch);
+        }
+    }
+
+    /** The ends from {@code from} on that one transaction has room for. One whose transaction failed for its sake is written alone. */
+    private List<Ending> batch(List<Job> finished, int from) {
+        List<Ending> batch = new ArrayList<>();
+        int bytes = 0;
+        for (Job job : finished.subList(from, finished.size())) {
+            Ending e = ending(job, job.successful() ? Records.DONE : Records.ABORTED);
+            bytes += Records.bytes(e.record);
+            boolean alone = writtenAlone.contains(job.spec.id());
+            if (!batch.isEmpty() && (alone || batch.size() >= state.batch() || bytes > Constants.BODY_BYTES / 2)) {
+                break;
+            }
+            batch.add(e);
+            if (alone) {
+                break;
+            }
+        }
+        return batch;
+    }
+
+    private void close(List<Ending> batch) {
+        closings++;
+        for (Ending e : batch) {
+            scheduler.progressDirty.remove(e.job);
+            e.job.closing = true;
+        }
+        commit(batch, r -> {
+            closings--;
+            if (r.status() == 409) {
+                for (JsonNode key : r.body().path("failed")) {
+                    if (key.asText().startsWith(Keys.JOB)) {
+                        writtenAlone.add(key.asText().substring(Keys.JOB.length()));
+                    }
                 }
-            });
+            }
+            batch.forEach(e -> closed(e, r.ok()));
+        });
+    }
+
+    private void closed(Ending e, boolean durable) {
+        Job job = e.job;
+        job.closing = false;
+        if (durable) {
+            LOG.info("job {} job={} token={}", e.status, job.spec.id(), token);
+            over(job, e.status);
+        } else if (job.status == Job.Status.LIVE) {
+            scheduler.progressDirty.add(job);
         }
     }
 }
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -135,7 +135,17 @@
 
     /** Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what users wait for. */
     public boolean spare() {
-        return reads.isEmpty() && commits.isEmpty() && writes.has(writes.rate() / 2, runtime.now());
+        return nothingWaits() && writes.has(writes.rate() / 2, runtime.now());
+    }
+
+    /** Whether every request so far was sent as soon as it came. */
+    public boolean nothingWaits() {
+        return reads.isEmpty() && commits.isEmpty();
+    }
+
+    /** Changes to put into one transaction at most, if there are many. */
+    public int batch() {
+        return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * Constants.BATCH_S));
     }
 
     public void get(String key, Consumer<Reply> reply) {
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -0,0 +1,82 @@
+package org.hollypick.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.io.Codec;
+import org.junit.jupiter.api.Test;
+
+/** Many jobs of one task each: two changes of the state service for each of them, whose number a second is limited. */
+class OneTaskJobsTest {
+    private static final int JOBS = 120;
+    private static final long OUTAGE_MS = 30_000;
+    private static final double CHANGES_PER_SECOND = 30;
+
+    /** The controllers know, and keep to, a limit of changes that the jobs use up. */
+    private static Day day() {
+        Day day = new Day(4, 6, null, new Day.Limits(8192, 12, CHANGES_PER_SECOND), (r, s) -> new Node(r, s, OperatorSettings.defaults()));
+        day.tighten();
+        return day;
+    }
+
+    private static ObjectNode job(String id) {
+        return Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", "team").put("shape", "batch").put("rank", "standard")
+                .put("shards", 1).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 1.0).put("together", false).put("spread", false)
+                .put("lendable", true).put("bundle", "img-0").put("pull_gb", 1.0).put("expect_s", 5.0).put("bookmark_s", 0.0).put("stow_s", 0.0);
+    }
+
+    /** Submits one-task jobs at equal intervals; returns their names. */
+    private static List<String> submit(Day day, int count, long withinMs) {
+        List<String> ids = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            String id = "req-9" + String.format("%05d", i);
+            ids.add(id);
+            day.world.at(i * withinMs / count, () -> day.begin(id, job(id)));
+        }
+        return ids;
+    }
+
+    /** Counts the transactions by which jobs are ended. */
+    private static int[] countEnds(Day day) {
+        int[] transactions = {0};
+        var before = day.world.sending;
+        day.world.sending = before.andThen((from, call) -> {
+            if (call.path().equals("/commit") && endsJobs(call.body())) {
+                transactions[0]++;
+            }
+        });
+        return transactions;
+    }
+
+    private static boolean endsJobs(JsonNode transaction) {
+        for (JsonNode change : transaction.path("then")) {
+            if (change.path("put").asText().startsWith("h/j/") && !change.path("data").has("spec")) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Jobs end while the service is down; afterwards each end needs a change, but not a request of its own. */
+    @Test
+    void jobsThatEndCloseTogetherShareATransaction() {
+        Day day = day();
+        List<String> ids = submit(day, JOBS, 10_000);
+        day.play(14_000);
+        day.state.outage(OUTAGE_MS);
+        day.play(OUTAGE_MS);
+        long open = ids.stream().filter(id -> !day.checker.isOver(id)).count();
+        assertTrue(open >= JOBS / 3, "open " + open);
+        int[] transactions = countEnds(day);
+        day.play(60_000);
+        assertEquals(List.of(), day.checker.broken);
+        ids.forEach(id -> assertTrue(day.checker.isOver(id), id));
+        assertTrue(transactions[0] <= open / 2, "transactions " + transactions[0] + " for " + open);
+    }
+}
