--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -71,7 +71,7 @@
                 p = adopt(m, t, now);
             }
             if (p != null) {
-                m.listed(p);
+                m.listed(p, now);
                 update(p, t, now);
                 if (r.token() == token && p.there() && p.attempt >>> Constants.ATTEMPT_BITS != token && !scheduler.settledBefore()) {
                     teamUse.found(p.spec, p.attempt);
@@ -126,7 +126,7 @@
         for (TaskReport t : r.tasks()) {
             Placement p = m.at(t.task(), t.attempt());
             if (p != null) {
-                m.listed(p);
+                m.listed(p, now);
             }
         }
         for (Placement p : m.unlisted()) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -225,7 +225,7 @@
             // What older owners launched needs a session that began before this term: all of those have ended, whatever has begun since.
             boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
-            boolean over = (m.up && !m.lapsed() || !m.placements.isEmpty()) && leases.over(Math.max(m.answeredAt, m.sessionSince), now);
+            boolean over = (m.up && !m.lapsed() || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
             if (olderOver || over) {
                 ledger.loseAll(m);
                 m.heard = true;
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/ledger/Machine.java
@@ -42,6 +42,11 @@
     public long sessionSince;
     /** When the last report was answered with 200; its lease can't have been renewed later. */
     public long answeredAt;
+    /**
+     * When a placement was last listed for the first time. A worker that begins again within its lease, its counts going on,
+     * has a lease from that beginning, which no report tells apart from an empty machine; but whatever it lists began there.
+     */
+    private long newPlacementListedAt;
     public long lastReportAt;
     public long createdAt;
     public long idleSince;
@@ -126,10 +131,22 @@
         reports++;
     }
 
-    public void listed(Placement p) {
+    /** The present report lists the placement. */
+    public void listed(Placement p, long now) {
+        if (p.listedIn == 0) {
+            newPlacementListedAt = now;
+        }
         p.listedIn = reports;
     }
 
+    /**
+     * From when the lease of the worker's present life counts at the latest: whatever is known to be there was renewed,
+     * first heard of or begun by then.
+     */
+    public long leaseFrom() {
+        return Math.max(Math.max(answeredAt, sessionSince), newPlacementListedAt);
+    }
+
     public List<Placement> unlisted() {
         List<Placement> list = new ArrayList<>();
         for (Placement p : placements.values()) {
--- a/src/test/java/org/hollypick/sim/HearingTest.java
+++ b/src/test/java/org/hollypick/sim/HearingTest.java
@@ -57,6 +57,24 @@
         }
     }
 
+    /**
+     * A worker that begins again within its lease, its counts going on, has a whole lease from that beginning. Its reports don't arrive, direct commands do: what
+     * was launched there by one is waited for until that lease is over, not only until the one that the leader last renewed.
+     */
+    @Test
+    void whatAWorkerThatBeganAgainWasGivenIsWaitedForByItsOwnLease() {
+        for (int seed = 1; seed <= 3; seed++) {
+            Day day = day(seed);
+            day.length = 6;
+            List<WorkerStandIn> some = zone(day);
+            day.mute(some.stream().map(w -> w.name).toList(), 60_000);
+            day.world.at(6_000, () -> some.forEach(w -> w.restart(200, false)));
+            day.world.at(7_000, () -> day.submitArrays(8, 1_000));
+            day.play(300_000);
+            assertOver(day, seed);
+        }
+    }
+
     /** They drew task after task: each new session began empty, and what was launched there counted as there for ever. Now one tries them at most. */
     @Test
     void blackHolesDrawNoWork() {
