--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -77,7 +77,7 @@
             answer.accept(Answer.error(400, "name_id"));
             return;
         }
-        if (view.get(Keys.job(id)) != null) {
+        if (records.known(id)) {
             status(id, answer);
             return;
         }
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -3,7 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import java.util.function.Consumer;
 import org.hollypick.records.JobCodec;
 import org.hollypick.cluster.Keys;
@@ -31,6 +35,10 @@
     private final Membership membership;
     private final Dependencies dependencies;
     private long written;
+    /** Jobs that certainly have a record which the view doesn't show yet: to submit one of them again costs no write. */
+    private final Set<String> durable = new HashSet<>();
+    /** Jobs whose records are being written, and who has submitted them once more since. */
+    private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
 
     public JobRecords(Runtime runtime, Settings settings, StateClient state, View view, Membership membership, Dependencies dependencies) {
         this.runtime = runtime;
@@ -49,6 +57,7 @@
                 continue;
             }
             String id = key.substring(Keys.JOB.length());
+            durable.remove(id);
             if (!Records.isOver(e.data())) {
                 dependencies.live(id, rank(e.data()), Records.awaits(e.data(), view));
             } else if (Records.status(e.data()).equals(Records.DONE)) {
@@ -59,6 +68,19 @@
         }
     }
 
+    /** Whether the job certainly has a record, in the view or not. */
+    public boolean known(String id) {
+        return durable.contains(id) || view.get(Keys.job(id)) != null;
+    }
+
+    /** The job had a record at this revision. */
+    private void known(String id, long revision) {
+        view.answeredFrom(revision);
+        if (view.get(Keys.job(id)) == null) {
+            durable.add(id);
+        }
+    }
+
     private static Rank rank(JsonNode record) {
         try {
             return Records.rank(record);
@@ -67,8 +89,25 @@
         }
     }
 
-    /** Makes an accepted job durable; everything that it awaits has a record already. */
+    /**
+     * Makes an accepted job durable; everything that it awaits has a record already. A repetition waits for the write that is under way:
+     * one of its own would be refused, and count against the service's limit on writes.
+     */
     public void create(JobSpec spec, Collection<String> awaits, Consumer<Outcome> then) {
+        List<Consumer<Outcome>> repetitions = creating.get(spec.id());
+        if (repetitions != null) {
+            repetitions.add(then);
+            return;
+        }
+        creating.put(spec.id(), new ArrayList<>());
+        write(spec, awaits, outcome -> {
+            List<Consumer<Outcome>> waiting = creating.remove(spec.id());
+            then.accept(outcome);
+            waiting.forEach(w -> w.accept(outcome == Outcome.CREATED ? Outcome.KNOWN : outcome));
+        });
+    }
+
+    private void write(JobSpec spec, Collection<String> awaits, Consumer<Outcome> then) {
         List<String> open = open(awaits);
         int room = Records.room(settings);
         if (Records.bytes(Records.live(spec, Long.MAX_VALUE, open, null)) <= room) {
@@ -147,14 +186,14 @@
         StateClient.Txn txn = new StateClient.Txn().when(key, 0).when(Keys.ROSTER, roster).put(key, Records.live(spec, roster, awaits, more));
         state.commit(txn, r -> {
             if (r.ok()) {
-                view.answeredFrom(Codec.u64(r.body().path("epoch")));
+                known(spec.id(), Codec.u64(r.body().path("epoch")));
                 then.accept(Outcome.CREATED);
                 return;
             }
             if (r.status() == 409) {
                 for (JsonNode failed : r.body().path("failed")) {
                     if (failed.asText().equals(key)) {
-                        view.answeredFrom(Codec.u64(r.body().path("epoch")));
+                        known(spec.id(), Codec.u64(r.body().path("epoch")));
                         then.accept(Outcome.KNOWN);
                         return;
                     }
