--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -186,6 +186,8 @@
             Graphs.Live live = term.get() != null && term.get().acting() ? term.get().graphs.find(id) : null;
             if (a.status() != 200) {
                 answer.accept(a);
+            } else if (live != null && live.unrecorded()) {
+                answer.accept(unrecorded());
             } else if (live != null) {
                 ObjectNode b = GraphCodec.describe(live, id, from);
                 b.put("status", a.body().path("status").asText());
@@ -272,8 +274,17 @@
         }
     }
 
+    /** A cancelled node, or a result, that a successor might not find isn't told. */
+    private static Answer unrecorded() {
+        return Answer.later("what a node ended with is being recorded");
+    }
+
     private static void result(Graphs.Live live, String node, Consumer<Answer> answer) {
         int i = live.graph().find(node);
+        if (live.unrecorded()) {
+            answer.accept(unrecorded());
+            return;
+        }
         if (i < 0) {
             answer.accept(Answer.error(404, "no such node"));
             return;
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -67,6 +67,8 @@
         private int loggedNodes;
         private int loggedSpecs;
         private boolean sealing;
+        /** Ends of nodes and results that are known here and not durable yet: a successor may not find them. */
+        private int unrecorded;
         private long overAt;
 
         Live(String id, GraphRecords.Head head) {
@@ -99,6 +101,19 @@
             return overAt > 0;
         }
 
+        /** Whether something that could be told of its nodes isn't durable yet. */
+        public boolean unrecorded() {
+            return unrecorded > 0 && !over();
+        }
+
+        private void record(ObjectNode op, Runnable durable) {
+            unrecorded++;
+            log.add(op, () -> {
+                unrecorded--;
+                durable.run();
+            });
+        }
+
         public Graph graph() {
             return graph;
         }
@@ -146,7 +161,7 @@
             for (int i : ended.all()) {
                 scheduler.withdraw(job, i);
             }
-            log.add(GraphRecords.ended(ended.roots(), as, why), durable);
+            record(GraphRecords.ended(ended.roots(), as, why), durable);
         }
     }
 
@@ -419,7 +434,7 @@
         }
         if (known == null) {
             g.result(i, result);
-            g.log.add(GraphRecords.result(i, result), () -> { });
+            g.record(GraphRecords.result(i, result), () -> { });
         }
         tell(g, known == null ? 201 : 200, List.of(), answer);
     }
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -214,6 +214,23 @@
         assertEquals(List.of(), day.checker.broken);
     }
 
+    /** The end of a graph's node is told once it is durable: a successor that doesn't find it would tell something older. */
+    @Test
+    void theEndOfANodeThatIsNotDurableIsNotTold() {
+        Day day = new Day(1, 1, null, null, NEW);
+        day.play(5_000);
+        new GraphUser(day, "req-700000", 2, 2).start();
+        day.play(500);
+        day.state.refused = txn -> txn.path("then").toString().contains("\"h/x/");
+        day.checker.withdrawing("req-700000");
+        assertEquals(503, day.askAt(day.leader(), "POST", "/graphs/req-700000/nodes/n0/withdraw", Codec.object()).status());
+        assertEquals(503, day.askAt(0, "GET", "/graphs/req-700000", null).status());
+        day.state.refused = txn -> false;
+        day.play(2_000);
+        assertEquals("cancelled", day.askAt(0, "GET", "/graphs/req-700000", null).body().path("nodes").path(0).path("state").asText());
+        assertEquals(List.of(), day.checker.broken);
+    }
+
     /** The leader's word, which was held up on its way, isn't given after the newer one that the controller's own records told. */
     @Test
     void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
