--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -62,12 +62,16 @@
             answer.accept(Answer.later("no owner"));
             return;
         }
-        ObjectNode passed = Codec.object().put("method", method).put("path", path).put(UserApi.REVISION, view.revision());
-        passed.set("body", body);
-        runtime.call(new Call(owner, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true), r -> answer.accept(told(method, r)));
+        ObjectNode passed = Codec.object().put("method", method).put("path", path);
+        passed.put(UserApi.REVISION, view.revision()).set("body", body);
+        Call call = new Call(owner, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true);
+        runtime.call(call, r -> answer.accept(told(method, r)));
     }
 
-    /** The owner's answer; of two that overtake one another on their way the older one, by its revision, isn't given to who only asks. */
+    /**
+     * The owner's answer. To a question that changes nothing, one that a newer one has overtaken on its way isn't
+     * given.
+     */
     private Answer told(String method, Reply r) {
         int status = r.ok() ? r.body().path("status").asInt() : 503;
         JsonNode revision = r.body().path(UserApi.REVISION);
@@ -87,7 +91,12 @@
         }
         view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
         owned(call.path("method").asText(), call.path("path").asText(), call.path("body").isObject() ? call.path("body") : null,
-                a -> answer.accept(Answer.of(200, Codec.object().put(UserApi.REVISION, view.revision()).put("status", a.status()).set("body", a.body()))));
+                a -> answer.accept(passedBack(a)));
+    }
+
+    private Answer passedBack(Answer a) {
+        ObjectNode body = Codec.object().put(UserApi.REVISION, view.revision()).put("status", a.status());
+        return Answer.of(200, body.set("body", a.body()));
     }
 
     private void owned(String method, String path, JsonNode body, Consumer<Answer> answer) {
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -143,7 +143,10 @@
         });
     }
 
-    /** The write's own answer may come after others have told that the job is over. One that awaits what was cancelled is over at once. */
+    /**
+     * The write's own answer may come after others have told that the job is over. One that awaits what was cancelled
+     * is over at once.
+     */
     private Answer created(String id, Set<String> awaits) {
         Answer over = over(id);
         if (over != null) {
@@ -215,8 +218,8 @@
     }
 
     /**
-     * The owner's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't final is only told if
-     * it is built on a revision no older than any answer before.
+     * The owner's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't
+     * final is only told if it is built on a revision no older than any answer before.
      */
     private void ownerTold(String id, JsonNode told, long revision, Consumer<Answer> answer) {
         Answer over = over(id);
@@ -287,8 +290,10 @@
                 answer.accept(Answer.later("state service"));
             } else if (unknown(id)) {
                 answer.accept(Answer.error(404, "no such job").only(() -> unknown(id)));
+            } else if (over != null) {
+                answer.accept(over);
             } else {
-                answer.accept(over != null ? over : Answer.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
+                answer.accept(Answer.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
             }
         });
     }
@@ -335,7 +340,8 @@
     public Answer meshEstimate(JsonNode body) {
         learn(body);
         Answer a = body != null && term.get() != null && term.get().acting() ? estimated(body.path("job").asText()) : Answer.later("not the owner");
-        return Answer.of(200, Codec.object().put(REVISION, view.revision()).put("status", a.status()).set("body", a.body()));
+        ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
+        return Answer.of(200, told.set("body", a.body()));
     }
 
     private Answer estimated(String id) {
@@ -345,7 +351,8 @@
         }
         Job job = term.get().scheduler.jobs.get(id);
         if (job == null || !certainlyLive(job)) {
-            return Answer.later("not known here yet"); // its end may be durable, and told by another node; only a fresh view could tell that there is none; GET /submissions/ID does
+            // Its end may be durable, and told by another node; GET /submissions/ID finds out, by a fresh view.
+            return Answer.later("not known here yet");
         }
         ObjectNode b = Codec.object().put("name_id", id).put("status", job.running > 0 ? "running" : "pending");
         if (job.spec.service()) {
@@ -379,7 +386,8 @@
             Ends ends = term.get().ends;
             ends.cancel(job, done -> {
                 view.answeredFrom(ends.cancelledAt());
-                answer.accept(done ? Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0)) : Answer.later("state service"));
+                Answer aborted = Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0));
+                answer.accept(done ? aborted : Answer.later("state service"));
             });
             return;
         }
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/View.java
@@ -55,14 +55,14 @@
         return epoch;
     }
 
-    /** The newest revision that this node knows of: of its copy, or of an answer that it has passed on or made durable. */
+    /** The newest revision that this node knows of: of its copy, or of what {@link #answeredFrom} was told. */
     public long revision() {
         return newer(epoch, answered);
     }
 
     /**
-     * An answer that is built on this revision is about to be given, or was given by another node: from now on {@link #fresh} waits until
-     * this copy has reached it too.
+     * An answer that is built on this revision is about to be given, or was given by another node: from now on
+     * {@link #fresh} waits until this copy has reached it too.
      */
     public void answeredFrom(long revision) {
         answered = newer(answered, revision);
@@ -91,8 +91,9 @@
     }
 
     /**
-     * Calls back once this copy is at least as new as the service was at some moment after this call, and as every answer that this
-     * node gave meanwhile, or with false if that can't be told. One read of the epoch serves all who ask in the meantime: the answer to a key that doesn't exist carries it.
+     * Calls back once this copy is at least as new as the service was at some moment after this call, and as every
+     * answer that this node gave meanwhile, or with false if that can't be told. One read of the epoch serves all who
+     * ask in the meantime: the answer to a key that doesn't exist carries it.
      */
     public void fresh(Consumer<Boolean> then) {
         asking.add(then);
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -35,7 +35,7 @@
     private final Membership membership;
     private final Dependencies dependencies;
     private long written;
-    /** Jobs that certainly have a record which the view doesn't show yet: to submit one of them again costs no write. */
+    /** Jobs that certainly have a record which the view doesn't show yet: submitted again they cost no write. */
     private final Set<String> durable = new HashSet<>();
     /** Jobs whose records are being written, and who has submitted them once more since. */
     private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Makes an accepted job durable; everything that it awaits has a record already. A repetition waits for the write that is under way:
-     * one of its own would be refused, and count against the service's limit on writes.
+     * Makes an accepted job durable; everything that it awaits has a record already. A repetition waits for the write
+     * that is under way: one of its own would be refused, and count against the service's limit on writes.
      */
     public void create(JobSpec spec, Collection<String> awaits, Consumer<Outcome> then) {
         List<Consumer<Outcome>> repetitions = creating.get(spec.id());
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -20,16 +20,24 @@
 import org.hollypick.io.Runtime;
 import org.junit.jupiter.api.Test;
 
-/** No controller gives an older answer than any gave before (docs/safety.md, "went_back"), whoever asks what, where and in which moment. */
+/**
+ * No controller gives an older answer than was given before (docs/safety.md, "went_back"), whoever asks what and
+ * when.
+ */
 class AnswerConsistencyTest {
-    /** Each of the runtime's replies may be another one, or be there without the call. {@code reply}: the right one; null before the call. */
+    /**
+     * Replaces replies. {@code reply}: the right one; null before the call, which isn't made if another is there
+     * already.
+     */
     private interface Replies {
         Reply of(Call call, Reply reply);
     }
 
-    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.parse("{:estimates true, :graphs true}"));
+    private static final OperatorSettings ALL_ON = OperatorSettings.parse("{:estimates true, :graphs true}");
+    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, ALL_ON);
     /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
     private static final int DAYS = Integer.getInteger("answers.days", 3);
+    private static final String ESTIMATE = "/submissions/req-000000/estimate";
     private static final int FIRST = Integer.getInteger("answers.first", 1);
 
     @Test
@@ -47,7 +55,8 @@
             overtaken += day.checker.order.overtaken;
             longest = Math.max(longest, day.checker.order.longestMs);
         }
-        System.out.println("days=" + DAYS + " compared=" + compared + " overtaken=" + overtaken + " longest_ms=" + longest + " broken=" + broken.size());
+        System.out.printf("days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n", DAYS, compared, overtaken,
+                longest, broken.size());
         assertEquals(Map.of(), broken);
     }
 
@@ -111,14 +120,17 @@
     /** Any reading of the epoch seems to say that this node's copy of the records is fresh. */
     @Test
     void theCheckerNoticesAnswersFromMemoryWithoutTheRevision() {
-        var version = answered((call, r) -> call.path().equals("/keys/h/never") ? new Reply(404, Codec.object().put("epoch", 0)) : r);
+        Reply old = new Reply(404, Codec.object().put("epoch", 0));
+        var version = answered((call, r) -> call.path().equals("/keys/h/never") ? old : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
 
     /** A transaction without an answer is taken for one that wasn't carried out. */
     @Test
     void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
-        var version = answered((call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER ? new Reply(503, Codec.object()) : r);
+        Reply refusal = new Reply(503, Codec.object());
+        var version = answered((call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER
+                ? refusal : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
 
@@ -150,7 +162,9 @@
         }));
     }
 
-    /** The state service's answers, the watches' too, take up to that much longer, and some of transactions are lost. */
+    /**
+     * The state service's answers, the watches' too, take up to that much longer, and some to transactions are lost.
+     */
     private static Day slow(int seed, int byMs, BiFunction<Runtime, Settings, Node> version) {
         Day day = new Day(seed, 1, null, null, version);
         day.world.slow("state:1", byMs, 60_000);
@@ -195,26 +209,29 @@
     }
 
     /**
-     * An abort is durable and its answer to the leader lost; another controller has told it. The leader gives no estimate of a job that it
-     * takes for a running one, nor any other answer that isn't from the records.
+     * An abort is durable and its answer to the leader lost; another controller has told it. The leader gives no
+     * estimate of the job, which it takes for a running one.
      */
     @Test
     void noEstimateOfAJobWhoseEndIsInDoubt() {
         Day day = new Day(1, 1, null, null, NEW).withRunningServices();
         int leader = day.leader();
-        assertEquals("running", day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).body().path("status").asText());
+        assertEquals("running", status(day.askAt(leader, "GET", ESTIMATE, null)));
         day.world.cutOneWay("state:1", "bothy-" + leader, 5_000);
         day.withdrawAt(leader, "req-000000");
         day.play(100);
         Reply other = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
-        assertEquals("aborted", other.body().path("status").asText());
-        assertEquals(503, day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).status());
+        assertEquals("aborted", status(other));
+        assertEquals(503, day.askAt(leader, "GET", ESTIMATE, null).status());
         day.play(8_000);
-        assertEquals("aborted", day.askAt(leader, "GET", "/submissions/req-000000/estimate", null).body().path("status").asText());
+        assertEquals("aborted", status(day.askAt(leader, "GET", ESTIMATE, null)));
         assertEquals(List.of(), day.checker.broken);
     }
 
-    /** The end of a graph's node is told once it is durable: a successor that doesn't find it would tell something older. */
+    /**
+     * The end of a graph's node is told once it is durable: a successor may not find it, and then tells something
+     * older.
+     */
     @Test
     void theEndOfANodeThatIsNotDurableIsNotTold() {
         Day day = new Day(1, 1, null, null, NEW);
@@ -223,15 +240,19 @@
         day.play(500);
         day.state.refused = txn -> txn.path("then").toString().contains("\"h/x/");
         day.checker.withdrawing("req-700000");
-        assertEquals(503, day.askAt(day.leader(), "POST", "/graphs/req-700000/nodes/n0/withdraw", Codec.object()).status());
+        String withdraw = "/graphs/req-700000/nodes/n0/withdraw";
+        assertEquals(503, day.askAt(day.leader(), "POST", withdraw, Codec.object()).status());
         assertEquals(503, day.askAt(0, "GET", "/graphs/req-700000", null).status());
         day.state.refused = txn -> false;
         day.play(2_000);
-        assertEquals("cancelled", day.askAt(0, "GET", "/graphs/req-700000", null).body().path("nodes").path(0).path("state").asText());
+        Reply later = day.askAt(0, "GET", "/graphs/req-700000", null);
+        assertEquals("cancelled", later.body().path("nodes").path(0).path("state").asText());
         assertEquals(List.of(), day.checker.broken);
     }
 
-    /** The leader's word, which was held up on its way, isn't given after the newer one that the controller's own records told. */
+    /**
+     * The leader's word, held up on its way, isn't given after the newer one that the controller's own records told.
+     */
     @Test
     void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
         for (int seed = 1; seed <= 4; seed++) {
@@ -249,14 +270,14 @@
         }
     }
 
-    /** Right after a job is accepted its submission comes again and again, at all controllers, whose copies of the records lag. */
+    /** Right after a job is accepted its submission comes again and again, at all controllers, whose records lag. */
     @Test
     void aFloodOfRepetitionsCostsAWriteForEachControllerAtMost() {
         Day day = new Day(1, 1, null, null, NEW);
         day.play(20_000);
         day.world.slow("state:1", 300, 10_000);
         int[] writes = {0};
-        day.world.sending = (from, call) -> writes[0] += call.path().equals("/commit") && call.body().toString().contains("\"pull_gb\"") ? 1 : 0;
+        day.world.sending = (from, call) -> writes[0] += writes(call, "\"pull_gb\"") ? 1 : 0;
         day.checker.order.news = id -> {
             for (int i = 0; i < 300; i++) {
                 int node = i % 3;
@@ -269,7 +290,18 @@
         assertEquals(List.of(), day.checker.broken);
     }
 
-    /** Unknown jobs, wrong ones at every controller, what is done and a flood of repetitions, beside a service that is away. */
+    private static boolean writes(Call call, String what) {
+        return call.path().equals("/commit") && call.body().toString().contains(what);
+    }
+
+    private static String status(Reply reply) {
+        return reply.body().path("status").asText();
+    }
+
+    /**
+     * Unknown jobs, wrong ones, what is done and a flood of repetitions at every controller; also without the state
+     * service.
+     */
     @Test
     void wrongAndRepeatedRequestsAreAnsweredAlikeEverywhere() {
         Day day = new Day(1, 1, null, null, NEW);
@@ -280,12 +312,12 @@
         var spec = day.checker.submitted.get("req-000000");
         var wrong = ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
-        day.world.sending = (from, call) -> writes[0] += call.path().equals("/commit") && call.body().toString().contains("h/j/") ? 1 : 0;
+        day.world.sending = (from, call) -> writes[0] += writes(call, "h/j/") ? 1 : 0;
         for (int node = 0; node < 3; node++) {
-            assertEquals("done", day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object()).body().path("status").asText());
+            assertEquals("done", status(day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
             for (int i = 0; i < 50; i++) {
                 Reply again = day.askAt(node, "POST", "/submissions", spec);
-                assertEquals("200 done", again.status() + " " + again.body().path("status").asText());
+                assertEquals("200 done", again.status() + " " + status(again));
             }
             assertEquals(404, day.askAt(node, "GET", "/submissions/req-777777", null).status());
         }
--- a/src/test/java/org/hollypick/sim/AnswerOrder.java
+++ b/src/test/java/org/hollypick/sim/AnswerOrder.java
@@ -9,13 +9,17 @@
 import org.hollypick.io.Reply;
 
 /**
- * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers and reach users:
+ * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers
+ * and reach users:
  * <ul>
- * <li>What leaves a controller is never older than what left the same controller before, whenever either question was put.
- * <li>An answer to a question that reached a controller after a newer answer of any controller had reached a user isn't older than that one.
+ * <li>What leaves a controller is never older than what left the same controller before, whenever either question was
+ * put.
+ * <li>An answer to a question that reached a controller after a newer answer of any controller had reached a user
+ * isn't older than that one.
  * </ul>
- * A question that was with one controller already when another's newer answer arrived may be answered with the older state: no exchange of
- * messages can rule that out, since the older answer may be on its way. Such answers are counted, with the longest time by which one was late.
+ * A question that was with one controller already when another's newer answer arrived may be answered with the older
+ * state: no exchange of messages can rule that out, since the older answer may be on its way. Such answers are
+ * counted, with the longest time by which one was late.
  */
 final class AnswerOrder {
     /** What an answer says of a job; each is newer than the ones before. */
@@ -31,7 +35,7 @@
     private final Map<Left, State> left = new HashMap<>();
     /** Hears of a job when a user is told for the first time that it is accepted, or over. */
     Consumer<String> news = id -> { };
-    /** Answers that were compared with earlier ones, and those that were overtaken on their way, at most by so many milliseconds. */
+    /** Answers that were compared with earlier ones, and those that were overtaken, at most by so many milliseconds. */
     int compared;
     int overtaken;
     long longestMs;
@@ -69,7 +73,8 @@
         if (q.creates && r.status() == 201 && told.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < q.reachedAt) {
             broken.add("accepted twice " + what);
         }
-        long newer = told.entrySet().stream().filter(e -> e.getKey().compareTo(state) > 0).mapToLong(Map.Entry::getValue).min().orElse(Long.MAX_VALUE);
+        long newer = told.entrySet().stream().filter(e -> e.getKey().compareTo(state) > 0)
+                .mapToLong(Map.Entry::getValue).min().orElse(Long.MAX_VALUE);
         if (newer < q.reachedAt) {
             broken.add("went_back (asked later) " + what + " after " + newer);
         } else if (newer < now) {
--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -215,10 +215,14 @@
         neverAccepted(id, 422, status);
     }
 
-    /** A submission that must be refused with that status by every controller, each time: it lacks a field, or can't run. */
+    /**
+     * A submission that lacks a field, or can't run: it must be refused with that status, by every controller, each
+     * time.
+     */
     void neverAccepted(String id, int due, int status) {
         if (status != due && status != 503 && status != Reply.NO_ANSWER && status != Reply.NOT_SENT) {
-            broken.add((status == 200 || status == 201 ? "accepted " : "refused otherwise ") + id + ", due " + due + ", answered " + status);
+            String what = status == 200 || status == 201 ? "accepted " : "refused otherwise ";
+            broken.add(what + id + ", due " + due + ", answered " + status);
         }
     }
 
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -403,14 +403,19 @@
     /** Milliseconds after the news of a job at which users ask all controllers about it. */
     private static final List<Integer> LOOKS_MS = List.of(0, 1, 2, 4, 8, 12, 16, 24, 32, 48, 64, 100);
 
-    /** From now on users ask at all controllers, for estimates too, again and again, and repeat the submission when a job is accepted, complete or over; some cancel at once. */
+    /**
+     * From now on users ask at all controllers, for estimates too, again and again, and repeat the submission when a
+     * job is accepted, complete or over; some cancel at once.
+     */
     void closeLooks() {
         checker.order.news = this::closeLook;
         lookOnceComplete();
     }
 
     private void lookOnceComplete() {
-        checker.submitted.keySet().stream().filter(id -> checker.isAccepted(id) && checker.isComplete(id) && looked.add(id)).toList().forEach(this::closeLook);
+        checker.submitted.keySet().stream()
+                .filter(id -> checker.isAccepted(id) && checker.isComplete(id) && looked.add(id)).toList()
+                .forEach(this::closeLook);
         world.at(25, this::lookOnceComplete);
     }
 
@@ -472,15 +477,17 @@
         int expected = due;
         for (int node = 0; node < hosts.size(); node++) {
             Call call = new Call("p" + node + ":1", "POST", "/submissions", b, 5_000, false);
-            world.at(world.random.nextInt(3_000), () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status())));
-            world.at(world.random.nextInt(3_000), () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status())));
+            Runnable send = () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status()));
+            world.at(world.random.nextInt(3_000), send);
+            world.at(world.random.nextInt(3_000), send);
         }
     }
 
     private static ObjectNode batch(String id, int tasks, double seconds) {
-        return Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", "team").put("shape", "batch").put("rank", "standard")
-                .put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0).put("together", false).put("spread", false)
-                .put("lendable", true).put("bundle", "img-0").put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0);
+        return Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", "team").put("shape", "batch")
+                .put("rank", "standard").put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0)
+                .put("together", false).put("spread", false).put("lendable", true).put("bundle", "img-0")
+                .put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0);
     }
 
     private String anyNode() {
@@ -799,7 +806,10 @@
         }
     }
 
-    /** Troubles in which answers overtake one another: slow ways to the state service and between controllers, a leader that is refused, stands still or ends. */
+    /**
+     * Troubles in which answers overtake one another: slow ways to the state service and between controllers, a
+     * leader that is refused, stands still or ends.
+     */
     void drawAnswerTroubles(int count, long from, long to) {
         for (int i = 0; i < count; i++) {
             world.at(from + world.random.nextInt((int) (to - from)), this::answerTrouble);
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -203,7 +203,8 @@
             at(2_000 + random.nextInt(10_000), () -> e.request(call.method(), call.path(), call.body(), r -> { }));
             return;
         }
-        boolean unheard = lostAnswerShare > 0 && call.path().equals("/commit") && lateWrites.test(call.body()) && random.nextDouble() < lostAnswerShare;
+        boolean unheard = lostAnswerShare > 0 && call.path().equals("/commit") && lateWrites.test(call.body())
+                && random.nextDouble() < lostAnswerShare;
         long latency = latency(call.address());
         int life = e.life();
         Runnable deliver = () -> {
