--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -398,9 +398,9 @@
     }
 
     /**
-     * Whether a task of this job may yet start by a launch that was sent: the launch may be carried out, whichever way it
-     * went out, or the machine waits for the image. A machine that can't be reached starts the task once the image is
-     * there, as long as its lease lasts.
+     * Whether a task of this job may yet start by a launch that was sent: it may be carried out, whichever way it went
+     * out, or the machine waits for the image. A machine that can't be reached starts the task once the image is there,
+     * as long as its lease lasts.
      */
     public boolean startMayCome(Job job) {
         for (Placement p : job.live.values()) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -239,8 +239,8 @@
     }
 
     /**
-     * Whether a task of the job may yet start by a launch that was sent: this owner's, or an older one's on a machine that
-     * isn't heard yet. As long as so nobody may be told that the job is cancelled: none of its tasks may start after that.
+     * Whether a task of the job may yet start by a launch that was sent: this owner's, or an older one's on a machine
+     * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
      */
     public boolean launchMayCome(Job job) {
         return ledger.startMayCome(job) || job.under != token && !allHeard();
--- a/src/test/java/org/hollypick/LedgerTest.java
+++ b/src/test/java/org/hollypick/LedgerTest.java
@@ -202,6 +202,24 @@
         assertEquals(List.of(new Order(Order.Verb.STOP, p.taskId, p.attempt, 0)), scheduler.ledger.orders(m));
     }
 
+    /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
+    @Test
+    void aTaskOfACancelledJobMayStartUntilItsMachineShowsThatItWont() {
+        Machine m = reporting();
+        Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
+        Placement p = launched(job, m, 0);
+        scheduler.cancel(job);
+        assertFalse(scheduler.launchMayCome(job), "it was never sent");
+        scheduler.ledger.sentInAnswer(m, List.of(new Order(Order.Verb.START, p.taskId, p.attempt, 0)));
+        assertTrue(scheduler.launchMayCome(job), "the answer may be on its way");
+        TaskReport fetching = new TaskReport(p.taskId, p.attempt, State.FETCHING, "");
+        scheduler.ledger.report(m, report("n-1", 1, 20, 5, fetching), true, 2_000);
+        assertTrue(scheduler.launchMayCome(job), "it starts once the image is there");
+        TaskReport stopped = new TaskReport(p.taskId, p.attempt, State.EXITED, "stopped");
+        scheduler.ledger.report(m, report("n-1", 1, 21, 5, stopped), true, 3_000);
+        assertFalse(scheduler.launchMayCome(job));
+    }
+
     /** Its session has ended, and the launch with it. */
     @Test
     void aNewSessionEndsALaunchUnderWay() {
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -10,6 +10,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.BiConsumer;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -87,6 +88,7 @@
                 if (reporter != null) {
                     at.answered(reporter);
                 }
+                answering.accept(name(), path);
                 if (path.equals("/hello") && r.ok() && r.body().path("orders").toString().contains("launch")) {
                     answered(name(), r.body().path("baton").asLong());
                 }
@@ -107,6 +109,8 @@
     private final BiFunction<Runtime, Settings, Node> version;
     /** Takes the time of what the controllers are asked. */
     Growth.Metering metering = (node, activity, handling) -> handling.run();
+    /** Sees which controller answers a request of a user or a machine, in the moment of sending, and to which path. */
+    BiConsumer<String, String> answering = (node, path) -> { };
     /** A job about which nothing is told to its users, for whatever reason. */
     String withheld;
     /** Of each controller started from now on; 0: no limit. */
