--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -15,13 +16,14 @@
  * What three nodes tell users about one job while it is created and ended, and answers of the state service are lost.
  *
  * <p>Bounds: three nodes with views of any age; three changes of the records (the job is created, it ends, the leader
- * changes) in any order; any number of requests of users at any nodes, each a poll or a submission, one after the other (of
- * those that are open at the same time, none has to know what another is told); up to two writes of the end. Any write may be carried out late, or its answer lost. A node asks the leader or reads
- * the records, and the leader may once lose its place in the watch and load all records again.
+ * changes) in any order; any number of requests of users at any nodes, each a poll or a submission, one after the other
+ * (of those that are open at the same time, none has to know what another is told); up to two writes of the end. Any
+ * write may be carried out late, or its answer lost. A node asks the leader or reads the records, and the leader may
+ * once lose its place in the watch and load all records again.
  *
- * <p>Predicate, from the rules: once a user was told that the job is accepted, or that it is over, no request that is sent
- * after that gets an older answer. It is by order of sending, since two answers under way at the same time may arrive in
- * either order: {@link #byOrderOfArrivalAnswersMayOvertakeEachOther} shows a shortest way to that.
+ * <p>Predicate, from the rules: once a user was told that the job is accepted, or that it is over, no request that is
+ * sent after that gets an older answer. It is by order of sending, since two answers under way at the same time may
+ * arrive in either order: {@link #byOrderOfArrivalAnswersMayOvertakeEachOther} shows a shortest way to that.
  */
 class AnswersModelTest {
     private static final int NODES = 3;
@@ -34,8 +36,9 @@
     private static final int OVER = 2;
 
     private enum Fault {
-        NONE, MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT, THE_NEXT_ANSWER_ENDS_THE_DOUBT, VIEW_ANSWERS_WITHOUT_A_FRESH_READ,
-        JOINS_A_READ_UNDER_WAY, A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY, A_RELOAD_BRINGS_BACK_WHAT_IS_OVER
+        NONE, MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT, THE_NEXT_ANSWER_ENDS_THE_DOUBT,
+        VIEW_ANSWERS_WITHOUT_A_FRESH_READ, JOINS_A_READ_UNDER_WAY, A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY,
+        A_RELOAD_BRINGS_BACK_WHAT_IS_OVER
     }
 
     private enum Phase { FREE, ARRIVED, CREATING, CREATED, AT_LEADER, FROM_RECORD, READ, TOLD }
@@ -67,7 +70,10 @@
         int[] views = new int[NODES];
         /** The acting leader, or -1. */
         int leader;
-        /** The leader's memory: it has the job as live, knows its end, and since a lost answer doesn't know whether it is over. */
+        /**
+         * The leader's memory: it has the job as live, knows its end, and since a lost answer doesn't know whether it
+         * is over.
+         */
         boolean owns;
         boolean knowsOver;
         boolean doubt;
@@ -80,7 +86,9 @@
         int loading = NEVER;
         boolean loaded;
         Request request = Request.NONE;
-        /** A read that a node began before: the epoch that it brings, and the node. Used by one of the faulty variants. */
+        /**
+         * A read that a node began before: the epoch that it brings, and the node. Used by one of the faulty variants.
+         */
         int earlierRead = NEVER;
         int earlierReader;
         /** The newest that any user was told. */
@@ -106,7 +114,8 @@
             }
             key.time(leader, 2).flag(owns).flag(knowsOver).flag(doubt).number(write.ordinal(), 2).number(writes, 2);
             key.flag(lateEnd).time(lateCreation, 2).time(loading, 3).flag(loaded).number(told, 2);
-            key.number(request.node, 2).number(request.phase.ordinal(), 3).number(request.floor, 2).number(request.value, 2);
+            key.number(request.node, 2).number(request.phase.ordinal(), 3);
+            key.number(request.floor, 2).number(request.value, 2);
             key.time(earlierRead, 3).number(earlierReader, 2);
             return key.packed();
         }
@@ -130,8 +139,9 @@
 
         @Override
         public String toString() {
-            return "created=" + created + " ended=" + ended + " roster=" + roster + " views=" + List.of(views[0], views[1], views[2]) + " leader="
-                    + leader + " owns=" + owns + " doubt=" + doubt + " write=" + write + " " + request + " told=" + told + "\n";
+            return "created=" + created + " ended=" + ended + " roster=" + roster + " views=" + Arrays.toString(views)
+                    + " leader=" + leader + " owns=" + owns + " doubt=" + doubt + " write=" + write + " " + request
+                    + " told=" + told + "\n";
         }
     }
 
@@ -332,12 +342,16 @@
         return s.next(t -> t.request = r);
     }
 
-    /** What a node tells without a read: an end that its view shows, or a live job that it leads ({@code UserApi.certain}). */
+    /**
+     * What a node tells without a read: an end that its view shows, or a live job that it leads ({@code
+     * UserApi.certain}).
+     */
     private static Integer certain(State s, int node, Fault fault) {
         if (s.at(s.views[node]) == OVER) {
             return OVER;
         }
-        boolean deposed = fault == Fault.A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY && node == 0 && s.leader != 0 && s.at(s.views[0]) == LIVE;
+        boolean deposed = fault == Fault.A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY && node == 0 && s.leader != 0
+                && s.at(s.views[0]) == LIVE;
         boolean inDoubt = s.doubt || s.write != Write.NONE;
         boolean mayTell = !inDoubt || fault == Fault.MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT;
         return deposed || node == s.leader && s.owns && mayTell ? (Integer) LIVE : null;
@@ -354,8 +368,8 @@
 
     private static Result<State> search(Fault fault, boolean byArrival) {
         Set<StateKey.Packed> seen = new HashSet<>();
-        return StateSearch.run(List.of(new State()), (s, to) -> next(s, fault, to), s -> s.wentBack || byArrival && s.overtaken,
-                s -> seen.add(s.key()));
+        return StateSearch.run(List.of(new State()), (s, to) -> next(s, fault, to),
+                s -> s.wentBack || byArrival && s.overtaken, s -> seen.add(s.key()));
     }
 
     @Test
--- a/src/test/java/org/hollypick/model/StateKey.java
+++ b/src/test/java/org/hollypick/model/StateKey.java
@@ -1,6 +1,9 @@
 package org.hollypick.model;
 
-/** Packs the parts of a model's state into 128 bits, without loss, so that states can be compared and remembered cheaply. */
+/**
+ * Packs the parts of a model's state into 128 bits, without loss, so that states can be compared and remembered
+ * cheaply.
+ */
 final class StateKey {
     /** The packed parts. */
     record Packed(long high, long low) {
--- a/src/test/java/org/hollypick/model/StateSearch.java
+++ b/src/test/java/org/hollypick/model/StateSearch.java
@@ -8,8 +8,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Breadth-first search through every state that a model can reach. Since it is breadth first, the trace to a broken state
- * is a shortest one. The search ends at the first broken state, or when there are no new states.
+ * Breadth-first search through every state that a model can reach. Since it is breadth first, the trace to a broken
+ * state is a shortest one. The search ends at the first broken state, or when there are no new states.
  *
  * @param <S> one state of the model; it isn't changed once it has been handed to {@link Successors}
  */
