--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/Ends.java
@@ -40,6 +40,8 @@
     private final Set<String> abortsInDoubt = new HashSet<>();
     /** Live jobs that are to be cancelled. */
     private final Map<String, Cancellation> cancelling = new LinkedHashMap<>();
+    /** Jobs whose end is known by an answer, and not by the view yet: a record that was read before calls them live. */
+    private final Set<String> overBeforeView = new HashSet<>();
     /** The newest change by which a job was cancelled in this term, as far as this node knows. */
     private long cancelledAt;
 
@@ -75,6 +77,27 @@
         this.ended = ended;
     }
 
+    /**
+     * Whether this term has ended the job, though the view's record is still the one before. It mustn't be taken up again
+     * from that: users would be told that it is live, and its tasks would start once more.
+     */
+    boolean knownOver(String id) {
+        return overBeforeView.contains(id);
+    }
+
+    /** The view shows that the job is over. */
+    void shownOver(String id) {
+        overBeforeView.remove(id);
+    }
+
+    /** The answer to its write says that the end is durable. */
+    private void overByAnswer(Job job, String status) {
+        if (scheduler.jobs.containsKey(job.spec.id())) {
+            overBeforeView.add(job.spec.id()); // else the view was first
+        }
+        over(job, status);
+    }
+
     /** The end is durable. */
     void over(Job job, String status) {
         String id = job.spec.id();
@@ -139,7 +162,7 @@
             LOG.info("abort job={} status={} token={}", c.job.spec.id(), r.status(), token);
             if (r.ok()) {
                 cancelledAt(Codec.u64(r.body().path("epoch")));
-                over(c.job, Records.ABORTED);
+                overByAnswer(c.job, Records.ABORTED);
             }
             c.tell(r.ok());
         });
@@ -209,7 +232,7 @@
                 job.closing = false;
                 if (r.ok()) {
                     LOG.info("job {} job={} token={}", status, job.spec.id(), token);
-                    over(job, status);
+                    overByAnswer(job, status);
                 } else if (job.status == Job.Status.LIVE) {
                     scheduler.progressDirty.add(job);
                 }
--- a/src/main/java/org/hollypick/control/Term.java
+++ b/src/main/java/org/hollypick/control/Term.java
@@ -189,6 +189,9 @@
                 continue;
             }
             if (!Records.isOver(e.data())) {
+                if (ends.knownOver(id)) {
+                    continue;
+                }
                 if (dependencies.isCancelled(id)) {
                     cascade.add(id, e.stamp());
                 } else if (job == null && GraphRecords.isGraph(e.data())) {
@@ -204,7 +207,10 @@
                         LOG.error("job record can't be read job={} field={}", id, x.getMessage());
                     }
                 }
-            } else if (job != null) {
+                continue;
+            }
+            ends.shownOver(id);
+            if (job != null) {
                 if (Records.status(e.data()).equals(Records.ABORTED)) {
                     ends.cancelled(job, e.stamp());
                 } else {
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -376,6 +376,18 @@
         return answer[0];
     }
 
+    /** A user asks all nodes about a job at once, and waits for none. */
+    void look(String id) {
+        long asked = world.now;
+        for (Host h : hosts) {
+            world.send("user", new Call("p" + h.index + ":1", "GET", "/submissions/" + id, null, 2_000, false), r -> {
+                if (r.status() == 200) {
+                    checker.told(id, r.body().path("status").asText(), asked, world.now);
+                }
+            });
+        }
+    }
+
     /** A user's request to some controller, its body as it comes from the wire. */
     void raw(String method, String path, byte[] body, Consumer<Reply> reply) {
         Host h = hosts.get(world.random.nextInt(hosts.size()));
--- a/src/test/java/org/hollypick/sim/MeetingsTest.java
+++ b/src/test/java/org/hollypick/sim/MeetingsTest.java
@@ -373,4 +373,37 @@
         day.play(300_000);
         return day;
     }
+
+    /**
+     * The leader has lost its place in the watch and reads all records again, while the service is slow and jobs end: what it read before an end that it knows
+     * isn't taken up again. Else it would call a job live that others call done, and start its tasks once more.
+     */
+    @Test
+    void aLeaderThatReadsAllRecordsAgainTakesUpNothingThatIsOver() {
+        for (int seed = 1; seed <= 4; seed++) {
+            Day day = new Day(seed);
+            day.cancelledOf = 1_000_000;
+            day.play(5_000);
+            day.length = 0.5;
+            day.submitArrays(40, 60_000);
+            for (long at = 15_000; at < 80_000; at += 1_500) {
+                day.world.at(at, () -> {
+                    day.world.slow("state:1", 900, 1_300);
+                    day.state.forgetChanges();
+                });
+            }
+            Map<String, Long> completeAt = new TreeMap<>();
+            while (day.world.now < 100_000) {
+                day.play(50);
+                day.checker.submitted.keySet().stream().filter(day.checker::isComplete).forEach(id -> completeAt.putIfAbsent(id, day.world.now));
+                completeAt.forEach((id, at) -> {
+                    if (day.world.now - at < 6_000) {
+                        day.look(id);
+                    }
+                });
+            }
+            assertEquals(List.of(), day.checker.broken, "seed " + seed);
+            assertEquals(List.of(), twice(day), "seed " + seed);
+        }
+    }
 }
--- a/src/test/java/org/hollypick/sim/StateStandIn.java
+++ b/src/test/java/org/hollypick/sim/StateStandIn.java
@@ -142,6 +142,13 @@
         }
     }
 
+    /** The changes that open watches follow are kept no longer: whoever watches has to read all keys again. */
+    void forgetChanges() {
+        List<Watch> open = new ArrayList<>(watches);
+        watches.clear();
+        open.forEach(w -> w.reply.accept(new Reply(410, Codec.object())));
+    }
+
     private void wake() {
         for (Watch w : new ArrayList<>(watches)) {
             ObjectNode r = events(w.prefix, w.from);
