--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -242,6 +242,10 @@
     public static final double STATE_BUDGET = 0.85;
     /** Ratio of the writes that the owner may use; the others share the rest. */
     public static final double OWNER_WRITE_SHARE = 0.4;
+    /** Milliseconds of one stretch over which the other controllers' changes are counted: they get unused shares back that soon. */
+    public static final long SHARE_WINDOW_MS = 1_000;
+    /** Such stretches over which the mean is taken: a few submissions more or less in one of them are chance. */
+    public static final int SHARE_WINDOWS = 3;
     /** Requests queued at the state client before new submissions are refused with 503. */
     public static final int STATE_QUEUE = 100;
     /** Milliseconds a queued state request may wait for its turn; users give up after 5 s. */
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -31,6 +31,8 @@
     private final ArrayDeque<Queued> commits = new ArrayDeque<>();
     private final StateUsage usage = new StateUsage();
     private int queuedPuts;
+    /** Null unless this controller leads. */
+    private ChangeShare leaderShare;
     /** The queues will be looked at again shortly. */
     private boolean wakes;
 
@@ -112,12 +114,34 @@
         return ways;
     }
 
-    /** The owner's share of the writes is larger: progress and machines are its to record. */
+    /** The owner's share of the writes is larger: progress and machines are its to record. It also has what the others leave unused. */
     public void setOwner(boolean owner) {
         int others = Math.max(1, settings.siblings().size());
         double all = settings.stateWriteRps() * Constants.STATE_BUDGET;
-        writes.setRate(settings.siblings().isEmpty() ? all
-                : owner ? all * Constants.OWNER_WRITE_SHARE : all * (1 - Constants.OWNER_WRITE_SHARE) / others);
+        double own = settings.siblings().isEmpty() ? all : all * Constants.OWNER_WRITE_SHARE;
+        leaderShare = owner ? new ChangeShare(all, own, runtime.now()) : null;
+        writes.setRate(settings.siblings().isEmpty() || owner ? own : all * (1 - Constants.OWNER_WRITE_SHARE) / others);
+    }
+
+    private void followShare() {
+        if (leaderShare != null) {
+            writes.setRate(leaderShare.rate(runtime.now()), writes.size());
+        }
+    }
+
+    /** The watch showed so many changes, of whichever controller. */
+    private void seen(Reply events) {
+        if (leaderShare != null && events.ok()) {
+            leaderShare.seen(events.body().path("events").size(), runtime.now());
+            followShare();
+        }
+    }
+
+    private void own(Txn txn, Reply reply) {
+        if (leaderShare != null && reply.ok()) {
+            leaderShare.own(txn.ops(), runtime.now());
+            followShare();
+        }
     }
 
     /** Whether a new write would wait here for longer than it may: whoever wants it is told so at once. */
@@ -135,7 +159,7 @@
 
     /** Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what users wait for. */
     public boolean spare() {
-        return nothingWaits() && writes.has(writes.rate() / 2, runtime.now());
+        return nothingWaits() && writes.has(writes.size() / 2, runtime.now());
     }
 
     /** Whether every request so far was sent as soon as it came. */
@@ -170,7 +194,10 @@
     public void commitNow(Txn txn, Consumer<Reply> reply) {
         writes.take(txn.ops(), runtime.now());
         txn.count(usage);
-        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, StateUsage.Request.COMMIT, reply);
+        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, StateUsage.Request.COMMIT, r -> {
+            own(txn, r);
+            reply.accept(r);
+        });
     }
 
     /** Asked twice, one of two holds is never used and ends by itself. */
@@ -188,7 +215,10 @@
 
     public void watch(String prefix, long from, Consumer<Reply> reply) {
         urgent(Call.of(address, "GET", "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms=" + Constants.WATCH_MS,
-                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Ways.Kind.WATCH, StateUsage.Request.WATCH, reply);
+                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Ways.Kind.WATCH, StateUsage.Request.WATCH, r -> {
+            seen(r);
+            reply.accept(r);
+        });
     }
 
     private void urgent(Call call, Ways.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
@@ -258,6 +288,11 @@
         if (next.txn != null) {
             next.txn.count(usage);
         }
-        ways.call(next.call, next.kind, next.reply);
+        ways.call(next.call, next.kind, r -> {
+            if (next.txn != null) {
+                own(next.txn, r);
+            }
+            next.reply.accept(r);
+        });
     }
 }
--- a/src/test/java/org/hollypick/state/StateClientTest.java
+++ b/src/test/java/org/hollypick/state/StateClientTest.java
@@ -3,6 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -21,6 +23,9 @@
     private static final long ANSWER_MS = 10;
     private static final double REQUESTS_PER_SECOND = 120;
     private static final double CHANGES_PER_SECOND = 30;
+    private static final double ALL = 25;
+    private static final double LEAST = 10;
+    private static final int SECONDS = 30;
 
     /** A state service that executes every request after a few milliseconds, and a clock. */
     private static final class Service implements Runtime {
@@ -30,6 +35,8 @@
         private final List<Call> calls = new ArrayList<>();
         private long now;
         private long number;
+        private boolean answersEvents;
+        private int changes;
 
         @Override
         public long now() {
@@ -49,7 +56,16 @@
         @Override
         public void call(Call call, Consumer<Reply> reply) {
             calls.add(call);
-            after(ANSWER_MS, () -> reply.accept(new Reply(200, Codec.object().put("epoch", 1))));
+            ObjectNode body = Codec.object().put("epoch", 1);
+            if (answersEvents && call.path().startsWith("/commit")) {
+                changes++;
+            } else if (answersEvents && call.path().startsWith("/watch")) {
+                ArrayNode events = body.putArray("events");
+                for (; changes > 0; changes--) {
+                    events.addObject().put("put", "h/j/1");
+                }
+            }
+            after(ANSWER_MS, () -> reply.accept(new Reply(200, body)));
         }
 
         private void run(long untilMs) {
@@ -88,4 +104,51 @@
         assertEquals(List.of(ANSWER_MS), answered);
         assertTrue(service.sent("/commit") < 60, "changes are still waiting");
     }
+
+    @Test
+    void aLeaderMayMakeTheChangesThatOthersLeaveUnused() {
+        ChangeShare share = new ChangeShare(ALL, LEAST, 0);
+        for (long now = 100; now <= 5_000; now += 100) {
+            share.own(1, now);
+            share.seen(1, now);
+        }
+        assertEquals(ALL, share.rate(5_000), 0.01);
+        for (long now = 5_100; now <= 10_000; now += 100) {
+            share.own(1, now);
+            share.seen(2, now);
+        }
+        assertEquals(ALL - 10, share.rate(10_000), 0.01);
+        for (long now = 10_100; now <= 15_000; now += 100) {
+            share.seen(2, now);
+        }
+        assertEquals(LEAST, share.rate(15_000), 0.01, "the others use all of theirs");
+    }
+
+    @Test
+    void aWatchThatShowsNothingTellsNothingOfTheOthers() {
+        ChangeShare share = new ChangeShare(ALL, LEAST, 0);
+        assertEquals(LEAST, share.rate(4_000), 0.01, "not known yet");
+        for (long now = 4_100; now <= 9_000; now += 100) {
+            share.seen(1, now);
+        }
+        assertEquals(ALL - 10, share.rate(9_000), 0.01);
+        assertEquals(ALL - 10, share.rate(60_000), 0.01);
+    }
+
+    /** The leader's queue empties at the rate of all controllers while the others change nothing. */
+    @Test
+    void aLeaderSendsMoreWhileOthersAreQuiet() {
+        state.setOwner(true);
+        service.answersEvents = true;
+        state.watch("h/", 0, r -> watchAgain());
+        for (long at = 0; at < SECONDS * 1_000; at += 50) {
+            service.after(at, () -> state.commit(new StateClient.Txn().put("h/j/" + service.now(), Codec.object()), r -> { }));
+        }
+        service.run(SECONDS * 1_000);
+        assertTrue(service.sent("/commit") > SECONDS * 15, "sent " + service.sent("/commit"));
+    }
+
+    private void watchAgain() {
+        service.after(60, () -> state.watch("h/", 0, r -> watchAgain()));
+    }
 }
