--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -415,6 +415,19 @@
         return false;
     }
 
+    /**
+     * Whether a task of this job may yet start: a launch may be carried out, or a machine that showed the task waits for its image. A stop that was sent to it may be
+     * held up on its way for longer than the fetch takes.
+     */
+    public boolean startMayCome(Job job) {
+        for (Placement p : job.live.values()) {
+            if (p.starting() && (p.state() != State.SENT || p.launchMayFollow())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     /** Attempt numbers are nearly used up: a new token brings new ones. */
     public boolean attemptsShort() {
         return attempts > (1L << Constants.ATTEMPT_BITS) - 10_000;
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -239,11 +239,11 @@
     }
 
     /**
-     * Whether a launch of the job may yet be carried out that no report has shown: this owner's, or an older one's on a
-     * machine that isn't heard yet.
+     * Whether a task of the job may yet start: by a launch of this owner's, since it waits for its image, or by an older owner's
+     * launch on a machine that isn't heard yet.
      */
     public boolean launchMayCome(Job job) {
-        return ledger.launchUnderWay(job) || job.under != token && !allHeard();
+        return ledger.startMayCome(job) || job.under != token && !allHeard();
     }
 
     /** Once so, it stays so; asked for many jobs in one moment. */
