--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -41,6 +41,8 @@
         m.seenToken = r.token();
         if (m.up && r.session() != m.session) {
             loseAll(m); // a new session: all that was there is gone, and late orders of the old one are refused
+            m.needsReport = !m.reportedInSession;
+            m.reportedInSession = false;
         }
         if (!m.up || r.session() != m.session) {
             m.sessionSince = now;
@@ -62,6 +64,9 @@
         if (hello) {
             // A worker has one report in flight: the answer to the one before was taken or dropped by now.
             m.placements.values().forEach(p -> p.viaHello = false);
+            scheduler.passWanted |= m.needsReport;
+            m.needsReport = false;
+            m.reportedInSession = true;
         }
         m.beginReport();
         boolean strays = false;
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/ledger/Machine.java
@@ -30,6 +30,13 @@
     public boolean proved;
     /** Since when the session that is known of is over; nothing may be told to it until the next one is heard of. 0: it isn't. */
     public long lapsedAt;
+    /** Whether a report, not only answers to direct commands, came in the session that is known. */
+    public boolean reportedInSession;
+    /**
+     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may reach it, but don't
+     * renew its lease: what it is given would end with that.
+     */
+    public boolean needsReport;
     /** Whether what it is told reaches it. */
     public final Heed heed = new Heed();
     public long session;
@@ -161,7 +168,8 @@
     }
 
     public boolean usable() {
-        return registered && heard && up && proved && !lapsed() && !heed.deaf() && !draining && !returning && !faulty && !emptying;
+        return registered && heard && up && proved && !lapsed() && !needsReport && !heed.deaf() && !draining && !returning && !faulty
+                && !emptying;
     }
 
     public boolean idle() {
