--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -259,6 +259,8 @@
     public static final double VALUE_SHARE = 0.875;
     /** Transactions under way at once that end finished jobs: one whose answer is lost blocks its place for two seconds. */
     public static final int ENDS_UNDER_WAY = 4;
+    /** The same while requests wait for their turn: with half a second's worth each, half of what may wait there, so that new jobs have the other half. */
+    public static final int ENDS_WAITING = 2;
     /** Seconds' worth of changes in one transaction of ends at most: a larger one would hold up for longer what users wait for. */
     public static final double BATCH_S = 0.5;
     /** Times that a submission's record is tried: the roster may have changed since this node last heard of it. */
--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/Ends.java
@@ -214,8 +214,8 @@
     }
 
     /**
-     * Writes the ends of the jobs that are finished, several to a transaction. A further transaction is begun while one is under way only
-     * if nothing waits for its turn at the state service: ends that waited there would keep new jobs from being accepted.
+     * Writes the ends of the jobs that are finished, several to a transaction. While anything waits for its turn at the state service,
+     * fewer are under way: ends that waited there would keep new jobs from being accepted, and too few would be told late.
      */
     void closeFinished() {
         List<Job> finished = new ArrayList<>();
@@ -225,7 +225,7 @@
             }
         }
         int next = 0;
-        while (next < finished.size() && (closings == 0 || closings < Constants.ENDS_UNDER_WAY && state.nothingWaits())) {
+        while (next < finished.size() && closings < (state.nothingWaits() ? Constants.ENDS_UNDER_WAY : Constants.ENDS_WAITING)) {
             List<Ending> batch = batch(finished, next);
             next += batch.size();
             close(batch);
