--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -300,6 +300,8 @@
     public static final double FIRST_SHARE = 0.30;
     /** Squared coefficient of variation above which a partition counts as unbalanced (section IV D). */
     public static final double CV2_LIMIT = 2.0;
+    /** Milliseconds without a change of a team's use after which arrays get what its waiting services can't use of its limit: half of what a job may wait beside room. */
+    public static final long RESERVE_MS = 45_000;
     /** Machines the first partition keeps free before it lends. */
     public static final int FIRST_KEEPS_FREE = 1;
 
--- a/src/main/java/org/hollypick/core/Planner.java
+++ b/src/main/java/org/hollypick/core/Planner.java
@@ -30,9 +30,13 @@
     private int fills;
     /** When it was last looked which services wait for their team's limit alone. */
     private long reservedAt = -Constants.PASS_EVERY_MS;
+    /** By team: how often its use had changed when that was last seen to change, and when that was. */
+    private final Map<String, UseSeen> usesSeen = new HashMap<>();
     /** Cores of all services, as of the last pass. */
     private double allServices;
 
+    private record UseSeen(long changes, long since) {}
+
     Planner(Scheduler scheduler, double firstShare) {
         this.scheduler = scheduler;
         this.firstShare = firstShare;
@@ -140,13 +144,27 @@
         Map<String, Boolean> room = new HashMap<>();
         for (Job job : secondJobs) {
             JobSpec spec = job.spec;
-            if (spec.service() && !scheduler.withinLimit(spec)
+            if (spec.service() && !scheduler.withinLimit(spec) && useChangedLately(spec.team(), now)
                     && room.computeIfAbsent(spec.team(), t -> Placer.preempt(job, usable, allServices, now) != null)) {
                 scheduler.teamUse.owe(spec, job.pending.cardinality());
             }
         }
     }
 
+    /**
+     * Whether the team's use of its limit changed within the last {@link Constants#RESERVE_MS}. If not, hardly anything will come free for its services soon,
+     * and what is left of the limit is too little for them: arrays that fit into it waited for ever beside room.
+     */
+    private boolean useChangedLately(String team, long now) {
+        long changes = scheduler.teamUse.changes(team);
+        UseSeen seen = usesSeen.get(team);
+        if (seen == null || seen.changes != changes) {
+            seen = new UseSeen(changes, now);
+            usesSeen.put(team, seen);
+        }
+        return now - seen.since < Constants.RESERVE_MS;
+    }
+
     private void place(Job job, List<Machine> own, List<Machine> others, boolean keepOneFree, long now) {
         if (job.spec.service()) {
             return;
--- a/src/main/java/org/hollypick/core/TeamUse.java
+++ b/src/main/java/org/hollypick/core/TeamUse.java
@@ -2,6 +2,7 @@
 
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
+import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import org.hollypick.config.Settings;
 import org.hollypick.core.ledger.Machine;
 
@@ -14,6 +15,8 @@
 
     private final Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
+    /** How often each team's use has changed. */
+    private final Object2LongOpenHashMap<String> changes = new Object2LongOpenHashMap<>();
     /** What tasks of earlier owners take, or took, that were there in this term; each attempt once. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
@@ -37,7 +40,12 @@
         owedGpus.clear();
     }
 
+    long changes(String team) {
+        return changes.getLong(team);
+    }
+
     void add(JobSpec spec, int tasks) {
+        changes.addTo(spec.team(), 1);
         cpus.addTo(spec.team(), tasks * spec.cpus());
         gpus.addTo(spec.team(), tasks * spec.gpus());
     }
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -206,6 +206,24 @@
         return calm(day.play(80_000));
     }
 
+    /** Services fill the limit of their team but for a core, which is too little for the next replica: small arrays waited for ever for what was reserved for it. */
+    @Test
+    void arraysGetWhatServicesCantUseOfTheLimit() {
+        int seed = 4;
+        Day day = new Day(seed, 2);
+        day.length = 6;
+        day.cancelledOf = 4;
+        day.zoneBound = true;
+        day.submitLasting(9);
+        day.play(10_000);
+        day.submitSome(30, 40_000);
+        day.play(50_000);
+        day.checker.calm(day.world.now);
+        day.submitSome(30, 60_000);
+        day.play(60_000 + 2 * WaitingCheck.NEGLECTED_MS);
+        assertEquals(List.of(), day.checker.broken, "seed " + seed);
+    }
+
     /** Ten changes in two minutes, every second day inside an outage, with cancellations. */
     @Test
     void theLeaderChangesTenTimesInTwoMinutes() {
