--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -421,8 +421,8 @@
     }
 
     /**
-     * Whether a task of this job may yet start: a launch may be carried out, or a machine that showed the task waits for its image. A stop that was sent to it may be
-     * held up on its way for longer than the fetch takes.
+     * Whether a task of this job may yet start: a launch may be carried out, or a machine that showed the task waits for its
+     * image. A stop that was sent to it may be held up on its way for longer than the fetch takes.
      */
     public boolean startMayCome(Job job) {
         for (Placement p : job.live.values()) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -239,8 +239,8 @@
     }
 
     /**
-     * Whether a task of the job may yet start: by a launch of this owner's, since it waits for its image, or by an older owner's
-     * launch on a machine that isn't heard yet.
+     * Whether a task of the job may yet start: by a launch of this owner's, since it waits for its image, or by an older
+     * owner's launch on a machine that isn't heard yet.
      */
     public boolean launchMayCome(Job job) {
         return ledger.startMayCome(job) || job.under != token && !allHeard();
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/ledger/Machine.java
@@ -33,8 +33,8 @@
     /** Whether a report, not only answers to direct commands, came in the session that is known. */
     public boolean reportedInSession;
     /**
-     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may reach it, but don't
-     * renew its lease: what it is given would end with that.
+     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may reach it,
+     * but don't renew its lease: what it is given would end with that.
      */
     public boolean needsReport;
     /** Whether what it is told reaches it. */
@@ -168,8 +168,8 @@
     }
 
     public boolean usable() {
-        return registered && heard && up && proved && !lapsed() && !needsReport && !heed.deaf() && !draining && !returning && !faulty
-                && !emptying;
+        return registered && heard && up && proved && !lapsed() && !needsReport && !heed.deaf() && !draining
+                && !returning && !faulty && !emptying;
     }
 
     public boolean idle() {
