--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -43,6 +43,8 @@
     int starts;
     final Map<String, Integer> startsOf = new HashMap<>();
     int completed;
+    /** Tasks that started after their job's user had been told that it is cancelled. */
+    final List<String> startedAfterTold = new ArrayList<>();
     /** Tasks that ended with their worker's lease. */
     int lost;
 
@@ -76,6 +78,9 @@
             }
         }
         Long told = toldCancelledAt.get(job(task));
+        if (told != null) {
+            startedAfterTold.add(task);
+        }
         if (told != null && now > told + cancelMs) {
             broken.add("ran_cancelled (started) " + task);
         }
--- a/src/test/java/org/hollypick/sim/CloudStandIn.java
+++ b/src/test/java/org/hollypick/sim/CloudStandIn.java
@@ -36,6 +36,13 @@
     private final List<Snapshot> snapshots = new ArrayList<>();
     private final Map<String, Integer> capacity = new LinkedHashMap<>();
     private int names;
+    /** Machines are up within that many milliseconds of their rental. */
+    int bootMs = 8_000;
+    /** Lists are in turn as new and as old as they may be, so that every second one is older than the one before. */
+    boolean alternatingLists;
+    private boolean oldList;
+    /** Sees each machine that comes up. */
+    Consumer<WorkerStandIn> booted = w -> { };
 
     CloudStandIn(World world, Checker checker, List<String> nodes, List<String> zones, long leaseMs, int size) {
         this.world = world;
@@ -101,7 +108,9 @@
             }
             reply.accept(new Reply(200, Codec.object()));
         } else {
-            long wanted = world.now - world.random.nextInt((int) (2 * LAG_MS));
+            oldList = !oldList;
+            long oldest = oldList ? 2 * LAG_MS - 1_000 : 0;
+            long wanted = world.now - (alternatingLists ? oldest : world.random.nextInt((int) (2 * LAG_MS)));
             Snapshot s = snapshots.get(0);
             for (Snapshot other : snapshots) {
                 if (other.at <= wanted) {
@@ -139,9 +148,10 @@
             h.born = world.now;
             hosts.put(name, h);
             list.add(name);
-            world.at(world.random.nextInt(8_000), () -> {
+            world.at(world.random.nextInt(bootMs), () -> {
                 if (hosts.get(name) == h) {
                     h.worker = boot.apply(name, h);
+                    booted.accept(h.worker);
                 }
             });
         }
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -12,6 +12,7 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import java.util.function.ToLongBiFunction;
 import org.hollypick.Node;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
@@ -118,6 +119,9 @@
     int cancelledOf = 6;
     private final Set<String> keep = new HashSet<>();
     private final Set<String> hasty = new HashSet<>();
+    /** What is held up on its way, see {@link World#heldUp}. */
+    ToLongBiFunction<String, Call> late = (from, call) -> 0;
+    private final Set<String> muted = new HashSet<>();
 
     Day(long seed) {
         this(seed, 1);
@@ -172,9 +176,14 @@
                 }
             });
         }
+        world.heldUp = this::mutedOrLate;
         sweep();
     }
 
+    private long mutedOrLate(String from, Call call) {
+        return muted.contains(from) ? World.LOST : late.applyAsLong(from, call);
+    }
+
     /** Six services that nobody cancels run. */
     Day withRunningServices() {
         play(5_000);
@@ -536,6 +545,32 @@
         hosts.forEach(h -> deafen(w, h.index, ms));
     }
 
+    /** The machine reaches no controller, while their direct calls reach it and are answered. */
+    void mute(WorkerStandIn w, long ms) {
+        muted.add(w.name);
+        world.at(ms, () -> muted.remove(w.name));
+    }
+
+    /** Nothing passes between the machine and any controller. */
+    void silence(WorkerStandIn w, long ms) {
+        hosts.forEach(h -> cutFromWorkers(h.index, ms, Set.of(w.name)));
+    }
+
+    /** Once the roster names a leader under a token other than now's, however that came. */
+    void atNextLeader(Runnable run) {
+        awaitToken(state.stamp("h/roster"), run);
+    }
+
+    private void awaitToken(long before, Runnable run) {
+        world.at(5, () -> {
+            if (state.stamp("h/roster") != before) {
+                run.run();
+            } else {
+                awaitToken(before, run);
+            }
+        });
+    }
+
     /** A controller loses the state service and the other controllers, not its machines nor its users. */
     void cutFromStateAndPeers(int node, long ms) {
         world.cut("bothy-" + node, "state:1", ms);
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -0,0 +1,445 @@
+package org.hollypick.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Call;
+import org.hollypick.io.Codec;
+import org.hollypick.io.Reply;
+import org.hollypick.io.Runtime;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Machines at a change of the leader (docs/meetings.md): rented a moment ago, reporting late, out of reach in one
+ * direction, or carrying out direct commands seconds after they were sent. The orders of events are enumerated,
+ * not drawn; CI plays every n-th of them, and {@code mvn test -Dtest=MachineFaultsTest -Dmachines.every=1} plays
+ * all.
+ */
+class MachineFaultsTest {
+    /** Prime to the numbers of values of each kind, so that all of them occur. */
+    private static final int EVERY = Integer.getInteger("machines.every", 17);
+    private static final int EVERY_SLOW = Math.min(EVERY, 7);
+    private static final BiFunction<Runtime, Settings, Node> NEW =
+            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+
+    private static Day day(int seed, BiFunction<Runtime, Settings, Node> version) {
+        return new Day(seed, 1, null, null, version);
+    }
+
+    private static boolean launches(Call call) {
+        return call.path().equals("/commands") && call.body().path("orders").toString().contains("launch");
+    }
+
+    private static boolean registers(Call call) {
+        return call.path().equals("/commit") && call.body().path("then").toString().contains("\"h/m/");
+    }
+
+    private static boolean rents(Call call) {
+        return call.path().equals("/hosts") && call.method().equals("POST");
+    }
+
+    private static boolean returns(Call call) {
+        return call.path().equals("/hosts/return");
+    }
+
+    // ---- new machines ----
+
+    /**
+     * What happens to a call: nothing, its answer comes late or never, or it gets no answer and is carried out
+     * late.
+     */
+    private enum Fate { ON_TIME, ANSWER_LATE, ANSWER_LOST, CARRIED_OUT_LATE }
+
+    /** The event at which the leader ends. */
+    private enum End { RENTAL_SENT, MACHINE_UP, FIRST_REPORT, REGISTRATION_SENT, LAUNCH_SENT }
+
+    private record NewMachines(Fate rental, Fate registration, End end, int afterMs, int bootMs, int seed) {}
+
+    private static List<NewMachines> newMachines() {
+        List<NewMachines> all = new ArrayList<>();
+        for (Fate rental : Fate.values()) {
+            for (Fate registration : Fate.values()) {
+                for (End end : End.values()) {
+                    for (int afterMs : new int[] {0, 8, 60, 700}) {
+                        for (int bootMs : new int[] {1, 2_000}) {
+                            all.add(new NewMachines(rental, registration, end, afterMs, bootMs, all.size() + 1));
+                        }
+                    }
+                }
+            }
+        }
+        return all;
+    }
+
+    private static Day play(NewMachines order, BiFunction<Runtime, Settings, Node> version) {
+        Day day = day(order.seed, version);
+        day.cloud.bootMs = order.bootMs;
+        day.cloud.alternatingLists = true;
+        day.cancelledOf = 4;
+        boolean slow = order.rental == Fate.ANSWER_LATE;
+        Random random = day.world.random;
+        day.late = (from, call) -> {
+            boolean late = (rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE
+                    || registers(call) && order.registration == Fate.CARRIED_OUT_LATE;
+            return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
+        };
+        day.world.answerLost = call -> (rents(call) && order.rental == Fate.ANSWER_LOST
+                || registers(call) && order.registration == Fate.ANSWER_LOST) && random.nextBoolean();
+        day.play(5_000);
+        day.world.slow("cloud:1", slow ? 3_000 : 0, 60_000);
+        day.world.slow("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
+        endLeaderAt(day, order, 2);
+        day.submitLasting(3);
+        day.submitArrays(8, 15_000);
+        day.play(100_000);
+        return day;
+    }
+
+    /** Ends the leader at the first such event, and then the next one at the first of its own. */
+    private static void endLeaderAt(Day day, NewMachines order, int times) {
+        boolean[] due = {true};
+        Runnable end = () -> {
+            if (due[0]) {
+                due[0] = false;
+                day.world.at(order.afterMs, () -> {
+                    day.crash(day.leader(), order.seed % 2 == 0 ? 150 : 6_000);
+                    if (times > 1) {
+                        day.atNextLeader(() -> endLeaderAt(day, order, times - 1));
+                    }
+                });
+            }
+        };
+        Consumer<WorkerStandIn> up = w -> end.run();
+        Consumer<Call> report = call -> end.run();
+        day.cloud.booted = order.end == End.MACHINE_UP ? up : w -> { };
+        day.world.reporting = order.end == End.FIRST_REPORT ? report : call -> { };
+        day.world.sending = (from, call) -> {
+            if (order.end == End.RENTAL_SENT && rents(call) || order.end == End.REGISTRATION_SENT && registers(call)
+                    || order.end == End.LAUNCH_SENT && launches(call)) {
+                end.run();
+            }
+        };
+    }
+
+    /**
+     * A machine is registered durably before its first launch, in whichever order its rental's answer, its first
+     * report, its registration and the leader's end come.
+     */
+    @Test
+    void newMachinesKeepTheRulesInEveryOrderOfEvents() {
+        List<String> broken = new ArrayList<>();
+        int starts = 0;
+        int days = 0;
+        for (NewMachines order : newMachines()) {
+            if (order.seed % EVERY == 0) {
+                Day day = play(order, NEW);
+                days++;
+                starts += day.checker.starts;
+                if (!day.checker.broken.isEmpty()) {
+                    broken.add(order + " " + day.checker.broken);
+                }
+            }
+        }
+        assertEquals(List.of(), broken);
+        assertTrue(starts > 10 * days, "only " + starts + " starts in " + days + " days");
+    }
+
+    /** A leader that takes a registration for durable when it sends it, while that takes seconds. */
+    @Test
+    void theCheckerNoticesALaunchBeforeTheRegistrationIsDurable() {
+        BiFunction<Runtime, Settings, Node> hasty = (r, s) -> NEW.apply(new Passing(r) {
+            @Override
+            public void call(Call call, Consumer<Reply> reply) {
+                if (registers(call)) {
+                    super.after(1, () -> reply.accept(new Reply(200, Codec.object().put("epoch", 0))));
+                    super.after(4_000, () -> super.call(call, late -> { }));
+                } else {
+                    super.call(call, reply);
+                }
+            }
+        }, s);
+        assertTrue(newMachines().stream().filter(o -> o.end == End.LAUNCH_SENT && o.afterMs == 700)
+                .anyMatch(o -> play(o, hasty).checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice"))));
+    }
+
+    // ---- old reports ----
+
+    /** Who gets the copies: only the new leader, only the others, which hand them on to it, or all. */
+    private enum To { LEADER, OTHERS, ALL }
+
+    /** When they arrive, counted from the new leader's roster or from its first direct command. */
+    private enum When { AT_ONCE, SOON, ONCE_IT_HAS_ACTED, A_LEASE_LATER }
+
+    /** All copies in one order or the other, or of each machine only the one that shows the fewest tasks. */
+    private enum Which { OLDEST_FIRST, NEWEST_FIRST, EMPTIEST }
+
+    private record OldReports(To to, When when, Which which, boolean onlyHeldBack, int seed) {}
+
+    private static List<OldReports> oldReports() {
+        List<OldReports> all = new ArrayList<>();
+        for (To to : To.values()) {
+            for (When when : When.values()) {
+                for (Which which : Which.values()) {
+                    for (boolean held : new boolean[] {false, true}) {
+                        all.add(new OldReports(to, when, which, held, all.size() + 1));
+                    }
+                }
+            }
+        }
+        return all;
+    }
+
+    /**
+     * All reports of the last half minute arrive again, or those of the leader's last seconds arrive for the first
+     * time. By then many machines are in a later session, and their tasks were started again elsewhere. {@code
+     * altered}: what the network makes of an old report; nothing unless it is broken.
+     */
+    private static Day play(OldReports order, BiConsumer<Day, ObjectNode> altered) {
+        Day day = day(order.seed, NEW);
+        day.length = 4;
+        day.cancelledOf = 4;
+        List<Call> reports = new ArrayList<>();
+        day.play(5_000);
+        day.submitLasting(3);
+        day.submitArrays(8, 30_000);
+        day.play(30_000);
+        day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.deafen(w, 19_000));
+        day.world.reporting = order.onlyHeldBack ? call -> { } : reports::add;
+        day.play(26_000);
+        day.world.reporting = call -> { };
+        for (int change = 0; change < 2; change++) {
+            day.late = (from, call) -> {
+                if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
+                    reports.add(call);
+                    return World.LOST;
+                }
+                return 0;
+            };
+            day.submitArrays(3, 1_000); // no copy shows their tasks
+            day.play(7_000);
+            day.crash(day.leader(), change == 0 ? 200 : 8_000);
+            // Their own word comes later than the copy.
+            day.cloud.workers().stream().filter(w -> w.running() > 0).limit(2).forEach(w -> day.silence(w, 12_000));
+            day.atNextLeader(() -> {
+                day.late = (from, call) -> 0;
+                arrive(day, order, new ArrayList<>(reports), altered);
+            });
+            day.play(25_000);
+        }
+        day.play(60_000);
+        return day;
+    }
+
+    private static void arrive(Day day, OldReports order, List<Call> reports, BiConsumer<Day, ObjectNode> altered) {
+        int leader = day.leader();
+        if (order.which == Which.NEWEST_FIRST) {
+            Collections.reverse(reports);
+        } else if (order.which == Which.EMPTIEST) {
+            reports.sort(Comparator.comparingInt(r -> r.body().path("shards").size()));
+            Set<String> seen = new HashSet<>();
+            reports.removeIf(r -> !seen.add(r.body().path("bothy").asText()));
+        }
+        Runnable all = () -> reports.forEach(r -> {
+            for (int node = 0; node < 3; node++) {
+                if (order.to == To.ALL || (node == leader) == (order.to == To.LEADER)) {
+                    ObjectNode body = r.body().deepCopy();
+                    altered.accept(day, body);
+                    Call copy = new Call(r.address(), r.method(), r.path(), body, r.timeoutMs(), false);
+                    day.world.deliverOnce(copy, "p" + node + ":1");
+                }
+            }
+        });
+        switch (order.when) {
+            case AT_ONCE -> all.run();
+            case SOON -> day.world.at(150, all);
+            case A_LEASE_LATER -> day.world.at(16_000, all);
+            default -> day.world.sending = (from, call) -> {
+                if (call.path().equals("/commands")) {
+                    day.world.sending = (f, c) -> { };
+                    day.world.at(20, all);
+                }
+            };
+        }
+    }
+
+    /**
+     * Reports of earlier sessions and attempts, and some that never arrived before, when a new leader begins or
+     * has acted.
+     */
+    @Test
+    void oldReportsProveNothingToANewLeader() {
+        List<String> broken = new ArrayList<>();
+        for (OldReports order : oldReports()) {
+            if (order.seed % EVERY_SLOW == 0) {
+                Day day = play(order, (d, body) -> { });
+                if (!day.checker.broken.isEmpty()) {
+                    broken.add(order + " " + day.checker.broken);
+                }
+                assertTrue(day.checker.starts > 20, order + " starts=" + day.checker.starts);
+            }
+        }
+        assertEquals(List.of(), broken);
+    }
+
+    /** A leader for which an old report counts as the machine's word under its own token. */
+    @Test
+    void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
+        BiConsumer<Day, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.state.stamp("h/roster"));
+        assertTrue(oldReports().stream().filter(o -> o.onlyHeldBack)
+                .anyMatch(o -> play(o, asIfNew).checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice"))));
+    }
+
+    // ---- late commands, and machines that reach nobody ----
+
+    /** How the leader changes while commands are on their way. */
+    private enum Change { NONE, RESTART, FREEZE, CUT, WORKERS_CUT }
+
+    private record LateCommands(Change change, boolean mute, boolean deaf, int seed) {}
+
+    private static List<LateCommands> lateCommands() {
+        List<LateCommands> all = new ArrayList<>();
+        for (Change change : Change.values()) {
+            for (boolean mute : new boolean[] {false, true}) {
+                for (boolean deaf : new boolean[] {false, true}) {
+                    for (int again = 0; again < 6; again++) {
+                        all.add(new LateCommands(change, mute, deaf, all.size() + 1));
+                    }
+                }
+            }
+        }
+        return all;
+    }
+
+    /**
+     * Of the direct commands every second one is held up and carried out once, 2 to 16 s late. Some machines reach
+     * no controller meanwhile, or hear none, for less or more than a lease; users cancel every second job at once
+     * or later.
+     */
+    private static Day play(LateCommands order, Consumer<WorkerStandIn> up) {
+        Day day = day(order.seed, NEW);
+        day.cloud.booted = up;
+        day.length = 3;
+        day.cancelledOf = 2;
+        day.play(5_000);
+        day.submitLasting(3);
+        Random random = day.world.random;
+        day.late = (from, call) -> {
+            boolean late = call.path().equals("/commands") && random.nextBoolean();
+            return late ? 2_000 + random.nextInt(14_000) : 0;
+        };
+        day.submitArrays(20, 90_000);
+        for (int i = 0; i < 3; i++) {
+            day.play(20_000);
+            int leader = day.leader();
+            long ms = List.of(7_000L, 20_000L, 40_000L).get((order.seed + i) % 3);
+            day.cloud.workers().stream().filter(w -> day.world.random.nextInt(3) == 0).forEach(w -> {
+                if (order.mute) {
+                    day.mute(w, ms);
+                }
+                if (order.deaf && day.world.random.nextBoolean()) {
+                    day.deafen(w, ms);
+                }
+            });
+            switch (order.change) {
+                case RESTART -> day.world.at(2_000, () -> day.crash(leader, 200));
+                case FREEZE -> day.world.at(2_000, () -> day.freeze(leader, 9_000));
+                case CUT -> day.world.at(2_000, () -> day.cutFromStateAndPeers(leader, 20_000));
+                case WORKERS_CUT -> day.cutFromWorkers(leader, 12_000);
+                default -> { }
+            }
+        }
+        day.play(40_000);
+        day.late = (from, call) -> 0;
+        day.play(60_000);
+        return day;
+    }
+
+    /**
+     * A late command of an ended session or older leader is refused; one of this leader counts as under way for
+     * its session.
+     */
+    @Test
+    void lateCommandsAndMuteMachinesKeepTheRules() {
+        List<String> broken = new ArrayList<>();
+        for (LateCommands order : lateCommands()) {
+            if (order.seed % EVERY == 0) {
+                Day day = play(order, w -> { });
+                if (!day.checker.broken.isEmpty() || !day.checker.startedAfterTold.isEmpty()) {
+                    broken.add(order + " " + day.checker.broken + " after being told " + day.checker.startedAfterTold);
+                }
+            }
+        }
+        assertEquals(List.of(), broken);
+    }
+
+    /**
+     * A machine has taken a launch and waits for the image; its user cancels the job, and every command that tells
+     * it to stop is held up for longer than the fetch takes. It started after its user had been told.
+     */
+    @Test
+    void aTaskThatWaitsForItsImageIsStoppedBeforeItsCancellationIsTold() {
+        for (int seed = 1; seed <= 8; seed++) {
+            Day day = new Day(seed);
+            day.play(20_000);
+            boolean[] fetching = {false};
+            day.world.reporting = call -> fetching[0] |= call.body().toString().contains("fetching");
+            day.submitLasting(1);
+            while (!fetching[0]) {
+                day.play(10);
+            }
+            day.play(20);
+            day.late = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
+            day.cloud.workers().forEach(w -> day.mute(w, 10_000));
+            day.withdraw("req-000000");
+            day.play(60_000);
+            assertTrue(day.checker.isOver("req-000000"), "seed " + seed);
+            assertEquals(List.of(), day.checker.startedAfterTold, "seed " + seed);
+            assertEquals(List.of(), day.checker.broken, "seed " + seed);
+        }
+    }
+
+    /**
+     * They looked empty in each new session that a direct answer showed, got the next tasks, and lost them with
+     * their lease.
+     */
+    @Test
+    void mutedMachinesGetNoWorkOnceTheirLeaseHasEnded() {
+        int lost = 0;
+        for (int seed = 1; seed <= 5; seed++) {
+            Day day = new Day(seed);
+            day.length = 3;
+            day.play(5_000);
+            day.submitLasting(3);
+            day.submitArrays(20, 100_000);
+            day.play(25_000);
+            day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.mute(w, 90_000));
+            day.play(20_000);
+            int before = day.checker.lost;
+            day.play(100_000);
+            lost += day.checker.lost - before;
+            assertEquals(List.of(), day.checker.broken, "seed " + seed);
+        }
+        assertTrue(lost < 100, "tasks lost on machines that reach no controller: " + lost);
+    }
+
+    /** Workers that carry out whatever arrives, of an ended session or of an older leader too. */
+    @Test
+    void theCheckerNoticesWorkersThatCarryOutLateCommands() {
+        assertTrue(lateCommands().stream().anyMatch(o -> play(o, w -> w.careless = true).checker.broken.stream()
+                .anyMatch(b -> b.startsWith("ran_twice"))));
+    }
+}
--- a/src/test/java/org/hollypick/sim/WorkerStandIn.java
+++ b/src/test/java/org/hollypick/sim/WorkerStandIn.java
@@ -39,6 +39,8 @@
     private int life;
     private boolean down;
     private boolean sick;
+    /** It carries out direct commands of any token and session: breaks the workers' promise. */
+    boolean careless;
     private int node;
     private long session = 1;
     private long tick;
@@ -338,11 +340,11 @@
         act(life, () -> {
             if (path.equals("/inspect")) {
                 reply.accept(new Reply(200, describe()));
-            } else if (body.path("baton").asLong() < token || body.path("tenure").asLong() != session) {
+            } else if (!careless && (body.path("baton").asLong() < token || body.path("tenure").asLong() != session)) {
                 reply.accept(new Reply(409, describe()));
             } else {
                 boolean higher = body.path("baton").asLong() > token;
-                token = body.path("baton").asLong();
+                token = Math.max(token, body.path("baton").asLong());
                 execute(body.path("orders"));
                 if (higher) {
                     changed();
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -17,6 +17,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import java.util.function.ToLongBiFunction;
 import java.util.stream.Stream;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
@@ -49,6 +50,8 @@
         }
     }
 
+    static final long LOST = -1;
+
     final Random random;
     long now = 1_000;
     private long seq;
@@ -66,6 +69,15 @@
     double lateWriteShare;
     /** Which transactions that may happen to. */
     Predicate<JsonNode> lateWrites = txn -> true;
+    /**
+     * Milliseconds by which a call, by its sender, is held up: it gets no answer and is carried out once, so much later.
+     * 0: it isn't; {@link #LOST}: it is never carried out.
+     */
+    ToLongBiFunction<String, Call> heldUp = (from, call) -> 0;
+    /** Calls that are carried out at once while their answer is lost. */
+    Predicate<Call> answerLost = call -> false;
+    /** Sees each machine's report in the moment of sending: for copies that arrive later. */
+    Consumer<Call> reporting = report -> { };
     /** Hosts whose calls to an address are answered with 503 at once, as one that is overloaded refuses a single caller. */
     private final Set<String> refused = new HashSet<>();
     /** Milliseconds that calls to an address take longer, at most. */
@@ -145,15 +157,18 @@
         return 1 + random.nextInt(5) + (slow.isEmpty() ? 0 : random.nextInt(1 + slow.getOrDefault(address, 0)));
     }
 
+    /** A request that was held up, or a copy of one, arrives at an address; nobody gets its answer. */
+    void deliverOnce(Call call, String to) {
+        if (endpoints.get(to).listens()) {
+            endpoints.get(to).request(call.method(), call.path(), call.body(), r -> { });
+        }
+    }
+
     /** The same request once more, after a while, to another address; nobody gets its answer. */
     private void copy(Call call) {
         if (call.path().equals("/hello") && copyShare > 0 && random.nextDouble() < copyShare) {
             String to = "p" + random.nextInt(3) + ":1";
-            at(1_000 + random.nextInt(60_000), () -> {
-                if (endpoints.get(to).listens()) {
-                    endpoints.get(to).request(call.method(), call.path(), call.body(), r -> { });
-                }
-            });
+            at(1_000 + random.nextInt(60_000), () -> deliverOnce(call, to));
         }
     }
 
@@ -193,6 +208,16 @@
         }
         at(call.timeoutMs(), () -> once.accept(Reply.noAnswer()));
         copy(call);
+        if (call.path().equals("/hello")) {
+            reporting.accept(call);
+        }
+        long heldUpMs = heldUp.applyAsLong(from, call);
+        if (heldUpMs != 0) {
+            if (heldUpMs != LOST) {
+                at(heldUpMs, () -> deliverOnce(call, call.address()));
+            }
+            return;
+        }
         if (refused.contains(from + ">" + call.address())) {
             at(2, () -> once.accept(new Reply(503, Codec.object())));
             return;
@@ -208,6 +233,9 @@
                 return;
             }
             e.request(call.method(), call.path(), call.body(), r -> {
+                if (answerLost.test(call)) {
+                    return;
+                }
                 Runnable answer = () -> at(latency(call.address()), () -> once.accept(r));
                 if (shut(link, from, call.address(), true)) {
                     held.computeIfAbsent(link, k -> new ArrayList<>()).add(answer);
