--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -18,7 +18,7 @@
 import org.hollypick.config.Settings;
 import org.hollypick.control.Graphs;
 import org.hollypick.control.JobRecords;
-import org.hollypick.control.Term;
+import org.hollypick.control.LeaderTerm;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.ledger.Report;
@@ -59,7 +59,7 @@
     /** Shared with the term; prices in it follow the cloud. */
     private final Map<String, MachineType> types = new HashMap<>();
     private final Graphs.Maker maker;
-    private Term term;
+    private LeaderTerm term;
 
     public Node(Runtime runtime, Settings settings, OperatorSettings operator) {
         this(runtime, settings, operator, new Dependencies());
@@ -137,7 +137,7 @@
                 return;
             }
             state.setOwner(true);
-            term = new Term(token, runtime, settings, operator, view, dependencies, state, cloud, workers, types, membership, maker);
+            term = new LeaderTerm(token, runtime, settings, operator, view, dependencies, state, cloud, workers, types, membership, maker);
             term.start();
         }
         membership.claimIfFree();
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -13,7 +13,7 @@
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
 import org.hollypick.control.Graphs;
-import org.hollypick.control.Term;
+import org.hollypick.control.LeaderTerm;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.NodeSpec;
@@ -32,10 +32,10 @@
     private final View view;
     private final Membership membership;
     private final UserApi jobs;
-    private final Supplier<Term> term;
+    private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
 
-    public GraphApi(Runtime runtime, Settings settings, View view, Membership membership, UserApi jobs, Supplier<Term> term,
+    public GraphApi(Runtime runtime, Settings settings, View view, Membership membership, UserApi jobs, Supplier<LeaderTerm> term,
             Supplier<Map<String, MachineType>> types) {
         this.runtime = runtime;
         this.settings = settings;
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -20,7 +20,7 @@
 import org.hollypick.control.JobRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
-import org.hollypick.control.Term;
+import org.hollypick.control.LeaderTerm;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
@@ -43,7 +43,7 @@
     private final Membership membership;
     private final JobRecords records;
     private final Dependencies dependencies;
-    private final Supplier<Term> term;
+    private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
     /** Until when the owner isn't asked, after it left a question unanswered. */
     private long ownerSilentUntil;
@@ -54,7 +54,7 @@
     private int refused;
 
     public UserApi(Runtime runtime, Settings settings, View view, Membership membership, JobRecords records, Dependencies dependencies,
-            Supplier<Term> term, Supplier<Map<String, MachineType>> types) {
+            Supplier<LeaderTerm> term, Supplier<Map<String, MachineType>> types) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
@@ -273,12 +273,12 @@
     }
 
     private Job owned(String id) {
-        Term t = term.get();
+        LeaderTerm t = term.get();
         return t != null && t.acting() ? t.scheduler.jobs.get(id) : null;
     }
 
     private String ownerToAsk() {
-        Term t = term.get();
+        LeaderTerm t = term.get();
         return t != null && t.acting() || runtime.now() < ownerSilentUntil ? null : settings.meshAddr(membership.leader());
     }
 
--- a/src/main/java/org/hollypick/control/Term.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -41,8 +41,8 @@
  * One term of ownership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records to
  * what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's hold is valid.
  */
-public final class Term {
-    private static final Logger LOG = LoggerFactory.getLogger(Term.class);
+public final class LeaderTerm {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
 
     public final long token;
     public final Scheduler scheduler;
@@ -79,7 +79,7 @@
     private long nextSizes;
     private long nextSummary;
 
-    public Term(long token, Runtime runtime, Settings settings, OperatorSettings operator, View view, Dependencies dependencies, StateClient state,
+    public LeaderTerm(long token, Runtime runtime, Settings settings, OperatorSettings operator, View view, Dependencies dependencies, StateClient state,
             CloudClient cloud, WorkerClient client, Map<String, MachineType> types, Membership membership, Graphs.Maker maker) {
         this.token = token;
         this.runtime = runtime;
