--- a/src/main/java/org/hollypick/control/Silence.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -16,7 +16,7 @@
 import org.hollypick.io.Runtime;
 
 /** What the machines' silence means: which are lost, which zones are dark, and whether it is this owner that is cut off or overloaded. */
-final class Silence {
+final class FailureDetector {
     private final Runtime runtime;
     private final Settings settings;
     private final Scheduler scheduler;
@@ -36,7 +36,7 @@
     private String seen = "";
 
     /** {@code probe}: asks a machine directly. */
-    Silence(Runtime runtime, Settings settings, Scheduler scheduler, OwnTrouble own, Consumer<Machine> probe) {
+    FailureDetector(Runtime runtime, Settings settings, Scheduler scheduler, OwnTrouble own, Consumer<Machine> probe) {
         this.runtime = runtime;
         this.settings = settings;
         this.scheduler = scheduler;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -177,7 +177,7 @@
     public void recordsChanged(Collection<String> keys) {
         long now = runtime.now();
         registry.changed(keys);
-        keys.stream().filter(k -> k.startsWith(Keys.PLEA) && view.get(k) != null).forEach(k -> workers.silence().pleaded(Plea.machines(view.get(k).data(), token)));
+        keys.stream().filter(k -> k.startsWith(Keys.PLEA) && view.get(k) != null).forEach(k -> workers.failureDetector().pleaded(Plea.machines(view.get(k).data(), token)));
         for (String key : keys) {
             if (!key.startsWith(Keys.JOB)) {
                 continue;
@@ -273,8 +273,8 @@
         if (acting()) {
             scheduler.tick(now);
             scheduler.passWanted |= now >= nextPass;
-            rentals.giveBack(workers.silence().look(now), "silent");
-            if (workers.silence().cutOff(now) && (membership.mayResign() || workers.silence().leasesAtStake(now))) {
+            rentals.giveBack(workers.failureDetector().look(now), "silent");
+            if (workers.failureDetector().cutOff(now) && (membership.mayResign() || workers.failureDetector().leasesAtStake(now))) {
                 resignIfBetter();
             }
             workers.contactUnheard();
@@ -284,7 +284,7 @@
             }
             if (now >= nextFleet) {
                 nextFleet = now + Constants.FLEET_MS;
-                rentals.rentAndReturn(workers.silence().dark(), now);
+                rentals.rentAndReturn(workers.failureDetector().dark(), now);
                 if (ends.fenceDue(now) || scheduler.ledger.attemptsShort()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
@@ -326,9 +326,9 @@
         measuring = true;
         membership.measure(m -> {
             measuring = false;
-            boolean unknown = workers.silence().nobodyTells(runtime.now()) && !m.reachesNearlyAll();
+            boolean unknown = workers.failureDetector().nobodyTells(runtime.now()) && !m.reachesNearlyAll();
             if (acting() && (unknown || m.betterElsewhere())) {
-                LOG.info("cut off from the machines, resigning token={} {} {}", token, workers.silence().seen(), m);
+                LOG.info("cut off from the machines, resigning token={} {} {}", token, workers.failureDetector().seen(), m);
                 membership.resign();
             }
         });
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -39,7 +39,7 @@
     private final Runnable pump;
     private final OwnTrouble own;
     private final Pace pace = new Pace();
-    private final Silence silence;
+    private final FailureDetector failureDetector;
     /** Direct calls under way. */
     private int open;
     /** Direct calls under way to machines that left one unanswered. */
@@ -55,7 +55,7 @@
         this.acting = acting;
         this.pump = pump;
         this.own = own;
-        this.silence = new Silence(runtime, settings, scheduler, own, this::probe);
+        this.failureDetector = new FailureDetector(runtime, settings, scheduler, own, this::probe);
     }
 
     /** A worker's report, which came through that controller, while this node may act. */
@@ -257,7 +257,7 @@
     }
 
     /** What the machines' silence means. */
-    Silence silence() {
-        return silence;
+    FailureDetector failureDetector() {
+        return failureDetector;
     }
 }
