--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -11,7 +11,7 @@
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.Keeper;
 import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.PeerReach;
+import org.hollypick.cluster.PeerReachability;
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
@@ -202,7 +202,7 @@
                 ? RelayCodec.take(body, term.token, this::rightMs, this::hello).only(term::acting) : Answer.later("not the owner")));
         mesh.on(Ways.PATH, state.ways()::pass);
         mesh.on(Ways.WATCH_PATH, state.ways()::pass);
-        mesh.on(PeerReach.PATH, (body, answer) -> PeerReach.answer(workers, body, membership.reachesState(), answer));
+        mesh.on(PeerReachability.PATH, (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
         mesh.on("/jobs", (body, answer) -> answer.accept(users.meshStatus(body)));
         if (graphs != null) {
             mesh.on("/graph", graphs::passed);
--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/Candidate.java
@@ -99,7 +99,7 @@
             peersAsked = true;
             for (Settings.Sibling s : settings.siblings()) {
                 open++;
-                PeerReach.ask(runtime, s.addr(), asked, answered -> {
+                PeerReachability.ask(runtime, s.addr(), asked, answered -> {
                     if (answered != null) {
                         byPeers.addAll(answered.reached());
                         // One without a way to the state service can't lead, whatever it reaches.
--- a/src/main/java/org/hollypick/cluster/PeerReach.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -16,21 +16,21 @@
 import org.hollypick.worker.WorkerClient;
 
 /** The question of one controller to another which of some machines answer that one. */
-public final class PeerReach {
+public final class PeerReachability {
     public static final String PATH = "/reach";
 
     /** {@code tells}: it is of a version that says what it tried in vain. */
-    public record Told(boolean reachesState, List<String> reached, boolean tells, List<String> failed) {}
+    public record ReachabilityReport(boolean reachesState, List<String> reached, boolean tells, List<String> failed) {}
 
-    private PeerReach() {}
+    private PeerReachability() {}
 
     /** Asks one peer about machines, by their addresses; null if it didn't answer. */
-    public static void ask(Runtime runtime, String peer, Map<String, String> machines, Consumer<Told> then) {
+    public static void ask(Runtime runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
         ObjectNode body = Codec.object();
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
         runtime.call(new Call(peer, "POST", PATH, body, Constants.REACH_TIMEOUT_MS, true), r -> then.accept(!r.ok() ? null
-                : new Told(r.body().path("reaches_state").asBoolean(), names(r.body().path("reached")), r.body().has("failed"), names(r.body().path("failed")))));
+                : new ReachabilityReport(r.body().path("reaches_state").asBoolean(), names(r.body().path("reached")), r.body().has("failed"), names(r.body().path("failed")))));
     }
 
     private static List<String> names(JsonNode list) {
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -21,7 +21,7 @@
     private final Settings settings;
     private final Scheduler scheduler;
     private final OwnTrouble own;
-    private final Reach reach;
+    private final Reachability reachability;
     private final Consumer<Machine> probe;
     private final long startedAt;
     private final RateBudget returns;
@@ -41,7 +41,7 @@
         this.settings = settings;
         this.scheduler = scheduler;
         this.own = own;
-        this.reach = new Reach(runtime, settings, scheduler.machines);
+        this.reachability = new Reachability(runtime, settings, scheduler.machines);
         this.probe = probe;
         this.startedAt = runtime.now();
         this.returns = new RateBudget(0, startedAt);
@@ -81,8 +81,8 @@
             }
             if (m.useless() && m.heard && m.idle() && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.heed.deafSince())) > Constants.USELESS_MS) {
                 silent.add(m);
-            } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS) && m.unanswered >= Constants.UNANSWERED && !reach.spared(m, now)) {
-                if (reach.nobodyReaches(m, now)) {
+            } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS) && m.unanswered >= Constants.UNANSWERED && !reachability.spared(m, now)) {
+                if (reachability.nobodyReaches(m, now)) {
                     silent.add(m);
                 }
             } else if (doubted || quiet > (m.unanswered > 0 || m.serviceCpus() > 0 ? early : usual)) {
@@ -92,8 +92,8 @@
         // Not all may be asked at once: in any fixed order the last ones would never be.
         quietest.sort((a, b) -> Long.compare(a.lastReportAt, b.lastReportAt));
         quietest.forEach(probe);
-        reach.ask(unsure);
-        int beyond = Reach.beyond(scheduler.machines.values(), now);
+        reachability.ask(unsure);
+        int beyond = Reachability.beyond(scheduler.machines.values(), now);
         beyondSince = beyond < Constants.REACH_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
         seen = "talking=" + talking + " doubtful=" + doubtful + " elsewhere=" + beyond;
         // Those that left a question open against those heard of just now: counting only the silent ones would give them up one by one
@@ -149,12 +149,12 @@
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
     void pleaded(List<String> machines) {
         pleadedAt = machines.isEmpty() ? pleadedAt : runtime.now();
-        machines.forEach(reach::reached);
+        machines.forEach(reachability::reached);
     }
 
     /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
     boolean nobodyTells(long now) {
-        return !reach.othersTell(now) || now - pleadedAt < Constants.REACH_VALID_MS;
+        return !reachability.othersTell(now) || now - pleadedAt < Constants.REACH_VALID_MS;
     }
 
     /**
@@ -165,8 +165,8 @@
         if (!own.sound(now) || now - startedAt < Constants.TERM_LEAST_MS) {
             return false;
         }
-        int beyond = Reach.beyond(scheduler.machines.values(), now);
+        int beyond = Reachability.beyond(scheduler.machines.values(), now);
         boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > Constants.CUT_OFF_MS;
-        return beyond >= Constants.REACH_AT_FAULT || nearlyAll && (beyond > 0 || !reach.othersTell(now));
+        return beyond >= Constants.REACH_AT_FAULT || nearlyAll && (beyond > 0 || !reachability.othersTell(now));
     }
 }
--- a/src/main/java/org/hollypick/control/Reach.java
+++ b/src/main/java/org/hollypick/control/Reachability.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.hollypick.cluster.PeerReach;
+import org.hollypick.cluster.PeerReachability;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
 import org.hollypick.core.ledger.Machine;
@@ -15,7 +15,7 @@
  * Whether machines that leave this owner's questions open are lost, or only out of its reach: other controllers put the same question.
  * What they reach isn't returned; several such machines are a reason to ask who would lead better.
  */
-final class Reach {
+final class Reachability {
     private final Runtime runtime;
     private final Settings settings;
     private final Map<String, Machine> machines;
@@ -25,7 +25,7 @@
     private long toldAt = -Constants.REACH_VALID_MS;
     private boolean asking;
 
-    Reach(Runtime runtime, Settings settings, Map<String, Machine> machines) {
+    Reachability(Runtime runtime, Settings settings, Map<String, Machine> machines) {
         this.runtime = runtime;
         this.settings = settings;
         this.machines = machines;
@@ -49,7 +49,7 @@
         firstAskedAt = firstAskedAt == 0 ? now : firstAskedAt;
         int[] open = {settings.siblings().size()};
         for (Settings.Sibling s : settings.siblings()) {
-            PeerReach.ask(runtime, s.addr(), addresses, told -> {
+            PeerReachability.ask(runtime, s.addr(), addresses, told -> {
                 asking = --open[0] > 0;
                 if (told != null) {
                     told.reached().forEach(this::reached);
