--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -70,8 +70,8 @@
     // ---- whether machines are reached ----
     /** Milliseconds that a worker waits for the answer to its report, from the protocol. */
     public static final long ANSWER_WAIT_MS = 4_000;
-    /** Answers in a row that a machine has shown not to have taken until it counts as deaf: it tries another controller after each, and there are three. */
-    public static final int UNHEEDED = 3;
+    /** Answers in a row that a machine has shown not to have taken until it counts as unreachable inbound: it tries another controller after each, and there are three. */
+    public static final int UNACKNOWLEDGED = 3;
     /** Milliseconds between the reports of a machine that gets no answers at most: it waits for one, then a second, and some slack. */
     public static final long UNHEARD_GAP_MS = 6_500;
     /** Milliseconds for which a deaf machine, or one that has begun again, holds nothing until it is returned: about a lease, after which it would be well by itself. */
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -67,7 +67,7 @@
             }
             long quiet = now - m.lastReportAt;
             int[] zone = byZone.computeIfAbsent(m.zone, z -> new int[2]);
-            boolean doubted = m.heed.doubted();
+            boolean doubted = m.validity.doubted();
             if (quiet < Constants.TALKING_MS && !doubted) {
                 talking++;
                 zone[0]++;
@@ -79,7 +79,7 @@
             if (m.unanswered > 0 && !m.addr.isEmpty()) {
                 unsure.add(m);
             }
-            if (m.useless() && m.heard && m.idle() && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.heed.deafSince())) > Constants.USELESS_MS) {
+            if (m.useless() && m.heard && m.idle() && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.validity.unreachableInboundSince())) > Constants.USELESS_MS) {
                 silent.add(m);
             } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS) && m.unanswered >= Constants.UNANSWERED && !reachability.spared(m, now)) {
                 if (reachability.nobodyReaches(m, now)) {
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -11,7 +11,7 @@
 import org.hollypick.core.Ledger;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.heed.Heed;
+import org.hollypick.core.validity.ReportValidity;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Report;
@@ -76,8 +76,8 @@
         if (Ledger.outdated(m, r)) {
             return Answer.later("a report of an earlier session");
         }
-        Heed.Word word = m.heed.word(r, now);
-        if (word == Heed.Word.COPY) {
+        ReportValidity.Freshness freshness = m.validity.freshness(r, now);
+        if (freshness == ReportValidity.Freshness.COPY) {
             return Answer.later("an older report");
         }
         boolean was = m.up;
@@ -97,15 +97,15 @@
             scheduler.fill(m, now);
         }
         List<Order> orders = limited(scheduler.ledger.orders(m));
-        if (word == Heed.Word.NEW && !heeds(m, r, was && r.session() != before, orders, now)) {
+        if (freshness == ReportValidity.Freshness.NEW && !acknowledges(m, r, was && r.session() != before, orders, now)) {
             return Answer.later("answers don't reach the machine");
         }
         String elsewhere = orders.isEmpty() && m.heard ? scheduler.shares.elsewhere(via, now) : null;
         if (elsewhere != null) {
             return RelayCodec.elsewhere(elsewhere);
         }
-        m.answeredAt = m.heed.takenAt();
-        m.heed.told(orders);
+        m.answeredAt = m.validity.takenAt();
+        m.validity.told(orders);
         scheduler.ledger.sentInAnswer(m, orders);
         if (m.heard) {
             scheduler.ordersDirty.remove(m);
@@ -116,24 +116,24 @@
     }
 
     /** Draws what a new report shows of the answers before; false if the next one would only lengthen a lease that the machine itself lets run out. */
-    private boolean heeds(Machine m, Report r, boolean newSession, List<Order> orders, long now) {
-        boolean deaf = m.heed.deaf();
+    private boolean acknowledges(Machine m, Report r, boolean newSession, List<Order> orders, long now) {
+        boolean unreachableInbound = m.validity.unreachableInbound();
         boolean knows = r.token() == scheduler.token;
         if (newSession && m.answeredAt > 0 && scheduler.leases.fresh(m.answeredAt, now)) {
-            m.heed.lapsed(now);
+            m.validity.lapsed(now);
         }
-        m.heed.reported(r, knows, orders, now);
-        if (m.heed.deaf() && !newSession && scheduler.leases.over(m.sessionSince, now)) {
-            m.heed.heeded(); // without an answer taken its session would be over
+        m.validity.reported(r, knows, orders, now);
+        if (m.validity.unreachableInbound() && !newSession && scheduler.leases.over(m.sessionSince, now)) {
+            m.validity.acknowledged(); // without an answer taken its session would be over
         }
         if (!knows) {
             m.answeredAt = 0; // it has taken no answer of this term
         }
-        if (m.heed.deaf() != deaf) {
-            LOG.info("{} machine={} session={} token={}", deaf ? "answers reach the machine again" : "answers don't reach the machine", m.id, r.session(), r.token());
+        if (m.validity.unreachableInbound() != unreachableInbound) {
+            LOG.info("{} machine={} session={} token={}", unreachableInbound ? "answers reach the machine again" : "answers don't reach the machine", m.id, r.session(), r.token());
             scheduler.passWanted = true;
         }
-        return !m.heed.deaf() || m.heard && m.idle();
+        return !m.validity.unreachableInbound() || m.heard && m.idle();
     }
 
     private boolean accept(Machine m, Report r, boolean hello, long now) {
@@ -173,7 +173,7 @@
         if (m.heard && !probe && orders.stream().allMatch(o -> o.verb() == Order.Verb.FORGET)) {
             return;
         }
-        boolean doubtful = m.unanswered > 0 || m.heed.doubted();
+        boolean doubtful = m.unanswered > 0 || m.validity.doubted();
         if (doubtful && openDoubtful >= Constants.DIRECT_DOUBTFUL) {
             return; // a zone that is cut off may not take every call from those that answer
         }
@@ -211,7 +211,7 @@
             if (r.status() != Reply.LACK) {
                 m.unanswered++;
                 if (own.sound(runtime.now())) {
-                    m.heed.unanswered(); // while this node is overloaded it proves nothing
+                    m.validity.unanswered(); // while this node is overloaded it proves nothing
                 }
             }
             m.directAfter = runtime.now() + Constants.DIRECT_PAUSE_MS;
@@ -221,7 +221,7 @@
         Report report = WorkerCodec.report(r.body());
         if (report != null && scheduler.machines.get(m.id) == m && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
             boolean again = !m.heard;
-            m.heed.heeded();
+            m.validity.acknowledged();
             scheduler.ledger.proved(m);
             accept(m, report, false, runtime.now());
             if (tick >= 0 && !report.newerThan(session, tick) && !m.lapsed()) {
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/ledger/Machine.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
-import org.hollypick.core.heed.Heed;
+import org.hollypick.core.validity.ReportValidity;
 
 /** A machine and everything that may be on it. */
 public final class Machine {
@@ -38,7 +38,7 @@
      */
     public boolean needsReport;
     /** Whether what it is told reaches it. */
-    public final Heed heed = new Heed();
+    public final ReportValidity validity = new ReportValidity();
     public long session;
     public long tick;
     /** The highest token that it has shown: larger counts beside a lower one are an earlier life's. */
@@ -185,7 +185,7 @@
     }
 
     public boolean usable() {
-        return registered && heard && up && proved && !lapsed() && !needsReport && !heed.deaf() && !draining
+        return registered && heard && up && proved && !lapsed() && !needsReport && !validity.unreachableInbound() && !draining
                 && !returning && !faulty && !emptying;
     }
 
@@ -195,7 +195,7 @@
 
     /** It can't be given anything, and may never be again: deaf, or begun again under a session that is over. */
     public boolean useless() {
-        return heed.deaf() || lapsed();
+        return validity.unreachableInbound() || lapsed();
     }
 
     public boolean lapsed() {
--- a/src/main/java/org/hollypick/core/placement/Placer.java
+++ b/src/main/java/org/hollypick/core/placement/Placer.java
@@ -31,7 +31,7 @@
 
     /** Whether the machine gets new tasks at all now. */
     public static boolean takesTasks(Machine m, long now) {
-        return m.usable() && now >= m.noRoomUntil && !(m.heed.onTrial() && m.startingTasks() > 0);
+        return m.usable() && now >= m.noRoomUntil && !(m.validity.onTrial() && m.startingTasks() > 0);
     }
 
     private static boolean possible(Job job, JobSpec s, Machine m, long now) {
--- a/src/main/java/org/hollypick/core/heed/Heed.java
+++ b/src/main/java/org/hollypick/core/validity/ReportValidity.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.heed;
+package org.hollypick.core.validity;
 
 import java.util.List;
 import org.hollypick.config.Constants;
@@ -11,9 +11,9 @@
  * Whether a machine's reports are new, and whether what it is told reaches it (docs/hearing.md). A worker has one report in flight at a time: a newer one that
  * still lacks what the answer before told shows that this answer wasn't taken. Pure; one for each machine in one term.
  */
-public final class Heed {
+public final class ReportValidity {
     /** {@code AGAIN}: the newest one once more, while its worker may still wait for the answer. */
-    public enum Word { NEW, AGAIN, COPY }
+    public enum Freshness { NEW, AGAIN, COPY }
 
     /** The newest that came as a report. */
     private boolean reported;
@@ -26,22 +26,22 @@
     private long toldSession;
     /** It had seen this term's token by then. */
     private boolean knewToken;
-    private int unheeded;
+    private int unacknowledged;
     private int unanswered;
-    /** Since when it counts as deaf; 0: it doesn't. */
-    private long deafSince;
+    /** Since when it counts as unreachable inbound; 0: it doesn't. */
+    private long unreachableInboundSince;
 
     /** What this report is, beside those that came before. */
-    public Word word(Report r, long now) {
+    public Freshness freshness(Report r, long now) {
         if (!reported || r.newerThan(session, tick)) {
             reported = true;
             session = r.session();
             tick = r.tick();
             takenAt = now;
-            return Word.NEW;
+            return Freshness.NEW;
         }
         boolean same = r.session() == session && r.tick() == tick;
-        return same && now - takenAt < Constants.ANSWER_WAIT_MS ? Word.AGAIN : Word.COPY;
+        return same && now - takenAt < Constants.ANSWER_WAIT_MS ? Freshness.AGAIN : Freshness.COPY;
     }
 
     /** When the newest report came first. */
@@ -53,11 +53,11 @@
     public void reported(Report r, boolean knows, List<Order> wanted, long now) {
         if (answered) {
             if (!knows || anyAgain(wanted)) {
-                if (++unheeded >= Constants.UNHEEDED) {
+                if (++unacknowledged >= Constants.UNACKNOWLEDGED) {
                     lapsed(now);
                 }
             } else if (!knewToken || r.session() == toldSession && anyShown(r)) {
-                heeded();
+                acknowledged();
             }
         }
         knewToken = knows;
@@ -108,14 +108,14 @@
 
     /** None of the last answers was taken: so it has shown, or its session ended although it was answered lately. */
     public void lapsed(long now) {
-        deafSince = deafSince == 0 ? now : deafSince;
+        unreachableInboundSince = unreachableInboundSince == 0 ? now : unreachableInboundSince;
     }
 
     /** It is shown that an answer, or a direct call, was taken. */
-    public void heeded() {
-        unheeded = 0;
+    public void acknowledged() {
+        unacknowledged = 0;
         unanswered = 0;
-        deafSince = 0;
+        unreachableInboundSince = 0;
     }
 
     /** A direct call was left open. */
@@ -124,18 +124,18 @@
     }
 
     /** It is to get no work, nor an answer while anything may be there. */
-    public boolean deaf() {
-        return deafSince > 0;
+    public boolean unreachableInbound() {
+        return unreachableInboundSince > 0;
     }
 
     /** Since when; 0 if it isn't. */
-    public long deafSince() {
-        return deafSince;
+    public long unreachableInboundSince() {
+        return unreachableInboundSince;
     }
 
     /** Its reports come, and what it is told seems not to arrive by any way. */
     public boolean doubted() {
-        return deaf() || unheeded > 0 && unanswered >= Constants.UNANSWERED;
+        return unreachableInbound() || unacknowledged > 0 && unanswered >= Constants.UNANSWERED;
     }
 
     /** Direct calls don't reach it, and no answer has been shown to since. One task is enough to find out. */
--- a/src/test/java/org/hollypick/HeedTest.java
+++ b/src/test/java/org/hollypick/ReportValidityTest.java
@@ -20,7 +20,7 @@
 import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.heed.Heed;
+import org.hollypick.core.validity.ReportValidity;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Placement;
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a report is worth, against a worker whose truth is known: which answers it took, which of its reports are copies, and when it began again. */
-class HeedTest {
+class ReportValidityTest {
     private static final long TOKEN = 7;
 
     private static Report report(long session, long tick, long token, TaskReport... tasks) {
@@ -43,7 +43,7 @@
     @Property(tries = 300, seed = "20261202")
     void deafIsWhoTookNoneOfTheLastAnswers(@ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
         Random random = new Random(seed);
-        Heed heed = new Heed();
+        ReportValidity validity = new ReportValidity();
         List<Report> sent = new ArrayList<>();
         long token = 0;
         long attempt = 0;
@@ -54,17 +54,17 @@
             long now = tick * 5_000L;
             Report r = report(1, tick, token, tasks.toArray(new TaskReport[0]));
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
-                assertEquals(Heed.Word.COPY, heed.word(sent.get(random.nextInt(sent.size())), now));
+                assertEquals(ReportValidity.Freshness.COPY, validity.freshness(sent.get(random.nextInt(sent.size())), now));
             }
-            assertEquals(Heed.Word.NEW, heed.word(r, now));
-            assertEquals(Heed.Word.AGAIN, heed.word(r, now + 1_000));
-            assertEquals(Heed.Word.COPY, heed.word(r, now + Constants.ANSWER_WAIT_MS));
+            assertEquals(ReportValidity.Freshness.NEW, validity.freshness(r, now));
+            assertEquals(ReportValidity.Freshness.AGAIN, validity.freshness(r, now + 1_000));
+            assertEquals(ReportValidity.Freshness.COPY, validity.freshness(r, now + Constants.ANSWER_WAIT_MS));
             sent.add(r);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
-            heed.reported(r, token == TOKEN, wanted, now);
-            assertEquals(missed >= Constants.UNHEEDED, heed.deaf(), "after " + missed + " lost answers");
+            validity.reported(r, token == TOKEN, wanted, now);
+            assertEquals(missed >= Constants.UNACKNOWLEDGED, validity.unreachableInbound(), "after " + missed + " lost answers");
             wanted.add(new Order(Order.Verb.START, "req-1/" + attempt, ++attempt, 0));
-            heed.told(List.copyOf(wanted));
+            validity.told(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
                 token = TOKEN;
                 wanted.forEach(o -> tasks.add(new TaskReport(o.task(), o.attempt(), Placement.State.RUNNING, "")));
