--- a/src/main/java/org/hollypick/core/Blame.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -5,11 +5,11 @@
 import org.hollypick.core.ledger.Machine;
 
 /** Whose fault a task's failure is, the machine's or the job's, and how long either is left alone. */
-final class Blame {
+final class FaultAttribution {
     private final Map<String, Job> jobs;
     private final Map<String, Machine> machines;
 
-    Blame(Map<String, Job> jobs, Map<String, Machine> machines) {
+    FaultAttribution(Map<String, Job> jobs, Map<String, Machine> machines) {
         this.jobs = jobs;
         this.machines = machines;
     }
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -17,14 +17,14 @@
     private final Scheduler scheduler;
     private final long token;
     private final TeamUse teamUse;
-    private final Blame blame;
+    private final FaultAttribution faultAttribution;
     private long attempts;
 
     Ledger(Scheduler scheduler, TeamUse teamUse) {
         this.scheduler = scheduler;
         this.token = scheduler.token;
         this.teamUse = teamUse;
-        this.blame = new Blame(scheduler.jobs, scheduler.machines);
+        this.faultAttribution = new FaultAttribution(scheduler.jobs, scheduler.machines);
     }
 
     // ---- reports ----
@@ -239,11 +239,11 @@
                     mover.partialSize = 0;
                 }
             }
-            Blame.cleared(m, job, p.startedAt);
+            FaultAttribution.cleared(m, job, p.startedAt);
         } else {
             p.clearable = true;
             cutShort(p, now);
-            blame.ended(m, job, p.index, why, now);
+            faultAttribution.ended(m, job, p.index, why, now);
             if ("error".equals(why)) {
                 job.errored(p.index);
             }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -221,7 +221,7 @@
     public void tick(long now) {
         lastNow = now;
         for (Machine m : machines.values()) {
-            passWanted |= Blame.pardon(m, now);
+            passWanted |= FaultAttribution.pardon(m, now);
             // What older owners launched needs a session that began before this term: all of those have ended, whatever has begun since.
             boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
--- a/src/test/java/org/hollypick/BlameTest.java
+++ b/src/test/java/org/hollypick/FaultAttributionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Jobs that fail on every machine beside machines that fail every task. The truth is known here; the scheduler only sees failures. */
-class BlameTest {
+class FaultAttributionTest {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final int MACHINES = 12;
 
