--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -28,7 +28,7 @@
 import org.hollypick.relay.Relay;
 import org.hollypick.relay.RelayCodec;
 import org.hollypick.mesh.Exchange;
-import org.hollypick.mesh.Ways;
+import org.hollypick.mesh.Routes;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
 import org.hollypick.worker.WorkerClient;
@@ -200,8 +200,8 @@
         mesh.on("/release", (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
         mesh.on(RelayCodec.PATH, (body, answer) -> answer.accept(term != null && term.acting()
                 ? RelayCodec.take(body, term.token, this::rightMs, this::hello).only(term::acting) : Answer.later("not the owner")));
-        mesh.on(Ways.PATH, state.ways()::pass);
-        mesh.on(Ways.WATCH_PATH, state.ways()::pass);
+        mesh.on(Routes.PATH, state.routes()::pass);
+        mesh.on(Routes.WATCH_PATH, state.routes()::pass);
         mesh.on(PeerReachability.PATH, (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
         mesh.on("/jobs", (body, answer) -> answer.accept(users.meshStatus(body)));
         if (graphs != null) {
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -79,13 +79,13 @@
 
     // ---- ways round a cut link ----
     /** Milliseconds without any answer after which a call to the state service goes another way: usual ones take ten, now and then one a few hundred. */
-    public static final long WAY_PATIENCE_MS = 500;
+    public static final long ROUTE_PATIENCE_MS = 500;
     /** Milliseconds until a way that failed is tried again: at most one small call a second each. */
-    public static final long WAY_AGAIN_MS = 1_000;
+    public static final long ROUTE_AGAIN_MS = 1_000;
     /** Calls of other controllers that one passes on at a time: their own limits keep them to some tens a second. */
-    public static final int WAY_PASSING = 48;
+    public static final int ROUTE_PASSING = 48;
     /** Milliseconds for a call that is passed on, at most: as long as a watch. */
-    public static final long WAY_PASSED_MS = 10_000;
+    public static final long ROUTE_PASSED_MS = 10_000;
     /** Machines of each zone that a controller asks before it claims the lead: some always hang, and a tenth doesn't decide. */
     public static final int TURN_MACHINES = 8;
     /** Milliseconds for their answers: with fewer than half of them the claim waits anyway. */
--- a/src/main/java/org/hollypick/core/links/Way.java
+++ b/src/main/java/org/hollypick/core/links/Route.java
@@ -7,7 +7,7 @@
  * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier calls fared alone, since nobody
  * tells of a cut (docs/links.md). Pure.
  */
-public final class Way {
+public final class Route {
     /** When the newest answer over the direct way came. */
     private long answeredAt;
     private boolean direct = true;
@@ -17,7 +17,7 @@
     /** The peer that the last call went by, and with success; -1: none. */
     private int proven = -1;
 
-    public Way(int peers, long now) {
+    public Route(int peers, long now) {
         notBefore = new long[peers];
         Arrays.fill(notBefore, now);
         answeredAt = now;
@@ -65,6 +65,6 @@
     /** That peer doesn't reach the service either, or isn't reached. */
     public void peerFailed(int peer, long now) {
         proven = proven == peer ? -1 : proven;
-        notBefore[peer] = now + Constants.WAY_AGAIN_MS;
+        notBefore[peer] = now + Constants.ROUTE_AGAIN_MS;
     }
 }
--- a/src/main/java/org/hollypick/mesh/Ways.java
+++ b/src/main/java/org/hollypick/mesh/Routes.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
-import org.hollypick.core.links.Way;
+import org.hollypick.core.links.Route;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
@@ -22,13 +22,13 @@
  * Calls to the state service: directly, or, while that way is cut, by way of another controller that reaches it. To the service and to whoever calls it is a
  * longer path, nothing else: calls may be lost, late or carried out unheard on it as on any other (docs/safety.md, "By way of a peer").
  */
-public final class Ways {
+public final class Routes {
     /** What other controllers are asked to pass on; watches have connections of their own. */
     public static final String PATH = "/state";
     public static final String WATCH_PATH = "/watch";
 
     private static final int DIRECT = -1;
-    private static final Logger LOG = LoggerFactory.getLogger(Ways.class);
+    private static final Logger LOG = LoggerFactory.getLogger(Routes.class);
 
     /** Whether a call may be sent a second time while the first may still be carried out. */
     public enum Kind { ONCE, REPEATABLE, WATCH }
@@ -36,18 +36,18 @@
     private final Runtime runtime;
     private final Call probe;
     private final List<Settings.Sibling> peers;
-    private final Way way;
+    private final Route route;
     /** Calls that went the direct way and watches, as long as they aren't answered. */
     private final Set<Pending> waiting = new LinkedHashSet<>();
     /** Calls of others that are under way from here. */
     private int passing;
 
     /** {@code probe}: a small call that shows whether the service answers directly. */
-    public Ways(Runtime runtime, List<Settings.Sibling> peers, Call probe) {
+    public Routes(Runtime runtime, List<Settings.Sibling> peers, Call probe) {
         this.runtime = runtime;
         this.peers = peers;
         this.probe = probe;
-        this.way = new Way(peers.size(), runtime.now());
+        this.route = new Route(peers.size(), runtime.now());
     }
 
     private final class Pending {
@@ -82,10 +82,10 @@
     }
 
     private void send(Pending p) {
-        int peer = way.peer(runtime.now());
+        int peer = route.peer(runtime.now());
         if (peer < 0) {
             direct(p);
-        } else if (p.kind == Kind.WATCH && !way.proven(peer)) {
+        } else if (p.kind == Kind.WATCH && !route.proven(peer)) {
             call(probe, Kind.REPEATABLE, r -> {
                 if (r.status() > 0 && !p.over()) {
                     send(p);
@@ -107,7 +107,7 @@
             p.end(r);
         });
         if (p.kind != Kind.WATCH) {
-            runtime.after(Constants.WAY_PATIENCE_MS, () -> {
+            runtime.after(Constants.ROUTE_PATIENCE_MS, () -> {
                 if (waiting.contains(p) && p.peer == DIRECT) {
                     bad(sent);
                 }
@@ -118,22 +118,22 @@
     /** What a direct call's answer, or its want, says of the way. */
     private void heard(Reply r, long sent) {
         if (r.status() > 0 && r.status() != 503) {
-            if (!way.direct()) {
+            if (!route.direct()) {
                 LOG.info("the state service is reached directly again");
             }
-            way.answered(runtime.now());
+            route.answered(runtime.now());
         } else if (r.status() != Reply.LACK) {
             bad(sent);
         }
     }
 
     private void bad(long sent) {
-        if (!peers.isEmpty() && way.failed(sent)) {
+        if (!peers.isEmpty() && route.failed(sent)) {
             LOG.info("the state service isn't reached directly, going by other controllers");
             probeAgain();
             endWatches(DIRECT);
             for (Pending p : new ArrayList<>(waiting)) {
-                if (p.kind == Kind.REPEATABLE && p.peer == DIRECT && way.peer(runtime.now()) >= 0) {
+                if (p.kind == Kind.REPEATABLE && p.peer == DIRECT && route.peer(runtime.now()) >= 0) {
                     send(p);
                 }
             }
@@ -141,8 +141,8 @@
     }
 
     private void probeAgain() {
-        runtime.after(Constants.WAY_AGAIN_MS, () -> {
-            if (!way.direct()) {
+        runtime.after(Constants.ROUTE_AGAIN_MS, () -> {
+            if (!route.direct()) {
                 long sent = runtime.now();
                 runtime.call(probe, r -> heard(r, sent));
                 probeAgain();
@@ -168,7 +168,7 @@
                 if (status <= 0 || status == 503) {
                     peerFailed(peer);
                 } else {
-                    way.peerAnswered(peer);
+                    route.peerAnswered(peer);
                 }
                 p.end(new Reply(status, r.body().path("body")));
             } else {
@@ -181,7 +181,7 @@
             }
         });
         if (p.kind != Kind.WATCH) {
-            runtime.after(Constants.WAY_PATIENCE_MS, () -> {
+            runtime.after(Constants.ROUTE_PATIENCE_MS, () -> {
                 if (!answered[0] && !p.over()) {
                     peerFailed(peer);
                     if (p.kind == Kind.REPEATABLE) {
@@ -193,7 +193,7 @@
     }
 
     private void peerFailed(int peer) {
-        way.peerFailed(peer, runtime.now());
+        route.peerFailed(peer, runtime.now());
         endWatches(peer);
     }
 
@@ -208,14 +208,14 @@
 
     /** Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in circles. */
     public void pass(JsonNode body, Consumer<Answer> answer) {
-        if (body == null || !way.direct() || passing >= Constants.WAY_PASSING) {
+        if (body == null || !route.direct() || passing >= Constants.ROUTE_PASSING) {
             answer.accept(Answer.later("no way from here"));
             return;
         }
         passing++;
         JsonNode content = body.path("body");
         Call call = Call.of(probe.address(), body.path("method").asText(), body.path("path").asText(),
-                content.isNull() || content.isMissingNode() ? null : content, Math.min(body.path("timeout_ms").asLong(), Constants.WAY_PASSED_MS));
+                content.isNull() || content.isMissingNode() ? null : content, Math.min(body.path("timeout_ms").asLong(), Constants.ROUTE_PASSED_MS));
         long sent = runtime.now();
         runtime.call(call, r -> {
             passing--;
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -13,7 +13,7 @@
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
-import org.hollypick.mesh.Ways;
+import org.hollypick.mesh.Routes;
 
 /** The state service's protocol, inside this node's share of its limits. Leases never wait in the queue. */
 public final class StateClient {
@@ -21,7 +21,7 @@
     private static final String NEVER = "h/never";
 
     private final Runtime runtime;
-    private final Ways ways;
+    private final Routes routes;
     private final String address;
     private final Settings settings;
     private final RateBudget requests;
@@ -36,7 +36,7 @@
     /** The queues will be looked at again shortly. */
     private boolean wakes;
 
-    private record Queued(Call call, Ways.Kind kind, Txn txn, long since, Consumer<Reply> reply) {
+    private record Queued(Call call, Routes.Kind kind, Txn txn, long since, Consumer<Reply> reply) {
         int puts() {
             return txn == null ? 0 : txn.ops();
         }
@@ -95,7 +95,7 @@
     public StateClient(Runtime runtime, Settings settings) {
         this.runtime = runtime;
         this.address = settings.state();
-        this.ways = new Ways(runtime, settings.siblings(), Call.of(address, "GET", "/keys/" + NEVER, null, Constants.WAY_AGAIN_MS));
+        this.routes = new Routes(runtime, settings.siblings(), Call.of(address, "GET", "/keys/" + NEVER, null, Constants.ROUTE_AGAIN_MS));
         this.settings = settings;
         int nodes = settings.siblings().size() + 1;
         this.requests = new RateBudget(settings.stateRps() * Constants.STATE_BUDGET / nodes, runtime.now());
@@ -110,8 +110,8 @@
     }
 
     /** How calls get there; other controllers' too. */
-    public Ways ways() {
-        return ways;
+    public Routes routes() {
+        return routes;
     }
 
     /** The owner's share of the writes is larger: progress and machines are its to record. It also has what the others leave unused. */
@@ -173,7 +173,7 @@
     }
 
     public void get(String key, Consumer<Reply> reply) {
-        submit(Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, null, reply);
+        submit(Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, null, reply);
     }
 
     /** The answer is 404 and tells the epoch. */
@@ -183,18 +183,18 @@
 
     public void list(String prefix, String from, Consumer<Reply> reply) {
         String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
-        submit(Call.of(address, "GET", path, null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, null, reply);
+        submit(Call.of(address, "GET", path, null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, null, reply);
     }
 
     public void commit(Txn txn, Consumer<Reply> reply) {
-        submit(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, txn, reply);
+        submit(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Routes.Kind.ONCE, txn, reply);
     }
 
     /** Leadership and membership: ahead of the queue, like leases. */
     public void commitNow(Txn txn, Consumer<Reply> reply) {
         writes.take(txn.ops(), runtime.now());
         txn.count(usage);
-        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Ways.Kind.ONCE, StateUsage.Request.COMMIT, r -> {
+        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Routes.Kind.ONCE, StateUsage.Request.COMMIT, r -> {
             own(txn, r);
             reply.accept(r);
         });
@@ -202,32 +202,32 @@
 
     /** Asked twice, one of two holds is never used and ends by itself. */
     public void grant(long lifeMs, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void extend(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(tenancy) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(tenancy) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void end(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(tenancy), null, Constants.STATE_TIMEOUT_MS), Ways.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(tenancy), null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void watch(String prefix, long from, Consumer<Reply> reply) {
         urgent(Call.of(address, "GET", "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms=" + Constants.WATCH_MS,
-                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Ways.Kind.WATCH, StateUsage.Request.WATCH, r -> {
+                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Routes.Kind.WATCH, StateUsage.Request.WATCH, r -> {
             seen(r);
             reply.accept(r);
         });
     }
 
-    private void urgent(Call call, Ways.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
+    private void urgent(Call call, Routes.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
         requests.take(1, runtime.now());
         usage.sent(counted);
-        ways.call(call, kind, reply);
+        routes.call(call, kind, reply);
     }
 
-    private void submit(Call call, Ways.Kind kind, Txn txn, Consumer<Reply> reply) {
+    private void submit(Call call, Routes.Kind kind, Txn txn, Consumer<Reply> reply) {
         ArrayDeque<Queued> queue = txn == null ? reads : commits;
         if (queue.size() >= Constants.STATE_QUEUE) {
             usage.notSent();
@@ -288,7 +288,7 @@
         if (next.txn != null) {
             next.txn.count(usage);
         }
-        ways.call(next.call, next.kind, r -> {
+        routes.call(next.call, next.kind, r -> {
             if (next.txn != null) {
                 own(next.txn, r);
             }
--- a/src/test/java/org/hollypick/LinksCoreTest.java
+++ b/src/test/java/org/hollypick/LinksCoreTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.Constants;
 import org.hollypick.core.links.Turn;
-import org.hollypick.core.links.Way;
+import org.hollypick.core.links.Route;
 
 /** Which way a call takes, and who leaves a free lead to whom, against plain rules over all that has happened. */
 class LinksCoreTest {
@@ -36,7 +36,7 @@
     }
 
     private static boolean rests(List<Happened> all, int peer, long now) {
-        return all.stream().anyMatch(h -> h.what.equals("peerFailed") && h.peer == peer && now < h.at + Constants.WAY_AGAIN_MS);
+        return all.stream().anyMatch(h -> h.what.equals("peerFailed") && h.peer == peer && now < h.at + Constants.ROUTE_AGAIN_MS);
     }
 
     private static boolean proven(List<Happened> all, int peer) {
@@ -56,7 +56,7 @@
     void aWayIsWhatThePlainRulesSay(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000;
-        Way way = new Way(PEERS, now);
+        Route route = new Route(PEERS, now);
         List<Happened> all = new ArrayList<>(List.of(new Happened("answered", -1, now, now)));
         for (int step = 0; step < 60; step++) {
             now += 1 + random.nextInt(700);
@@ -64,30 +64,30 @@
             long sentAt = now - random.nextInt(1_500);
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    way.answered(now);
+                    route.answered(now);
                     all.add(new Happened("answered", -1, now, sentAt));
                 }
                 case 1 -> {
                     boolean before = direct(all);
-                    boolean turned = way.failed(sentAt);
+                    boolean turned = route.failed(sentAt);
                     all.add(new Happened("failed", -1, now, sentAt));
                     assertEquals(before && !direct(all), turned);
                 }
                 case 2 -> {
-                    way.peerFailed(peer, now);
+                    route.peerFailed(peer, now);
                     all.add(new Happened("peerFailed", peer, now, now));
                 }
                 default -> {
-                    way.peerAnswered(peer);
+                    route.peerAnswered(peer);
                     all.add(new Happened("peerAnswered", peer, now, now));
                 }
             }
-            assertEquals(direct(all), way.direct());
-            int chosen = way.peer(now);
+            assertEquals(direct(all), route.direct());
+            int chosen = route.peer(now);
             boolean anyRested = false;
             for (int p = 0; p < PEERS; p++) {
                 anyRested |= !rests(all, p, now);
-                assertEquals(proven(all, p), way.proven(p));
+                assertEquals(proven(all, p), route.proven(p));
             }
             assertEquals(!direct(all) && anyRested, chosen >= 0, "a peer is chosen when the direct way is bad and one isn't at rest");
             assertTrue(chosen < 0 || !rests(all, chosen, now));
--- a/src/test/java/org/hollypick/sim/Links.java
+++ b/src/test/java/org/hollypick/sim/Links.java
@@ -13,7 +13,7 @@
     }
 
     /** What can be done with them. */
-    enum Way { FULL, PART, NONE }
+    enum Coverage { FULL, PART, NONE }
 
     boolean state(int node) {
         return up(node);
@@ -32,8 +32,8 @@
     }
 
     /** The plain rule: who reaches the state service, itself or by one peer, can lead the machines that it or a peer reaches. */
-    Way way() {
-        Way best = Way.NONE;
+    Coverage coverage() {
+        Coverage best = Coverage.NONE;
         for (int x = 0; x < NODES; x++) {
             boolean state = false;
             boolean a = false;
@@ -44,9 +44,9 @@
                 b |= peers(x, y) && machines(y, "b");
             }
             if (state && a && b) {
-                return Way.FULL;
+                return Coverage.FULL;
             }
-            best = state && (a || b) ? Way.PART : best;
+            best = state && (a || b) ? Coverage.PART : best;
         }
         return best;
     }
--- a/src/test/java/org/hollypick/sim/LinksTest.java
+++ b/src/test/java/org/hollypick/sim/LinksTest.java
@@ -88,7 +88,7 @@
     void whereverThereIsAWayWorkGoesOn() {
         for (Outcome o : all(29)) {
             assertEquals(List.of(), o.broken, o.links.toString());
-            if (o.links.way() == Links.Way.FULL) {
+            if (o.links.coverage() == Links.Coverage.FULL) {
                 assertTrue(o.full(), o.toString());
                 assertEquals(Set.of(), o.returned, o.toString());
                 assertTrue(o.changes <= 3, o.toString());
@@ -178,18 +178,18 @@
         Map<String, int[]> table = new TreeMap<>();
         int broken = 0;
         for (Outcome o : all(args.length > 0 ? Integer.parseInt(args[0]) : 1)) {
-            int[] row = table.computeIfAbsent(o.links.way().toString(), k -> new int[7]);
+            int[] row = table.computeIfAbsent(o.links.coverage().toString(), k -> new int[7]);
             row[0]++;
             row[o.full() ? 1 : o.startedAfter < Long.MAX_VALUE ? 2 : 3]++;
             row[4] += o.lost > 0 ? 1 : 0;
             row[5] += RETURNED.test(o) ? 1 : 0;
             row[6] = Math.max(row[6], o.changes);
             broken += o.broken.isEmpty() ? 0 : 1;
-            if (!o.broken.isEmpty() || o.links.way() == Links.Way.FULL && (!o.full() || RETURNED.test(o) || o.changes > 3)) {
+            if (!o.broken.isEmpty() || o.links.coverage() == Links.Coverage.FULL && (!o.full() || RETURNED.test(o) || o.changes > 3)) {
                 System.out.println(o);
             }
         }
-        table.forEach((way, r) -> System.out.printf(Locale.ROOT, "%s patterns=%d full=%d part=%d none=%d lost=%d returned=%d changes<=%d%n", way, r[0], r[1], r[2],
+        table.forEach((coverage, r) -> System.out.printf(Locale.ROOT, "%s patterns=%d full=%d part=%d none=%d lost=%d returned=%d changes<=%d%n", coverage, r[0], r[1], r[2],
                 r[3], r[4], r[5], r[6]));
         System.out.println("broken " + broken);
     }
