--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/Candidate.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
-import org.hollypick.core.links.Turn;
+import org.hollypick.core.links.LeadershipDelay;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
 import org.hollypick.worker.WorkerClient;
@@ -25,17 +25,17 @@
     public record Measured(int asked, int direct, int byPeers, int bestPeer) {
         /** For how long a free lead is left to others. */
         public long waitMs() {
-            return Turn.waitMs(asked, direct, byPeers);
+            return LeadershipDelay.waitMs(asked, direct, byPeers);
         }
 
         /** Nearly all machines are reached, by one way or another. */
         public boolean reachesNearlyAll() {
-            return Turn.nearlyAll(asked, direct, byPeers);
+            return LeadershipDelay.nearlyAll(asked, direct, byPeers);
         }
 
         /** Another one would lead better: alone it reaches as many as this one with all others, and more than this one alone. */
         public boolean betterElsewhere() {
-            return Turn.better(direct, byPeers, bestPeer);
+            return LeadershipDelay.better(direct, byPeers, bestPeer);
         }
     }
 
@@ -81,7 +81,7 @@
 
         void begin() {
             open = asked.size();
-            new HashMap<>(asked).forEach((id, addr) -> workers.inspect(id, addr, Constants.TURN_ASK_MS, r -> {
+            new HashMap<>(asked).forEach((id, addr) -> workers.inspect(id, addr, Constants.LEADERSHIP_DELAY_ASK_MS, r -> {
                 if (r.ok()) {
                     direct.add(id);
                 } else if (r.status() == Reply.LACK) {
@@ -89,7 +89,7 @@
                 }
                 ended();
             }));
-            runtime.after(Constants.TURN_PATIENCE_MS, this::askPeers);
+            runtime.after(Constants.LEADERSHIP_DELAY_PATIENCE_MS, this::askPeers);
         }
 
         private void askPeers() {
@@ -115,7 +115,7 @@
             if (told) {
                 return;
             }
-            if (!whole && Turn.enough(asked.size(), direct.size())) {
+            if (!whole && LeadershipDelay.enough(asked.size(), direct.size())) {
                 told = true;
                 then.accept(new Measured(asked.size(), direct.size(), 0, 0));
             } else if (open == 0 && !peersAsked) {
@@ -143,7 +143,7 @@
         });
         Map<String, String> some = new LinkedHashMap<>();
         for (List<Map.Entry<String, JsonNode>> zone : byZone.values()) {
-            int count = Math.min(zone.size(), Constants.TURN_MACHINES);
+            int count = Math.min(zone.size(), Constants.LEADERSHIP_DELAY_MACHINES);
             long from = Math.floorMod(runtime.now(), (long) zone.size());
             for (int i = 0; i < count; i++) {
                 Map.Entry<String, JsonNode> m = zone.get((int) ((from + (long) i * zone.size() / count) % zone.size()));
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -87,19 +87,19 @@
     /** Milliseconds for a call that is passed on, at most: as long as a watch. */
     public static final long ROUTE_PASSED_MS = 10_000;
     /** Machines of each zone that a controller asks before it claims the lead: some always hang, and a tenth doesn't decide. */
-    public static final int TURN_MACHINES = 8;
+    public static final int LEADERSHIP_DELAY_MACHINES = 8;
     /** Milliseconds for their answers: with fewer than half of them the claim waits anyway. */
-    public static final long TURN_ASK_MS = 700;
+    public static final long LEADERSHIP_DELAY_ASK_MS = 700;
     /** Milliseconds after which the other controllers are asked about those that haven't answered: usual answers take a few. */
-    public static final long TURN_PATIENCE_MS = 150;
+    public static final long LEADERSHIP_DELAY_PATIENCE_MS = 150;
     /** Milliseconds for which a controller that reaches no machine leaves a free lead to others, beside the next two: they measure for a second. */
-    public static final long TURN_MAX_MS = 2_000;
+    public static final long LEADERSHIP_DELAY_MAX_MS = 2_000;
     /** Milliseconds that all machines out of reach make, each its part: more than ranks and measuring differ by. */
-    public static final long TURN_STEP_MS = 1_200;
+    public static final long LEADERSHIP_DELAY_STEP_MS = 1_200;
     /** Milliseconds that it makes if all are reached by way of another controller only: less than what reaching half of them makes. */
-    public static final long TURN_PEER_MS = 300;
+    public static final long LEADERSHIP_DELAY_PEER_MS = 300;
     /** Share of what an owner reaches by all ways that another must reach alone to lead better: one machine of a sample may hang. */
-    public static final double TURN_BETTER = 0.9;
+    public static final double LEADERSHIP_DELAY_BETTER = 0.9;
     /** Milliseconds between a controller's words to an owner that it doesn't reach, while machines come to it that the owner may miss. */
     public static final long PLEA_EVERY_MS = 2_500;
     /** Milliseconds for which reports can't be handed on before that: an owner's crash shows in the roster by then. */
--- a/src/main/java/org/hollypick/core/links/Turn.java
+++ b/src/main/java/org/hollypick/core/links/LeadershipDelay.java
@@ -6,8 +6,8 @@
  * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by way of another. Who reaches most claims
  * first, and of two that reach the same the one that needs no other. Pure.
  */
-public final class Turn {
-    private Turn() {}
+public final class LeadershipDelay {
+    private LeadershipDelay() {}
 
     /** {@code direct}, {@code byPeers}: those of the machines asked that answered this controller, and those that answered only another. */
     public static long waitMs(int asked, int direct, int byPeers) {
@@ -15,18 +15,18 @@
             return 0;
         }
         double reached = (direct + byPeers) / (double) asked;
-        double wait = Constants.TURN_STEP_MS * (1 - reached) + Constants.TURN_PEER_MS * byPeers / (double) asked;
-        return Math.round(wait + Constants.TURN_MAX_MS * Math.max(0, 0.5 - reached) * 2);
+        double wait = Constants.LEADERSHIP_DELAY_STEP_MS * (1 - reached) + Constants.LEADERSHIP_DELAY_PEER_MS * byPeers / (double) asked;
+        return Math.round(wait + Constants.LEADERSHIP_DELAY_MAX_MS * Math.max(0, 0.5 - reached) * 2);
     }
 
     /** Nearly all machines are reached, by one way or another. */
     public static boolean nearlyAll(int asked, int direct, int byPeers) {
-        return direct + byPeers >= asked * Constants.TURN_BETTER;
+        return direct + byPeers >= asked * Constants.LEADERSHIP_DELAY_BETTER;
     }
 
     /** Whether a lead should go over: one other reaches, alone, more than this controller does, and hardly less than it does with the help of all. */
     public static boolean better(int direct, int byPeers, int bestPeer) {
-        return bestPeer > direct && bestPeer >= (direct + byPeers) * Constants.TURN_BETTER;
+        return bestPeer > direct && bestPeer >= (direct + byPeers) * Constants.LEADERSHIP_DELAY_BETTER;
     }
 
     /** More than half have answered: the rest needn't be waited for, since some machines always hang. */
--- a/src/test/java/org/hollypick/LinksCoreTest.java
+++ b/src/test/java/org/hollypick/LinksCoreTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.Constants;
-import org.hollypick.core.links.Turn;
+import org.hollypick.core.links.LeadershipDelay;
 import org.hollypick.core.links.Route;
 
 /** Which way a call takes, and who leaves a free lead to whom, against plain rules over all that has happened. */
@@ -99,11 +99,11 @@
     void whoReachesMoreWaitsLess(@ForAll @IntRange(min = 1, max = 40) int asked, @ForAll @IntRange(max = 40) int direct, @ForAll @IntRange(max = 40) int byPeers) {
         int d = Math.min(direct, asked);
         int p = Math.min(byPeers, asked - d);
-        long wait = Turn.waitMs(asked, d, p);
-        assertTrue(wait >= 0 && wait <= Constants.TURN_MAX_MS + Constants.TURN_STEP_MS);
-        assertTrue(d == asked || Turn.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
-        assertTrue(d + p == asked || Turn.waitMs(asked, d, p + 1) <= wait || Turn.enough(asked, d));
-        assertTrue(Turn.waitMs(asked, d, 0) >= Turn.waitMs(asked, d, asked - d) || Turn.enough(asked, d));
-        assertTrue(asked % 2 != 0 || Turn.waitMs(asked, asked / 2, 0) > Turn.waitMs(asked, 0, asked) + Constants.CLAIM_STEP_MS);
+        long wait = LeadershipDelay.waitMs(asked, d, p);
+        assertTrue(wait >= 0 && wait <= Constants.LEADERSHIP_DELAY_MAX_MS + Constants.LEADERSHIP_DELAY_STEP_MS);
+        assertTrue(d == asked || LeadershipDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
+        assertTrue(d + p == asked || LeadershipDelay.waitMs(asked, d, p + 1) <= wait || LeadershipDelay.enough(asked, d));
+        assertTrue(LeadershipDelay.waitMs(asked, d, 0) >= LeadershipDelay.waitMs(asked, d, asked - d) || LeadershipDelay.enough(asked, d));
+        assertTrue(asked % 2 != 0 || LeadershipDelay.waitMs(asked, asked / 2, 0) > LeadershipDelay.waitMs(asked, 0, asked) + Constants.CLAIM_STEP_MS);
     }
 }
