--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -27,7 +27,7 @@
 import org.hollypick.io.Runtime;
 import org.hollypick.relay.Relay;
 import org.hollypick.relay.RelayCodec;
-import org.hollypick.mesh.Exchange;
+import org.hollypick.mesh.PeerEndpoints;
 import org.hollypick.mesh.Routes;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
@@ -53,7 +53,7 @@
     private final UserApi users;
     private final Keeper keeper;
     private final Relay relay;
-    private final Exchange mesh = new Exchange();
+    private final PeerEndpoints mesh = new PeerEndpoints();
     /** Null unless the operators switched graphs on. */
     private final GraphApi graphs;
     /** Shared with the term; prices in it follow the cloud. */
--- a/src/main/java/org/hollypick/mesh/Exchange.java
+++ b/src/main/java/org/hollypick/mesh/PeerEndpoints.java
@@ -8,7 +8,7 @@
 import org.hollypick.io.Codec;
 
 /** What other controllers ask this one: JSON by POST, each kind of question with a path and someone who answers it. */
-public final class Exchange {
+public final class PeerEndpoints {
     /** {@code body}: null if it isn't JSON. */
     public interface Question {
         void ask(JsonNode body, Consumer<Answer> answer);
