--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -361,7 +361,7 @@
     /** Direct calls under way that are always allowed. */
     public static final int DIRECT_LEAST = 8;
     /** Milliseconds between two cuts of the number of calls under way: all that were slow together count once. */
-    public static final long PACE_MS = 500;
+    public static final long ADAPTIVE_WINDOW_MS = 500;
     /** Share of the machines that may be returned as silent in a second, and the least number: a hundred of a thousand may die at once. */
     public static final double RETURN_SHARE = 0.03;
     public static final double RETURNS_LEAST = 4;
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -16,7 +16,7 @@
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Report;
 import org.hollypick.core.watch.OwnTrouble;
-import org.hollypick.core.watch.Pace;
+import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
@@ -38,7 +38,7 @@
     private final BooleanSupplier acting;
     private final Runnable pump;
     private final OwnTrouble own;
-    private final Pace pace = new Pace();
+    private final AdaptiveWindow probeWindow = new AdaptiveWindow();
     private final FailureDetector failureDetector;
     /** Direct calls under way. */
     private int open;
@@ -156,7 +156,7 @@
     private void send(Set<Machine> dirty) {
         Iterator<Machine> i = dirty.iterator();
         List<Machine> now = new ArrayList<>();
-        while (i.hasNext() && open + now.size() < pace.window()) {
+        while (i.hasNext() && open + now.size() < probeWindow.window()) {
             now.add(i.next());
             i.remove();
         }
@@ -190,10 +190,10 @@
             long now = runtime.now();
             if (r.status() == Reply.LACK) {
                 own.lacked(now);
-                pace.lacked(now);
+                probeWindow.lacked(now);
             } else if (r.status() > 0 && !doubtful) {
                 own.answered(now - asked, now);
-                pace.answered(now - asked, now);
+                probeWindow.answered(now - asked, now);
             }
             answered(m, orders, session, known ? tick : -1, r);
             contactUnheard();
@@ -235,7 +235,7 @@
     }
 
     private void probe(Machine m) {
-        if (open < pace.window()) {
+        if (open < probeWindow.window()) {
             direct(m, true);
         }
     }
--- a/src/main/java/org/hollypick/core/watch/Pace.java
+++ b/src/main/java/org/hollypick/core/watch/AdaptiveWindow.java
@@ -6,14 +6,14 @@
  * How many calls to machines may be under way: one more with each answer that comes quickly, half as many when answers are slow, as they are when this
  * node has more to do than it can (additive increase, multiplicative decrease). So a takeover's load is bounded whatever the number of machines. Pure.
  */
-public final class Pace {
+public final class AdaptiveWindow {
     private double window = Constants.DIRECT_OPEN;
-    private long shrunkAt = -Constants.PACE_MS;
+    private long shrunkAt = -Constants.ADAPTIVE_WINDOW_MS;
 
     public void answered(long tookMs, long now) {
         if (tookMs <= Constants.SLOW_CALL_MS) {
             window = Math.min(Constants.DIRECT_OPEN, window + 1 / window);
-        } else if (now - shrunkAt >= Constants.PACE_MS) {
+        } else if (now - shrunkAt >= Constants.ADAPTIVE_WINDOW_MS) {
             shrunkAt = now;
             window = Math.max(Constants.DIRECT_LEAST, window / 2);
         }
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/WatchTest.java
@@ -14,7 +14,7 @@
 import org.hollypick.config.Constants;
 import org.hollypick.core.spread.Shares;
 import org.hollypick.core.watch.OwnTrouble;
-import org.hollypick.core.watch.Pace;
+import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.io.Sockets;
 import org.junit.jupiter.api.Test;
 
@@ -102,19 +102,19 @@
 
     @Test
     void slowAnswersHalveTheCallsUnderWayOnceAStretch() {
-        Pace pace = new Pace();
+        AdaptiveWindow probeWindow = new AdaptiveWindow();
         for (int i = 0; i < 50; i++) {
-            pace.answered(Constants.SLOW_CALL_MS + 1, 1_000);
+            probeWindow.answered(Constants.SLOW_CALL_MS + 1, 1_000);
         }
-        assertEquals(Constants.DIRECT_OPEN / 2, pace.window());
+        assertEquals(Constants.DIRECT_OPEN / 2, probeWindow.window());
         for (int i = 0; i < 20; i++) {
-            pace.answered(Constants.SLOW_CALL_MS + 1, 2_000 + i * Constants.PACE_MS);
+            probeWindow.answered(Constants.SLOW_CALL_MS + 1, 2_000 + i * Constants.ADAPTIVE_WINDOW_MS);
         }
-        assertEquals(Constants.DIRECT_LEAST, pace.window());
+        assertEquals(Constants.DIRECT_LEAST, probeWindow.window());
         for (int i = 0; i < 10_000; i++) {
-            pace.answered(10, 60_000);
+            probeWindow.answered(10, 60_000);
         }
-        assertEquals(Constants.DIRECT_OPEN, pace.window());
+        assertEquals(Constants.DIRECT_OPEN, probeWindow.window());
     }
 
     /** One slow machine among many says nothing about this node; many do, and for a while after. */
