--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -11,7 +11,7 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.watch.OwnTrouble;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Runtime;
 
@@ -20,7 +20,7 @@
     private final Runtime runtime;
     private final Settings settings;
     private final Scheduler scheduler;
-    private final OwnTrouble own;
+    private final LocalHealth own;
     private final Reachability reachability;
     private final Consumer<Machine> probe;
     private final long startedAt;
@@ -36,7 +36,7 @@
     private String seen = "";
 
     /** {@code probe}: asks a machine directly. */
-    FailureDetector(Runtime runtime, Settings settings, Scheduler scheduler, OwnTrouble own, Consumer<Machine> probe) {
+    FailureDetector(Runtime runtime, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
         this.runtime = runtime;
         this.settings = settings;
         this.scheduler = scheduler;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -26,7 +26,7 @@
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Report;
-import org.hollypick.core.watch.OwnTrouble;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
@@ -72,7 +72,7 @@
     private String right = "";
     private boolean pumping;
     private long lastTick;
-    private final OwnTrouble own;
+    private final LocalHealth own;
     private long nextFleet;
     private long nextPass;
     private long nextList;
@@ -91,7 +91,7 @@
         this.membership = membership;
         this.lastTick = runtime.now() - Constants.TICK_MS;
         boolean nobodyBefore = membership.terms() == 1;
-        this.own = new OwnTrouble(runtime.now());
+        this.own = new LocalHealth(runtime.now());
         this.scheduler = new Scheduler(token, settings, operator.firstShare(),
                 new Leases(settings, settings.siblings().stream().map(Settings.Sibling::node).toList(), runtime.now(), nobodyBefore), operator.estimates());
         if (membership.limitsKept()) {
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -15,7 +15,7 @@
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Report;
-import org.hollypick.core.watch.OwnTrouble;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Reply;
@@ -37,7 +37,7 @@
     private final Map<String, MachineType> types;
     private final BooleanSupplier acting;
     private final Runnable pump;
-    private final OwnTrouble own;
+    private final LocalHealth own;
     private final AdaptiveWindow probeWindow = new AdaptiveWindow();
     private final FailureDetector failureDetector;
     /** Direct calls under way. */
@@ -46,7 +46,7 @@
     private int openDoubtful;
 
     Workers(Runtime runtime, Settings settings, Scheduler scheduler, WorkerClient client, Map<String, MachineType> types,
-            BooleanSupplier acting, OwnTrouble own, Runnable pump) {
+            BooleanSupplier acting, LocalHealth own, Runnable pump) {
         this.runtime = runtime;
         this.settings = settings;
         this.scheduler = scheduler;
--- a/src/main/java/org/hollypick/core/watch/OwnTrouble.java
+++ b/src/main/java/org/hollypick/core/watch/LocalHealth.java
@@ -6,7 +6,7 @@
  * Whether this owner's own state may explain that it hears nothing. What it didn't get to ask, and what it was too busy to read, proves nothing about
  * a machine or a path (docs/many-machines.md). Pure.
  */
-public final class OwnTrouble {
+public final class LocalHealth {
     private long at;
     /** Answers in the present stretch of time, and those of them that took long. */
     private long stretch;
@@ -14,7 +14,7 @@
     private int slow;
 
     /** It isn't known to be well before it has been watched for a while. */
-    public OwnTrouble(long now) {
+    public LocalHealth(long now) {
         at = now;
         stretch = now;
     }
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/WatchTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.Constants;
 import org.hollypick.core.spread.Shares;
-import org.hollypick.core.watch.OwnTrouble;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.io.Sockets;
 import org.junit.jupiter.api.Test;
@@ -120,7 +120,7 @@
     /** One slow machine among many says nothing about this node; many do, and for a while after. */
     @Test
     void manySlowAnswersAreThisNodesOwnTrouble() {
-        OwnTrouble own = new OwnTrouble(0);
+        LocalHealth own = new LocalHealth(0);
         assertFalse(own.sound(1_000), "just begun");
         assertTrue(own.sound(Constants.SILENT_GRACE_MS));
         for (int i = 0; i < 100; i++) {
