--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -92,7 +92,7 @@
                 probe(m);
             }
         }
-        scheduler.shares.reported(m.id, via, now);
+        scheduler.reportBalancer.reported(m.id, via, now);
         if (scheduler.freed.remove(m)) {
             scheduler.fill(m, now);
         }
@@ -100,7 +100,7 @@
         if (freshness == ReportValidity.Freshness.NEW && !acknowledges(m, r, was && r.session() != before, orders, now)) {
             return Answer.later("answers don't reach the machine");
         }
-        String elsewhere = orders.isEmpty() && m.heard ? scheduler.shares.elsewhere(via, now) : null;
+        String elsewhere = orders.isEmpty() && m.heard ? scheduler.reportBalancer.elsewhere(via, now) : null;
         if (elsewhere != null) {
             return RelayCodec.elsewhere(elsewhere);
         }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -12,7 +12,7 @@
 import org.hollypick.core.estimate.Estimates;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.spread.Shares;
+import org.hollypick.core.spread.ReportBalancer;
 
 /**
  * What one owner knows during one term, and what it decides. Pure: time comes in with each event, effects are left in the
@@ -26,7 +26,7 @@
     final TeamUse teamUse = new TeamUse();
     public final Estimates estimates;
     /** Which controller each machine reports to. */
-    public final Shares shares;
+    public final ReportBalancer reportBalancer;
     public final Ledger ledger;
     private boolean settled;
     /** Earlier owners kept the same limits of teams. */
@@ -67,7 +67,7 @@
         this.estimates = new Estimates(learns);
         this.token = token;
         this.settings = settings;
-        this.shares = new Shares(settings.node(), leases.termStart());
+        this.reportBalancer = new ReportBalancer(settings.node(), leases.termStart());
         this.leases = leases;
         this.ledger = new Ledger(this, teamUse);
         this.planner = new Planner(this, firstShare);
@@ -205,7 +205,7 @@
     public void machineGone(String id) {
         Machine m = machines.remove(id);
         gone.add(id);
-        shares.gone(id);
+        reportBalancer.gone(id);
         if (m != null) {
             ledger.loseAll(m);
             ordersDirty.remove(m);
--- a/src/main/java/org/hollypick/core/spread/Shares.java
+++ b/src/main/java/org/hollypick/core/spread/ReportBalancer.java
@@ -8,7 +8,7 @@
  * Which controller each machine reports to, and whether it should go to another: only while shares are far from even, and few at a time, since each
  * move costs a report. The owner, which has everything else to do, takes a smaller part. Pure; the owner's.
  */
-public final class Shares {
+public final class ReportBalancer {
     private final String owner;
     /** Who reports where. */
     private final Map<String, String> via = new HashMap<>();
@@ -18,7 +18,7 @@
     private double moves;
     private long movesAt;
 
-    public Shares(String owner, long now) {
+    public ReportBalancer(String owner, long now) {
         this.owner = owner;
         this.movesAt = now;
     }
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/WatchTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.Constants;
-import org.hollypick.core.spread.Shares;
+import org.hollypick.core.spread.ReportBalancer;
 import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.io.Sockets;
@@ -60,16 +60,16 @@
         for (int m = 0; m < machines; m++) {
             at[m] = names.get(random.nextInt(1 + random.nextInt(nodes)));
         }
-        Shares shares = new Shares("n0", 0);
+        ReportBalancer reportBalancer = new ReportBalancer("n0", 0);
         int moved = 0;
         for (long t = 0; t < 400_000; t += 1_000) {
             int before = moved;
             for (String n : names) {
-                shares.alive(n, t);
+                reportBalancer.alive(n, t);
             }
             for (int m = 0; m < machines; m++) {
-                shares.reported("m" + m, at[m], t);
-                String to = shares.elsewhere(at[m], t);
+                reportBalancer.reported("m" + m, at[m], t);
+                String to = reportBalancer.elsewhere(at[m], t);
                 if (to != null) {
                     at[m] = to;
                     moved++;
@@ -79,25 +79,25 @@
             assertTrue(t < 300_000 || moved == before, "it has settled");
         }
         assertTrue(moved <= machines, "no machine moves again and again");
-        int total = names.stream().mapToInt(shares::count).sum();
+        int total = names.stream().mapToInt(reportBalancer::count).sum();
         assertEquals(machines, total);
         for (String n : names) {
             double target = machines / (nodes - 1 + Constants.OWNER_SHARE) * (n.equals("n0") ? Constants.OWNER_SHARE : 1);
-            assertTrue(shares.count(n) <= target * Constants.UNEVEN + Constants.UNEVEN_MACHINES, n + " has " + shares.count(n) + " of " + machines);
+            assertTrue(reportBalancer.count(n) <= target * Constants.UNEVEN + Constants.UNEVEN_MACHINES, n + " has " + reportBalancer.count(n) + " of " + machines);
         }
     }
 
     /** A controller that hands nothing on any more is sent nothing. */
     @Test
     void nobodyIsSentToAControllerThatIsSilent() {
-        Shares shares = new Shares("a", 0);
+        ReportBalancer reportBalancer = new ReportBalancer("a", 0);
         for (int m = 0; m < 100; m++) {
-            shares.reported("m" + m, "a", 0);
+            reportBalancer.reported("m" + m, "a", 0);
         }
-        assertEquals(null, shares.elsewhere("a", 5_000));
-        shares.alive("b", 5_000);
-        assertEquals("b", shares.elsewhere("a", 6_000));
-        assertEquals(null, shares.elsewhere("a", 5_001 + Constants.RELAY_ALIVE_MS));
+        assertEquals(null, reportBalancer.elsewhere("a", 5_000));
+        reportBalancer.alive("b", 5_000);
+        assertEquals("b", reportBalancer.elsewhere("a", 6_000));
+        assertEquals(null, reportBalancer.elsewhere("a", 5_001 + Constants.RELAY_ALIVE_MS));
     }
 
     @Test
