--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -16,7 +16,7 @@
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
-import org.hollypick.control.Ends;
+import org.hollypick.control.JobTermination;
 import org.hollypick.control.JobRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
@@ -251,7 +251,7 @@
 
     /** While an end is in doubt it may be durable already, and another node may have told it: only the record knows. */
     private boolean certainlyLive(Job job) {
-        return owned(job.spec.id()) == job && !term.get().ends.inDoubt(job);
+        return owned(job.spec.id()) == job && !term.get().jobTermination.inDoubt(job);
     }
 
     private boolean unknown(String id) {
@@ -383,9 +383,9 @@
         }
         Job job = owned(id);
         if (job != null) {
-            Ends ends = term.get().ends;
-            ends.cancel(job, done -> {
-                view.answeredFrom(ends.cancelledAt());
+            JobTermination jobTermination = term.get().jobTermination;
+            jobTermination.cancel(job, done -> {
+                view.answeredFrom(jobTermination.cancelledAt());
                 Answer aborted = Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0));
                 answer.accept(done ? aborted : Answer.later("state service"));
             });
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -170,7 +170,7 @@
     private final View view;
     private final StateClient state;
     private final Scheduler scheduler;
-    private final Ends ends;
+    private final JobTermination jobTermination;
     private final Runnable pump;
     private final Maker maker;
     private final long keepMs;
@@ -181,13 +181,13 @@
     private long written;
     private boolean dropping;
 
-    Graphs(Runtime runtime, Settings settings, View view, StateClient state, Scheduler scheduler, Ends ends, Runnable pump, Maker maker, long keepMs) {
+    Graphs(Runtime runtime, Settings settings, View view, StateClient state, Scheduler scheduler, JobTermination jobTermination, Runnable pump, Maker maker, long keepMs) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
         this.state = state;
         this.scheduler = scheduler;
-        this.ends = ends;
+        this.jobTermination = jobTermination;
         this.pump = pump;
         this.maker = maker;
         this.keepMs = keepMs;
@@ -496,14 +496,14 @@
                 String why = "failed " + (g.head.retries() + 1) + " times";
                 g.end(i, Graph.State.FAILED, why, () -> {
                     if (g.head.endOnFailure() && !g.over()) {
-                        ends.cancel(g.job, durable -> { });
+                        jobTermination.cancel(g.job, durable -> { });
                     }
                 });
             }
             if (!g.graph.sealed() && !g.sealing && now - g.since > Constants.GRAPH_SEAL_MS) {
                 g.sealing = true; // nothing is added to it any more
                 LOG.info("graph not sealed in time graph={} token={}", g.id, scheduler.token);
-                ends.cancel(g.job, durable -> { });
+                jobTermination.cancel(g.job, durable -> { });
             }
             if (g.job.finished() && g.log.isEmpty()) {
                 scheduler.progressDirty.add(g.job);
--- a/src/main/java/org/hollypick/control/Ends.java
+++ b/src/main/java/org/hollypick/control/JobTermination.java
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /** The ends of jobs: written once, told after, and no answer of this node's while their outcome is open. */
-public final class Ends {
-    private static final Logger LOG = LoggerFactory.getLogger(Ends.class);
+public final class JobTermination {
+    private static final Logger LOG = LoggerFactory.getLogger(JobTermination.class);
 
     private final long token;
     private final Runtime runtime;
@@ -70,7 +70,7 @@
         }
     }
 
-    Ends(Runtime runtime, Scheduler scheduler, Dependencies dependencies, StateClient state, Runnable changed,
+    JobTermination(Runtime runtime, Scheduler scheduler, Dependencies dependencies, StateClient state, Runnable changed,
             BiFunction<Job, String, ObjectNode> record, Consumer<String> ended) {
         this.token = scheduler.token;
         this.runtime = runtime;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -61,7 +61,7 @@
     private boolean measuring;
     private final Sizes sizes;
     private final Summary summary;
-    public final Ends ends;
+    public final JobTermination jobTermination;
     /** Null unless the operators switched them on. */
     public final Graphs graphs;
     /** Null unless the operators switched estimates on. */
@@ -104,9 +104,9 @@
         this.cascade = new Cascade(runtime, view, state, settings, token);
         this.sizes = new Sizes(view, settings, state, scheduler);
         this.summary = new Summary(scheduler, rentals);
-        this.ends = new Ends(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
+        this.jobTermination = new JobTermination(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
         this.learned = operator.estimates() ? new Learned(runtime, view, state, settings, scheduler) : null;
-        this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, ends, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
+        this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, jobTermination, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
     }
 
     /** Starts from the records; the view holds every change up to the roster's own, and older owners can make none after it. */
@@ -167,7 +167,7 @@
         long now = runtime.now();
         Leases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
-        boolean granted = leases.allAsked() && ends.allCancelledKnown(epoch);
+        boolean granted = leases.allAsked() && jobTermination.allCancelledKnown(epoch);
         return Keeper.told(token, leases.answer(node, granted, now), granted).only(this::acting);
     }
 
@@ -189,7 +189,7 @@
                 continue;
             }
             if (!Records.isOver(e.data())) {
-                if (ends.knownOver(id)) {
+                if (jobTermination.knownOver(id)) {
                     continue;
                 }
                 if (dependencies.isCancelled(id)) {
@@ -209,12 +209,12 @@
                 }
                 continue;
             }
-            ends.shownOver(id);
+            jobTermination.shownOver(id);
             if (job != null) {
                 if (Records.status(e.data()).equals(Records.ABORTED)) {
-                    ends.cancelled(job, e.stamp());
+                    jobTermination.cancelled(job, e.stamp());
                 } else {
-                    ends.over(job, Records.DONE);
+                    jobTermination.over(job, Records.DONE);
                 }
             }
         }
@@ -226,7 +226,7 @@
         for (String id : dependencies.takeChanged()) {
             Job job = scheduler.jobs.get(id);
             if (job != null && dependencies.isCancelled(id)) {
-                ends.over(job, Records.ABORTED);
+                jobTermination.over(job, Records.ABORTED);
                 cascade.add(id, job.order);
             } else if (job != null) {
                 scheduler.follow(job, dependencies.ready(id), dependencies.rank(id));
@@ -285,7 +285,7 @@
             if (now >= nextFleet) {
                 nextFleet = now + Constants.FLEET_MS;
                 rentals.rentAndReturn(workers.failureDetector().dark(), now);
-                if (ends.fenceDue(now) || scheduler.ledger.attemptsShort()) {
+                if (jobTermination.fenceDue(now) || scheduler.ledger.attemptsShort()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
                     membership.limitsKeptFromNow(token); // once, after owners of an older version or with other limits
@@ -358,8 +358,8 @@
             if (graphs != null) {
                 graphs.flush();
             }
-            ends.closeFinished();
-            ends.writeCancellations(membership.reachesState());
+            jobTermination.closeFinished();
+            jobTermination.writeCancellations(membership.reachesState());
             register();
             progress.flush();
             cascade.flush();
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -192,7 +192,7 @@
         }
     }
 
-    // ---- the leader: control.Ends, control.LeaderTerm ----
+    // ---- the leader: control.JobTermination, control.LeaderTerm ----
 
     private static void leader(State s, Fault fault, Successors<State> to) {
         if (s.leader == NEVER) {
