--- a/src/main/java/org/hollypick/control/Cascade.java
+++ b/src/main/java/org/hollypick/control/DependentCancellation.java
@@ -18,8 +18,8 @@
  * Jobs that can never be done, since one that they need was cancelled. Every node tells so from the records of the others alone;
  * their own records follow here, many to a transaction and after everything that users wait for.
  */
-final class Cascade {
-    private static final Logger LOG = LoggerFactory.getLogger(Cascade.class);
+final class DependentCancellation {
+    private static final Logger LOG = LoggerFactory.getLogger(DependentCancellation.class);
 
     private final Runtime runtime;
     private final View view;
@@ -31,7 +31,7 @@
     private boolean writing;
     private long notBefore;
 
-    Cascade(Runtime runtime, View view, StateClient state, Settings settings, long token) {
+    DependentCancellation(Runtime runtime, View view, StateClient state, Settings settings, long token) {
         this.runtime = runtime;
         this.view = view;
         this.state = state;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -54,7 +54,7 @@
     private final Rentals rentals;
     private final Registry registry;
     private final Progress progress;
-    private final Cascade cascade;
+    private final DependentCancellation dependentCancellation;
     private final Dependencies dependencies;
     private final Map<String, MachineType> types;
     private final Membership membership;
@@ -101,7 +101,7 @@
         this.rentals = new Rentals(runtime, settings, operator, scheduler, cloud, types, this::acting, membership::reachesState, this::pump, nobodyBefore);
         this.registry = new Registry(runtime, view, state, settings, token, scheduler.gone::contains);
         this.progress = new Progress(runtime, view, state, settings, scheduler);
-        this.cascade = new Cascade(runtime, view, state, settings, token);
+        this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
         this.sizes = new Sizes(view, settings, state, scheduler);
         this.summary = new Summary(scheduler, rentals);
         this.jobTermination = new JobTermination(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
@@ -193,7 +193,7 @@
                     continue;
                 }
                 if (dependencies.isCancelled(id)) {
-                    cascade.add(id, e.stamp());
+                    dependentCancellation.add(id, e.stamp());
                 } else if (job == null && GraphRecords.isGraph(e.data())) {
                     if (graphs != null) {
                         graphs.appear(id, e.data(), e.stamp());
@@ -227,7 +227,7 @@
             Job job = scheduler.jobs.get(id);
             if (job != null && dependencies.isCancelled(id)) {
                 jobTermination.over(job, Records.ABORTED);
-                cascade.add(id, job.order);
+                dependentCancellation.add(id, job.order);
             } else if (job != null) {
                 scheduler.follow(job, dependencies.ready(id), dependencies.rank(id));
             }
@@ -362,7 +362,7 @@
             jobTermination.writeCancellations(membership.reachesState());
             register();
             progress.flush();
-            cascade.flush();
+            dependentCancellation.flush();
             if (learned != null) {
                 learned.flush();
             }
