--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -65,7 +65,7 @@
     /** Null unless the operators switched them on. */
     public final Graphs graphs;
     /** Null unless the operators switched estimates on. */
-    private final Learned learned;
+    private final RuntimeStatistics runtimeStatistics;
 
     private boolean ended;
     /** By what this node last acted, as it was logged. */
@@ -105,7 +105,7 @@
         this.sizes = new Sizes(view, settings, state, scheduler);
         this.summary = new Summary(scheduler, rentals);
         this.jobTermination = new JobTermination(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
-        this.learned = operator.estimates() ? new Learned(runtime, view, state, settings, scheduler) : null;
+        this.runtimeStatistics = operator.estimates() ? new RuntimeStatistics(runtime, view, state, settings, scheduler) : null;
         this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, jobTermination, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
     }
 
@@ -124,8 +124,8 @@
         if (graphs != null) {
             graphs.loadEnded();
         }
-        if (learned != null) {
-            learned.load();
+        if (runtimeStatistics != null) {
+            runtimeStatistics.load();
         }
         for (Job job : new ArrayList<>(scheduler.jobs.values())) {
             scheduler.restored(job);
@@ -363,8 +363,8 @@
             register();
             progress.flush();
             dependentCancellation.flush();
-            if (learned != null) {
-                learned.flush();
+            if (runtimeStatistics != null) {
+                runtimeStatistics.flush();
             }
         });
     }
--- a/src/main/java/org/hollypick/control/Learned.java
+++ b/src/main/java/org/hollypick/control/RuntimeStatistics.java
@@ -28,8 +28,8 @@
  * What was learned of run times, kept for the next owner: kinds by hash in a few records, one written now and then after everything else. Each write is
  * conditional on the roster and on the record that it replaces, so one that is applied late takes nothing back.
  */
-final class Learned {
-    private static final Logger LOG = LoggerFactory.getLogger(Learned.class);
+final class RuntimeStatistics {
+    private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatistics.class);
 
     private final Runtime runtime;
     private final View view;
@@ -42,7 +42,7 @@
     private long nextWrite;
     private int nextSlot;
 
-    Learned(Runtime runtime, View view, StateClient state, Settings settings, Scheduler scheduler) {
+    RuntimeStatistics(Runtime runtime, View view, StateClient state, Settings settings, Scheduler scheduler) {
         this.runtime = runtime;
         this.view = view;
         this.state = state;
--- a/src/test/java/org/hollypick/sim/LearnedTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What was learned outlives controllers, outages and tighter limits; and a job's finish is told by any of them. */
-class LearnedTest {
+class RuntimeStatisticsTest {
     private int jobs;
 
     private static Day day(long seed) {
