--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -118,7 +118,7 @@
             double guess = Math.max(Math.max(1, estimateS(spec)), ran);
             return new Band(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
         }
-        Curve curve = best.curve(estimateS(spec));
+        QuantileCurve curve = best.curve(estimateS(spec));
         Band band = new Band(curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
         boolean own = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
         double thin = best.ended() >= SURE ? 1 : 1 + 2.0 / (1 + best.ended());
--- a/src/main/java/org/hollypick/core/estimate/History.java
+++ b/src/main/java/org/hollypick/core/estimate/History.java
@@ -122,7 +122,7 @@
     }
 
     /** Runs that say how long one with that estimate takes: a survival curve over seconds. */
-    Curve curve(double estimateS) {
+    QuantileCurve curve(double estimateS) {
         boolean byRatio = estimateS > 0 && spread(ratios) < spread(times);
         double scale = byRatio ? Math.max(1, estimateS) : 1;
         long[] sorted = new long[count];
@@ -142,7 +142,7 @@
                 alive[steps++] = survival;
             }
         }
-        return new Curve(at, alive);
+        return new QuantileCurve(at, alive);
     }
 
     /** How far the middle half of the ended runs lies apart, in steps; nothing known: infinitely. */
--- a/src/main/java/org/hollypick/core/estimate/Curve.java
+++ b/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
@@ -1,11 +1,11 @@
 package org.hollypick.core.estimate;
 
 /** A survival curve by Kaplan and Meier: after {@code at[i]} seconds the share {@code alive[i]} of all runs is still under way. */
-final class Curve {
+final class QuantileCurve {
     private final double[] at;
     private final double[] alive;
 
-    Curve(double[] at, double[] alive) {
+    QuantileCurve(double[] at, double[] alive) {
         this.at = at;
         this.alive = alive;
     }
