--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -24,7 +24,7 @@
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.Band;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.Finish;
 import org.hollypick.core.MachineType;
 import org.hollypick.io.Answer;
@@ -359,9 +359,9 @@
             return Answer.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
         Finish.Answer finish = new Finish(term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now()).of(job);
-        Band band = finish.band();
-        b.putObject("done_in_s").put("p10", round(band.p10())).put("p50", round(band.p50())).put("p90", round(band.p90()));
-        b.put("reason", finish.reason()).putObject("history").put("n", band.runs()).put("from", band.from());
+        PredictionInterval interval = finish.interval();
+        b.putObject("done_in_s").put("p10", round(interval.p10())).put("p50", round(interval.p50())).put("p90", round(interval.p90()));
+        b.put("reason", finish.reason()).putObject("history").put("n", interval.runs()).put("from", interval.from());
         return Answer.of(200, b);
     }
 
--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -75,7 +75,7 @@
         }
         List<String> groups = groups(spec);
         if (!cutShort) {
-            Band expected = band(spec, groups, 0);
+            PredictionInterval expected = interval(spec, groups, 0);
             boolean late = expected.runs() >= SPEAKS && ranS > SLOW_TIMES * expected.p90();
             int run = late ? slow.getOrDefault(machine, 0) + 1 : 0;
             slow.put(machine, run);
@@ -99,11 +99,11 @@
     }
 
     /** How long such a task takes in all, given that it has run for {@code ranS} already. */
-    public Band band(JobSpec spec, double ranS) {
-        return band(spec, groups(spec), ranS);
+    public PredictionInterval interval(JobSpec spec, double ranS) {
+        return interval(spec, groups(spec), ranS);
     }
 
-    private Band band(JobSpec spec, List<String> groups, double ranS) {
+    private PredictionInterval interval(JobSpec spec, List<String> groups, double ranS) {
         History best = null;
         String from = "";
         for (String group : groups) {
@@ -116,14 +116,14 @@
         double ran = Math.max(0, ranS);
         if (best == null) {
             double guess = Math.max(Math.max(1, estimateS(spec)), ran);
-            return new Band(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
+            return new PredictionInterval(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
         }
         QuantileCurve curve = best.curve(estimateS(spec));
-        Band band = new Band(curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
+        PredictionInterval interval = new PredictionInterval(curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
         boolean own = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
         double thin = best.ended() >= SURE ? 1 : 1 + 2.0 / (1 + best.ended());
-        Band wide = band.widened(thin * (own ? 1 : 1.5));
-        return new Band(Math.max(wide.p10(), ran), wide.p50(), wide.p90(), wide.runs(), own ? from : "borrowed from " + from);
+        PredictionInterval wide = interval.widened(thin * (own ? 1 : 1.5));
+        return new PredictionInterval(Math.max(wide.p10(), ran), wide.p50(), wide.p90(), wide.runs(), own ? from : "borrowed from " + from);
     }
 
     /** A source of run times for one kind of task: the same draws for the same seed. */
@@ -135,29 +135,29 @@
     final class Sampler {
         private final double[] fresh = new double[33];
         private final JobSpec spec;
-        private final Band band;
+        private final PredictionInterval interval;
 
         Sampler(JobSpec spec) {
             this.spec = spec;
-            this.band = Estimates.this.band(spec, 0);
+            this.interval = Estimates.this.interval(spec, 0);
             for (int i = 0; i < fresh.length; i++) {
-                fresh[i] = at(band, (i + 0.5) / fresh.length);
+                fresh[i] = at(interval, (i + 0.5) / fresh.length);
             }
         }
 
-        Band band() {
-            return band;
+        PredictionInterval interval() {
+            return interval;
         }
 
         double draw(UniformRandomProvider random, double ranS) {
             if (ranS <= 0) {
                 return fresh[random.nextInt(fresh.length)];
             }
-            return Math.max(ranS, at(Estimates.this.band(spec, ranS), random.nextDouble()));
+            return Math.max(ranS, at(Estimates.this.interval(spec, ranS), random.nextDouble()));
         }
 
         /** Between the three points by logarithms, and as far beyond the outer ones. */
-        private static double at(Band b, double q) {
+        private static double at(PredictionInterval b, double q) {
             double low = Math.log(Math.max(1e-3, b.p10()));
             double mid = Math.log(Math.max(1e-3, b.p50()));
             double high = Math.log(Math.max(1e-3, b.p90()));
--- a/src/main/java/org/hollypick/core/estimate/Finish.java
+++ b/src/main/java/org/hollypick/core/estimate/Finish.java
@@ -26,7 +26,7 @@
     private static final int CHAIN = 200;
 
     /** Seconds from now, and what takes the largest part of them. */
-    public record Answer(Band band, String reason) {}
+    public record Answer(PredictionInterval interval, String reason) {}
 
     private final Scheduler scheduler;
     private final Estimates estimates;
@@ -65,8 +65,8 @@
         double[] d = drawn.get(job.spec.id());
         Arrays.sort(d);
         JobSpec spec = job.tasks() > 0 ? job.spec(0) : job.spec;
-        Band kind = estimates.band(spec, 0);
-        return new Answer(new Band(d[DRAWS / 10], d[DRAWS / 2], d[DRAWS * 9 / 10], kind.runs(), kind.from()), job.ready ? reason : "what it awaits");
+        PredictionInterval kind = estimates.interval(spec, 0);
+        return new Answer(new PredictionInterval(d[DRAWS / 10], d[DRAWS / 2], d[DRAWS * 9 / 10], kind.runs(), kind.from()), job.ready ? reason : "what it awaits");
     }
 
     /** The job behind all that it needs, without recursion: chains may be long. */
@@ -121,10 +121,10 @@
                 waiting.add(s);
             }
             left[0] += Math.max(0, count - TASKS);
-            waitingWork[0] += Math.max(0, count - TASKS) * spec.cpus() * s.band().p50();
+            waitingWork[0] += Math.max(0, count - TASKS) * spec.cpus() * s.interval().p50();
         });
         JobSpec spec = job.tasks() > 0 ? job.spec(Math.max(0, job.pending.nextSetBit(0))) : job.spec;
-        waitingWork[0] += job.unreleased() * spec.cpus() * samplers.computeIfAbsent(spec, estimates::sampler).band().p50();
+        waitingWork[0] += job.unreleased() * spec.cpus() * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
         List<Placement> running = new ArrayList<>();
         for (Placement p : job.live.values()) {
             if (p.there()) {
@@ -135,7 +135,7 @@
         double all = Math.max(spec.cpus(), cores + booting);
         double room = ahead / all;
         if (!waiting.isEmpty() && free < spec.cpus()) {
-            room += cores > 0 ? estimates.band(spec, 0).p50() / Math.max(1, cores / Math.max(0.1, spec.cpus())) : bootS;
+            room += cores > 0 ? estimates.interval(spec, 0).p50() / Math.max(1, cores / Math.max(0.1, spec.cpus())) : bootS;
         }
         double image = waiting.isEmpty() || cached(spec) ? 0 : spec.imageGb() / fetchRate();
         int slots = (int) Math.max(1, Math.min(waiting.size(), all / Math.max(0.1, spec.cpus())));
--- a/src/main/java/org/hollypick/core/estimate/Replay.java
+++ b/src/main/java/org/hollypick/core/estimate/Replay.java
@@ -59,9 +59,9 @@
         for (Run run : runs) {
             JobSpec task = run.task;
             if (!run.cutShort) {
-                Band band = estimates.band(task, 0);
-                for (String of : List.of("all", weight(band.runs()), "kind " + task.jobClass())) {
-                    score(scores.computeIfAbsent(of, k -> new Score()), band, run);
+                PredictionInterval interval = estimates.interval(task, 0);
+                for (String of : List.of("all", weight(interval.runs()), "kind " + task.jobClass())) {
+                    score(scores.computeIfAbsent(of, k -> new Score()), interval, run);
                 }
                 double[] seen = plain.computeIfAbsent(task.jobClass() + "/" + task.team(), k -> new double[3]);
                 seen[0] += run.ranS;
@@ -77,12 +77,12 @@
         return n == 0 ? "n=0" : n < 5 ? "n=1-4" : n < 20 ? "n=5-19" : "n>=20";
     }
 
-    private void score(Score s, Band band, Run run) {
+    private void score(Score s, PredictionInterval interval, Run run) {
         s.runs++;
-        s.inside += run.ranS >= band.p10() && run.ranS <= band.p90() ? 1 : 0;
-        s.width.add(band.p90() / Math.max(1e-3, band.p10()));
+        s.inside += run.ranS >= interval.p10() && run.ranS <= interval.p90() ? 1 : 0;
+        s.width.add(interval.p90() / Math.max(1e-3, interval.p10()));
         double[] seen = plain.get(run.task.jobClass() + "/" + run.task.team());
-        s.own.add(off(band.p50(), run.ranS));
+        s.own.add(off(interval.p50(), run.ranS));
         s.owners.add(off(run.task.estimateS(), run.ranS));
         s.mean.add(off(seen == null ? run.task.estimateS() : seen[0] / seen[1], run.ranS));
         s.last.add(off(seen == null ? run.task.estimateS() : seen[2], run.ranS));
--- a/src/test/java/org/hollypick/estimate/EstimateBench.java
+++ b/src/test/java/org/hollypick/estimate/EstimateBench.java
@@ -12,7 +12,7 @@
 import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.estimate.Band;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.Finish;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Report;
@@ -67,8 +67,8 @@
     }
 
     @Benchmark
-    public Band band() {
-        return scheduler.estimates.band(spec, 10);
+    public PredictionInterval interval() {
+        return scheduler.estimates.interval(spec, 10);
     }
 
     /** A question of a user. */
--- a/src/test/java/org/hollypick/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/estimate/EstimatesTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.Band;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.Estimates;
 import org.hollypick.core.estimate.Replay;
 import org.junit.jupiter.api.Test;
@@ -55,10 +55,10 @@
             int missed = 0;
             int after = 0;
             for (Replay.Run run : runs) {
-                Band band = e.band(run.task(), 0);
+                PredictionInterval interval = e.interval(run.task(), 0);
                 if (run.ranS() > 60 && !run.cutShort() && after < 60) {
                     after++;
-                    missed += after > 20 && (run.ranS() > band.p90() || run.ranS() < band.p10()) ? 1 : 0;
+                    missed += after > 20 && (run.ranS() > interval.p90() || run.ranS() < interval.p10()) ? 1 : 0;
                 }
                 e.observe(run.task(), run.machine(), run.ranS(), run.cutShort());
             }
@@ -70,13 +70,13 @@
     @Test
     void aKindNeverSeenSaysSo() {
         Estimates e = new Estimates(true);
-        Band none = e.band(Recorded.task("new", 30), 0);
+        PredictionInterval none = e.interval(Recorded.task("new", 30), 0);
         assertEquals("no history: the owner's estimate", none.from());
         assertTrue(none.runs() == 0 && none.p90() / none.p10() > 20);
         for (int i = 0; i < 30; i++) {
             e.observe(Recorded.task("old", 10), "m-" + i, 20 + i % 3, false);
         }
-        Band borrowed = e.band(Recorded.task("new", 30), 0);
+        PredictionInterval borrowed = e.interval(Recorded.task("new", 30), 0);
         assertTrue(borrowed.from().startsWith("borrowed from"), borrowed.from());
         assertTrue(borrowed.p50() > 40, "the team's tasks take twice their estimate: " + borrowed);
     }
@@ -89,7 +89,7 @@
         for (int i = 0; i < 60; i++) {
             e.observe(t, "m-" + i, i % 2 == 0 ? 30 + i % 5 : 3, i % 2 != 0);
         }
-        assertTrue(e.band(t, 0).p50() > 28, e.band(t, 0).toString());
+        assertTrue(e.interval(t, 0).p50() > 28, e.interval(t, 0).toString());
     }
 
     /** A task past its median isn't about to end, and one past all that is known isn't either. */
@@ -101,8 +101,8 @@
         for (int i = 0; i < 64; i++) {
             e.observe(t, "m-" + i, 10 * Math.exp(r.nextGaussian() * 0.6), false);
         }
-        assertTrue(e.band(t, 15).p50() > 17, e.band(t, 15).toString());
-        assertTrue(e.band(t, 1_000).p50() >= 1_900, e.band(t, 1_000).toString());
+        assertTrue(e.interval(t, 15).p50() > 17, e.interval(t, 15).toString());
+        assertTrue(e.interval(t, 1_000).p50() >= 1_900, e.interval(t, 1_000).toString());
     }
 
     @Test
@@ -114,7 +114,7 @@
             boolean sick = i > 40 && i % 4 == 0;
             e.observe(t, sick ? "sick" : "m-" + i % 20, (sick ? 100 : 10) * Math.exp(r.nextGaussian() * 0.1), false);
         }
-        assertTrue(e.band(t, 0).p90() < 40, e.band(t, 0).toString());
+        assertTrue(e.interval(t, 0).p90() < 40, e.interval(t, 0).toString());
     }
 
     @Property(tries = 300, seed = "20261201", shrinking = ShrinkingMode.OFF)
@@ -126,7 +126,7 @@
             JobSpec t = Recorded.task("k" + r.nextInt(4), odd[r.nextInt(odd.length)]);
             e.observe(t, "m" + r.nextInt(3), odd[r.nextInt(odd.length)], r.nextInt(4) == 0);
             double ran = odd[r.nextInt(odd.length)];
-            Band b = e.band(t, Double.isNaN(ran) || Double.isInfinite(ran) ? 0 : ran);
+            PredictionInterval b = e.interval(t, Double.isNaN(ran) || Double.isInfinite(ran) ? 0 : ran);
             assertTrue(b.p10() >= 0 && b.p10() <= b.p50() && b.p50() <= b.p90() && Double.isFinite(b.p90()), () -> "seed " + seed + " " + b);
         }
     }
@@ -138,7 +138,7 @@
             e.observe(Recorded.task("kind-" + i, 10), "m-" + i, 10, false);
         }
         assertTrue(e.size() <= 2_000, "kinds " + e.size());
-        assertEquals(1, e.band(Recorded.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
+        assertEquals(1, e.interval(Recorded.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
     }
 
     /** A successor starts from the records: what it says differs only by how they are rounded, and by what they leave out. */
@@ -152,8 +152,8 @@
         for (String kind : before.takeDirty()) {
             after.restore(before.keep(kind, 32));
         }
-        Band a = before.band(Recorded.task("steady", 25), 0);
-        Band b = after.band(Recorded.task("steady", 25), 0);
+        PredictionInterval a = before.interval(Recorded.task("steady", 25), 0);
+        PredictionInterval b = after.interval(Recorded.task("steady", 25), 0);
         assertTrue(Math.abs(Math.log(a.p50() / b.p50())) < 0.35, a + " and " + b);
         assertTrue(Math.abs(Math.log(a.p90() / b.p90())) < 0.5, a + " and " + b);
     }
