--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -25,7 +25,7 @@
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.core.estimate.Finish;
+import org.hollypick.core.estimate.CompletionEstimate;
 import org.hollypick.core.MachineType;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
@@ -358,7 +358,7 @@
         if (job.spec.service()) {
             return Answer.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
-        Finish.Answer finish = new Finish(term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now()).of(job);
+        CompletionEstimate.Answer finish = new CompletionEstimate(term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now()).of(job);
         PredictionInterval interval = finish.interval();
         b.putObject("done_in_s").put("p10", round(interval.p10())).put("p50", round(interval.p50())).put("p90", round(interval.p90()));
         b.put("reason", finish.reason()).putObject("history").put("n", interval.runs()).put("from", interval.from());
--- a/src/main/java/org/hollypick/core/estimate/Finish.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -17,7 +17,7 @@
 import org.hollypick.core.ledger.Placement;
 
 /** When a job is likely to be done, from drawn courses of events. Pure; it changes nothing and is worked out only when someone asks. */
-public final class Finish {
+public final class CompletionEstimate {
     /** Courses of events: enough for a tenth, and few enough for a busy owner. */
     private static final int DRAWS = 48;
     /** Tasks beyond which their sum stands for them. */
@@ -40,7 +40,7 @@
     private final Map<String, double[]> drawn = new HashMap<>();
 
     /** {@code awaited}: the jobs that one awaits and that aren't done. */
-    public Finish(Scheduler scheduler, Estimates estimates, Function<String, List<String>> awaited, long now) {
+    public CompletionEstimate(Scheduler scheduler, Estimates estimates, Function<String, List<String>> awaited, long now) {
         this.scheduler = scheduler;
         this.estimates = estimates;
         this.awaited = awaited;
--- a/src/test/java/org/hollypick/estimate/EstimateBench.java
+++ b/src/test/java/org/hollypick/estimate/EstimateBench.java
@@ -13,7 +13,7 @@
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.core.estimate.Finish;
+import org.hollypick.core.estimate.CompletionEstimate;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Report;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -73,7 +73,7 @@
 
     /** A question of a user. */
     @Benchmark
-    public Finish.Answer finish() {
-        return new Finish(scheduler, scheduler.estimates, id -> List.of(), 10_000).of(last);
+    public CompletionEstimate.Answer finish() {
+        return new CompletionEstimate(scheduler, scheduler.estimates, id -> List.of(), 10_000).of(last);
     }
 }
