--- a/src/main/java/org/hollypick/control/Sizes.java
+++ b/src/main/java/org/hollypick/control/AttainedServiceRecord.java
@@ -12,14 +12,14 @@
 import org.hollypick.state.StateClient;
 
 /** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next owner. */
-final class Sizes {
+final class AttainedServiceRecord {
     private final View view;
     private final Settings settings;
     private final StateClient state;
     private final Scheduler scheduler;
     private String last = "";
 
-    Sizes(View view, Settings settings, StateClient state, Scheduler scheduler) {
+    AttainedServiceRecord(View view, Settings settings, StateClient state, Scheduler scheduler) {
         this.view = view;
         this.settings = settings;
         this.state = state;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -59,7 +59,7 @@
     private final Map<String, MachineType> types;
     private final Membership membership;
     private boolean measuring;
-    private final Sizes sizes;
+    private final AttainedServiceRecord attainedService;
     private final Summary summary;
     public final JobTermination jobTermination;
     /** Null unless the operators switched them on. */
@@ -102,7 +102,7 @@
         this.registry = new Registry(runtime, view, state, settings, token, scheduler.gone::contains);
         this.progress = new Progress(runtime, view, state, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
-        this.sizes = new Sizes(view, settings, state, scheduler);
+        this.attainedService = new AttainedServiceRecord(view, settings, state, scheduler);
         this.summary = new Summary(scheduler, rentals);
         this.jobTermination = new JobTermination(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
         this.runtimeStatistics = operator.estimates() ? new RuntimeStatistics(runtime, view, state, settings, scheduler) : null;
@@ -120,7 +120,7 @@
         registry.load(this::loadMachine);
         recordsChanged(keys);
         progress.load();
-        sizes.load();
+        attainedService.load();
         if (graphs != null) {
             graphs.loadEnded();
         }
@@ -297,7 +297,7 @@
             }
             if (now >= nextSizes) {
                 nextSizes = now + Constants.SIZES_MS;
-                sizes.write();
+                attainedService.write();
             }
             pump();
         } else {
