--- a/src/main/java/org/hollypick/cluster/Keys.java
+++ b/src/main/java/org/hollypick/cluster/Keys.java
@@ -13,7 +13,7 @@
     private static final String AWAITED = "h/w/";
 
     /** What a controller tells an owner that it doesn't reach. */
-    public static final String PLEA = "h/l/";
+    public static final String LEADER_COMPLAINT = "h/l/";
     public static final String LEARNED = "h/e/";
     /** Sorts behind the jobs, as what they await does. */
     public static final String GRAPH_LOG = "h/x/";
@@ -60,8 +60,8 @@
         return Long.parseUnsignedLong(key.substring(key.lastIndexOf('/') + 1));
     }
 
-    public static String plea(String node) {
-        return PLEA + node;
+    public static String leaderComplaint(String node) {
+        return LEADER_COMPLAINT + node;
     }
 
     public static String sizes(String node) {
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -101,13 +101,13 @@
     /** Share of what an owner reaches by all ways that another must reach alone to lead better: one machine of a sample may hang. */
     public static final double LEADERSHIP_DELAY_BETTER = 0.9;
     /** Milliseconds between a controller's words to an owner that it doesn't reach, while machines come to it that the owner may miss. */
-    public static final long PLEA_EVERY_MS = 2_500;
+    public static final long LEADER_COMPLAINT_EVERY_MS = 2_500;
     /** Milliseconds for which reports can't be handed on before that: an owner's crash shows in the roster by then. */
-    public static final long PLEA_AFTER_MS = 2_000;
+    public static final long LEADER_COMPLAINT_AFTER_MS = 2_000;
     /** Milliseconds for which a machine counts as one that comes here: it asks each controller in turn, some seconds each. */
-    public static final long PLEA_MEMORY_MS = 10_000;
+    public static final long LEADER_COMPLAINT_MEMORY_MS = 10_000;
     /** Machines named in it at most: some are enough to show that there are some. */
-    public static final int PLEA_MACHINES = 16;
+    public static final int LEADER_COMPLAINT_MACHINES = 16;
     /** Part of the workers' lease for which an owner hears of nearly no machine until it goes, whatever the pause between resignations: the successor
      * needs some seconds, and what isn't answered then ends. */
     public static final double CUT_OFF_LEASE = 1 / 3.0;
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -29,7 +29,7 @@
     private long cutOffSince;
     /** Since when others reach machines that this owner doesn't; 0 if there are none. */
     private long beyondSince;
-    private long pleadedAt = -Constants.REACH_VALID_MS;
+    private long complainedAt = -Constants.REACH_VALID_MS;
     /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
     private long troubleUntil;
     private Set<String> dark = Set.of();
@@ -147,14 +147,14 @@
     }
 
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
-    void pleaded(List<String> machines) {
-        pleadedAt = machines.isEmpty() ? pleadedAt : runtime.now();
+    void complained(List<String> machines) {
+        complainedAt = machines.isEmpty() ? complainedAt : runtime.now();
         machines.forEach(reachability::reached);
     }
 
     /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
     boolean nobodyTells(long now) {
-        return !reachability.othersTell(now) || now - pleadedAt < Constants.REACH_VALID_MS;
+        return !reachability.othersTell(now) || now - complainedAt < Constants.REACH_VALID_MS;
     }
 
     /**
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -12,7 +12,7 @@
 import org.hollypick.cluster.Keeper;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.relay.Plea;
+import org.hollypick.relay.LeaderComplaint;
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
@@ -177,7 +177,7 @@
     public void recordsChanged(Collection<String> keys) {
         long now = runtime.now();
         registry.changed(keys);
-        keys.stream().filter(k -> k.startsWith(Keys.PLEA) && view.get(k) != null).forEach(k -> workers.failureDetector().pleaded(Plea.machines(view.get(k).data(), token)));
+        keys.stream().filter(k -> k.startsWith(Keys.LEADER_COMPLAINT) && view.get(k) != null).forEach(k -> workers.failureDetector().complained(LeaderComplaint.machines(view.get(k).data(), token)));
         for (String key : keys) {
             if (!key.startsWith(Keys.JOB)) {
                 continue;
--- a/src/main/java/org/hollypick/relay/Plea.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -21,8 +21,8 @@
  * What a controller that can't hand reports on tells the owner by way of the state service, when nothing else leads there: machines that come to it. If the
  * owner misses them it is at fault. Only the decision who leads rests on it; it is attached to the hold and goes with it.
  */
-public final class Plea {
-    private static final Logger LOG = LoggerFactory.getLogger(Plea.class);
+public final class LeaderComplaint {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
 
     private final Runtime runtime;
     private final Settings settings;
@@ -35,12 +35,12 @@
     /** Machines whose reports couldn't be handed on, and when: they go from one controller to the next. */
     private final Object2LongLinkedOpenHashMap<String> heard = new Object2LongLinkedOpenHashMap<>();
 
-    Plea(Runtime runtime, Settings settings, Membership membership, StateClient state) {
+    LeaderComplaint(Runtime runtime, Settings settings, Membership membership, StateClient state) {
         this.runtime = runtime;
         this.settings = settings;
         this.membership = membership;
         this.state = state;
-        this.saidAt = runtime.now() - Constants.PLEA_EVERY_MS;
+        this.saidAt = runtime.now() - Constants.LEADER_COMPLAINT_EVERY_MS;
     }
 
     /** The owner took reports. */
@@ -57,11 +57,11 @@
             heard.clear();
         }
         machines.forEach(m -> heard.putAndMoveToLast(m, now));
-        while (!heard.isEmpty() && (heard.size() > Constants.PLEA_MACHINES || now - heard.getLong(heard.firstKey()) > Constants.PLEA_MEMORY_MS)) {
+        while (!heard.isEmpty() && (heard.size() > Constants.LEADER_COMPLAINT_MACHINES || now - heard.getLong(heard.firstKey()) > Constants.LEADER_COMPLAINT_MEMORY_MS)) {
             heard.removeFirstLong();
         }
         Long tenancy = membership.tenancy();
-        if (now - since < Constants.PLEA_AFTER_MS || now - saidAt < Constants.PLEA_EVERY_MS || tenancy == null || !membership.leaderIsThere() || heard.isEmpty()) {
+        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS || tenancy == null || !membership.leaderIsThere() || heard.isEmpty()) {
             return;
         }
         saidAt = now;
@@ -69,7 +69,7 @@
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the owner isn't reached, telling it by the state service token={} machines={}", token, names.size());
-        state.commitNow(new StateClient.Txn().when(Keys.ROSTER, token).putLeased(Keys.plea(settings.node()), data, tenancy), r -> { });
+        state.commitNow(new StateClient.Txn().when(Keys.ROSTER, token).putLeased(Keys.leaderComplaint(settings.node()), data, tenancy), r -> { });
     }
 
     /** The machines that such a record names, if it is meant for that owner. */
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -34,7 +34,7 @@
     private final Settings settings;
     private final Membership membership;
     private final Keeper keeper;
-    private final Plea plea;
+    private final LeaderComplaint leaderComplaint;
     private final Function<byte[], Answer> own;
     private final ArrayDeque<Held> held = new ArrayDeque<>();
     private int heldBytes;
@@ -57,7 +57,7 @@
         this.membership = membership;
         this.keeper = keeper;
         this.own = own;
-        this.plea = new Plea(runtime, settings, membership, state);
+        this.leaderComplaint = new LeaderComplaint(runtime, settings, membership, state);
     }
 
     /** A machine's report; the answer follows within the time that the machine waits. */
@@ -161,7 +161,7 @@
         List<Answer> answers = r.ok() ? RelayCodec.answers(r.body()) : List.of();
         if (r.ok() && answers.size() == bundle.size()) {
             failures = 0;
-            plea.handedOn();
+            leaderComplaint.handedOn();
             long until = sent + Membership.certainly(RelayCodec.rightMs(r.body())); // the owner counted it from later on
             for (int i = 0; i < answers.size(); i++) {
                 bundle.get(i).answer.accept(answers.get(i).only(() -> runtime.now() < until && token() == token && !released.contains(by.member())));
@@ -173,7 +173,7 @@
         } else {
             // Sent again, until its time is over: the owner takes a report that it knows for what it is. More and more seldom: it may be overloaded.
             bundle.forEach(this::hold);
-            plea.failed(token, machines(bundle));
+            leaderComplaint.failed(token, machines(bundle));
             notBefore = runtime.now() + (Constants.RELAY_RETRY_MS << Math.min(failures++, Constants.RELAY_DOUBLINGS));
         }
     }
@@ -181,7 +181,7 @@
     private static Set<String> machines(List<Held> bundle) {
         Set<String> names = new LinkedHashSet<>();
         for (Held h : bundle) {
-            Report read = names.size() < Constants.PLEA_MACHINES ? WorkerCodec.report(h.report) : null;
+            Report read = names.size() < Constants.LEADER_COMPLAINT_MACHINES ? WorkerCodec.report(h.report) : null;
             if (read != null) {
                 names.add(read.machine());
             }
