--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -9,7 +9,7 @@
 import org.hollypick.api.UserApi;
 import org.hollypick.cloud.CloudClient;
 import org.hollypick.cluster.Membership;
-import org.hollypick.cluster.Keeper;
+import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.PeerReachability;
 import org.hollypick.cluster.View;
@@ -51,7 +51,7 @@
     private final Dependencies dependencies;
     private final JobRecords jobs;
     private final UserApi users;
-    private final Keeper keeper;
+    private final PartitionedLeaseRenewal leaseRenewal;
     private final Relay relay;
     private final PeerEndpoints mesh = new PeerEndpoints();
     /** Null unless the operators switched graphs on. */
@@ -84,16 +84,16 @@
         this.jobs = new JobRecords(runtime, settings, state, view, membership, dependencies);
         this.users = new UserApi(runtime, settings, view, membership, jobs, dependencies, () -> term, () -> types.isEmpty() ? null : types);
         this.graphs = operator.graphs() ? new GraphApi(runtime, settings, view, membership, users, () -> term, () -> types.isEmpty() ? null : types) : null;
-        this.keeper = new Keeper(runtime, settings, view, membership, this::cancelled,
+        this.leaseRenewal = new PartitionedLeaseRenewal(runtime, settings, view, membership, this::cancelled,
                 () -> term != null && term.scheduler.leases.allAsked(), this::kept);
-        this.relay = new Relay(runtime, settings, membership, state, keeper, report -> term != null && term.acting() ? hello(report, settings.node()) : null);
+        this.relay = new Relay(runtime, settings, membership, state, leaseRenewal, report -> term != null && term.acting() ? hello(report, settings.node()) : null);
         listenToOthers();
     }
 
     public void start() {
         LOG.info("start node={} zone={}", settings.node(), settings.zone());
         membership.start();
-        keeper.start();
+        leaseRenewal.start();
         view.load();
         refreshTypes();
     }
--- a/src/main/java/org/hollypick/cluster/Keeper.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -27,8 +27,8 @@
  * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the owner. It has the owner's
  * grant for that, for a while; it orders nothing but the end of tasks whose job is cancelled (docs/safety.md, "Kept leases").
  */
-public final class Keeper {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+public final class PartitionedLeaseRenewal {
+    private static final Logger LOG = LoggerFactory.getLogger(PartitionedLeaseRenewal.class);
 
     private final Runtime runtime;
     private final Settings settings;
@@ -53,7 +53,7 @@
 
     /** {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this owner's successor,
      * would reckon with leases that it keeps; {@code keptByOwner}: hears of leases that an owner renewed without being entitled. */
-    public Keeper(Runtime runtime, Settings settings, View view, Membership membership, Predicate<String> cancelled,
+    public PartitionedLeaseRenewal(Runtime runtime, Settings settings, View view, Membership membership, Predicate<String> cancelled,
             BooleanSupplier othersCount, LongConsumer keptByOwner) {
         this.runtime = runtime;
         this.settings = settings;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.hollypick.records.JobCodec;
 import org.hollypick.cloud.CloudClient;
-import org.hollypick.cluster.Keeper;
+import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.relay.LeaderComplaint;
@@ -168,7 +168,7 @@
         Leases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
         boolean granted = leases.allAsked() && jobTermination.allCancelledKnown(epoch);
-        return Keeper.told(token, leases.answer(node, granted, now), granted).only(this::acting);
+        return PartitionedLeaseRenewal.told(token, leases.answer(node, granted, now), granted).only(this::acting);
     }
 
     // ---- records ----
--- a/src/main/java/org/hollypick/core/Leases.java
+++ b/src/main/java/org/hollypick/core/Leases.java
@@ -20,7 +20,7 @@
     public static final long NO_ECHO = 0;
 
     /** What one other controller has told, and what it may do. Times are this owner's. */
-    private static final class Keeper {
+    private static final class Custodian {
         /** Under older tokens it kept nothing after this. */
         private long olderUntil;
         private boolean asked;
@@ -37,7 +37,7 @@
     private final long leaseMs;
     private final long windowMs;
     private final long termStart;
-    private final Map<String, Keeper> keepers = new HashMap<>();
+    private final Map<String, Custodian> custodians = new HashMap<>();
     /** This node's own keeping, while it wasn't entitled. */
     private long ownKept = NEVER;
     private long numbers;
@@ -48,9 +48,9 @@
         this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS + Constants.LEASE_MARGIN_MS;
         this.termStart = termStart;
         for (String other : others) {
-            Keeper k = new Keeper();
+            Custodian k = new Custodian();
             k.olderUntil = nobodyBefore ? NEVER : termStart + possibly(windowMs);
-            keepers.put(other, k);
+            custodians.put(other, k);
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     /**
-     * For how long leases may be kept, in milliseconds; 0 if not at all. A cancellation that the keeper doesn't know of was told after the
+     * For how long leases may be kept, in milliseconds; 0 if not at all. A cancellation that the custodian doesn't know of was told after the
      * grant, so whatever it keeps has to be gone, its lease included, within the time that a cancelled task has.
      */
     public static long windowMs(Settings settings) {
@@ -74,7 +74,7 @@
 
     /** Another controller asks under this term's token. {@code echo}: the newest answer that it has seen; {@code kept}: it kept leases since it last told. */
     public void asked(String node, long echo, boolean kept, long now) {
-        Keeper k = keepers.get(node);
+        Custodian k = custodians.get(node);
         if (k == null) {
             return;
         }
@@ -95,7 +95,7 @@
     /** The number of the answer that goes out now. */
     public long answer(String node, boolean granted, long now) {
         long number = ++numbers;
-        Keeper k = keepers.get(node);
+        Custodian k = custodians.get(node);
         if (k != null) {
             k.answers.put(number, now);
             while (k.answers.size() > Constants.KEEP_ANSWERS) {
@@ -110,7 +110,7 @@
 
     /** All others have asked in this term: none of them is of a version that doesn't know of kept leases. */
     public boolean allAsked() {
-        return keepers.values().stream().allMatch(k -> k.asked);
+        return custodians.values().stream().allMatch(k -> k.asked);
     }
 
     /** This node itself renewed leases while it wasn't entitled to act. */
@@ -131,7 +131,7 @@
         long last = Math.max(Math.max(renewed, termStart), ownKept);
         long clear = now;
         long mayBe = last;
-        for (Keeper k : keepers.values()) {
+        for (Custodian k : custodians.values()) {
             last = Math.max(last, Math.max(k.olderUntil, k.kept));
             clear = Math.min(clear, k.clear);
             mayBe = Math.max(mayBe, k.granted);
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.hollypick.cluster.Keeper;
+import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.Membership;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
@@ -33,7 +33,7 @@
     private final Runtime runtime;
     private final Settings settings;
     private final Membership membership;
-    private final Keeper keeper;
+    private final PartitionedLeaseRenewal leaseRenewal;
     private final LeaderComplaint leaderComplaint;
     private final Function<byte[], Answer> own;
     private final ArrayDeque<Held> held = new ArrayDeque<>();
@@ -50,12 +50,12 @@
     private record Held(byte[] report, long until, Consumer<Answer> answer) {}
 
     /** {@code own}: the answer of this node itself while it is the owner, else null. */
-    public Relay(Runtime runtime, Settings settings, Membership membership, StateClient state, Keeper keeper,
+    public Relay(Runtime runtime, Settings settings, Membership membership, StateClient state, PartitionedLeaseRenewal leaseRenewal,
             Function<byte[], Answer> own) {
         this.runtime = runtime;
         this.settings = settings;
         this.membership = membership;
-        this.keeper = keeper;
+        this.leaseRenewal = leaseRenewal;
         this.own = own;
         this.leaderComplaint = new LeaderComplaint(runtime, settings, membership, state);
     }
@@ -78,9 +78,9 @@
     /** The answer that this node can give by itself, as owner or since it keeps leases; null if there is none. */
     private Answer here(byte[] report) {
         Answer now = own.apply(report);
-        if (now == null && !membership.toldNewer() && keeper.keeping()) {
+        if (now == null && !membership.toldNewer() && leaseRenewal.keeping()) {
             Report read = WorkerCodec.report(report);
-            now = read == null ? Answer.error(400, "not a report") : keeper.answer(read);
+            now = read == null ? Answer.error(400, "not a report") : leaseRenewal.answer(read);
         }
         return now;
     }
--- a/src/test/java/org/hollypick/LeasesTest.java
+++ b/src/test/java/org/hollypick/LeasesTest.java
@@ -16,7 +16,7 @@
 import org.hollypick.core.Leases;
 import org.junit.jupiter.api.Test;
 
-/** When a lease counts as over, against a plain model of a worker, two keepers, an owner and a network that loses and holds back, on drifting clocks. */
+/** When a lease counts as over, against a plain model of a worker, two custodians, an owner and a network that loses and holds back, on drifting clocks. */
 class LeasesTest {
     private static final long LEASE_MS = 15_000;
     private static final List<String> KEEPERS = List.of("k0", "k1");
@@ -24,7 +24,7 @@
             3, LEASE_MS / 1000.0, 35, 100, 30, 8192, 12, 8, 4, 1000);
     private static final long WINDOW_MS = Leases.windowMs(SETTINGS);
 
-    /** What a keeper may do wrong. */
+    /** What a custodian may do wrong. */
     private enum Fault { NONE, HIDES, KEEPS_LONGER, COUNTS_FROM_THE_ANSWER, BEGINS_AGAIN_UNNOTICED }
 
     /** One drawn stretch of time; events in the order of true time. */
@@ -35,7 +35,7 @@
         private final boolean beginsAgain;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Leases leases;
-        private final List<Keeper> keepers = new ArrayList<>();
+        private final List<Custodian> custodians = new ArrayList<>();
         private final double ownerRate;
         private final double workerRate;
         private long now = 100_000;
@@ -44,7 +44,7 @@
         private double sentAt;
         private boolean ended;
         private long answeredAt;
-        /** Who hears the worker: 0 the owner, else a keeper, -1 nobody. */
+        /** Who hears the worker: 0 the owner, else a custodian, -1 nobody. */
         private int heardBy;
         private long overAt = -1;
         private String wrong;
@@ -56,7 +56,7 @@
             }
         }
 
-        private final class Keeper {
+        private final class Custodian {
             final String name;
             final double rate;
             boolean linked = true;
@@ -68,7 +68,7 @@
             long kept;
             long told;
 
-            Keeper(String name, double rate) {
+            Custodian(String name, double rate) {
                 this.name = name;
                 this.rate = rate;
                 this.contactAt = now * rate;
@@ -139,8 +139,8 @@
             this.answeredAt = owner();
             this.leases = new Leases(SETTINGS, KEEPERS, owner(), random.nextBoolean());
             for (String name : KEEPERS) {
-                Keeper k = new Keeper(name, rate());
-                keepers.add(k);
+                Custodian k = new Custodian(name, rate());
+                custodians.add(k);
                 after(random.nextInt(1_000), k::ask);
             }
             after(0, this::report);
@@ -167,7 +167,7 @@
         /** Now and then who reaches whom changes. */
         private void weather() {
             heardBy = random.nextInt(4) - 1;
-            for (Keeper k : keepers) {
+            for (Custodian k : custodians) {
                 k.linked = random.nextInt(3) > 0;
                 if (beginsAgain && random.nextInt(5) == 0) {
                     after(random.nextInt(20_000), k::beginAgain);
@@ -184,12 +184,12 @@
             int by = heardBy;
             if (by >= 0 && !ended) {
                 after(random.nextInt(500), () -> {
-                    boolean answers = by == 0 || keepers.get(by - 1).keeps();
+                    boolean answers = by == 0 || custodians.get(by - 1).keeps();
                     if (answers) {
                         if (by == 0) {
                             answeredAt = owner();
                         } else {
-                            keepers.get(by - 1).kept++;
+                            custodians.get(by - 1).kept++;
                         }
                         after(random.nextInt(500), () -> {
                             if (now * workerRate - sentAt > LEASE_MS) {
@@ -236,7 +236,7 @@
 
     /** Each way of keeping more than was granted, or telling less, is noticed by the model. */
     @Test
-    void theModelNoticesFaultyKeepers() {
+    void theModelNoticesFaultyCustodians() {
         for (Fault fault : List.of(Fault.HIDES, Fault.KEEPS_LONGER, Fault.COUNTS_FROM_THE_ANSWER, Fault.BEGINS_AGAIN_UNNOTICED)) {
             boolean noticed = false;
             for (int seed = 1; seed <= 3_000 && !noticed; seed++) {
--- a/src/test/java/org/hollypick/sim/KeepingTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A zone cut off from everything, with controllers in it and outside; workers' leases last 15 s, and a cancelled task has 35 s. */
-class KeepingTest {
+class PartitionedLeaseRenewalTest {
     private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.defaults());
     /** Two leases' time, nearly: longer than a lease, shorter than a lease that is kept. */
     private static final long CUT_MS = 28_000;
