--- a/src/test/java/org/hollypick/sim/MeetingsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -17,12 +17,12 @@
 import org.hollypick.io.Runtime;
 import org.junit.jupiter.api.Test;
 
-/** Two troubles that meet (docs/meetings.md): what each alone doesn't break may break between them. Workers' leases last 15 s, and a cancelled task has 35 s. */
-class MeetingsTest {
+/** Two troubles that meet (docs/combined-faults.md): what each alone doesn't break may break between them. Workers' leases last 15 s, and a cancelled task has 35 s. */
+class CombinedFaultsTest {
     private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.defaults());
     private static final long OUTAGE_MS = 60_000;
-    /** More are played outside CI: {@code mvn test -Dtest=MeetingsTest -Dmeetings.days=3000}. */
-    private static final int DAYS = Integer.getInteger("meetings.days", 150);
+    /** More are played outside CI: {@code mvn test -Dtest=CombinedFaultsTest -Dcombined-faults.days=3000}. */
+    private static final int DAYS = Integer.getInteger("combined-faults.days", 150);
     private static final int FIRST_DAY = Integer.getInteger("meetings.first", 1);
     /** Drawn troubles are over by then: the last pair begins at 110 s, its second at most 35 s later, and ten changes of the leader take 100 s. */
     private static final long CALM_MS = 255_000;
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines at a change of the leader (docs/meetings.md): rented a moment ago, reporting late, out of reach in one
+ * Machines at a change of the leader (docs/combined-faults.md): rented a moment ago, reporting late, out of reach in one
  * direction, or carrying out direct commands seconds after they were sent. The orders of events are enumerated,
  * not drawn; CI plays every n-th of them, and {@code mvn test -Dtest=MachineFaultsTest -Dmachines.every=1} plays
  * all.
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Partitions, long absences and overload that meet other troubles (docs/meetings.md). Workers' leases last 15 s, and a cancelled task has 35 s. After each day's
+ * Partitions, long absences and overload that meet other troubles (docs/combined-faults.md). Workers' leases last 15 s, and a cancelled task has 35 s. After each day's
  * troubles no job may go unanswered for 75 s, nor wait for 90 s beside room. Each check has a faulty variant that it notices.
  */
 class PartitionFaultsTest {
