--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Brings the term in line with the roster. */
+    /** Brings the term in line with the leader record. */
     private void leadership() {
         if (!view.loaded()) {
             return;
@@ -236,7 +236,7 @@
     }
 
     private Answer ready() {
-        boolean ready = view.loaded() && !types.isEmpty() && membership.rosterStamp() != 0 && !membership.alone();
+        boolean ready = view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.alone();
         return ready ? Answer.of(200, Codec.object().put("ready", true)) : Answer.later("starting");
     }
 
--- a/src/main/java/org/hollypick/cluster/Keys.java
+++ b/src/main/java/org/hollypick/cluster/Keys.java
@@ -3,7 +3,7 @@
 /** The names of this service's records in the state service. */
 public final class Keys {
     public static final String PREFIX = "h/";
-    public static final String ROSTER = "h/roster";
+    public static final String LEADER_RECORD = "h/roster";
     private static final String MEMBER = "h/n/";
     public static final String JOB = "h/j/";
     public static final String PROGRESS = "h/p/";
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's hold, its member key and the claim to lead. The roster names the leader and the stamp of its member key:
- * while that key stands, nobody else can claim. The roster's own stamp is the token.
+ * This node's hold, its member key and the claim to lead. The leader record names the leader and the stamp of its member key:
+ * while that key stands, nobody else can claim. The leader record's own stamp is the token.
  */
 public final class Membership {
     private static final String LIMITS = "limits";
@@ -53,7 +53,7 @@
     /** What an earlier self let others answer for it is over. */
     private final long rightsOver;
     private int incarnation;
-    /** The newest roster that another controller told of. */
+    /** The newest leader record that another controller told of. */
     private Leader told;
     /** When this node gave up its lead, by the time of day; told with its member key, so that all know. */
     private final LongArrayList resigned = new LongArrayList();
@@ -270,10 +270,10 @@
 
     /**
      * Another controller asks this one not to claim. Granted only while this node's view shows the asker's member key in place:
-     * then this node can't have a claim under way against that roster.
+     * then this node can't have a claim under way against that leader record.
      */
     private boolean promise(long token) {
-        if (!view.loaded() || token == 0 || rosterStamp() != token || free()) {
+        if (!view.loaded() || token == 0 || leaderRecordRevision() != token || free()) {
             return false;
         }
         if (reachesState()) {
@@ -283,7 +283,7 @@
         return true;
     }
 
-    /** Whether an own or an earlier self's promise forbids a claim now. A roster that names this node itself binds nobody. */
+    /** Whether an own or an earlier self's promise forbids a claim now. A leader record that names this node itself binds nobody. */
     private boolean promised() {
         return runtime.now() < silentUntil && !settings.node().equals(leader()) && leader() != null;
     }
@@ -309,17 +309,17 @@
         return Math.max(held ? holdUntil : Leases.NEVER, promisedToken == token ? promisedUntil : Leases.NEVER);
     }
 
-    /** The roster's stamp if the roster names this very incarnation, else 0. */
+    /** The leader record's revision if the leader record names this very incarnation, else 0. */
     public long token() {
-        View.Entry roster = view.get(Keys.ROSTER);
-        return roster != null && memberStamp != 0 && roster.data().path("leader").asText().equals(settings.node())
-                && Codec.u64(roster.data().path("member")) == memberStamp ? roster.stamp() : 0;
+        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        return leaderRecord != null && memberStamp != 0 && leaderRecord.data().path("leader").asText().equals(settings.node())
+                && Codec.u64(leaderRecord.data().path("member")) == memberStamp ? leaderRecord.stamp() : 0;
     }
 
-    /** The leader that the roster names, which may be dead; null without a roster. */
+    /** The leader that the leader record names, which may be dead; null without a leader record. */
     public String leader() {
-        View.Entry roster = view.get(Keys.ROSTER);
-        return roster == null ? null : roster.data().path("leader").asText();
+        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        return leaderRecord == null ? null : leaderRecord.data().path("leader").asText();
     }
 
     /** The stamp of this incarnation's member key, which no other ever has; 0 while there is none. */
@@ -329,39 +329,39 @@
 
     /** How many terms there have been, the present one included. */
     public long terms() {
-        View.Entry roster = view.get(Keys.ROSTER);
-        return roster == null ? 0 : roster.data().path("terms").asLong();
+        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        return leaderRecord == null ? 0 : leaderRecord.data().path("terms").asLong();
     }
 
-    /** The leader that the roster names still has its member key. */
+    /** The leader that the leader record names still has its member key. */
     public boolean leaderIsThere() {
         return !free();
     }
 
-    /** Who leads by a roster: the node, the stamp of its member key, and the token. */
+    /** Who leads by a leader record: the node, the stamp of its member key, and the token. */
     public record Leader(String node, long member, long token) {}
 
-    /** Who leads, as far as this node knows: by its view, or by the word of another that knows a newer roster while this one's view stands still. Null if nobody does. */
+    /** Who leads, as far as this node knows: by its view, or by the word of another that knows a newer leader record while this one's view stands still. Null if nobody does. */
     public Leader currentLeader() {
         if (toldNewer()) {
             return told;
         }
-        return free() ? null : new Leader(leader(), Codec.u64(view.get(Keys.ROSTER).data().path("member")), rosterStamp());
+        return free() ? null : new Leader(leader(), Codec.u64(view.get(Keys.LEADER_RECORD).data().path("member")), leaderRecordRevision());
     }
 
-    /** Another controller told of a newer roster than this node's view shows. Reports go there; everything else waits for the view. */
+    /** Another controller told of a newer leader record than this node's view shows. Reports go there; everything else waits for the view. */
     public boolean toldNewer() {
-        return told != null && Long.compareUnsigned(told.token, rosterStamp()) > 0;
+        return told != null && Long.compareUnsigned(told.token, leaderRecordRevision()) > 0;
     }
 
-    private void learn(JsonNode roster) {
-        long token = Codec.u64(roster.path("baton"));
+    private void learn(JsonNode leaderRecord) {
+        long token = Codec.u64(leaderRecord.path("baton"));
         if (token != 0 && (told == null || Long.compareUnsigned(token, told.token) > 0)) {
-            told = new Leader(roster.path("leader").asText(), Codec.u64(roster.path("member")), token);
+            told = new Leader(leaderRecord.path("leader").asText(), Codec.u64(leaderRecord.path("member")), token);
         }
     }
 
-    /** This node's answer to another that asks for a promise; it asks since it has no way to the state service, so it is told of the roster. */
+    /** This node's answer to another that asks for a promise; it asks since it has no way to the state service, so it is told of the leader record. */
     public ObjectNode promised(long token) {
         ObjectNode answer = Codec.object().put("promised", promise(token)).put("reaches_state", reachesState());
         Leader currentLeader = currentLeader();
@@ -371,8 +371,8 @@
         return answer;
     }
 
-    public long rosterStamp() {
-        return view.stamp(Keys.ROSTER);
+    public long leaderRecordRevision() {
+        return view.stamp(Keys.LEADER_RECORD);
     }
 
     /**
@@ -445,7 +445,7 @@
             claiming = false;
         } else {
             String leader = leader();
-            StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, rosterStamp()).when(Keys.member(settings.node()), memberStamp);
+            StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, leaderRecordRevision()).when(Keys.member(settings.node()), memberStamp);
             if (leader != null && !leader.equals(settings.node())) {
                 txn.when(Keys.member(leader), view.stamp(Keys.member(leader)));
             }
@@ -455,11 +455,11 @@
 
     /** Whether all leaders so far have kept the limits of teams that this one keeps: a leader says which it keeps only if that holds for those before it. */
     public boolean limitsKept() {
-        View.Entry roster = view.get(Keys.ROSTER);
-        return roster == null || roster.data().path(LIMITS).asText().equals(limits);
+        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        return leaderRecord == null || leaderRecord.data().path(LIMITS).asText().equals(limits);
     }
 
-    /** Writes the roster again, as it is: its new stamp is a new token, under which no older order is executed any more. */
+    /** Writes the leader record again, as it is: its new stamp is a new token, under which no older order is executed any more. */
     public void fence(long token) {
         fence(token, limitsKept());
     }
@@ -472,17 +472,17 @@
     private void fence(long token, boolean limitsKept) {
         if (!claiming && valid() && entitled(token)) {
             claiming = true;
-            write(new StateClient.Txn().when(Keys.ROSTER, token).when(Keys.member(settings.node()), memberStamp), limitsKept, "a fence");
+            write(new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.member(settings.node()), memberStamp), limitsKept, "a fence");
         }
     }
 
     private void write(StateClient.Txn txn, boolean limitsKept, String why) {
-        ObjectNode roster = Codec.object().put("leader", settings.node()).put("member", memberStamp).put("terms", terms() + 1);
+        ObjectNode leaderRecord = Codec.object().put("leader", settings.node()).put("member", memberStamp).put("terms", terms() + 1);
         if (limitsKept) {
-            roster.put(LIMITS, limits);
+            leaderRecord.put(LIMITS, limits);
         }
-        state.commitNow(txn.put(Keys.ROSTER, roster), r -> {
-            LOG.info("roster written status={} why={}", r.status(), why);
+        state.commitNow(txn.put(Keys.LEADER_RECORD, leaderRecord), r -> {
+            LOG.info("leader record written status={} why={}", r.status(), why);
             // The watch brings the outcome, whatever the answer was.
             runtime.after(r.ok() || r.status() == 409 ? 200 : Constants.RENEW_RETRY_MS, () -> {
                 claiming = false;
@@ -492,8 +492,8 @@
     }
 
     private boolean free() {
-        View.Entry roster = view.get(Keys.ROSTER);
-        return roster == null
-                || view.stamp(Keys.member(roster.data().path("leader").asText())) != Codec.u64(roster.data().path("member"));
+        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        return leaderRecord == null
+                || view.stamp(Keys.member(leaderRecord.data().path("leader").asText())) != Codec.u64(leaderRecord.data().path("member"));
     }
 }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -73,7 +73,7 @@
     }
 
     private void ask() {
-        long token = membership.rosterStamp();
+        long token = membership.leaderRecordRevision();
         String leaderAddress = settings.meshAddr(membership.leader());
         if (leaderAddress != null && view.loaded()) {
             long sent = runtime.now();
@@ -99,14 +99,14 @@
         }
     }
 
-    /** Until when this node may keep leases under the roster that it knows; for a leader: since it was last entitled. */
+    /** Until when this node may keep leases under the leader record that it knows; for a leader: since it was last entitled. */
     private long until() {
         long own = membership.token();
         if (own != 0) {
             // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
             return othersCount.getAsBoolean() ? membership.entitledUntil(own) + Membership.certainly(windowMs) : Leases.NEVER;
         }
-        return grantedToken == membership.rosterStamp() ? grantedUntil : Leases.NEVER;
+        return grantedToken == membership.leaderRecordRevision() ? grantedUntil : Leases.NEVER;
     }
 
     private boolean mayKeep() {
@@ -119,14 +119,14 @@
         boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
         if (keeping != announced) {
             announced = keeping;
-            LOG.info("{} leases token={}", keeping ? "keeping" : "no longer keeping", membership.rosterStamp());
+            LOG.info("{} leases token={}", keeping ? "keeping" : "no longer keeping", membership.leaderRecordRevision());
         }
         return keeping;
     }
 
     /** The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the answer. */
     public Answer answer(Report report) {
-        long token = membership.rosterStamp();
+        long token = membership.leaderRecordRevision();
         if (Long.compareUnsigned(report.token(), token) > 0) {
             return null;
         }
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -102,7 +102,7 @@
     public static final double LEADERSHIP_DELAY_BETTER = 0.9;
     /** Milliseconds between a controller's words to a leader that it doesn't reach, while machines come to it that the leader may miss. */
     public static final long LEADER_COMPLAINT_EVERY_MS = 2_500;
-    /** Milliseconds for which reports can't be handed on before that: a leader's crash shows in the roster by then. */
+    /** Milliseconds for which reports can't be handed on before that: a leader's crash shows in the leader record by then. */
     public static final long LEADER_COMPLAINT_AFTER_MS = 2_000;
     /** Milliseconds for which a machine counts as one that comes here: it asks each controller in turn, some seconds each. */
     public static final long LEADER_COMPLAINT_MEMORY_MS = 10_000;
@@ -263,7 +263,7 @@
     public static final int ENDS_WAITING = 2;
     /** Seconds' worth of changes in one transaction of ends at most: a larger one would hold up for longer what users wait for. */
     public static final double BATCH_S = 0.5;
-    /** Times that a submission's record is tried: the roster may have changed since this node last heard of it. */
+    /** Times that a submission's record is tried: the leader record may have changed since this node last heard of it. */
     public static final int CREATE_TRIES = 2;
 
     // ---- user interface ----
--- a/src/main/java/org/hollypick/control/AttainedServiceRecord.java
+++ b/src/main/java/org/hollypick/control/AttainedServiceRecord.java
@@ -56,7 +56,7 @@
         }
         String text = record.toString();
         if (!text.equals(last)) {
-            state.commit(new StateClient.Txn().when(Keys.ROSTER, scheduler.token).put(Keys.sizes(settings.node()), record), r -> {
+            state.commit(new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token).put(Keys.sizes(settings.node()), record), r -> {
                 if (r.ok()) {
                     last = text;
                 }
--- a/src/main/java/org/hollypick/control/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/DependentCancellation.java
@@ -51,7 +51,7 @@
         if (writing || waiting.isEmpty() || runtime.now() < notBefore || !state.spare()) {
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
         List<String> ending = new ArrayList<>();
         for (Map.Entry<String, Long> e : waiting.entrySet()) {
             if (ending.size() == settings.txnOps()) {
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/GraphLog.java
@@ -105,7 +105,7 @@
             taken.forEach(e -> unwritten.poll().durable.run());
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token).when(Keys.job(id), order);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.job(id), order);
         for (List<ObjectNode> ops : records) {
             String key = Keys.graphLog(id, token, numbers.getAsLong());
             txn.when(key, 0).put(key, GraphRecords.record(id, ops));
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -294,7 +294,7 @@
         }
         graphs.put(id, made);
         ObjectNode record = GraphRecords.live(head, scheduler.token);
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.job(id), 0).when(Keys.ROSTER, scheduler.token).put(Keys.job(id), record);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.job(id), 0).when(Keys.LEADER_RECORD, scheduler.token).put(Keys.job(id), record);
         state.commit(txn, r -> {
             if (!r.ok()) {
                 // It may be there, or come: then the view shows it, and a repeated call finds it.
@@ -526,7 +526,7 @@
                     endedAt.remove(ended.getKey());
                     return;
                 }
-                StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, scheduler.token);
+                StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token);
                 keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size()).forEach(txn::drop);
                 dropping = true;
                 state.commit(txn, r -> runtime.after(Constants.RENEW_RETRY_MS, () -> dropping = false));
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -175,15 +175,15 @@
         });
     }
 
-    /** The record is conditional on the roster, so that a later leader knows that no earlier one can have started the job. */
+    /** The record is conditional on the leader record, so that a later leader knows that no earlier one can have started the job. */
     private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
-        long roster = membership.rosterStamp();
-        if (roster == 0 || state.crowded()) {
+        long leaderRecord = membership.leaderRecordRevision();
+        if (leaderRecord == 0 || state.crowded()) {
             then.accept(Outcome.LATER);
             return;
         }
         String key = Keys.job(spec.id());
-        StateClient.Txn txn = new StateClient.Txn().when(key, 0).when(Keys.ROSTER, roster).put(key, Records.live(spec, roster, awaits, more));
+        StateClient.Txn txn = new StateClient.Txn().when(key, 0).when(Keys.LEADER_RECORD, leaderRecord).put(key, Records.live(spec, leaderRecord, awaits, more));
         state.commit(txn, r -> {
             if (r.ok()) {
                 known(spec.id(), Codec.u64(r.body().path("epoch")));
--- a/src/main/java/org/hollypick/control/JobTermination.java
+++ b/src/main/java/org/hollypick/control/JobTermination.java
@@ -192,7 +192,7 @@
 
     /** Until the outcome is known for certain, this node's own idea of the jobs is no answer to users. */
     private void commit(List<Ending> endings, Consumer<Reply> reply) {
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
         for (Ending e : endings) {
             String id = e.job.spec.id();
             e.job.endsInDoubt++;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -109,7 +109,7 @@
         this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, jobTermination, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
     }
 
-    /** Starts from the records; the view holds every change up to the roster's own, and older leaders can make none after it. */
+    /** Starts from the records; the view holds every change up to the leader record's own, and older leaders can make none after it. */
     public void start() {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/Progress.java
@@ -177,7 +177,7 @@
     private record Written(Part part, BitSet done) {}
 
     private void write(Set<Slot> dirty, List<Written> included) {
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, scheduler.token);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token);
         for (Slot slot : dirty) {
             slot.parts.values().removeIf(part -> {
                 boolean over = part.job.status != Job.Status.LIVE;
--- a/src/main/java/org/hollypick/control/Registry.java
+++ b/src/main/java/org/hollypick/control/Registry.java
@@ -119,7 +119,7 @@
         if (writing || wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty() || runtime.now() < notBefore) {
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.ROSTER, token);
+        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
         Map<String, JsonNode> adding = new LinkedHashMap<>();
         wanted.forEach((id, m) -> adding.put(id, Records.machine(m)));
         copies.forEach(adding::putIfAbsent);
--- a/src/main/java/org/hollypick/control/RuntimeStatistics.java
+++ b/src/main/java/org/hollypick/control/RuntimeStatistics.java
@@ -26,7 +26,7 @@
 
 /**
  * What was learned of run times, kept for the next leader: kinds by hash in a few records, one written now and then after everything else. Each write is
- * conditional on the roster and on the record that it replaces, so one that is applied late takes nothing back.
+ * conditional on the leader record and on the record that it replaces, so one that is applied late takes nothing back.
  */
 final class RuntimeStatistics {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatistics.class);
@@ -134,7 +134,7 @@
         list.forEach(out::add);
         Map<String, Boolean> written = new LinkedHashMap<>(kinds);
         kinds.replaceAll((k, dirty) -> false);
-        state.commit(new StateClient.Txn().when(Keys.ROSTER, token).when(key, stamp).put(key, record), r -> {
+        state.commit(new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(key, stamp).put(key, record), r -> {
             if (!r.ok()) {
                 written.forEach((k, dirty) -> kinds.merge(k, dirty, Boolean::logicalOr));
             }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -21,7 +21,7 @@
     public final JobSpec spec;
     /** Arrival order: the stamp of the job's record. */
     public final long order;
-    /** The roster stamp that the record's creation was conditional on. */
+    /** The leader record stamp that the record's creation was conditional on. */
     public final long under;
     public Status status = Status.LIVE;
     /** All that it awaits is durably done; before that nothing of it starts, and it counts for nothing. */
--- a/src/main/java/org/hollypick/records/GraphRecords.java
+++ b/src/main/java/org/hollypick/records/GraphRecords.java
@@ -26,8 +26,8 @@
     /** What holds for the graph as a whole. {@code base}: its class, team and rank. */
     public record Head(JobSpec base, int retries, boolean endOnFailure) {}
 
-    public static ObjectNode live(Head head, long rosterStamp) {
-        ObjectNode record = Codec.object().put("under", rosterStamp);
+    public static ObjectNode live(Head head, long leaderRecordRevision) {
+        ObjectNode record = Codec.object().put("under", leaderRecordRevision);
         ObjectNode graph = record.putObject(GRAPH).put("retries", head.retries).put("end_on_failure", head.endOnFailure);
         graph.set("base", JobCodec.write(head.base));
         return record;
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -43,8 +43,8 @@
     }
 
     /** {@code more}: null if the job's own record holds everything that it awaits. */
-    public static ObjectNode live(JobSpec spec, long rosterStamp, Collection<String> awaits, More more) {
-        ObjectNode record = Codec.object().put("under", rosterStamp);
+    public static ObjectNode live(JobSpec spec, long leaderRecordRevision, Collection<String> awaits, More more) {
+        ObjectNode record = Codec.object().put("under", leaderRecordRevision);
         record.set("spec", JobCodec.write(spec));
         if (!awaits.isEmpty()) {
             record.set(AWAITS, awaited(awaits));
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -69,7 +69,7 @@
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
-        state.commitNow(new StateClient.Txn().when(Keys.ROSTER, token).putLeased(Keys.leaderComplaint(settings.node()), data, tenancy), r -> { });
+        state.commitNow(new StateClient.Txn().when(Keys.LEADER_RECORD, token).putLeased(Keys.leaderComplaint(settings.node()), data, tenancy), r -> { });
     }
 
     /** The machines that such a record names, if it is meant for that leader. */
--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/CancelModelTest.java
@@ -49,7 +49,7 @@
         int serviceUntil = HOLD;
         int promisedUntil = NEVER;
         boolean holdGone;
-        int roster = FIRST;
+        int leaderRecord = FIRST;
         /** Until when the second one may have renewed the lease, or the first one and whoever keeps leases under it. */
         int renewedUntil = NEVER;
         boolean secondFollowsAFence;
@@ -66,7 +66,7 @@
         boolean there;
         /** What the first one knows of the task: shown by a report, or not yet. */
         boolean shown;
-        /** The machine has reported under the present roster's token, if that isn't the one of the launch. */
+        /** The machine has reported under the present leader record's token, if that isn't the one of the launch. */
         boolean heard;
         int leaseFrom;
         int seenToken = FIRST;
@@ -92,14 +92,14 @@
 
         /** All that bears on what may happen next, in 64 bits. */
         long key() {
-            boolean lead = roster != SECOND;
+            boolean lead = leaderRecord != SECOND;
             boolean rights = now <= entitledUntil() + WINDOW + 2;
             long k = 0;
             for (int time : new int[] {now, rights ? entitledUntil() : NEVER, lead && !holdGone ? serviceUntil : NEVER, now <= promisedUntil ? promisedUntil : NEVER,
                 renewedUntil, writtenAt, toldAt, leaseFrom, reportAt}) {
                 k = k << 4 | time + 1;
             }
-            for (int token : new int[] {roster, writing, seenToken, reportToken, answerToken}) {
+            for (int token : new int[] {leaderRecord, writing, seenToken, reportToken, answerToken}) {
                 k = k << 2 | token;
             }
             for (boolean bit : new boolean[] {up, holdGone, secondFollowsAFence, durable, answered, secondSees, asked, launchUnderWay, there, shown, heard, reportShows,
@@ -111,7 +111,7 @@
 
         @Override
         public String toString() {
-            return "now=" + now + " up=" + up + " entitledUntil=" + entitledUntil() + " promisedUntil=" + promisedUntil + " roster=" + roster + " writtenAt=" + writtenAt
+            return "now=" + now + " up=" + up + " entitledUntil=" + entitledUntil() + " promisedUntil=" + promisedUntil + " roster=" + leaderRecord + " writtenAt=" + writtenAt
                     + " durable=" + durable + " toldAt=" + toldAt + " launchUnderWay=" + launchUnderWay + " there=" + there + " shown=" + shown + " leaseFrom=" + leaseFrom
                     + " seenToken=" + seenToken + " reportAt=" + reportAt + " answerToken=" + answerToken + " elsewhere=" + elsewhere + " broken=" + broken + "\n";
         }
@@ -121,7 +121,7 @@
         }
 
         boolean firstActs() {
-            return roster != SECOND && now <= entitledUntil();
+            return leaderRecord != SECOND && now <= entitledUntil();
         }
 
         void told() {
@@ -145,7 +145,7 @@
 
     private static void tick(State s) {
         s.now++;
-        s.holdGone |= s.up && s.roster != SECOND && s.now > s.serviceUntil;
+        s.holdGone |= s.up && s.leaderRecord != SECOND && s.now > s.serviceUntil;
         if (s.there && s.toldAt != NEVER && s.now > s.toldAt + CANCEL && s.now <= s.leaseFrom + LEASE) {
             s.broken = Rule.RAN_CANCELLED;
         }
@@ -156,14 +156,14 @@
             t.up = !t.up;
             t.serviceUntil = t.up ? t.now + HOLD : t.serviceUntil; // holds have their full time again
         }));
-        if (s.up && !s.holdGone && s.roster != SECOND) {
+        if (s.up && !s.holdGone && s.leaderRecord != SECOND) {
             to.accept(s.next(t -> {
                 t.holdUntil = t.now + HOLD;
                 t.serviceUntil = t.now + HOLD;
             }));
-            if (s.roster == FIRST && s.firstActs()) {
+            if (s.leaderRecord == FIRST && s.firstActs()) {
                 to.accept(s.next(t -> {
-                    t.roster = FENCED;
+                    t.leaderRecord = FENCED;
                     t.heard = false;
                     // What isn't durable by now never will be, and is forgotten; what is, the new term finds.
                     t.asked = t.durable;
@@ -173,13 +173,13 @@
                 }));
             }
         }
-        if (s.roster != SECOND && !s.holdGone) {
+        if (s.leaderRecord != SECOND && !s.holdGone) {
             to.accept(s.next(t -> t.promisedUntil = t.now + PROMISE));
         }
-        if (s.up && s.holdGone && s.roster != SECOND && (s.now > s.promisedUntil || fault == Fault.CLAIMS_DESPITE_ITS_PROMISE)) {
+        if (s.up && s.holdGone && s.leaderRecord != SECOND && (s.now > s.promisedUntil || fault == Fault.CLAIMS_DESPITE_ITS_PROMISE)) {
             to.accept(s.next(t -> {
-                t.secondFollowsAFence = t.roster == FENCED;
-                t.roster = SECOND;
+                t.secondFollowsAFence = t.leaderRecord == FENCED;
+                t.leaderRecord = SECOND;
                 t.heard = false;
                 t.renewedUntil = t.now + WINDOW;
                 t.secondSees = t.durable;
@@ -192,15 +192,15 @@
             to.accept(s.next(t -> t.asked = true));
         }
         // A launch may come that no report has shown; after a fence, until a report comes that was made under the new token.
-        boolean launchMayCome = s.roster == FIRST ? !s.shown && fault != Fault.WRITES_DESPITE_A_LAUNCH : !s.heard && fault != Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
+        boolean launchMayCome = s.leaderRecord == FIRST ? !s.shown && fault != Fault.WRITES_DESPITE_A_LAUNCH : !s.heard && fault != Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
         if (s.firstActs() && s.asked && !s.durable && s.writing == 0 && !launchMayCome) {
             to.accept(s.next(t -> {
-                t.writing = t.roster;
+                t.writing = t.leaderRecord;
                 t.writtenAt = t.now;
             }));
         }
-        // Carried out at any later time, unless the roster has changed.
-        if (s.up && s.writing == s.roster && !s.durable) {
+        // Carried out at any later time, unless the leader record has changed.
+        if (s.up && s.writing == s.leaderRecord && !s.durable) {
             to.accept(s.next(t -> t.durable = true));
         }
         if (s.durable && s.firstActs() && !s.answered) {
@@ -216,7 +216,7 @@
             to.accept(s.next(State::told));
         }
         boolean secondKnows = s.heard || s.now > s.renewedUntil + LEASE || fault == Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
-        if (s.roster == SECOND && s.up && !s.durable && secondKnows) {
+        if (s.leaderRecord == SECOND && s.up && !s.durable && secondKnows) {
             to.accept(s.next(t -> {
                 t.durable = true;
                 t.secondSees = true;
@@ -243,8 +243,8 @@
             to.accept(s.next(t -> t.shown = true)); // the launch's own answer
         }
         // A question brings the token and renews nothing.
-        if (s.roster == SECOND || s.firstActs()) {
-            to.accept(s.next(t -> t.seenToken = Math.max(t.seenToken, t.roster)));
+        if (s.leaderRecord == SECOND || s.firstActs()) {
+            to.accept(s.next(t -> t.seenToken = Math.max(t.seenToken, t.leaderRecord)));
         }
         if (s.reportAt < s.now) {
             to.accept(s.next(t -> {
@@ -272,16 +272,16 @@
             return;
         }
         int keptUntil = s.entitledUntil() + WINDOW + (fault == Fault.KEEPS_TOO_LONG ? 2 : 0);
-        int token = s.roster == FENCED || s.secondFollowsAFence ? FENCED : FIRST;
+        int token = s.leaderRecord == FENCED || s.secondFollowsAFence ? FENCED : FIRST;
         if (s.answerToken == 0 && s.reportToken <= token && s.now <= keptUntil) {
             to.accept(s.next(t -> {
                 t.shown |= t.reportShows;
-                t.heard |= t.roster == FENCED && t.reportToken == FENCED;
+                t.heard |= t.leaderRecord == FENCED && t.reportToken == FENCED;
                 t.answerToken = token;
                 t.answerKills = t.reportShows && (fault == Fault.ONLY_WHAT_IS_DURABLE_GOES ? t.answered : t.asked);
             }));
         }
-        if (s.roster == SECOND) {
+        if (s.leaderRecord == SECOND) {
             if (s.answerToken == 0) {
                 to.accept(s.next(t -> {
                     t.heard |= t.reportToken == SECOND;
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -65,7 +65,7 @@
         int epoch;
         int created;
         int ended;
-        int roster;
+        int leaderRecord;
         /** Up to which change each node's view is. */
         int[] views = new int[NODES];
         /** The acting leader, or -1. */
@@ -108,7 +108,7 @@
         }
 
         StateKey.Packed key() {
-            StateKey key = new StateKey().number(epoch, 2).number(created, 2).number(ended, 2).number(roster, 2);
+            StateKey key = new StateKey().number(epoch, 2).number(created, 2).number(ended, 2).number(leaderRecord, 2);
             for (int view : views) {
                 key.number(view, 2);
             }
@@ -125,8 +125,8 @@
             return ended != 0 && changes >= ended ? OVER : created != 0 && changes >= created ? LIVE : UNKNOWN;
         }
 
-        int rosterLeader() {
-            return roster == 0 ? 0 : 1;
+        int leaderRecordLeader() {
+            return leaderRecord == 0 ? 0 : 1;
         }
 
         void create() {
@@ -139,7 +139,7 @@
 
         @Override
         public String toString() {
-            return "created=" + created + " ended=" + ended + " roster=" + roster + " views=" + Arrays.toString(views)
+            return "created=" + created + " ended=" + ended + " roster=" + leaderRecord + " views=" + Arrays.toString(views)
                     + " leader=" + leader + " owns=" + owns + " doubt=" + doubt + " write=" + write + " " + request
                     + " told=" + told + "\n";
         }
@@ -166,15 +166,15 @@
     // ---- the state service ----
 
     private static void service(State s, Successors<State> to) {
-        if (s.roster == 0) {
+        if (s.leaderRecord == 0) {
             to.add("another leader is written", s.next(t -> {
-                t.roster = ++t.epoch;
+                t.leaderRecord = ++t.epoch;
                 t.leader = NEVER;
                 t.owns = false;
                 t.knowsOver = false;
                 t.doubt = false;
                 t.write = Write.NONE;
-                t.lateEnd = false; // conditional on the roster, so it fails from here on
+                t.lateEnd = false; // conditional on the leader record, so it fails from here on
                 t.loading = NEVER;
             }));
         }
@@ -184,7 +184,7 @@
                 t.end();
             }));
         }
-        if (s.lateCreation == s.rosterLeader() && s.created == 0) {
+        if (s.lateCreation == s.leaderRecordLeader() && s.created == 0) {
             to.add("the late creation is carried out", s.next(t -> {
                 t.lateCreation = NEVER;
                 t.create();
@@ -250,7 +250,7 @@
     /** The view of a node is now as the records were after so many changes. */
     private static void see(State s, int node, int changes, Fault fault) {
         s.views[node] = changes;
-        if (node == 1 && s.roster != 0 && changes >= s.roster && s.leader == NEVER) {
+        if (node == 1 && s.leaderRecord != 0 && changes >= s.leaderRecord && s.leader == NEVER) {
             s.leader = 1;
         }
         if (node == s.leader) {
@@ -294,7 +294,7 @@
     }
 
     private static int leaderSeenBy(State s, int node) {
-        return s.roster != 0 && s.views[node] >= s.roster ? 1 : 0;
+        return s.leaderRecord != 0 && s.views[node] >= s.leaderRecord ? 1 : 0;
     }
 
     private static void arrived(State s, Fault fault, Successors<State> to) {
@@ -315,7 +315,7 @@
         Request r = s.request;
         if (s.created != 0) {
             to.add("it finds the job created", with(s, r.to(Phase.ARRIVED, 0)));
-        } else if (r.value == s.rosterLeader()) {
+        } else if (r.value == s.leaderRecordLeader()) {
             to.add("it has created the job", s.next(t -> {
                 t.create();
                 t.request = r.to(Phase.CREATED, 0);
--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/LimitModelTest.java
@@ -128,7 +128,7 @@
         int termStart;
         Machine[] machines = {new Machine(), new Machine()};
         Copy copy;
-        /** The third job: the token of its record's roster, 0 while it isn't submitted. */
+        /** The third job: the token of its record's leader record, 0 while it isn't submitted. */
         int submittedUnder;
         /** The leader knows that the second job's task is done. */
         boolean done;
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -204,7 +204,7 @@
                 t.durable = true;
             }));
         }
-        // Conditional on the roster.
+        // Conditional on the leader record.
         if (s.lateWrite && s.leader == FIRST) {
             to.add("the late registration is carried out", s.next(t -> {
                 t.lateWrite = false;
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -260,7 +260,7 @@
                 tight ? tightened.writeRps : 60, tight ? tightened.valueBytes : 8192, tight ? tightened.txnOps : 12, 8, 4, 1000);
     }
 
-    /** A controller orders machines about, or the cloud: only the one that the roster names may, in the moment of sending. */
+    /** A controller orders machines about, or the cloud: only the one that the leader record names may, in the moment of sending. */
     private void ordered(String node) {
         if (!node.equals(state.data("h/roster").path("leader").asText())) {
             checker.broken.add("without_right " + node + " at " + world.now);
@@ -677,7 +677,7 @@
         return state.data("h/roster").path("leader").asText();
     }
 
-    /** The number of the controller that the roster names. */
+    /** The number of the controller that the leader record names. */
     int leader() {
         return Integer.parseInt(lead().substring("bothy-".length()));
     }
@@ -724,7 +724,7 @@
         hosts.forEach(h -> cutFromWorkers(h.index, ms, Set.of(w.name)));
     }
 
-    /** Once the roster names a leader under a token other than now's, however that came. */
+    /** Once the leader record names a leader under a token other than now's, however that came. */
     void atNextLeader(Runnable run) {
         awaitToken(state.stamp("h/roster"), run);
     }
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -181,7 +181,7 @@
     /** Who gets the copies: only the new leader, only the others, which hand them on to it, or all. */
     private enum To { LEADER, OTHERS, ALL }
 
-    /** When they arrive, counted from the new leader's roster or from its first direct command. */
+    /** When they arrive, counted from the new leader's leader record or from its first direct command. */
     private enum When { AT_ONCE, SOON, ONCE_IT_HAS_ACTED, A_LEASE_LATER }
 
     /** All copies in one order or the other, or of each machine only the one that shows the fewest tasks. */
--- a/src/test/java/org/hollypick/sim/RelayTest.java
+++ b/src/test/java/org/hollypick/sim/RelayTest.java
@@ -30,7 +30,7 @@
                 armed[0] = false;
                 int leader = day.leader();
                 int other = Integer.parseInt(from.substring("bothy-".length()));
-                // It hears of the new roster later still.
+                // It hears of the new leader record later still.
                 day.freeze(other, freezeMs);
                 day.world.cut(from, "state:1", 12_000);
                 day.world.at(40, () -> day.crash(leader, restartMs));
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -17,7 +17,7 @@
         return day;
     }
 
-    /** Milliseconds from the leader's end until a roster names another incarnation. */
+    /** Milliseconds from the leader's end until a leader record names another incarnation. */
     private static long withoutLeader(Day day, long within) {
         long member = day.state.data("h/roster").path("member").asLong();
         long from = day.world.now;
--- a/src/test/java/org/hollypick/sim/StormTest.java
+++ b/src/test/java/org/hollypick/sim/StormTest.java
@@ -29,7 +29,7 @@
         private final List<Long> changes = new ArrayList<>();
         private final Set<String> wellReturned = new HashSet<>();
         private final Set<String> hung = new HashSet<>();
-        private long roster;
+        private long leaderRecord;
 
         Watched(long seed, BiFunction<Runtime, Settings, Node> version, int sockets) {
             day = new Day(seed, SIZE, null, null, version);
@@ -39,7 +39,7 @@
             day.play(70_000);
             day.sockets = sockets;
             day.costMs = 1.2;
-            roster = leaderStamp();
+            leaderRecord = leaderStamp();
             day.world.sending = (from, call) -> {
                 if (call.path().equals("/hosts/return")) {
                     call.body().path("bothies").forEach(id -> returned(id.asText()));
@@ -63,8 +63,8 @@
         Watched play(long ms) {
             for (long t = 0; t < ms; t += 100) {
                 day.play(100);
-                if (leaderStamp() != roster) {
-                    roster = leaderStamp();
+                if (leaderStamp() != leaderRecord) {
+                    leaderRecord = leaderStamp();
                     changes.add(day.world.now);
                 }
             }
