--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's hold, its member key and the claim to lead. The leader record names the leader and the stamp of its member key:
+ * This node's state session, its member key and the claim to lead. The leader record names the leader and the stamp of its member key:
  * while that key stands, nobody else can claim. The leader record's own stamp is the token.
  */
 public final class Membership {
@@ -34,9 +34,9 @@
     private final int rank;
     private final String limits;
 
-    private long tenancy;
+    private long stateSession;
     private boolean held;
-    private long holdUntil;
+    private long stateSessionUntil;
     /** The stamp of this incarnation's member key; 0 while there is none. */
     private long memberStamp;
     private long renewedAt;
@@ -75,7 +75,7 @@
         askOthers();
     }
 
-    /** One process runs under a node's name at a time, so a member key found at the start is a dead self's: its hold is ended. */
+    /** One process runs under a node's name at a time, so a member key found at the start is a dead self's: its state session is ended. */
     public void start() {
         state.get(Keys.member(settings.node()), r -> {
             if (r.ok() && r.body().path("tenancy").isNumber()) {
@@ -91,7 +91,7 @@
     /** Not before others have certainly stopped passing on what the earlier self answered. */
     private void endEarlier(long old, long member) {
         released(member, rightsOver - runtime.now(), () -> state.end(old, e -> {
-            LOG.info("ended the hold of the earlier self tenancy={} status={}", Long.toUnsignedString(old), e.status());
+            LOG.info("ended the state session of the earlier self state_session={} status={}", Long.toUnsignedString(old), e.status());
             if (e.status() == 200 || e.status() == 204 || e.status() == 404) {
                 join();
             } else {
@@ -128,12 +128,12 @@
         held = false;
         memberStamp = 0;
         long sent = runtime.now();
-        state.grant(Constants.HOLD_MS, r -> {
+        state.grant(Constants.STATE_SESSION_MS, r -> {
             if (!r.ok()) {
                 runtime.after(Constants.RENEW_RETRY_MS, this::join);
                 return;
             }
-            tenancy = Codec.u64(r.body().path("tenancy"));
+            stateSession = Codec.u64(r.body().path("tenancy"));
             held = true;
             heldFrom(sent);
             enter(self);
@@ -153,7 +153,7 @@
 
     private void heldFrom(long sent) {
         renewedAt = runtime.now();
-        holdUntil = sent + certainly(Constants.HOLD_MS);
+        stateSessionUntil = sent + certainly(Constants.STATE_SESSION_MS);
     }
 
     private void enter(int self) {
@@ -166,7 +166,7 @@
         // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the others
         // would take for a new incarnation while this one still acts.
         String key = Keys.member(settings.node());
-        state.commitNow(new StateClient.Txn().when(key, 0).putLeased(key, data, tenancy), r -> {
+        state.commitNow(new StateClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
             if (self != incarnation) {
                 return;
             }
@@ -177,7 +177,7 @@
                     if (self != incarnation) {
                         return;
                     }
-                    if (g.ok() && Codec.u64(g.body().path("tenancy")) == tenancy) {
+                    if (g.ok() && Codec.u64(g.body().path("tenancy")) == stateSession) {
                         entered(Codec.u64(g.body().path("stamp"))); // an earlier try was applied after all
                     } else {
                         runtime.after(Constants.RENEW_RETRY_MS, () -> enter(self));
@@ -193,7 +193,7 @@
 
     private void entered(long stamp) {
         memberStamp = stamp;
-        LOG.info("joined tenancy={} member={}", Long.toUnsignedString(tenancy), Long.toUnsignedString(stamp));
+        LOG.info("joined state_session={} member={}", Long.toUnsignedString(stateSession), Long.toUnsignedString(stamp));
         changed.run();
     }
 
@@ -202,17 +202,17 @@
             return;
         }
         long sent = runtime.now();
-        state.extend(tenancy, r -> {
+        state.extend(stateSession, r -> {
             if (self != incarnation) {
                 return;
             }
             if (r.ok()) {
-                // A hold that could be renewed never ended, so whatever rests on it still stands.
+                // A state session that could be renewed never ended, so whatever rests on it still stands.
                 heldFrom(sent);
                 runtime.after(Constants.RENEW_MS, () -> renew(self));
                 changed.run();
             } else if (r.status() == 404) {
-                LOG.info("hold lost tenancy={}", Long.toUnsignedString(tenancy));
+                LOG.info("state session lost state_session={}", Long.toUnsignedString(stateSession));
                 join();
                 changed.run();
             } else {
@@ -221,9 +221,9 @@
         });
     }
 
-    /** Whether this node's own hold is certainly valid now. */
+    /** Whether this node's own state session is certainly valid now. */
     public boolean valid() {
-        return held && runtime.now() < holdUntil;
+        return held && runtime.now() < stateSessionUntil;
     }
 
     // ---- promises: how a leader goes on while the state service is away ----
@@ -259,7 +259,7 @@
     /** This node can't reach the state service though another can, or reaches neither it nor any other controller: users are better served elsewhere. */
     public boolean alone() {
         long now = runtime.now();
-        boolean cutOff = !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > Constants.HOLD_MS;
+        boolean cutOff = !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > Constants.STATE_SESSION_MS;
         return !reachesState() && (now < aloneUntil || cutOff);
     }
 
@@ -296,17 +296,17 @@
 
     /** By what this node may act, and renew leases, under this token right now, for the log. */
     public String right(long token) {
-        return !entitled(token) ? "none" : valid() ? "hold" : "promises";
+        return !entitled(token) ? "none" : valid() ? "session" : "promises";
     }
 
-    /** The hold that this node's keys are attached to; null while there is none that is certainly valid. */
-    public Long tenancy() {
-        return valid() ? tenancy : null;
+    /** The state session that this node's keys are attached to; null while there is none that is certainly valid. */
+    public Long stateSession() {
+        return valid() ? stateSession : null;
     }
 
     /** Until when this node may, or might, act as leader under this token. */
     public long entitledUntil(long token) {
-        return Math.max(held ? holdUntil : Leases.NEVER, promisedToken == token ? promisedUntil : Leases.NEVER);
+        return Math.max(held ? stateSessionUntil : Leases.NEVER, promisedToken == token ? promisedUntil : Leases.NEVER);
     }
 
     /** The leader record's revision if the leader record names this very incarnation, else 0. */
@@ -399,7 +399,7 @@
 
     /** Gives up the lead, and this incarnation with it, so that another controller takes over. */
     public void resign() {
-        long old = tenancy;
+        long old = stateSession;
         long member = memberStamp;
         resigned.add(runtime.timeOfDay());
         if (resigned.size() > Constants.RESIGN_DOUBLINGS) {
@@ -409,7 +409,7 @@
         join();
         // Others may still pass answers of this leader on, for as long as it told them.
         released(member, possibly(Constants.RELAY_RIGHT_MS),
-                () -> state.end(old, r -> LOG.info("resigned tenancy={} status={}", Long.toUnsignedString(old), r.status())));
+                () -> state.end(old, r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
         changed.run();
     }
 
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -10,10 +10,10 @@
     /** Milliseconds taken off every hold and added to every wait, for timer steps. */
     public static final long CLOCK_MARGIN_MS = 150;
 
-    // ---- the member hold ----
+    // ---- the state session ----
     /** Milliseconds. The successor of a crashed leader waits this long at most; it bounds how long nobody schedules. */
-    public static final long HOLD_MS = 4_000;
-    /** Milliseconds between renewals: three tries fit into a hold. */
+    public static final long STATE_SESSION_MS = 4_000;
+    /** Milliseconds between renewals: three tries fit into a state session. */
     public static final long RENEW_MS = 1_000;
     /** Milliseconds between two resignations in the group, doubled with each lately: a new leader needs some seconds to hear of its machines. */
     public static final long RESIGN_PAUSE_MS = 10_000;
@@ -28,7 +28,7 @@
     /** Milliseconds for which a node promises a leader that can't reach the state service not to claim its lead; also how long a
      * restarted node waits before it claims another's lead, since its earlier self may have promised. */
     public static final long PROMISE_MS = 4_000;
-    /** Milliseconds since the last renewal after which promises are asked for: before the hold can lapse. */
+    /** Milliseconds since the last renewal after which promises are asked for: before the state session can lapse. */
     public static final long PROMISE_AFTER_MS = 1_600;
     /** Milliseconds between two rounds of asking: several fit into one promise. */
     public static final long PROMISE_EVERY_MS = 700;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -39,7 +39,7 @@
 
 /**
  * One term of leadership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records to
- * what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's hold is valid.
+ * what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's state session is valid.
  */
 public final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -19,7 +19,7 @@
 
 /**
  * What a controller that can't hand reports on tells the leader by way of the state service, when nothing else leads there: machines that come to it. If the
- * leader misses them it is at fault. Only the decision who leads rests on it; it is attached to the hold and goes with it.
+ * leader misses them it is at fault. Only the decision who leads rests on it; it is attached to the state session and goes with it.
  */
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
@@ -60,8 +60,8 @@
         while (!heard.isEmpty() && (heard.size() > Constants.LEADER_COMPLAINT_MACHINES || now - heard.getLong(heard.firstKey()) > Constants.LEADER_COMPLAINT_MEMORY_MS)) {
             heard.removeFirstLong();
         }
-        Long tenancy = membership.tenancy();
-        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS || tenancy == null || !membership.leaderIsThere() || heard.isEmpty()) {
+        Long stateSession = membership.stateSession();
+        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS || stateSession == null || !membership.leaderIsThere() || heard.isEmpty()) {
             return;
         }
         saidAt = now;
@@ -69,7 +69,7 @@
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
-        state.commitNow(new StateClient.Txn().when(Keys.LEADER_RECORD, token).putLeased(Keys.leaderComplaint(settings.node()), data, tenancy), r -> { });
+        state.commitNow(new StateClient.Txn().when(Keys.LEADER_RECORD, token).putLeased(Keys.leaderComplaint(settings.node()), data, stateSession), r -> { });
     }
 
     /** The machines that such a record names, if it is meant for that leader. */
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -61,8 +61,8 @@
             return this;
         }
 
-        public Txn putLeased(String key, JsonNode data, long tenancy) {
-            ObjectNode op = then.addObject().put("put", key).put("tenancy", tenancy);
+        public Txn putLeased(String key, JsonNode data, long stateSession) {
+            ObjectNode op = then.addObject().put("put", key).put("tenancy", stateSession);
             op.set("data", data);
             return this;
         }
@@ -200,17 +200,17 @@
         });
     }
 
-    /** Asked twice, one of two holds is never used and ends by itself. */
+    /** Asked twice, one of two state sessions is never used and ends by itself. */
     public void grant(long lifeMs, Consumer<Reply> reply) {
         urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
-    public void extend(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(tenancy) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+    public void extend(long stateSession, Consumer<Reply> reply) {
+        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(stateSession) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
-    public void end(long tenancy, Consumer<Reply> reply) {
-        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(tenancy), null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+    public void end(long stateSession, Consumer<Reply> reply) {
+        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(stateSession), null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
     }
 
     public void watch(String prefix, long from, Consumer<Reply> reply) {
--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/CancelModelTest.java
@@ -16,7 +16,7 @@
  * All that can happen to one task on one machine while it is cancelled: two controllers that lead in turn, a state service that comes and goes, a launch that is
  * held up, reports and answers lost, late or doubled, a write whose answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone
  * in time once anybody was told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The first controller
- * launched the task; its hold is the one that counts. Times are in ticks; drift is {@code LeasesTest}'s matter.
+ * launched the task; its state session is the one that counts. Times are in ticks; drift is {@code LeasesTest}'s matter.
  */
 class CancelModelTest {
     private static final int TICKS = 8;
@@ -44,7 +44,7 @@
     private static final class State implements Cloneable {
         int now;
         boolean up = true;
-        /** Until when the first one counts on its hold, the service does, and its promise from the second lasts. */
+        /** Until when the first one counts on its state session, the service does, and its promise from the second lasts. */
         int holdUntil = HOLD;
         int serviceUntil = HOLD;
         int promisedUntil = NEVER;
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -874,7 +874,7 @@
         }
     }
 
-    /** Troubles that meet: of each pair the second begins within milliseconds of a call, a hold, a lease or a cancelled task's time of the first. */
+    /** Troubles that meet: of each pair the second begins within milliseconds of a call, a state session, a lease or a cancelled task's time of the first. */
     void drawMeetings(int pairs, long from, long to) {
         for (int i = 0; i < pairs; i++) {
             long first = from + world.random.nextInt((int) (to - from));
--- a/src/test/java/org/hollypick/sim/FreezeTest.java
+++ b/src/test/java/org/hollypick/sim/FreezeTest.java
@@ -16,7 +16,7 @@
 import org.hollypick.io.Runtime;
 import org.junit.jupiter.api.Test;
 
-/** A controller that stands still while its clocks run on, longer than its hold, between a decision and the sending of what was decided. */
+/** A controller that stands still while its clocks run on, longer than its state session, between a decision and the sending of what was decided. */
 class FreezeTest {
     private static final long LONGER_THAN_THE_HOLD_MS = 9_000;
     private static final List<Predicate<Call>> KINDS = List.of(
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -230,7 +230,7 @@
         keepsTheRules(seed -> tenChanges(seed, 1));
     }
 
-    /** Another one leads while the one before is still sure of its hold. */
+    /** Another one leads while the one before is still sure of its state session. */
     @Test
     void theCheckerNoticesHoldsThatEndEarly() {
         notices("without_right", seed -> tenChanges(seed, 0.3));
--- a/src/test/java/org/hollypick/sim/RelayTest.java
+++ b/src/test/java/org/hollypick/sim/RelayTest.java
@@ -71,7 +71,7 @@
         assertTrue(noticed);
     }
 
-    /** The leader is back before anyone has missed it, and ends its earlier self's hold: not before the others have dropped what that one answered. */
+    /** The leader is back before anyone has missed it, and ends its earlier self's state session: not before the others have dropped what that one answered. */
     @Test
     void whatAnEarlierSelfAnsweredIsNotPassedOnAfterAQuickRestart() {
         for (int seed = 1; seed <= 6; seed++) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Without the others' word, and without the wait, a restarted node would end a hold that answers under way still rest on. */
+    /** Without the others' word, and without the wait, a restarted node would end a state session that answers under way still rest on. */
     @Test
     void theCheckerNoticesAnEarlierSelfsHoldThatEndsAtOnce() {
         BiFunction<Runtime, Settings, Node> faulty = (r, s) -> NEW.apply(new Passing(r) {
--- a/src/test/java/org/hollypick/sim/RulesTest.java
+++ b/src/test/java/org/hollypick/sim/RulesTest.java
@@ -45,7 +45,7 @@
         day.checker.submitted.keySet().forEach(id -> assertTrue(!day.checker.isAccepted(id) || day.checker.isOver(id), id));
     }
 
-    /** An outage longer than hold and worker lease: the others' promises let the leader go on answering reports. */
+    /** An outage longer than state session and worker lease: the others' promises let the leader go on answering reports. */
     @Test
     void runningWorkSurvivesALongOutageOfTheStateService() {
         Day day = new Day(3).withRunningServices();
@@ -99,7 +99,7 @@
         assertEquals(List.of(), day.checker.broken);
     }
 
-    /** A leader that alone can't reach the state service was replaced, after a hold's time without a leader, though another one reaches it. */
+    /** A leader that alone can't reach the state service was replaced, after a state session's time without a leader, though another one reaches it. */
     @Test
     void aLeaderThatAloneCantReachTheStateServiceGoesOnByAnother() {
         Day day = new Day(3).withRunningServices();
@@ -167,7 +167,7 @@
         assertTrue(noticed);
     }
 
-    /** If holds end before their time, a deposed leader still answers, from what was true once. */
+    /** If state sessions end before their time, a deposed leader still answers, from what was true once. */
     @Test
     void theCheckerNoticesAHoldThatEndsEarly() {
         boolean noticed = false;
--- a/src/test/java/org/hollypick/sim/StateStandIn.java
+++ b/src/test/java/org/hollypick/sim/StateStandIn.java
@@ -48,7 +48,7 @@
     Predicate<JsonNode> refused = t -> false;
     /** It carries out whatever comes: breaks the service's promise to look at a transaction's conditions. */
     boolean careless;
-    /** Share of a hold's life after which it ends; below 1 breaks the promise that none ends early. */
+    /** Share of a state session's life after which it ends; below 1 breaks the promise that none ends early. */
     double holdShare = 1;
 
     StateStandIn(World world) {
