--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -392,7 +392,7 @@
     public static final double CUT_OFF_SHARE = 0.9;
     /** Milliseconds after most machines, or most of a zone, were silent together before any of them counts as lost: they come back one by one. */
     public static final long TROUBLE_OVER_MS = 6_000;
-    /** Machines of a zone that must leave questions open before it counts as dark. */
+    /** Machines of a zone that must leave questions open before it counts as partitioned. */
     public static final int DARK_MACHINES = 3;
     /** Milliseconds after takeover before silence counts: every machine is asked at once, twice and more. */
     public static final long SILENT_GRACE_MS = 3_000;
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -15,7 +15,7 @@
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Runtime;
 
-/** What the machines' silence means: which are lost, which zones are dark, and whether it is this leader that is cut off or overloaded. */
+/** What the machines' silence means: which are lost, which zones are partitioned, and whether it is this leader that is cut off or overloaded. */
 final class FailureDetector {
     private final Runtime runtime;
     private final Settings settings;
@@ -32,7 +32,7 @@
     private long complainedAt = -Constants.REACH_VALID_MS;
     /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
     private long troubleUntil;
-    private Set<String> dark = Set.of();
+    private Set<String> partitioned = Set.of();
     private String seen = "";
 
     /** {@code probe}: asks a machine directly. */
@@ -99,8 +99,8 @@
         // Those that left a question open against those heard of just now: counting only the silent ones would give them up one by one
         // while this node is cut off from all of them.
         double share = doubtful / (double) Math.max(1, doubtful + talking);
-        dark = byZone.entrySet().stream().filter(e -> dark(e.getValue()[0], e.getValue()[1])).map(Map.Entry::getKey).collect(Collectors.toUnmodifiableSet());
-        if (doubtful > 2 && share > Constants.SILENT_SHARE || !dark.isEmpty()) {
+        partitioned = byZone.entrySet().stream().filter(e -> partitioned(e.getValue()[0], e.getValue()[1])).map(Map.Entry::getKey).collect(Collectors.toUnmodifiableSet());
+        if (doubtful > 2 && share > Constants.SILENT_SHARE || !partitioned.isEmpty()) {
             troubleUntil = now + Constants.TROUBLE_OVER_MS;
         }
         if (doubtful <= 2 || share < Constants.CUT_OFF_SHARE) {
@@ -126,7 +126,7 @@
         return some;
     }
 
-    private static boolean dark(int talking, int doubtful) {
+    private static boolean partitioned(int talking, int doubtful) {
         return doubtful >= Constants.DARK_MACHINES && doubtful >= Constants.CUT_OFF_SHARE * (doubtful + talking);
     }
 
@@ -136,8 +136,8 @@
     }
 
     /** Zones that seem to be cut off: what is rented there can't be reached. */
-    Set<String> dark() {
-        return dark;
+    Set<String> partitioned() {
+        return partitioned;
     }
 
     /** Machines have been out of reach for so long that what runs there won't outlast another pause. */
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -284,7 +284,7 @@
             }
             if (now >= nextFleet) {
                 nextFleet = now + Constants.FLEET_MS;
-                rentals.rentAndReturn(workers.failureDetector().dark(), now);
+                rentals.rentAndReturn(workers.failureDetector().partitioned(), now);
                 if (jobTermination.fenceDue(now) || scheduler.ledger.attemptsShort()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/Rentals.java
@@ -89,8 +89,8 @@
         return fleet.load();
     }
 
-    /** {@code dark}: zones in which nothing is rented now. */
-    void rentAndReturn(Set<String> dark, long now) {
+    /** {@code partitioned}: zones in which nothing is rented now. */
+    void rentAndReturn(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
         giveBack(scheduler.machines.values().stream().filter(m -> m.returning && !returning.contains(m.id)).toList(), "again");
         if (!nobodyBefore && (!listedOnce || now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty())) {
@@ -99,7 +99,7 @@
         if (!open.getAsBoolean()) {
             fleet.closed(now);
         }
-        Fleet.Plan plan = fleet.plan(scheduler, types, settings.zones(), dark, now);
+        Fleet.Plan plan = fleet.plan(scheduler, types, settings.zones(), partitioned, now);
         if (hiring == 0) { // else machines may be on their way already
             for (Fleet.Rent rent : plan.rents()) {
                 hiring++;
--- a/src/main/java/org/hollypick/core/fleet/Fleet.java
+++ b/src/main/java/org/hollypick/core/fleet/Fleet.java
@@ -76,9 +76,9 @@
         return plan(scheduler, types, zones, Set.of(), now);
     }
 
-    /** {@code dark}: zones that can't be reached. Their machines count, since most come back, but nothing is rented there. */
-    public Plan plan(Scheduler scheduler, Map<String, MachineType> types, List<String> zones, Set<String> dark, long now) {
-        List<String> lit = zones.stream().filter(z -> !dark.contains(z)).toList();
+    /** {@code partitioned}: zones that can't be reached. Their machines count, since most come back, but nothing is rented there. */
+    public Plan plan(Scheduler scheduler, Map<String, MachineType> types, List<String> zones, Set<String> partitioned, long now) {
+        List<String> lit = zones.stream().filter(z -> !partitioned.contains(z)).toList();
         Demand demand = demand(scheduler, zones, now);
         follow(scheduler, now);
         double spotCores = 0;
@@ -87,7 +87,7 @@
         have.clear();
         for (Machine m : scheduler.machines.values()) {
             boolean slow = !m.up && now - m.createdAt > Constants.SLOW_BOOT * 1000 * m.type.bootS();
-            if (m.returning || m.draining || m.faulty || slow || m.useless() && !dark.contains(m.zone)) {
+            if (m.returning || m.draining || m.faulty || slow || m.useless() && !partitioned.contains(m.zone)) {
                 continue;
             }
             have.addTo(new Kind(m.type.name(), m.zone, m.spot), 1);
@@ -111,7 +111,7 @@
             serviceNeed += need;
             double missing = need - ordinary.getOrDefault(zone, 0.0);
             spare.put(zone, -missing);
-            if (missing > 0 && demand.service != null && !dark.contains(zone)) {
+            if (missing > 0 && demand.service != null && !partitioned.contains(zone)) {
                 rent(rents, demand.service.spec, types, List.of(zone), false, missing, now);
                 ordinaryCores += missing;
             }
--- a/src/test/java/org/hollypick/HttpTest.java
+++ b/src/test/java/org/hollypick/HttpTest.java
@@ -102,7 +102,7 @@
         assertEquals(Reply.NOT_SENT, call(Call.of(free(), "GET", "/", null, 2_000)).status());
     }
 
-    /** Given-up attempts kept their sockets, until a controller that tried machines in the dark had none left. */
+    /** Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left. */
     @Test
     void anAttemptThatIsGivenUpKeepsNoSocket() throws Exception {
         try (ServerSocket dark = new ServerSocket(0, 1)) {
--- a/src/test/java/org/hollypick/LedgerTest.java
+++ b/src/test/java/org/hollypick/LedgerTest.java
@@ -330,7 +330,7 @@
         return s;
     }
 
-    /** With a dark zone a team with a limit started nothing for as long as a lease and more, on machines that were heard, and half of all work ended. */
+    /** With a partitioned zone a team with a limit started nothing for as long as a lease and more, on machines that were heard, and half of all work ended. */
     @Test
     void aTeamsEndedTasksMakeRoomBeforeAllIsHeard() {
         Scheduler s = halfHeard(true, 5);
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -70,9 +70,9 @@
         survives(day);
     }
 
-    /** The team is at its limit, a zone is dark, and another one leads: for as long as leases may be kept there, nothing was started, though half of the machines were heard. */
+    /** The team is at its limit, a zone is partitioned, and another one leads: for as long as leases may be kept there, nothing was started, though half of the machines were heard. */
     @Test
-    void aTeamAtItsLimitGoesOnWhileAZoneIsDark() {
+    void aTeamAtItsLimitGoesOnWhileAZoneIsPartitioned() {
         int starts = 0;
         for (int seed = 1; seed <= 12; seed++) {
             Day day = new Day(seed, 4, null, null, NEW);
@@ -143,7 +143,7 @@
         assertTrue(noticed);
     }
 
-    /** Hundreds of machines in a dark zone took every direct call, so that the others went unasked, and a new leader took itself to be cut off and resigned. */
+    /** Hundreds of machines in a partitioned zone took every direct call, so that the others went unasked, and a new leader took itself to be cut off and resigned. */
     @Test
     void manySilentMachinesDoNotTakeAllCalls() {
         Day day = new Day(2, 24, null, null, NEW);
