--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -1,5 +1,6 @@
 package org.hollypick;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.List;
@@ -195,7 +196,7 @@
     }
 
     private void listenToOthers() {
-        mesh.on("/promise", (body, answer) -> answer.accept(Answer.of(200, membership.promised(body == null ? 0 : Codec.u64(body.path("baton"))))));
+        mesh.on("/promise", (body, answer) -> answer.accept(Answer.of(200, membership.promised(body == null ? 0 : Codec.u64(body.path(WireNames.FENCING_TOKEN))))));
         mesh.on("/keep", (body, answer) -> answer.accept(mayKeep(body)));
         mesh.on("/release", (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
         mesh.on(RelayCodec.PATH, (body, answer) -> answer.accept(term != null && term.acting()
@@ -213,7 +214,7 @@
     }
 
     private Answer mayKeep(JsonNode body) {
-        boolean own = body != null && term != null && term.acting() && Codec.u64(body.path("baton")) == term.token;
+        boolean own = body != null && term != null && term.acting() && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token;
         return own ? term.keep(body.path("node").asText(), Codec.u64(body.path("epoch")), Codec.u64(body.path("echo")), body.path("kept").asBoolean())
                 : Answer.later("not the leader under that token");
     }
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -1,5 +1,6 @@
 package org.hollypick.cli;
 
+import org.hollypick.io.WireNames;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
 import java.net.ServerSocket;
@@ -40,7 +41,7 @@
                 Call.of(users, "GET", "/ready", null, 5_000),
                 Call.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
                 Call.of(users, "GET", "/submissions/req-1", null, 5_000),
-                Call.of(users, "POST", "/hello", Codec.object().put("bothy", "n-1").put("tenure", 1).put("tick", 1), 5_000),
+                Call.of(users, "POST", "/hello", Codec.object().put("bothy", "n-1").put(WireNames.WORKER_SESSION, 1).put("tick", 1), 5_000),
                 new Call(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
             BlockingQueue<Reply> got = new ArrayBlockingQueue<>(1);
             client.after(0, () -> client.call(call, got::add));
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -1,5 +1,6 @@
 package org.hollypick.cluster;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -78,8 +79,8 @@
     /** One process runs under a node's name at a time, so a member key found at the start is a dead self's: its state session is ended. */
     public void start() {
         state.get(Keys.member(settings.node()), r -> {
-            if (r.ok() && r.body().path("tenancy").isNumber()) {
-                endEarlier(Codec.u64(r.body().path("tenancy")), Codec.u64(r.body().path("stamp")));
+            if (r.ok() && r.body().path(WireNames.STATE_SESSION).isNumber()) {
+                endEarlier(Codec.u64(r.body().path(WireNames.STATE_SESSION)), Codec.u64(r.body().path(WireNames.REVISION)));
             } else if (r.ok() || r.status() == 404) {
                 join();
             } else {
@@ -133,7 +134,7 @@
                 runtime.after(Constants.RENEW_RETRY_MS, this::join);
                 return;
             }
-            stateSession = Codec.u64(r.body().path("tenancy"));
+            stateSession = Codec.u64(r.body().path(WireNames.STATE_SESSION));
             held = true;
             heldFrom(sent);
             enter(self);
@@ -177,8 +178,8 @@
                     if (self != incarnation) {
                         return;
                     }
-                    if (g.ok() && Codec.u64(g.body().path("tenancy")) == stateSession) {
-                        entered(Codec.u64(g.body().path("stamp"))); // an earlier try was applied after all
+                    if (g.ok() && Codec.u64(g.body().path(WireNames.STATE_SESSION)) == stateSession) {
+                        entered(Codec.u64(g.body().path(WireNames.REVISION))); // an earlier try was applied after all
                     } else {
                         runtime.after(Constants.RENEW_RETRY_MS, () -> enter(self));
                     }
@@ -238,10 +239,10 @@
             long sent = runtime.now();
             int[] missing = {settings.siblings().size()};
             for (Settings.Sibling s : settings.siblings()) {
-                runtime.call(new Call(s.addr(), "POST", "/promise", Codec.object().put("baton", token), Constants.MESH_TIMEOUT_MS, true), r -> {
+                runtime.call(new Call(s.addr(), "POST", "/promise", Codec.object().put(WireNames.FENCING_TOKEN, token), Constants.MESH_TIMEOUT_MS, true), r -> {
                     if (r.ok()) {
                         peerAt = runtime.now();
-                        learn(r.body().path("roster"));
+                        learn(r.body().path(WireNames.LEADER_RECORD));
                     }
                     if (r.ok() && r.body().path("reaches_state").asBoolean()) {
                         aloneUntil = runtime.now() + Constants.ALONE_MS;
@@ -355,7 +356,7 @@
     }
 
     private void learn(JsonNode leaderRecord) {
-        long token = Codec.u64(leaderRecord.path("baton"));
+        long token = Codec.u64(leaderRecord.path(WireNames.FENCING_TOKEN));
         if (token != 0 && (told == null || Long.compareUnsigned(token, told.token) > 0)) {
             told = new Leader(leaderRecord.path("leader").asText(), Codec.u64(leaderRecord.path("member")), token);
         }
@@ -366,7 +367,7 @@
         ObjectNode answer = Codec.object().put("promised", promise(token)).put("reaches_state", reachesState());
         Leader currentLeader = currentLeader();
         if (currentLeader != null) {
-            answer.putObject("roster").put("leader", currentLeader.node).put("member", currentLeader.member).put("baton", currentLeader.token);
+            answer.putObject(WireNames.LEADER_RECORD).put("leader", currentLeader.node).put("member", currentLeader.member).put(WireNames.FENCING_TOKEN, currentLeader.token);
         }
         return answer;
     }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -1,5 +1,6 @@
 package org.hollypick.cluster;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -78,7 +79,7 @@
         if (leaderAddress != null && view.loaded()) {
             long sent = runtime.now();
             long telling = kept;
-            ObjectNode body = Codec.object().put("node", settings.node()).put("baton", token).put("epoch", view.epoch()).put("echo", echoToken == token ? echo : Leases.NO_ECHO)
+            ObjectNode body = Codec.object().put("node", settings.node()).put(WireNames.FENCING_TOKEN, token).put("epoch", view.epoch()).put("echo", echoToken == token ? echo : Leases.NO_ECHO)
                     .put("kept", telling > told);
             runtime.call(new Call(leaderAddress, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true), r -> answered(r, token, sent, telling));
         }
@@ -86,7 +87,7 @@
     }
 
     private void answered(Reply r, long token, long sent, long telling) {
-        if (!r.ok() || Codec.u64(r.body().path("baton")) != token) {
+        if (!r.ok() || Codec.u64(r.body().path(WireNames.FENCING_TOKEN)) != token) {
             return;
         }
         contactAt = runtime.now();
@@ -146,7 +147,7 @@
 
     /** The leader's answer to another controller that asks. */
     public static Answer told(long token, long number, boolean granted) {
-        JsonNode body = Codec.object().put("baton", token).put("number", number).put("granted", granted);
+        JsonNode body = Codec.object().put(WireNames.FENCING_TOKEN, token).put("number", number).put("granted", granted);
         return Answer.of(200, body);
     }
 }
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/View.java
@@ -1,5 +1,6 @@
 package org.hollypick.cluster;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -146,7 +147,7 @@
             String last = from;
             for (JsonNode e : r.body().path("entries")) {
                 last = e.path("key").asText();
-                into.put(last, new Entry(e.path("data"), Codec.u64(e.path("stamp"))));
+                into.put(last, new Entry(e.path("data"), Codec.u64(e.path(WireNames.REVISION))));
             }
             long at = firstEpoch == -1 ? Codec.u64(r.body().path("epoch")) : firstEpoch;
             if (r.body().path("truncated").asBoolean()) {
@@ -179,7 +180,7 @@
         }
         List<String> keys = new ArrayList<>();
         for (JsonNode e : r.body().path("events")) {
-            long stamp = Codec.u64(e.path("stamp"));
+            long stamp = Codec.u64(e.path(WireNames.REVISION));
             String key = e.has("put") ? e.path("put").asText() : e.path("drop").asText();
             if (Long.compareUnsigned(stamp, stamp(key)) <= 0) {
                 continue;
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -1,5 +1,6 @@
 package org.hollypick.relay;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -65,7 +66,7 @@
             return;
         }
         saidAt = now;
-        ObjectNode data = Codec.object().put("baton", token);
+        ObjectNode data = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
@@ -75,7 +76,7 @@
     /** The machines that such a record names, if it is meant for that leader. */
     public static List<String> machines(JsonNode data, long token) {
         List<String> names = new ArrayList<>();
-        if (Codec.u64(data.path("baton")) == token) {
+        if (Codec.u64(data.path(WireNames.FENCING_TOKEN)) == token) {
             data.path("machines").forEach(m -> names.add(m.asText()));
         }
         return names;
--- a/src/main/java/org/hollypick/relay/RelayCodec.java
+++ b/src/main/java/org/hollypick/relay/RelayCodec.java
@@ -1,5 +1,6 @@
 package org.hollypick.relay;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -18,7 +19,7 @@
     private RelayCodec() {}
 
     static JsonNode bundle(String node, long token, List<byte[]> reports) {
-        ObjectNode body = Codec.object().put("node", node).put("baton", token);
+        ObjectNode body = Codec.object().put("node", node).put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray("reports");
         reports.forEach(list::add);
         return body;
@@ -29,7 +30,7 @@
      * report and by who sent it.
      */
     public static Answer take(JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, Answer> hello) {
-        if (body == null || Codec.u64(body.path("baton")) != token) {
+        if (body == null || Codec.u64(body.path(WireNames.FENCING_TOKEN)) != token) {
             return Answer.later("not the leader under that token");
         }
         ArrayNode answers = Codec.array();
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -1,5 +1,6 @@
 package org.hollypick.state;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -62,7 +63,7 @@
         }
 
         public Txn putLeased(String key, JsonNode data, long stateSession) {
-            ObjectNode op = then.addObject().put("put", key).put("tenancy", stateSession);
+            ObjectNode op = then.addObject().put("put", key).put(WireNames.STATE_SESSION, stateSession);
             op.set("data", data);
             return this;
         }
@@ -86,7 +87,7 @@
         JsonNode body() {
             ObjectNode body = Codec.object();
             ArrayNode conditions = body.putArray("when");
-            when.object2LongEntrySet().forEach(e -> conditions.addObject().put("key", e.getKey()).put("stamp", e.getLongValue()));
+            when.object2LongEntrySet().forEach(e -> conditions.addObject().put("key", e.getKey()).put(WireNames.REVISION, e.getLongValue()));
             body.set("then", then);
             return body;
         }
--- a/src/main/java/org/hollypick/worker/WorkerClient.java
+++ b/src/main/java/org/hollypick/worker/WorkerClient.java
@@ -1,5 +1,6 @@
 package org.hollypick.worker;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -20,7 +21,7 @@
 
     /** {@code still}: whether this node may order anything, asked when the order is sent. */
     public void command(String addr, long token, long session, List<Order> orders, BooleanSupplier still, Consumer<Reply> reply) {
-        ObjectNode body = WorkerCodec.orders(token, orders).put("tenure", session);
+        ObjectNode body = WorkerCodec.orders(token, orders).put(WireNames.WORKER_SESSION, session);
         runtime.call(Call.of(addr, "POST", "/commands", body, Constants.ORDER_TIMEOUT_MS).only(still), reply);
     }
 
--- a/src/main/java/org/hollypick/worker/WorkerCodec.java
+++ b/src/main/java/org/hollypick/worker/WorkerCodec.java
@@ -1,5 +1,6 @@
 package org.hollypick.worker;
 
+import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -34,7 +35,7 @@
                     case "flavour" -> f.type = text(p, value);
                     case "hall" -> f.zone = text(p, value);
                     case "lendable" -> f.spot = value == JsonToken.VALUE_TRUE;
-                    case "tenure" -> {
+                    case WireNames.WORKER_SESSION -> {
                         f.hasSession = value == JsonToken.VALUE_NUMBER_INT;
                         f.session = u64(p, value);
                     }
@@ -42,7 +43,7 @@
                         f.hasTick = value == JsonToken.VALUE_NUMBER_INT;
                         f.tick = u64(p, value);
                     }
-                    case "baton" -> f.token = u64(p, value);
+                    case WireNames.FENCING_TOKEN -> f.token = u64(p, value);
                     case "warning_s" -> f.noticeS = value.isNumeric() ? p.getDoubleValue() : Double.NaN;
                     case "shards" -> tasks(p, value, f.tasks);
                     default -> p.skipChildren();
@@ -117,7 +118,7 @@
 
     /** The report in a worker's answer, or null if it isn't one. */
     public static Report report(JsonNode b) {
-        if (b == null || !b.isObject() || !b.path("bothy").isTextual() || !b.path("tenure").isIntegralNumber() || !b.path("tick").isIntegralNumber()) {
+        if (b == null || !b.isObject() || !b.path("bothy").isTextual() || !b.path(WireNames.WORKER_SESSION).isIntegralNumber() || !b.path("tick").isIntegralNumber()) {
             return null;
         }
         List<TaskReport> tasks = new ArrayList<>();
@@ -126,12 +127,12 @@
             tasks.add(new TaskReport(t.path("shard").asText(), Codec.u64(t.path("try")), state, t.path("cause").asText("")));
         }
         return new Report(b.path("bothy").asText(), b.path("addr").asText(""), b.path("flavour").asText(""), b.path("hall").asText(""),
-                b.path("lendable").asBoolean(), Codec.u64(b.path("tenure")), Codec.u64(b.path("tick")), Codec.u64(b.path("baton")),
+                b.path("lendable").asBoolean(), Codec.u64(b.path(WireNames.WORKER_SESSION)), Codec.u64(b.path("tick")), Codec.u64(b.path(WireNames.FENCING_TOKEN)),
                 b.path("warning_s").isNumber() ? b.path("warning_s").asDouble() : Double.NaN, tasks);
     }
 
     public static ObjectNode orders(long token, List<Order> orders) {
-        ObjectNode body = Codec.object().put("baton", token);
+        ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray("orders");
         for (Order o : orders) {
             ObjectNode n = list.addObject();
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -2,11 +2,20 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
+import org.junit.jupiter.api.Test;
+import java.util.stream.Stream;
+import java.util.Map;
+import java.util.List;
+import java.nio.file.Path;
+import java.nio.file.Files;
+import java.io.UncheckedIOException;
+import java.io.IOException;
 
 /** Which package may use which: the layout that README.md tells of stays true. */
 @AnalyzeClasses(packages = "org.hollypick", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -47,4 +56,35 @@
     static final ArchRule coreIsPure = noClasses().that().resideInAPackage("org.hollypick.core..").should().dependOnClassesThat()
             .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "java.time..", "java.util.concurrent..", "com.fasterxml..", "io.undertow..",
                     "org.xnio..", "org.slf4j..");
+
+    /** Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may spell it out: StateClient names a key that is never written. */
+    private static final Map<String, List<String>> WIRE_NAMES = Map.of(
+            "\"baton\"", List.of("io/WireNames.java"),
+            "\"tenure\"", List.of("io/WireNames.java"),
+            "\"tenancy\"", List.of("io/WireNames.java"),
+            "\"stamp\"", List.of("io/WireNames.java"),
+            "\"roster\"", List.of("io/WireNames.java"),
+            "\"h/", List.of("cluster/Keys.java", "state/StateClient.java"));
+
+    @Test
+    void wireNamesStandInTheirCodecsOnly() throws IOException {
+        Path sources = Path.of("src/main/java/org/hollypick");
+        try (Stream<Path> files = Files.walk(sources)) {
+            List<String> misplaced = files.filter(file -> file.toString().endsWith(".java"))
+                    .flatMap(file -> WIRE_NAMES.entrySet().stream()
+                            .filter(name -> name.getValue().stream().noneMatch(allowed -> file.equals(sources.resolve(allowed))))
+                            .filter(name -> read(file).contains(name.getKey()))
+                            .map(name -> name.getKey() + " in " + file))
+                    .toList();
+            assertEquals(List.of(), misplaced);
+        }
+    }
+
+    private static String read(Path file) {
+        try {
+            return Files.readString(file);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
 }
