--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -222,8 +222,8 @@
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
     private boolean cancelled(String id) {
         View.Entry e = view.get(Keys.job(id));
-        return dependencies.isCancelled(id) || term != null && term.jobTermination.cancelling(id)
-                || e != null && Records.isOver(e.data()) && Records.status(e.data()).equals(Records.ABORTED);
+        return dependencies.isCancelled(id) || (term != null && term.jobTermination.cancelling(id))
+                || (e != null && Records.isOver(e.data()) && Records.status(e.data()).equals(Records.ABORTED));
     }
 
     private void kept(long now) {
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -76,7 +76,7 @@
         int status = r.ok() ? r.body().path("status").asInt() : 503;
         JsonNode revision = r.body().path(UserApi.REVISION);
         boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
-        if (status == 0 || status == 503 || older && method.equals("GET")) {
+        if (status == 0 || status == 503 || (older && method.equals("GET"))) {
             return Answer.later("leader");
         }
         view.answeredFrom(Codec.u64(revision));
@@ -256,9 +256,9 @@
         String node = parts.get(4);
         String what = parts.get(5);
         Graphs.Live live = term.get().graphs.find(id);
-        if (!parts.get(3).equals("nodes") || !what.equals("result") && !what.equals("withdraw")) {
+        if (!parts.get(3).equals("nodes") || (!what.equals("result") && !what.equals("withdraw"))) {
             answer.accept(Answer.error(404, "no such path"));
-        } else if (live == null || post && live.job() == null) {
+        } else if (live == null || (post && live.job() == null)) {
             missing(id, answer);
         } else if (post && what.equals("withdraw")) {
             term.get().graphs.withdraw(id, node, o -> answer.accept(answer(o)));
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -279,7 +279,7 @@
 
     private String leaderToAsk() {
         LeaderTerm t = term.get();
-        return t != null && t.acting() || runtime.now() < leaderSilentUntil ? null : settings.meshAddr(membership.leader());
+        return (t != null && t.acting()) || runtime.now() < leaderSilentUntil ? null : settings.meshAddr(membership.leader());
     }
 
     /** From this node's own copy of the records, once that is known to be fresh. */
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -291,7 +291,7 @@
 
     /** Whether this node may act as leader under this token right now. */
     public boolean entitled(long token) {
-        boolean entitled = valid() || held && promisedToken == token && runtime.now() < promisedUntil;
+        boolean entitled = valid() || (held && promisedToken == token && runtime.now() < promisedUntil);
         return entitled && token != 0 && token == token();
     }
 
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -62,7 +62,7 @@
         int doubtful = 0;
         Map<String, int[]> byZone = new HashMap<>();
         for (Machine m : scheduler.machines.values()) {
-            if (m.returning || !m.up && !m.registered) {
+            if (m.returning || (!m.up && !m.registered)) {
                 continue;
             }
             long quiet = now - m.lastReportAt;
@@ -100,7 +100,7 @@
         // while this node is cut off from all of them.
         double share = doubtful / (double) Math.max(1, doubtful + talking);
         partitioned = byZone.entrySet().stream().filter(e -> partitioned(e.getValue()[0], e.getValue()[1])).map(Map.Entry::getKey).collect(Collectors.toUnmodifiableSet());
-        if (doubtful > 2 && share > Constants.SILENT_SHARE || !partitioned.isEmpty()) {
+        if ((doubtful > 2 && share > Constants.SILENT_SHARE) || !partitioned.isEmpty()) {
             troubleUntil = now + Constants.TROUBLE_OVER_MS;
         }
         if (doubtful <= 2 || share < Constants.CUT_OFF_SHARE) {
@@ -167,6 +167,6 @@
         }
         int beyond = Reachability.beyond(scheduler.machines.values(), now);
         boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > Constants.CUT_OFF_MS;
-        return beyond >= Constants.REACH_AT_FAULT || nearlyAll && (beyond > 0 || !reachability.othersTell(now));
+        return beyond >= Constants.REACH_AT_FAULT || (nearlyAll && (beyond > 0 || !reachability.othersTell(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/GraphLog.java
@@ -117,7 +117,7 @@
     /** The same keys again until the outcome is known: a second copy of an entry may never stand beside the first. */
     private void commit(StateClient.Txn txn, List<Entry> taken, Runnable written) {
         state.commit(txn, r -> {
-            if (r.ok() || r.status() == 409 && onlyOwnKeys(r.body())) { // an earlier try was carried out after all
+            if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
                 writing = false;
                 notBefore = runtime.now() + Constants.GRAPH_GAP_MS;
                 for (Entry e : taken) {
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -366,7 +366,7 @@
 
     /** What can't be recorded soon is refused at once, before anything of it is taken in. */
     private boolean crowded(Live g, Consumer<Outcome> answer) {
-        boolean crowded = state.crowded() || g != null && g.log.size() > Constants.GRAPH_BACKLOG;
+        boolean crowded = state.crowded() || (g != null && g.log.size() > Constants.GRAPH_BACKLOG);
         if (crowded) {
             answer.accept(Outcome.refused(503, "busy"));
         }
--- a/src/main/java/org/hollypick/control/JobTermination.java
+++ b/src/main/java/org/hollypick/control/JobTermination.java
@@ -238,7 +238,7 @@
 
     /** Whether another node may already tell an end of the job: its own, or the cancellation of one that it needs. */
     public boolean inDoubt(Job job) {
-        return job.endsInDoubt > 0 || !abortsInDoubt.isEmpty() && dependencies.needsAny(job.spec.id(), abortsInDoubt);
+        return job.endsInDoubt > 0 || (!abortsInDoubt.isEmpty() && dependencies.needsAny(job.spec.id(), abortsInDoubt));
     }
 
     /**
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -49,7 +49,7 @@
     private final Runtime runtime;
     private final Settings settings;
     private final View view;
-    private final StateClient state;
+    
     private final Workers workers;
     private final Rentals rentals;
     private final Registry registry;
@@ -86,7 +86,7 @@
         this.settings = settings;
         this.view = view;
         this.dependencies = dependencies;
-        this.state = state;
+        
         this.types = types;
         this.membership = membership;
         this.lastTick = runtime.now() - Constants.TICK_MS;
@@ -175,7 +175,7 @@
 
     /** Jobs that appeared, and ends that a transaction of ours brought although its answer got lost. */
     public void recordsChanged(Collection<String> keys) {
-        long now = runtime.now();
+        
         registry.changed(keys);
         keys.stream().filter(k -> k.startsWith(Keys.LEADER_COMPLAINT) && view.get(k) != null).forEach(k -> workers.failureDetector().complained(LeaderComplaint.machines(view.get(k).data(), token)));
         for (String key : keys) {
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/Progress.java
@@ -154,8 +154,8 @@
             boolean all = true;
             for (Part part : changed(job)) {
                 Slot slot = place(part);
-                boolean fits = dirty.contains(slot) || !slot.doubtful && dirty.size() < settings.txnOps()
-                        && (dirty.size() + 1) * settings.valueBytes() <= Constants.BODY_BYTES * 3 / 4;
+                boolean fits = dirty.contains(slot) || (!slot.doubtful && dirty.size() < settings.txnOps()
+                        && (dirty.size() + 1) * settings.valueBytes() <= Constants.BODY_BYTES * 3 / 4);
                 if (fits) {
                     dirty.add(slot);
                     included.add(new Written(part, part.of(job.done)));
--- a/src/main/java/org/hollypick/control/Reachability.java
+++ b/src/main/java/org/hollypick/control/Reachability.java
@@ -92,7 +92,7 @@
         if (m.elsewhereAskedAt == 0 || now - firstAskedAt < Constants.REACH_TIMEOUT_MS) {
             return false;
         }
-        return !othersTell(now) || m.elsewhereFailedAt > 0 && now - m.elsewhereFailedAt < Constants.REACH_VALID_MS;
+        return !othersTell(now) || (m.elsewhereFailedAt > 0 && now - m.elsewhereFailedAt < Constants.REACH_VALID_MS);
     }
 
     /** Another controller reached the machine a moment ago, and this one doesn't. */
--- a/src/main/java/org/hollypick/control/Registry.java
+++ b/src/main/java/org/hollypick/control/Registry.java
@@ -116,7 +116,7 @@
 
     /** Writes what is wanted, one transaction at a time; {@code registered} hears of the machines that are durable now. */
     void flush(Consumer<List<Machine>> registered) {
-        if (writing || wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty() || runtime.now() < notBefore) {
+        if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || runtime.now() < notBefore) {
             return;
         }
         StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
@@ -199,7 +199,7 @@
                 left.remove(unwanted);
                 int size = Records.bytes(left);
                 boolean tooLarge = size > Records.room(settings);
-                if (txn.ops() >= most || bytes + size > Constants.BODY_BYTES * 3 / 4 || tooLarge && !namedElsewhere(left, key)) {
+                if (txn.ops() >= most || bytes + size > Constants.BODY_BYTES * 3 / 4 || (tooLarge && !namedElsewhere(left, key))) {
                     all = false;
                     leftAlone.add(key);
                     continue;
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/Rentals.java
@@ -93,7 +93,7 @@
     void rentAndReturn(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
         giveBack(scheduler.machines.values().stream().filter(m -> m.returning && !returning.contains(m.id)).toList(), "again");
-        if (!nobodyBefore && (!listedOnce || now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty())) {
+        if (!nobodyBefore && (!listedOnce || (now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty()))) {
             return; // machines that an earlier leader rented may not be listed yet
         }
         if (!open.getAsBoolean()) {
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -31,7 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
 
     private final Runtime runtime;
-    private final Settings settings;
+    
     private final Scheduler scheduler;
     private final WorkerClient client;
     private final Map<String, MachineType> types;
@@ -48,7 +48,7 @@
     Workers(Runtime runtime, Settings settings, Scheduler scheduler, WorkerClient client, Map<String, MachineType> types,
             BooleanSupplier acting, LocalHealth own, Runnable pump) {
         this.runtime = runtime;
-        this.settings = settings;
+        
         this.scheduler = scheduler;
         this.client = client;
         this.types = types;
@@ -133,7 +133,7 @@
             LOG.info("{} machine={} session={} token={}", unreachableInbound ? "answers reach the machine again" : "answers don't reach the machine", m.id, r.session(), r.token());
             scheduler.passWanted = true;
         }
-        return !m.validity.unreachableInbound() || m.heard && m.idle();
+        return !m.validity.unreachableInbound() || (m.heard && m.idle());
     }
 
     private boolean accept(Machine m, Report r, boolean hello, long now) {
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -35,7 +35,7 @@
      */
     public boolean report(Machine m, Report r, boolean hello, long now) {
         scheduler.lastNow = now;
-        if (m.up && !r.newerThan(m.session, m.tick) || outdated(m, r)) {
+        if ((m.up && !r.newerThan(m.session, m.tick)) || outdated(m, r)) {
             return false;
         }
         m.seenToken = r.token();
@@ -88,7 +88,7 @@
         scheduler.passWanted |= m.strays && !strays;
         m.strays = strays;
         for (Placement p : m.unlisted()) {
-            if (p.state() != State.SENT || p.stop && !p.launchMayFollow()) {
+            if (p.state() != State.SENT || (p.stop && !p.launchMayFollow())) {
                 remove(p);
             }
         }
@@ -109,8 +109,8 @@
      * token never falls, so that was written in an earlier life.
      */
     public static boolean outdated(Machine m, Report r) {
-        return Long.compareUnsigned(r.session(), m.minSession) < 0 || m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0
-                || m.up && r.newerThan(m.session, m.tick) && Long.compareUnsigned(r.token(), m.seenToken) < 0;
+        return Long.compareUnsigned(r.session(), m.minSession) < 0 || (m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0)
+                || (m.up && r.newerThan(m.session, m.tick) && Long.compareUnsigned(r.token(), m.seenToken) < 0);
     }
 
     /** It is there, and not only an old report of it. */
@@ -347,7 +347,7 @@
         for (TaskReport t : m.reported) {
             Placement p = m.at(t.task(), t.attempt());
             if (t.state() == State.EXITED) {
-                if (p == null || p.clearable && !p.launchMayFollow()) {
+                if (p == null || (p.clearable && !p.launchMayFollow())) {
                     clears.add(new Order(Order.Verb.FORGET, t.task(), t.attempt(), 0));
                 }
             } else if (p == null) {
@@ -409,7 +409,7 @@
      */
     public boolean startMayCome(Job job) {
         for (Placement p : job.live.values()) {
-            if (p.state() == State.FETCHING || p.state() == State.SENT && p.launchMayFollow()) {
+            if (p.state() == State.FETCHING || (p.state() == State.SENT && p.launchMayFollow())) {
                 return true;
             }
         }
--- a/src/main/java/org/hollypick/core/Planner.java
+++ b/src/main/java/org/hollypick/core/Planner.java
@@ -86,7 +86,7 @@
 
     /** The same for a single machine on which room came free: services, its own partition's jobs, then those it lends to. */
     void fill(Machine m, long now) {
-        if (!Placer.takesTasks(m, now) || firstJobs.isEmpty() && secondJobs.isEmpty()) {
+        if (!Placer.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
             return;
         }
         List<Machine> one = List.of(m);
@@ -203,7 +203,7 @@
 
     /** The next task that may start now, or -1. */
     private int next(Job job, int from, long now) {
-        if (!job.waits() || job.failsEverywhere() && !job.live.isEmpty()) {
+        if (!job.waits() || (job.failsEverywhere() && !job.live.isEmpty())) {
             return -1;
         }
         JobSpec beyond = null;
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -225,7 +225,7 @@
             // What older leaders launched needs a session that began before this term: all of those have ended, whatever has begun since.
             boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
-            boolean over = (m.up && !m.lapsed() || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
+            boolean over = ((m.up && !m.lapsed()) || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
             if (olderOver || over) {
                 ledger.loseAll(m);
                 m.heard = true;
@@ -243,7 +243,7 @@
      * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
      */
     public boolean launchMayCome(Job job) {
-        return ledger.startMayCome(job) || job.under != token && !allHeard();
+        return ledger.startMayCome(job) || (job.under != token && !allHeard());
     }
 
     /** Once so, it stays so; asked for many jobs in one moment. */
@@ -301,7 +301,7 @@
     /** Whether one more task keeps its team's limit. Machines of earlier terms may hold tasks nobody here has counted. */
     public boolean withinLimit(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
-        if (team == null || team.cpusMax() <= 0 && team.gpusMax() <= 0) {
+        if (team == null || (team.cpusMax() <= 0 && team.gpusMax() <= 0)) {
             return true;
         }
         if (settled()) {
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -101,7 +101,7 @@
         for (Job other : scheduler.jobs.values()) {
             int rank = other.rank.compareTo(job.rank);
             if (other != job && other.waits() && !other.spec.service() && other.second() == job.second()
-                    && (rank < 0 || rank == 0 && Long.compareUnsigned(other.order, job.order) < 0)) {
+                    && (rank < 0 || (rank == 0 && Long.compareUnsigned(other.order, job.order) < 0))) {
                 other.forEachWaiting((spec, count) -> work[0] += count * spec.cpus() * scheduler.expectedRunS(spec));
             }
         }
--- a/src/main/java/org/hollypick/core/estimate/History.java
+++ b/src/main/java/org/hollypick/core/estimate/History.java
@@ -138,7 +138,7 @@
         for (int i = 0; i < count; i++) {
             if ((sorted[i] & 1) == 0) {
                 survival *= 1 - 1.0 / (count - i);
-                at[steps] = value(sorted[i] >> 1) * scale;
+                at[steps] = value((double) (sorted[i] >> 1)) * scale;
                 alive[steps++] = survival;
             }
         }
--- a/src/main/java/org/hollypick/core/fleet/Fleet.java
+++ b/src/main/java/org/hollypick/core/fleet/Fleet.java
@@ -87,7 +87,7 @@
         have.clear();
         for (Machine m : scheduler.machines.values()) {
             boolean slow = !m.up && now - m.createdAt > Constants.SLOW_BOOT * 1000 * m.type.bootS();
-            if (m.returning || m.draining || m.faulty || slow || m.useless() && !partitioned.contains(m.zone)) {
+            if (m.returning || m.draining || m.faulty || slow || (m.useless() && !partitioned.contains(m.zone))) {
                 continue;
             }
             have.addTo(new Kind(m.type.name(), m.zone, m.spot), 1);
@@ -345,7 +345,7 @@
                 double price = (spot ? t.spotPrice() : t.price()) / t.cpus();
                 if (t.zones().contains(zone) && (job.zone() == null || job.zone().equals(zone))
                         && refusedUntil.getLong(kind) <= now && (best == null || price < bestPrice
-                                || price == bestPrice && have.getInt(kind) < have.getInt(best))) {
+                                || (price == bestPrice && have.getInt(kind) < have.getInt(best)))) {
                     best = kind;
                     bestPrice = price;
                 }
--- a/src/main/java/org/hollypick/core/ledger/Report.java
+++ b/src/main/java/org/hollypick/core/ledger/Report.java
@@ -7,6 +7,6 @@
         double noticeS, List<TaskReport> tasks) {
     public boolean newerThan(long otherSession, long otherTick) {
         int c = Long.compareUnsigned(session, otherSession);
-        return c > 0 || c == 0 && Long.compareUnsigned(tick, otherTick) > 0;
+        return c > 0 || (c == 0 && Long.compareUnsigned(tick, otherTick) > 0);
     }
 }
--- a/src/main/java/org/hollypick/core/placement/Placer.java
+++ b/src/main/java/org/hollypick/core/placement/Placer.java
@@ -20,7 +20,7 @@
 
     /** Whether the job's tasks may start here, given where its other tasks may be; room is another question. */
     public static boolean allowed(Job job, JobSpec s, Machine m) {
-        if (!m.type.fits(s) || s.zone() != null && !s.zone().equals(m.zone) || m.spot && !s.spot()) {
+        if (!m.type.fits(s) || (s.zone() != null && !s.zone().equals(m.zone)) || (m.spot && !s.spot())) {
             return false;
         }
         if (s.spread() && job.inZone(m.zone) + 1 > (s.tasks() + 1) / 2) {
@@ -121,7 +121,7 @@
             if (best != null && score <= bestScore) {
                 continue; // what is lost only makes it worse
             }
-            List<Placement> victims = m.hasRoom(job.spec) ? List.of() : victims(job, m, now);
+            List<Placement> victims = m.hasRoom(job.spec) ? List.of() : victims(job, m);
             if (victims == null) {
                 continue;
             }
@@ -139,7 +139,7 @@
         return best == null ? null : new Choice(best, bestVictims);
     }
 
-    private static List<Placement> victims(Job job, Machine m, long now) {
+    private static List<Placement> victims(Job job, Machine m) {
         List<Placement> lower = new ArrayList<>();
         for (Placement p : m.placements.values()) {
             if (p.there() && !p.stop && !(p.state() == Placement.State.SENT && p.launchMayFollow()) && p.job.rank.compareTo(job.rank) > 0) {
--- a/src/main/java/org/hollypick/core/validity/ReportValidity.java
+++ b/src/main/java/org/hollypick/core/validity/ReportValidity.java
@@ -56,7 +56,7 @@
                 if (++unacknowledged >= Constants.UNACKNOWLEDGED) {
                     lapsed(now);
                 }
-            } else if (!knewToken || r.session() == toldSession && anyShown(r)) {
+            } else if (!knewToken || (r.session() == toldSession && anyShown(r))) {
                 acknowledged();
             }
         }
@@ -135,7 +135,7 @@
 
     /** Its reports come, and what it is told seems not to arrive by any way. */
     public boolean doubted() {
-        return unreachableInbound() || unacknowledged > 0 && unanswered >= Constants.UNANSWERED;
+        return unreachableInbound() || (unacknowledged > 0 && unanswered >= Constants.UNANSWERED);
     }
 
     /** Direct calls don't reach it, and no answer has been shown to since. One task is enough to find out. */
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -65,7 +65,7 @@
         Answer now = here(report);
         if (now != null) {
             answer.accept(now);
-        } else if (report.length > Constants.RELAY_BYTES || refusedToken != 0 && refusedToken == token()) {
+        } else if (report.length > Constants.RELAY_BYTES || (refusedToken != 0 && refusedToken == token())) {
             answer.accept(toLeader());
         } else if (held.size() >= Constants.RELAY_HELD || heldBytes + report.length > Constants.RELAY_HELD_BYTES) {
             answer.accept(Answer.later("too many reports wait"));
--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/CancelModelTest.java
@@ -291,7 +291,7 @@
                 }));
             }
             boolean heard = s.reportToken == SECOND || fault == Fault.A_COPY_IS_PROOF;
-            if (!s.elsewhere && (heard && !s.reportShows || s.now > s.renewedUntil + LEASE)) {
+            if (!s.elsewhere && ((heard && !s.reportShows) || s.now > s.renewedUntil + LEASE)) {
                 to.accept(s.next(t -> {
                     t.elsewhere = true;
                     t.broken = t.there ? Rule.RAN_TWICE : t.broken;
--- a/src/test/java/org/hollypick/DependenciesTest.java
+++ b/src/test/java/org/hollypick/DependenciesTest.java
@@ -26,7 +26,7 @@
         final Set<String> cancelled = new HashSet<>();
 
         boolean cancelled(String id) {
-            return cancelled.contains(id) || !done.contains(id) && awaits.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled);
+            return cancelled.contains(id) || (!done.contains(id) && awaits.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled));
         }
 
         boolean ready(String id) {
@@ -82,7 +82,7 @@
                     assertEquals(plain.ready(id), real.ready(id), id + " seed " + seed);
                     assertEquals(plain.cancelled(id), real.isCancelled(id), id + " seed " + seed);
                     assertEquals(plain.done.contains(id), real.isDone(id), id + " seed " + seed);
-                    assertTrue(!plain.ready(id) && !plain.cancelled(id) || announced.contains(id), "nobody was told of " + id);
+                    assertTrue((!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id), "nobody was told of " + id);
                     if (!plain.done.contains(id) && !plain.cancelled(id)) {
                         assertTrue(real.rank(id).compareTo(plain.ranks.get(id)) <= 0);
                         Set<String> those = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
--- a/src/test/java/org/hollypick/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/FaultAttributionTest.java
@@ -96,7 +96,7 @@
         private void report(Machine m) {
             List<TaskReport> tasks = new ArrayList<>();
             for (Placement p : m.placements.values()) {
-                boolean fails = sick.contains(m.id) && p.startedAt > 41_000 || broken.contains(p.job.spec.id());
+                boolean fails = (sick.contains(m.id) && p.startedAt > 41_000) || broken.contains(p.job.spec.id());
                 boolean ends = now - p.startedAt > 6_000 + random.nextInt(8_000);
                 if (p.state() != State.EXITED) {
                     done += !fails && ends ? 1 : 0;
--- a/src/test/java/org/hollypick/FleetTest.java
+++ b/src/test/java/org/hollypick/FleetTest.java
@@ -42,12 +42,12 @@
         return m;
     }
 
-    private Job service(String id, int tasks, long now) {
+    private Job service(String id, int tasks) {
         return scheduler.addJob(new JobSpec(id, "web", "team", true, JobSpec.Rank.PRODUCTION, tasks, 1, 0, 1, null, null, false, true, false, "img", 1, 0,
                 0, 0, Double.NaN), machines, 5);
     }
 
-    private Job array(String id, int tasks, long now) {
+    private Job array(String id, int tasks) {
         return scheduler.addJob(new JobSpec(id, "batch", "team", false, JobSpec.Rank.NORMAL, tasks, 2, 0, 1, null, null, false, false, true, "img", 1, 30,
                 0, 0, Double.NaN), machines, 5);
     }
@@ -67,7 +67,7 @@
     @Test
     void whatWaitsOfASpreadServiceIsNeededWhereItMayStillGo() {
         machine("a", false, 0);
-        Job job = service("req-1", 32, 0);
+        Job job = service("req-1", 32);
         scheduler.pass(0);
         assertEquals(16, job.live.size());
         Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
@@ -78,7 +78,7 @@
     /** Machines that boot for long counted as room to come, so a zone stayed short for as long as they took. */
     @Test
     void aMachineThatBootsForTooLongIsNoRoom() {
-        service("req-1", 8, 0);
+        service("req-1", 8);
         scheduler.addMachine("n-a", TYPE, "a", false, false, 0);
         scheduler.addMachine("n-b", TYPE, "b", false, false, 0);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, 1_000).rents().isEmpty());
@@ -89,7 +89,7 @@
     @Test
     void zonesAreKeptEvenAtEqualPrices() {
         machine("a", true, 0);
-        array("req-1", 2_000, 0);
+        array("req-1", 2_000);
         Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0, plan.rents().toString());
         assertTrue(Math.abs(rented(plan, "a", true) - rented(plan, "b", true)) <= 50, plan.rents().toString());
@@ -98,7 +98,7 @@
     /** All that waited at a term's start was taken for the usual load, and far too much was kept. */
     @Test
     void theCrowdAtAStartIsNotTheUsualLoad() {
-        array("req-1", 1_000, 0);
+        array("req-1", 1_000);
         fleet.plan(scheduler, TYPES, ZONES, 1_000);
         for (long now = 2_000; now < 60_000; now += 1_000) {
             fleet.plan(scheduler, TYPES, ZONES, now);
@@ -106,7 +106,7 @@
         assertEquals(0, fleet.load());
         for (long now = 60_000; now < 400_000; now += 1_000) {
             if (now % 10_000 == 0) {
-                array("req-" + now, 10, now);
+                array("req-" + now, 10);
             }
             fleet.plan(scheduler, TYPES, ZONES, now);
         }
@@ -122,7 +122,7 @@
         long now = 0;
         for (; now < 200_000; now += 1_000) {
             scheduler.jobs.clear();
-            array("req-" + now, 1, now);
+            array("req-" + now, 1);
             assertTrue(fleet.plan(scheduler, TYPES, ZONES, now).returns().isEmpty() || now < 60_000);
         }
         scheduler.jobs.clear();
@@ -132,7 +132,7 @@
         now += 20_000;
         assertEquals(4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size());
         // A single late one brought all that room back, booting machines for nothing.
-        array("req-late", 1, now);
+        array("req-late", 1);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 31_000).rents().isEmpty());
     }
 
@@ -141,7 +141,7 @@
     void replicasMoveOffTheEmptiestMachinesOnceTheyHaveRunForAWhile() {
         for (int i = 0; i < 12; i++) {
             machine(i % 2 == 0 ? "a" : "b", false, 0);
-            service("req-" + i, 2, 0);
+            service("req-" + i, 2);
         }
         scheduler.pass(0);
         // Spread by hand: one replica a machine and more, as ends leave them.
@@ -163,14 +163,14 @@
     void replicasStayOffMachinesThatAreEmptiedNextWhereThereAreMany() {
         for (int i = 0; i < 60; i++) {
             machine(i % 2 == 0 ? "a" : "b", false, 0);
-            service("req-" + i, 8, 0);
+            service("req-" + i, 8);
         }
         scheduler.pass(0);
         allRun(1_000);
         fleet.plan(scheduler, TYPES, ZONES, 10_000);
         fleet.plan(scheduler, TYPES, ZONES, 100_000).moves().forEach(p -> scheduler.ledger.stop(p, 0));
         assertTrue(scheduler.machines.values().stream().anyMatch(m -> m.emptiedNext && m.usable()));
-        Job late = service("req-late", 2, 0);
+        Job late = service("req-late", 2);
         scheduler.pass(101_000);
         late.live.values().forEach(p -> assertFalse(p.machine.emptiedNext));
         assertEquals(2, late.live.size());
--- a/src/test/java/org/hollypick/HandoverModelTest.java
+++ b/src/test/java/org/hollypick/HandoverModelTest.java
@@ -57,7 +57,7 @@
             to.accept(new State(s.now, s.now, fault == Fault.ENDS_AT_ONCE, s.begun, s.wrong, s.frozen, s.relays, (1 << RELAYS) - 1, 0));
         } else if (!s.holdEnded) {
             int words = Integer.bitCount(s.told);
-            if (words == RELAYS || fault == Fault.ONE_WORD_IS_ENOUGH && words > 0 || s.now >= s.gaveUpAt + RIGHT) {
+            if (words == RELAYS || (fault == Fault.ONE_WORD_IS_ENOUGH && words > 0) || s.now >= s.gaveUpAt + RIGHT) {
                 to.accept(new State(s.now, s.gaveUpAt, true, s.begun, s.wrong, s.frozen, s.relays, s.asked, s.told));
             }
         } else if (!s.begun) {
--- a/src/test/java/org/hollypick/LeasesTest.java
+++ b/src/test/java/org/hollypick/LeasesTest.java
@@ -132,7 +132,7 @@
         Model(long seed, Fault fault) {
             this.random = new Random(seed);
             this.fault = fault;
-            this.beginsAgain = fault == Fault.BEGINS_AGAIN_UNNOTICED || fault == Fault.NONE && seed % 2 == 0;
+            this.beginsAgain = fault == Fault.BEGINS_AGAIN_UNNOTICED || (fault == Fault.NONE && seed % 2 == 0);
             this.leaderRate = rate();
             this.workerRate = rate();
             this.sentAt = now * workerRate;
--- a/src/test/java/org/hollypick/PlannerTest.java
+++ b/src/test/java/org/hollypick/PlannerTest.java
@@ -162,7 +162,7 @@
             double bestScore = 0;
             for (Machine m : possible(s, job)) {
                 boolean lent = !second || idleFirst - (m.idle() ? 1 : 0) >= Constants.FIRST_KEEPS_FREE;
-                if (m.first == second == own || !m.hasRoom(job.spec) || !own && !lent) {
+                if (m.first == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
                 double score = -fetch(job.spec, m) + 2 * m.usedCpus / m.type.cpus() + (m.spot ? 3 : 0);
--- a/src/test/java/org/hollypick/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/graph/GraphTest.java
@@ -55,7 +55,7 @@
         }
 
         boolean dead(String n) {
-            return ended.contains(n) || awaits.get(n).stream().anyMatch(this::dead) || then.containsKey(n) && dead(then.get(n));
+            return ended.contains(n) || awaits.get(n).stream().anyMatch(this::dead) || (then.containsKey(n) && dead(then.get(n)));
         }
 
         boolean ready(String n) {
@@ -69,7 +69,7 @@
             if (!seen.add(from)) {
                 return false;
             }
-            return awaits.get(from).stream().anyMatch(o -> reaches(o, target, seen)) || then.containsKey(from) && reaches(then.get(from), target, seen);
+            return awaits.get(from).stream().anyMatch(o -> reaches(o, target, seen)) || (then.containsKey(from) && reaches(then.get(from), target, seen));
         }
     }
 
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -354,7 +354,7 @@
                 && s.at(s.views[0]) == LIVE;
         boolean inDoubt = s.doubt || s.write != Write.NONE;
         boolean mayTell = !inDoubt || fault == Fault.MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT;
-        return deposed || node == s.leader && s.owns && mayTell ? (Integer) LIVE : null;
+        return deposed || (node == s.leader && s.owns && mayTell) ? (Integer) LIVE : null;
     }
 
     private static State answered(State s, int what) {
@@ -369,7 +369,7 @@
     private static Result<State> search(Fault fault, boolean byArrival) {
         Set<StateKey.Packed> seen = new HashSet<>();
         return StateSearch.run(List.of(new State()), (s, to) -> next(s, fault, to),
-                s -> s.wentBack || byArrival && s.overtaken, s -> seen.add(s.key()));
+                s -> s.wentBack || (byArrival && s.overtaken), s -> seen.add(s.key()));
     }
 
     @Test
--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/LimitModelTest.java
@@ -400,7 +400,7 @@
     private static boolean adopted(State s, int i, int task) {
         boolean over = task == CANCELLED ? s.durable : task == ENDING && s.done;
         Machine other = s.machines[1 - i];
-        if (over || (other.placed & task) != 0 && (s.startedLastOnSecond & task) != 0 != (i == 1)) {
+        if (over || ((other.placed & task) != 0 && (s.startedLastOnSecond & task) != 0 != (i == 1))) {
             return false;
         }
         other.placed &= ~task;
@@ -436,7 +436,7 @@
     }
 
     private static int unshown(State s) {
-        return s.machines[0].placed & ~s.machines[0].shown | s.machines[1].placed & ~s.machines[1].shown;
+        return (s.machines[0].placed & ~s.machines[0].shown) | (s.machines[1].placed & ~s.machines[1].shown);
     }
 
     /** The second leader knows what is durable, and nothing of what is where. */
@@ -465,7 +465,7 @@
         boolean waits = older && !s.settled && fault != Fault.OLDER_JOBS_START_AT_ONCE;
         boolean usable = m.heard && m.up && !leaseOver(s, m) && Integer.bitCount(m.placed) < ROOM && m.launchTask == 0;
         // The machine that may hang gets nothing but the task that is cancelled.
-        boolean suits = i == WELL || s.leader == FIRST && task == CANCELLED;
+        boolean suits = i == WELL || (s.leader == FIRST && task == CANCELLED);
         return suits && wanted && (s.placed() & task) == 0 && !waits && usable && withinLimit(s, fault);
     }
 
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -180,7 +180,7 @@
             }));
         }
         // Once listed, it stays so until it is gone.
-        boolean missing = s.sawListed && s.over || fault == Fault.WHAT_IS_NOT_LISTED_YET_IS_GONE && !s.listed;
+        boolean missing = (s.sawListed && s.over) || (fault == Fault.WHAT_IS_NOT_LISTED_YET_IS_GONE && !s.listed);
         if (s.known && missing && !s.gone) {
             to.add("the leader misses it in the list", s.next(t -> {
                 t.gone = true;
--- a/src/test/java/org/hollypick/model/StateKey.java
+++ b/src/test/java/org/hollypick/model/StateKey.java
@@ -45,7 +45,7 @@
         if (used > BITS) {
             throw new IllegalStateException("state needs more than " + BITS + " bits");
         }
-        high = high << bits | low >>> Long.SIZE - bits;
+        high = high << bits | low >>> (Long.SIZE - bits);
         low = low << bits | value;
         return this;
     }
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -143,7 +143,7 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int number = i;
-            day.world.at(200 * i, () -> ids.add(day.submitBatch(6, 40, "img-" + number % 5)));
+            day.world.at(200L * i, () -> ids.add(day.submitBatch(6, 40, "img-" + number % 5)));
         }
         day.play(25_000);
         TEAMS.forEach(t -> assertTrue(day.checker.cpusOf(t) >= LIMIT - FETCHING, t + " isn't at its limit"));
@@ -164,7 +164,7 @@
         for (Change change : Change.values()) {
             for (Loss loss : Loss.values()) {
                 if ((change.ordinal() + loss.ordinal() + seed) % 4 == 0) {
-                    long after = -1_000 + 100 * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
+                    long after = -1_000L + 100 * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
                     Day day = atTheLimit(seed, change, loss, after, fault);
                     then.accept(day, change + " " + loss + " after " + after + " seed " + seed);
                 }
@@ -198,9 +198,9 @@
         day.cloud.workers().forEach(fault);
         for (int i = 0; i < 8; i++) {
             String id = day.submitBatch(3, 60, "img-fetched-" + i);
-            long after = 300 * i;
+            long after = 300L * i;
             day.world.at(1_500 + after, () -> machinesOf(day, id).forEach(w -> loss.strike(day, w)));
-            day.world.at(1_500 + after + 50 * i, () -> day.withdraw(id));
+            day.world.at(1_500 + after + 50L * i, () -> day.withdraw(id));
         }
         return day.play(75_000);
     }
@@ -225,7 +225,7 @@
     private static Day answersHeldUp(int seed) {
         Day day = new Day(seed).withRunningServices();
         for (int spell = 0; spell < 10; spell++) {
-            day.world.at(4_000 * spell, () -> day.cloud.workers().forEach(w -> day.deafen(w, 2_500)));
+            day.world.at(4_000L * spell, () -> day.cloud.workers().forEach(w -> day.deafen(w, 2_500)));
         }
         List<String> ids = smallJobs(day, 200, 200);
         for (int i = 0; i < 200; i++) {
@@ -251,7 +251,7 @@
         day.play(5_000);
         for (int i = 0; i < 320; i++) {
             int number = i;
-            day.world.at(250 * i, () -> {
+            day.world.at(250L * i, () -> {
                 String id = day.submitBatch(1, 3, "img-" + number % 5);
                 if (number % 4 == 0) {
                     day.world.at(200 + 37 * number % 3_000, () -> day.withdraw(id));
@@ -381,7 +381,7 @@
         };
         for (int i = 0; i < 120; i++) {
             int number = i;
-            day.world.at(250 * i, () -> day.submitBatch(1 + number % 2, 4, "img-" + number % 3));
+            day.world.at(250L * i, () -> day.submitBatch(1 + number % 2, 4, "img-" + number % 3));
         }
         return day.play(70_000);
     }
--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -100,10 +100,10 @@
             }
         }
         checkQuota(teamOf(task));
-        if (w.spot && !spec.path("lendable").asBoolean()
-                || spec.path("hall").isTextual() && !spec.path("hall").asText().equals(w.zone)
-                || spec.path("spread").asBoolean() && inZone > (spec.path("shards").asInt() + 1) / 2
-                || spec.path("together").asBoolean() && elsewhere > 0) {
+        if ((w.spot && !spec.path("lendable").asBoolean())
+                || (spec.path("hall").isTextual() && !spec.path("hall").asText().equals(w.zone))
+                || (spec.path("spread").asBoolean() && inZone > (spec.path("shards").asInt() + 1) / 2)
+                || (spec.path("together").asBoolean() && elsewhere > 0)) {
             broken.add("wrong_place " + task + " on " + w.name);
         }
     }
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -61,7 +61,7 @@
             day.world.slow("state:1", 4_000, 20_000);
             for (int i = 0; i < 4; i++) {
                 String id = "req-00000" + i;
-                day.world.at(3_000 * i, () -> day.withdraw(id));
+                day.world.at(3_000L * i, () -> day.withdraw(id));
             }
             day.world.at(9_000, () -> day.world.refuse("bothy-" + leader, "state:1", 12_000));
             day.world.at(14_000, () -> day.state.outage(OUTAGE_MS));
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -177,7 +177,7 @@
         world.listen("state:1", state);
         world.listen("cloud:1", cloud);
         world.sending = (from, call) -> {
-            if (call.path().equals("/commands") || call.path().startsWith("/hosts") && call.method().equals("POST")) {
+            if (call.path().equals("/commands") || (call.path().startsWith("/hosts") && call.method().equals("POST"))) {
                 ordered(from);
             }
         };
@@ -810,7 +810,7 @@
         List<WorkerStandIn> workers = cloud.workers();
         WorkerStandIn w = workers.isEmpty() ? null : workers.get(world.random.nextInt(workers.size()));
         int node = world.random.nextInt(3);
-        long ms = 1_000 + world.random.nextInt(30_000);
+        long ms = 1_000L + world.random.nextInt(30_000);
         switch (world.random.nextInt(21)) {
             case 0, 1 -> crash(node, restartMs(10_000));
             case 2 -> crashAll();
@@ -909,7 +909,7 @@
     private void meeting() {
         int led = state.data("h/roster") == null ? 0 : leader();
         String leader = "bothy-" + led;
-        long ms = 1_000 + world.random.nextInt(20_000);
+        long ms = 1_000L + world.random.nextInt(20_000);
         switch (world.random.nextInt(24)) {
             case 0, 1 -> world.refuse(leader, "state:1", ms);
             case 2, 3 -> state.outage(leaseMs + CANCEL_MS + ms);
@@ -948,7 +948,7 @@
 
     private void answerTrouble() {
         int led = state.data("h/roster") == null ? 0 : leader();
-        long ms = 1_000 + world.random.nextInt(8_000);
+        long ms = 1_000L + world.random.nextInt(8_000);
         switch (world.random.nextInt(8)) {
             case 0 -> world.slow("state:1", 700, ms);
             case 1, 2 -> world.slow("m" + led + ":1", 400, 2 * ms);
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -138,11 +138,11 @@
                 day.checker.broken.add("too_early " + id + " " + node + " before " + other);
             }
         }
-        if (cancelledAt.containsKey(node) && day.world.now > cancelledAt.get(node) + 35_000 || withdrawnAt != null && day.world.now > withdrawnAt + 35_000) {
+        if ((cancelledAt.containsKey(node) && day.world.now > cancelledAt.get(node) + 35_000) || (withdrawnAt != null && day.world.now > withdrawnAt + 35_000)) {
             day.checker.broken.add("ran_cancelled " + id + " " + node);
         }
         Random r = drawn(node + "/");
-        long ms = 1_000 + r.nextInt(4_000);
+        long ms = 1_000L + r.nextInt(4_000);
         int level = node.length() - node.replace(".", "").length();
         int children = level < depth ? r.nextInt(width + 1) : 0;
         if (children == 0) {
--- a/src/test/java/org/hollypick/sim/Links.java
+++ b/src/test/java/org/hollypick/sim/Links.java
@@ -5,11 +5,11 @@
     static final int COUNT = 1 << 12;
     private static final int NODES = 3;
 
-    static final int ALL_PEERS = 7 << 3 * NODES;
+    static final int ALL_PEERS = 7 << (3 * NODES);
 
     /** The links of a controller to all machines. */
     static int machinesOf(int node) {
-        return 3 << NODES + 2 * node;
+        return 3 << (NODES + 2 * node);
     }
 
     /** What can be done with them. */
--- a/src/test/java/org/hollypick/sim/LinksTest.java
+++ b/src/test/java/org/hollypick/sim/LinksTest.java
@@ -106,7 +106,9 @@
             day.drawFaults(4, 20_000, 120_000);
             for (long at = 15_000; at < 130_000; at += 2_000 + day.world.random.nextInt(12_000)) {
                 // Most links are up at a time, or nothing would run.
-                Links links = new Links(day.world.random.nextInt(Links.COUNT) | day.world.random.nextInt(Links.COUNT));
+                int first = day.world.random.nextInt(Links.COUNT);
+                int second = day.world.random.nextInt(Links.COUNT);
+                Links links = new Links(first | second);
                 day.world.at(at, () -> day.links(links));
             }
             day.world.at(135_000, () -> day.links(null));
@@ -125,7 +127,7 @@
             int lost = day.checker.lost;
             for (int i = 0; i < 15; i++) {
                 boolean down = i % 2 == 0;
-                day.world.at(4_000 * i, () -> day.links(down ? new Links(Links.COUNT - 1 & ~Links.machinesOf(day.leader())) : null));
+                day.world.at(4_000L * i, () -> day.links(down ? new Links(Links.COUNT - 1 & ~Links.machinesOf(day.leader())) : null));
             }
             long lead = day.state.data("h/roster").path("member").asLong();
             int changes = 0;
@@ -185,7 +187,7 @@
             row[5] += RETURNED.test(o) ? 1 : 0;
             row[6] = Math.max(row[6], o.changes);
             broken += o.broken.isEmpty() ? 0 : 1;
-            if (!o.broken.isEmpty() || o.links.coverage() == Links.Coverage.FULL && (!o.full() || RETURNED.test(o) || o.changes > 3)) {
+            if (!o.broken.isEmpty() || (o.links.coverage() == Links.Coverage.FULL && (!o.full() || RETURNED.test(o) || o.changes > 3))) {
                 System.out.println(o);
             }
         }
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -1,5 +1,6 @@
 package org.hollypick.sim;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,8 +22,8 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import java.util.concurrent.Executors;
 import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import org.hollypick.Node;
 import org.hollypick.client.GraphSpec;
@@ -251,7 +252,7 @@
         HollypickException cyclic = failure(client.submit(new GraphSpec("req-000930", "x").defaults(TASK).node("a", TASK, "b").node("b", TASK, "a")));
         assertTrue(cyclic.getMessage().contains("cycle"), cyclic.getMessage());
         byte[] good = Codec.write(Codec.object().put("name_id", "req-000931").put("jobkind", "x").put("rank", "low"), false);
-        for (byte[] garbage : List.of(new byte[0], new byte[] {1, 2, 3}, "nonsense".getBytes(), Arrays.copyOf(good, good.length - 3))) {
+        for (byte[] garbage : List.of(new byte[0], new byte[] {1, 2, 3}, "nonsense".getBytes(UTF_8), Arrays.copyOf(good, good.length - 3))) {
             assertEquals(400, ask("POST", "/graphs", garbage).status());
         }
         assertEquals(400, ask("POST", "/graphs", good).status(), "no task to be had from it");
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -93,12 +93,12 @@
         boolean slow = order.rental == Fate.ANSWER_LATE;
         Random random = day.world.random;
         day.late = (from, call) -> {
-            boolean late = (rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE
-                    || registers(call) && order.registration == Fate.CARRIED_OUT_LATE;
+            boolean late = ((rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE)
+                    || (registers(call) && order.registration == Fate.CARRIED_OUT_LATE);
             return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
         };
-        day.world.answerLost = call -> (rents(call) && order.rental == Fate.ANSWER_LOST
-                || registers(call) && order.registration == Fate.ANSWER_LOST) && random.nextBoolean();
+        day.world.answerLost = call -> ((rents(call) && order.rental == Fate.ANSWER_LOST)
+                || (registers(call) && order.registration == Fate.ANSWER_LOST)) && random.nextBoolean();
         day.play(5_000);
         day.world.slow("cloud:1", slow ? 3_000 : 0, 60_000);
         day.world.slow("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
@@ -128,8 +128,8 @@
         day.cloud.booted = order.end == End.MACHINE_UP ? up : w -> { };
         day.world.reporting = order.end == End.FIRST_REPORT ? report : call -> { };
         day.world.sending = (from, call) -> {
-            if (order.end == End.RENTAL_SENT && rents(call) || order.end == End.REGISTRATION_SENT && registers(call)
-                    || order.end == End.LAUNCH_SENT && launches(call)) {
+            if ((order.end == End.RENTAL_SENT && rents(call)) || (order.end == End.REGISTRATION_SENT && registers(call))
+                    || (order.end == End.LAUNCH_SENT && launches(call))) {
                 end.run();
             }
         };
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -116,7 +116,7 @@
         day.drawFaults(5, 20_000, 170_000);
         for (int i = 0; i < 3; i++) {
             String zone = day.world.random.nextBoolean() ? "a" : "b";
-            long ms = 5_000 + day.world.random.nextInt(45_000);
+            long ms = 5_000L + day.world.random.nextInt(45_000);
             day.world.at(25_000 + 50_000 * i + day.world.random.nextInt(30_000), () -> day.cutZone(zone, ms));
         }
         day.play(260_000);
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -66,7 +66,7 @@
             // A zone cut while both versions are there: the old one doesn't reckon with leases that the new one would keep.
             day.controllerInZone(2, "b");
             for (int i = 0; i < 2; i++) {
-                long ms = 10_000 + day.world.random.nextInt(25_000);
+                long ms = 10_000L + day.world.random.nextInt(25_000);
                 day.world.at(15_000 + day.world.random.nextInt(50_000), () -> day.cutZone("b", ms));
             }
             day.play(58_000);
@@ -198,7 +198,7 @@
         for (int i = 0; i < 300; i++) {
             String id = String.format("req-%018d", i);
             ids.add(id);
-            day.world.at(i * 150, () -> day.begin(id, job(id, 1, List.of())));
+            day.world.at(i * 150L, () -> day.begin(id, job(id, 1, List.of())));
         }
         String last = "req-" + "9".repeat(18);
         day.world.at(20_000, () -> day.submitWhenAccepted(last, job(last, 2, ids)));
@@ -291,7 +291,7 @@
         for (int i = 0; i < 220; i++) {
             String id = String.format("req-%06d", 100 + i);
             packed.put(id + "/0", "AA==");
-            day.world.at(i * 60, () -> day.begin(id, job(id, 7, List.of()).put("expect_s", 30.0)));
+            day.world.at(i * 60L, () -> day.begin(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
         day.play(20_000);
         day.state.store("h/p/0", packed);
--- a/src/test/java/org/hollypick/sim/RelayTest.java
+++ b/src/test/java/org/hollypick/sim/RelayTest.java
@@ -75,7 +75,7 @@
     @Test
     void whatAnEarlierSelfAnsweredIsNotPassedOnAfterAQuickRestart() {
         for (int seed = 1; seed <= 6; seed++) {
-            assertEquals(List.of(), standstill(seed, 700, 50 * seed, NEW).checker.broken, "seed " + seed);
+            assertEquals(List.of(), standstill(seed, 700, 50L * seed, NEW).checker.broken, "seed " + seed);
         }
     }
 
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -80,7 +80,7 @@
     private static void cascade(Day day, int more) {
         List<Integer> some = new ArrayList<>(List.of(0, 1, 2));
         some.removeIf(n -> day.world.random.nextInt(3) == 0);
-        long back = 50 + day.world.random.nextInt(300);
+        long back = 50L + day.world.random.nextInt(300);
         some.forEach(n -> day.crash(n, back));
         if (more > 0) {
             day.world.at(back + day.world.random.nextInt(80), () -> cascade(day, more - 1));
--- a/src/test/java/org/hollypick/sim/StateStandIn.java
+++ b/src/test/java/org/hollypick/sim/StateStandIn.java
@@ -181,7 +181,7 @@
                 query.put(q.substring(0, q.indexOf('=')), q.substring(q.indexOf('=') + 1));
             }
         }
-        if (down || where.equals("/commit") && refused.test(body)) {
+        if (down || (where.equals("/commit") && refused.test(body))) {
             reply.accept(new Reply(503, Codec.object()));
             return;
         }
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -158,7 +158,7 @@
     }
 
     private long latency(String address) {
-        return 1 + random.nextInt(5) + (slow.isEmpty() ? 0 : random.nextInt(1 + slow.getOrDefault(address, 0)));
+        return 1L + random.nextInt(5) + (slow.isEmpty() ? 0 : random.nextInt(1 + slow.getOrDefault(address, 0)));
     }
 
     /** A request that was held up, or a copy of one, arrives at an address; nobody gets its answer. */
@@ -329,7 +329,7 @@
         private void drain() {
             if (!draining && !dead) {
                 while (!turn.isEmpty() && busyUntil <= now) {
-                    busyUntil = Math.max(busyUntil, now) + costMs;
+                    busyUntil = Math.max(busyUntil, (double) now) + costMs;
                     turn.poll().run();
                 }
                 if (!turn.isEmpty()) {
