--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -164,7 +164,7 @@
         for (Change change : Change.values()) {
             for (Loss loss : Loss.values()) {
                 if ((change.ordinal() + loss.ordinal() + seed) % 4 == 0) {
-                    long after = -1_000L + 100 * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
+                    long after = -1_000L + 100L * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
                     Day day = atTheLimit(seed, change, loss, after, fault);
                     then.accept(day, change + " " + loss + " after " + after + " seed " + seed);
                 }
