--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -1,6 +1,5 @@
 package org.hollypick;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.List;
@@ -9,9 +8,9 @@
 import org.hollypick.api.GraphApi;
 import org.hollypick.api.UserApi;
 import org.hollypick.cloud.CloudClient;
+import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.PeerReachability;
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
@@ -26,11 +25,12 @@
 import org.hollypick.io.Answer;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
-import org.hollypick.relay.Relay;
-import org.hollypick.relay.RelayCodec;
+import org.hollypick.io.WireNames;
 import org.hollypick.mesh.PeerEndpoints;
 import org.hollypick.mesh.Routes;
 import org.hollypick.records.Records;
+import org.hollypick.relay.Relay;
+import org.hollypick.relay.RelayCodec;
 import org.hollypick.state.StateClient;
 import org.hollypick.worker.WorkerClient;
 import org.hollypick.worker.WorkerCodec;
@@ -59,6 +59,7 @@
     private final GraphApi graphs;
     /** Shared with the term; prices in it follow the cloud. */
     private final Map<String, MachineType> types = new HashMap<>();
+
     private final Graphs.Maker maker;
     private LeaderTerm term;
 
@@ -71,7 +72,12 @@
     }
 
     /** {@code maker}: makes graphs, if they are switched on; null: as usual. */
-    public Node(Runtime runtime, Settings settings, OperatorSettings operator, Dependencies dependencies, Graphs.Maker maker) {
+    public Node(
+            Runtime runtime,
+            Settings settings,
+            OperatorSettings operator,
+            Dependencies dependencies,
+            Graphs.Maker maker) {
         this.maker = maker;
         this.runtime = runtime;
         this.settings = settings;
@@ -83,11 +89,34 @@
         this.membership = new Membership(runtime, state, settings, view, this::leadership);
         this.dependencies = dependencies;
         this.jobs = new JobRecords(runtime, settings, state, view, membership, dependencies);
-        this.users = new UserApi(runtime, settings, view, membership, jobs, dependencies, () -> term, () -> types.isEmpty() ? null : types);
-        this.graphs = operator.graphs() ? new GraphApi(runtime, settings, view, membership, users, () -> term, () -> types.isEmpty() ? null : types) : null;
-        this.leaseRenewal = new PartitionedLeaseRenewal(runtime, settings, view, membership, this::cancelled,
-                () -> term != null && term.scheduler.leases.allAsked(), this::kept);
-        this.relay = new Relay(runtime, settings, membership, state, leaseRenewal, report -> term != null && term.acting() ? hello(report, settings.node()) : null);
+        this.users = new UserApi(
+                runtime,
+                settings,
+                view,
+                membership,
+                jobs,
+                dependencies,
+                () -> term,
+                () -> types.isEmpty() ? null : types);
+        this.graphs = operator.graphs()
+                ? new GraphApi(
+                        runtime, settings, view, membership, users, () -> term, () -> types.isEmpty() ? null : types)
+                : null;
+        this.leaseRenewal = new PartitionedLeaseRenewal(
+                runtime,
+                settings,
+                view,
+                membership,
+                this::cancelled,
+                () -> term != null && term.scheduler.leases.allAsked(),
+                this::kept);
+        this.relay = new Relay(
+                runtime,
+                settings,
+                membership,
+                state,
+                leaseRenewal,
+                report -> term != null && term.acting() ? hello(report, settings.node()) : null);
         listenToOthers();
     }
 
@@ -138,7 +167,19 @@
                 return;
             }
             state.setLeader(true);
-            term = new LeaderTerm(token, runtime, settings, operator, view, dependencies, state, cloud, workers, types, membership, maker);
+            term = new LeaderTerm(
+                    token,
+                    runtime,
+                    settings,
+                    operator,
+                    view,
+                    dependencies,
+                    state,
+                    cloud,
+                    workers,
+                    types,
+                    membership,
+                    maker);
             term.start();
         }
         membership.claimIfFree();
@@ -196,14 +237,26 @@
     }
 
     private void listenToOthers() {
-        mesh.on("/promise", (body, answer) -> answer.accept(Answer.of(200, membership.promised(body == null ? 0 : Codec.u64(body.path(WireNames.FENCING_TOKEN))))));
+        mesh.on(
+                "/promise",
+                (body, answer) -> answer.accept(Answer.of(
+                        200, membership.promised(body == null ? 0 : Codec.u64(body.path(WireNames.FENCING_TOKEN))))));
         mesh.on("/keep", (body, answer) -> answer.accept(mayKeep(body)));
-        mesh.on("/release", (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
-        mesh.on(RelayCodec.PATH, (body, answer) -> answer.accept(term != null && term.acting()
-                ? RelayCodec.take(body, term.token, this::rightMs, this::hello).only(term::acting) : Answer.later("not the leader")));
+        mesh.on(
+                "/release",
+                (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
+        mesh.on(
+                RelayCodec.PATH,
+                (body, answer) -> answer.accept(
+                        term != null && term.acting()
+                                ? RelayCodec.take(body, term.token, this::rightMs, this::hello)
+                                        .only(term::acting)
+                                : Answer.later("not the leader")));
         mesh.on(Routes.PATH, state.routes()::pass);
         mesh.on(Routes.WATCH_PATH, state.routes()::pass);
-        mesh.on(PeerReachability.PATH, (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
+        mesh.on(
+                PeerReachability.PATH,
+                (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
         mesh.on("/jobs", (body, answer) -> answer.accept(users.meshStatus(body)));
         if (graphs != null) {
             mesh.on("/graph", graphs::passed);
@@ -214,16 +267,27 @@
     }
 
     private Answer mayKeep(JsonNode body) {
-        boolean own = body != null && term != null && term.acting() && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token;
-        return own ? term.keep(body.path("node").asText(), Codec.u64(body.path("epoch")), Codec.u64(body.path("echo")), body.path("kept").asBoolean())
+        boolean own = body != null
+                && term != null
+                && term.acting()
+                && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token;
+        return own
+                ? term.keep(
+                        body.path("node").asText(),
+                        Codec.u64(body.path("epoch")),
+                        Codec.u64(body.path("echo")),
+                        body.path("kept").asBoolean())
                 : Answer.later("not the leader under that token");
     }
 
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
     private boolean cancelled(String id) {
         View.Entry e = view.get(Keys.job(id));
-        return dependencies.isCancelled(id) || (term != null && term.jobTermination.cancelling(id))
-                || (e != null && Records.isOver(e.data()) && Records.status(e.data()).equals(Records.ABORTED));
+        return dependencies.isCancelled(id)
+                || (term != null && term.jobTermination.cancelling(id))
+                || (e != null
+                        && Records.isOver(e.data())
+                        && Records.status(e.data()).equals(Records.ABORTED));
     }
 
     private void kept(long now) {
@@ -237,7 +301,8 @@
     }
 
     private Answer ready() {
-        boolean ready = view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.alone();
+        boolean ready =
+                view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.alone();
         return ready ? Answer.of(200, Codec.object().put("ready", true)) : Answer.later("starting");
     }
 
--- a/src/main/java/org/hollypick/api/Admission.java
+++ b/src/main/java/org/hollypick/api/Admission.java
@@ -23,7 +23,9 @@
             return "a task fits no allowed machine type";
         }
         int at = s.service() ? s.tasks() : 1;
-        if (team != null && ((team.cpusMax() > 0 && at * s.cpus() > team.cpusMax()) || (team.gpusMax() > 0 && at * s.gpus() > team.gpusMax()))) {
+        if (team != null
+                && ((team.cpusMax() > 0 && at * s.cpus() > team.cpusMax())
+                        || (team.gpusMax() > 0 && at * s.gpus() > team.gpusMax()))) {
             return "more than the team's limit";
         }
         return null;
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -25,7 +25,10 @@
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 
-/** What users and running tasks ask about graphs, on any node: the leader answers, the others pass the call on to it once. */
+/**
+ * What users and running tasks ask about graphs, on any node: the leader answers, the others pass the call on to it
+ * once.
+ */
 public final class GraphApi {
     private final Runtime runtime;
     private final Settings settings;
@@ -35,7 +38,13 @@
     private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
 
-    public GraphApi(Runtime runtime, Settings settings, View view, Membership membership, UserApi jobs, Supplier<LeaderTerm> term,
+    public GraphApi(
+            Runtime runtime,
+            Settings settings,
+            View view,
+            Membership membership,
+            UserApi jobs,
+            Supplier<LeaderTerm> term,
             Supplier<Map<String, MachineType>> types) {
         this.runtime = runtime;
         this.settings = settings;
@@ -90,7 +99,10 @@
             return;
         }
         view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
-        owned(call.path("method").asText(), call.path("path").asText(), call.path("body").isObject() ? call.path("body") : null,
+        owned(
+                call.path("method").asText(),
+                call.path("path").asText(),
+                call.path("body").isObject() ? call.path("body") : null,
                 a -> answer.accept(passedBack(a)));
     }
 
@@ -103,7 +115,9 @@
         String[] query = path.split("\\?", 2);
         List<String> parts = List.of(query[0].split("/"));
         boolean post = method.equals("POST");
-        String id = parts.size() > 2 ? parts.get(2) : body == null ? "" : body.path("name_id").asText("");
+        String id = parts.size() > 2
+                ? parts.get(2)
+                : body == null ? "" : body.path("name_id").asText("");
         if (!JobCodec.isId(id)) {
             answer.accept(parts.size() > 2 ? Answer.error(404, "no such graph") : Answer.error(400, "name_id"));
             return;
@@ -126,7 +140,9 @@
     }
 
     private static int from(String[] query) {
-        if (query.length > 1 && query[1].startsWith("from=") && query[1].substring(5).matches("[0-9]{1,6}")) {
+        if (query.length > 1
+                && query[1].startsWith("from=")
+                && query[1].substring(5).matches("[0-9]{1,6}")) {
             return Integer.parseInt(query[1].substring(5));
         }
         return 0;
@@ -192,7 +208,9 @@
                 answer.accept(Answer.error(404, "no graph, but a job"));
                 return;
             }
-            Graphs.Live live = term.get() != null && term.get().acting() ? term.get().graphs.find(id) : null;
+            Graphs.Live live = term.get() != null && term.get().acting()
+                    ? term.get().graphs.find(id)
+                    : null;
             if (a.status() != 200) {
                 answer.accept(a);
             } else if (live != null && live.unrecorded()) {
@@ -243,13 +261,23 @@
             answer.accept(Answer.later("starting"));
         } else if (!refused(nodes, answer)) {
             String next = body.path("then").isTextual() ? body.path("then").asText() : null;
-            term.get().graphs.children(id, body.path("parent").asText(), Codec.u64(body.path("try")), nodes, next, o -> answer.accept(answer(o)));
+            term.get()
+                    .graphs
+                    .children(
+                            id,
+                            body.path("parent").asText(),
+                            Codec.u64(body.path("try")),
+                            nodes,
+                            next,
+                            o -> answer.accept(answer(o)));
         }
     }
 
     /** A graph that isn't known here as live: over, or never submitted, which only a fresh view tells. */
     private void missing(String id, Consumer<Answer> answer) {
-        jobs.status(id, a -> answer.accept(a.status() == 200 ? Answer.error(409, "the graph is over, or its id a job's") : a));
+        jobs.status(
+                id,
+                a -> answer.accept(a.status() == 200 ? Answer.error(409, "the graph is over, or its id a job's") : a));
     }
 
     private void node(boolean post, String id, List<String> parts, JsonNode body, Consumer<Answer> answer) {
@@ -277,7 +305,14 @@
             return;
         }
         try {
-            term.get().graphs.result(id, node, Codec.u64(body.path("try")), GraphCodec.result(body), o -> answer.accept(answer(o)));
+            term.get()
+                    .graphs
+                    .result(
+                            id,
+                            node,
+                            Codec.u64(body.path("try")),
+                            GraphCodec.result(body),
+                            o -> answer.accept(answer(o)));
         } catch (GraphCodec.Malformed x) {
             answer.accept(Answer.error(400, x.getMessage()));
         }
@@ -301,10 +336,17 @@
         Graph.State state = live.graph().state(i);
         if (state != Graph.State.DONE) {
             boolean never = state == Graph.State.FAILED || state == Graph.State.CANCELLED;
-            answer.accept(never ? Answer.error(409, state.name().toLowerCase(Locale.ROOT) + ": " + live.graph().reason(i)) : Answer.later("not done yet"));
+            answer.accept(
+                    never
+                            ? Answer.error(
+                                    409,
+                                    state.name().toLowerCase(Locale.ROOT) + ": "
+                                            + live.graph().reason(i))
+                            : Answer.later("not done yet"));
             return;
         }
         JsonNode result = live.resultOf(i);
-        answer.accept(result == null ? Answer.error(404, "the node is done and gave no result") : Answer.of(200, result));
+        answer.accept(
+                result == null ? Answer.error(404, "the node is done and gave no result") : Answer.of(200, result));
     }
 }
--- a/src/main/java/org/hollypick/api/GraphCodec.java
+++ b/src/main/java/org/hollypick/api/GraphCodec.java
@@ -16,9 +16,23 @@
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 
-/** The wire names of graphs. A node's task has a submission's fields; those of the call's {@code task} hold where it says nothing. */
+/**
+ * The wire names of graphs. A node's task has a submission's fields; those of the call's {@code task} hold where it
+ * says nothing.
+ */
 final class GraphCodec {
-    private static final Set<String> TASK = Set.of("cores", "gpus", "ram_gb", "flavours", "hall", "lendable", "bundle", "pull_gb", "expect_s", "bookmark_s", "stow_s");
+    private static final Set<String> TASK = Set.of(
+            "cores",
+            "gpus",
+            "ram_gb",
+            "flavours",
+            "hall",
+            "lendable",
+            "bundle",
+            "pull_gb",
+            "expect_s",
+            "bookmark_s",
+            "stow_s");
 
     private GraphCodec() {}
 
@@ -31,17 +45,27 @@
 
     static GraphRecords.Head head(String id, JsonNode b) throws Malformed {
         JsonNode retries = b.path("retries");
-        if (!retries.isMissingNode() && !retries.isNull() && (!retries.isIntegralNumber() || retries.asInt(-1) < 0 || retries.asInt() > 1_000)) {
+        if (!retries.isMissingNode()
+                && !retries.isNull()
+                && (!retries.isIntegralNumber() || retries.asInt(-1) < 0 || retries.asInt() > 1_000)) {
             throw new Malformed("retries");
         }
-        String onFailure = b.path("on_failure").isTextual() ? b.path("on_failure").asText() : b.path("on_failure").isMissingNode() || b.path("on_failure").isNull() ? "continue" : "";
+        String onFailure = b.path("on_failure").isTextual()
+                ? b.path("on_failure").asText()
+                : b.path("on_failure").isMissingNode() || b.path("on_failure").isNull() ? "continue" : "";
         if (!onFailure.equals("continue") && !onFailure.equals("end")) {
             throw new Malformed("on_failure: \"continue\" or \"end\"");
         }
-        return new GraphRecords.Head(task(id, b, Codec.object()), retries.isIntegralNumber() ? retries.asInt() : Constants.GRAPH_RETRIES, onFailure.equals("end"));
+        return new GraphRecords.Head(
+                task(id, b, Codec.object()),
+                retries.isIntegralNumber() ? retries.asInt() : Constants.GRAPH_RETRIES,
+                onFailure.equals("end"));
     }
 
-    /** {@code call}: holds the nodes, and a {@code task} with what most of them have; {@code base}: a description with the graph's class, team and rank. */
+    /**
+     * {@code call}: holds the nodes, and a {@code task} with what most of them have; {@code base}: a description with
+     * the graph's class, team and rank.
+     */
     static List<NodeSpec> nodes(JsonNode call, JsonNode base) throws Malformed {
         JsonNode list = call.path("nodes");
         List<NodeSpec> nodes = new ArrayList<>();
@@ -91,8 +115,18 @@
     }
 
     private static JobSpec task(String id, JsonNode base, JsonNode node) throws Malformed {
-        ObjectNode b = Codec.object().put("name_id", id).put("shape", "batch").put("shards", 1).put("together", false).put("spread", false)
-                .put("gpus", 0.0).put("lendable", true).put("pull_gb", 0.0).put("expect_s", 0.0).put("bookmark_s", 0.0).put("stow_s", 0.0);
+        ObjectNode b = Codec.object()
+                .put("name_id", id)
+                .put("shape", "batch")
+                .put("shards", 1)
+                .put("together", false)
+                .put("spread", false)
+                .put("gpus", 0.0)
+                .put("lendable", true)
+                .put("pull_gb", 0.0)
+                .put("expect_s", 0.0)
+                .put("bookmark_s", 0.0)
+                .put("stow_s", 0.0);
         for (String field : List.of("jobkind", "owner", "rank")) {
             if (base.has(field)) {
                 b.set(field, base.path(field));
@@ -117,13 +151,16 @@
         if (value == b.path("ref").isTextual() || b.path("ref").asText("").length() > 1_024) {
             throw new Malformed("either value, or ref of at most 1024 characters");
         }
-        return value ? Codec.object().set("value", b.path("value")) : Codec.object().put("ref", b.path("ref").asText());
+        return value
+                ? Codec.object().set("value", b.path("value"))
+                : Codec.object().put("ref", b.path("ref").asText());
     }
 
     /** A graph as its users see it, with a page of nodes from an index on. */
     static ObjectNode describe(Graphs.Live live, String id, int from) {
         Graph graph = live.graph();
-        ObjectNode b = Codec.object().put("graph", id).put("sealed", graph.sealed()).put("nodes_count", graph.count());
+        ObjectNode b =
+                Codec.object().put("graph", id).put("sealed", graph.sealed()).put("nodes_count", graph.count());
         ObjectNode counts = b.putObject("counts");
         for (Graph.State s : Graph.State.values()) {
             counts.put(s.name().toLowerCase(Locale.ROOT), graph.count(s));
@@ -131,9 +168,15 @@
         ArrayNode nodes = b.putArray("nodes");
         int to = Math.min(graph.durableNodes(), from + Constants.GRAPH_PAGE);
         for (int i = from; i < to; i++) {
-            ObjectNode n = nodes.addObject().put("id", graph.id(i)).put("task", id + "/" + i).put("state", graph.state(i).name().toLowerCase(Locale.ROOT));
+            ObjectNode n = nodes.addObject()
+                    .put("id", graph.id(i))
+                    .put("task", id + "/" + i)
+                    .put("state", graph.state(i).name().toLowerCase(Locale.ROOT));
             if (!graph.reason(i).isEmpty()) {
-                n.put("why", graph.reason(i).substring(0, Math.min(160, graph.reason(i).length())));
+                n.put(
+                        "why",
+                        graph.reason(i)
+                                .substring(0, Math.min(160, graph.reason(i).length())));
             }
             if (live.job() != null && live.job().live.containsKey(i)) {
                 n.put("try", live.job().live.get(i).attempt);
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -16,21 +16,21 @@
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
-import org.hollypick.control.JobTermination;
 import org.hollypick.control.JobRecords;
-import org.hollypick.records.JobCodec;
-import org.hollypick.records.Records;
+import org.hollypick.control.JobTermination;
 import org.hollypick.control.LeaderTerm;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.core.estimate.CompletionEstimate;
 import org.hollypick.core.MachineType;
+import org.hollypick.core.estimate.CompletionEstimate;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
+import org.hollypick.records.JobCodec;
+import org.hollypick.records.Records;
 
 /** What users ask, on any node. The leader answers from its own state, the others ask it or read the records. */
 public final class UserApi {
@@ -49,12 +49,20 @@
     private long leaderSilentUntil;
     /** Polls that wait to be asked about, and whether that is due already. */
     private final Map<String, List<Consumer<Answer>>> polls = new LinkedHashMap<>();
+
     private boolean gathering;
     /** Submissions refused so far. */
     private int refused;
 
-    public UserApi(Runtime runtime, Settings settings, View view, Membership membership, JobRecords records, Dependencies dependencies,
-            Supplier<LeaderTerm> term, Supplier<Map<String, MachineType>> types) {
+    public UserApi(
+            Runtime runtime,
+            Settings settings,
+            View view,
+            Membership membership,
+            JobRecords records,
+            Dependencies dependencies,
+            Supplier<LeaderTerm> term,
+            Supplier<Map<String, MachineType>> types) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
@@ -137,7 +145,8 @@
             switch (outcome) {
                 case CREATED -> answer.accept(created(spec.id(), awaits));
                 case KNOWN -> status(spec.id(), answer);
-                case TOO_LARGE -> unlessKnown(spec.id(), Answer.error(400, "larger than the state service can hold"), answer);
+                case TOO_LARGE ->
+                    unlessKnown(spec.id(), Answer.error(400, "larger than the state service can hold"), answer);
                 default -> answer.accept(Answer.crowded(refused++));
             }
         });
@@ -192,7 +201,10 @@
         }
     }
 
-    /** All polls of a short while in one question: there are hundreds a second, and the leader has more to do than answer them. */
+    /**
+     * All polls of a short while in one question: there are hundreds a second, and the leader has more to do than
+     * answer them.
+     */
     private void askLeader() {
         gathering = false;
         Map<String, List<Consumer<Answer>>> asked = new LinkedHashMap<>(polls);
@@ -258,12 +270,17 @@
         return view.get(Keys.job(id)) == null;
     }
 
-    /** A terminal state that is durable; null without one. Nobody needs to write that a job is cancelled with one that it needs. */
+    /**
+     * A terminal state that is durable; null without one. Nobody needs to write that a job is cancelled with one that
+     * it needs.
+     */
     private Answer over(String id) {
         View.Entry e = view.get(Keys.job(id));
         if (e != null && Records.isOver(e.data())) {
             view.answeredFrom(e.stamp());
-            return Answer.of(200, body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
+            return Answer.of(
+                    200,
+                    body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
         }
         if (e != null && dependencies.isCancelled(id)) {
             view.answeredFrom(view.epoch());
@@ -279,7 +296,9 @@
 
     private String leaderToAsk() {
         LeaderTerm t = term.get();
-        return (t != null && t.acting()) || runtime.now() < leaderSilentUntil ? null : settings.meshAddr(membership.leader());
+        return (t != null && t.acting()) || runtime.now() < leaderSilentUntil
+                ? null
+                : settings.meshAddr(membership.leader());
     }
 
     /** From this node's own copy of the records, once that is known to be fresh. */
@@ -300,11 +319,16 @@
 
     private static Answer live(Job job) {
         int running = job.running;
-        return Answer.of(200, body(job.spec.id(), running > 0 ? "running" : "pending", job.done.cardinality(), running));
+        return Answer.of(
+                200, body(job.spec.id(), running > 0 ? "running" : "pending", job.done.cardinality(), running));
     }
 
     private static ObjectNode body(String id, String status, int done, int running) {
-        return Codec.object().put("name_id", id).put("status", status).put("done", done).put("running", running);
+        return Codec.object()
+                .put("name_id", id)
+                .put("status", status)
+                .put("done", done)
+                .put("running", running);
     }
 
     // ---- estimates ----
@@ -339,7 +363,9 @@
     /** Another controller asks for one of its users. */
     public Answer meshEstimate(JsonNode body) {
         learn(body);
-        Answer a = body != null && term.get() != null && term.get().acting() ? estimated(body.path("job").asText()) : Answer.later("not the leader");
+        Answer a = body != null && term.get() != null && term.get().acting()
+                ? estimated(body.path("job").asText())
+                : Answer.later("not the leader");
         ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
         return Answer.of(200, told.set("body", a.body()));
     }
@@ -358,10 +384,18 @@
         if (job.spec.service()) {
             return Answer.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
-        CompletionEstimate.Answer finish = new CompletionEstimate(term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now()).of(job);
+        CompletionEstimate.Answer finish = new CompletionEstimate(
+                        term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now())
+                .of(job);
         PredictionInterval interval = finish.interval();
-        b.putObject("done_in_s").put("p10", round(interval.p10())).put("p50", round(interval.p50())).put("p90", round(interval.p90()));
-        b.put("reason", finish.reason()).putObject("history").put("n", interval.runs()).put("from", interval.from());
+        b.putObject("done_in_s")
+                .put("p10", round(interval.p10()))
+                .put("p50", round(interval.p50()))
+                .put("p90", round(interval.p90()));
+        b.put("reason", finish.reason())
+                .putObject("history")
+                .put("n", interval.runs())
+                .put("from", interval.from());
         return Answer.of(200, b);
     }
 
@@ -393,16 +427,24 @@
         }
         String leaderAddress = leaderToAsk();
         if (leaderAddress != null) {
-            runtime.call(new Call(leaderAddress, "POST", "/jobs/" + id + "/abort", Codec.object(), Constants.STATE_TIMEOUT_MS, true), r -> {
-                if (r.ok()) {
-                    view.answeredFrom(Codec.u64(r.body().path(REVISION)));
-                    ObjectNode told = r.body().deepCopy();
-                    told.remove(REVISION);
-                    answer.accept(Answer.of(200, told));
-                } else {
-                    withdrawn(id, answer);
-                }
-            });
+            runtime.call(
+                    new Call(
+                            leaderAddress,
+                            "POST",
+                            "/jobs/" + id + "/abort",
+                            Codec.object(),
+                            Constants.STATE_TIMEOUT_MS,
+                            true),
+                    r -> {
+                        if (r.ok()) {
+                            view.answeredFrom(Codec.u64(r.body().path(REVISION)));
+                            ObjectNode told = r.body().deepCopy();
+                            told.remove(REVISION);
+                            answer.accept(Answer.of(200, told));
+                        } else {
+                            withdrawn(id, answer);
+                        }
+                    });
             return;
         }
         withdrawn(id, answer);
@@ -424,7 +466,9 @@
 
     // ---- questions of other nodes ----
 
-    /** Another node asks about jobs; only an acting leader knows more than the records. What isn't certain is left out. */
+    /**
+     * Another node asks about jobs; only an acting leader knows more than the records. What isn't certain is left out.
+     */
     public Answer meshStatus(JsonNode body) {
         learn(body);
         ObjectNode told = Codec.object().put(REVISION, view.revision());
--- a/src/main/java/org/hollypick/cli/GraphCommand.java
+++ b/src/main/java/org/hollypick/cli/GraphCommand.java
@@ -15,8 +15,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Graphs from the command line. Exit codes: 0 done, 1 refused or not answered, 2 the file or the arguments are wrong. */
-@Command(name = "hollypick graph", mixinStandardHelpOptions = true, description = "Submits, shows and withdraws task graphs.",
+/**
+ * Graphs from the command line. Exit codes: 0 done, 1 refused or not answered, 2 the file or the arguments are wrong.
+ */
+@Command(
+        name = "hollypick graph",
+        mixinStandardHelpOptions = true,
+        description = "Submits, shows and withdraws task graphs.",
         subcommands = {GraphCommand.Submit.class, GraphCommand.Show.class, GraphCommand.Withdraw.class})
 final class GraphCommand implements Runnable {
     @CommandLine.Spec
@@ -42,16 +47,27 @@
 
     /** Where the controllers are. */
     private abstract static class Remote implements Callable<Integer> {
-        @Option(names = "--to", paramLabel = "HOST:PORT", split = ",", required = true, description = "addresses of controllers, any number")
+        @Option(
+                names = "--to",
+                paramLabel = "HOST:PORT",
+                split = ",",
+                required = true,
+                description = "addresses of controllers, any number")
         private List<String> addresses;
 
-        @Option(names = "--within", paramLabel = "SECONDS", defaultValue = "60", description = "how long a call is tried (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--within",
+                paramLabel = "SECONDS",
+                defaultValue = "60",
+                description = "how long a call is tried (default: ${DEFAULT-VALUE})")
         private long withinS;
 
         @Override
         public Integer call() {
-            try (HollypickClient client = new HollypickClient(addresses,
-                    new HollypickClient.Times(Duration.ofSeconds(withinS), Duration.ofSeconds(5), Duration.ofSeconds(2)))) {
+            try (HollypickClient client = new HollypickClient(
+                    addresses,
+                    new HollypickClient.Times(
+                            Duration.ofSeconds(withinS), Duration.ofSeconds(5), Duration.ofSeconds(2)))) {
                 return run(client);
             }
         }
@@ -76,7 +92,8 @@
                 return 0;
             }
             HollypickClient.Status status = graph.over().join();
-            System.out.println(graph.id() + " " + status.status() + (status.why().isEmpty() ? "" : ": " + status.why()));
+            System.out.println(
+                    graph.id() + " " + status.status() + (status.why().isEmpty() ? "" : ": " + status.why()));
             return status.status().equals("done") ? 0 : 1;
         }
     }
@@ -94,8 +111,11 @@
             JsonNode page = client.graph(id).show(0).join();
             System.out.println(id + " " + page.path("status").asText() + " " + page.path("counts"));
             while (nodes) {
-                page.path("nodes").forEach(n -> System.out.println(n.path("id").asText() + " " + n.path("task").asText() + " " + n.path("state").asText()
-                        + (n.has("why") ? " (" + n.path("why").asText() + ")" : "")));
+                page.path("nodes")
+                        .forEach(n -> System.out.println(
+                                n.path("id").asText() + " " + n.path("task").asText() + " "
+                                        + n.path("state").asText()
+                                        + (n.has("why") ? " (" + n.path("why").asText() + ")" : "")));
                 if (!page.has("from")) {
                     break;
                 }
@@ -105,7 +125,10 @@
         }
     }
 
-    @Command(name = "withdraw", mixinStandardHelpOptions = true, description = "Cancels a graph, or one node and what needs it.")
+    @Command(
+            name = "withdraw",
+            mixinStandardHelpOptions = true,
+            description = "Cancels a graph, or one node and what needs it.")
     static final class Withdraw extends Remote {
         @Parameters(index = "0", paramLabel = "ID")
         private String id;
--- a/src/main/java/org/hollypick/cli/GraphFile.java
+++ b/src/main/java/org/hollypick/cli/GraphFile.java
@@ -34,7 +34,12 @@
         List<GraphSpec.Problem> problems = GraphSpec.check(tree);
         if (!problems.isEmpty()) {
             StringBuilder all = new StringBuilder();
-            problems.stream().limit(20).forEach(p -> all.append(all.isEmpty() ? "" : "\n").append(file).append(": ").append(p));
+            problems.stream()
+                    .limit(20)
+                    .forEach(p -> all.append(all.isEmpty() ? "" : "\n")
+                            .append(file)
+                            .append(": ")
+                            .append(p));
             throw new ConfigException(all + (problems.size() > 20 ? "\nand " + (problems.size() - 20) + " more" : ""));
         }
         return GraphSpec.of(tree);
@@ -44,7 +49,8 @@
         try {
             return new JsonMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            throw new ConfigException(file + ": line " + e.getLocation().getLineNr() + ", column " + e.getLocation().getColumnNr() + ": " + e.getOriginalMessage());
+            throw new ConfigException(file + ": line " + e.getLocation().getLineNr() + ", column "
+                    + e.getLocation().getColumnNr() + ": " + e.getOriginalMessage());
         }
     }
 
@@ -64,7 +70,8 @@
         JsonNodeFactory make = JsonNodeFactory.instance;
         if (value instanceof Map<?, ?> map) {
             ObjectNode node = make.objectNode();
-            map.forEach((k, v) -> node.set(k instanceof Keyword key ? key.getName().replace('-', '_') : String.valueOf(k), tree(v)));
+            map.forEach((k, v) ->
+                    node.set(k instanceof Keyword key ? key.getName().replace('-', '_') : String.valueOf(k), tree(v)));
             return node;
         }
         if (value instanceof Iterable<?> list) {
@@ -81,6 +88,8 @@
         if (value instanceof Number n) {
             return make.numberNode(n.doubleValue());
         }
-        return value == null ? make.nullNode() : make.textNode(value instanceof Keyword key ? key.getName() : value.toString());
+        return value == null
+                ? make.nullNode()
+                : make.textNode(value instanceof Keyword key ? key.getName() : value.toString());
     }
 }
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -28,8 +28,12 @@
 import picocli.CommandLine.Option;
 
 /** The command line. */
-@Command(name = "hollypick", mixinStandardHelpOptions = true, version = "hollypick 0.1.0",
-        description = "A controller of the hollypick cluster scheduler.", footer = "Other commands: graph, eta, replay estimates; each with --help.")
+@Command(
+        name = "hollypick",
+        mixinStandardHelpOptions = true,
+        version = "hollypick 0.1.0",
+        description = "A controller of the hollypick cluster scheduler.",
+        footer = "Other commands: graph, eta, replay estimates; each with --help.")
 public final class Main implements Callable<Integer> {
     @Option(names = "--operator", paramLabel = "FILE", description = "the operators' own settings, an EDN map")
     private Path operatorFile;
@@ -51,7 +55,9 @@
         int code = switch (args.length == 0 ? "" : args[0]) {
             case "graph" -> GraphCommand.execute(Arrays.copyOfRange(args, 1, args.length));
             case "eta" -> EtaCommand.execute(Arrays.copyOfRange(args, 1, args.length));
-            case "replay" -> ReplayCommand.execute(Arrays.copyOfRange(args, args.length > 1 && args[1].equals("estimates") ? 2 : 1, args.length));
+            case "replay" ->
+                ReplayCommand.execute(
+                        Arrays.copyOfRange(args, args.length > 1 && args[1].equals("estimates") ? 2 : 1, args.length));
             default -> new CommandLine(new Main()).execute(args);
         };
         if (code != 0) {
@@ -83,20 +89,22 @@
     }
 
     /**
-     * Starts the node; it runs until the process is killed. Everything after the worker's creation happens on its I/O thread, while
-     * the calling thread only waits: where system calls of the process are rewritten while it runs, one thread reading the jar beside another
-     * that reads sockets ended about one start in a hundred (docs/incidents, native-read). So no class is loaded beside the running loop.
+     * Starts the node; it runs until the process is killed. Everything after the worker's creation happens on its I/O
+     * thread, while the calling thread only waits: where system calls of the process are rewritten while it runs, one
+     * thread reading the jar beside another that reads sockets ended about one start in a hundred (docs/incidents,
+     * native-read). So no class is loaded beside the running loop.
      */
     static Undertow serve(Settings settings, OperatorSettings operator) throws Exception {
         CompletableFuture<Undertow> started = new CompletableFuture<>();
         Starter starter = new Starter(settings, operator, started);
-        starter.worker = Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.TCP_NODELAY, true)
-                .set(Options.REUSE_ADDRESSES, true)
-                .getMap());
+        starter.worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.TCP_NODELAY, true)
+                        .set(Options.REUSE_ADDRESSES, true)
+                        .getMap());
         starter.worker.getIoThread().execute(starter);
         return started.get();
     }
@@ -127,7 +135,11 @@
             try {
                 buffers = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
                 sockets = new Sockets(settings.sockets());
-                network = new Network(worker.getIoThread(), buffers, sockets, Set.copyOf(List.of(settings.state(), settings.cloud())),
+                network = new Network(
+                        worker.getIoThread(),
+                        buffers,
+                        sockets,
+                        Set.copyOf(List.of(settings.state(), settings.cloud())),
                         (int) (settings.sockets() * Constants.IDLE_SOCKETS));
                 node = new Node(network, settings, operator);
                 listen();
@@ -136,10 +148,20 @@
             }
         }
 
-        /** An address may still be taken for a moment by an earlier process: ending for that would only start the next one. */
+        /**
+         * An address may still be taken for a moment by an earlier process: ending for that would only start the next
+         * one.
+         */
         private void listen() {
             try {
-                Undertow server = HttpServer.start(worker, buffers, sockets, settings.publicAddr(), node::handle, settings.meshAddr(), node::handleMesh);
+                Undertow server = HttpServer.start(
+                        worker,
+                        buffers,
+                        sockets,
+                        settings.publicAddr(),
+                        node::handle,
+                        settings.meshAddr(),
+                        node::handleMesh);
                 network.after(0, node::start);
                 started.complete(server);
             } catch (RuntimeException e) {
@@ -148,7 +170,11 @@
                     return;
                 }
                 if (tries == 1) {
-                    LOG.error("address taken, trying again users={} mesh={} reason={}", settings.publicAddr(), settings.meshAddr(), e.getCause().getMessage());
+                    LOG.error(
+                            "address taken, trying again users={} mesh={} reason={}",
+                            settings.publicAddr(),
+                            settings.meshAddr(),
+                            e.getCause().getMessage());
                 }
                 network.after(Constants.LISTEN_AGAIN_MS, this::listen);
             }
--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -18,8 +18,13 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays recorded runs, each estimated before its outcome is known, and prints how well that went. */
-@Command(name = "hollypick replay estimates", mixinStandardHelpOptions = true, description = {"Plays recorded runs in the order of the file, each estimated before its outcome is told.",
-    "A line is a JSON object: kind, team, cores, expect_s, machine, ran_s, and cut: true for runs that were stopped, lost or failed."})
+@Command(
+        name = "hollypick replay estimates",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays recorded runs in the order of the file, each estimated before its outcome is told.",
+            "A line is a JSON object: kind, team, cores, expect_s, machine, ran_s, and cut: true for runs that were stopped, lost or failed."
+        })
 final class ReplayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
@@ -31,10 +36,22 @@
     @Override
     public Integer call() {
         List<Replay.Run> runs = read(file);
-        System.out.println("| of | runs | inside 10-90 % | band, times | median error | owner's estimate | running mean | last run |");
+        System.out.println(
+                "| of | runs | inside 10-90 % | band, times | median error | owner's estimate | running mean | last run |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        new Replay().play(runs).forEach((of, s) -> System.out.printf(Locale.ROOT, "| %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n", of, s.runs(), s.inside(), s.width(),
-                s.errors()[0], s.errors()[1], s.errors()[2], s.errors()[3]));
+        new Replay()
+                .play(runs)
+                .forEach((of, s) -> System.out.printf(
+                        Locale.ROOT,
+                        "| %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n",
+                        of,
+                        s.runs(),
+                        s.inside(),
+                        s.width(),
+                        s.errors()[0],
+                        s.errors()[1],
+                        s.errors()[2],
+                        s.errors()[3]));
         return 0;
     }
 
@@ -56,13 +73,31 @@
                 if (!n.path("ran_s").isNumber() || !n.path("expect_s").isNumber()) {
                     throw new ConfigException(file + ": line " + (i + 1) + ": ran_s and expect_s must be numbers");
                 }
-                ObjectNode job = Codec.object().put("name_id", "req-1").put("jobkind", n.path("kind").asText("")).put("rank", "standard").put("shape", "batch").put("shards", 1)
-                        .put("cores", n.path("cores").asDouble(1)).put("gpus", 0.0).put("ram_gb", 1.0).put("together", false).put("spread", false).put("lendable", true)
-                        .put("bundle", "any").put("pull_gb", 0.0).put("expect_s", n.path("expect_s").asDouble()).put("bookmark_s", 0.0).put("stow_s", 0.0);
+                ObjectNode job = Codec.object()
+                        .put("name_id", "req-1")
+                        .put("jobkind", n.path("kind").asText(""))
+                        .put("rank", "standard")
+                        .put("shape", "batch")
+                        .put("shards", 1)
+                        .put("cores", n.path("cores").asDouble(1))
+                        .put("gpus", 0.0)
+                        .put("ram_gb", 1.0)
+                        .put("together", false)
+                        .put("spread", false)
+                        .put("lendable", true)
+                        .put("bundle", "any")
+                        .put("pull_gb", 0.0)
+                        .put("expect_s", n.path("expect_s").asDouble())
+                        .put("bookmark_s", 0.0)
+                        .put("stow_s", 0.0);
                 if (n.path("team").isTextual()) {
                     job.put("owner", n.path("team").asText());
                 }
-                runs.add(new Replay.Run(JobCodec.read(job), n.path("machine").asText("any"), n.path("ran_s").asDouble(), n.path("cut").asBoolean()));
+                runs.add(new Replay.Run(
+                        JobCodec.read(job),
+                        n.path("machine").asText("any"),
+                        n.path("ran_s").asDouble(),
+                        n.path("cut").asBoolean()));
             } catch (IOException | JobCodec.Invalid e) {
                 throw new ConfigException(file + ": line " + (i + 1) + ": " + e.getMessage());
             }
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -1,6 +1,5 @@
 package org.hollypick.cli;
 
-import org.hollypick.io.WireNames;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
 import java.net.ServerSocket;
@@ -15,14 +14,18 @@
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Network;
-import org.hollypick.io.Sockets;
 import org.hollypick.io.Reply;
+import org.hollypick.io.Sockets;
+import org.hollypick.io.WireNames;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A node on loopback whose outside systems are all away: it must still answer. The build's class-data archive comes from it. */
+/**
+ * A node on loopback whose outside systems are all away: it must still answer. The build's class-data archive comes
+ * from it.
+ */
 final class SelfTest {
     private SelfTest() {}
 
@@ -30,18 +33,50 @@
         String users = loopback();
         String mesh = loopback();
         String away = loopback();
-        Settings settings = new Settings("self", "zone", users, mesh, List.of(), away, away, List.of("zone"), Map.of(), List.of(),
-                3, 30, 50, 100, 30, 8192, 12, 8, 5, 1000);
+        Settings settings = new Settings(
+                "self",
+                "zone",
+                users,
+                mesh,
+                List.of(),
+                away,
+                away,
+                List.of("zone"),
+                Map.of(),
+                List.of(),
+                3,
+                30,
+                50,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                5,
+                1000);
         Undertow server = Main.serve(settings, OperatorSettings.defaults());
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
-        Network client = new Network(worker.getIoThread(), new DefaultByteBufferPool(true, 8 * 1024), new Sockets(100), Set.of(), 10);
+        XnioWorker worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .getMap());
+        Network client = new Network(
+                worker.getIoThread(), new DefaultByteBufferPool(true, 8 * 1024), new Sockets(100), Set.of(), 10);
         boolean ok = true;
         for (Call call : List.of(
                 Call.of(users, "GET", "/ready", null, 5_000),
                 Call.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
                 Call.of(users, "GET", "/submissions/req-1", null, 5_000),
-                Call.of(users, "POST", "/hello", Codec.object().put("bothy", "n-1").put(WireNames.WORKER_SESSION, 1).put("tick", 1), 5_000),
+                Call.of(
+                        users,
+                        "POST",
+                        "/hello",
+                        Codec.object()
+                                .put("bothy", "n-1")
+                                .put(WireNames.WORKER_SESSION, 1)
+                                .put("tick", 1),
+                        5_000),
                 new Call(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
             BlockingQueue<Reply> got = new ArrayBlockingQueue<>(1);
             client.after(0, () -> client.call(call, got::add));
--- a/src/main/java/org/hollypick/client/GraphSpec.java
+++ b/src/main/java/org/hollypick/client/GraphSpec.java
@@ -15,8 +15,20 @@
 
 /** A graph under construction, checked before it is sent. */
 public final class GraphSpec {
-    private static final Set<String> TASK = Set.of("cores", "gpus", "ram_gb", "flavours", "hall", "lendable", "bundle", "pull_gb", "expect_s", "bookmark_s", "stow_s");
-    private static final Set<String> GRAPH = Set.of("name_id", "jobkind", "owner", "rank", "retries", "on_failure", "task", "nodes");
+    private static final Set<String> TASK = Set.of(
+            "cores",
+            "gpus",
+            "ram_gb",
+            "flavours",
+            "hall",
+            "lendable",
+            "bundle",
+            "pull_gb",
+            "expect_s",
+            "bookmark_s",
+            "stow_s");
+    private static final Set<String> GRAPH =
+            Set.of("name_id", "jobkind", "owner", "rank", "retries", "on_failure", "task", "nodes");
     private static final Set<String> RANKS = Set.of("prod", "urgent", "standard", "low");
     /** Bytes of nodes in one call, by their JSON; the protocol allows 64 KiB. */
     private static final int CALL_BYTES = 44 * 1024;
@@ -42,7 +54,10 @@
         this.nodes.putAll(nodes);
     }
 
-    /** A graph from a tree with the wire's names, as a file holds it; {@link #check(JsonNode)} tells what is wrong with one. */
+    /**
+     * A graph from a tree with the wire's names, as a file holds it; {@link #check(JsonNode)} tells what is wrong with
+     * one.
+     */
     public static GraphSpec of(JsonNode tree) {
         ObjectNode head = tree.deepCopy();
         head.remove("nodes");
@@ -173,7 +188,8 @@
             for (int k = 0; k < nodes.get(i).path("awaits").size(); k++) {
                 String other = nodes.get(i).path("awaits").get(k).asText();
                 if (!places.containsKey(other)) {
-                    problems.add(new Problem("nodes[" + i + "].awaits[" + k + "]", "\"" + other + "\" is no node of this graph"));
+                    problems.add(new Problem(
+                            "nodes[" + i + "].awaits[" + k + "]", "\"" + other + "\" is no node of this graph"));
                 }
             }
         }
@@ -182,7 +198,8 @@
             order(nodes, places).forEach(n -> cyclic.remove(n.path("id").asText()));
             if (!cyclic.isEmpty()) {
                 int first = cyclic.stream().mapToInt(places::get).min().orElseThrow();
-                problems.add(new Problem("nodes[" + first + "].awaits", "a cycle: the node can't be done before itself"));
+                problems.add(
+                        new Problem("nodes[" + first + "].awaits", "a cycle: the node can't be done before itself"));
             }
         }
     }
--- a/src/main/java/org/hollypick/client/HollypickClient.java
+++ b/src/main/java/org/hollypick/client/HollypickClient.java
@@ -21,8 +21,9 @@
 import java.util.function.Supplier;
 
 /**
- * Submits graphs, follows them and, from inside their tasks, adds to them. Any controller takes any call, and every call may be repeated: on 429, 503,
- * silence or a lost connection the next address is tried, after {@code Retry-After} or a growing, jittered wait, until the call's time is over.
+ * Submits graphs, follows them and, from inside their tasks, adds to them. Any controller takes any call, and every
+ * call may be repeated: on 429, 503, silence or a lost connection the next address is tried, after {@code Retry-After}
+ * or a growing, jittered wait, until the call's time is over.
  */
 public final class HollypickClient implements AutoCloseable {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
@@ -54,7 +55,10 @@
         this.callTime = times.call();
         this.answerTime = times.answer();
         this.pollEvery = times.pollEvery();
-        this.http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(Duration.ofSeconds(2)).build();
+        this.http = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(Duration.ofSeconds(2))
+                .build();
     }
 
     @Override
@@ -87,7 +91,9 @@
         return call("GET", "/submissions/" + id + "/estimate", null);
     }
 
-    /** How a graph stands: {@code pending}, {@code running}, {@code done} or {@code aborted}, and its nodes by state. */
+    /**
+     * How a graph stands: {@code pending}, {@code running}, {@code done} or {@code aborted}, and its nodes by state.
+     */
     public record Status(String status, JsonNode counts, String why) {
         public boolean over() {
             return status.equals("done") || status.equals("aborted");
@@ -107,7 +113,8 @@
         }
 
         public CompletableFuture<Status> status() {
-            return show(0).thenApply(b -> new Status(b.path("status").asText(), b.path("counts"), b.path("why").asText("")));
+            return show(0).thenApply(b -> new Status(
+                    b.path("status").asText(), b.path("counts"), b.path("why").asText("")));
         }
 
         /** What the service tells of it, with a page of nodes from an index on. */
@@ -117,17 +124,20 @@
 
         /** Done when the graph is over, however. */
         public CompletableFuture<Status> over() {
-            return status().thenCompose(s -> s.over() ? CompletableFuture.completedFuture(s) : after(pollEvery, this::over));
+            return status().thenCompose(
+                            s -> s.over() ? CompletableFuture.completedFuture(s) : after(pollEvery, this::over));
         }
 
         /** From its answer on no node starts. */
         public CompletableFuture<String> withdraw() {
-            return call("POST", "/graphs/" + id + "/withdraw", JsonNodeFactory.instance.objectNode()).thenApply(b -> b.path("status").asText());
+            return call("POST", "/graphs/" + id + "/withdraw", JsonNodeFactory.instance.objectNode())
+                    .thenApply(b -> b.path("status").asText());
         }
 
         /** Cancels a node and what needs it. */
         public CompletableFuture<String> withdraw(String node) {
-            return call("POST", "/graphs/" + id + "/nodes/" + node + "/withdraw", JsonNodeFactory.instance.objectNode()).thenApply(b -> b.path("state").asText());
+            return call("POST", "/graphs/" + id + "/nodes/" + node + "/withdraw", JsonNodeFactory.instance.objectNode())
+                    .thenApply(b -> b.path("state").asText());
         }
 
         /** The node's result once it is done, or that of what it handed on to; fails if it never can be. */
@@ -176,16 +186,19 @@
 
         /** Keeps a small result. */
         public CompletableFuture<Void> result(Object value) {
-            return keep(JsonNodeFactory.instance.objectNode().put("try", attempt).set("value", CBOR.valueToTree(value)));
+            return keep(
+                    JsonNodeFactory.instance.objectNode().put("try", attempt).set("value", CBOR.valueToTree(value)));
         }
 
         /** Keeps a reference to a result that is stored elsewhere. */
         public CompletableFuture<Void> resultAt(String reference) {
-            return keep(JsonNodeFactory.instance.objectNode().put("try", attempt).put("ref", reference));
+            return keep(
+                    JsonNodeFactory.instance.objectNode().put("try", attempt).put("ref", reference));
         }
 
         private CompletableFuture<Void> keep(JsonNode body) {
-            return call("POST", "/graphs/" + graph.id + "/nodes/" + node + "/result", body).thenApply(b -> null);
+            return call("POST", "/graphs/" + graph.id + "/nodes/" + node + "/result", body)
+                    .thenApply(b -> null);
         }
     }
 
@@ -202,38 +215,59 @@
 
     private CompletableFuture<JsonNode> attempt(String method, String path, JsonNode body, long until, int tries) {
         String address = addresses.get(Math.floorMod(next.get(), addresses.size()));
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(answerTime);
+        HttpRequest.Builder request =
+                HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(answerTime);
         try {
-            request.method(method, body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofByteArray(CBOR.writeValueAsBytes(body)));
+            request.method(
+                    method,
+                    body == null
+                            ? HttpRequest.BodyPublishers.noBody()
+                            : HttpRequest.BodyPublishers.ofByteArray(CBOR.writeValueAsBytes(body)));
         } catch (IOException e) {
             return CompletableFuture.failedFuture(new HollypickException.Invalid(0, e.getMessage()));
         }
-        return http.sendAsync(request.header("Content-Type", "application/cbor").build(), HttpResponse.BodyHandlers.ofByteArray())
-                .handle((response, failure) -> response == null ? retry(method, path, body, until, tries, 0, failure.getMessage(), 0)
+        return http.sendAsync(
+                        request.header("Content-Type", "application/cbor").build(),
+                        HttpResponse.BodyHandlers.ofByteArray())
+                .handle((response, failure) -> response == null
+                        ? retry(method, path, body, until, tries, 0, failure.getMessage(), 0)
                         : answered(method, path, body, until, tries, response))
                 .thenCompose(f -> f);
     }
 
-    private CompletableFuture<JsonNode> answered(String method, String path, JsonNode body, long until, int tries, HttpResponse<byte[]> response) {
+    private CompletableFuture<JsonNode> answered(
+            String method, String path, JsonNode body, long until, int tries, HttpResponse<byte[]> response) {
         JsonNode told = read(response.body());
         String error = told.path("error").asText(response.statusCode() + " without a reason");
         return switch (response.statusCode()) {
             case 200, 201, 202 -> CompletableFuture.completedFuture(told);
-            case 400, 405, 422 -> CompletableFuture.failedFuture(new HollypickException.Invalid(response.statusCode(), error));
+            case 400, 405, 422 ->
+                CompletableFuture.failedFuture(new HollypickException.Invalid(response.statusCode(), error));
             case 404 -> CompletableFuture.failedFuture(new HollypickException.NotFound(error));
             case 409 -> CompletableFuture.failedFuture(new HollypickException.Conflict(error));
-            default -> retry(method, path, body, until, tries, response.statusCode(), error,
-                    response.headers().firstValueAsLong("Retry-After").orElse(0));
+            default ->
+                retry(
+                        method,
+                        path,
+                        body,
+                        until,
+                        tries,
+                        response.statusCode(),
+                        error,
+                        response.headers().firstValueAsLong("Retry-After").orElse(0));
         };
     }
 
-    private CompletableFuture<JsonNode> retry(String method, String path, JsonNode body, long until, int tries, int status, String why, long afterS) {
+    private CompletableFuture<JsonNode> retry(
+            String method, String path, JsonNode body, long until, int tries, int status, String why, long afterS) {
         next.incrementAndGet();
         long backoff = Math.min(8_000, 250L << Math.min(tries, 5));
-        long wait = Math.max(Math.min(afterS, 30) * 1_000, backoff / 2 + ThreadLocalRandom.current().nextLong(backoff / 2 + 1));
+        long wait = Math.max(
+                Math.min(afterS, 30) * 1_000,
+                backoff / 2 + ThreadLocalRandom.current().nextLong(backoff / 2 + 1));
         if (until != Long.MAX_VALUE && System.nanoTime() + wait * 1_000_000 - until > 0) {
-            return CompletableFuture.failedFuture(new HollypickException.Unavailable(status,
-                    "no controller of " + addresses + " took the call within its time; the last word: " + why));
+            return CompletableFuture.failedFuture(new HollypickException.Unavailable(
+                    status, "no controller of " + addresses + " took the call within its time; the last word: " + why));
         }
         return after(Duration.ofMillis(wait), () -> attempt(method, path, body, until, tries + 1));
     }
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -19,7 +19,10 @@
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
 
-/** The cloud's protocol, inside its request limit. Over the limit a call isn't sent; the loops try again. {@code still}: asked when it is sent. */
+/**
+ * The cloud's protocol, inside its request limit. Over the limit a call isn't sent; the loops try again. {@code still}:
+ * asked when it is sent.
+ */
 public final class CloudClient {
     private final Runtime runtime;
     private final String address;
@@ -50,25 +53,51 @@
             for (JsonNode t : r.body().path("flavours")) {
                 Set<String> zones = new LinkedHashSet<>();
                 t.path("halls").forEach(z -> zones.add(z.asText()));
-                MachineType type = new MachineType(t.path("sku").asText(), t.path("cores").asDouble(), t.path("gpus").asDouble(),
-                        t.path("ram_gb").asDouble(), t.path("cache_gb").asDouble(), t.path("pull_gb_per_s").asDouble(1),
-                        t.path("price").asDouble(), t.path("market_price").asDouble(), t.path("ready_s").asDouble(), zones);
+                MachineType type = new MachineType(
+                        t.path("sku").asText(),
+                        t.path("cores").asDouble(),
+                        t.path("gpus").asDouble(),
+                        t.path("ram_gb").asDouble(),
+                        t.path("cache_gb").asDouble(),
+                        t.path("pull_gb_per_s").asDouble(1),
+                        t.path("price").asDouble(),
+                        t.path("market_price").asDouble(),
+                        t.path("ready_s").asDouble(),
+                        zones);
                 types.put(type.name(), type);
             }
             reply.accept(types);
         });
     }
 
-    public void hire(String request, String type, String zone, boolean spot, int count, BooleanSupplier still, Consumer<Reply> reply) {
-        ObjectNode body = Codec.object().put("hire", request).put("flavour", type).put("hall", zone).put("lendable", spot).put("number", count);
-        send(Call.of(address, "POST", "/hosts", body, Constants.CLOUD_TIMEOUT_MS).only(still), reply);
+    public void hire(
+            String request,
+            String type,
+            String zone,
+            boolean spot,
+            int count,
+            BooleanSupplier still,
+            Consumer<Reply> reply) {
+        ObjectNode body = Codec.object()
+                .put("hire", request)
+                .put("flavour", type)
+                .put("hall", zone)
+                .put("lendable", spot)
+                .put("number", count);
+        send(
+                Call.of(address, "POST", "/hosts", body, Constants.CLOUD_TIMEOUT_MS)
+                        .only(still),
+                reply);
     }
 
     public void giveBack(Collection<String> machines, BooleanSupplier still, Consumer<Reply> reply) {
         ObjectNode body = Codec.object();
         ArrayNode names = body.putArray("bothies");
         machines.forEach(names::add);
-        send(Call.of(address, "POST", "/hosts/return", body, Constants.CLOUD_TIMEOUT_MS).only(still), reply);
+        send(
+                Call.of(address, "POST", "/hosts/return", body, Constants.CLOUD_TIMEOUT_MS)
+                        .only(still),
+                reply);
     }
 
     public void list(String from, Consumer<Reply> reply) {
--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/Candidate.java
@@ -17,11 +17,15 @@
 import org.hollypick.worker.WorkerClient;
 
 /**
- * How well this controller could lead, measured when it matters: some machines of each zone are asked directly, and by way of the others. One that reaches few
- * leaves a free lead to others for a while; a leader gives it up only to one that reaches what it reaches by all ways together.
+ * How well this controller could lead, measured when it matters: some machines of each zone are asked directly, and by
+ * way of the others. One that reaches few leaves a free lead to others for a while; a leader gives it up only to one
+ * that reaches what it reaches by all ways together.
  */
 public final class Candidate {
-    /** Of the machines asked: how many answered this controller, how many only another, and how many the one that reached most. */
+    /**
+     * Of the machines asked: how many answered this controller, how many only another, and how many the one that
+     * reached most.
+     */
     public record Measured(int asked, int direct, int byPeers, int bestPeer) {
         /** For how long a free lead is left to others. */
         public long waitMs() {
@@ -33,7 +37,10 @@
             return LeadershipDelay.nearlyAll(asked, direct, byPeers);
         }
 
-        /** Another one would lead better: alone it reaches as many as this one with all others, and more than this one alone. */
+        /**
+         * Another one would lead better: alone it reaches as many as this one with all others, and more than this one
+         * alone.
+         */
         public boolean betterElsewhere() {
             return LeadershipDelay.better(direct, byPeers, bestPeer);
         }
@@ -81,14 +88,15 @@
 
         void begin() {
             open = asked.size();
-            new HashMap<>(asked).forEach((id, addr) -> workers.inspect(id, addr, Constants.LEADERSHIP_DELAY_ASK_MS, r -> {
-                if (r.ok()) {
-                    direct.add(id);
-                } else if (r.status() == Reply.LACK) {
-                    asked.remove(id); // it says nothing about the path
-                }
-                ended();
-            }));
+            new HashMap<>(asked)
+                    .forEach((id, addr) -> workers.inspect(id, addr, Constants.LEADERSHIP_DELAY_ASK_MS, r -> {
+                        if (r.ok()) {
+                            direct.add(id);
+                        } else if (r.status() == Reply.LACK) {
+                            asked.remove(id); // it says nothing about the path
+                        }
+                        ended();
+                    }));
             runtime.after(Constants.LEADERSHIP_DELAY_PATIENCE_MS, this::askPeers);
         }
 
@@ -103,7 +111,9 @@
                     if (answered != null) {
                         byPeers.addAll(answered.reached());
                         // One without a way to the state service can't lead, whatever it reaches.
-                        bestPeer = answered.reachesState() ? Math.max(bestPeer, answered.reached().size()) : bestPeer;
+                        bestPeer = answered.reachesState()
+                                ? Math.max(bestPeer, answered.reached().size())
+                                : bestPeer;
                     }
                     ended();
                 });
@@ -136,7 +146,8 @@
             if (key.startsWith(Keys.MACHINES)) {
                 e.data().fields().forEachRemaining(m -> {
                     if (!m.getValue().path("addr").asText().isEmpty()) {
-                        byZone.computeIfAbsent(m.getValue().path("zone").asText(), z -> new ArrayList<>()).add(m);
+                        byZone.computeIfAbsent(m.getValue().path("zone").asText(), z -> new ArrayList<>())
+                                .add(m);
                     }
                 });
             }
--- a/src/main/java/org/hollypick/cluster/Keys.java
+++ b/src/main/java/org/hollypick/cluster/Keys.java
@@ -14,6 +14,7 @@
 
     /** What a controller tells a leader that it doesn't reach. */
     public static final String LEADER_COMPLAINT = "h/l/";
+
     public static final String LEARNED = "h/e/";
     /** Sorts behind the jobs, as what they await does. */
     public static final String GRAPH_LOG = "h/x/";
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -1,6 +1,5 @@
 package org.hollypick.cluster;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,13 +13,14 @@
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
+import org.hollypick.io.WireNames;
 import org.hollypick.state.StateClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's state session, its member key and the claim to lead. The leader record names the leader and the stamp of its member key:
- * while that key stands, nobody else can claim. The leader record's own stamp is the token.
+ * This node's state session, its member key and the claim to lead. The leader record names the leader and the stamp of
+ * its member key: while that key stands, nobody else can claim. The leader record's own stamp is the token.
  */
 public final class Membership {
     private static final String LIMITS = "limits";
@@ -40,19 +40,24 @@
     private long stateSessionUntil;
     /** The stamp of this incarnation's member key; 0 while there is none. */
     private long memberStamp;
+
     private long renewedAt;
     /** Until when, and for which token, all other controllers have promised not to claim. */
     private long promisedUntil;
+
     private long promisedToken;
     /** Until when this node has promised not to claim. */
     private long silentUntil;
+
     private long aloneUntil;
     /** When another controller last answered a question. */
     private long peerAt;
+
     private boolean claiming;
     private long claimNotBefore;
     /** What an earlier self let others answer for it is over. */
     private final long rightsOver;
+
     private int incarnation;
     /** The newest leader record that another controller told of. */
     private Leader told;
@@ -76,11 +81,16 @@
         askOthers();
     }
 
-    /** One process runs under a node's name at a time, so a member key found at the start is a dead self's: its state session is ended. */
+    /**
+     * One process runs under a node's name at a time, so a member key found at the start is a dead self's: its state
+     * session is ended.
+     */
     public void start() {
         state.get(Keys.member(settings.node()), r -> {
             if (r.ok() && r.body().path(WireNames.STATE_SESSION).isNumber()) {
-                endEarlier(Codec.u64(r.body().path(WireNames.STATE_SESSION)), Codec.u64(r.body().path(WireNames.REVISION)));
+                endEarlier(
+                        Codec.u64(r.body().path(WireNames.STATE_SESSION)),
+                        Codec.u64(r.body().path(WireNames.REVISION)));
             } else if (r.ok() || r.status() == 404) {
                 join();
             } else {
@@ -91,19 +101,25 @@
 
     /** Not before others have certainly stopped passing on what the earlier self answered. */
     private void endEarlier(long old, long member) {
-        released(member, rightsOver - runtime.now(), () -> state.end(old, e -> {
-            LOG.info("ended the state session of the earlier self state_session={} status={}", Long.toUnsignedString(old), e.status());
-            if (e.status() == 200 || e.status() == 204 || e.status() == 404) {
-                join();
-            } else {
-                runtime.after(300, this::start);
-            }
-        }));
+        released(
+                member,
+                rightsOver - runtime.now(),
+                () -> state.end(old, e -> {
+                    LOG.info(
+                            "ended the state session of the earlier self state_session={} status={}",
+                            Long.toUnsignedString(old),
+                            e.status());
+                    if (e.status() == 200 || e.status() == 204 || e.status() == 404) {
+                        join();
+                    } else {
+                        runtime.after(300, this::start);
+                    }
+                }));
     }
 
     /**
-     * Goes on once no other controller passes on anything more that this node answered under that member key: when all of them have said so, or when the
-     * time for which they may is certainly over.
+     * Goes on once no other controller passes on anything more that this node answered under that member key: when all
+     * of them have said so, or when the time for which they may is certainly over.
      */
     private void released(long member, long withinMs, Runnable then) {
         boolean[] gone = {false};
@@ -116,11 +132,19 @@
         runtime.after(Math.max(0, withinMs), once);
         int[] missing = {settings.siblings().size()};
         for (Settings.Sibling s : settings.siblings()) {
-            runtime.call(new Call(s.addr(), "POST", "/release", Codec.object().put("member", member), Constants.MESH_TIMEOUT_MS, true), r -> {
-                if (r.ok() && r.body().path("released").asBoolean() && --missing[0] == 0) {
-                    once.run();
-                }
-            });
+            runtime.call(
+                    new Call(
+                            s.addr(),
+                            "POST",
+                            "/release",
+                            Codec.object().put("member", member),
+                            Constants.MESH_TIMEOUT_MS,
+                            true),
+                    r -> {
+                        if (r.ok() && r.body().path("released").asBoolean() && --missing[0] == 0) {
+                            once.run();
+                        }
+                    });
         }
     }
 
@@ -164,8 +188,8 @@
         ObjectNode data = Codec.object().put("location", settings.zone()).put("mesh", settings.meshAddr());
         ArrayNode times = data.putArray("resigned");
         resigned.forEach(times::add);
-        // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the others
-        // would take for a new incarnation while this one still acts.
+        // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the
+        // others would take for a new incarnation while this one still acts.
         String key = Keys.member(settings.node());
         state.commitNow(new StateClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
             if (self != incarnation) {
@@ -194,7 +218,8 @@
 
     private void entered(long stamp) {
         memberStamp = stamp;
-        LOG.info("joined state_session={} member={}", Long.toUnsignedString(stateSession), Long.toUnsignedString(stamp));
+        LOG.info(
+                "joined state_session={} member={}", Long.toUnsignedString(stateSession), Long.toUnsignedString(stamp));
         changed.run();
     }
 
@@ -230,8 +255,8 @@
     // ---- promises: how a leader goes on while the state service is away ----
 
     /**
-     * While renewals fail, asks every other controller whether it reaches the state service, and a leader asks them not to claim for
-     * a while: only if all of them promise does it count.
+     * While renewals fail, asks every other controller whether it reaches the state service, and a leader asks them not
+     * to claim for a while: only if all of them promise does it count.
      */
     private void askOthers() {
         if (!settings.siblings().isEmpty() && runtime.now() - renewedAt > Constants.PROMISE_AFTER_MS) {
@@ -239,28 +264,43 @@
             long sent = runtime.now();
             int[] missing = {settings.siblings().size()};
             for (Settings.Sibling s : settings.siblings()) {
-                runtime.call(new Call(s.addr(), "POST", "/promise", Codec.object().put(WireNames.FENCING_TOKEN, token), Constants.MESH_TIMEOUT_MS, true), r -> {
-                    if (r.ok()) {
-                        peerAt = runtime.now();
-                        learn(r.body().path(WireNames.LEADER_RECORD));
-                    }
-                    if (r.ok() && r.body().path("reaches_state").asBoolean()) {
-                        aloneUntil = runtime.now() + Constants.ALONE_MS;
-                    }
-                    if (r.ok() && r.body().path("promised").asBoolean() && --missing[0] == 0 && token == token()) {
-                        promisedToken = token;
-                        promisedUntil = sent + certainly(Constants.PROMISE_MS);
-                    }
-                });
+                runtime.call(
+                        new Call(
+                                s.addr(),
+                                "POST",
+                                "/promise",
+                                Codec.object().put(WireNames.FENCING_TOKEN, token),
+                                Constants.MESH_TIMEOUT_MS,
+                                true),
+                        r -> {
+                            if (r.ok()) {
+                                peerAt = runtime.now();
+                                learn(r.body().path(WireNames.LEADER_RECORD));
+                            }
+                            if (r.ok() && r.body().path("reaches_state").asBoolean()) {
+                                aloneUntil = runtime.now() + Constants.ALONE_MS;
+                            }
+                            if (r.ok()
+                                    && r.body().path("promised").asBoolean()
+                                    && --missing[0] == 0
+                                    && token == token()) {
+                                promisedToken = token;
+                                promisedUntil = sent + certainly(Constants.PROMISE_MS);
+                            }
+                        });
             }
         }
         runtime.after(Constants.PROMISE_EVERY_MS, this::askOthers);
     }
 
-    /** This node can't reach the state service though another can, or reaches neither it nor any other controller: users are better served elsewhere. */
+    /**
+     * This node can't reach the state service though another can, or reaches neither it nor any other controller: users
+     * are better served elsewhere.
+     */
     public boolean alone() {
         long now = runtime.now();
-        boolean cutOff = !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > Constants.STATE_SESSION_MS;
+        boolean cutOff =
+                !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > Constants.STATE_SESSION_MS;
         return !reachesState() && (now < aloneUntil || cutOff);
     }
 
@@ -270,21 +310,25 @@
     }
 
     /**
-     * Another controller asks this one not to claim. Granted only while this node's view shows the asker's member key in place:
-     * then this node can't have a claim under way against that leader record.
+     * Another controller asks this one not to claim. Granted only while this node's view shows the asker's member key
+     * in place: then this node can't have a claim under way against that leader record.
      */
     private boolean promise(long token) {
         if (!view.loaded() || token == 0 || leaderRecordRevision() != token || free()) {
             return false;
         }
         if (reachesState()) {
-            return false; // the state service is there: the asker alone is cut off from it, and its work is better taken over
+            // the state service is there: the asker alone is cut off from it, and its work is better taken over
+            return false;
         }
         silentUntil = Math.max(silentUntil, runtime.now() + possibly(Constants.PROMISE_MS));
         return true;
     }
 
-    /** Whether an own or an earlier self's promise forbids a claim now. A leader record that names this node itself binds nobody. */
+    /**
+     * Whether an own or an earlier self's promise forbids a claim now. A leader record that names this node itself
+     * binds nobody.
+     */
     private boolean promised() {
         return runtime.now() < silentUntil && !settings.node().equals(leader()) && leader() != null;
     }
@@ -313,8 +357,12 @@
     /** The leader record's revision if the leader record names this very incarnation, else 0. */
     public long token() {
         View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
-        return leaderRecord != null && memberStamp != 0 && leaderRecord.data().path("leader").asText().equals(settings.node())
-                && Codec.u64(leaderRecord.data().path("member")) == memberStamp ? leaderRecord.stamp() : 0;
+        return leaderRecord != null
+                        && memberStamp != 0
+                        && leaderRecord.data().path("leader").asText().equals(settings.node())
+                        && Codec.u64(leaderRecord.data().path("member")) == memberStamp
+                ? leaderRecord.stamp()
+                : 0;
     }
 
     /** The leader that the leader record names, which may be dead; null without a leader record. */
@@ -342,15 +390,26 @@
     /** Who leads by a leader record: the node, the stamp of its member key, and the token. */
     public record Leader(String node, long member, long token) {}
 
-    /** Who leads, as far as this node knows: by its view, or by the word of another that knows a newer leader record while this one's view stands still. Null if nobody does. */
+    /**
+     * Who leads, as far as this node knows: by its view, or by the word of another that knows a newer leader record
+     * while this one's view stands still. Null if nobody does.
+     */
     public Leader currentLeader() {
         if (toldNewer()) {
             return told;
         }
-        return free() ? null : new Leader(leader(), Codec.u64(view.get(Keys.LEADER_RECORD).data().path("member")), leaderRecordRevision());
+        return free()
+                ? null
+                : new Leader(
+                        leader(),
+                        Codec.u64(view.get(Keys.LEADER_RECORD).data().path("member")),
+                        leaderRecordRevision());
     }
 
-    /** Another controller told of a newer leader record than this node's view shows. Reports go there; everything else waits for the view. */
+    /**
+     * Another controller told of a newer leader record than this node's view shows. Reports go there; everything else
+     * waits for the view.
+     */
     public boolean toldNewer() {
         return told != null && Long.compareUnsigned(told.token, leaderRecordRevision()) > 0;
     }
@@ -362,12 +421,18 @@
         }
     }
 
-    /** This node's answer to another that asks for a promise; it asks since it has no way to the state service, so it is told of the leader record. */
+    /**
+     * This node's answer to another that asks for a promise; it asks since it has no way to the state service, so it is
+     * told of the leader record.
+     */
     public ObjectNode promised(long token) {
         ObjectNode answer = Codec.object().put("promised", promise(token)).put("reaches_state", reachesState());
         Leader currentLeader = currentLeader();
         if (currentLeader != null) {
-            answer.putObject(WireNames.LEADER_RECORD).put("leader", currentLeader.node).put("member", currentLeader.member).put(WireNames.FENCING_TOKEN, currentLeader.token);
+            answer.putObject(WireNames.LEADER_RECORD)
+                    .put("leader", currentLeader.node)
+                    .put("member", currentLeader.member)
+                    .put(WireNames.FENCING_TOKEN, currentLeader.token);
         }
         return answer;
     }
@@ -377,8 +442,8 @@
     }
 
     /**
-     * Whether the last time that any controller gave up its lead is long enough ago, the longer the more of them did lately: if that didn't help, it
-     * hardly will now, and each takeover is work for those that remain.
+     * Whether the last time that any controller gave up its lead is long enough ago, the longer the more of them did
+     * lately: if that didn't help, it hardly will now, and each takeover is work for those that remain.
      */
     public boolean mayResign() {
         long now = runtime.timeOfDay();
@@ -409,8 +474,12 @@
         claimNotBefore = runtime.now() + Constants.RESIGNED_MS;
         join();
         // Others may still pass answers of this leader on, for as long as it told them.
-        released(member, possibly(Constants.RELAY_RIGHT_MS),
-                () -> state.end(old, r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
+        released(
+                member,
+                possibly(Constants.RELAY_RIGHT_MS),
+                () -> state.end(
+                        old,
+                        r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
         changed.run();
     }
 
@@ -427,13 +496,15 @@
             });
             return;
         }
-        runtime.after(rank * Constants.CLAIM_STEP_MS, () -> candidate.measure(false, m -> {
-            long ms = m.waitMs();
-            if (ms > 0) {
-                LOG.info("few machines answer, leaving the lead to others for ms={} measured={}", ms, m);
-            }
-            runtime.after(ms, this::claim);
-        }));
+        runtime.after(
+                rank * Constants.CLAIM_STEP_MS,
+                () -> candidate.measure(false, m -> {
+                    long ms = m.waitMs();
+                    if (ms > 0) {
+                        LOG.info("few machines answer, leaving the lead to others for ms={} measured={}", ms, m);
+                    }
+                    runtime.after(ms, this::claim);
+                }));
     }
 
     /** Asks some machines, and the others about them: who would lead best? */
@@ -446,7 +517,9 @@
             claiming = false;
         } else {
             String leader = leader();
-            StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, leaderRecordRevision()).when(Keys.member(settings.node()), memberStamp);
+            StateClient.Txn txn = new StateClient.Txn()
+                    .when(Keys.LEADER_RECORD, leaderRecordRevision())
+                    .when(Keys.member(settings.node()), memberStamp);
             if (leader != null && !leader.equals(settings.node())) {
                 txn.when(Keys.member(leader), view.stamp(Keys.member(leader)));
             }
@@ -454,13 +527,19 @@
         }
     }
 
-    /** Whether all leaders so far have kept the limits of teams that this one keeps: a leader says which it keeps only if that holds for those before it. */
+    /**
+     * Whether all leaders so far have kept the limits of teams that this one keeps: a leader says which it keeps only
+     * if that holds for those before it.
+     */
     public boolean limitsKept() {
         View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
         return leaderRecord == null || leaderRecord.data().path(LIMITS).asText().equals(limits);
     }
 
-    /** Writes the leader record again, as it is: its new stamp is a new token, under which no older order is executed any more. */
+    /**
+     * Writes the leader record again, as it is: its new stamp is a new token, under which no older order is executed
+     * any more.
+     */
     public void fence(long token) {
         fence(token, limitsKept());
     }
@@ -473,12 +552,20 @@
     private void fence(long token, boolean limitsKept) {
         if (!claiming && valid() && entitled(token)) {
             claiming = true;
-            write(new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.member(settings.node()), memberStamp), limitsKept, "a fence");
+            write(
+                    new StateClient.Txn()
+                            .when(Keys.LEADER_RECORD, token)
+                            .when(Keys.member(settings.node()), memberStamp),
+                    limitsKept,
+                    "a fence");
         }
     }
 
     private void write(StateClient.Txn txn, boolean limitsKept, String why) {
-        ObjectNode leaderRecord = Codec.object().put("leader", settings.node()).put("member", memberStamp).put("terms", terms() + 1);
+        ObjectNode leaderRecord = Codec.object()
+                .put("leader", settings.node())
+                .put("member", memberStamp)
+                .put("terms", terms() + 1);
         if (limitsKept) {
             leaderRecord.put(LIMITS, limits);
         }
@@ -495,6 +582,7 @@
     private boolean free() {
         View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
         return leaderRecord == null
-                || view.stamp(Keys.member(leaderRecord.data().path("leader").asText())) != Codec.u64(leaderRecord.data().path("member"));
+                || view.stamp(Keys.member(leaderRecord.data().path("leader").asText()))
+                        != Codec.u64(leaderRecord.data().path("member"));
     }
 }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -1,6 +1,5 @@
 package org.hollypick.cluster;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
@@ -20,13 +19,15 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
+import org.hollypick.io.WireNames;
 import org.hollypick.worker.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the leader. It has the leader's
- * grant for that, for a while; it orders nothing but the end of tasks whose job is cancelled (docs/safety.md, "Kept leases").
+ * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the leader. It
+ * has the leader's grant for that, for a while; it orders nothing but the end of tasks whose job is cancelled
+ * (docs/safety.md, "Kept leases").
  */
 public final class PartitionedLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionedLeaseRenewal.class);
@@ -44,18 +45,32 @@
     private long grantedUntil;
     /** When the leader last answered. */
     private long contactAt;
-    /** The number of the leader's newest answer, and under which token: another leader's numbers mean nothing to this one. */
+    /**
+     * The number of the leader's newest answer, and under which token: another leader's numbers mean nothing to this
+     * one.
+     */
     private long echo;
+
     private long echoToken;
     /** How many answers it has given, and of how many of them the leader knows. */
     private long kept;
+
     private long told;
     private boolean announced;
 
-    /** {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this leader's successor,
-     * would reckon with leases that it keeps; {@code keptByLeader}: hears of leases that a leader renewed without being entitled. */
-    public PartitionedLeaseRenewal(Runtime runtime, Settings settings, View view, Membership membership, Predicate<String> cancelled,
-            BooleanSupplier othersCount, LongConsumer keptByLeader) {
+    /**
+     * {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this
+     * leader's successor, would reckon with leases that it keeps; {@code keptByLeader}: hears of leases that a leader
+     * renewed without being entitled.
+     */
+    public PartitionedLeaseRenewal(
+            Runtime runtime,
+            Settings settings,
+            View view,
+            Membership membership,
+            Predicate<String> cancelled,
+            BooleanSupplier othersCount,
+            LongConsumer keptByLeader) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
@@ -79,9 +94,15 @@
         if (leaderAddress != null && view.loaded()) {
             long sent = runtime.now();
             long telling = kept;
-            ObjectNode body = Codec.object().put("node", settings.node()).put(WireNames.FENCING_TOKEN, token).put("epoch", view.epoch()).put("echo", echoToken == token ? echo : Leases.NO_ECHO)
+            ObjectNode body = Codec.object()
+                    .put("node", settings.node())
+                    .put(WireNames.FENCING_TOKEN, token)
+                    .put("epoch", view.epoch())
+                    .put("echo", echoToken == token ? echo : Leases.NO_ECHO)
                     .put("kept", telling > told);
-            runtime.call(new Call(leaderAddress, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true), r -> answered(r, token, sent, telling));
+            runtime.call(
+                    new Call(leaderAddress, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true),
+                    r -> answered(r, token, sent, telling));
         }
         runtime.after(Constants.KEEP_EVERY_MS, this::ask);
     }
@@ -100,12 +121,17 @@
         }
     }
 
-    /** Until when this node may keep leases under the leader record that it knows; for a leader: since it was last entitled. */
+    /**
+     * Until when this node may keep leases under the leader record that it knows; for a leader: since it was last
+     * entitled.
+     */
     private long until() {
         long own = membership.token();
         if (own != 0) {
             // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
-            return othersCount.getAsBoolean() ? membership.entitledUntil(own) + Membership.certainly(windowMs) : Leases.NEVER;
+            return othersCount.getAsBoolean()
+                    ? membership.entitledUntil(own) + Membership.certainly(windowMs)
+                    : Leases.NEVER;
         }
         return grantedToken == membership.leaderRecordRevision() ? grantedUntil : Leases.NEVER;
     }
@@ -114,18 +140,25 @@
         return runtime.now() < until();
     }
 
-    /** Whether reports are to be answered here: the leader and the state service are both out of reach, and the right is there. */
+    /**
+     * Whether reports are to be answered here: the leader and the state service are both out of reach, and the right is
+     * there.
+     */
     public boolean keeping() {
         boolean lost = membership.token() != 0 || runtime.now() - contactAt > Constants.KEEP_LOST_MS;
         boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
         if (keeping != announced) {
             announced = keeping;
-            LOG.info("{} leases token={}", keeping ? "keeping" : "no longer keeping", membership.leaderRecordRevision());
+            LOG.info(
+                    "{} leases token={}", keeping ? "keeping" : "no longer keeping", membership.leaderRecordRevision());
         }
         return keeping;
     }
 
-    /** The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the answer. */
+    /**
+     * The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the
+     * answer.
+     */
     public Answer answer(Report report) {
         long token = membership.leaderRecordRevision();
         if (Long.compareUnsigned(report.token(), token) > 0) {
@@ -138,7 +171,10 @@
         List<Order> orders = new ArrayList<>();
         for (TaskReport t : report.tasks()) {
             int slash = t.task().lastIndexOf('/');
-            if (t.state() != Placement.State.EXITED && slash > 0 && cancelled.test(t.task().substring(0, slash)) && orders.size() < Constants.ORDERS_MAX) {
+            if (t.state() != Placement.State.EXITED
+                    && slash > 0
+                    && cancelled.test(t.task().substring(0, slash))
+                    && orders.size() < Constants.ORDERS_MAX) {
                 orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), 0));
             }
         }
@@ -147,7 +183,10 @@
 
     /** The leader's answer to another controller that asks. */
     public static Answer told(long token, long number, boolean granted) {
-        JsonNode body = Codec.object().put(WireNames.FENCING_TOKEN, token).put("number", number).put("granted", granted);
+        JsonNode body = Codec.object()
+                .put(WireNames.FENCING_TOKEN, token)
+                .put("number", number)
+                .put("granted", granted);
         return Answer.of(200, body);
     }
 }
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -25,12 +25,21 @@
     private PeerReachability() {}
 
     /** Asks one peer about machines, by their addresses; null if it didn't answer. */
-    public static void ask(Runtime runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
+    public static void ask(
+            Runtime runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
         ObjectNode body = Codec.object();
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
-        runtime.call(new Call(peer, "POST", PATH, body, Constants.REACH_TIMEOUT_MS, true), r -> then.accept(!r.ok() ? null
-                : new ReachabilityReport(r.body().path("reaches_state").asBoolean(), names(r.body().path("reached")), r.body().has("failed"), names(r.body().path("failed")))));
+        runtime.call(
+                new Call(peer, "POST", PATH, body, Constants.REACH_TIMEOUT_MS, true),
+                r -> then.accept(
+                        !r.ok()
+                                ? null
+                                : new ReachabilityReport(
+                                        r.body().path("reaches_state").asBoolean(),
+                                        names(r.body().path("reached")),
+                                        r.body().has("failed"),
+                                        names(r.body().path("failed")))));
     }
 
     private static List<String> names(JsonNode list) {
@@ -47,7 +56,9 @@
         List<Map.Entry<String, JsonNode>> asked = new ArrayList<>();
         if (body != null) {
             body.path("machines").fields().forEachRemaining(f -> {
-                if (f.getValue().isTextual() && f.getValue().asText().contains(":") && asked.size() < Constants.REACH_MACHINES) {
+                if (f.getValue().isTextual()
+                        && f.getValue().asText().contains(":")
+                        && asked.size() < Constants.REACH_MACHINES) {
                     asked.add(f);
                 }
             });
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/View.java
@@ -1,6 +1,5 @@
 package org.hollypick.cluster;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,11 +10,14 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
+import org.hollypick.io.WireNames;
 import org.hollypick.state.StateClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This node's copy of everything under one prefix, kept by one watch. It may lag; only terminal states in it are final. */
+/**
+ * This node's copy of everything under one prefix, kept by one watch. It may lag; only terminal states in it are final.
+ */
 public final class View {
     private static final Logger LOG = LoggerFactory.getLogger(View.class);
 
@@ -30,10 +32,15 @@
     private long epoch;
     /** The newest revision that an answer of this node to its users was built on, as far as this node knows. */
     private long answered;
+
     private boolean loaded;
     private long watchedAt;
-    /** Who wants to know when this copy holds all that was true when they asked; those of the read under way, and later ones. */
+    /**
+     * Who wants to know when this copy holds all that was true when they asked; those of the read under way, and later
+     * ones.
+     */
     private List<Consumer<Boolean>> asking = new ArrayList<>();
+
     private boolean reading;
     private final List<CatchUp> catchingUp = new ArrayList<>();
 
@@ -109,7 +116,8 @@
         asking = new ArrayList<>();
         state.epoch(r -> {
             if (r.status() == 404 && loaded) {
-                catchingUp.add(new CatchUp(Codec.u64(r.body().path("epoch")), runtime.now() + Constants.CATCH_UP_MS, batch));
+                catchingUp.add(
+                        new CatchUp(Codec.u64(r.body().path("epoch")), runtime.now() + Constants.CATCH_UP_MS, batch));
                 runtime.after(Constants.CATCH_UP_MS, this::caughtUp);
                 caughtUp();
             } else {
--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -11,9 +11,16 @@
 import us.bpsm.edn.parser.Parsers;
 
 /** The operators' own, optional settings: one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. */
-public record OperatorSettings(long idleMs, double warmCores, double firstShare, boolean graphs, long graphKeepMs, boolean estimates) {
+public record OperatorSettings(
+        long idleMs, double warmCores, double firstShare, boolean graphs, long graphKeepMs, boolean estimates) {
     public static OperatorSettings defaults() {
-        return new OperatorSettings(Constants.IDLE_MS, Constants.WARM_CORES, Constants.FIRST_SHARE, false, (long) (Constants.GRAPH_KEEP_S * 1000), false);
+        return new OperatorSettings(
+                Constants.IDLE_MS,
+                Constants.WARM_CORES,
+                Constants.FIRST_SHARE,
+                false,
+                (long) (Constants.GRAPH_KEEP_S * 1000),
+                false);
     }
 
     public static OperatorSettings read(Path file) {
--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -3,29 +3,45 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import com.google.common.net.HostAndPort;
 import com.google.common.hash.Hasher;
 import com.google.common.hash.Hashing;
+import com.google.common.net.HostAndPort;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.Comparator;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The settings file that the platform hands over. Unknown fields are ignored. Where the state service's limits will tighten without
- * notice ({@code state.next}), the tighter ones hold from the start: what is written under them stays writable.
+ * The settings file that the platform hands over. Unknown fields are ignored. Where the state service's limits will
+ * tighten without notice ({@code state.next}), the tighter ones hold from the start: what is written under them stays
+ * writable.
  */
 public record Settings(
-        String node, String zone, String publicAddr, String meshAddr, List<Sibling> siblings,
-        String cloud, String state, List<String> zones, Map<String, Team> teams, List<Objective> objectives,
-        double reportS, double leaseS, double cancelS,
-        double stateRps, double stateWriteRps, int valueBytes, int txnOps,
-        double cloudRps, double listLagS, int sockets) {
+        String node,
+        String zone,
+        String publicAddr,
+        String meshAddr,
+        List<Sibling> siblings,
+        String cloud,
+        String state,
+        List<String> zones,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        double reportS,
+        double leaseS,
+        double cancelS,
+        double stateRps,
+        double stateWriteRps,
+        int valueBytes,
+        int txnOps,
+        double cloudRps,
+        double listLagS,
+        int sockets) {
 
     public record Sibling(String node, String zone, String addr) {}
 
@@ -47,8 +63,11 @@
     /** The limits of all teams, as a mark that two controllers can compare. */
     public String limitsMark() {
         Hasher hasher = Hashing.murmur3_128().newHasher();
-        teams.values().stream().sorted(Comparator.comparing(Team::name))
-                .forEach(t -> hasher.putString(t.name(), StandardCharsets.UTF_8).putDouble(t.cpusMax()).putDouble(t.gpusMax()));
+        teams.values().stream()
+                .sorted(Comparator.comparing(Team::name))
+                .forEach(t -> hasher.putString(t.name(), StandardCharsets.UTF_8)
+                        .putDouble(t.cpusMax())
+                        .putDouble(t.gpusMax()));
         return hasher.hash().toString();
     }
 
@@ -82,23 +101,45 @@
         }
         Map<String, Team> teams = new LinkedHashMap<>();
         for (JsonNode t : params.path("teams")) {
-            Team team = new Team(text(t, "name"), amount(t, "cpus"), amount(t, "cpus_max"), amount(t, "gpus"), amount(t, "gpus_max"));
+            Team team = new Team(
+                    text(t, "name"),
+                    amount(t, "cpus"),
+                    amount(t, "cpus_max"),
+                    amount(t, "gpus"),
+                    amount(t, "gpus_max"));
             teams.put(team.name(), team);
         }
         List<Objective> objectives = new ArrayList<>();
         for (JsonNode o : params.path("objectives")) {
-            objectives.add(new Objective(o.path("kind").asText(""), o.path("class").asText(""),
-                    o.path("within_s").asDouble(0), o.path("share").asDouble(0)));
+            objectives.add(new Objective(
+                    o.path("kind").asText(""),
+                    o.path("class").asText(""),
+                    o.path("within_s").asDouble(0),
+                    o.path("share").asDouble(0)));
         }
         JsonNode workers = table(params, "workers");
         JsonNode state = table(params, "state");
         JsonNode cloud = table(params, "cloud");
-        return new Settings(text(root, "node_name"), text(root, "location"), address(root, "public_addr"),
-                address(root, "mesh_addr"), List.copyOf(siblings), address(services, "cloud"), address(services, "state"),
-                List.copyOf(zones), teams, List.copyOf(objectives),
-                positive(workers, "report_s"), positive(workers, "lease_s"), positive(workers, "cancel_s"),
-                tightest(state, "rps"), tightest(state, "write_rps"), (int) (tightest(state, "value_kb") * 1024),
-                operations(state), positive(cloud, "rps"), positive(cloud, "list_lag_s"),
+        return new Settings(
+                text(root, "node_name"),
+                text(root, "location"),
+                address(root, "public_addr"),
+                address(root, "mesh_addr"),
+                List.copyOf(siblings),
+                address(services, "cloud"),
+                address(services, "state"),
+                List.copyOf(zones),
+                teams,
+                List.copyOf(objectives),
+                positive(workers, "report_s"),
+                positive(workers, "lease_s"),
+                positive(workers, "cancel_s"),
+                tightest(state, "rps"),
+                tightest(state, "write_rps"),
+                (int) (tightest(state, "value_kb") * 1024),
+                operations(state),
+                positive(cloud, "rps"),
+                positive(cloud, "list_lag_s"),
                 (int) positive(table(params, "resources"), "sockets"));
     }
 
--- a/src/main/java/org/hollypick/control/AttainedServiceRecord.java
+++ b/src/main/java/org/hollypick/control/AttainedServiceRecord.java
@@ -30,7 +30,11 @@
         Map<String, Double> sizes = new HashMap<>();
         view.entries().forEach((key, e) -> {
             if (key.startsWith(Keys.SIZES)) {
-                e.data().path("sizes").fields().forEachRemaining(f -> sizes.put(f.getKey(), f.getValue().asDouble()));
+                e.data()
+                        .path("sizes")
+                        .fields()
+                        .forEachRemaining(
+                                f -> sizes.put(f.getKey(), f.getValue().asDouble()));
             }
         });
         scheduler.jobs.forEach((id, job) -> {
@@ -46,7 +50,8 @@
         // The value limit bounds it, the largest first; a size that is left out restarts at zero after a takeover.
         int left = Records.room(settings) - Records.bytes(record);
         for (Map.Entry<String, Double> e : scheduler.sizes().entrySet().stream()
-                .sorted((x, y) -> Double.compare(Math.abs(y.getValue()), Math.abs(x.getValue()))).toList()) {
+                .sorted((x, y) -> Double.compare(Math.abs(y.getValue()), Math.abs(x.getValue())))
+                .toList()) {
             double size = Math.round(e.getValue() * 10) / 10.0;
             left -= e.getKey().length() + Double.toString(size).length() + 4; // quotes, colon and comma
             if (left < 0) {
@@ -56,11 +61,15 @@
         }
         String text = record.toString();
         if (!text.equals(last)) {
-            state.commit(new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token).put(Keys.sizes(settings.node()), record), r -> {
-                if (r.ok()) {
-                    last = text;
-                }
-            });
+            state.commit(
+                    new StateClient.Txn()
+                            .when(Keys.LEADER_RECORD, scheduler.token)
+                            .put(Keys.sizes(settings.node()), record),
+                    r -> {
+                        if (r.ok()) {
+                            last = text;
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/org/hollypick/control/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/DependentCancellation.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs that can never be done, since one that they need was cancelled. Every node tells so from the records of the others alone;
- * their own records follow here, many to a transaction and after everything that users wait for.
+ * Jobs that can never be done, since one that they need was cancelled. Every node tells so from the records of the
+ * others alone; their own records follow here, many to a transaction and after everything that users wait for.
  */
 final class DependentCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(DependentCancellation.class);
@@ -28,6 +28,7 @@
     private final long token;
     /** Jobs whose records aren't written yet, and the stamps that they have now. */
     private final Map<String, Long> waiting = new LinkedHashMap<>();
+
     private boolean writing;
     private long notBefore;
 
@@ -67,7 +68,8 @@
             if (r.ok()) {
                 waiting.keySet().removeAll(ending);
             } else {
-                notBefore = runtime.now() + Constants.RENEW_RETRY_MS; // by then the view shows what was written otherwise
+                // by then the view shows what was written otherwise
+                notBefore = runtime.now() + Constants.RENEW_RETRY_MS;
             }
         });
     }
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -15,7 +15,10 @@
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Runtime;
 
-/** What the machines' silence means: which are lost, which zones are partitioned, and whether it is this leader that is cut off or overloaded. */
+/**
+ * What the machines' silence means: which are lost, which zones are partitioned, and whether it is this leader that is
+ * cut off or overloaded.
+ */
 final class FailureDetector {
     private final Runtime runtime;
     private final Settings settings;
@@ -29,9 +32,11 @@
     private long cutOffSince;
     /** Since when others reach machines that this leader doesn't; 0 if there are none. */
     private long beyondSince;
+
     private long complainedAt = -Constants.REACH_VALID_MS;
     /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
     private long troubleUntil;
+
     private Set<String> partitioned = Set.of();
     private String seen = "";
 
@@ -52,7 +57,8 @@
         if (now - startedAt < Constants.SILENT_GRACE_MS) {
             return List.of();
         }
-        // Machines report within a quarter more than the interval. Only the loss of services is worth asking more often.
+        // Machines report within a quarter more than the interval. Only the loss of services is worth asking more
+        // often.
         long usual = (long) (settings.reportS() * 1_250) + Constants.PROBE_SLACK_MS;
         long early = (long) (settings.reportS() * 1_000 * Constants.PROBE_SHARE);
         List<Machine> silent = new ArrayList<>();
@@ -79,9 +85,15 @@
             if (m.unanswered > 0 && !m.addr.isEmpty()) {
                 unsure.add(m);
             }
-            if (m.useless() && m.heard && m.idle() && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.validity.unreachableInboundSince())) > Constants.USELESS_MS) {
+            if (m.useless()
+                    && m.heard
+                    && m.idle()
+                    && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.validity.unreachableInboundSince()))
+                            > Constants.USELESS_MS) {
                 silent.add(m);
-            } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS) && m.unanswered >= Constants.UNANSWERED && !reachability.spared(m, now)) {
+            } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS)
+                    && m.unanswered >= Constants.UNANSWERED
+                    && !reachability.spared(m, now)) {
                 if (reachability.nobodyReaches(m, now)) {
                     silent.add(m);
                 }
@@ -96,10 +108,13 @@
         int beyond = Reachability.beyond(scheduler.machines.values(), now);
         beyondSince = beyond < Constants.REACH_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
         seen = "talking=" + talking + " doubtful=" + doubtful + " elsewhere=" + beyond;
-        // Those that left a question open against those heard of just now: counting only the silent ones would give them up one by one
-        // while this node is cut off from all of them.
+        // Those that left a question open against those heard of just now: counting only the silent ones would give
+        // them up one by one while this node is cut off from all of them.
         double share = doubtful / (double) Math.max(1, doubtful + talking);
-        partitioned = byZone.entrySet().stream().filter(e -> partitioned(e.getValue()[0], e.getValue()[1])).map(Map.Entry::getKey).collect(Collectors.toUnmodifiableSet());
+        partitioned = byZone.entrySet().stream()
+                .filter(e -> partitioned(e.getValue()[0], e.getValue()[1]))
+                .map(Map.Entry::getKey)
+                .collect(Collectors.toUnmodifiableSet());
         if ((doubtful > 2 && share > Constants.SILENT_SHARE) || !partitioned.isEmpty()) {
             troubleUntil = now + Constants.TROUBLE_OVER_MS;
         }
@@ -158,8 +173,8 @@
     }
 
     /**
-     * Another controller should lead: it reaches machines that this one doesn't, and not since this one is overloaded or has only begun. If the others
-     * see the same, nobody would fare better.
+     * Another controller should lead: it reaches machines that this one doesn't, and not since this one is overloaded
+     * or has only begun. If the others see the same, nobody would fare better.
      */
     boolean cutOff(long now) {
         if (!own.sound(now) || now - startedAt < Constants.TERM_LEAST_MS) {
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/GraphLog.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One graph's log: entries in their order, as many to a record and records to a transaction as fit, one transaction at a time. Each is conditional on the
- * token and on the graph's own record, under keys that were never used; while its outcome isn't known the very same one is sent again.
+ * One graph's log: entries in their order, as many to a record and records to a transaction as fit, one transaction at
+ * a time. Each is conditional on the token and on the graph's own record, under keys that were never used; while its
+ * outcome isn't known the very same one is sent again.
  */
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
@@ -78,7 +79,10 @@
         return Records.bytes(GraphRecords.record(id, List.of(op)));
     }
 
-    /** Writes what there is, unless a write is under way; {@code order}: the stamp of the graph's own record; {@code written} hears of each success. */
+    /**
+     * Writes what there is, unless a write is under way; {@code order}: the stamp of the graph's own record;
+     * {@code written} hears of each success.
+     */
     void flush(long order, Runnable written) {
         if (writing || unwritten.isEmpty() || runtime.now() < notBefore || state.crowded()) {
             return;
@@ -105,7 +109,8 @@
             taken.forEach(e -> unwritten.poll().durable.run());
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.job(id), order);
+        StateClient.Txn txn =
+                new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.job(id), order);
         for (List<ObjectNode> ops : records) {
             String key = Keys.graphLog(id, token, numbers.getAsLong());
             txn.when(key, 0).put(key, GraphRecords.record(id, ops));
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Task graphs in one term. What a call changes is taken in at once, and blocks what it has to block; what it allows, and the answer, wait until it is
- * durable. Each graph has a log ({@link GraphLog}).
+ * Task graphs in one term. What a call changes is taken in at once, and blocks what it has to block; what it allows,
+ * and the answer, wait until it is durable. Each graph has a log ({@link GraphLog}).
  */
 public final class Graphs {
     private static final Logger LOG = LoggerFactory.getLogger(Graphs.class);
@@ -69,6 +69,7 @@
         private boolean sealing;
         /** Ends of nodes and results that are known here and not durable yet: a successor may not find them. */
         private int unrecorded;
+
         private long overAt;
 
         Live(String id, GraphRecords.Head head) {
@@ -131,7 +132,7 @@
         private void logNodes(String parent, String next) {
             int to = graph.count();
             if (loggedNodes == to && next != null) {
-                log.add(GraphRecords.nodes(graph, to, to, loggedSpecs, parent, next), () -> { });
+                log.add(GraphRecords.nodes(graph, to, to, loggedSpecs, parent, next), () -> {});
             }
             while (loggedNodes < to) {
                 int end = Math.min(to, loggedNodes + Constants.GRAPH_NODES_AN_ENTRY);
@@ -178,10 +179,20 @@
     private final Map<String, Live> graphs = new LinkedHashMap<>();
     /** Graphs that are over and whose nodes aren't forgotten, and since when. */
     private final Map<String, Long> endedAt = new LinkedHashMap<>();
+
     private long written;
     private boolean dropping;
 
-    Graphs(Runtime runtime, Settings settings, View view, StateClient state, Scheduler scheduler, JobTermination jobTermination, Runnable pump, Maker maker, long keepMs) {
+    Graphs(
+            Runtime runtime,
+            Settings settings,
+            View view,
+            StateClient state,
+            Scheduler scheduler,
+            JobTermination jobTermination,
+            Runnable pump,
+            Maker maker,
+            long keepMs) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
@@ -204,7 +215,12 @@
         try {
             Live g = replay(id, GraphRecords.head(record));
             graphs.put(id, g);
-            LOG.info("graph graph={} nodes={} sealed={} token={}", id, g.graph.count(), g.graph.sealed(), scheduler.token);
+            LOG.info(
+                    "graph graph={} nodes={} sealed={} token={}",
+                    id,
+                    g.graph.count(),
+                    g.graph.sealed(),
+                    scheduler.token);
             g.started(scheduler.addJob(g.head.base(), g.graph, stamp, Codec.u64(record.path("under"))));
         } catch (JobCodec.Invalid e) {
             LOG.error("graph can't be read graph={} reason={}", id, e.getMessage());
@@ -232,7 +248,8 @@
                 keys.add(key);
             }
         });
-        keys.sort((a, b) -> view.stamp(a) != view.stamp(b) ? Long.compareUnsigned(view.stamp(a), view.stamp(b))
+        keys.sort((a, b) -> view.stamp(a) != view.stamp(b)
+                ? Long.compareUnsigned(view.stamp(a), view.stamp(b))
                 : Long.compare(Keys.graphLogNumber(a), Keys.graphLogNumber(b)));
         return keys;
     }
@@ -275,9 +292,11 @@
     }
 
     /**
-     * The first call of a graph, or a repeated one. {@code last}: nothing follows, so it is sealed. A further part of one that isn't sealed comes the same way.
+     * The first call of a graph, or a repeated one. {@code last}: nothing follows, so it is sealed. A further part of
+     * one that isn't sealed comes the same way.
      */
-    public void submit(String id, GraphRecords.Head head, List<NodeSpec> nodes, boolean last, Consumer<Outcome> answer) {
+    public void submit(
+            String id, GraphRecords.Head head, List<NodeSpec> nodes, boolean last, Consumer<Outcome> answer) {
         Live g = graphs.get(id);
         if (crowded(g, answer)) {
             return;
@@ -294,7 +313,10 @@
         }
         graphs.put(id, made);
         ObjectNode record = GraphRecords.live(head, scheduler.token);
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.job(id), 0).when(Keys.LEADER_RECORD, scheduler.token).put(Keys.job(id), record);
+        StateClient.Txn txn = new StateClient.Txn()
+                .when(Keys.job(id), 0)
+                .when(Keys.LEADER_RECORD, scheduler.token)
+                .put(Keys.job(id), record);
         state.commit(txn, r -> {
             if (!r.ok()) {
                 // It may be there, or come: then the view shows it, and a repeated call finds it.
@@ -307,7 +329,8 @@
                 return;
             }
             LOG.info("graph graph={} token={}", id, scheduler.token);
-            made.started(scheduler.addJob(head.base(), made.graph, Codec.u64(r.body().path("epoch")), scheduler.token));
+            made.started(
+                    scheduler.addJob(head.base(), made.graph, Codec.u64(r.body().path("epoch")), scheduler.token));
             part(made, nodes, last, answer);
         });
     }
@@ -341,10 +364,12 @@
     }
 
     /**
-     * Children of a running node. They are the same nodes when the same ids come again, from whatever attempt; from an attempt that isn't the running one they
-     * are refused. {@code next}: the one that the parent hands its result on to, or null.
+     * Children of a running node. They are the same nodes when the same ids come again, from whatever attempt; from an
+     * attempt that isn't the running one they are refused. {@code next}: the one that the parent hands its result on
+     * to, or null.
      */
-    public void children(String id, String parent, long attempt, List<NodeSpec> nodes, String next, Consumer<Outcome> answer) {
+    public void children(
+            String id, String parent, long attempt, List<NodeSpec> nodes, String next, Consumer<Outcome> answer) {
         Live g = running(id, parent, attempt, answer);
         if (g == null) {
             return;
@@ -378,7 +403,9 @@
         int most = room / Constants.GRAPH_AWAIT_BYTES;
         for (NodeSpec n : nodes) {
             if (n.awaits().size() > most) {
-                return new Refusal(422, "node " + n.id() + " awaits more than " + most + " nodes: join them through further nodes");
+                return new Refusal(
+                        422,
+                        "node " + n.id() + " awaits more than " + most + " nodes: join them through further nodes");
             }
         }
         return g.graph.check(nodes, parent, next);
@@ -391,8 +418,12 @@
             return null;
         }
         if (g == null || g.over() || g.job == null) {
-            answer.accept(g != null && g.job == null && !g.over() ? Outcome.refused(503, "its first call is being recorded")
-                    : g == null ? Outcome.refused(404, "no such graph") : Outcome.refused(409, "the graph is over"));
+            answer.accept(
+                    g != null && g.job == null && !g.over()
+                            ? Outcome.refused(503, "its first call is being recorded")
+                            : g == null
+                                    ? Outcome.refused(404, "no such graph")
+                                    : Outcome.refused(409, "the graph is over"));
             return null;
         }
         int i = g.graph.find(node);
@@ -401,11 +432,15 @@
             return null;
         }
         Placement p = g.job.live.get(i);
-        boolean runs = p != null && p.attempt == attempt && p.there() && !p.stop && g.graph.state(i) == Graph.State.READY;
+        boolean runs =
+                p != null && p.attempt == attempt && p.there() && !p.stop && g.graph.state(i) == Graph.State.READY;
         if (!runs) {
             // After a takeover the machine that runs it may not have reported yet.
-            answer.accept(p == null && !scheduler.settled() && g.graph.state(i) == Graph.State.READY ? Outcome.refused(503, "not every machine has reported yet")
-                    : Outcome.refused(409, "attempt " + Long.toUnsignedString(attempt) + " of " + node + " is over"));
+            answer.accept(
+                    p == null && !scheduler.settled() && g.graph.state(i) == Graph.State.READY
+                            ? Outcome.refused(503, "not every machine has reported yet")
+                            : Outcome.refused(
+                                    409, "attempt " + Long.toUnsignedString(attempt) + " of " + node + " is over"));
             return null;
         }
         return g;
@@ -419,7 +454,8 @@
         }
         int most = Math.min(Constants.GRAPH_RESULT_BYTES, room / 2);
         if (Records.bytes(result) > most) {
-            answer.accept(Outcome.refused(422, "a result of more than " + most + " bytes: store it elsewhere, and give a reference"));
+            answer.accept(Outcome.refused(
+                    422, "a result of more than " + most + " bytes: store it elsewhere, and give a reference"));
             return;
         }
         int i = g.graph.find(node);
@@ -429,12 +465,13 @@
             return;
         }
         if (known == null && g.resultBytes + Records.bytes(result) > Constants.GRAPH_RESULTS_BYTES) {
-            answer.accept(Outcome.refused(422, "the graph's results are larger than " + Constants.GRAPH_RESULTS_BYTES + " bytes together"));
+            answer.accept(Outcome.refused(
+                    422, "the graph's results are larger than " + Constants.GRAPH_RESULTS_BYTES + " bytes together"));
             return;
         }
         if (known == null) {
             g.result(i, result);
-            g.record(GraphRecords.result(i, result), () -> { });
+            g.record(GraphRecords.result(i, result), () -> {});
         }
         tell(g, known == null ? 201 : 200, List.of(), answer);
     }
@@ -452,11 +489,21 @@
             return;
         }
         if (!g.graph.ended(i)) {
-            g.end(i, Graph.State.CANCELLED, "cancelled by its user", () -> { });
+            g.end(i, Graph.State.CANCELLED, "cancelled by its user", () -> {});
         }
         Graph.State became = g.graph.state(i);
-        tell(g, 200, List.of(), o -> answer.accept(o.status() == 200
-                ? new Outcome(200, Codec.object().put("node", node).put("state", became.name().toLowerCase(Locale.ROOT))) : o));
+        tell(
+                g,
+                200,
+                List.of(),
+                o -> answer.accept(
+                        o.status() == 200
+                                ? new Outcome(
+                                        200,
+                                        Codec.object()
+                                                .put("node", node)
+                                                .put("state", became.name().toLowerCase(Locale.ROOT)))
+                                : o));
     }
 
     /** Answers once all that was taken in so far is durable; gives up after a while. */
@@ -496,14 +543,14 @@
                 String why = "failed " + (g.head.retries() + 1) + " times";
                 g.end(i, Graph.State.FAILED, why, () -> {
                     if (g.head.endOnFailure() && !g.over()) {
-                        jobTermination.cancel(g.job, durable -> { });
+                        jobTermination.cancel(g.job, durable -> {});
                     }
                 });
             }
             if (!g.graph.sealed() && !g.sealing && now - g.since > Constants.GRAPH_SEAL_MS) {
                 g.sealing = true; // nothing is added to it any more
                 LOG.info("graph not sealed in time graph={} token={}", g.id, scheduler.token);
-                jobTermination.cancel(g.job, durable -> { });
+                jobTermination.cancel(g.job, durable -> {});
             }
             if (g.job.finished() && g.log.isEmpty()) {
                 scheduler.progressDirty.add(g.job);
@@ -513,7 +560,10 @@
         forget(now);
     }
 
-    /** Nodes and results of graphs that ended long ago go, some at a time; so do those of graphs that ended in earlier terms. */
+    /**
+     * Nodes and results of graphs that ended long ago go, some at a time; so do those of graphs that ended in earlier
+     * terms.
+     */
     private void forget(long now) {
         if (dropping || !state.spare()) {
             return;
@@ -527,7 +577,8 @@
                     return;
                 }
                 StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token);
-                keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size()).forEach(txn::drop);
+                keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size())
+                        .forEach(txn::drop);
                 dropping = true;
                 state.commit(txn, r -> runtime.after(Constants.RENEW_RETRY_MS, () -> dropping = false));
                 return;
@@ -554,8 +605,11 @@
         if (g == null || g.job != job) {
             return null;
         }
-        String why = !g.graph.sealed() ? "not sealed in time, or cancelled before" : g.graph.count(Graph.State.FAILED) > 0 ? "nodes failed"
-                : status.equals(Records.ABORTED) ? "cancelled" : "";
+        String why = !g.graph.sealed()
+                ? "not sealed in time, or cancelled before"
+                : g.graph.count(Graph.State.FAILED) > 0
+                        ? "nodes failed"
+                        : status.equals(Records.ABORTED) ? "cancelled" : "";
         return GraphRecords.over(status, g.graph, why);
     }
 }
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.records.JobCodec;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.View;
@@ -20,13 +19,19 @@
 import org.hollypick.core.JobSpec.Rank;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
+import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
 
 /** The durable records of jobs on any node: what they say of one another, and new ones. */
 public final class JobRecords {
     /** What became of a submission. {@code TOO_LARGE}: no record can hold it. */
-    public enum Outcome { CREATED, KNOWN, TOO_LARGE, LATER }
+    public enum Outcome {
+        CREATED,
+        KNOWN,
+        TOO_LARGE,
+        LATER
+    }
 
     private final Runtime runtime;
     private final Settings settings;
@@ -40,7 +45,13 @@
     /** Jobs whose records are being written, and who has submitted them once more since. */
     private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
 
-    public JobRecords(Runtime runtime, Settings settings, StateClient state, View view, Membership membership, Dependencies dependencies) {
+    public JobRecords(
+            Runtime runtime,
+            Settings settings,
+            StateClient state,
+            View view,
+            Membership membership,
+            Dependencies dependencies) {
         this.runtime = runtime;
         this.settings = settings;
         this.state = state;
@@ -114,7 +125,8 @@
             create(spec, open, null, Constants.CREATE_TRIES, then);
             return;
         }
-        Records.More more = new Records.More(Keys.awaited(settings.node(), membership.member(), written++), parts(open, room));
+        Records.More more =
+                new Records.More(Keys.awaited(settings.node(), membership.member(), written++), parts(open, room));
         if (Records.bytes(Records.live(spec, Long.MAX_VALUE, List.of(), more)) > room) {
             then.accept(Outcome.TOO_LARGE);
         } else {
@@ -151,7 +163,10 @@
         return parts;
     }
 
-    /** The parts go first, under keys that nobody ever used; the job's own record names them, and it alone makes the job exist. */
+    /**
+     * The parts go first, under keys that nobody ever used; the job's own record names them, and it alone makes the job
+     * exist.
+     */
     private void writeParts(JobSpec spec, Records.More more, int from, Consumer<Outcome> then) {
         if (from >= more.parts().size()) {
             create(spec, List.of(), more, Constants.CREATE_TRIES, then);
@@ -175,7 +190,10 @@
         });
     }
 
-    /** The record is conditional on the leader record, so that a later leader knows that no earlier one can have started the job. */
+    /**
+     * The record is conditional on the leader record, so that a later leader knows that no earlier one can have started
+     * the job.
+     */
     private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
         long leaderRecord = membership.leaderRecordRevision();
         if (leaderRecord == 0 || state.crowded()) {
@@ -183,7 +201,10 @@
             return;
         }
         String key = Keys.job(spec.id());
-        StateClient.Txn txn = new StateClient.Txn().when(key, 0).when(Keys.LEADER_RECORD, leaderRecord).put(key, Records.live(spec, leaderRecord, awaits, more));
+        StateClient.Txn txn = new StateClient.Txn()
+                .when(key, 0)
+                .when(Keys.LEADER_RECORD, leaderRecord)
+                .put(key, Records.live(spec, leaderRecord, awaits, more));
         state.commit(txn, r -> {
             if (r.ok()) {
                 known(spec.id(), Codec.u64(r.body().path("epoch")));
--- a/src/main/java/org/hollypick/control/JobTermination.java
+++ b/src/main/java/org/hollypick/control/JobTermination.java
@@ -36,10 +36,14 @@
     private final Runnable changed;
     /** What a job's record says once it is over, and who hears that it is. */
     private final BiFunction<Job, String, ObjectNode> record;
+
     private final Consumer<String> ended;
     /** Jobs whose cancellation went out and may be, or become, durable. */
     private final Set<String> abortsInDoubt = new HashSet<>();
-    /** Finished jobs whose records weren't as expected: each is written in a transaction of its own, so that it holds up no others. */
+    /**
+     * Finished jobs whose records weren't as expected: each is written in a transaction of its own, so that it holds up
+     * no others.
+     */
     private final Set<String> writtenAlone = new HashSet<>();
     /** Transactions under way that end finished jobs. */
     private int closings;
@@ -70,8 +74,14 @@
         }
     }
 
-    JobTermination(Runtime runtime, Scheduler scheduler, Dependencies dependencies, StateClient state, Runnable changed,
-            BiFunction<Job, String, ObjectNode> record, Consumer<String> ended) {
+    JobTermination(
+            Runtime runtime,
+            Scheduler scheduler,
+            Dependencies dependencies,
+            StateClient state,
+            Runnable changed,
+            BiFunction<Job, String, ObjectNode> record,
+            Consumer<String> ended) {
         this.token = scheduler.token;
         this.runtime = runtime;
         this.scheduler = scheduler;
@@ -83,8 +93,8 @@
     }
 
     /**
-     * Whether this term has ended the job, though the view's record is still the one before. It mustn't be taken up again
-     * from that: users would be told that it is live, and its tasks would start once more.
+     * Whether this term has ended the job, though the view's record is still the one before. It mustn't be taken up
+     * again from that: users would be told that it is live, and its tasks would start once more.
      */
     boolean knownOver(String id) {
         return overBeforeView.contains(id);
@@ -126,8 +136,8 @@
 
     /**
      * Cancels a job: its tasks go at once, and its end is written, again and again until that is known to be durable.
-     * {@code told} gets true once it is, false if that takes longer than its user waits: by then another node may tell it
-     * all the same.
+     * {@code told} gets true once it is, false if that takes longer than its user waits: by then another node may tell
+     * it all the same.
      */
     public void cancel(Job job, Consumer<Boolean> told) {
         Cancellation c = cancelling.computeIfAbsent(job.spec.id(), id -> {
@@ -175,12 +185,13 @@
     }
 
     /**
-     * A launch has kept a cancellation waiting for so long, on a machine whose lease is still renewed, that a new token has
-     * to end it: workers refuse what was sent under the older one.
+     * A launch has kept a cancellation waiting for so long, on a machine whose lease is still renewed, that a new token
+     * has to end it: workers refuse what was sent under the older one.
      */
     boolean fenceDue(long now) {
         long since = now - Constants.FENCE_MS;
-        return cancelling.values().stream().anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
+        return cancelling.values().stream()
+                .anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
     }
 
     /** The end of one job as it is to be written. */
@@ -226,7 +237,9 @@
         return cancelledAt;
     }
 
-    /** Whether whoever has followed the records up to there knows every cancellation that may have been told to anyone. */
+    /**
+     * Whether whoever has followed the records up to there knows every cancellation that may have been told to anyone.
+     */
     boolean allCancelledKnown(long epoch) {
         return abortsInDoubt.isEmpty() && Long.compareUnsigned(epoch, cancelledAt) >= 0;
     }
@@ -242,8 +255,9 @@
     }
 
     /**
-     * Writes the ends of the jobs that are finished, several to a transaction. While anything waits for its turn at the state service,
-     * fewer are under way: ends that waited there would keep new jobs from being accepted, and too few would be told late.
+     * Writes the ends of the jobs that are finished, several to a transaction. While anything waits for its turn at the
+     * state service, fewer are under way: ends that waited there would keep new jobs from being accepted, and too few
+     * would be told late.
      */
     void closeFinished() {
         List<Job> finished = new ArrayList<>();
@@ -253,14 +267,18 @@
             }
         }
         int next = 0;
-        while (next < finished.size() && closings < (state.nothingWaits() ? Constants.ENDS_UNDER_WAY : Constants.ENDS_WAITING)) {
+        while (next < finished.size()
+                && closings < (state.nothingWaits() ? Constants.ENDS_UNDER_WAY : Constants.ENDS_WAITING)) {
             List<Ending> batch = batch(finished, next);
             next += batch.size();
             close(batch);
         }
     }
 
-    /** The ends from {@code from} on that one transaction has room for. One whose transaction failed for its sake is written alone. */
+    /**
+     * The ends from {@code from} on that one transaction has room for. One whose transaction failed for its sake is
+     * written alone.
+     */
     private List<Ending> batch(List<Job> finished, int from) {
         List<Ending> batch = new ArrayList<>();
         int bytes = 0;
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -7,12 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hollypick.records.JobCodec;
 import org.hollypick.cloud.CloudClient;
-import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.relay.LeaderComplaint;
+import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.View;
 import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
@@ -31,15 +29,18 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.GraphRecords;
+import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
+import org.hollypick.relay.LeaderComplaint;
 import org.hollypick.state.StateClient;
 import org.hollypick.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records to
- * what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's state session is valid.
+ * One term of leadership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records
+ * to what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's state
+ * session is valid.
  */
 public final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -49,7 +50,7 @@
     private final Runtime runtime;
     private final Settings settings;
     private final View view;
-    
+
     private final Workers workers;
     private final Rentals rentals;
     private final Registry registry;
@@ -70,6 +71,7 @@
     private boolean ended;
     /** By what this node last acted, as it was logged. */
     private String right = "";
+
     private boolean pumping;
     private long lastTick;
     private final LocalHealth own;
@@ -79,37 +81,82 @@
     private long nextSizes;
     private long nextSummary;
 
-    public LeaderTerm(long token, Runtime runtime, Settings settings, OperatorSettings operator, View view, Dependencies dependencies, StateClient state,
-            CloudClient cloud, WorkerClient client, Map<String, MachineType> types, Membership membership, Graphs.Maker maker) {
+    public LeaderTerm(
+            long token,
+            Runtime runtime,
+            Settings settings,
+            OperatorSettings operator,
+            View view,
+            Dependencies dependencies,
+            StateClient state,
+            CloudClient cloud,
+            WorkerClient client,
+            Map<String, MachineType> types,
+            Membership membership,
+            Graphs.Maker maker) {
         this.token = token;
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
         this.dependencies = dependencies;
-        
+
         this.types = types;
         this.membership = membership;
         this.lastTick = runtime.now() - Constants.TICK_MS;
         boolean nobodyBefore = membership.terms() == 1;
         this.own = new LocalHealth(runtime.now());
-        this.scheduler = new Scheduler(token, settings, operator.firstShare(),
-                new Leases(settings, settings.siblings().stream().map(Settings.Sibling::node).toList(), runtime.now(), nobodyBefore), operator.estimates());
+        this.scheduler = new Scheduler(
+                token,
+                settings,
+                operator.firstShare(),
+                new Leases(
+                        settings,
+                        settings.siblings().stream().map(Settings.Sibling::node).toList(),
+                        runtime.now(),
+                        nobodyBefore),
+                operator.estimates());
         if (membership.limitsKept()) {
             scheduler.olderKeptLimits();
         }
         this.workers = new Workers(runtime, settings, scheduler, client, types, this::acting, own, this::pump);
-        this.rentals = new Rentals(runtime, settings, operator, scheduler, cloud, types, this::acting, membership::reachesState, this::pump, nobodyBefore);
+        this.rentals = new Rentals(
+                runtime,
+                settings,
+                operator,
+                scheduler,
+                cloud,
+                types,
+                this::acting,
+                membership::reachesState,
+                this::pump,
+                nobodyBefore);
         this.registry = new Registry(runtime, view, state, settings, token, scheduler.gone::contains);
         this.progress = new Progress(runtime, view, state, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
         this.attainedService = new AttainedServiceRecord(view, settings, state, scheduler);
         this.summary = new Summary(scheduler, rentals);
-        this.jobTermination = new JobTermination(runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
-        this.runtimeStatistics = operator.estimates() ? new RuntimeStatistics(runtime, view, state, settings, scheduler) : null;
-        this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, jobTermination, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
+        this.jobTermination = new JobTermination(
+                runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
+        this.runtimeStatistics =
+                operator.estimates() ? new RuntimeStatistics(runtime, view, state, settings, scheduler) : null;
+        this.graphs = operator.graphs()
+                ? new Graphs(
+                        runtime,
+                        settings,
+                        view,
+                        state,
+                        scheduler,
+                        jobTermination,
+                        this::pump,
+                        maker == null ? Graph::new : maker,
+                        operator.graphKeepMs())
+                : null;
     }
 
-    /** Starts from the records; the view holds every change up to the leader record's own, and older leaders can make none after it. */
+    /**
+     * Starts from the records; the view holds every change up to the leader record's own, and older leaders can make
+     * none after it.
+     */
     public void start() {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
@@ -147,7 +194,8 @@
         if (type == null) {
             type = new MachineType(r.path("type").asText(), 0, 0, 0, 0, 1, 1, 1, 60, Set.of());
         }
-        Machine m = scheduler.addMachine(id, type, r.path("zone").asText(), r.path("spot").asBoolean(), true, runtime.now());
+        Machine m = scheduler.addMachine(
+                id, type, r.path("zone").asText(), r.path("spot").asBoolean(), true, runtime.now());
         m.addr = r.path("addr").asText("");
         m.lastReportAt = runtime.now();
     }
@@ -162,22 +210,29 @@
         return !ended && membership.entitled(token);
     }
 
-    /** Another controller asks whether it may keep leases when it is cut off; its view holds every change up to {@code epoch}. */
+    /**
+     * Another controller asks whether it may keep leases when it is cut off; its view holds every change up to
+     * {@code epoch}.
+     */
     public Answer keep(String node, long epoch, long echo, boolean kept) {
         long now = runtime.now();
         Leases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
         boolean granted = leases.allAsked() && jobTermination.allCancelledKnown(epoch);
-        return PartitionedLeaseRenewal.told(token, leases.answer(node, granted, now), granted).only(this::acting);
+        return PartitionedLeaseRenewal.told(token, leases.answer(node, granted, now), granted)
+                .only(this::acting);
     }
 
     // ---- records ----
 
     /** Jobs that appeared, and ends that a transaction of ours brought although its answer got lost. */
     public void recordsChanged(Collection<String> keys) {
-        
+
         registry.changed(keys);
-        keys.stream().filter(k -> k.startsWith(Keys.LEADER_COMPLAINT) && view.get(k) != null).forEach(k -> workers.failureDetector().complained(LeaderComplaint.machines(view.get(k).data(), token)));
+        keys.stream()
+                .filter(k -> k.startsWith(Keys.LEADER_COMPLAINT) && view.get(k) != null)
+                .forEach(k -> workers.failureDetector()
+                        .complained(LeaderComplaint.machines(view.get(k).data(), token)));
         for (String key : keys) {
             if (!key.startsWith(Keys.JOB)) {
                 continue;
@@ -202,7 +257,12 @@
                     try {
                         JobSpec spec = JobCodec.read(e.data().path("spec"));
                         LOG.info("job job={} class={} tasks={} token={}", id, spec.jobClass(), spec.tasks(), token);
-                        scheduler.addJob(spec, e.stamp(), Codec.u64(e.data().path("under")), dependencies.ready(id), dependencies.rank(id));
+                        scheduler.addJob(
+                                spec,
+                                e.stamp(),
+                                Codec.u64(e.data().path("under")),
+                                dependencies.ready(id),
+                                dependencies.rank(id));
                     } catch (JobCodec.Invalid x) {
                         LOG.error("job record can't be read job={} field={}", id, x.getMessage());
                     }
@@ -274,7 +334,8 @@
             scheduler.tick(now);
             scheduler.passWanted |= now >= nextPass;
             rentals.giveBack(workers.failureDetector().look(now), "silent");
-            if (workers.failureDetector().cutOff(now) && (membership.mayResign() || workers.failureDetector().leasesAtStake(now))) {
+            if (workers.failureDetector().cutOff(now)
+                    && (membership.mayResign() || workers.failureDetector().leasesAtStake(now))) {
                 resignIfBetter();
             }
             workers.contactUnheard();
@@ -316,8 +377,8 @@
     }
 
     /**
-     * Machines are out of reach from here: gives up the lead if another reaches, alone, what this leader does with the help of all; or if those that it can't ask may
-     * do better, unless it reaches nearly all by some way.
+     * Machines are out of reach from here: gives up the lead if another reaches, alone, what this leader does with the
+     * help of all; or if those that it can't ask may do better, unless it reaches nearly all by some way.
      */
     private void resignIfBetter() {
         if (measuring) {
@@ -328,7 +389,11 @@
             measuring = false;
             boolean unknown = workers.failureDetector().nobodyTells(runtime.now()) && !m.reachesNearlyAll();
             if (acting() && (unknown || m.betterElsewhere())) {
-                LOG.info("cut off from the machines, resigning token={} {} {}", token, workers.failureDetector().seen(), m);
+                LOG.info(
+                        "cut off from the machines, resigning token={} {} {}",
+                        token,
+                        workers.failureDetector().seen(),
+                        m);
                 membership.resign();
             }
         });
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/Progress.java
@@ -17,16 +17,16 @@
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
 
 /**
- * Which tasks of the live jobs are done, durably: many jobs to a record, since changes per second are scarce. Each write is
- * conditional on the record that it replaces, so one that is applied late can't take progress back that was relied on since.
- * A record that is too large to be written again, since the limits have tightened, loses its parts to others one by one: a part is
- * taken out only when the other record is durable, and a reader takes in whatever any record says.
+ * Which tasks of the live jobs are done, durably: many jobs to a record, since changes per second are scarce. Each
+ * write is conditional on the record that it replaces, so one that is applied late can't take progress back that was
+ * relied on since. A record that is too large to be written again, since the limits have tightened, loses its parts to
+ * others one by one: a part is taken out only when the other record is durable, and a reader takes in whatever any
+ * record says.
  */
 final class Progress {
     private final Runtime runtime;
@@ -37,9 +37,11 @@
     private final int room;
     /** Tasks in one part. */
     private final int chunk;
+
     private final List<Slot> slots = new ArrayList<>();
     /** Where each job's chunks are kept. */
     private final Map<String, Slot> places = new HashMap<>();
+
     private boolean writing;
     private long notBefore;
 
@@ -49,6 +51,7 @@
         private long stamp;
         /** The outcome of a write isn't known: the record has to be looked up before the next. */
         private boolean doubtful;
+
         private final Map<String, Part> parts = new LinkedHashMap<>();
 
         private Slot(String key, long stamp) {
@@ -57,7 +60,10 @@
         }
 
         private int bytes() {
-            return parts.values().stream().filter(p -> p.job.status == Job.Status.LIVE).mapToInt(Part::bytes).sum();
+            return parts.values().stream()
+                    .filter(p -> p.job.status == Job.Status.LIVE)
+                    .mapToInt(Part::bytes)
+                    .sum();
         }
     }
 
@@ -84,13 +90,17 @@
     }
 
     /**
-     * A job's parts. The first of all is named as it always was; one that starts elsewhere than at a multiple of the largest part says
-     * where, by a name that readers who don't know of it take for no job's.
+     * A job's parts. The first of all is named as it always was; one that starts elsewhere than at a multiple of the
+     * largest part says where, by a name that readers who don't know of it take for no job's.
      */
     private Part part(Job job, int from) {
         String id = job.spec.id();
         boolean even = !job.grows() && (chunk == Constants.PROGRESS_CHUNK || job.spec.tasks() <= chunk);
-        return new Part(job, even ? id + "/" + from / Constants.PROGRESS_CHUNK : id + "@" + from + "/0", from, to(job, from + chunk));
+        return new Part(
+                job,
+                even ? id + "/" + from / Constants.PROGRESS_CHUNK : id + "@" + from + "/0",
+                from,
+                to(job, from + chunk));
     }
 
     /** The part that a record names; null if its job isn't live. */
@@ -101,7 +111,9 @@
         if (job == null) {
             return null;
         }
-        int from = at < 0 ? Integer.parseInt(name.substring(slash + 1)) * Constants.PROGRESS_CHUNK : Integer.parseInt(name.substring(at + 1, slash));
+        int from = at < 0
+                ? Integer.parseInt(name.substring(slash + 1)) * Constants.PROGRESS_CHUNK
+                : Integer.parseInt(name.substring(at + 1, slash));
         return new Part(job, name, from, to(job, from + Constants.PROGRESS_CHUNK));
     }
 
@@ -136,7 +148,10 @@
         job.pending.andNot(job.done);
     }
 
-    /** Writes what has been done since the last time, one transaction at a time and after everything that users wait for. */
+    /**
+     * Writes what has been done since the last time, one transaction at a time and after everything that users wait
+     * for.
+     */
     void flush() {
         if (writing || scheduler.progressDirty.isEmpty() || runtime.now() < notBefore || !state.spare()) {
             return;
@@ -154,8 +169,10 @@
             boolean all = true;
             for (Part part : changed(job)) {
                 Slot slot = place(part);
-                boolean fits = dirty.contains(slot) || (!slot.doubtful && dirty.size() < settings.txnOps()
-                        && (dirty.size() + 1) * settings.valueBytes() <= Constants.BODY_BYTES * 3 / 4);
+                boolean fits = dirty.contains(slot)
+                        || (!slot.doubtful
+                                && dirty.size() < settings.txnOps()
+                                && (dirty.size() + 1) * settings.valueBytes() <= Constants.BODY_BYTES * 3 / 4);
                 if (fits) {
                     dirty.add(slot);
                     included.add(new Written(part, part.of(job.done)));
--- a/src/main/java/org/hollypick/control/Reachability.java
+++ b/src/main/java/org/hollypick/control/Reachability.java
@@ -12,8 +12,8 @@
 import org.hollypick.io.Runtime;
 
 /**
- * Whether machines that leave this leader's questions open are lost, or only out of its reach: other controllers put the same question.
- * What they reach isn't returned; several such machines are a reason to ask who would lead better.
+ * Whether machines that leave this leader's questions open are lost, or only out of its reach: other controllers put
+ * the same question. What they reach isn't returned; several such machines are a reason to ask who would lead better.
  */
 final class Reachability {
     private final Runtime runtime;
@@ -23,6 +23,7 @@
     private long firstAskedAt;
     /** When another controller last told what it reaches and what it doesn't. */
     private long toldAt = -Constants.REACH_VALID_MS;
+
     private boolean asking;
 
     Reachability(Runtime runtime, Settings settings, Map<String, Machine> machines) {
@@ -102,7 +103,9 @@
 
     /** Not to be returned, though silent: its reports come by way of another, or may yet. */
     boolean spared(Machine m, long now) {
-        return elsewhere(m, now) && (now - m.elsewhereSince < Constants.REACH_PATIENCE_MS || now - m.lastReportAt < settings.leaseS() * 1_000 / 2);
+        return elsewhere(m, now)
+                && (now - m.elsewhereSince < Constants.REACH_PATIENCE_MS
+                        || now - m.lastReportAt < settings.leaseS() * 1_000 / 2);
     }
 
     /** Machines that are only out of this leader's reach. */
--- a/src/main/java/org/hollypick/control/Registry.java
+++ b/src/main/java/org/hollypick/control/Registry.java
@@ -27,10 +27,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The durable list of machines, many to a record, since changes per second are scarce. A record is created once, under a key that
- * was never used, and then only shrinks; each write is conditional on the value that it was made from. So a write that is
- * applied late can neither bring a machine back nor take one out that was added since. A record that is too large to be written
- * again, since the limits have tightened, is dropped once its machines are named in others.
+ * The durable list of machines, many to a record, since changes per second are scarce. A record is created once, under
+ * a key that was never used, and then only shrinks; each write is conditional on the value that it was made from. So a
+ * write that is applied late can neither bring a machine back nor take one out that was added since. A record that is
+ * too large to be written again, since the limits have tightened, is dropped once its machines are named in others.
  */
 final class Registry {
     private static final Logger LOG = LoggerFactory.getLogger(Registry.class);
@@ -43,9 +43,13 @@
     private final Predicate<String> gone;
     /** The records that name a machine. */
     private final Map<String, Set<String>> keysOf = new HashMap<>();
+
     private final Map<String, Machine> wanted = new LinkedHashMap<>();
-    /** Machines that need another record, since one that names them can't be written again; and what it says of them. */
+    /**
+     * Machines that need another record, since one that names them can't be written again; and what it says of them.
+     */
     private final Map<String, JsonNode> copies = new LinkedHashMap<>();
+
     private final Set<String> unwanted = new LinkedHashSet<>();
     private long written;
     private boolean writing;
@@ -114,7 +118,9 @@
         unwanted.add(id);
     }
 
-    /** Writes what is wanted, one transaction at a time; {@code registered} hears of the machines that are durable now. */
+    /**
+     * Writes what is wanted, one transaction at a time; {@code registered} hears of the machines that are durable now.
+     */
     void flush(Consumer<List<Machine>> registered) {
         if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || runtime.now() < notBefore) {
             return;
@@ -162,7 +168,8 @@
         for (Map.Entry<String, JsonNode> m : machines.entrySet()) {
             int bytes = Records.bytes(m.getValue()) + m.getKey().length() + 4; // quotes, colon and comma
             if (left < bytes) {
-                if (txn.ops() == settings.txnOps() || (txn.ops() + 1) * settings.valueBytes() > Constants.BODY_BYTES * 3 / 4) {
+                if (txn.ops() == settings.txnOps()
+                        || (txn.ops() + 1) * settings.valueBytes() > Constants.BODY_BYTES * 3 / 4) {
                     break;
                 }
                 record = Codec.object();
@@ -177,7 +184,10 @@
         return added;
     }
 
-    /** Takes machines out of their records, as far as the transaction has room; returns those that are out of all of theirs. */
+    /**
+     * Takes machines out of their records, as far as the transaction has room; returns those that are out of all of
+     * theirs.
+     */
     private Set<String> shrink(StateClient.Txn txn) {
         Set<String> out = new HashSet<>();
         Set<String> touched = new HashSet<>();
@@ -199,7 +209,9 @@
                 left.remove(unwanted);
                 int size = Records.bytes(left);
                 boolean tooLarge = size > Records.room(settings);
-                if (txn.ops() >= most || bytes + size > Constants.BODY_BYTES * 3 / 4 || (tooLarge && !namedElsewhere(left, key))) {
+                if (txn.ops() >= most
+                        || bytes + size > Constants.BODY_BYTES * 3 / 4
+                        || (tooLarge && !namedElsewhere(left, key))) {
                     all = false;
                     leftAlone.add(key);
                     continue;
@@ -220,7 +232,10 @@
         return out;
     }
 
-    /** Whether a record that can't be written again isn't needed any more. Machines that only it names get another first. */
+    /**
+     * Whether a record that can't be written again isn't needed any more. Machines that only it names get another
+     * first.
+     */
     private boolean namedElsewhere(ObjectNode machines, String tooLarge) {
         boolean all = true;
         for (Map.Entry<String, JsonNode> m : machines.properties()) {
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/Rentals.java
@@ -40,14 +40,24 @@
     private final boolean nobodyBefore;
     /** Rental requests under way. */
     private int hiring;
+
     private final Set<String> returning = new HashSet<>();
     private final Map<String, Long> listedAt = new HashMap<>();
     private boolean listing;
     private boolean listedOnce;
     private long hires;
 
-    Rentals(Runtime runtime, Settings settings, OperatorSettings operator, Scheduler scheduler, CloudClient cloud,
-            Map<String, MachineType> types, BooleanSupplier acting, BooleanSupplier open, Runnable pump, boolean nobodyBefore) {
+    Rentals(
+            Runtime runtime,
+            Settings settings,
+            OperatorSettings operator,
+            Scheduler scheduler,
+            CloudClient cloud,
+            Map<String, MachineType> types,
+            BooleanSupplier acting,
+            BooleanSupplier open,
+            Runnable pump,
+            boolean nobodyBefore) {
         this.runtime = runtime;
         this.settings = settings;
         this.scheduler = scheduler;
@@ -92,8 +102,13 @@
     /** {@code partitioned}: zones in which nothing is rented now. */
     void rentAndReturn(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
-        giveBack(scheduler.machines.values().stream().filter(m -> m.returning && !returning.contains(m.id)).toList(), "again");
-        if (!nobodyBefore && (!listedOnce || (now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty()))) {
+        giveBack(
+                scheduler.machines.values().stream()
+                        .filter(m -> m.returning && !returning.contains(m.id))
+                        .toList(),
+                "again");
+        if (!nobodyBefore
+                && (!listedOnce || (now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty()))) {
             return; // machines that an earlier leader rented may not be listed yet
         }
         if (!open.getAsBoolean()) {
@@ -120,15 +135,23 @@
             return;
         }
         cloud.hire(name, kind.type(), kind.zone(), kind.spot(), count, acting, r -> {
-            LOG.info("hire type={} zone={} spot={} wanted={} status={} got={}", kind.type(), kind.zone(), kind.spot(), count,
-                    r.status(), r.body().path("bothies").size());
+            LOG.info(
+                    "hire type={} zone={} spot={} wanted={} status={} got={}",
+                    kind.type(),
+                    kind.zone(),
+                    kind.spot(),
+                    count,
+                    r.status(),
+                    r.body().path("bothies").size());
             long now = runtime.now();
             if (r.status() == 200) {
                 hiring--;
                 int got = 0;
                 for (JsonNode id : r.body().path("bothies")) {
                     got++;
-                    if (!scheduler.machines.containsKey(id.asText()) && !scheduler.gone.contains(id.asText()) && types.containsKey(kind.type())) {
+                    if (!scheduler.machines.containsKey(id.asText())
+                            && !scheduler.gone.contains(id.asText())
+                            && types.containsKey(kind.type())) {
                         scheduler.addMachine(id.asText(), types.get(kind.type()), kind.zone(), kind.spot(), false, now);
                     }
                 }
@@ -190,15 +213,22 @@
                 if (type == null) {
                     return;
                 }
-                m = scheduler.addMachine(id, type, l.path("hall").asText(), l.path("lendable").asBoolean(), false,
+                m = scheduler.addMachine(
+                        id,
+                        type,
+                        l.path("hall").asText(),
+                        l.path("lendable").asBoolean(),
+                        false,
                         now - (long) (l.path("age_s").asDouble() * 1000));
             }
             if (m.addr.isEmpty()) {
                 m.addr = l.path("addr").asText("");
             }
-            boolean slowBoot = !m.up && !m.registered && (status.equals("running")
-                    ? now - listedAt.get(id) > Constants.NEVER_REPORTED_MS
-                    : now - m.createdAt > Constants.BOOT_PATIENCE * m.type.bootS() * 1000);
+            boolean slowBoot = !m.up
+                    && !m.registered
+                    && (status.equals("running")
+                            ? now - listedAt.get(id) > Constants.NEVER_REPORTED_MS
+                            : now - m.createdAt > Constants.BOOT_PATIENCE * m.type.bootS() * 1000);
             if (!m.returning && (status.equals("failed") || slowBoot)) {
                 bad.add(m);
             }
@@ -208,7 +238,9 @@
         Set<String> missing = new LinkedHashSet<>();
         for (Machine m : scheduler.machines.values()) {
             Long first = listedAt.get(m.id);
-            if (first != null && !list.containsKey(m.id) && asked - first > settings.listLagS() * 2000 * (1 + Constants.DRIFT) + 500) {
+            if (first != null
+                    && !list.containsKey(m.id)
+                    && asked - first > settings.listLagS() * 2000 * (1 + Constants.DRIFT) + 500) {
                 missing.add(m.id);
             }
         }
--- a/src/main/java/org/hollypick/control/RuntimeStatistics.java
+++ b/src/main/java/org/hollypick/control/RuntimeStatistics.java
@@ -25,8 +25,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What was learned of run times, kept for the next leader: kinds by hash in a few records, one written now and then after everything else. Each write is
- * conditional on the leader record and on the record that it replaces, so one that is applied late takes nothing back.
+ * What was learned of run times, kept for the next leader: kinds by hash in a few records, one written now and then
+ * after everything else. Each write is conditional on the leader record and on the record that it replaces, so one that
+ * is applied late takes nothing back.
  */
 final class RuntimeStatistics {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatistics.class);
@@ -39,6 +40,7 @@
     private final Estimates estimates;
     /** By record: its kinds, the one that learned last at the end, and whether one learned since the last write. */
     private final List<LinkedHashMap<String, Boolean>> slots = new ArrayList<>();
+
     private long nextWrite;
     private int nextSlot;
 
@@ -56,7 +58,8 @@
     }
 
     private static int slot(String kind) {
-        return Hashing.consistentHash(Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8), Constants.LEARNED_SLOTS);
+        return Hashing.consistentHash(
+                Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8), Constants.LEARNED_SLOTS);
     }
 
     /** What earlier leaders learned. */
@@ -84,7 +87,11 @@
         }
         short[][] read = new short[runs.size() / 3][];
         for (int i = 0; i < read.length; i++) {
-            read[i] = new short[] {(short) runs.path(3 * i).asInt(), (short) runs.path(3 * i + 1).asInt(), (short) runs.path(3 * i + 2).asInt()};
+            read[i] = new short[] {
+                (short) runs.path(3 * i).asInt(),
+                (short) runs.path(3 * i + 1).asInt(),
+                (short) runs.path(3 * i + 2).asInt()
+            };
         }
         return new Estimates.Kept(k.path("k").asText(), k.path("n").asLong(), read);
     }
@@ -134,11 +141,16 @@
         list.forEach(out::add);
         Map<String, Boolean> written = new LinkedHashMap<>(kinds);
         kinds.replaceAll((k, dirty) -> false);
-        state.commit(new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(key, stamp).put(key, record), r -> {
-            if (!r.ok()) {
-                written.forEach((k, dirty) -> kinds.merge(k, dirty, Boolean::logicalOr));
-            }
-        });
+        state.commit(
+                new StateClient.Txn()
+                        .when(Keys.LEADER_RECORD, token)
+                        .when(key, stamp)
+                        .put(key, record),
+                r -> {
+                    if (!r.ok()) {
+                        written.forEach((k, dirty) -> kinds.merge(k, dirty, Boolean::logicalOr));
+                    }
+                });
     }
 
     private static ObjectNode write(Estimates.Kept kept) {
--- a/src/main/java/org/hollypick/control/Summary.java
+++ b/src/main/java/org/hollypick/control/Summary.java
@@ -46,9 +46,23 @@
                 job.forEachWaiting((spec, count) -> waiting[at] += count * spec.cpus());
             }
         }
-        LOG.info("fleet token={} settled={} machines={} idle={} cores ordinary={} spot={} booting={} used={} services={} waiting={} waiting_services={} load={} fetching={} late_p99={} late_max={}",
-                scheduler.token, scheduler.settled(), scheduler.machines.size(), idle, cores[0], cores[1], cores[2], cores[3], serviceCores, waiting[0],
-                waiting[1], Math.round(rentals.load()), fetching, lateness.getValueAtPercentile(99), lateness.getMaxValue());
+        LOG.info(
+                "fleet token={} settled={} machines={} idle={} cores ordinary={} spot={} booting={} used={} services={} waiting={} waiting_services={} load={} fetching={} late_p99={} late_max={}",
+                scheduler.token,
+                scheduler.settled(),
+                scheduler.machines.size(),
+                idle,
+                cores[0],
+                cores[1],
+                cores[2],
+                cores[3],
+                serviceCores,
+                waiting[0],
+                waiting[1],
+                Math.round(rentals.load()),
+                fetching,
+                lateness.getValueAtPercentile(99),
+                lateness.getMaxValue());
         lateness.reset();
     }
 }
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -11,12 +11,12 @@
 import org.hollypick.core.Ledger;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.validity.ReportValidity;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Report;
-import org.hollypick.core.watch.LocalHealth;
+import org.hollypick.core.validity.ReportValidity;
 import org.hollypick.core.watch.AdaptiveWindow;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
@@ -26,12 +26,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Dealings with the workers in one term: their reports, the orders in answers and sent directly, and who has fallen silent. */
+/**
+ * Dealings with the workers in one term: their reports, the orders in answers and sent directly, and who has fallen
+ * silent.
+ */
 final class Workers {
     private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
 
     private final Runtime runtime;
-    
+
     private final Scheduler scheduler;
     private final WorkerClient client;
     private final Map<String, MachineType> types;
@@ -45,10 +48,17 @@
     /** Direct calls under way to machines that left one unanswered. */
     private int openDoubtful;
 
-    Workers(Runtime runtime, Settings settings, Scheduler scheduler, WorkerClient client, Map<String, MachineType> types,
-            BooleanSupplier acting, LocalHealth own, Runnable pump) {
+    Workers(
+            Runtime runtime,
+            Settings settings,
+            Scheduler scheduler,
+            WorkerClient client,
+            Map<String, MachineType> types,
+            BooleanSupplier acting,
+            LocalHealth own,
+            Runnable pump) {
         this.runtime = runtime;
-        
+
         this.scheduler = scheduler;
         this.client = client;
         this.types = types;
@@ -87,7 +97,11 @@
             return Answer.later("a report of an earlier session");
         }
         if (!was) {
-            LOG.info("machine up machine={} session={} tasks={}", m.id, r.session(), r.tasks().size());
+            LOG.info(
+                    "machine up machine={} session={} tasks={}",
+                    m.id,
+                    r.session(),
+                    r.tasks().size());
             if (!m.proved) {
                 probe(m);
             }
@@ -97,7 +111,8 @@
             scheduler.fill(m, now);
         }
         List<Order> orders = limited(scheduler.ledger.orders(m));
-        if (freshness == ReportValidity.Freshness.NEW && !acknowledges(m, r, was && r.session() != before, orders, now)) {
+        if (freshness == ReportValidity.Freshness.NEW
+                && !acknowledges(m, r, was && r.session() != before, orders, now)) {
             return Answer.later("answers don't reach the machine");
         }
         String elsewhere = orders.isEmpty() && m.heard ? scheduler.reportBalancer.elsewhere(via, now) : null;
@@ -115,7 +130,10 @@
         return Answer.of(200, WorkerCodec.orders(scheduler.token, orders)).only(acting);
     }
 
-    /** Draws what a new report shows of the answers before; false if the next one would only lengthen a lease that the machine itself lets run out. */
+    /**
+     * Draws what a new report shows of the answers before; false if the next one would only lengthen a lease that the
+     * machine itself lets run out.
+     */
     private boolean acknowledges(Machine m, Report r, boolean newSession, List<Order> orders, long now) {
         boolean unreachableInbound = m.validity.unreachableInbound();
         boolean knows = r.token() == scheduler.token;
@@ -130,7 +148,12 @@
             m.answeredAt = 0; // it has taken no answer of this term
         }
         if (m.validity.unreachableInbound() != unreachableInbound) {
-            LOG.info("{} machine={} session={} token={}", unreachableInbound ? "answers reach the machine again" : "answers don't reach the machine", m.id, r.session(), r.token());
+            LOG.info(
+                    "{} machine={} session={} token={}",
+                    unreachableInbound ? "answers reach the machine again" : "answers don't reach the machine",
+                    m.id,
+                    r.session(),
+                    r.token());
             scheduler.passWanted = true;
         }
         return !m.validity.unreachableInbound() || (m.heard && m.idle());
@@ -165,7 +188,11 @@
 
     /** Sends what the machine should do at once; {@code probe}: even if that is nothing, to hear from it. */
     private void direct(Machine m, boolean probe) {
-        if (!acting.getAsBoolean() || m.directBusy || m.addr.isEmpty() || m.directAfter > runtime.now() || m.returning) {
+        if (!acting.getAsBoolean()
+                || m.directBusy
+                || m.addr.isEmpty()
+                || m.directAfter > runtime.now()
+                || m.returning) {
             return;
         }
         List<Order> orders = m.up && !m.lapsed() ? limited(scheduler.ledger.orders(m)) : List.of();
@@ -219,13 +246,21 @@
             return;
         }
         Report report = WorkerCodec.report(r.body());
-        if (report != null && scheduler.machines.get(m.id) == m && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
+        if (report != null
+                && scheduler.machines.get(m.id) == m
+                && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
             boolean again = !m.heard;
             m.validity.acknowledged();
             scheduler.ledger.proved(m);
             accept(m, report, false, runtime.now());
             if (tick >= 0 && !report.newerThan(session, tick) && !m.lapsed()) {
-                LOG.info("worker has begun again machine={} session={} tick={} known={}/{}", m.id, report.session(), report.tick(), session, tick);
+                LOG.info(
+                        "worker has begun again machine={} session={} tick={} known={}/{}",
+                        m.id,
+                        report.session(),
+                        report.tick(),
+                        session,
+                        tick);
                 scheduler.ledger.begunAgain(m, report, runtime.now());
             }
             if (again && !m.heard) {
@@ -241,8 +276,8 @@
     }
 
     /**
-     * After a takeover nothing tells more quickly what is where than asking every registered machine, some at a time; but one that was just answered
-     * reports again by itself, since it saw a new token.
+     * After a takeover nothing tells more quickly what is where than asking every registered machine, some at a time;
+     * but one that was just answered reports again by itself, since it saw a new token.
      */
     void contactUnheard() {
         if (scheduler.settled()) {
--- a/src/main/java/org/hollypick/core/Dependencies.java
+++ b/src/main/java/org/hollypick/core/Dependencies.java
@@ -11,12 +11,17 @@
 import org.hollypick.core.JobSpec.Rank;
 
 /**
- * Which job needs which, as far as it is durable: what may start, what never can, and how urgent each is for those that need it.
- * Every node follows the records with it. Fed in any order: a job that is awaited before it is known counts as not done.
- * Chains may be thousands of jobs long, so nothing here recurses. Not final: tests put faulty ones in its place.
+ * Which job needs which, as far as it is durable: what may start, what never can, and how urgent each is for those that
+ * need it. Every node follows the records with it. Fed in any order: a job that is awaited before it is known counts as
+ * not done. Chains may be thousands of jobs long, so nothing here recurses. Not final: tests put faulty ones in its
+ * place.
  */
 public class Dependencies {
-    private enum Fate { LIVE, DONE, CANCELLED }
+    private enum Fate {
+        LIVE,
+        DONE,
+        CANCELLED
+    }
 
     private static final class Vertex {
         private final String id;
@@ -25,6 +30,7 @@
         private boolean known;
         /** How many of the jobs that it awaits aren't done. */
         private int missing;
+
         private List<Vertex> awaited = List.of();
         private final List<Vertex> neededBy = new ArrayList<>(0);
         /** The highest of its own and of those that need it. */
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -24,7 +24,7 @@
             }
             case "unknown" -> back(job, index, now);
             case "full", "busy" -> m.noRoomUntil = now + 1_000;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -63,9 +63,10 @@
     }
 
     /**
-     * Errors of several jobs that succeed elsewhere, or failed nowhere else, are the machine's: it gets nothing new for a while. What
-     * runs there is left alone; a machine that only fails what it starts does no harm to it. Once a job that never succeeded fails on a second
-     * machine, the first one was blamed for what is the job's: without it, it may be as good as any.
+     * Errors of several jobs that succeed elsewhere, or failed nowhere else, are the machine's: it gets nothing new for
+     * a while. What runs there is left alone; a machine that only fails what it starts does no harm to it. Once a job
+     * that never succeeded fails on a second machine, the first one was blamed for what is the job's: without it, it
+     * may be as good as any.
      */
     private void charge(Machine m, Job job, long now) {
         m.failedAt = now;
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -16,13 +16,18 @@
 
 /** A live job, owned by this controller. */
 public final class Job {
-    public enum Status { LIVE, DONE, ABORTED }
+    public enum Status {
+        LIVE,
+        DONE,
+        ABORTED
+    }
 
     public final JobSpec spec;
     /** Arrival order: the stamp of the job's record. */
     public final long order;
     /** The leader record stamp that the record's creation was conditional on. */
     public final long under;
+
     public Status status = Status.LIVE;
     /** All that it awaits is durably done; before that nothing of it starts, and it counts for nothing. */
     public boolean ready;
@@ -30,6 +35,7 @@
     public JobSpec.Rank rank;
     /** Its user asked to cancel it: nothing of it starts any more, whether that is durable yet or not. */
     public boolean withdrawn;
+
     public final BitSet done = new BitSet();
     /** Progress that is durable already. */
     public BitSet committed = new BitSet();
@@ -37,11 +43,13 @@
     public final BitSet pending = new BitSet();
     /** Tasks that may be somewhere. */
     public final Int2ObjectOpenHashMap<Placement> live = new Int2ObjectOpenHashMap<>();
+
     private final Object2IntOpenHashMap<String> inZone = new Object2IntOpenHashMap<>();
     /** Tasks that were last reported as running or saving. */
     public int running;
     /** Attempts that ended with done and whose progress isn't durable yet. */
     public final List<Placement> uncommitted = new ArrayList<>();
+
     public final Int2LongOpenHashMap notBefore = new Int2LongOpenHashMap();
     public int failures;
     /** Machines on which its tasks failed since one last succeeded; more than one speaks against the job. */
@@ -150,7 +158,10 @@
         return true;
     }
 
-    /** It failed on several machines and succeeded on none since: one task at a time is enough to find out when that is over. */
+    /**
+     * It failed on several machines and succeeded on none since: one task at a time is enough to find out when that is
+     * over.
+     */
     public boolean failsEverywhere() {
         return failedOn.size() >= Constants.JOB_ERRORS;
     }
--- a/src/main/java/org/hollypick/core/Leases.java
+++ b/src/main/java/org/hollypick/core/Leases.java
@@ -8,9 +8,10 @@
 import org.hollypick.config.Settings;
 
 /**
- * When workers' leases have certainly ended, although other controllers may keep them alive while they reach neither the state service
- * nor the leader (docs/safety.md, "Kept leases"). Pure; one for each term. Every other controller asks again and again; the answer, if it grants
- * anything, lets it renew leases, under this token, for a while counted from when it sent the question.
+ * When workers' leases have certainly ended, although other controllers may keep them alive while they reach neither
+ * the state service nor the leader (docs/safety.md, "Kept leases"). Pure; one for each term. Every other controller
+ * asks again and again; the answer, if it grants anything, lets it renew leases, under this token, for a while counted
+ * from when it sent the question.
  */
 public final class Leases {
     /** Before any time that a clock tells, and far enough from the end of the numbers to be reckoned with. */
@@ -23,6 +24,7 @@
     private static final class Custodian {
         /** Under older tokens it kept nothing after this. */
         private long olderUntil;
+
         private boolean asked;
         /** The last answers to it, by number. */
         private final Map<Long, Long> answers = new LinkedHashMap<>();
@@ -40,12 +42,15 @@
     private final Map<String, Custodian> custodians = new HashMap<>();
     /** This node's own keeping, while it wasn't entitled. */
     private long ownKept = NEVER;
+
     private long numbers;
 
     /** {@code nobodyBefore}: no older leader can have granted anything. */
     public Leases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
         this.windowMs = windowMs(settings);
-        this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS + Constants.LEASE_MARGIN_MS;
+        this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + Constants.DRIFT))
+                + Constants.CLOCK_MARGIN_MS
+                + Constants.LEASE_MARGIN_MS;
         this.termStart = termStart;
         for (String other : others) {
             Custodian k = new Custodian();
@@ -60,8 +65,9 @@
     }
 
     /**
-     * For how long leases may be kept, in milliseconds; 0 if not at all. A cancellation that the custodian doesn't know of was told after the
-     * grant, so whatever it keeps has to be gone, its lease included, within the time that a cancelled task has.
+     * For how long leases may be kept, in milliseconds; 0 if not at all. A cancellation that the custodian doesn't know
+     * of was told after the grant, so whatever it keeps has to be gone, its lease included, within the time that a
+     * cancelled task has.
      */
     public static long windowMs(Settings settings) {
         long window = (long) ((settings.cancelS() - settings.leaseS()) * 1000) - Constants.KEEP_MARGIN_MS;
@@ -72,7 +78,10 @@
         return (long) (ms * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS;
     }
 
-    /** Another controller asks under this term's token. {@code echo}: the newest answer that it has seen; {@code kept}: it kept leases since it last told. */
+    /**
+     * Another controller asks under this term's token. {@code echo}: the newest answer that it has seen; {@code kept}:
+     * it kept leases since it last told.
+     */
     public void asked(String node, long echo, boolean kept, long now) {
         Custodian k = custodians.get(node);
         if (k == null) {
@@ -82,7 +91,8 @@
             k.asked = true;
             k.olderUntil = Math.min(k.olderUntil, now); // it knows this token, so it keeps nothing under an older one
         }
-        // One that has seen no answer of this leader may have begun again: it doesn't know what its earlier process kept, which had ended by now.
+        // One that has seen no answer of this leader may have begun again: it doesn't know what its earlier process
+        // kept, which had ended by now.
         if (kept || echo == NO_ECHO) {
             k.kept = Math.max(k.kept, now);
         }
@@ -118,7 +128,10 @@
         ownKept = Math.max(ownKept, now);
     }
 
-    /** Whether a lease renewed then still holds, even if the report that renewed it was sent a while before: a session that ends now wasn't renewed by it. */
+    /**
+     * Whether a lease renewed then still holds, even if the report that renewed it was sent a while before: a session
+     * that ends now wasn't renewed by it.
+     */
     public boolean fresh(long renewed, long now) {
         return now - renewed < leaseMs - Constants.UNHEARD_GAP_MS;
     }
@@ -136,7 +149,8 @@
             clear = Math.min(clear, k.clear);
             mayBe = Math.max(mayBe, k.granted);
         }
-        // Either it was over before anything could have been kept that isn't accounted for, or after all that may ever be.
+        // Either it was over before anything could have been kept that isn't accounted for, or after all that may ever
+        // be.
         return clear - last > leaseMs || now - Math.max(last, mayBe) > leaseMs;
     }
 }
