--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -12,7 +12,10 @@
 import org.hollypick.core.ledger.TaskReport;
 import org.hollypick.core.tyrex.Tyrex;
 
-/** The life of placements in one term: from the decision to start, through reports, to the certainty that nothing is there. */
+/**
+ * The life of placements in one term: from the decision to start, through reports, to the certainty that nothing is
+ * there.
+ */
 public final class Ledger {
     private final Scheduler scheduler;
     private final long token;
@@ -30,8 +33,8 @@
     // ---- reports ----
 
     /**
-     * Takes in a worker's report. False if it is older than what is known or from a session that is over: it says nothing.
-     * {@code hello}: it came as a report, which no earlier answer to a report can still follow.
+     * Takes in a worker's report. False if it is older than what is known or from a session that is over: it says
+     * nothing. {@code hello}: it came as a report, which no earlier answer to a report can still follow.
      */
     public boolean report(Machine m, Report r, boolean hello, long now) {
         scheduler.lastNow = now;
@@ -78,7 +81,10 @@
             if (p != null) {
                 m.listed(p, now);
                 update(p, t, now);
-                if (r.token() == token && p.there() && p.attempt >>> Constants.ATTEMPT_BITS != token && !scheduler.settledBefore()) {
+                if (r.token() == token
+                        && p.there()
+                        && p.attempt >>> Constants.ATTEMPT_BITS != token
+                        && !scheduler.settledBefore()) {
                     teamUse.found(p.spec, p.attempt);
                 }
             } else if (t.state() != State.EXITED) {
@@ -105,11 +111,12 @@
     }
 
     /**
-     * Whether a report says nothing whatever its count: of a session that is over, or with larger counts and a lower token than the machine has shown. A worker's
-     * token never falls, so that was written in an earlier life.
+     * Whether a report says nothing whatever its count: of a session that is over, or with larger counts and a lower
+     * token than the machine has shown. A worker's token never falls, so that was written in an earlier life.
      */
     public static boolean outdated(Machine m, Report r) {
-        return Long.compareUnsigned(r.session(), m.minSession) < 0 || (m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0)
+        return Long.compareUnsigned(r.session(), m.minSession) < 0
+                || (m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0)
                 || (m.up && r.newerThan(m.session, m.tick) && Long.compareUnsigned(r.token(), m.seenToken) < 0);
     }
 
@@ -120,8 +127,8 @@
     }
 
     /**
-     * An answer to a question that was put after larger counts were known: the worker has begun again, with nothing. Only what an order still under way may bring is
-     * there yet, for a lease from now on at most.
+     * An answer to a question that was put after larger counts were known: the worker has begun again, with nothing.
+     * Only what an order still under way may bring is there yet, for a lease from now on at most.
      */
     public void begunAgain(Machine m, Report r, long now) {
         scheduler.lastNow = now;
@@ -179,7 +186,8 @@
             if (Long.compareUnsigned(other.attempt, t.attempt()) > 0) {
                 return null;
             }
-            remove(other); // a late copy of a report showed it: the newer attempt was only launched when the older was gone
+            // a late copy of a report showed it: the newer attempt was only launched when the older was gone
+            remove(other);
         }
         Placement p = new Placement(job, index, t.attempt(), m, now);
         m.add(p);
@@ -297,7 +305,7 @@
 
     /** Everything in {@code job.committed} is durable; its exited attempts may be cleared. */
     public void progressCommitted(Job job) {
-        for (Iterator<Placement> i = job.uncommitted.iterator(); i.hasNext();) {
+        for (Iterator<Placement> i = job.uncommitted.iterator(); i.hasNext(); ) {
             Placement p = i.next();
             if (job.committed.get(p.index)) {
                 p.clearable = true; // the order goes with the answer to the machine's next report
@@ -351,7 +359,8 @@
                     clears.add(new Order(Order.Verb.FORGET, t.task(), t.attempt(), 0));
                 }
             } else if (p == null) {
-                // Of no live job, or a second attempt: it goes. Unheard machines too; their tasks belong to no one else.
+                // Of no live job, or a second attempt: it goes. Unheard machines too; their tasks belong to no one
+                // else.
                 orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), 0));
             } else if (p.stop && (t.state() != State.SAVING || p.graceS == 0)) {
                 orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), p.graceS));
@@ -388,7 +397,9 @@
         }
     }
 
-    /** A direct call ended. {@code settled}: it was executed, refused or never sent; otherwise it may be executed late. */
+    /**
+     * A direct call ended. {@code settled}: it was executed, refused or never sent; otherwise it may be executed late.
+     */
     public void directEnded(Machine m, List<Order> orders, long session, boolean settled) {
         m.directBusy = false;
         for (Order o : orders) {
@@ -417,14 +428,16 @@
     }
 
     /**
-     * Whether a launch of this job that went out directly may yet be carried out, at any time while the machine's session
-     * and token last.
+     * Whether a launch of this job that went out directly may yet be carried out, at any time while the machine's
+     * session and token last.
      */
     public boolean launchUnderWay(Job job) {
         return launchUnderWay(job, Long.MIN_VALUE);
     }
 
-    /** The same on a machine whose lease was renewed since: others' leases end by themselves, and the launch with them. */
+    /**
+     * The same on a machine whose lease was renewed since: others' leases end by themselves, and the launch with them.
+     */
     public boolean launchUnderWay(Job job, long renewedSince) {
         for (Placement p : job.live.values()) {
             if (p.state() == State.SENT && (p.directInFlight || p.directDoubt) && p.machine.answeredAt > renewedSince) {
--- a/src/main/java/org/hollypick/core/Planner.java
+++ b/src/main/java/org/hollypick/core/Planner.java
@@ -4,8 +4,8 @@
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
-import java.util.IdentityHashMap;
 import java.util.HashMap;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -15,7 +15,10 @@
 
 /** Which job goes where next: the two Tyrex partitions, their order and their lending. */
 final class Planner {
-    /** Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order holds among jobs of one rank. */
+    /**
+     * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
+     * holds among jobs of one rank.
+     */
     private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Rank>comparing(j -> j.rank)
             .thenComparing((a, b) -> Long.compareUnsigned(a.order, b.order));
 
@@ -23,6 +26,7 @@
     private final double firstShare;
     /** Jobs that wait, by partition, as of the last pass; a job that began to wait since then asks for another pass. */
     private List<Job> firstJobs = List.of();
+
     private List<Job> secondJobs = List.of();
     /** Machines of the first partition that hold nothing. */
     private int idleFirst;
@@ -84,7 +88,10 @@
         }
     }
 
-    /** The same for a single machine on which room came free: services, its own partition's jobs, then those it lends to. */
+    /**
+     * The same for a single machine on which room came free: services, its own partition's jobs, then those it lends
+     * to.
+     */
     void fill(Machine m, long now) {
         if (!Placer.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
             return;
@@ -116,8 +123,8 @@
     }
 
     /**
-     * Exception to the design (docs/design.md, "production first"): services go where their image is, and stop lower work
-     * anywhere.
+     * Exception to the design (docs/design.md, "production first"): services go where their image is, and stop lower
+     * work anywhere.
      */
     private void placeService(Job job, List<Machine> machines, long now) {
         for (int i = next(job, 0, now); i >= 0; i = next(job, i + 1, now)) {
@@ -132,8 +139,9 @@
     }
 
     /**
-     * Services whose team is at its limit, though there is room for them: arrays would take what comes free of the limit on machines where services may not go, for
-     * as long as any wait. Looked at once a second, by one service of each team.
+     * Services whose team is at its limit, though there is room for them: arrays would take what comes free of the
+     * limit on machines where services may not go, for as long as any wait. Looked at once a second, by one service of
+     * each team.
      */
     private void reserve(List<Machine> usable, long now) {
         if (now - reservedAt < Constants.PASS_EVERY_MS) {
@@ -144,7 +152,9 @@
         Map<String, Boolean> room = new HashMap<>();
         for (Job job : secondJobs) {
             JobSpec spec = job.spec;
-            if (spec.service() && !scheduler.withinLimit(spec) && useChangedLately(spec.team(), now)
+            if (spec.service()
+                    && !scheduler.withinLimit(spec)
+                    && useChangedLately(spec.team(), now)
                     && room.computeIfAbsent(spec.team(), t -> Placer.preempt(job, usable, allServices, now) != null)) {
                 scheduler.teamUse.owe(spec, job.pending.cardinality());
             }
@@ -152,8 +162,9 @@
     }
 
     /**
-     * Whether the team's use of its limit changed within the last {@link Constants#RESERVE_MS}. If not, hardly anything will come free for its services soon,
-     * and what is left of the limit is too little for them: arrays that fit into it waited for ever beside room.
+     * Whether the team's use of its limit changed within the last {@link Constants#RESERVE_MS}. If not, hardly anything
+     * will come free for its services soon, and what is left of the limit is too little for them: arrays that fit into
+     * it waited for ever beside room.
      */
     private boolean useChangedLately(String team, long now) {
         long changes = scheduler.teamUse.changes(team);
@@ -187,12 +198,16 @@
                 i = next(job, i + 1, now);
                 continue;
             }
-            // Each task makes the machine a better choice for the next one, until it is full: the image is there or on its
-            // way, and arrays are packed.
+            // Each task makes the machine a better choice for the next one, until it is full: the image is there or on
+            // its way, and arrays are packed.
             do {
                 start(job, i, m, now);
                 i = next(job, i + 1, now);
-            } while (i >= 0 && job.spec(i) == spec && m.hasRoom(spec) && Placer.takesTasks(m, now) && Placer.allowed(job, spec, m));
+            } while (i >= 0
+                    && job.spec(i) == spec
+                    && m.hasRoom(spec)
+                    && Placer.takesTasks(m, now)
+                    && Placer.allowed(job, spec, m));
         }
     }
 
@@ -268,7 +283,8 @@
                 candidates.add(m);
             }
         }
-        Comparator<Machine> order = Comparator.comparing((Machine m) -> m.spot == join ? 0 : 1).thenComparing(m -> m.id);
+        Comparator<Machine> order =
+                Comparator.comparing((Machine m) -> m.spot == join ? 0 : 1).thenComparing(m -> m.id);
         candidates.sort(order);
         for (Machine m : candidates.subList(0, Math.min(candidates.size(), Math.abs(want - have)))) {
             m.first = join;
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -15,8 +15,8 @@
 import org.hollypick.core.spread.ReportBalancer;
 
 /**
- * What one leader knows during one term, and what it decides. Pure: time comes in with each event, effects are left in the
- * dirty sets for the loops around to carry out. docs/safety.md argues why its decisions keep the rules.
+ * What one leader knows during one term, and what it decides. Pure: time comes in with each event, effects are left in
+ * the dirty sets for the loops around to carry out. docs/safety.md argues why its decisions keep the rules.
  */
 public final class Scheduler {
     public final long token;
@@ -27,10 +27,12 @@
     public final Estimates estimates;
     /** Which controller each machine reports to. */
     public final ReportBalancer reportBalancer;
+
     public final Ledger ledger;
     private boolean settled;
     /** Earlier leaders kept the same limits of teams. */
     private boolean olderKeptLimits;
+
     private long unheardAt = -1;
     private boolean allHeard;
     private long heardAskedAt = -1;
@@ -50,11 +52,13 @@
     public final Set<Machine> ordersUrgent = new LinkedHashSet<>();
     /** Machines on which room came free since this was last emptied. */
     public final Set<Machine> freed = new LinkedHashSet<>();
+
     public final Set<Job> progressDirty = new LinkedHashSet<>();
     /** Machines that came up and aren't registered yet. */
     public final Set<Machine> toRegister = new LinkedHashSet<>();
     /** Machines that are gone; their durable records have to follow. */
     public final Set<String> toForget = new LinkedHashSet<>();
+
     public boolean passWanted;
 
     /** {@code leases}: when a worker's lease is certainly over. */
@@ -109,7 +113,8 @@
     private void arrived(Job job) {
         JobSpec spec = job.spec;
         double cores = spec.tasks() * spec.cpus();
-        arrived = spec.service() ? new Arrived(arrived.arrays, arrived.arrayWork, arrived.serviceCores + cores)
+        arrived = spec.service()
+                ? new Arrived(arrived.arrays, arrived.arrayWork, arrived.serviceCores + cores)
                 : new Arrived(arrived.arrays + 1, arrived.arrayWork + cores * expectedRunS(spec), arrived.serviceCores);
         passWanted = true;
     }
@@ -162,8 +167,8 @@
     }
 
     /**
-     * Its user asked to cancel it: whoever sees that in the records first may tell so, and this leader need not be the first.
-     * Nothing of the job starts from here on, and all of it goes; what it would do yet is of use to nobody.
+     * Its user asked to cancel it: whoever sees that in the records first may tell so, and this leader need not be the
+     * first. Nothing of the job starts from here on, and all of it goes; what it would do yet is of use to nobody.
      */
     public void cancel(Job job) {
         job.withdrawn = true;
@@ -222,7 +227,8 @@
         lastNow = now;
         for (Machine m : machines.values()) {
             passWanted |= FaultAttribution.pardon(m, now);
-            // What older leaders launched needs a session that began before this term: all of those have ended, whatever has begun since.
+            // What older leaders launched needs a session that began before this term: all of those have ended,
+            // whatever has begun since.
             boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
             boolean over = ((m.up && !m.lapsed()) || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
@@ -255,7 +261,9 @@
         return allHeard;
     }
 
-    /** Whether no machine of an earlier term can still hold tasks that this one doesn't know of. Once so, it stays so. */
+    /**
+     * Whether no machine of an earlier term can still hold tasks that this one doesn't know of. Once so, it stays so.
+     */
     public boolean settled() {
         if (!settled) {
             settled = machines.values().stream().allMatch(Machine::known);
@@ -298,7 +306,9 @@
         return settings.teams().size() > 1;
     }
 
-    /** Whether one more task keeps its team's limit. Machines of earlier terms may hold tasks nobody here has counted. */
+    /**
+     * Whether one more task keeps its team's limit. Machines of earlier terms may hold tasks nobody here has counted.
+     */
     public boolean withinLimit(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null || (team.cpusMax() <= 0 && team.gpusMax() <= 0)) {
@@ -314,7 +324,10 @@
         return teamUse.allowsUnheard(team, spec, olderKeptLimits);
     }
 
-    /** Cores that arrays can use at once beside their team's services, by what there is of both for each team; without end if a team has no limit. */
+    /**
+     * Cores that arrays can use at once beside their team's services, by what there is of both for each team; without
+     * end if a team has no limit.
+     */
     public double usableCores(Object2DoubleMap<String> services, Object2DoubleMap<String> arrays) {
         double usable = 0;
         for (Object2DoubleMap.Entry<String> e : arrays.object2DoubleEntrySet()) {
@@ -328,14 +341,16 @@
     }
 
     /**
-     * Cores that the limits of all teams together leave beside the given services of each; without end if a team has
-     * no limit.
+     * Cores that the limits of all teams together leave beside the given services of each; without end if a team has no
+     * limit.
      */
     public double headroom(Object2DoubleMap<String> services) {
         if (settings.teams().isEmpty()) {
             return Double.POSITIVE_INFINITY;
         }
-        return settings.teams().keySet().stream().mapToDouble(team -> headroom(team, services)).sum();
+        return settings.teams().keySet().stream()
+                .mapToDouble(team -> headroom(team, services))
+                .sum();
     }
 
     /** Cores that a team's limit leaves beside its given services; without end if it has none. */
@@ -356,7 +371,10 @@
     public Map<String, Double> sizes() {
         Map<String, Double> sizes = new HashMap<>();
         for (Job job : jobs.values()) {
-            if (job.status == Job.Status.LIVE && job.ready && !job.spec.service() && (job.partialSize > 0 || job.moved)) {
+            if (job.status == Job.Status.LIVE
+                    && job.ready
+                    && !job.spec.service()
+                    && (job.partialSize > 0 || job.moved)) {
                 sizes.put(job.spec.id(), job.moved ? -1 - job.partialSize : job.partialSize);
             }
         }
--- a/src/main/java/org/hollypick/core/TeamUse.java
+++ b/src/main/java/org/hollypick/core/TeamUse.java
@@ -7,8 +7,9 @@
 import org.hollypick.core.ledger.Machine;
 
 /**
- * What each team's tasks take, counting every one that may be anywhere. Until every machine of earlier terms has been heard, tasks may be there that nobody here
- * knows of: then what they take at most is counted too (docs/safety.md, "quota").
+ * What each team's tasks take, counting every one that may be anywhere. Until every machine of earlier terms has been
+ * heard, tasks may be there that nobody here knows of: then what they take at most is counted too (docs/safety.md,
+ * "quota").
  */
 final class TeamUse {
     private static final double SLACK = 1e-6; // sums of decimal amounts
@@ -19,15 +20,20 @@
     private final Object2LongOpenHashMap<String> changes = new Object2LongOpenHashMap<>();
     /** What tasks of earlier leaders take, or took, that were there in this term; each attempt once. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
+
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
     private final LongOpenHashSet foundAttempts = new LongOpenHashSet();
     private final Object2DoubleOpenHashMap<String> owedCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> owedGpus = new Object2DoubleOpenHashMap<>();
     /** The room of machines that may hold more than is known. */
     private double unheardCpus;
+
     private double unheardGpus;
 
-    /** Services of the team wait for nothing but its limit, with room for them: what comes free of it is theirs, wherever it does. */
+    /**
+     * Services of the team wait for nothing but its limit, with room for them: what comes free of it is theirs,
+     * wherever it does.
+     */
     void owe(JobSpec spec, int tasks) {
         if (tasks > 0 || owedCpus.containsKey(spec.team())) {
             owedCpus.addTo(spec.team(), tasks * spec.cpus());
@@ -50,7 +56,10 @@
         gpus.addTo(spec.team(), tasks * spec.gpus());
     }
 
-    /** That task is there since before this term began: a report made in it says so, for an older one may be of any time. */
+    /**
+     * That task is there since before this term began: a report made in it says so, for an older one may be of any
+     * time.
+     */
     void found(JobSpec spec, long attempt) {
         if (foundAttempts.add(attempt)) {
             foundCpus.addTo(spec.team(), spec.cpus());
@@ -87,11 +96,16 @@
                 && fits(team.gpusMax(), gpus.getDouble(name) + Math.max(0, hiddenGpus) + keptGpus + spec.gpus());
     }
 
-    /** {@code olderKept}: earlier leaders kept the same limits, so that all that they started took no more, what was found of it included. */
+    /**
+     * {@code olderKept}: earlier leaders kept the same limits, so that all that they started took no more, what was
+     * found of it included.
+     */
     boolean allowsUnheard(Settings.Team team, JobSpec spec, boolean olderKept) {
         String name = team.name();
-        double hiddenCpus = Math.min(unheardCpus, olderKept ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
-        double hiddenGpus = Math.min(unheardGpus, olderKept ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
+        double hiddenCpus = Math.min(
+                unheardCpus, olderKept ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
+        double hiddenGpus = Math.min(
+                unheardGpus, olderKept ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
         return allows(team, spec, hiddenCpus, hiddenGpus);
     }
 
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -16,7 +16,10 @@
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Placement;
 
-/** When a job is likely to be done, from drawn courses of events. Pure; it changes nothing and is worked out only when someone asks. */
+/**
+ * When a job is likely to be done, from drawn courses of events. Pure; it changes nothing and is worked out only when
+ * someone asks.
+ */
 public final class CompletionEstimate {
     /** Courses of events: enough for a tenth, and few enough for a busy owner. */
     private static final int DRAWS = 48;
@@ -34,13 +37,15 @@
     private final long now;
     /** Cores that arrays can use, those of them that are free, and those that boot. */
     private double cores;
+
     private double free;
     private double booting;
     private double bootS;
     private final Map<String, double[]> drawn = new HashMap<>();
 
     /** {@code awaited}: the jobs that one awaits and that aren't done. */
-    public CompletionEstimate(Scheduler scheduler, Estimates estimates, Function<String, List<String>> awaited, long now) {
+    public CompletionEstimate(
+            Scheduler scheduler, Estimates estimates, Function<String, List<String>> awaited, long now) {
         this.scheduler = scheduler;
         this.estimates = estimates;
         this.awaited = awaited;
@@ -66,7 +71,9 @@
         Arrays.sort(d);
         JobSpec spec = job.tasks() > 0 ? job.spec(0) : job.spec;
         PredictionInterval kind = estimates.interval(spec, 0);
-        return new Answer(new PredictionInterval(d[DRAWS / 10], d[DRAWS / 2], d[DRAWS * 9 / 10], kind.runs(), kind.from()), job.ready ? reason : "what it awaits");
+        return new Answer(
+                new PredictionInterval(d[DRAWS / 10], d[DRAWS / 2], d[DRAWS * 9 / 10], kind.runs(), kind.from()),
+                job.ready ? reason : "what it awaits");
     }
 
     /** The job behind all that it needs, without recursion: chains may be long. */
@@ -100,7 +107,10 @@
         double[] work = {0};
         for (Job other : scheduler.jobs.values()) {
             int rank = other.rank.compareTo(job.rank);
-            if (other != job && other.waits() && !other.spec.service() && other.second() == job.second()
+            if (other != job
+                    && other.waits()
+                    && !other.spec.service()
+                    && other.second() == job.second()
                     && (rank < 0 || (rank == 0 && Long.compareUnsigned(other.order, job.order) < 0))) {
                 other.forEachWaiting((spec, count) -> work[0] += count * spec.cpus() * scheduler.expectedRunS(spec));
             }
@@ -121,10 +131,13 @@
                 waiting.add(s);
             }
             left[0] += Math.max(0, count - TASKS);
-            waitingWork[0] += Math.max(0, count - TASKS) * spec.cpus() * s.interval().p50();
+            waitingWork[0] +=
+                    Math.max(0, count - TASKS) * spec.cpus() * s.interval().p50();
         });
         JobSpec spec = job.tasks() > 0 ? job.spec(Math.max(0, job.pending.nextSetBit(0))) : job.spec;
-        waitingWork[0] += job.unreleased() * spec.cpus() * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
+        waitingWork[0] += job.unreleased()
+                * spec.cpus()
+                * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
         List<Placement> running = new ArrayList<>();
         for (Placement p : job.live.values()) {
             if (p.there()) {
@@ -135,7 +148,9 @@
         double all = Math.max(spec.cpus(), cores + booting);
         double room = ahead / all;
         if (!waiting.isEmpty() && free < spec.cpus()) {
-            room += cores > 0 ? estimates.interval(spec, 0).p50() / Math.max(1, cores / Math.max(0.1, spec.cpus())) : bootS;
+            room += cores > 0
+                    ? estimates.interval(spec, 0).p50() / Math.max(1, cores / Math.max(0.1, spec.cpus()))
+                    : bootS;
         }
         double image = waiting.isEmpty() || cached(spec) ? 0 : spec.imageGb() / fetchRate();
         int slots = (int) Math.max(1, Math.min(waiting.size(), all / Math.max(0.1, spec.cpus())));
@@ -151,7 +166,10 @@
             double last = start;
             for (Placement p : running) {
                 double elapsed = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
-                double end = start + samplers.computeIfAbsent(p.spec, estimates::sampler).draw(random, elapsed) - elapsed + (p.starting() ? image : 0);
+                double end = start
+                        + samplers.computeIfAbsent(p.spec, estimates::sampler).draw(random, elapsed)
+                        - elapsed
+                        + (p.starting() ? image : 0);
                 ends.add(end);
                 last = Math.max(last, end);
             }
@@ -173,10 +191,15 @@
     }
 
     private boolean cached(JobSpec spec) {
-        return scheduler.machines.values().stream().anyMatch(m -> m.usable() && m.images.containsKey(spec.image()) && m.hasRoom(spec));
+        return scheduler.machines.values().stream()
+                .anyMatch(m -> m.usable() && m.images.containsKey(spec.image()) && m.hasRoom(spec));
     }
 
     private double fetchRate() {
-        return scheduler.machines.values().stream().filter(Machine::usable).mapToDouble(m -> m.type.fetchGbPerS()).average().orElse(1);
+        return scheduler.machines.values().stream()
+                .filter(Machine::usable)
+                .mapToDouble(m -> m.type.fetchGbPerS())
+                .average()
+                .orElse(1);
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -9,16 +9,22 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.hollypick.core.JobSpec;
 
-/** What the runs of tasks teach: how long the next one of a kind takes. Bounded, whatever the number of kinds and machines. */
+/**
+ * What the runs of tasks teach: how long the next one of a kind takes. Bounded, whatever the number of kinds and
+ * machines.
+ */
 public final class Estimates {
     /** Kinds that are known at most; the one that ran least recently is dropped first. */
     static final int KINDS = 2_000;
+
     private static final int MACHINES = 4_000;
     /** Ended runs from which on a group speaks for itself, and from which on its band isn't widened any more. */
     private static final int SPEAKS = 5;
+
     private static final int SURE = 20;
     /** Runs in a row after which a machine that takes so many times as long teaches nothing. */
     private static final int SLOW_RUNS = 3;
+
     private static final double SLOW_TIMES = 2;
 
     private final MeanRatio means = new MeanRatio();
@@ -36,6 +42,7 @@
             return size() > MACHINES;
         }
     };
+
     private final Set<String> dirty = new LinkedHashSet<>();
 
     /** {@code learns}: more than the mean that rentals reckon with. */
@@ -49,7 +56,8 @@
     /** The groups that a task belongs to, the narrowest first. */
     private static List<String> groups(JobSpec s) {
         String kind = s.jobClass() + "/" + s.team();
-        return List.of(kind + "/" + Math.round(Math.log(Math.max(0.1, s.cpus())) / Math.log(2)), kind, "/" + s.team(), "");
+        return List.of(
+                kind + "/" + Math.round(Math.log(Math.max(0.1, s.cpus())) / Math.log(2)), kind, "/" + s.team(), "");
     }
 
     /** The owner's estimate; nothing odd from outside gets further than this. */
@@ -119,11 +127,13 @@
             return new PredictionInterval(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
         }
         QuantileCurve curve = best.curve(estimateS(spec));
-        PredictionInterval interval = new PredictionInterval(curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
+        PredictionInterval interval = new PredictionInterval(
+                curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
         boolean own = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
         double thin = best.ended() >= SURE ? 1 : 1 + 2.0 / (1 + best.ended());
         PredictionInterval wide = interval.widened(thin * (own ? 1 : 1.5));
-        return new PredictionInterval(Math.max(wide.p10(), ran), wide.p50(), wide.p90(), wide.runs(), own ? from : "borrowed from " + from);
+        return new PredictionInterval(
+                Math.max(wide.p10(), ran), wide.p50(), wide.p90(), wide.runs(), own ? from : "borrowed from " + from);
     }
 
     /** A source of run times for one kind of task: the same draws for the same seed. */
@@ -188,7 +198,8 @@
     public void restore(Kept kept) {
         kinds.computeIfAbsent(kept.kind(), k -> new History()).restore(kept.runs(), kept.seen());
         int slash = kept.kind().indexOf('/');
-        if (slash > 0 && kept.kind().indexOf('/', slash + 1) < 0) { // class and team: the team's and the common history are made of these
+        // class and team: the team's and the common history are made of these
+        if (slash > 0 && kept.kind().indexOf('/', slash + 1) < 0) {
             for (String wider : List.of(kept.kind().substring(slash), "")) {
                 kinds.computeIfAbsent(wider, k -> new History()).restore(kept.runs(), kept.seen());
             }
--- a/src/main/java/org/hollypick/core/estimate/History.java
+++ b/src/main/java/org/hollypick/core/estimate/History.java
@@ -3,23 +3,26 @@
 import java.util.Arrays;
 
 /**
- * The last runs of a kind, those that were cut short marked. Times are kept as logarithms in steps of 2 %, so that a run takes five bytes. Whatever goes
- * in, nothing but finite, positive times comes out.
+ * The last runs of a kind, those that were cut short marked. Times are kept as logarithms in steps of 2 %, so that a
+ * run takes five bytes. Whatever goes in, nothing but finite, positive times comes out.
  */
 public final class History {
     static final int SIZE = 128;
     private static final double STEP = 0.02;
     /** Seconds; shorter and longer runs count as these. */
     private static final double LEAST_S = 0.01;
+
     private static final double MOST_S = 1e7;
     /** Ended runs in a row that show that the kind has changed, and by how much their median has to differ. */
     private static final int CHANGED_RUNS = 6;
+
     private static final double CHANGED_TIMES = 3;
     private static final int CHANGED_FROM = 12;
 
     private final short[] times = new short[SIZE];
     /** Ratios to the owner's estimate, in the same steps. */
     private final short[] ratios = new short[SIZE];
+
     private final boolean[] cut = new boolean[SIZE];
     private int count;
     private int next;
--- a/src/main/java/org/hollypick/core/estimate/MeanRatio.java
+++ b/src/main/java/org/hollypick/core/estimate/MeanRatio.java
@@ -5,7 +5,10 @@
 import org.hollypick.config.Constants;
 import org.hollypick.core.JobSpec;
 
-/** By class of jobs: how the mean run time of finished tasks compares with the mean of their owners' estimates; what rentals reckon with. */
+/**
+ * By class of jobs: how the mean run time of finished tasks compares with the mean of their owners' estimates; what
+ * rentals reckon with.
+ */
 final class MeanRatio {
     private final Map<String, Ratio> ratios = new HashMap<>();
 
@@ -23,7 +26,10 @@
         return Math.max(1, spec.estimateS());
     }
 
-    /** Run times and estimates, each followed by itself: a mean of their ratios would count the tasks estimated too low for too much. */
+    /**
+     * Run times and estimates, each followed by itself: a mean of their ratios would count the tasks estimated too low
+     * for too much.
+     */
     private static final class Ratio {
         private double ran;
         private double estimated;
--- a/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
+++ b/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
@@ -1,6 +1,9 @@
 package org.hollypick.core.estimate;
 
-/** A survival curve by Kaplan and Meier: after {@code at[i]} seconds the share {@code alive[i]} of all runs is still under way. */
+/**
+ * A survival curve by Kaplan and Meier: after {@code at[i]} seconds the share {@code alive[i]} of all runs is still
+ * under way.
+ */
 final class QuantileCurve {
     private final double[] at;
     private final double[] alive;
@@ -37,7 +40,10 @@
         return beyond(Math.max(before, ranS), (aliveBefore - wanted) / aliveBefore);
     }
 
-    /** A run that outlasts all that are known takes as long again with even odds: heavy tails look like that, and nothing else is known. */
+    /**
+     * A run that outlasts all that are known takes as long again with even odds: heavy tails look like that, and
+     * nothing else is known.
+     */
     private static double beyond(double from, double q) {
         return from * Math.min(16, 1 / Math.max(1e-3, 1 - q));
     }
--- a/src/main/java/org/hollypick/core/estimate/Replay.java
+++ b/src/main/java/org/hollypick/core/estimate/Replay.java
@@ -7,7 +7,10 @@
 import java.util.TreeMap;
 import org.hollypick.core.JobSpec;
 
-/** Plays recorded runs in the order of their ends, each estimated before its outcome is told, beside three plain ways of guessing. */
+/**
+ * Plays recorded runs in the order of their ends, each estimated before its outcome is told, beside three plain ways of
+ * guessing.
+ */
 public final class Replay {
     /** One recorded run; {@code cutShort}: it was stopped, lost or failed after that time. */
     public record Run(JobSpec task, String machine, double ranS, boolean cutShort) {}
@@ -36,7 +39,9 @@
             return median(width);
         }
 
-        /** Median of how far off, as a share of the outcome: this, the owner's estimate, a running mean, the last run. */
+        /**
+         * Median of how far off, as a share of the outcome: this, the owner's estimate, a running mean, the last run.
+         */
         public double[] errors() {
             return new double[] {median(own), median(owners), median(mean), median(last)};
         }
--- a/src/main/java/org/hollypick/core/fleet/Fleet.java
+++ b/src/main/java/org/hollypick/core/fleet/Fleet.java
@@ -36,11 +36,13 @@
     private final Object2LongOpenHashMap<Kind> refusedUntil = new Object2LongOpenHashMap<>();
     /** Machines of each kind that count, those of the present plan included. */
     private final Object2IntOpenHashMap<Kind> have = new Object2IntOpenHashMap<>();
+
     private long startedAt;
     private final Mean arrayJobs = new Mean(Constants.LOAD_WINDOW_S);
     private final Mean arrays = new Mean(Constants.LOAD_WINDOW_S);
     /** When an array last arrived, and how many a second did until then, as far as that can be relied on. */
     private long arrayArrivedAt;
+
     private double arrayRate;
     private final Mean services = new Mean(Constants.SERVICE_WINDOW_S);
 
@@ -63,6 +65,7 @@
     private static final class Demand {
         /** By zone: what runs there, and what is awaited as far as the teams' limits let it run. */
         final Map<String, Double> serviceCores = new HashMap<>();
+
         double arrayWork;
         double arrayCores;
         final Object2DoubleOpenHashMap<String> teamServices = new Object2DoubleOpenHashMap<>();
@@ -76,8 +79,16 @@
         return plan(scheduler, types, zones, Set.of(), now);
     }
 
-    /** {@code partitioned}: zones that can't be reached. Their machines count, since most come back, but nothing is rented there. */
-    public Plan plan(Scheduler scheduler, Map<String, MachineType> types, List<String> zones, Set<String> partitioned, long now) {
+    /**
+     * {@code partitioned}: zones that can't be reached. Their machines count, since most come back, but nothing is
+     * rented there.
+     */
+    public Plan plan(
+            Scheduler scheduler,
+            Map<String, MachineType> types,
+            List<String> zones,
+            Set<String> partitioned,
+            long now) {
         List<String> lit = zones.stream().filter(z -> !partitioned.contains(z)).toList();
         Demand demand = demand(scheduler, zones, now);
         follow(scheduler, now);
@@ -120,13 +131,18 @@
         // Arrays that arrive beyond their teams' limits wait, whatever machines there are.
         double base = Math.min(arrays.perSecond() * Constants.LOAD_HEADROOM * reliance(), headroom);
         if (demand.array != null) {
-            double bootS = types.values().stream().mapToDouble(MachineType::bootS).min().orElse(60);
+            double bootS = types.values().stream()
+                    .mapToDouble(MachineType::bootS)
+                    .min()
+                    .orElse(60);
             JobSpec array = demand.array;
             // What a team's limit keeps from running needs no machine, however long it waits.
             double unused = Math.min(scheduler.usableCores(demand.teamServices, demand.teamArrays), headroom) - supply;
             double spot = Math.max(base - supply, Math.min(unused, late(demand, supply, bootS, Constants.CATCH_UP_S)));
             if (!rent(rents, array, types, lit, true, spot, now)) {
-                double missing = Math.min(late(demand, supply, bootS, Constants.CATCH_UP_ORDINARY_S), Math.min(unused, ordinaryLimit() - supply));
+                double missing = Math.min(
+                        late(demand, supply, bootS, Constants.CATCH_UP_ORDINARY_S),
+                        Math.min(unused, ordinaryLimit() - supply));
                 rent(rents, array, types, lit, false, missing, now);
             }
         }
@@ -136,7 +152,10 @@
         return new Plan(rents, returns(machines, spare, supply - base, now), moves);
     }
 
-    /** Means of what arrives. What was there when the term began, and the crowd at a start, say nothing about what follows. */
+    /**
+     * Means of what arrives. What was there when the term began, and the crowd at a start, say nothing about what
+     * follows.
+     */
     private void follow(Scheduler scheduler, long now) {
         Scheduler.Arrived arrived = scheduler.takeArrived();
         if (startedAt == 0) {
@@ -151,14 +170,17 @@
             arrayArrivedAt = now;
             arrayRate = arrayJobs.perSecond() * reliance();
         } else if ((now - arrayArrivedAt) / 1000.0 * arrayRate > Constants.MISSED_ARRIVALS) {
-            // So many didn't come that should have by now: the mean says nothing any more, and what it keeps is a waste.
+            // So many didn't come that should have by now: the mean says nothing any more, and what it keeps is a
+            // waste.
             arrays.forget();
             arrayJobs.forget();
             arrayRate = 0;
         }
     }
 
-    /** Beyond this many cores spot machines work off a crowd soon enough; before anything is known there is no limit. */
+    /**
+     * Beyond this many cores spot machines work off a crowd soon enough; before anything is known there is no limit.
+     */
     private double ordinaryLimit() {
         return arrays.perSecond() > 0 ? arrays.perSecond() * Constants.ORDINARY_LOAD / reliance() : Double.MAX_VALUE;
     }
@@ -175,7 +197,14 @@
     }
 
     /** Asks for so many cores, in several requests if need be; false if no kind can be had. */
-    private boolean rent(List<Rent> rents, JobSpec job, Map<String, MachineType> types, List<String> zones, boolean spot, double cores, long now) {
+    private boolean rent(
+            List<Rent> rents,
+            JobSpec job,
+            Map<String, MachineType> types,
+            List<String> zones,
+            boolean spot,
+            double cores,
+            long now) {
         double left = cores;
         for (int i = 0; i < Constants.RENTS_AT_ONCE && left > 0; i++) {
             Rent rent = pick(job, types, zones, spot, left, now);
@@ -189,8 +218,10 @@
         return true;
     }
 
-    /** Marks machines that are more than what is needed, the emptiest first: arrays leave them alone while there are others, so that they
-     * empty and can be returned. What is more than needed beyond them is the result. */
+    /**
+     * Marks machines that are more than what is needed, the emptiest first: arrays leave them alone while there are
+     * others, so that they empty and can be returned. What is more than needed beyond them is the result.
+     */
     private static double cordon(Collection<Machine> machines, Map<String, Double> spare, double surplus) {
         Map<String, Double> zoneLeft = new HashMap<>(spare);
         double left = surplus;
@@ -198,7 +229,8 @@
         emptiest.sort(Comparator.comparingDouble(m -> m.usedCpus / m.type.cpus()));
         for (Machine m : emptiest) {
             double zone = zoneLeft.getOrDefault(m.zone, 0.0);
-            m.surplus = m.usable() && m.serviceCpus() <= 0 && left >= m.type.cpus() && (m.spot || zone >= m.type.cpus());
+            m.surplus =
+                    m.usable() && m.serviceCpus() <= 0 && left >= m.type.cpus() && (m.spot || zone >= m.type.cpus());
             if (m.surplus) {
                 left -= m.type.cpus();
                 if (!m.spot) {
@@ -210,11 +242,12 @@
     }
 
     /**
-     * Services end one by one and leave every machine partly used, none empty. While there are more ordinary machines than needed those
-     * with the fewest replicas in a zone are emptied: each replica that has run for a while moves to a machine of the zone that
-     * has room and holds its image, so it is away for an exchange of orders only.
+     * Services end one by one and leave every machine partly used, none empty. While there are more ordinary machines
+     * than needed those with the fewest replicas in a zone are emptied: each replica that has run for a while moves to
+     * a machine of the zone that has room and holds its image, so it is away for an exchange of orders only.
      */
-    private static List<Placement> moves(Collection<Machine> machines, Map<String, Double> spare, double surplus, long now) {
+    private static List<Placement> moves(
+            Collection<Machine> machines, Map<String, Double> spare, double surplus, long now) {
         List<Placement> moves = new ArrayList<>();
         double allServices = machines.stream().mapToDouble(Machine::serviceCpus).sum();
         for (Map.Entry<String, Double> zone : spare.entrySet()) {
@@ -226,12 +259,14 @@
                     emptiest.add(m);
                 }
             }
-            emptiest.sort(Comparator.comparingDouble((Machine m) -> m.emptying ? 0 : 1).thenComparingDouble(Machine::serviceCpus));
+            emptiest.sort(Comparator.comparingDouble((Machine m) -> m.emptying ? 0 : 1)
+                    .thenComparingDouble(Machine::serviceCpus));
             for (Machine m : emptiest) {
                 left -= m.type.cpus(); // those that are empty already are on their way out
                 excess -= m.type.cpus();
                 m.emptying = left >= 0 && m.serviceCpus() > 0;
-                m.emptiedNext = !m.emptying && excess >= 0 && m.type.cpus() <= allServices * Constants.EMPTIED_NEXT_SHARE;
+                m.emptiedNext =
+                        !m.emptying && excess >= 0 && m.type.cpus() <= allServices * Constants.EMPTIED_NEXT_SHARE;
                 if (m.emptying) {
                     move(m, machines, moves, now);
                 }
@@ -242,8 +277,12 @@
 
     private static void move(Machine from, Collection<Machine> machines, List<Placement> moves, long now) {
         for (Placement p : from.there()) {
-            if (moves.size() < Constants.MOVES_AT_ONCE && p.job.spec.service() && !p.stop && p.state() == Placement.State.RUNNING
-                    && now - p.runningAt > Constants.MOVE_AFTER_MS && Placer.canMove(p, machines, now)) {
+            if (moves.size() < Constants.MOVES_AT_ONCE
+                    && p.job.spec.service()
+                    && !p.stop
+                    && p.state() == Placement.State.RUNNING
+                    && now - p.runningAt > Constants.MOVE_AFTER_MS
+                    && Placer.canMove(p, machines, now)) {
                 moves.add(p);
             }
         }
@@ -330,10 +369,11 @@
     }
 
     /**
-     * The kind with the cheapest core that the job may use and the cloud didn't just refuse; of equal ones the one with the fewest
-     * machines, so that zones stay even: a zone can be lost, and services need room in each.
+     * The kind with the cheapest core that the job may use and the cloud didn't just refuse; of equal ones the one with
+     * the fewest machines, so that zones stay even: a zone can be lost, and services need room in each.
      */
-    private Rent pick(JobSpec job, Map<String, MachineType> types, List<String> zones, boolean spot, double cores, long now) {
+    private Rent pick(
+            JobSpec job, Map<String, MachineType> types, List<String> zones, boolean spot, double cores, long now) {
         Kind best = null;
         double bestPrice = 0;
         for (MachineType t : types.values()) {
@@ -343,8 +383,11 @@
             for (String zone : zones) {
                 Kind kind = new Kind(t.name(), zone, spot);
                 double price = (spot ? t.spotPrice() : t.price()) / t.cpus();
-                if (t.zones().contains(zone) && (job.zone() == null || job.zone().equals(zone))
-                        && refusedUntil.getLong(kind) <= now && (best == null || price < bestPrice
+                if (t.zones().contains(zone)
+                        && (job.zone() == null || job.zone().equals(zone))
+                        && refusedUntil.getLong(kind) <= now
+                        && (best == null
+                                || price < bestPrice
                                 || (price == bestPrice && have.getInt(kind) < have.getInt(best)))) {
                     best = kind;
                     bestPrice = price;
@@ -358,7 +401,8 @@
         return new Rent(best, Math.min(count, Constants.HIRE_MAX));
     }
 
-    private List<Machine> returns(Collection<Machine> machines, Map<String, Double> spare, double arraySpare, long now) {
+    private List<Machine> returns(
+            Collection<Machine> machines, Map<String, Double> spare, double arraySpare, long now) {
         List<Machine> idle = new ArrayList<>();
         List<Machine> out = new ArrayList<>();
         for (Machine m : machines) {
@@ -369,7 +413,10 @@
                 if (m.idle()) {
                     out.add(m);
                 }
-            } else if (m.up && m.idle() && !m.draining && now - m.idleSince > (m.spot && !m.surplus ? operator.idleMs() : Constants.IDLE_ORDINARY_MS)) {
+            } else if (m.up
+                    && m.idle()
+                    && !m.draining
+                    && now - m.idleSince > (m.spot && !m.surplus ? operator.idleMs() : Constants.IDLE_ORDINARY_MS)) {
                 idle.add(m);
             }
         }
--- a/src/main/java/org/hollypick/core/fleet/Mean.java
+++ b/src/main/java/org/hollypick/core/fleet/Mean.java
@@ -8,6 +8,7 @@
     private double mean;
     /** How much of the window has been seen; corrects the mean while it is young. */
     private double seen;
+
     private long at;
     private double observedS;
 
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -15,12 +15,19 @@
 import org.hollypick.core.TaskSet;
 
 /**
- * A graph of tasks that grows while it runs. Pure and without recursion, since chains may be as long as the graph is large. A node is released
- * once it is durable, the graph is sealed, and all that it awaits is durably done. One that has handed its result on to a continuation is done when
- * that one is. Not final: tests put faulty ones in its place.
+ * A graph of tasks that grows while it runs. Pure and without recursion, since chains may be as long as the graph is
+ * large. A node is released once it is durable, the graph is sealed, and all that it awaits is durably done. One that
+ * has handed its result on to a continuation is done when that one is. Not final: tests put faulty ones in its place.
  */
 public class Graph implements TaskSet {
-    public enum State { WAITING, READY, HANDED, DONE, FAILED, CANCELLED }
+    public enum State {
+        WAITING,
+        READY,
+        HANDED,
+        DONE,
+        FAILED,
+        CANCELLED
+    }
 
     private static final int NONE = -1;
     private static final int[] NO_NODES = {};
@@ -31,6 +38,7 @@
     private final List<String> ids = new ArrayList<>();
     /** Equal descriptions are one object, numbered as they came. */
     private final Map<JobSpec, Integer> specNumbers = new HashMap<>();
+
     private final List<JobSpec> specs = new ArrayList<>();
     private int[] specOf = new int[16];
     private State[] states = new State[16];
@@ -38,6 +46,7 @@
     private int[] parents = new int[16];
     /** The continuation that a node hands its result on to, and the node that a continuation stands for. */
     private int[] then = new int[16];
+
     private int[] origin = new int[16];
     private int[][] awaits = new int[16][];
     private IntArrayList[] neededBy = new IntArrayList[16];
@@ -45,6 +54,7 @@
     private final Map<Integer, String> reasons = new HashMap<>();
     /** Nodes that failed for good, and whose failure isn't recorded yet. */
     private IntArrayList failing = new IntArrayList();
+
     private final int[] counts = new int[State.values().length];
     private final BitSet committed = new BitSet();
     private int durable;
@@ -60,8 +70,9 @@
     // ---- growing ----
 
     /**
-     * Whether those nodes may be added: {@code parent} is the running node that submits them, null at the start; {@code next} the one
-     * among them, or among its earlier children, that the parent hands its result on to. Null if they may; nodes that are known already are no reason.
+     * Whether those nodes may be added: {@code parent} is the running node that submits them, null at the start;
+     * {@code next} the one among them, or among its earlier children, that the parent hands its result on to. Null if
+     * they may; nodes that are known already are no reason.
      */
     public Refusal check(List<NodeSpec> batch, String parent, String next) {
         int by = parent == null ? NONE : index.getInt(parent);
@@ -106,12 +117,17 @@
             return Refusal.invalid("the continuation " + next + " is unknown");
         }
         if (then[by] != NONE) {
-            return then[by] == known ? null : Refusal.conflict("node " + ids.get(by) + " hands on to " + ids.get(then[by]) + " already");
+            return then[by] == known
+                    ? null
+                    : Refusal.conflict("node " + ids.get(by) + " hands on to " + ids.get(then[by]) + " already");
         }
         if (known != NONE && (origin[known] != NONE || parents[known] != by)) {
-            return Refusal.conflict("node " + next + " can't be its continuation: it is no child of it, or stands for another");
+            return Refusal.conflict(
+                    "node " + next + " can't be its continuation: it is no child of it, or stands for another");
         }
-        return needs(fresh, next, by) ? Refusal.invalid("the continuation " + next + " needs " + ids.get(by) + ", which it stands for") : null;
+        return needs(fresh, next, by)
+                ? Refusal.invalid("the continuation " + next + " needs " + ids.get(by) + ", which it stands for")
+                : null;
     }
 
     /** Whether a node, known or fresh, needs {@code target}: by what it awaits, and by what those stand for. */
@@ -186,13 +202,17 @@
         if (parents[known] != by) {
             return "parent";
         }
-        int[] wanted = n.awaits().stream().mapToInt(index::getInt).distinct().sorted().toArray();
+        int[] wanted =
+                n.awaits().stream().mapToInt(index::getInt).distinct().sorted().toArray();
         int[] had = awaits[known].clone();
         Arrays.sort(had);
         return Arrays.equals(wanted, had) ? null : "set of nodes that it awaits";
     }
 
-    /** Adds nodes that {@link #check} has nothing against, those that are known left out; they aren't durable yet. Returns the new ones. */
+    /**
+     * Adds nodes that {@link #check} has nothing against, those that are known left out; they aren't durable yet.
+     * Returns the new ones.
+     */
     public List<NodeSpec> add(List<NodeSpec> batch, String parent, String next) {
         List<NodeSpec> added = new ArrayList<>();
         int by = parent == null ? NONE : index.getInt(parent);
@@ -226,7 +246,10 @@
             int i = index.getInt(n.id());
             for (int other : awaits[i]) {
                 if (states[other] == State.FAILED || states[other] == State.CANCELLED) {
-                    endAll(new int[] {i}, State.CANCELLED, "needs " + ids.get(other) + ": " + reasons.getOrDefault(other, ""));
+                    endAll(
+                            new int[] {i},
+                            State.CANCELLED,
+                            "needs " + ids.get(other) + ": " + reasons.getOrDefault(other, ""));
                 }
             }
         }
@@ -234,7 +257,10 @@
             then[by] = index.getInt(next);
             origin[then[by]] = by;
             if (states[then[by]] == State.FAILED || states[then[by]] == State.CANCELLED) {
-                endAll(new int[] {by}, State.CANCELLED, "its continuation " + next + " can't be done: " + reasons.getOrDefault(then[by], ""));
+                endAll(
+                        new int[] {by},
+                        State.CANCELLED,
+                        "its continuation " + next + " can't be done: " + reasons.getOrDefault(then[by], ""));
             }
         }
         return added;
@@ -335,7 +361,10 @@
     /** What ended: all of it, and the nodes from which the rest follows. */
     public record Ended(int[] all, int[] roots) {}
 
-    /** Fails or cancels a node and what it handed on to; with them goes all that needs them, and the node that they stand for. */
+    /**
+     * Fails or cancels a node and what it handed on to; with them goes all that needs them, and the node that they
+     * stand for.
+     */
     public Ended end(int node, State as, String why) {
         IntArrayList roots = new IntArrayList();
         for (int i = node; i != NONE; i = then[i]) {
@@ -353,7 +382,12 @@
         IntArrayList todo = new IntArrayList();
         for (int k = 0; k < roots.length; k++) {
             if (!ended(roots[k])) {
-                close(roots[k], k == 0 ? as : State.CANCELLED, k == 0 ? why : "its result stood for " + ids.get(roots[0]) + ": " + why, ended, todo);
+                close(
+                        roots[k],
+                        k == 0 ? as : State.CANCELLED,
+                        k == 0 ? why : "its result stood for " + ids.get(roots[0]) + ": " + why,
+                        ended,
+                        todo);
             }
         }
         String follows = roots.length == 0 ? why : "needs " + ids.get(roots[0]) + ": " + why;
@@ -427,7 +461,9 @@
 
     @Override
     public boolean finished(BitSet done) {
-        return sealed && counts[State.WAITING.ordinal()] + counts[State.READY.ordinal()] + counts[State.HANDED.ordinal()] == 0;
+        return sealed
+                && counts[State.WAITING.ordinal()] + counts[State.READY.ordinal()] + counts[State.HANDED.ordinal()]
+                        == 0;
     }
 
     @Override
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/ledger/Machine.java
@@ -22,23 +22,32 @@
     public boolean registered;
     /** It has reported under the current token, or nothing older can be on it. */
     public boolean heard;
-    /** It reported a task that isn't accounted for: of a job that is over, or a second attempt. It is told to end that. */
+    /**
+     * It reported a task that isn't accounted for: of a job that is over, or a second attempt. It is told to end that.
+     */
     public boolean strays;
     /** Its worker has reported at least once in this term. */
     public boolean up;
-    /** It has seen this term's token, or answered a question: a report alone may be a late copy of a machine that is gone. */
+    /**
+     * It has seen this term's token, or answered a question: a report alone may be a late copy of a machine that is
+     * gone.
+     */
     public boolean proved;
-    /** Since when the session that is known of is over; nothing may be told to it until the next one is heard of. 0: it isn't. */
+    /**
+     * Since when the session that is known of is over; nothing may be told to it until the next one is heard of. 0: it
+     * isn't.
+     */
     public long lapsedAt;
     /** Whether a report, not only answers to direct commands, came in the session that is known. */
     public boolean reportedInSession;
     /**
-     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may reach it,
-     * but don't renew its lease: what it is given would end with that.
+     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may
+     * reach it, but don't renew its lease: what it is given would end with that.
      */
     public boolean needsReport;
     /** Whether what it is told reaches it. */
     public final ReportValidity validity = new ReportValidity();
+
     public long session;
     public long tick;
     /** The highest token that it has shown: larger counts beside a lower one are an earlier life's. */
@@ -50,23 +59,30 @@
     /** When the last report was answered with 200; its lease can't have been renewed later. */
     public long answeredAt;
     /**
-     * When a placement was last listed for the first time. A worker that begins again within its lease, its counts going on,
-     * has a lease from that beginning, which no report tells apart from an empty machine; but whatever it lists began there.
+     * When a placement was last listed for the first time. A worker that begins again within its lease, its counts
+     * going on, has a lease from that beginning, which no report tells apart from an empty machine; but whatever it
+     * lists began there.
      */
     private long newPlacementListedAt;
+
     public long lastReportAt;
     public long createdAt;
     public long idleSince;
     public boolean returning;
     /** Gets no new tasks: on notice, faulty, or chosen to be returned. */
     public boolean draining;
+
     public boolean faulty;
     public long faultyUntil;
     public long noRoomUntil;
     /** Direct calls left unanswered since its last word. */
     public int unanswered;
-    /** When another controller last reached it while this one didn't, since when without a break, and when that was last asked. */
+    /**
+     * When another controller last reached it while this one didn't, since when without a break, and when that was last
+     * asked.
+     */
     public long elsewhereAt;
+
     public long elsewhereSince;
     public long elsewhereAskedAt;
     /** When another controller last tried it in vain. */
@@ -79,21 +95,25 @@
     public boolean emptiedNext;
     /** In the first Tyrex partition. */
     public boolean first;
+
     public boolean directBusy;
     /** No direct call before this time; the last one was left unanswered. */
     public long directAfter;
     /** By attempt: those never repeat, whatever the task. */
     public final Long2ObjectLinkedOpenHashMap<Placement> placements = new Long2ObjectLinkedOpenHashMap<>();
+
     public List<TaskReport> reported = List.of();
     public final Object2LongOpenHashMap<String> images = new Object2LongOpenHashMap<>();
     public final Set<String> failedJobs = new HashSet<>();
     /** When a task last failed on it. */
     public long failedAt;
+
     public double usedCpus;
     public double usedGpus;
     public double usedMemory;
     /** Running totals over what may be there: tasks, those still without image, cores of services. */
     private int there;
+
     private int starting;
     private double serviceCpus;
     private long reports;
@@ -180,13 +200,23 @@
 
     public boolean hasRoom(JobSpec job) {
         double slack = 1e-6; // sums of decimal amounts
-        return usedCpus + job.cpus() <= type.cpus() + slack && usedGpus + job.gpus() <= type.gpus() + slack
+        return usedCpus + job.cpus() <= type.cpus() + slack
+                && usedGpus + job.gpus() <= type.gpus() + slack
                 && usedMemory + job.memory() <= type.memory() + slack;
     }
 
     public boolean usable() {
-        return registered && heard && up && proved && !lapsed() && !needsReport && !validity.unreachableInbound() && !draining
-                && !returning && !faulty && !emptying;
+        return registered
+                && heard
+                && up
+                && proved
+                && !lapsed()
+                && !needsReport
+                && !validity.unreachableInbound()
+                && !draining
+                && !returning
+                && !faulty
+                && !emptying;
     }
 
     public boolean idle() {
--- a/src/main/java/org/hollypick/core/ledger/Placement.java
+++ b/src/main/java/org/hollypick/core/ledger/Placement.java
@@ -5,18 +5,26 @@
 
 /** One attempt of a task that is, or may be, on a machine. */
 public final class Placement {
-    public enum State { SENT, FETCHING, RUNNING, SAVING, EXITED }
+    public enum State {
+        SENT,
+        FETCHING,
+        RUNNING,
+        SAVING,
+        EXITED
+    }
 
     public final Job job;
     public final int index;
     /** What the task takes. */
     public final JobSpec spec;
+
     public final long attempt;
     public final Machine machine;
     public final String taskId;
     private State state = State.SENT;
     /** Wanted gone: a kill goes out until the worker reports it exited. */
     public boolean stop;
+
     public double graceS;
     /** An exited attempt may be cleared once what it achieved is durable. */
     public boolean clearable;
@@ -30,6 +38,7 @@
     long listedIn;
     /** Its room on the machine is still taken. */
     boolean usesRoom;
+
     public final long startedAt;
     public long runningAt;
 
--- a/src/main/java/org/hollypick/core/ledger/Report.java
+++ b/src/main/java/org/hollypick/core/ledger/Report.java
@@ -3,8 +3,17 @@
 import java.util.List;
 
 /** A worker's report; {@code noticeS} is NaN when the cloud doesn't take the machine. Integers are unsigned. */
-public record Report(String machine, String addr, String type, String zone, boolean spot, long session, long tick, long token,
-        double noticeS, List<TaskReport> tasks) {
+public record Report(
+        String machine,
+        String addr,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long tick,
+        long token,
+        double noticeS,
+        List<TaskReport> tasks) {
     public boolean newerThan(long otherSession, long otherTick) {
         int c = Long.compareUnsigned(session, otherSession);
         return c > 0 || (c == 0 && Long.compareUnsigned(tick, otherTick) > 0);
--- a/src/main/java/org/hollypick/core/links/LeadershipDelay.java
+++ b/src/main/java/org/hollypick/core/links/LeadershipDelay.java
@@ -3,19 +3,23 @@
 import org.hollypick.config.Constants;
 
 /**
- * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by way of another. Who reaches most claims
- * first, and of two that reach the same the one that needs no other. Pure.
+ * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by
+ * way of another. Who reaches most claims first, and of two that reach the same the one that needs no other. Pure.
  */
 public final class LeadershipDelay {
     private LeadershipDelay() {}
 
-    /** {@code direct}, {@code byPeers}: those of the machines asked that answered this controller, and those that answered only another. */
+    /**
+     * {@code direct}, {@code byPeers}: those of the machines asked that answered this controller, and those that
+     * answered only another.
+     */
     public static long waitMs(int asked, int direct, int byPeers) {
         if (enough(asked, direct) || asked == 0) {
             return 0;
         }
         double reached = (direct + byPeers) / (double) asked;
-        double wait = Constants.LEADERSHIP_DELAY_STEP_MS * (1 - reached) + Constants.LEADERSHIP_DELAY_PEER_MS * byPeers / (double) asked;
+        double wait = Constants.LEADERSHIP_DELAY_STEP_MS * (1 - reached)
+                + Constants.LEADERSHIP_DELAY_PEER_MS * byPeers / (double) asked;
         return Math.round(wait + Constants.LEADERSHIP_DELAY_MAX_MS * Math.max(0, 0.5 - reached) * 2);
     }
 
@@ -24,7 +28,10 @@
         return direct + byPeers >= asked * Constants.LEADERSHIP_DELAY_BETTER;
     }
 
-    /** Whether a lead should go over: one other reaches, alone, more than this controller does, and hardly less than it does with the help of all. */
+    /**
+     * Whether a lead should go over: one other reaches, alone, more than this controller does, and hardly less than it
+     * does with the help of all.
+     */
     public static boolean better(int direct, int byPeers, int bestPeer) {
         return bestPeer > direct && bestPeer >= (direct + byPeers) * Constants.LEADERSHIP_DELAY_BETTER;
     }
--- a/src/main/java/org/hollypick/core/links/Route.java
+++ b/src/main/java/org/hollypick/core/links/Route.java
@@ -4,15 +4,17 @@
 import org.hollypick.config.Constants;
 
 /**
- * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier calls fared alone, since nobody
- * tells of a cut (docs/links.md). Pure.
+ * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier
+ * calls fared alone, since nobody tells of a cut (docs/links.md). Pure.
  */
 public final class Route {
     /** When the newest answer over the direct way came. */
     private long answeredAt;
+
     private boolean direct = true;
     /** Until when each peer isn't asked, after it was asked in vain. */
     private final long[] notBefore;
+
     private int preferred;
     /** The peer that the last call went by, and with success; -1: none. */
     private int proven = -1;
@@ -33,7 +35,10 @@
         direct = true;
     }
 
-    /** A direct call sent then was refused, or isn't answered yet though it should be. True if the way is bad from now on and wasn't before. */
+    /**
+     * A direct call sent then was refused, or isn't answered yet though it should be. True if the way is bad from now
+     * on and wasn't before.
+     */
     public boolean failed(long sentAt) {
         boolean turned = direct && answeredAt <= sentAt; // what was answered since outweighs one call
         direct &= !turned;
--- a/src/main/java/org/hollypick/core/placement/Placer.java
+++ b/src/main/java/org/hollypick/core/placement/Placer.java
@@ -38,12 +38,21 @@
         return takesTasks(m, now) && !m.failedJobs.contains(job.spec.id()) && allowed(job, s, m);
     }
 
-    /** Whether a replica could go on at once on another machine of its zone: one with room and its image, and none of its own job. */
+    /**
+     * Whether a replica could go on at once on another machine of its zone: one with room and its image, and none of
+     * its own job.
+     */
     public static boolean canMove(Placement p, Collection<Machine> machines, long now) {
         Object2IntOpenHashMap<Machine> replicas = replicas(p.job);
         for (Machine m : machines) {
-            if (m != p.machine && !m.spot && m.zone.equals(p.machine.zone) && takesTasks(m, now) && m.hasRoom(p.job.spec)
-                    && m.type.fits(p.job.spec) && m.images.containsKey(p.job.spec.image()) && replicas.getInt(m) == 0) {
+            if (m != p.machine
+                    && !m.spot
+                    && m.zone.equals(p.machine.zone)
+                    && takesTasks(m, now)
+                    && m.hasRoom(p.job.spec)
+                    && m.type.fits(p.job.spec)
+                    && m.images.containsKey(p.job.spec.image())
+                    && replicas.getInt(m) == 0) {
                 return true;
             }
         }
@@ -75,21 +84,30 @@
 
     /** Higher is better: the image's fetch time first, then the right kind, tight packing. */
     private static double arrayScore(JobSpec s, Machine m) {
-        return -fetchS(s, m) + 2 * m.usedCpus / m.type.cpus() + (m.spot ? 3 : 0) - (m.surplus ? Constants.SURPLUS_S : 0);
+        return -fetchS(s, m)
+                + 2 * m.usedCpus / m.type.cpus()
+                + (m.spot ? 3 : 0)
+                - (m.surplus ? Constants.SURPLUS_S : 0);
     }
 
     /**
-     * Higher is better: the image's fetch time first, then replicas apart, no machine that will soon be emptied, and none with a large
-     * share of all services: what is lost with it counts. Among very many machines no share is large, and services fill one after the other.
+     * Higher is better: the image's fetch time first, then replicas apart, no machine that will soon be emptied, and
+     * none with a large share of all services: what is lost with it counts. Among very many machines no share is large,
+     * and services fill one after the other.
      */
     private static double serviceScore(Job job, Machine m, int replicas, double allServices) {
         double share = (m.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServices);
-        return -fetchS(job.spec, m) - replicas * Constants.REPLICA_APART - share * Constants.SERVICE_SPREAD - (m.emptiedNext ? Constants.EMPTIED_NEXT_S : 0);
+        return -fetchS(job.spec, m)
+                - replicas * Constants.REPLICA_APART
+                - share * Constants.SERVICE_SPREAD
+                - (m.emptiedNext ? Constants.EMPTIED_NEXT_S : 0);
     }
 
     /** Seconds until the image is there, more if others are being fetched. */
     private static double fetchS(JobSpec s, Machine m) {
-        return m.images.containsKey(s.image()) ? 0 : s.imageGb() / m.type.fetchGbPerS() * (fetching(m, s.image()) ? 0.6 : 1 + 0.5 * fetches(m));
+        return m.images.containsKey(s.image())
+                ? 0
+                : s.imageGb() / m.type.fetchGbPerS() * (fetching(m, s.image()) ? 0.6 : 1 + 0.5 * fetches(m));
     }
 
     private static boolean fetching(Machine m, String image) {
@@ -107,7 +125,10 @@
         return Math.min(m.startingTasks(), 4);
     }
 
-    /** The best machine that has room or gets it by stopping work of lower priority, weighing what is lost; null if there is none. */
+    /**
+     * The best machine that has room or gets it by stopping work of lower priority, weighing what is lost; null if
+     * there is none.
+     */
     public static Choice preempt(Job job, Collection<Machine> machines, double allServices, long now) {
         Machine best = null;
         List<Placement> bestVictims = List.of();
@@ -142,7 +163,10 @@
     private static List<Placement> victims(Job job, Machine m) {
         List<Placement> lower = new ArrayList<>();
         for (Placement p : m.placements.values()) {
-            if (p.there() && !p.stop && !(p.state() == Placement.State.SENT && p.launchMayFollow()) && p.job.rank.compareTo(job.rank) > 0) {
+            if (p.there()
+                    && !p.stop
+                    && !(p.state() == Placement.State.SENT && p.launchMayFollow())
+                    && p.job.rank.compareTo(job.rank) > 0) {
                 lower.add(p);
             }
         }
--- a/src/main/java/org/hollypick/core/spread/ReportBalancer.java
+++ b/src/main/java/org/hollypick/core/spread/ReportBalancer.java
@@ -5,16 +5,19 @@
 import org.hollypick.config.Constants;
 
 /**
- * Which controller each machine reports to, and whether it should go to another: only while shares are far from even, and few at a time, since each
- * move costs a report. The leader, which has everything else to do, takes a smaller part. Pure; the leader's.
+ * Which controller each machine reports to, and whether it should go to another: only while shares are far from even,
+ * and few at a time, since each move costs a report. The leader, which has everything else to do, takes a smaller part.
+ * Pure; the leader's.
  */
 public final class ReportBalancer {
     private final String leader;
     /** Who reports where. */
     private final Map<String, String> via = new HashMap<>();
+
     private final Map<String, Integer> counts = new HashMap<>();
     /** When each controller last handed on a report. */
     private final Map<String, Long> seen = new HashMap<>();
+
     private double moves;
     private long movesAt;
 
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The p at which min(size, p) and (size - p over sizes above p) have the same squared variation, if any.
-     * Between two neighbouring sizes both are smooth in p, so each gap is searched for a change of their difference's sign.
+     * The p at which min(size, p) and (size - p over sizes above p) have the same squared variation, if any. Between
+     * two neighbouring sizes both are smooth in p, so each gap is searched for a change of their difference's sign.
      */
     public static OptionalDouble balanced(double[] sizes) {
         double[] x = sizes.clone();
@@ -50,8 +50,10 @@
             }
             int above = n - i - 1;
             double meanAbove = (sum - below) / above;
-            // Shifting by p leaves the variance as it is. Equal sizes have none; the subtraction would leave noise there.
-            double varianceAbove = x[n - 1] == high ? 0 : Math.max(0, (squares - belowSquares) / above - meanAbove * meanAbove);
+            // Shifting by p leaves the variance as it is. Equal sizes have none; the subtraction would leave noise
+            // there.
+            double varianceAbove =
+                    x[n - 1] == high ? 0 : Math.max(0, (squares - belowSquares) / above - meanAbove * meanAbove);
             Gap gap = new Gap(n, above, below, belowSquares, meanAbove, varianceAbove);
             OptionalDouble root = gap.root(low, high);
             if (root.isPresent()) {
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -12,8 +12,8 @@
     private Tyrex() {}
 
     /**
-     * The jobs that move from the first partition to the second now. Exception to the design (docs/design.md, "jobs that fail everywhere"): their sizes stay zero for
-     * as long as their users leave them, and aren't counted.
+     * The jobs that move from the first partition to the second now. Exception to the design (docs/design.md, "jobs
+     * that fail everywhere"): their sizes stay zero for as long as their users leave them, and aren't counted.
      */
     public static List<Job> movers(Collection<Job> jobs) {
         List<Job> first = new ArrayList<>();
--- a/src/main/java/org/hollypick/core/validity/ReportValidity.java
+++ b/src/main/java/org/hollypick/core/validity/ReportValidity.java
@@ -8,24 +8,32 @@
 import org.hollypick.core.ledger.TaskReport;
 
 /**
- * Whether a machine's reports are new, and whether what it is told reaches it (docs/hearing.md). A worker has one report in flight at a time: a newer one that
- * still lacks what the answer before told shows that this answer wasn't taken. Pure; one for each machine in one term.
+ * Whether a machine's reports are new, and whether what it is told reaches it (docs/hearing.md). A worker has one
+ * report in flight at a time: a newer one that still lacks what the answer before told shows that this answer wasn't
+ * taken. Pure; one for each machine in one term.
  */
 public final class ReportValidity {
     /** {@code AGAIN}: the newest one once more, while its worker may still wait for the answer. */
-    public enum Freshness { NEW, AGAIN, COPY }
+    public enum Freshness {
+        NEW,
+        AGAIN,
+        COPY
+    }
 
     /** The newest that came as a report. */
     private boolean reported;
+
     private long session;
     private long tick;
     private long takenAt;
     /** That one was answered, with these orders. */
     private boolean answered;
+
     private List<Order> told = List.of();
     private long toldSession;
     /** It had seen this term's token by then. */
     private boolean knewToken;
+
     private int unacknowledged;
     private int unanswered;
     /** Since when it counts as unreachable inbound; 0: it doesn't. */
@@ -49,7 +57,10 @@
         return takenAt;
     }
 
-    /** A new report: what it shows of the answer before. {@code wanted}: what it would be told now; {@code knows}: it has seen this term's token. */
+    /**
+     * A new report: what it shows of the answer before. {@code wanted}: what it would be told now; {@code knows}: it
+     * has seen this term's token.
+     */
     public void reported(Report r, boolean knows, List<Order> wanted, long now) {
         if (answered) {
             if (!knows || anyAgain(wanted)) {
@@ -65,7 +76,10 @@
         told = List.of();
     }
 
-    /** Whether something that was told would be told again. With hundreds of reports a second, attempts are compared before names. */
+    /**
+     * Whether something that was told would be told again. With hundreds of reports a second, attempts are compared
+     * before names.
+     */
     private boolean anyAgain(List<Order> wanted) {
         for (Order o : told) {
             for (Order w : wanted) {
--- a/src/main/java/org/hollypick/core/watch/AdaptiveWindow.java
+++ b/src/main/java/org/hollypick/core/watch/AdaptiveWindow.java
@@ -3,8 +3,9 @@
 import org.hollypick.config.Constants;
 
 /**
- * How many calls to machines may be under way: one more with each answer that comes quickly, half as many when answers are slow, as they are when this
- * node has more to do than it can (additive increase, multiplicative decrease). So a takeover's load is bounded whatever the number of machines. Pure.
+ * How many calls to machines may be under way: one more with each answer that comes quickly, half as many when answers
+ * are slow, as they are when this node has more to do than it can (additive increase, multiplicative decrease). So a
+ * takeover's load is bounded whatever the number of machines. Pure.
  */
 public final class AdaptiveWindow {
     private double window = Constants.DIRECT_OPEN;
--- a/src/main/java/org/hollypick/core/watch/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/watch/LocalHealth.java
@@ -3,13 +3,14 @@
 import org.hollypick.config.Constants;
 
 /**
- * Whether this leader's own state may explain that it hears nothing. What it didn't get to ask, and what it was too busy to read, proves nothing about
- * a machine or a path (docs/many-machines.md). Pure.
+ * Whether this leader's own state may explain that it hears nothing. What it didn't get to ask, and what it was too
+ * busy to read, proves nothing about a machine or a path (docs/many-machines.md). Pure.
  */
 public final class LocalHealth {
     private long at;
     /** Answers in the present stretch of time, and those of them that took long. */
     private long stretch;
+
     private int answered;
     private int slow;
 
@@ -24,7 +25,10 @@
         at = now;
     }
 
-    /** A call wasn't sent for want of something here: as if its answer had been slow, since one now and then is what finds the limit. */
+    /**
+     * A call wasn't sent for want of something here: as if its answer had been slow, since one now and then is what
+     * finds the limit.
+     */
     public void lacked(long now) {
         answered(Long.MAX_VALUE, now);
     }
--- a/src/main/java/org/hollypick/io/Answer.java
+++ b/src/main/java/org/hollypick/io/Answer.java
@@ -6,8 +6,8 @@
 import org.hollypick.config.Constants;
 
 /**
- * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code still} is asked in the moment of sending: an answer
- * that rests on a right which has ended since it was decided on isn't given.
+ * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code still} is asked in the moment of
+ * sending: an answer that rests on a right which has ended since it was decided on isn't given.
  */
 public record Answer(int status, JsonNode body, int retryAfterS, BooleanSupplier still) {
     public Answer(int status, JsonNode body, int retryAfterS) {
@@ -33,9 +33,14 @@
         return new Answer(status, body, 0);
     }
 
-    /** Refused since many come at once: told at once, and the {@code turn}th is told another time than the one before. */
+    /**
+     * Refused since many come at once: told at once, and the {@code turn}th is told another time than the one before.
+     */
     public static Answer crowded(int turn) {
-        return new Answer(503, Codec.object().put("error", "busy"), Constants.RETRY_AFTER_S + Math.floorMod(turn, Constants.RETRY_SPREAD_S));
+        return new Answer(
+                503,
+                Codec.object().put("error", "busy"),
+                Constants.RETRY_AFTER_S + Math.floorMod(turn, Constants.RETRY_SPREAD_S));
     }
 
     /** Refused for now, told at once and with a time to come back. */
--- a/src/main/java/org/hollypick/io/Call.java
+++ b/src/main/java/org/hollypick/io/Call.java
@@ -4,10 +4,18 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * An HTTP request to another system. A mesh call carries JSON, every other one CBOR. {@code still} is asked in the moment of sending: a call
- * may have waited for a connection, or the whole process may have stood still, since it was decided on; without the right it isn't sent.
+ * An HTTP request to another system. A mesh call carries JSON, every other one CBOR. {@code still} is asked in the
+ * moment of sending: a call may have waited for a connection, or the whole process may have stood still, since it was
+ * decided on; without the right it isn't sent.
  */
-public record Call(String address, String method, String path, JsonNode body, long timeoutMs, boolean mesh, BooleanSupplier still) {
+public record Call(
+        String address,
+        String method,
+        String path,
+        JsonNode body,
+        long timeoutMs,
+        boolean mesh,
+        BooleanSupplier still) {
     public Call(String address, String method, String path, JsonNode body, long timeoutMs, boolean mesh) {
         this(address, method, path, body, timeoutMs, mesh, () -> true);
     }
--- a/src/main/java/org/hollypick/io/Codec.java
+++ b/src/main/java/org/hollypick/io/Codec.java
@@ -14,7 +14,9 @@
 /** CBOR for the outside, JSON among the nodes; both as Jackson trees. */
 public final class Codec {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
-    private static final ObjectMapper JSON = JsonMapper.builder().disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET).build();
+    private static final ObjectMapper JSON = JsonMapper.builder()
+            .disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET)
+            .build();
 
     private Codec() {}
 
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -30,7 +30,13 @@
 
     private HttpServer() {}
 
-    public static Undertow start(XnioWorker worker, ByteBufferPool buffers, Sockets sockets, String publicAddr, Service users, String meshAddr,
+    public static Undertow start(
+            XnioWorker worker,
+            ByteBufferPool buffers,
+            Sockets sockets,
+            String publicAddr,
+            Service users,
+            String meshAddr,
             Service mesh) {
         HostAndPort open = HostAndPort.fromString(publicAddr);
         HostAndPort inner = HostAndPort.fromString(meshAddr);
@@ -57,20 +63,23 @@
     private static HttpHandler handler(Service service, Sockets sockets, boolean json) {
         return exchange -> {
             count(exchange, sockets, json);
-            exchange.getRequestReceiver().receiveFullBytes(
-                    (x, body) -> x.dispatch(SameThreadExecutor.INSTANCE, () -> serve(service, x, body, sockets, json)),
-                    (x, e) -> {
-                        LOG.debug("request not received path={} reason={}", x.getRequestPath(), e.toString());
-                        x.setStatusCode(400);
-                        x.setPersistent(false);
-                        x.endExchange();
-                    });
+            exchange.getRequestReceiver()
+                    .receiveFullBytes(
+                            (x, body) -> x.dispatch(
+                                    SameThreadExecutor.INSTANCE, () -> serve(service, x, body, sockets, json)),
+                            (x, e) -> {
+                                LOG.debug("request not received path={} reason={}", x.getRequestPath(), e.toString());
+                                x.setStatusCode(400);
+                                x.setPersistent(false);
+                                x.endExchange();
+                            });
         };
     }
 
     private static void count(HttpServerExchange x, Sockets sockets, boolean json) {
         if (x.getConnection().getAttachment(KIND) == null) {
-            Sockets.Kind kind = json || x.getRequestPath().equals("/ready") ? Sockets.Kind.CONTROL
+            Sockets.Kind kind = json || x.getRequestPath().equals("/ready")
+                    ? Sockets.Kind.CONTROL
                     : x.getRequestPath().equals("/hello") ? Sockets.Kind.REPORTS : Sockets.Kind.USERS;
             x.getConnection().putAttachment(KIND, kind);
             sockets.opened(kind);
--- a/src/main/java/org/hollypick/io/Network.java
+++ b/src/main/java/org/hollypick/io/Network.java
@@ -1,5 +1,7 @@
 package org.hollypick.io;
 
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import io.undertow.client.ClientCallback;
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
@@ -8,8 +10,6 @@
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.MissingNode;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -52,7 +52,10 @@
     /** All connections that wait for their next use, the one unused for longest first. */
     private final Map<ClientConnection, Pool> idle = new LinkedHashMap<>();
 
-    /** {@code control}: addresses of the services that this node can't do without; {@code idleMax}: connections kept open for later use. */
+    /**
+     * {@code control}: addresses of the services that this node can't do without; {@code idleMax}: connections kept
+     * open for later use.
+     */
     public Network(XnioIoThread thread, ByteBufferPool buffers, Sockets sockets, Set<String> control, int idleMax) {
         this.thread = thread;
         this.buffers = buffers;
@@ -62,7 +65,10 @@
         this.connecting = new Connecting(thread);
     }
 
-    /** The thread that connections are made on, as Undertow's client asks for one: it remembers the attempt, so that it can be given up. */
+    /**
+     * The thread that connections are made on, as Undertow's client asks for one: it remembers the attempt, so that it
+     * can be given up.
+     */
     private static final class Connecting extends XnioIoThread {
         private final XnioIoThread thread;
         private IoFuture<StreamConnection> attempt;
@@ -73,7 +79,8 @@
         }
 
         @Override
-        public IoFuture<StreamConnection> openStreamConnection(SocketAddress to, ChannelListener<? super StreamConnection> opened, OptionMap options) {
+        public IoFuture<StreamConnection> openStreamConnection(
+                SocketAddress to, ChannelListener<? super StreamConnection> opened, OptionMap options) {
             attempt = thread.openStreamConnection(to, opened, options);
             return attempt;
         }
@@ -201,7 +208,8 @@
     /** Closes the connections unused for longest, until few enough are left. */
     private void dropEldest(int keep) {
         while (!idle.isEmpty() && idle.size() > keep) {
-            Map.Entry<ClientConnection, Pool> eldest = idle.entrySet().iterator().next();
+            Map.Entry<ClientConnection, Pool> eldest =
+                    idle.entrySet().iterator().next();
             ClientConnection c = eldest.getKey();
             Pool pool = eldest.getValue();
             idle.remove(c);
@@ -288,37 +296,46 @@
                 }
             };
             connecting.attempt = null;
-            UndertowClient.getInstance().connect(new ClientCallback<ClientConnection>() {
-                @Override
-                public void completed(ClientConnection c) {
-                    c.addCloseListener(closed -> uncount.run());
-                    if (finished) {
-                        IoUtils.safeClose(c);
-                    } else {
-                        send(c);
-                    }
-                }
-
-                @Override
-                public void failed(IOException e) {
-                    uncount.run();
-                    if (e instanceof ConnectException || finished) {
-                        fail();
-                    } else {
-                        lack(e.toString()); // the other side can only refuse; anything else is this system's own word
-                    }
-                }
-            }, URI.create("http://" + call.address()), connecting, buffers, OptionMap.EMPTY);
+            UndertowClient.getInstance()
+                    .connect(
+                            new ClientCallback<ClientConnection>() {
+                                @Override
+                                public void completed(ClientConnection c) {
+                                    c.addCloseListener(closed -> uncount.run());
+                                    if (finished) {
+                                        IoUtils.safeClose(c);
+                                    } else {
+                                        send(c);
+                                    }
+                                }
+
+                                @Override
+                                public void failed(IOException e) {
+                                    uncount.run();
+                                    if (e instanceof ConnectException || finished) {
+                                        fail();
+                                    } else {
+                                        lack(e.toString()); // the other side can only refuse; anything else
+                                        // is this system's own word
+                                    }
+                                }
+                            },
+                            URI.create("http://" + call.address()),
+                            connecting,
+                            buffers,
+                            OptionMap.EMPTY);
             attempt = connecting.attempt;
             if (attempt == null) {
                 uncount.run();
                 return; // it failed at once
             }
-            attempt.addNotifier((f, none) -> {
-                if (f.getStatus() == IoFuture.Status.CANCELLED) {
-                    uncount.run();
-                }
-            }, null);
+            attempt.addNotifier(
+                    (f, none) -> {
+                        if (f.getStatus() == IoFuture.Status.CANCELLED) {
+                            uncount.run();
+                        }
+                    },
+                    null);
         }
 
         void send(ClientConnection c) {
@@ -329,10 +346,12 @@
             }
             sent = true;
             byte[] bytes = call.body() == null ? null : Codec.write(call.body(), call.mesh());
-            ClientRequest request = new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.path());
+            ClientRequest request =
+                    new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.path());
             request.getRequestHeaders().put(Headers.HOST, call.address());
             if (bytes != null) {
-                request.getRequestHeaders().put(Headers.CONTENT_TYPE, call.mesh() ? "application/json" : "application/cbor");
+                request.getRequestHeaders()
+                        .put(Headers.CONTENT_TYPE, call.mesh() ? "application/json" : "application/cbor");
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, bytes.length);
             }
             c.sendRequest(request, new ClientCallback<ClientExchange>() {
@@ -393,7 +412,8 @@
                     buffer.clear();
                     int n = channel.read(buffer);
                     if (n == 0) {
-                        channel.getReadSetter().set((ChannelListener<StreamSourceChannel>) ch -> read(status, ch, body, buffer));
+                        channel.getReadSetter()
+                                .set((ChannelListener<StreamSourceChannel>) ch -> read(status, ch, body, buffer));
                         channel.resumeReads();
                         return;
                     }
--- a/src/main/java/org/hollypick/io/Reply.java
+++ b/src/main/java/org/hollypick/io/Reply.java
@@ -7,8 +7,12 @@
 public record Reply(int status, JsonNode body) {
     /** Never sent: no connection could be made, and a given-up connection attempt doesn't complete later. */
     public static final int NOT_SENT = -1;
+
     public static final int NO_ANSWER = 0;
-    /** Never sent, and for a reason of this node's own: no socket left, or its turn didn't come. It says nothing about the other side. */
+    /**
+     * Never sent, and for a reason of this node's own: no socket left, or its turn didn't come. It says nothing about
+     * the other side.
+     */
     public static final int LACK = -2;
 
     public static Reply lack() {
--- a/src/main/java/org/hollypick/io/Sockets.java
+++ b/src/main/java/org/hollypick/io/Sockets.java
@@ -6,12 +6,18 @@
 import org.hollypick.config.Constants;
 
 /**
- * The open connections of this node by what they are for. Each kind has a floor that the others leave it; what lies above the floors is for whoever
- * comes first, up to the limit of sockets (docs/many-machines.md). Pure counting, on the event loop.
+ * The open connections of this node by what they are for. Each kind has a floor that the others leave it; what lies
+ * above the floors is for whoever comes first, up to the limit of sockets (docs/many-machines.md). Pure counting, on
+ * the event loop.
  */
 public final class Sockets {
     /** What a connection is for. */
-    public enum Kind { CONTROL, ORDERS, REPORTS, USERS }
+    public enum Kind {
+        CONTROL,
+        ORDERS,
+        REPORTS,
+        USERS
+    }
 
     private final int limit;
     private final Map<Kind, Integer> floors = new EnumMap<>(Kind.class);
@@ -20,7 +26,8 @@
 
     public Sockets(int sockets) {
         limit = (int) (sockets * Constants.SOCKETS_USED);
-        floors.put(Kind.CONTROL, Math.max(Constants.CONTROL_SOCKETS_LEAST, (int) (sockets * Constants.CONTROL_SOCKETS)));
+        floors.put(
+                Kind.CONTROL, Math.max(Constants.CONTROL_SOCKETS_LEAST, (int) (sockets * Constants.CONTROL_SOCKETS)));
         floors.put(Kind.ORDERS, (int) (sockets * Constants.ORDER_SOCKETS));
         floors.put(Kind.REPORTS, (int) (sockets * Constants.REPORT_SOCKETS));
         floors.put(Kind.USERS, (int) (sockets * Constants.USER_SOCKETS));
@@ -67,7 +74,13 @@
     public String toString() {
         StringBuilder s = new StringBuilder("limit=" + limit);
         for (Kind k : Kind.values()) {
-            s.append(' ').append(k.name().toLowerCase(Locale.ROOT)).append('=').append(open.get(k)).append('/').append(most.get(k)).append('/')
+            s.append(' ')
+                    .append(k.name().toLowerCase(Locale.ROOT))
+                    .append('=')
+                    .append(open.get(k))
+                    .append('/')
+                    .append(most.get(k))
+                    .append('/')
                     .append(floors.get(k));
         }
         return s.toString();
--- a/src/main/java/org/hollypick/io/WireNames.java
+++ b/src/main/java/org/hollypick/io/WireNames.java
@@ -1,8 +1,8 @@
 package org.hollypick.io;
 
 /**
- * Field names that several protocols share and that differ from the names used in the code. They are part of the wire format and of stored records,
- * so they never change; everything else uses the constants. Immutable, any thread.
+ * Field names that several protocols share and that differ from the names used in the code. They are part of the wire
+ * format and of stored records, so they never change; everything else uses the constants. Immutable, any thread.
  */
 public final class WireNames {
     /** The leader's fencing token: the revision of the leader record that it wrote. */
--- a/src/main/java/org/hollypick/mesh/Routes.java
+++ b/src/main/java/org/hollypick/mesh/Routes.java
@@ -19,19 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls to the state service: directly, or, while that way is cut, by way of another controller that reaches it. To the service and to whoever calls it is a
- * longer path, nothing else: calls may be lost, late or carried out unheard on it as on any other (docs/safety.md, "By way of a peer").
+ * Calls to the state service: directly, or, while that way is cut, by way of another controller that reaches it. To the
+ * service and to whoever calls it is a longer path, nothing else: calls may be lost, late or carried out unheard on it
+ * as on any other (docs/safety.md, "By way of a peer").
  */
 public final class Routes {
     /** What other controllers are asked to pass on; watches have connections of their own. */
     public static final String PATH = "/state";
+
     public static final String WATCH_PATH = "/watch";
 
     private static final int DIRECT = -1;
     private static final Logger LOG = LoggerFactory.getLogger(Routes.class);
 
     /** Whether a call may be sent a second time while the first may still be carried out. */
-    public enum Kind { ONCE, REPEATABLE, WATCH }
+    public enum Kind {
+        ONCE,
+        REPEATABLE,
+        WATCH
+    }
 
     private final Runtime runtime;
     private final Call probe;
@@ -151,35 +157,46 @@
     }
 
     private void by(int peer, Pending p) {
-        ObjectNode body = Codec.object().put("method", p.call.method()).put("path", p.call.path()).put("timeout_ms", p.call.timeoutMs());
+        ObjectNode body = Codec.object()
+                .put("method", p.call.method())
+                .put("path", p.call.path())
+                .put("timeout_ms", p.call.timeoutMs());
         body.set("body", p.call.body());
         boolean[] answered = {false};
         p.peer = peer;
         if (p.kind == Kind.WATCH) {
             waiting.add(p);
         }
-        runtime.call(new Call(peers.get(peer).addr(), "POST", p.kind == Kind.WATCH ? WATCH_PATH : PATH, body, p.call.timeoutMs(), true), r -> {
-            answered[0] = true;
-            if (p.over()) {
-                return;
-            }
-            if (r.ok()) {
-                int status = r.body().path("status").asInt();
-                if (status <= 0 || status == 503) {
-                    peerFailed(peer);
-                } else {
-                    route.peerAnswered(peer);
-                }
-                p.end(new Reply(status, r.body().path("body")));
-            } else {
-                peerFailed(peer);
-                if (r.status() == Reply.NO_ANSWER) {
-                    p.end(r);
-                } else {
-                    send(p); // it wasn't passed on
-                }
-            }
-        });
+        runtime.call(
+                new Call(
+                        peers.get(peer).addr(),
+                        "POST",
+                        p.kind == Kind.WATCH ? WATCH_PATH : PATH,
+                        body,
+                        p.call.timeoutMs(),
+                        true),
+                r -> {
+                    answered[0] = true;
+                    if (p.over()) {
+                        return;
+                    }
+                    if (r.ok()) {
+                        int status = r.body().path("status").asInt();
+                        if (status <= 0 || status == 503) {
+                            peerFailed(peer);
+                        } else {
+                            route.peerAnswered(peer);
+                        }
+                        p.end(new Reply(status, r.body().path("body")));
+                    } else {
+                        peerFailed(peer);
+                        if (r.status() == Reply.NO_ANSWER) {
+                            p.end(r);
+                        } else {
+                            send(p); // it wasn't passed on
+                        }
+                    }
+                });
         if (p.kind != Kind.WATCH) {
             runtime.after(Constants.ROUTE_PATIENCE_MS, () -> {
                 if (!answered[0] && !p.over()) {
@@ -206,7 +223,10 @@
         }
     }
 
-    /** Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in circles. */
+    /**
+     * Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in
+     * circles.
+     */
     public void pass(JsonNode body, Consumer<Answer> answer) {
         if (body == null || !route.direct() || passing >= Constants.ROUTE_PASSING) {
             answer.accept(Answer.later("no way from here"));
@@ -214,8 +234,12 @@
         }
         passing++;
         JsonNode content = body.path("body");
-        Call call = Call.of(probe.address(), body.path("method").asText(), body.path("path").asText(),
-                content.isNull() || content.isMissingNode() ? null : content, Math.min(body.path("timeout_ms").asLong(), Constants.ROUTE_PASSED_MS));
+        Call call = Call.of(
+                probe.address(),
+                body.path("method").asText(),
+                body.path("path").asText(),
+                content.isNull() || content.isMissingNode() ? null : content,
+                Math.min(body.path("timeout_ms").asLong(), Constants.ROUTE_PASSED_MS));
         long sent = runtime.now();
         runtime.call(call, r -> {
             passing--;
--- a/src/main/java/org/hollypick/records/GraphRecords.java
+++ b/src/main/java/org/hollypick/records/GraphRecords.java
@@ -28,7 +28,8 @@
 
     public static ObjectNode live(Head head, long leaderRecordRevision) {
         ObjectNode record = Codec.object().put("under", leaderRecordRevision);
-        ObjectNode graph = record.putObject(GRAPH).put("retries", head.retries).put("end_on_failure", head.endOnFailure);
+        ObjectNode graph =
+                record.putObject(GRAPH).put("retries", head.retries).put("end_on_failure", head.endOnFailure);
         graph.set("base", JobCodec.write(head.base));
         return record;
     }
@@ -49,20 +50,29 @@
 
     public static Head head(JsonNode record) throws JobCodec.Invalid {
         JsonNode graph = record.path(GRAPH);
-        return new Head(JobCodec.read(graph.path("base")), graph.path("retries").asInt(), graph.path("end_on_failure").asBoolean());
+        return new Head(
+                JobCodec.read(graph.path("base")),
+                graph.path("retries").asInt(),
+                graph.path("end_on_failure").asBoolean());
     }
 
     /** The end of a graph: how many nodes ended how. */
     public static ObjectNode over(String status, Graph graph, String why) {
         ObjectNode record = Records.over(status, graph.count(Graph.State.DONE));
-        record.put(ENDED, true).put("nodes", graph.count()).put("failed", graph.count(Graph.State.FAILED))
-                .put("cancelled", graph.count(Graph.State.CANCELLED)).put("why", why);
+        record.put(ENDED, true)
+                .put("nodes", graph.count())
+                .put("failed", graph.count(Graph.State.FAILED))
+                .put("cancelled", graph.count(Graph.State.CANCELLED))
+                .put("why", why);
         return record;
     }
 
     // ---- one entry of the log ----
 
-    /** Nodes that were added; the graph has them already. {@code next}: the continuation that the parent named with them, or null. */
+    /**
+     * Nodes that were added; the graph has them already. {@code next}: the continuation that the parent named with
+     * them, or null.
+     */
     public static ObjectNode nodes(Graph graph, int from, int to, int firstSpec, String parent, String next) {
         ObjectNode op = Codec.object().put("k", "n").put("from", from);
         if (parent != null) {
@@ -119,10 +129,15 @@
             case "e" -> {
                 int[] nodes = new int[op.path("n").size()];
                 Arrays.setAll(nodes, i -> op.path("n").path(i).asInt());
-                graph.endAll(nodes, Graph.State.valueOf(op.path("as").asText()), op.path("why").asText());
+                graph.endAll(
+                        nodes,
+                        Graph.State.valueOf(op.path("as").asText()),
+                        op.path("why").asText());
             }
             case "r" -> reader.result(op.path("n").asInt(), op.path("v"));
-            default -> throw new JobCodec.Invalid("entry of a kind that this version doesn't know: " + op.path("k").asText());
+            default ->
+                throw new JobCodec.Invalid("entry of a kind that this version doesn't know: "
+                        + op.path("k").asText());
         }
     }
 
@@ -147,13 +162,19 @@
             }
             nodes.add(new NodeSpec(names.get(i), specs.get(n.path(1).asInt()), awaits));
         }
-        graph.add(nodes, op.path("p").isTextual() ? op.path("p").asText() : null, op.path("t").isTextual() ? op.path("t").asText() : null);
+        graph.add(
+                nodes,
+                op.path("p").isTextual() ? op.path("p").asText() : null,
+                op.path("t").isTextual() ? op.path("t").asText() : null);
         graph.durable(graph.count());
     }
 
     // ---- packing ----
 
-    /** A record of several entries: CBOR, deflated, in base64. One string takes far less memory on every node than a tree. */
+    /**
+     * A record of several entries: CBOR, deflated, in base64. One string takes far less memory on every node than a
+     * tree.
+     */
     public static ObjectNode record(String graph, List<ObjectNode> ops) {
         ArrayNode list = Codec.array();
         ops.forEach(list::add);
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -47,7 +47,10 @@
         };
         Rank rank = rank(b);
         JsonNode tasks = b.path("shards");
-        if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > Constants.TASKS_MAX) {
+        if (!tasks.isIntegralNumber()
+                || !tasks.canConvertToInt()
+                || tasks.asInt() < 1
+                || tasks.asInt() > Constants.TASKS_MAX) {
             throw new Invalid("shards");
         }
         Set<String> types = null;
@@ -68,10 +71,27 @@
         double cpus = amount(b, "cores");
         double gpus = amount(b, "gpus");
         double memory = amount(b, "ram_gb");
-        return new JobSpec(id, text(b, "jobkind"), absent(b.path("owner")) ? "" : text(b, "owner"), service, rank, tasks.asInt(),
-                cpus, gpus, memory, types, zone, flag(b, "together"), flag(b, "spread"), flag(b, "lendable"),
-                text(b, "bundle"), amount(b, "pull_gb"), amount(b, "expect_s"), amount(b, "bookmark_s"),
-                amount(b, "stow_s"), due);
+        return new JobSpec(
+                id,
+                text(b, "jobkind"),
+                absent(b.path("owner")) ? "" : text(b, "owner"),
+                service,
+                rank,
+                tasks.asInt(),
+                cpus,
+                gpus,
+                memory,
+                types,
+                zone,
+                flag(b, "together"),
+                flag(b, "spread"),
+                flag(b, "lendable"),
+                text(b, "bundle"),
+                amount(b, "pull_gb"),
+                amount(b, "expect_s"),
+                amount(b, "bookmark_s"),
+                amount(b, "stow_s"),
+                due);
     }
 
     /** The jobs that have to be done before this one starts, each once. */
@@ -104,15 +124,23 @@
     }
 
     public static ObjectNode write(JobSpec s) {
-        ObjectNode b = Codec.object().put("name_id", s.id()).put("jobkind", s.jobClass()).put("owner", s.team().isEmpty() ? null : s.team())
+        ObjectNode b = Codec.object()
+                .put("name_id", s.id())
+                .put("jobkind", s.jobClass())
+                .put("owner", s.team().isEmpty() ? null : s.team())
                 .put("shape", s.service() ? "standing" : "batch")
-                .put("rank", switch (s.rank()) {
-                    case PRODUCTION -> "prod";
-                    case HIGH -> "urgent";
-                    case NORMAL -> "standard";
-                    case LOW -> "low";
-                })
-                .put("shards", s.tasks()).put("cores", s.cpus()).put("gpus", s.gpus()).put("ram_gb", s.memory());
+                .put(
+                        "rank",
+                        switch (s.rank()) {
+                            case PRODUCTION -> "prod";
+                            case HIGH -> "urgent";
+                            case NORMAL -> "standard";
+                            case LOW -> "low";
+                        })
+                .put("shards", s.tasks())
+                .put("cores", s.cpus())
+                .put("gpus", s.gpus())
+                .put("ram_gb", s.memory());
         if (s.types() != null) {
             ArrayNode types = b.putArray("flavours");
             s.types().forEach(types::add);
@@ -120,8 +148,14 @@
         if (s.zone() != null) {
             b.put("hall", s.zone());
         }
-        b.put("together", s.oneZone()).put("spread", s.spread()).put("lendable", s.spot()).put("bundle", s.image())
-                .put("pull_gb", s.imageGb()).put("expect_s", s.estimateS()).put("bookmark_s", s.checkpointS()).put("stow_s", s.saveS());
+        b.put("together", s.oneZone())
+                .put("spread", s.spread())
+                .put("lendable", s.spot())
+                .put("bundle", s.image())
+                .put("pull_gb", s.imageGb())
+                .put("expect_s", s.estimateS())
+                .put("bookmark_s", s.checkpointS())
+                .put("stow_s", s.saveS());
         if (!Double.isNaN(s.dueS())) {
             b.put("due_s", s.dueS());
         }
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -65,7 +65,10 @@
         return list;
     }
 
-    /** All that a live job awaits. Of a part that isn't there the key stands in: no such job is ever done, so nothing starts. */
+    /**
+     * All that a live job awaits. Of a part that isn't there the key stands in: no such job is ever done, so nothing
+     * starts.
+     */
     public static List<String> awaits(JsonNode record, View view) {
         List<String> ids = new ArrayList<>();
         record.path(AWAITS).forEach(id -> ids.add(id.asText()));
@@ -113,7 +116,11 @@
     // ---- machines and progress ----
 
     public static JsonNode machine(Machine m) {
-        return Codec.object().put("type", m.type.name()).put("zone", m.zone).put("spot", m.spot).put("addr", m.addr);
+        return Codec.object()
+                .put("type", m.type.name())
+                .put("zone", m.zone)
+                .put("spot", m.spot)
+                .put("addr", m.addr);
     }
 
     public static String text(BitSet bits) {
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -1,6 +1,5 @@
 package org.hollypick.relay;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,13 +13,15 @@
 import org.hollypick.config.Settings;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
+import org.hollypick.io.WireNames;
 import org.hollypick.state.StateClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What a controller that can't hand reports on tells the leader by way of the state service, when nothing else leads there: machines that come to it. If the
- * leader misses them it is at fault. Only the decision who leads rests on it; it is attached to the state session and goes with it.
+ * What a controller that can't hand reports on tells the leader by way of the state service, when nothing else leads
+ * there: machines that come to it. If the leader misses them it is at fault. Only the decision who leads rests on it;
+ * it is attached to the state session and goes with it.
  */
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
@@ -31,6 +32,7 @@
     private final StateClient state;
     /** Since when, and under which token, reports haven't reached the leader; 0 if the last one did. */
     private long since;
+
     private long failing;
     private long saidAt;
     /** Machines whose reports couldn't be handed on, and when: they go from one controller to the next. */
@@ -58,11 +60,17 @@
             heard.clear();
         }
         machines.forEach(m -> heard.putAndMoveToLast(m, now));
-        while (!heard.isEmpty() && (heard.size() > Constants.LEADER_COMPLAINT_MACHINES || now - heard.getLong(heard.firstKey()) > Constants.LEADER_COMPLAINT_MEMORY_MS)) {
+        while (!heard.isEmpty()
+                && (heard.size() > Constants.LEADER_COMPLAINT_MACHINES
+                        || now - heard.getLong(heard.firstKey()) > Constants.LEADER_COMPLAINT_MEMORY_MS)) {
             heard.removeFirstLong();
         }
         Long stateSession = membership.stateSession();
-        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS || stateSession == null || !membership.leaderIsThere() || heard.isEmpty()) {
+        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS
+                || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS
+                || stateSession == null
+                || !membership.leaderIsThere()
+                || heard.isEmpty()) {
             return;
         }
         saidAt = now;
@@ -70,7 +78,11 @@
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
-        state.commitNow(new StateClient.Txn().when(Keys.LEADER_RECORD, token).putLeased(Keys.leaderComplaint(settings.node()), data, stateSession), r -> { });
+        state.commitNow(
+                new StateClient.Txn()
+                        .when(Keys.LEADER_RECORD, token)
+                        .putLeased(Keys.leaderComplaint(settings.node()), data, stateSession),
+                r -> {});
     }
 
     /** The machines that such a record names, if it is meant for that leader. */
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.Membership;
+import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
 import org.hollypick.core.ledger.Report;
@@ -24,8 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands machines' reports on to the leader, many in one call, and its answers back to the machines. It decides nothing: to a machine it is a longer path
- * to the leader (docs/safety.md, "Relayed reports"). While there is no leader it holds reports for a moment, so that machines needn't look for one.
+ * Hands machines' reports on to the leader, many in one call, and its answers back to the machines. It decides nothing:
+ * to a machine it is a longer path to the leader (docs/safety.md, "Relayed reports"). While there is no leader it holds
+ * reports for a moment, so that machines needn't look for one.
  */
 public final class Relay {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
@@ -50,7 +51,12 @@
     private record Held(byte[] report, long until, Consumer<Answer> answer) {}
 
     /** {@code own}: the answer of this node itself while it is the leader, else null. */
-    public Relay(Runtime runtime, Settings settings, Membership membership, StateClient state, PartitionedLeaseRenewal leaseRenewal,
+    public Relay(
+            Runtime runtime,
+            Settings settings,
+            Membership membership,
+            StateClient state,
+            PartitionedLeaseRenewal leaseRenewal,
             Function<byte[], Answer> own) {
         this.runtime = runtime;
         this.settings = settings;
@@ -140,20 +146,30 @@
         List<Held> bundle = new ArrayList<>();
         List<byte[]> reports = new ArrayList<>();
         int bytes = 0;
-        while (!held.isEmpty() && bundle.size() < Constants.RELAY_REPORTS && bytes + held.peek().report.length <= Constants.RELAY_BYTES) {
+        while (!held.isEmpty()
+                && bundle.size() < Constants.RELAY_REPORTS
+                && bytes + held.peek().report.length <= Constants.RELAY_BYTES) {
             Held h = next();
             bundle.add(h);
             reports.add(h.report);
             bytes += h.report.length;
         }
         open++;
-        runtime.call(new Call(currentLeader, "POST", RelayCodec.PATH, RelayCodec.bundle(settings.node(), token, reports), Constants.RELAY_TIMEOUT_MS, true), r -> {
-            open--;
-            answered(bundle, leads, now, r);
-            if (!held.isEmpty()) {
-                flushSoon(0);
-            }
-        });
+        runtime.call(
+                new Call(
+                        currentLeader,
+                        "POST",
+                        RelayCodec.PATH,
+                        RelayCodec.bundle(settings.node(), token, reports),
+                        Constants.RELAY_TIMEOUT_MS,
+                        true),
+                r -> {
+                    open--;
+                    answered(bundle, leads, now, r);
+                    if (!held.isEmpty()) {
+                        flushSoon(0);
+                    }
+                });
     }
 
     private void answered(List<Held> bundle, Membership.Leader by, long sent, Reply r) {
@@ -162,16 +178,22 @@
         if (r.ok() && answers.size() == bundle.size()) {
             failures = 0;
             leaderComplaint.handedOn();
-            long until = sent + Membership.certainly(RelayCodec.rightMs(r.body())); // the leader counted it from later on
+            // the leader counted it from later on
+            long until = sent + Membership.certainly(RelayCodec.rightMs(r.body()));
             for (int i = 0; i < answers.size(); i++) {
-                bundle.get(i).answer.accept(answers.get(i).only(() -> runtime.now() < until && token() == token && !released.contains(by.member())));
+                bundle.get(i)
+                        .answer
+                        .accept(answers.get(i)
+                                .only(() ->
+                                        runtime.now() < until && token() == token && !released.contains(by.member())));
             }
         } else if (r.status() == 404) {
             LOG.info("the leader takes no bundles of reports token={}", token);
             refusedToken = token;
             bundle.forEach(h -> h.answer.accept(toLeader()));
         } else {
-            // Sent again, until its time is over: the leader takes a report that it knows for what it is. More and more seldom: it may be overloaded.
+            // Sent again, until its time is over: the leader takes a report that it knows for what it is. More and more
+            // seldom: it may be overloaded.
             bundle.forEach(this::hold);
             leaderComplaint.failed(token, machines(bundle));
             notBefore = runtime.now() + (Constants.RELAY_RETRY_MS << Math.min(failures++, Constants.RELAY_DOUBLINGS));
@@ -189,7 +211,10 @@
         return names;
     }
 
-    /** What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or has given up its lead. */
+    /**
+     * What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or
+     * has given up its lead.
+     */
     public Answer release(long member) {
         released.add(member);
         return Answer.of(200, Codec.object().put("released", member != 0));
@@ -198,6 +223,8 @@
     private Answer toLeader() {
         Membership.Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.leader() : currentLeader.node();
-        return leader == null || leader.equals(settings.node()) ? Answer.later("not entitled to act") : RelayCodec.elsewhere(leader);
+        return leader == null || leader.equals(settings.node())
+                ? Answer.later("not entitled to act")
+                : RelayCodec.elsewhere(leader);
     }
 }
--- a/src/main/java/org/hollypick/relay/RelayCodec.java
+++ b/src/main/java/org/hollypick/relay/RelayCodec.java
@@ -1,6 +1,5 @@
 package org.hollypick.relay;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,8 +10,11 @@
 import java.util.function.LongSupplier;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Codec;
+import org.hollypick.io.WireNames;
 
-/** What controllers say to one another about machines' reports: the bytes of each as they came, and an answer for each. */
+/**
+ * What controllers say to one another about machines' reports: the bytes of each as they came, and an answer for each.
+ */
 public final class RelayCodec {
     public static final String PATH = "/reports";
 
@@ -26,18 +28,23 @@
     }
 
     /**
-     * The leader's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers may be passed on; {@code hello}: by
-     * report and by who sent it.
+     * The leader's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers
+     * may be passed on; {@code hello}: by report and by who sent it.
      */
-    public static Answer take(JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, Answer> hello) {
+    public static Answer take(
+            JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, Answer> hello) {
         if (body == null || Codec.u64(body.path(WireNames.FENCING_TOKEN)) != token) {
             return Answer.later("not the leader under that token");
         }
         ArrayNode answers = Codec.array();
         for (JsonNode report : body.path("reports")) {
             try {
-                Answer a = hello.apply(report.binaryValue(), body.path("node").asText()).now();
-                answers.addObject().put("status", a.status()).put("retry", a.retryAfterS()).set("body", a.body());
+                Answer a = hello.apply(report.binaryValue(), body.path("node").asText())
+                        .now();
+                answers.addObject()
+                        .put("status", a.status())
+                        .put("retry", a.retryAfterS())
+                        .set("body", a.body());
             } catch (IOException e) {
                 answers.addObject().put("status", 400).set("body", Codec.object());
             }
@@ -53,7 +60,8 @@
     static List<Answer> answers(JsonNode body) {
         List<Answer> list = new ArrayList<>();
         for (JsonNode a : body.path("answers")) {
-            list.add(new Answer(a.path("status").asInt(503), a.path("body"), a.path("retry").asInt()));
+            list.add(new Answer(
+                    a.path("status").asInt(503), a.path("body"), a.path("retry").asInt()));
         }
         return list;
     }
--- a/src/main/java/org/hollypick/state/ChangeShare.java
+++ b/src/main/java/org/hollypick/state/ChangeShare.java
@@ -3,21 +3,24 @@
 import org.hollypick.config.Constants;
 
 /**
- * How many changes a second a leader may make: its own share, and what the other controllers leave unused of theirs. What they use is told
- * by the watch, which shows every change; theirs are those that aren't the leader's own. The others keep to their shares, and
- * get them back within {@link Constants#SHARE_WINDOWS} seconds.
+ * How many changes a second a leader may make: its own share, and what the other controllers leave unused of theirs.
+ * What they use is told by the watch, which shows every change; theirs are those that aren't the leader's own. The
+ * others keep to their shares, and get them back within {@link Constants#SHARE_WINDOWS} seconds.
  */
 final class ChangeShare {
     private final double all;
     private final double least;
     /** Changes of the other controllers in the last seconds in which any change was seen. */
     private final int[] others = new int[Constants.SHARE_WINDOWS];
+
     private int windows;
     private long windowSince;
     private int seen;
     private int own;
 
-    /** {@code all}: changes a second that all controllers plan to make; {@code least}: the leader's own share of them. */
+    /**
+     * {@code all}: changes a second that all controllers plan to make; {@code least}: the leader's own share of them.
+     */
     ChangeShare(double all, double least, long now) {
         this.all = all;
         this.least = least;
@@ -40,7 +43,8 @@
         if (now - windowSince < Constants.SHARE_WINDOW_MS) {
             return;
         }
-        // Without any, or after a long pause, the watch may have been held up, as in an outage: that tells nothing of the others.
+        // Without any, or after a long pause, the watch may have been held up, as in an outage: that tells nothing of
+        // the others.
         boolean whole = now - windowSince < 2 * Constants.SHARE_WINDOW_MS;
         if (seen > 0) {
             if (whole) {
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -1,6 +1,5 @@
 package org.hollypick.state;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,6 +13,7 @@
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
+import org.hollypick.io.WireNames;
 import org.hollypick.mesh.Routes;
 
 /** The state service's protocol, inside this node's share of its limits. Leases never wait in the queue. */
@@ -29,6 +29,7 @@
     private final RateBudget writes;
     /** Requests that change nothing: they need no share of the changes and so never wait behind one that does. */
     private final ArrayDeque<Queued> reads = new ArrayDeque<>();
+
     private final ArrayDeque<Queued> commits = new ArrayDeque<>();
     private final StateUsage usage = new StateUsage();
     private int queuedPuts;
@@ -87,7 +88,9 @@
         JsonNode body() {
             ObjectNode body = Codec.object();
             ArrayNode conditions = body.putArray("when");
-            when.object2LongEntrySet().forEach(e -> conditions.addObject().put("key", e.getKey()).put(WireNames.REVISION, e.getLongValue()));
+            when.object2LongEntrySet()
+                    .forEach(e ->
+                            conditions.addObject().put("key", e.getKey()).put(WireNames.REVISION, e.getLongValue()));
             body.set("then", then);
             return body;
         }
@@ -96,7 +99,10 @@
     public StateClient(Runtime runtime, Settings settings) {
         this.runtime = runtime;
         this.address = settings.state();
-        this.routes = new Routes(runtime, settings.siblings(), Call.of(address, "GET", "/keys/" + NEVER, null, Constants.ROUTE_AGAIN_MS));
+        this.routes = new Routes(
+                runtime,
+                settings.siblings(),
+                Call.of(address, "GET", "/keys/" + NEVER, null, Constants.ROUTE_AGAIN_MS));
         this.settings = settings;
         int nodes = settings.siblings().size() + 1;
         this.requests = new RateBudget(settings.stateRps() * Constants.STATE_BUDGET / nodes, runtime.now());
@@ -115,13 +121,17 @@
         return routes;
     }
 
-    /** The leader's share of the writes is larger: progress and machines are its to record. It also has what the others leave unused. */
+    /**
+     * The leader's share of the writes is larger: progress and machines are its to record. It also has what the others
+     * leave unused.
+     */
     public void setLeader(boolean leader) {
         int others = Math.max(1, settings.siblings().size());
         double all = settings.stateWriteRps() * Constants.STATE_BUDGET;
         double own = settings.siblings().isEmpty() ? all : all * Constants.LEADER_WRITE_SHARE;
         leaderShare = leader ? new ChangeShare(all, own, runtime.now()) : null;
-        writes.setRate(settings.siblings().isEmpty() || leader ? own : all * (1 - Constants.LEADER_WRITE_SHARE) / others);
+        writes.setRate(
+                settings.siblings().isEmpty() || leader ? own : all * (1 - Constants.LEADER_WRITE_SHARE) / others);
     }
 
     private void followShare() {
@@ -147,7 +157,9 @@
 
     /** Whether a new write would wait here for longer than it may: whoever wants it is told so at once. */
     public boolean crowded() {
-        boolean crowded = full() || queuedPuts > Math.max(1, writes.rate() * Constants.STATE_QUEUE_MS / 1000.0 * Constants.QUEUE_PROMISE);
+        boolean crowded = full()
+                || queuedPuts
+                        > Math.max(1, writes.rate() * Constants.STATE_QUEUE_MS / 1000.0 * Constants.QUEUE_PROMISE);
         if (crowded) {
             usage.refused();
         }
@@ -158,7 +170,10 @@
         return commits.size() >= Constants.STATE_QUEUE;
     }
 
-    /** Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what users wait for. */
+    /**
+     * Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what
+     * users wait for.
+     */
     public boolean spare() {
         return nothingWaits() && writes.has(writes.size() / 2, runtime.now());
     }
@@ -174,7 +189,11 @@
     }
 
     public void get(String key, Consumer<Reply> reply) {
-        submit(Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, null, reply);
+        submit(
+                Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.REPEATABLE,
+                null,
+                reply);
     }
 
     /** The answer is 404 and tells the epoch. */
@@ -188,38 +207,77 @@
     }
 
     public void commit(Txn txn, Consumer<Reply> reply) {
-        submit(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Routes.Kind.ONCE, txn, reply);
+        submit(
+                Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.ONCE,
+                txn,
+                reply);
     }
 
     /** Leadership and membership: ahead of the queue, like leases. */
     public void commitNow(Txn txn, Consumer<Reply> reply) {
         writes.take(txn.ops(), runtime.now());
         txn.count(usage);
-        urgent(Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS), Routes.Kind.ONCE, StateUsage.Request.COMMIT, r -> {
-            own(txn, r);
-            reply.accept(r);
-        });
+        urgent(
+                Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.ONCE,
+                StateUsage.Request.COMMIT,
+                r -> {
+                    own(txn, r);
+                    reply.accept(r);
+                });
     }
 
     /** Asked twice, one of two state sessions is never used and ends by itself. */
     public void grant(long lifeMs, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(
+                Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.REPEATABLE,
+                StateUsage.Request.HOLD,
+                reply);
     }
 
     public void extend(long stateSession, Consumer<Reply> reply) {
-        urgent(Call.of(address, "POST", "/holds/" + Long.toUnsignedString(stateSession) + "/extend", Codec.object(), Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(
+                Call.of(
+                        address,
+                        "POST",
+                        "/holds/" + Long.toUnsignedString(stateSession) + "/extend",
+                        Codec.object(),
+                        Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.REPEATABLE,
+                StateUsage.Request.HOLD,
+                reply);
     }
 
     public void end(long stateSession, Consumer<Reply> reply) {
-        urgent(Call.of(address, "DELETE", "/holds/" + Long.toUnsignedString(stateSession), null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, StateUsage.Request.HOLD, reply);
+        urgent(
+                Call.of(
+                        address,
+                        "DELETE",
+                        "/holds/" + Long.toUnsignedString(stateSession),
+                        null,
+                        Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.REPEATABLE,
+                StateUsage.Request.HOLD,
+                reply);
     }
 
     public void watch(String prefix, long from, Consumer<Reply> reply) {
-        urgent(Call.of(address, "GET", "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms=" + Constants.WATCH_MS,
-                null, Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS), Routes.Kind.WATCH, StateUsage.Request.WATCH, r -> {
-            seen(r);
-            reply.accept(r);
-        });
+        urgent(
+                Call.of(
+                        address,
+                        "GET",
+                        "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms="
+                                + Constants.WATCH_MS,
+                        null,
+                        Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS),
+                Routes.Kind.WATCH,
+                StateUsage.Request.WATCH,
+                r -> {
+                    seen(r);
+                    reply.accept(r);
+                });
     }
 
     private void urgent(Call call, Routes.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
--- a/src/main/java/org/hollypick/state/StateUsage.java
+++ b/src/main/java/org/hollypick/state/StateUsage.java
@@ -7,10 +7,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what this controller asks of the state service, by kind, so that its log shows which limit binds and who uses it. */
+/**
+ * Counts what this controller asks of the state service, by kind, so that its log shows which limit binds and who uses
+ * it.
+ */
 final class StateUsage {
     /** Kinds of requests; each counts once against the limit of requests a second. */
-    enum Request { READ, COMMIT, HOLD, WATCH }
+    enum Request {
+        READ,
+        COMMIT,
+        HOLD,
+        WATCH
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(StateUsage.class);
 
@@ -19,6 +27,7 @@
     private final Map<String, Integer> changes = new TreeMap<>();
     /** Milliseconds that requests waited in the queue before they were sent. */
     private final Histogram waited = new Histogram(2);
+
     private int notSent;
     private int refused;
     private int longestQueue;
@@ -53,8 +62,15 @@
 
     /** Logs the counts since the last time and starts over. */
     void log() {
-        LOG.info("state requests={} changes={} waited_p50={} waited_p99={} longest_queue={} not_sent={} refused={}", requests, changes,
-                waited.getValueAtPercentile(50), waited.getValueAtPercentile(99), longestQueue, notSent, refused);
+        LOG.info(
+                "state requests={} changes={} waited_p50={} waited_p99={} longest_queue={} not_sent={} refused={}",
+                requests,
+                changes,
+                waited.getValueAtPercentile(50),
+                waited.getValueAtPercentile(99),
+                longestQueue,
+                notSent,
+                refused);
         requests.clear();
         changes.clear();
         waited.reset();
--- a/src/main/java/org/hollypick/worker/WorkerCodec.java
+++ b/src/main/java/org/hollypick/worker/WorkerCodec.java
@@ -1,6 +1,5 @@
 package org.hollypick.worker;
 
-import org.hollypick.io.WireNames;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -14,12 +13,16 @@
 import org.hollypick.core.ledger.Report;
 import org.hollypick.core.ledger.TaskReport;
 import org.hollypick.io.Codec;
+import org.hollypick.io.WireNames;
 
 /** The workers' wire names. */
 public final class WorkerCodec {
     private WorkerCodec() {}
 
-    /** The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy leader reads. */
+    /**
+     * The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy leader
+     * reads.
+     */
     public static Report report(byte[] cbor) {
         try (JsonParser p = Codec.cborParser(cbor)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
@@ -49,8 +52,10 @@
                     default -> p.skipChildren();
                 }
             }
-            return f.machine.isEmpty() || !f.hasSession || !f.hasTick ? null
-                    : new Report(f.machine, f.addr, f.type, f.zone, f.spot, f.session, f.tick, f.token, f.noticeS, f.tasks);
+            return f.machine.isEmpty() || !f.hasSession || !f.hasTick
+                    ? null
+                    : new Report(
+                            f.machine, f.addr, f.type, f.zone, f.spot, f.session, f.tick, f.token, f.noticeS, f.tasks);
         } catch (IOException | RuntimeException e) {
             return null; // garbage from outside must never harm the node
         }
@@ -118,17 +123,33 @@
 
     /** The report in a worker's answer, or null if it isn't one. */
     public static Report report(JsonNode b) {
-        if (b == null || !b.isObject() || !b.path("bothy").isTextual() || !b.path(WireNames.WORKER_SESSION).isIntegralNumber() || !b.path("tick").isIntegralNumber()) {
+        if (b == null
+                || !b.isObject()
+                || !b.path("bothy").isTextual()
+                || !b.path(WireNames.WORKER_SESSION).isIntegralNumber()
+                || !b.path("tick").isIntegralNumber()) {
             return null;
         }
         List<TaskReport> tasks = new ArrayList<>();
         for (JsonNode t : b.path("shards")) {
             State state = state(t.path("status").asText());
-            tasks.add(new TaskReport(t.path("shard").asText(), Codec.u64(t.path("try")), state, t.path("cause").asText("")));
+            tasks.add(new TaskReport(
+                    t.path("shard").asText(),
+                    Codec.u64(t.path("try")),
+                    state,
+                    t.path("cause").asText("")));
         }
-        return new Report(b.path("bothy").asText(), b.path("addr").asText(""), b.path("flavour").asText(""), b.path("hall").asText(""),
-                b.path("lendable").asBoolean(), Codec.u64(b.path(WireNames.WORKER_SESSION)), Codec.u64(b.path("tick")), Codec.u64(b.path(WireNames.FENCING_TOKEN)),
-                b.path("warning_s").isNumber() ? b.path("warning_s").asDouble() : Double.NaN, tasks);
+        return new Report(
+                b.path("bothy").asText(),
+                b.path("addr").asText(""),
+                b.path("flavour").asText(""),
+                b.path("hall").asText(""),
+                b.path("lendable").asBoolean(),
+                Codec.u64(b.path(WireNames.WORKER_SESSION)),
+                Codec.u64(b.path("tick")),
+                Codec.u64(b.path(WireNames.FENCING_TOKEN)),
+                b.path("warning_s").isNumber() ? b.path("warning_s").asDouble() : Double.NaN,
+                tasks);
     }
 
     public static ObjectNode orders(long token, List<Order> orders) {
--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/CancelModelTest.java
@@ -13,10 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen to one task on one machine while it is cancelled: two controllers that lead in turn, a state service that comes and goes, a launch that is
- * held up, reports and answers lost, late or doubled, a write whose answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone
- * in time once anybody was told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The first controller
- * launched the task; its state session is the one that counts. Times are in ticks; drift is {@code LeasesTest}'s matter.
+ * All that can happen to one task on one machine while it is cancelled: two controllers that lead in turn, a state
+ * service that comes and goes, a launch that is held up, reports and answers lost, late or doubled, a write whose
+ * answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone in time once anybody was
+ * told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The
+ * first controller launched the task; its state session is the one that counts. Times are in ticks; drift is
+ * {@code LeasesTest}'s matter.
  */
 class CancelModelTest {
     private static final int TICKS = 8;
@@ -26,40 +28,59 @@
     private static final int PROMISE = 1;
     /** For how long after a cancellation may be told, or after its own right ended, a controller may renew. */
     private static final int WINDOW = CANCEL - LEASE;
+
     private static final int NEVER = -1;
 
     /** The tokens: the first controller's, the same after a fence, the second one's. */
     private static final int FIRST = 1;
+
     private static final int FENCED = 2;
     private static final int SECOND = 3;
 
     private enum Fault {
-        NONE, ONLY_WHAT_IS_DURABLE_GOES, WRITES_DESPITE_A_LAUNCH, WRITES_DESPITE_AN_OLDER_LAUNCH, A_COPY_IS_PROOF, CLAIMS_DESPITE_ITS_PROMISE,
-        KEEPS_TOO_LONG, TELLS_WHAT_IS_IN_DOUBT
+        NONE,
+        ONLY_WHAT_IS_DURABLE_GOES,
+        WRITES_DESPITE_A_LAUNCH,
+        WRITES_DESPITE_AN_OLDER_LAUNCH,
+        A_COPY_IS_PROOF,
+        CLAIMS_DESPITE_ITS_PROMISE,
+        KEEPS_TOO_LONG,
+        TELLS_WHAT_IS_IN_DOUBT
     }
 
-    private enum Rule { RAN_CANCELLED, RAN_TWICE, WENT_BACK }
+    private enum Rule {
+        RAN_CANCELLED,
+        RAN_TWICE,
+        WENT_BACK
+    }
 
     /** One moment; copied for each thing that may happen next. */
     private static final class State implements Cloneable {
         int now;
         boolean up = true;
-        /** Until when the first one counts on its state session, the service does, and its promise from the second lasts. */
+        /**
+         * Until when the first one counts on its state session, the service does, and its promise from the second
+         * lasts.
+         */
         int holdUntil = HOLD;
+
         int serviceUntil = HOLD;
         int promisedUntil = NEVER;
         boolean holdGone;
         int leaderRecord = FIRST;
         /** Until when the second one may have renewed the lease, or the first one and whoever keeps leases under it. */
         int renewedUntil = NEVER;
+
         boolean secondFollowsAFence;
         /** The write of the cancellation: the token that it is conditional on, 0 for none; and what came of it. */
         int writing;
+
         boolean durable;
         boolean answered;
         boolean secondSees;
         /** The first one is to cancel it; since when its write may be carried out. */
         boolean asked;
+
         int writtenAt = NEVER;
         int toldAt = NEVER;
         boolean launchUnderWay = true;
@@ -68,14 +89,17 @@
         boolean shown;
         /** The machine has reported under the present leader record's token, if that isn't the one of the launch. */
         boolean heard;
+
         int leaseFrom;
         int seenToken = FIRST;
         /** The newest report: when it was sent, what it shows; NEVER for none. */
         int reportAt = NEVER;
+
         boolean reportShows;
         int reportToken;
         /** The answer under way to it; 0 for none. */
         int answerToken;
+
         boolean answerKills;
         boolean elsewhere;
         Rule broken;
@@ -95,15 +119,38 @@
             boolean lead = leaderRecord != SECOND;
             boolean rights = now <= entitledUntil() + WINDOW + 2;
             long k = 0;
-            for (int time : new int[] {now, rights ? entitledUntil() : NEVER, lead && !holdGone ? serviceUntil : NEVER, now <= promisedUntil ? promisedUntil : NEVER,
-                renewedUntil, writtenAt, toldAt, leaseFrom, reportAt}) {
+            for (int time : new int[] {
+                now,
+                rights ? entitledUntil() : NEVER,
+                lead && !holdGone ? serviceUntil : NEVER,
+                now <= promisedUntil ? promisedUntil : NEVER,
+                renewedUntil,
+                writtenAt,
+                toldAt,
+                leaseFrom,
+                reportAt
+            }) {
                 k = k << 4 | time + 1;
             }
             for (int token : new int[] {leaderRecord, writing, seenToken, reportToken, answerToken}) {
                 k = k << 2 | token;
             }
-            for (boolean bit : new boolean[] {up, holdGone, secondFollowsAFence, durable, answered, secondSees, asked, launchUnderWay, there, shown, heard, reportShows,
-                answerKills, elsewhere}) {
+            for (boolean bit : new boolean[] {
+                up,
+                holdGone,
+                secondFollowsAFence,
+                durable,
+                answered,
+                secondSees,
+                asked,
+                launchUnderWay,
+                there,
+                shown,
+                heard,
+                reportShows,
+                answerKills,
+                elsewhere
+            }) {
                 k = k << 1 | (bit ? 1 : 0);
             }
             return k;
@@ -111,9 +158,12 @@
 
         @Override
         public String toString() {
-            return "now=" + now + " up=" + up + " entitledUntil=" + entitledUntil() + " promisedUntil=" + promisedUntil + " roster=" + leaderRecord + " writtenAt=" + writtenAt
-                    + " durable=" + durable + " toldAt=" + toldAt + " launchUnderWay=" + launchUnderWay + " there=" + there + " shown=" + shown + " leaseFrom=" + leaseFrom
-                    + " seenToken=" + seenToken + " reportAt=" + reportAt + " answerToken=" + answerToken + " elsewhere=" + elsewhere + " broken=" + broken + "\n";
+            return "now=" + now + " up=" + up + " entitledUntil=" + entitledUntil() + " promisedUntil=" + promisedUntil
+                    + " roster=" + leaderRecord + " writtenAt=" + writtenAt
+                    + " durable=" + durable + " toldAt=" + toldAt + " launchUnderWay=" + launchUnderWay + " there="
+                    + there + " shown=" + shown + " leaseFrom=" + leaseFrom
+                    + " seenToken=" + seenToken + " reportAt=" + reportAt + " answerToken=" + answerToken
+                    + " elsewhere=" + elsewhere + " broken=" + broken + "\n";
         }
 
         int entitledUntil() {
@@ -176,7 +226,10 @@
         if (s.leaderRecord != SECOND && !s.holdGone) {
             to.accept(s.next(t -> t.promisedUntil = t.now + PROMISE));
         }
-        if (s.up && s.holdGone && s.leaderRecord != SECOND && (s.now > s.promisedUntil || fault == Fault.CLAIMS_DESPITE_ITS_PROMISE)) {
+        if (s.up
+                && s.holdGone
+                && s.leaderRecord != SECOND
+                && (s.now > s.promisedUntil || fault == Fault.CLAIMS_DESPITE_ITS_PROMISE)) {
             to.accept(s.next(t -> {
                 t.secondFollowsAFence = t.leaderRecord == FENCED;
                 t.leaderRecord = SECOND;
@@ -191,8 +244,11 @@
         if (s.firstActs() && !s.asked) {
             to.accept(s.next(t -> t.asked = true));
         }
-        // A launch may come that no report has shown; after a fence, until a report comes that was made under the new token.
-        boolean launchMayCome = s.leaderRecord == FIRST ? !s.shown && fault != Fault.WRITES_DESPITE_A_LAUNCH : !s.heard && fault != Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
+        // A launch may come that no report has shown; after a fence, until a report comes that was made under the new
+        // token.
+        boolean launchMayCome = s.leaderRecord == FIRST
+                ? !s.shown && fault != Fault.WRITES_DESPITE_A_LAUNCH
+                : !s.heard && fault != Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
         if (s.firstActs() && s.asked && !s.durable && s.writing == 0 && !launchMayCome) {
             to.accept(s.next(t -> {
                 t.writing = t.leaderRecord;
@@ -215,7 +271,8 @@
         if (s.secondSees && s.toldAt == NEVER) {
             to.accept(s.next(State::told));
         }
-        boolean secondKnows = s.heard || s.now > s.renewedUntil + LEASE || fault == Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
+        boolean secondKnows =
+                s.heard || s.now > s.renewedUntil + LEASE || fault == Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
         if (s.leaderRecord == SECOND && s.up && !s.durable && secondKnows) {
             to.accept(s.next(t -> {
                 t.durable = true;
@@ -308,8 +365,11 @@
             t.shown = true;
         });
         LongOpenHashSet seen = new LongOpenHashSet();
-        return StateSearch.run(List.of(launching, running), (s, to) -> next(s, fault, t -> to.add("", t)),
-                s -> s.broken != null, s -> seen.add(s.key()));
+        return StateSearch.run(
+                List.of(launching, running),
+                (s, to) -> next(s, fault, t -> to.add("", t)),
+                s -> s.broken != null,
+                s -> seen.add(s.key()));
     }
 
     @Test
@@ -328,7 +388,8 @@
                 StateSearch.Result<State> result = search(fault);
                 assertTrue(result.broken(), fault.toString());
                 found.put(fault, result.last().broken);
-                System.out.println("cancellation model: " + fault + " found after " + result.trace().size() + " steps: " + found.get(fault));
+                System.out.println("cancellation model: " + fault + " found after "
+                        + result.trace().size() + " steps: " + found.get(fault));
             }
         }
         assertEquals(Rule.WENT_BACK, found.get(Fault.TELLS_WHAT_IS_IN_DOUBT));
--- a/src/test/java/org/hollypick/CodecTest.java
+++ b/src/test/java/org/hollypick/CodecTest.java
@@ -17,21 +17,33 @@
 import org.hollypick.worker.WorkerCodec;
 import org.junit.jupiter.api.Test;
 
-/** Reports are read as a stream: it must find what the plain way through a tree finds, and garbage must find nothing. */
+/**
+ * Reports are read as a stream: it must find what the plain way through a tree finds, and garbage must find nothing.
+ */
 class CodecTest {
     private static ObjectNode drawn(Random random) {
-        ObjectNode b = Codec.object().put("bothy", "n-" + random.nextInt(1_000)).put("tenure", random.nextInt(5)).put("tick", random.nextLong() >>> 1);
+        ObjectNode b = Codec.object()
+                .put("bothy", "n-" + random.nextInt(1_000))
+                .put("tenure", random.nextInt(5))
+                .put("tick", random.nextLong() >>> 1);
         if (random.nextBoolean()) {
             b.put("addr", "10.0.0.1:9000").put("flavour", "t").put("hall", "a").put("lendable", random.nextBoolean());
         }
         if (random.nextBoolean()) {
-            b.putNull("warning_s").set("new_field", Codec.object().put("x", 1).set("y", Codec.array().add(1).add("z")));
+            b.putNull("warning_s")
+                    .set(
+                            "new_field",
+                            Codec.object()
+                                    .put("x", 1)
+                                    .set("y", Codec.array().add(1).add("z")));
         } else {
             b.put("warning_s", random.nextDouble() * 20).put("baton", random.nextInt(100));
         }
         ArrayNode tasks = b.putArray("shards");
         for (int i = random.nextInt(6); i > 0; i--) {
-            ObjectNode t = tasks.addObject().put("shard", "req-1/" + i).put("try", random.nextLong() >>> 1)
+            ObjectNode t = tasks.addObject()
+                    .put("shard", "req-1/" + i)
+                    .put("try", random.nextLong() >>> 1)
                     .put("status", new String[] {"fetching", "running", "saving", "exited"}[random.nextInt(4)]);
             if (random.nextBoolean()) {
                 t.put("cause", "done").put("saved", true);
@@ -67,18 +79,45 @@
     /** Its record named an empty team, which no reader took: a job without a team was accepted and never ran. */
     @Test
     void aJobWithoutATeamCanBeReadAgain() throws JobCodec.Invalid {
-        JobSpec spec = new JobSpec("req-1", "c", "", false, JobSpec.Rank.LOW, 3, 1, 0, 1, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN);
+        JobSpec spec = new JobSpec(
+                "req-1",
+                "c",
+                "",
+                false,
+                JobSpec.Rank.LOW,
+                3,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
         assertEquals(spec, JobCodec.read(JobCodec.write(spec)));
     }
 
     /** A graph's record holds whatever was packed, and one that was cut short or isn't one is told apart. */
     @Test
     void packedEntriesComeBackOrAreRefused() throws JobCodec.Invalid {
-        ObjectNode record = GraphRecords.record("req-1", List.of(GraphRecords.sealed(), GraphRecords.result(7, Codec.object().put("value", "x"))));
+        ObjectNode record = GraphRecords.record(
+                "req-1",
+                List.of(
+                        GraphRecords.sealed(),
+                        GraphRecords.result(7, Codec.object().put("value", "x"))));
         assertEquals(2, GraphRecords.unpack(record).size());
         String packed = record.path("b").asText();
         for (String broken : List.of("", "no base64!", packed.substring(0, packed.length() / 2), "AAAA")) {
-            assertThrows(JobCodec.Invalid.class, () -> GraphRecords.unpack(Codec.object().put("b", broken)), broken);
+            assertThrows(
+                    JobCodec.Invalid.class,
+                    () -> GraphRecords.unpack(Codec.object().put("b", broken)),
+                    broken);
         }
     }
 }
--- a/src/test/java/org/hollypick/CutoffTest.java
+++ b/src/test/java/org/hollypick/CutoffTest.java
@@ -21,7 +21,8 @@
 
     private static double plainCv2(double[] x) {
         double mean = Arrays.stream(x).average().orElse(Double.NaN);
-        double variance = Arrays.stream(x).map(v -> (v - mean) * (v - mean)).average().orElse(Double.NaN);
+        double variance =
+                Arrays.stream(x).map(v -> (v - mean) * (v - mean)).average().orElse(Double.NaN);
         return variance / (mean * mean);
     }
 
--- a/src/test/java/org/hollypick/DependenciesTest.java
+++ b/src/test/java/org/hollypick/DependenciesTest.java
@@ -26,7 +26,9 @@
         final Set<String> cancelled = new HashSet<>();
 
         boolean cancelled(String id) {
-            return cancelled.contains(id) || (!done.contains(id) && awaits.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled));
+            return cancelled.contains(id)
+                    || (!done.contains(id)
+                            && awaits.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled));
         }
 
         boolean ready(String id) {
@@ -44,11 +46,14 @@
         }
 
         boolean needs(String id, Set<String> those) {
-            return awaits.getOrDefault(id, List.of()).stream().anyMatch(a -> !done.contains(a) && !cancelled(a) && (those.contains(a) || needs(a, those)));
+            return awaits.getOrDefault(id, List.of()).stream()
+                    .anyMatch(a -> !done.contains(a) && !cancelled(a) && (those.contains(a) || needs(a, those)));
         }
     }
 
-    /** Diamonds, chains, cancelled middles, jobs after their ancestors' end; each record told in any order, some twice. */
+    /**
+     * Diamonds, chains, cancelled middles, jobs after their ancestors' end; each record told in any order, some twice.
+     */
     @Test
     void theGraphSaysWhatThePlainModelSays() {
         for (int seed = 0; seed < 400; seed++) {
@@ -69,7 +74,9 @@
                         }
                     }
                     default -> {
-                        List<String> live = ids.stream().filter(id -> !plain.done.contains(id)).toList();
+                        List<String> live = ids.stream()
+                                .filter(id -> !plain.done.contains(id))
+                                .toList();
                         if (!live.isEmpty() && random.nextInt(4) == 0) {
                             String id = live.get(random.nextInt(live.size()));
                             plain.cancelled.add(id);
@@ -82,7 +89,9 @@
                     assertEquals(plain.ready(id), real.ready(id), id + " seed " + seed);
                     assertEquals(plain.cancelled(id), real.isCancelled(id), id + " seed " + seed);
                     assertEquals(plain.done.contains(id), real.isDone(id), id + " seed " + seed);
-                    assertTrue((!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id), "nobody was told of " + id);
+                    assertTrue(
+                            (!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id),
+                            "nobody was told of " + id);
                     if (!plain.done.contains(id) && !plain.cancelled(id)) {
                         assertTrue(real.rank(id).compareTo(plain.ranks.get(id)) <= 0);
                         Set<String> those = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
--- a/src/test/java/org/hollypick/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/FaultAttributionTest.java
@@ -28,14 +28,37 @@
 import org.hollypick.core.tyrex.Tyrex;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that fail on every machine beside machines that fail every task. The truth is known here; the scheduler only sees failures. */
+/**
+ * Jobs that fail on every machine beside machines that fail every task. The truth is known here; the scheduler only
+ * sees failures.
+ */
 class FaultAttributionTest {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final int MACHINES = 12;
 
     /** One stretch of work: what the scheduler did to sound and to sick machines. */
     private static final class Stretch {
-        private final Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a", "b"), Map.of(), List.of(), 3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        private final Settings settings = new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                List.of("a", "b"),
+                Map.of(),
+                List.of(),
+                3,
+                20,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
         private final Scheduler scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
         private final Random random;
         private final Set<String> sick = new HashSet<>();
@@ -44,8 +67,12 @@
         private final Set<String> found = new HashSet<>();
         private long ticks;
         private long now = 1_000;
-        /** Machine-seconds of sound machines in quarantine, and the most tasks of broken jobs under way at once after a minute. */
+        /**
+         * Machine-seconds of sound machines in quarantine, and the most tasks of broken jobs under way at once after a
+         * minute.
+         */
         private double wrongedS;
+
         private int mostBroken;
         private int done;
 
@@ -59,7 +86,30 @@
             for (int i = 0; i < 200; i++) {
                 if (now < 120_000 && i % 2 == 0) {
                     String id = "req-" + i;
-                    scheduler.addJob(new JobSpec(id, "k", "", false, JobSpec.Rank.LOW, 1 + random.nextInt(30), 2, 0, 4, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN), i + 1, 5);
+                    scheduler.addJob(
+                            new JobSpec(
+                                    id,
+                                    "k",
+                                    "",
+                                    false,
+                                    JobSpec.Rank.LOW,
+                                    1 + random.nextInt(30),
+                                    2,
+                                    0,
+                                    4,
+                                    null,
+                                    null,
+                                    false,
+                                    false,
+                                    true,
+                                    "img",
+                                    1,
+                                    10,
+                                    0,
+                                    0,
+                                    Double.NaN),
+                            i + 1,
+                            5);
                     if (random.nextInt(100) < brokenPercent) {
                         broken.add(id);
                     }
@@ -88,7 +138,14 @@
             }
             scheduler.tick(now);
             if (now > 60_000) {
-                mostBroken = Math.max(mostBroken, broken.stream().mapToInt(id -> scheduler.jobs.get(id).failsEverywhere() ? scheduler.jobs.get(id).live.size() : 0).max().orElse(0));
+                mostBroken = Math.max(
+                        mostBroken,
+                        broken.stream()
+                                .mapToInt(id -> scheduler.jobs.get(id).failsEverywhere()
+                                        ? scheduler.jobs.get(id).live.size()
+                                        : 0)
+                                .max()
+                                .orElse(0));
             }
         }
 
@@ -100,25 +157,37 @@
                 boolean ends = now - p.startedAt > 6_000 + random.nextInt(8_000);
                 if (p.state() != State.EXITED) {
                     done += !fails && ends ? 1 : 0;
-                    tasks.add(new TaskReport(p.taskId, p.attempt, fails || ends ? State.EXITED : State.RUNNING, fails ? "error" : ends ? "done" : ""));
+                    tasks.add(new TaskReport(
+                            p.taskId,
+                            p.attempt,
+                            fails || ends ? State.EXITED : State.RUNNING,
+                            fails ? "error" : ends ? "done" : ""));
                 }
             }
-            scheduler.ledger.report(m, new Report(m.id, "addr:1", "t", m.zone, true, 1, ++ticks, 5, Double.NaN, tasks), true, now);
+            scheduler.ledger.report(
+                    m, new Report(m.id, "addr:1", "t", m.zone, true, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
     }
 
-    /** Two broken jobs whose first failures fell on the same sound machine kept it from work for a minute and a half. */
+    /**
+     * Two broken jobs whose first failures fell on the same sound machine kept it from work for a minute and a half.
+     */
     @Property(tries = 30, seed = "20261202")
-    void brokenJobsKeepNoSoundMachineFromWork(@ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 40) int percent) {
+    void brokenJobsKeepNoSoundMachineFromWork(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 40) int percent) {
         Stretch s = new Stretch(seed, 0, percent);
-        assertTrue(s.wrongedS <= 0.02 * MACHINES * 200, "machine-seconds lost: " + s.wrongedS + " on " + s.wronged.size());
+        assertTrue(
+                s.wrongedS <= 0.02 * MACHINES * 200, "machine-seconds lost: " + s.wrongedS + " on " + s.wronged.size());
         assertTrue(s.mostBroken <= 1, "a job that fails everywhere has " + s.mostBroken + " tasks under way");
         assertTrue(s.done > 100);
     }
 
     /** Machines that fail all they start are found while such jobs run. */
     @Property(tries = 30, seed = "20261202")
-    void sickMachinesAreFound(@ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 3) int sick, @ForAll @IntRange(min = 0, max = 30) int percent) {
+    void sickMachinesAreFound(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
+            @ForAll @IntRange(min = 1, max = 3) int sick,
+            @ForAll @IntRange(min = 0, max = 30) int percent) {
         Stretch s = new Stretch(seed, sick, percent);
         assertTrue(s.found.size() >= sick - 1, s.found.size() + " of " + sick + " were found");
     }
@@ -130,7 +199,30 @@
         List<Job> jobs = new ArrayList<>();
         double[] ran = {260, 30, 18, 0, 0, 0, 0};
         for (int i = 0; i < ran.length; i++) {
-            Job job = s.scheduler.addJob(new JobSpec("req-9" + i, "k", "", false, JobSpec.Rank.LOW, 4, 2, 0, 4, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN), 900 + i, 5);
+            Job job = s.scheduler.addJob(
+                    new JobSpec(
+                            "req-9" + i,
+                            "k",
+                            "",
+                            false,
+                            JobSpec.Rank.LOW,
+                            4,
+                            2,
+                            0,
+                            4,
+                            null,
+                            null,
+                            false,
+                            false,
+                            true,
+                            "img",
+                            1,
+                            10,
+                            0,
+                            0,
+                            Double.NaN),
+                    900 + i,
+                    5);
             job.partialSize = ran[i];
             jobs.add(job);
         }
--- a/src/test/java/org/hollypick/FleetTest.java
+++ b/src/test/java/org/hollypick/FleetTest.java
@@ -10,8 +10,8 @@
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
-import org.hollypick.core.Leases;
 import org.hollypick.core.JobSpec;
+import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.fleet.Fleet;
@@ -27,8 +27,9 @@
     private static final Map<String, MachineType> TYPES = Map.of("t", TYPE);
     private static final List<String> ZONES = List.of("a", "b");
 
-    private static final Settings SETTINGS = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES, Map.of(), List.of(),
-            3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+    private static final Settings SETTINGS = new Settings(
+            "n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES, Map.of(), List.of(), 3, 20, 40, 100, 30, 8192, 12,
+            8, 4, 1000);
 
     private final Scheduler scheduler = new Scheduler(5, SETTINGS, 0.3, new Leases(SETTINGS, List.of(), 0, true));
     private final Fleet fleet = new Fleet(OperatorSettings.defaults(), true);
@@ -43,27 +44,80 @@
     }
 
     private Job service(String id, int tasks) {
-        return scheduler.addJob(new JobSpec(id, "web", "team", true, JobSpec.Rank.PRODUCTION, tasks, 1, 0, 1, null, null, false, true, false, "img", 1, 0,
-                0, 0, Double.NaN), machines, 5);
+        return scheduler.addJob(
+                new JobSpec(
+                        id,
+                        "web",
+                        "team",
+                        true,
+                        JobSpec.Rank.PRODUCTION,
+                        tasks,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        "img",
+                        1,
+                        0,
+                        0,
+                        0,
+                        Double.NaN),
+                machines,
+                5);
     }
 
     private Job array(String id, int tasks) {
-        return scheduler.addJob(new JobSpec(id, "batch", "team", false, JobSpec.Rank.NORMAL, tasks, 2, 0, 1, null, null, false, false, true, "img", 1, 30,
-                0, 0, Double.NaN), machines, 5);
+        return scheduler.addJob(
+                new JobSpec(
+                        id,
+                        "batch",
+                        "team",
+                        false,
+                        JobSpec.Rank.NORMAL,
+                        tasks,
+                        2,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "img",
+                        1,
+                        30,
+                        0,
+                        0,
+                        Double.NaN),
+                machines,
+                5);
     }
 
     private static int rented(Fleet.Plan plan, String zone, boolean spot) {
-        return plan.rents().stream().filter(r -> r.kind().zone().equals(zone) && r.kind().spot() == spot).mapToInt(Fleet.Rent::count).sum();
+        return plan.rents().stream()
+                .filter(r -> r.kind().zone().equals(zone) && r.kind().spot() == spot)
+                .mapToInt(Fleet.Rent::count)
+                .sum();
     }
 
     private void allRun(long now) {
         for (Machine m : scheduler.machines.values()) {
-            TaskReport[] tasks = m.placements.values().stream().map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, "")).toArray(TaskReport[]::new);
-            scheduler.ledger.report(m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)), true, now);
+            TaskReport[] tasks = m.placements.values().stream()
+                    .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
+                    .toArray(TaskReport[]::new);
+            scheduler.ledger.report(
+                    m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)), true, now);
         }
     }
 
-    /** What waits was split evenly over the zones, though one held its half already: the other stayed short by half of it. */
+    /**
+     * What waits was split evenly over the zones, though one held its half already: the other stayed short by half of
+     * it.
+     */
     @Test
     void whatWaitsOfASpreadServiceIsNeededWhereItMayStillGo() {
         machine("a", false, 0);
@@ -91,8 +145,12 @@
         machine("a", true, 0);
         array("req-1", 2_000);
         Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
-        assertTrue(rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0, plan.rents().toString());
-        assertTrue(Math.abs(rented(plan, "a", true) - rented(plan, "b", true)) <= 50, plan.rents().toString());
+        assertTrue(
+                rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0,
+                plan.rents().toString());
+        assertTrue(
+                Math.abs(rented(plan, "a", true) - rented(plan, "b", true)) <= 50,
+                plan.rents().toString());
     }
 
     /** All that waited at a term's start was taken for the usual load, and far too much was kept. */
@@ -113,7 +171,10 @@
         assertEquals(60, fleet.load(), 12, "one job of 600 core-seconds each 10 s");
     }
 
-    /** The mean forgets over minutes: after the last job of a day, machines for jobs that no longer came cost a third of it. */
+    /**
+     * The mean forgets over minutes: after the last job of a day, machines for jobs that no longer came cost a third of
+     * it.
+     */
     @Test
     void roomForArraysGoesOnceTheyNoLongerCome() {
         for (int i = 0; i < 4; i++) {
@@ -130,7 +191,8 @@
         fleet.closed(now + 20_000);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size() < 4, "nobody could submit");
         now += 20_000;
-        assertEquals(4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size());
+        assertEquals(
+                4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size());
         // A single late one brought all that room back, booting machines for nothing.
         array("req-late", 1);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 31_000).rents().isEmpty());
@@ -158,7 +220,10 @@
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, 101_000).moves().isEmpty());
     }
 
-    /** Moved replicas went to the emptiest machines, those to be emptied next: most moves were for nothing. Among few machines spread counts more. */
+    /**
+     * Moved replicas went to the emptiest machines, those to be emptied next: most moves were for nothing. Among few
+     * machines spread counts more.
+     */
     @Test
     void replicasStayOffMachinesThatAreEmptiedNextWhereThereAreMany() {
         for (int i = 0; i < 60; i++) {
@@ -176,13 +241,54 @@
         assertEquals(2, late.live.size());
     }
 
-    /** A third of all machines stood idle: what waited for nothing but its team's limit was rented for, again and again. */
+    /**
+     * A third of all machines stood idle: what waited for nothing but its team's limit was rented for, again and again.
+     */
     @Test
     void whatATeamsLimitKeepsFromRunningRentsNothing() {
-        Settings limited = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES, Map.of("team", new Settings.Team("team", 0, 64, 0, 0)), List.of(),
-                3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        Settings limited = new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                ZONES,
+                Map.of("team", new Settings.Team("team", 0, 64, 0, 0)),
+                List.of(),
+                3,
+                20,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
         Scheduler few = new Scheduler(5, limited, 0.3, new Leases(limited, List.of(), 0, true));
-        JobSpec array = new JobSpec("req-1", "batch", "team", false, JobSpec.Rank.NORMAL, 900, 2, 0, 1, null, null, false, false, true, "img", 1, 30, 0, 0, Double.NaN);
+        JobSpec array = new JobSpec(
+                "req-1",
+                "batch",
+                "team",
+                false,
+                JobSpec.Rank.NORMAL,
+                900,
+                2,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                30,
+                0,
+                0,
+                Double.NaN);
         few.addJob(array, 1, 5);
         Fleet.Plan plan = new Fleet(OperatorSettings.defaults(), true).plan(few, TYPES, ZONES, 1_000);
         assertEquals(4, plan.rents().stream().mapToInt(Fleet.Rent::count).sum(), "64 cores");
@@ -193,20 +299,82 @@
 
     /** A scheduler whose only team may use that many cores. */
     private static Scheduler withLimit(double cores) {
-        Settings limited = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES,
-                Map.of("team", new Settings.Team("team", 0, cores, 0, 0)), List.of(),
-                3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        Settings limited = new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                ZONES,
+                Map.of("team", new Settings.Team("team", 0, cores, 0, 0)),
+                List.of(),
+                3,
+                20,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
         return new Scheduler(5, limited, 0.3, new Leases(limited, List.of(), 0, true));
     }
 
     private static Job addService(Scheduler to, String id, int tasks) {
-        return to.addJob(new JobSpec(id, "web", "team", true, JobSpec.Rank.PRODUCTION, tasks, 1, 0, 1, null, null,
-                false, true, false, "img", 1, 0, 0, 0, Double.NaN), 1, 5);
+        return to.addJob(
+                new JobSpec(
+                        id,
+                        "web",
+                        "team",
+                        true,
+                        JobSpec.Rank.PRODUCTION,
+                        tasks,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        true,
+                        false,
+                        "img",
+                        1,
+                        0,
+                        0,
+                        0,
+                        Double.NaN),
+                1,
+                5);
     }
 
     private static Job addArray(Scheduler to, String id, int tasks) {
-        return to.addJob(new JobSpec(id, "batch", "team", false, JobSpec.Rank.NORMAL, tasks, 2, 0, 1, null, null,
-                false, false, true, "img", 1, 30, 0, 0, Double.NaN), 1, 5);
+        return to.addJob(
+                new JobSpec(
+                        id,
+                        "batch",
+                        "team",
+                        false,
+                        JobSpec.Rank.NORMAL,
+                        tasks,
+                        2,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "img",
+                        1,
+                        30,
+                        0,
+                        0,
+                        Double.NaN),
+                1,
+                5);
     }
 
     private static double rentedCores(Fleet.Plan plan) {
--- a/src/test/java/org/hollypick/HttpTest.java
+++ b/src/test/java/org/hollypick/HttpTest.java
@@ -45,8 +45,12 @@
 
     @BeforeEach
     void start() throws Exception {
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
+        worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .getMap());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, 8192);
         sockets = new Sockets(100);
         network = new Network(worker.getIoThread(), buffers, sockets, Set.of(), 10);
@@ -60,8 +64,18 @@
                 answer.accept(Answer.error(404, "none"));
                 return;
             }
-            answer.accept(path.equals("/later") ? Answer.later("busy")
-                    : Answer.of(200, Codec.object().put("method", method).put("text", tree == null ? "" : tree.path("text").asText())));
+            answer.accept(
+                    path.equals("/later")
+                            ? Answer.later("busy")
+                            : Answer.of(
+                                    200,
+                                    Codec.object()
+                                            .put("method", method)
+                                            .put(
+                                                    "text",
+                                                    tree == null
+                                                            ? ""
+                                                            : tree.path("text").asText())));
         };
         server = HttpServer.start(worker, buffers, sockets, addr, echo, free(), echo);
     }
@@ -93,16 +107,26 @@
             assertEquals(200, r.status());
             assertEquals(text, r.body().path("text").asText());
         }
-        assertEquals("GET", call(Call.of(addr, "GET", "/echo", null, 5_000)).body().path("method").asText());
+        assertEquals(
+                "GET",
+                call(Call.of(addr, "GET", "/echo", null, 5_000))
+                        .body()
+                        .path("method")
+                        .asText());
     }
 
     @Test
     void tellsNoAnswerFromNotSent() throws Exception {
-        assertEquals(Reply.NO_ANSWER, call(Call.of(addr, "POST", "/hang", Codec.object(), 300)).status());
-        assertEquals(Reply.NOT_SENT, call(Call.of(free(), "GET", "/", null, 2_000)).status());
+        assertEquals(
+                Reply.NO_ANSWER,
+                call(Call.of(addr, "POST", "/hang", Codec.object(), 300)).status());
+        assertEquals(
+                Reply.NOT_SENT, call(Call.of(free(), "GET", "/", null, 2_000)).status());
     }
 
-    /** Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left. */
+    /**
+     * Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left.
+     */
     @Test
     void anAttemptThatIsGivenUpKeepsNoSocket() throws Exception {
         try (ServerSocket dark = new ServerSocket(0, 1)) {
@@ -130,7 +154,10 @@
         }
     }
 
-    /** What this node has no room for says nothing about the other side; the services that it can't do without have room all the same. */
+    /**
+     * What this node has no room for says nothing about the other side; the services that it can't do without have room
+     * all the same.
+     */
     @Test
     void aCallWithoutRoomIsToldApart() throws Exception {
         for (int i = 0; i < 100; i++) {
@@ -139,10 +166,16 @@
         for (int i = 0; i < 12; i++) {
             sockets.opened(Sockets.Kind.ORDERS);
         }
-        assertEquals(Reply.LACK, call(Call.of(addr, "GET", "/echo", null, 2_000)).status());
-        assertEquals(404, call(new Call(addr, "GET", "/none", null, 2_000, true)).status());
-        assertTrue(raw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").contains("Connection: close"), "reports give way after their answer");
-        assertFalse(raw("GET /echo HTTP/1.1\r\nHost: x\r\n\r\n").contains("Connection: close"), "users have their floor");
+        assertEquals(
+                Reply.LACK, call(Call.of(addr, "GET", "/echo", null, 2_000)).status());
+        assertEquals(
+                404, call(new Call(addr, "GET", "/none", null, 2_000, true)).status());
+        assertTrue(
+                raw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+                        .contains("Connection: close"),
+                "reports give way after their answer");
+        assertFalse(
+                raw("GET /echo HTTP/1.1\r\nHost: x\r\n\r\n").contains("Connection: close"), "users have their floor");
     }
 
     private String raw(String request) throws Exception {
@@ -158,8 +191,10 @@
 
     @Test
     void survivesGarbageOversizeAndHalfRequests() throws Exception {
-        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n\u00ff\u00ff\u00ff").startsWith("HTTP/1.1 200"));
-        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\nabc").startsWith("HTTP/1.1 4"));
+        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n\u00ff\u00ff\u00ff")
+                .startsWith("HTTP/1.1 200"));
+        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\nabc")
+                .startsWith("HTTP/1.1 4"));
         assertTrue(raw("nonsense\r\n\r\n").isEmpty() || raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 4"));
         assertEquals(200, call(Call.of(addr, "GET", "/echo", null, 5_000)).status());
     }
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -8,56 +8,110 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
-import org.junit.jupiter.api.Test;
-import java.util.stream.Stream;
-import java.util.Map;
-import java.util.List;
-import java.nio.file.Path;
-import java.nio.file.Files;
-import java.io.UncheckedIOException;
 import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
 
 /** Which package may use which: the layout that README.md tells of stays true. */
 @AnalyzeClasses(packages = "org.hollypick", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayoutTest {
     @ArchTest
-    static final ArchRule layers = layeredArchitecture().consideringOnlyDependenciesInLayers()
-            .layer("config").definedBy("org.hollypick.config..")
-            .layer("core").definedBy("org.hollypick.core..")
-            .layer("io").definedBy("org.hollypick.io..")
-            .layer("mesh").definedBy("org.hollypick.mesh..")
-            .layer("protocols").definedBy("org.hollypick.state..", "org.hollypick.cloud..", "org.hollypick.worker..")
-            .layer("cluster").definedBy("org.hollypick.cluster..")
-            .layer("records").definedBy("org.hollypick.records..")
-            .layer("relay").definedBy("org.hollypick.relay..")
-            .layer("control").definedBy("org.hollypick.control..")
-            .layer("api").definedBy("org.hollypick.api..")
-            .layer("node").definedBy("org.hollypick")
-            .layer("cli").definedBy("org.hollypick.cli..")
-            .whereLayer("cli").mayNotBeAccessedByAnyLayer()
-            .whereLayer("node").mayOnlyBeAccessedByLayers("cli")
-            .whereLayer("api").mayOnlyBeAccessedByLayers("node")
-            .whereLayer("relay").mayOnlyBeAccessedByLayers("control", "node")
-            .whereLayer("control").mayOnlyBeAccessedByLayers("api", "node")
-            .whereLayer("records").mayOnlyBeAccessedByLayers("control", "api", "node", "cli")
-            .whereLayer("cluster").mayOnlyBeAccessedByLayers("relay", "records", "control", "api", "node")
-            .whereLayer("mesh").mayOnlyBeAccessedByLayers("protocols", "node")
-            .whereLayer("protocols").mayOnlyBeAccessedByLayers("relay", "cluster", "control", "node")
-            .whereLayer("io").mayOnlyBeAccessedByLayers("mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli")
-            .whereLayer("core").mayOnlyBeAccessedByLayers("mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli");
+    static final ArchRule layers = layeredArchitecture()
+            .consideringOnlyDependenciesInLayers()
+            .layer("config")
+            .definedBy("org.hollypick.config..")
+            .layer("core")
+            .definedBy("org.hollypick.core..")
+            .layer("io")
+            .definedBy("org.hollypick.io..")
+            .layer("mesh")
+            .definedBy("org.hollypick.mesh..")
+            .layer("protocols")
+            .definedBy("org.hollypick.state..", "org.hollypick.cloud..", "org.hollypick.worker..")
+            .layer("cluster")
+            .definedBy("org.hollypick.cluster..")
+            .layer("records")
+            .definedBy("org.hollypick.records..")
+            .layer("relay")
+            .definedBy("org.hollypick.relay..")
+            .layer("control")
+            .definedBy("org.hollypick.control..")
+            .layer("api")
+            .definedBy("org.hollypick.api..")
+            .layer("node")
+            .definedBy("org.hollypick")
+            .layer("cli")
+            .definedBy("org.hollypick.cli..")
+            .whereLayer("cli")
+            .mayNotBeAccessedByAnyLayer()
+            .whereLayer("node")
+            .mayOnlyBeAccessedByLayers("cli")
+            .whereLayer("api")
+            .mayOnlyBeAccessedByLayers("node")
+            .whereLayer("relay")
+            .mayOnlyBeAccessedByLayers("control", "node")
+            .whereLayer("control")
+            .mayOnlyBeAccessedByLayers("api", "node")
+            .whereLayer("records")
+            .mayOnlyBeAccessedByLayers("control", "api", "node", "cli")
+            .whereLayer("cluster")
+            .mayOnlyBeAccessedByLayers("relay", "records", "control", "api", "node")
+            .whereLayer("mesh")
+            .mayOnlyBeAccessedByLayers("protocols", "node")
+            .whereLayer("protocols")
+            .mayOnlyBeAccessedByLayers("relay", "cluster", "control", "node")
+            .whereLayer("io")
+            .mayOnlyBeAccessedByLayers(
+                    "mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli")
+            .whereLayer("core")
+            .mayOnlyBeAccessedByLayers(
+                    "mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli");
 
     /** Whoever uses the client library needs nothing of the server. */
     @ArchTest
-    static final ArchRule clientStandsAlone = noClasses().that().resideInAPackage("org.hollypick.client..").should().dependOnClassesThat()
-            .resideInAnyPackage("org.hollypick", "org.hollypick.core..", "org.hollypick.control..", "org.hollypick.api..", "org.hollypick.io..",
-                    "org.hollypick.records..", "org.hollypick.config..", "org.hollypick.cluster..", "org.hollypick.state..", "org.hollypick.cli..");
+    static final ArchRule clientStandsAlone = noClasses()
+            .that()
+            .resideInAPackage("org.hollypick.client..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                    "org.hollypick",
+                    "org.hollypick.core..",
+                    "org.hollypick.control..",
+                    "org.hollypick.api..",
+                    "org.hollypick.io..",
+                    "org.hollypick.records..",
+                    "org.hollypick.config..",
+                    "org.hollypick.cluster..",
+                    "org.hollypick.state..",
+                    "org.hollypick.cli..");
 
     @ArchTest
-    static final ArchRule coreIsPure = noClasses().that().resideInAPackage("org.hollypick.core..").should().dependOnClassesThat()
-            .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "java.time..", "java.util.concurrent..", "com.fasterxml..", "io.undertow..",
-                    "org.xnio..", "org.slf4j..");
+    static final ArchRule coreIsPure = noClasses()
+            .that()
+            .resideInAPackage("org.hollypick.core..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(
+                    "java.io..",
+                    "java.net..",
+                    "java.nio..",
+                    "java.time..",
+                    "java.util.concurrent..",
+                    "com.fasterxml..",
+                    "io.undertow..",
+                    "org.xnio..",
+                    "org.slf4j..");
 
-    /** Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may spell it out: StateClient names a key that is never written. */
+    /**
+     * Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may
+     * spell it out: StateClient names a key that is never written.
+     */
     private static final Map<String, List<String>> WIRE_NAMES = Map.of(
             "\"baton\"", List.of("io/WireNames.java"),
             "\"tenure\"", List.of("io/WireNames.java"),
@@ -72,7 +126,8 @@
         try (Stream<Path> files = Files.walk(sources)) {
             List<String> misplaced = files.filter(file -> file.toString().endsWith(".java"))
                     .flatMap(file -> WIRE_NAMES.entrySet().stream()
-                            .filter(name -> name.getValue().stream().noneMatch(allowed -> file.equals(sources.resolve(allowed))))
+                            .filter(name -> name.getValue().stream()
+                                    .noneMatch(allowed -> file.equals(sources.resolve(allowed))))
                             .filter(name -> read(file).contains(name.getKey()))
                             .map(name -> name.getKey() + " in " + file))
                     .toList();
