--- a/src/test/java/org/hollypick/LeasesTest.java
+++ b/src/test/java/org/hollypick/LeasesTest.java
@@ -16,16 +16,44 @@
 import org.hollypick.core.Leases;
 import org.junit.jupiter.api.Test;
 
-/** When a lease counts as over, against a plain model of a worker, two custodians, a leader and a network that loses and holds back, on drifting clocks. */
+/**
+ * When a lease counts as over, against a plain model of a worker, two custodians, a leader and a network that loses and
+ * holds back, on drifting clocks.
+ */
 class LeasesTest {
     private static final long LEASE_MS = 15_000;
     private static final List<String> KEEPERS = List.of("k0", "k1");
-    private static final Settings SETTINGS = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a"), Map.of(), List.of(),
-            3, LEASE_MS / 1000.0, 35, 100, 30, 8192, 12, 8, 4, 1000);
+    private static final Settings SETTINGS = new Settings(
+            "n",
+            "a",
+            "p:1",
+            "m:1",
+            List.of(),
+            "c:1",
+            "s:1",
+            List.of("a"),
+            Map.of(),
+            List.of(),
+            3,
+            LEASE_MS / 1000.0,
+            35,
+            100,
+            30,
+            8192,
+            12,
+            8,
+            4,
+            1000);
     private static final long WINDOW_MS = Leases.windowMs(SETTINGS);
 
     /** What a custodian may do wrong. */
-    private enum Fault { NONE, HIDES, KEEPS_LONGER, COUNTS_FROM_THE_ANSWER, BEGINS_AGAIN_UNNOTICED }
+    private enum Fault {
+        NONE,
+        HIDES,
+        KEEPS_LONGER,
+        COUNTS_FROM_THE_ANSWER,
+        BEGINS_AGAIN_UNNOTICED
+    }
 
     /** One drawn stretch of time; events in the order of true time. */
     private static final class Model {
@@ -33,6 +61,7 @@
         private final Fault fault;
         /** Keepers end and are back at once: in every second stretch, so that there are as many without as before. */
         private final boolean beginsAgain;
+
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Leases leases;
         private final List<Custodian> custodians = new ArrayList<>();
@@ -40,12 +69,17 @@
         private final double workerRate;
         private long now = 100_000;
         private long seq;
-        /** The worker's: when the last answered report was sent, by its own clock, and whether that lease has run out since. */
+        /**
+         * The worker's: when the last answered report was sent, by its own clock, and whether that lease has run out
+         * since.
+         */
         private double sentAt;
+
         private boolean ended;
         private long answeredAt;
         /** Who hears the worker: 0 the leader, else a custodian, -1 nobody. */
         private int heardBy;
+
         private long overAt = -1;
         private String wrong;
 
@@ -64,6 +98,7 @@
             double contactAt;
             /** Counts its processes: an answer to an earlier one doesn't reach the present one. */
             int life;
+
             long echo;
             long kept;
             long told;
@@ -110,7 +145,9 @@
                 told = Math.max(told, telling);
                 if (granted) {
                     double from = fault == Fault.COUNTS_FROM_THE_ANSWER ? clock() : sent;
-                    until = from + WINDOW_MS * (fault == Fault.KEEPS_LONGER ? 2 : 1 - Constants.DRIFT) - Constants.CLOCK_MARGIN_MS;
+                    until = from
+                            + WINDOW_MS * (fault == Fault.KEEPS_LONGER ? 2 : 1 - Constants.DRIFT)
+                            - Constants.CLOCK_MARGIN_MS;
                 }
             }
 
@@ -237,7 +274,8 @@
     /** Each way of keeping more than was granted, or telling less, is noticed by the model. */
     @Test
     void theModelNoticesFaultyCustodians() {
-        for (Fault fault : List.of(Fault.HIDES, Fault.KEEPS_LONGER, Fault.COUNTS_FROM_THE_ANSWER, Fault.BEGINS_AGAIN_UNNOTICED)) {
+        for (Fault fault :
+                List.of(Fault.HIDES, Fault.KEEPS_LONGER, Fault.COUNTS_FROM_THE_ANSWER, Fault.BEGINS_AGAIN_UNNOTICED)) {
             boolean noticed = false;
             for (int seed = 1; seed <= 3_000 && !noticed; seed++) {
                 noticed = new Model(seed, fault).play(150_000).wrong != null;
--- a/src/test/java/org/hollypick/LedgerTest.java
+++ b/src/test/java/org/hollypick/LedgerTest.java
@@ -12,8 +12,8 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.MachineType;
 import org.hollypick.core.Leases;
+import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
@@ -28,16 +28,55 @@
     private static final long LEASE_MS = 20_000;
     private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
 
-    private final Scheduler scheduler = new Scheduler(5, settings(Map.of()), 0.3, new Leases(settings(Map.of()), List.of(), 0, true));
+    private final Scheduler scheduler =
+            new Scheduler(5, settings(Map.of()), 0.3, new Leases(settings(Map.of()), List.of(), 0, true));
 
     private static Settings settings(Map<String, Settings.Team> teams) {
-        return new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a", "b"), teams, List.of(),
-                3, LEASE_MS / 1000.0, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        return new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                List.of("a", "b"),
+                teams,
+                List.of(),
+                3,
+                LEASE_MS / 1000.0,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
     }
 
     private static JobSpec spec(String id, int tasks, boolean service) {
-        return new JobSpec(id, "k", "team", service, service ? JobSpec.Rank.PRODUCTION : JobSpec.Rank.LOW, tasks, 2, 0, 4, null, null,
-                false, false, true, "img", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                id,
+                "k",
+                "team",
+                service,
+                service ? JobSpec.Rank.PRODUCTION : JobSpec.Rank.LOW,
+                tasks,
+                2,
+                0,
+                4,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     private Machine machine(String id, boolean registered) {
@@ -68,7 +107,10 @@
         return orders.stream().filter(o -> o.verb() == Order.Verb.FORGET).count();
     }
 
-    /** A new session was heard of through a direct answer after an outage; counting from the last answered report lost its tasks. */
+    /**
+     * A new session was heard of through a direct answer after an outage; counting from the last answered report lost
+     * its tasks.
+     */
     @Test
     void aSessionKnownFromADirectAnswerHasItsFullLease() {
         Machine m = reporting();
@@ -115,7 +157,8 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Placement p = launched(job, m, 0);
-        scheduler.ledger.report(m, report("n-1", 1, 2, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
+        scheduler.ledger.report(
+                m, report("n-1", 1, 2, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
         assertTrue(job.finished());
         assertEquals(0, clears(scheduler.ledger.orders(m)));
         scheduler.close(job);
@@ -156,7 +199,11 @@
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Placement p = launched(job, m, 0);
         scheduler.tick(LEASE_MS + 2_000);
-        assertFalse(scheduler.ledger.report(m, report("n-1", 1, 9, 5, new TaskReport(p.taskId, p.attempt, State.RUNNING, "")), true, LEASE_MS + 3_000));
+        assertFalse(scheduler.ledger.report(
+                m,
+                report("n-1", 1, 9, 5, new TaskReport(p.taskId, p.attempt, State.RUNNING, "")),
+                true,
+                LEASE_MS + 3_000));
         assertTrue(job.pending.get(0));
     }
 
@@ -169,7 +216,11 @@
 
     @Test
     void limitsCountEveryTaskThatMayBeThere() {
-        Scheduler limited = new Scheduler(5, settings(Map.of("team", new Settings.Team("team", 0, 4, 0, 0))), 0.3, new Leases(settings(Map.of()), List.of(), 0, true));
+        Scheduler limited = new Scheduler(
+                5,
+                settings(Map.of("team", new Settings.Team("team", 0, 4, 0, 0))),
+                0.3,
+                new Leases(settings(Map.of()), List.of(), 0, true));
         Machine m = limited.addMachine("n-1", TYPE, "a", true, false, 0);
         m.registered = true;
         limited.ledger.report(m, report("n-1", 1, 1, 5), true, 0);
@@ -182,7 +233,10 @@
         assertEquals(0, next.live.size(), "launches in flight still count");
     }
 
-    /** A held-back launch of a cancelled job could be executed long after its user was told: until the machine shows it, nobody may be told. */
+    /**
+     * A held-back launch of a cancelled job could be executed long after its user was told: until the machine shows it,
+     * nobody may be told.
+     */
     @Test
     void aLaunchOfACancelledJobIsUnderWayUntilTheMachineShowsIt() {
         Machine m = reporting();
@@ -197,7 +251,8 @@
         scheduler.ledger.report(m, report("n-1", 1, 20, 5), true, 20_000);
         assertTrue(scheduler.ledger.launchUnderWay(job), "a report that doesn't show it proves nothing");
         Placement p = job.live.get(0);
-        scheduler.ledger.report(m, report("n-1", 1, 21, 5, new TaskReport(p.taskId, p.attempt, State.FETCHING, "")), true, 21_000);
+        scheduler.ledger.report(
+                m, report("n-1", 1, 21, 5, new TaskReport(p.taskId, p.attempt, State.FETCHING, "")), true, 21_000);
         assertFalse(scheduler.ledger.launchUnderWay(job));
         assertEquals(List.of(new Order(Order.Verb.STOP, p.taskId, p.attempt, 0)), scheduler.ledger.orders(m));
     }
@@ -240,7 +295,9 @@
         Machine m = reporting();
         Job low = scheduler.addJob(spec("req-1", 4, false), 1, 5);
         scheduler.pass(0);
-        TaskReport[] running = low.live.values().stream().map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, "")).toArray(TaskReport[]::new);
+        TaskReport[] running = low.live.values().stream()
+                .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
+                .toArray(TaskReport[]::new);
         scheduler.ledger.report(m, report("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
         scheduler.pass(100);
@@ -253,7 +310,8 @@
     private void fail(Machine m, Job job, long tick, long now) {
         Placement p = job.live.values().iterator().next();
         assertEquals(m, p.machine);
-        scheduler.ledger.report(m, report(m.id, 1, tick, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "error")), true, now);
+        scheduler.ledger.report(
+                m, report(m.id, 1, tick, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "error")), true, now);
     }
 
     /** Two jobs that fail on one machine alone speak against the machine; what runs there goes on. */
@@ -267,8 +325,18 @@
         Placement running = good.live.get(0);
         Placement a = one.live.get(0);
         Placement b = two.live.get(0);
-        scheduler.ledger.report(m, report("n-1", 1, 2, 5, new TaskReport(running.taskId, running.attempt, State.RUNNING, ""),
-                new TaskReport(a.taskId, a.attempt, State.EXITED, "error"), new TaskReport(b.taskId, b.attempt, State.EXITED, "error")), true, 100);
+        scheduler.ledger.report(
+                m,
+                report(
+                        "n-1",
+                        1,
+                        2,
+                        5,
+                        new TaskReport(running.taskId, running.attempt, State.RUNNING, ""),
+                        new TaskReport(a.taskId, a.attempt, State.EXITED, "error"),
+                        new TaskReport(b.taskId, b.attempt, State.EXITED, "error")),
+                true,
+                100);
         assertTrue(m.faulty);
         assertFalse(running.stop);
         scheduler.tick(200_000);
@@ -315,7 +383,10 @@
         return new TaskReport(task, attempt, State.RUNNING, null);
     }
 
-    /** A leader before this one started those; one machine reports, the other, as large as the limit, doesn't. A new job of the team waits. */
+    /**
+     * A leader before this one started those; one machine reports, the other, as large as the limit, doesn't. A new job
+     * of the team waits.
+     */
     private static Scheduler halfHeard(boolean olderKept, long token) {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
         if (olderKept) {
@@ -325,38 +396,62 @@
         Machine m = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-2", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, true, 0);
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.ledger.report(m, report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)), true, 100);
+        s.ledger.report(
+                m, report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)), true, 100);
         s.pass(100);
         return s;
     }
 
-    /** With a partitioned zone a team with a limit started nothing for as long as a lease and more, on machines that were heard, and half of all work ended. */
+    /**
+     * With a partitioned zone a team with a limit started nothing for as long as a lease and more, on machines that
+     * were heard, and half of all work ended.
+     */
     @Test
     void aTeamsEndedTasksMakeRoomBeforeAllIsHeard() {
         Scheduler s = halfHeard(true, 5);
         Job waiting = s.jobs.get("req-000002");
         assertEquals(0, waiting.live.size(), "up to the limit of 10 cores may be anywhere");
         Machine m = s.machines.get("n-1");
-        s.ledger.report(m, report("n-1", 1, 2, 5, running("req-000001/0", 3), new TaskReport("req-000001/1", 4, State.EXITED, "done")), true, 200);
+        s.ledger.report(
+                m,
+                report(
+                        "n-1",
+                        1,
+                        2,
+                        5,
+                        running("req-000001/0", 3),
+                        new TaskReport("req-000001/1", 4, State.EXITED, "done")),
+                true,
+                200);
         s.pass(200);
         assertEquals(1, waiting.live.size(), "the room of the one that ended");
         s.pass(300);
         assertEquals(1, waiting.live.size());
         s.machineGone("n-2");
         s.pass(400);
-        assertEquals(4, waiting.live.size() + s.jobs.get("req-000001").live.size(), "all is known: the whole machine is used");
+        assertEquals(
+                4,
+                waiting.live.size() + s.jobs.get("req-000001").live.size(),
+                "all is known: the whole machine is used");
     }
 
     /** Earlier leaders may have kept a higher limit: nothing is known of what they started. */
     @Test
     void endedTasksMakeNoRoomAfterLeadersWithOtherLimits() {
         Scheduler s = halfHeard(false, 5);
-        s.ledger.report(s.machines.get("n-1"), report("n-1", 1, 2, 5, new TaskReport("req-000001/1", 4, State.EXITED, "done")), true, 200);
+        s.ledger.report(
+                s.machines.get("n-1"),
+                report("n-1", 1, 2, 5, new TaskReport("req-000001/1", 4, State.EXITED, "done")),
+                true,
+                200);
         s.pass(200);
         assertEquals(0, s.jobs.get("req-000002").live.size());
     }
 
-    /** A report from before this term may be of any time: its tasks may have ended, and others been started elsewhere, before the last leader did. */
+    /**
+     * A report from before this term may be of any time: its tasks may have ended, and others been started elsewhere,
+     * before the last leader did.
+     */
     @Test
     void whatAnOlderReportListsMakesNoRoom() {
         Scheduler s = halfHeard(true, 4);
@@ -366,7 +461,10 @@
         assertEquals(0, s.jobs.get("req-000002").live.size());
     }
 
-    /** Tasks of a job that was cancelled just before the last leader's end still take room until they have been told to go: they weren't counted. */
+    /**
+     * Tasks of a job that was cancelled just before the last leader's end still take room until they have been told to
+     * go: they weren't counted.
+     */
     @Test
     void tasksThatNobodyCountsAreWaitedFor() {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
@@ -376,17 +474,24 @@
         s.ledger.report(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
         s.ledger.report(m, report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)), true, 100);
         s.pass(100);
-        assertEquals(1, s.jobs.get("req-000002").live.size(), "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
+        assertEquals(
+                1,
+                s.jobs.get("req-000002").live.size(),
+                "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
         s.ledger.report(m, report("n-1", 1, 2, 5), true, 200);
         s.pass(200);
         assertEquals(4, s.jobs.get("req-000002").live.size());
     }
 
-    /** Arrays took again and again what their own tasks left of the limit on machines that services may not use, while services waited beside free room. */
+    /**
+     * Arrays took again and again what their own tasks left of the limit on machines that services may not use, while
+     * services waited beside free room.
+     */
     @Test
     void servicesComeFirstWhereOnlyTheLimitKeepsThem() {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
-        Machine spot = s.addMachine("n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
+        Machine spot = s.addMachine(
+                "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.registered = true;
         s.ledger.report(spot, report("n-1", 1, 1, 5), true, 0);
         Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
@@ -395,14 +500,37 @@
         Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
         ordinary.registered = true;
         s.ledger.report(ordinary, report("n-2", 1, 1, 5), true, 0);
-        Job service = s.addJob(new JobSpec("req-000002", "k", "team", true, JobSpec.Rank.PRODUCTION, 2, 2, 0, 4, null, null, false, false, false, "img", 1, 10, 0, 0,
-                Double.NaN), 2, 5);
+        Job service = s.addJob(
+                new JobSpec(
+                        "req-000002",
+                        "k",
+                        "team",
+                        true,
+                        JobSpec.Rank.PRODUCTION,
+                        2,
+                        2,
+                        0,
+                        4,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        Double.NaN),
+                2,
+                5);
         s.pass(2_000);
         assertEquals(0, service.live.size());
         Placement[] there = array.live.values().toArray(new Placement[0]);
         TaskReport[] one = new TaskReport[there.length];
         for (int i = 0; i < there.length; i++) {
-            one[i] = new TaskReport(there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
+            one[i] = new TaskReport(
+                    there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
         }
         s.ledger.report(spot, report("n-1", 1, 2, 5, one), true, 2_500);
         s.fill(spot, 2_500);
--- a/src/test/java/org/hollypick/LinksCoreTest.java
+++ b/src/test/java/org/hollypick/LinksCoreTest.java
@@ -28,7 +28,8 @@
                 direct = true;
             } else if (h.what.equals("failed")) {
                 int upTo = i;
-                boolean outweighed = all.subList(0, upTo).stream().anyMatch(o -> o.what.equals("answered") && o.at > h.sentAt);
+                boolean outweighed =
+                        all.subList(0, upTo).stream().anyMatch(o -> o.what.equals("answered") && o.at > h.sentAt);
                 direct &= outweighed;
             }
         }
@@ -36,7 +37,8 @@
     }
 
     private static boolean rests(List<Happened> all, int peer, long now) {
-        return all.stream().anyMatch(h -> h.what.equals("peerFailed") && h.peer == peer && now < h.at + Constants.ROUTE_AGAIN_MS);
+        return all.stream()
+                .anyMatch(h -> h.what.equals("peerFailed") && h.peer == peer && now < h.at + Constants.ROUTE_AGAIN_MS);
     }
 
     private static boolean proven(List<Happened> all, int peer) {
@@ -89,21 +91,34 @@
                 anyRested |= !rests(all, p, now);
                 assertEquals(proven(all, p), route.proven(p));
             }
-            assertEquals(!direct(all) && anyRested, chosen >= 0, "a peer is chosen when the direct way is bad and one isn't at rest");
+            assertEquals(
+                    !direct(all) && anyRested,
+                    chosen >= 0,
+                    "a peer is chosen when the direct way is bad and one isn't at rest");
             assertTrue(chosen < 0 || !rests(all, chosen, now));
         }
     }
 
-    /** Who reaches more never waits longer; needing no other is better; and reaching half of the machines is worth less than all of them by way of others. */
+    /**
+     * Who reaches more never waits longer; needing no other is better; and reaching half of the machines is worth less
+     * than all of them by way of others.
+     */
     @Property(tries = 1_000)
-    void whoReachesMoreWaitsLess(@ForAll @IntRange(min = 1, max = 40) int asked, @ForAll @IntRange(max = 40) int direct, @ForAll @IntRange(max = 40) int byPeers) {
+    void whoReachesMoreWaitsLess(
+            @ForAll @IntRange(min = 1, max = 40) int asked,
+            @ForAll @IntRange(max = 40) int direct,
+            @ForAll @IntRange(max = 40) int byPeers) {
         int d = Math.min(direct, asked);
         int p = Math.min(byPeers, asked - d);
         long wait = LeadershipDelay.waitMs(asked, d, p);
         assertTrue(wait >= 0 && wait <= Constants.LEADERSHIP_DELAY_MAX_MS + Constants.LEADERSHIP_DELAY_STEP_MS);
         assertTrue(d == asked || LeadershipDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
-        assertTrue(d + p == asked || LeadershipDelay.waitMs(asked, d, p + 1) <= wait || LeadershipDelay.enough(asked, d));
-        assertTrue(LeadershipDelay.waitMs(asked, d, 0) >= LeadershipDelay.waitMs(asked, d, asked - d) || LeadershipDelay.enough(asked, d));
-        assertTrue(asked % 2 != 0 || LeadershipDelay.waitMs(asked, asked / 2, 0) > LeadershipDelay.waitMs(asked, 0, asked) + Constants.CLAIM_STEP_MS);
+        assertTrue(
+                d + p == asked || LeadershipDelay.waitMs(asked, d, p + 1) <= wait || LeadershipDelay.enough(asked, d));
+        assertTrue(LeadershipDelay.waitMs(asked, d, 0) >= LeadershipDelay.waitMs(asked, d, asked - d)
+                || LeadershipDelay.enough(asked, d));
+        assertTrue(asked % 2 != 0
+                || LeadershipDelay.waitMs(asked, asked / 2, 0)
+                        > LeadershipDelay.waitMs(asked, 0, asked) + Constants.CLAIM_STEP_MS);
     }
 }
--- a/src/test/java/org/hollypick/PlannerTest.java
+++ b/src/test/java/org/hollypick/PlannerTest.java
@@ -14,8 +14,8 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.MachineType;
 import org.hollypick.core.Leases;
+import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Placement;
@@ -31,12 +31,37 @@
 
     private static Scheduler world(long seed) {
         Random random = new Random(seed);
-        Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a", "b"),
-                Map.of("team", new Settings.Team("team", 0, random.nextBoolean() ? 0 : 60, 0, 0)), List.of(), 3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        Settings settings = new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                List.of("a", "b"),
+                Map.of("team", new Settings.Team("team", 0, random.nextBoolean() ? 0 : 60, 0, 0)),
+                List.of(),
+                3,
+                20,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
         Scheduler scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
         int machines = 2 + random.nextInt(14);
         for (int i = 0; i < machines; i++) {
-            Machine m = scheduler.addMachine("n-" + i, random.nextBoolean() ? SMALL : LARGE, random.nextBoolean() ? "a" : "b", random.nextBoolean(), false, 0);
+            Machine m = scheduler.addMachine(
+                    "n-" + i,
+                    random.nextBoolean() ? SMALL : LARGE,
+                    random.nextBoolean() ? "a" : "b",
+                    random.nextBoolean(),
+                    false,
+                    0);
             m.registered = random.nextInt(10) > 0;
             scheduler.ledger.report(m, report(m, 1), true, 0);
             for (int k = 0; k < 3; k++) {
@@ -49,10 +74,29 @@
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 3 + random.nextInt(6); i++) {
                 boolean service = random.nextInt(3) == 0;
-                JobSpec spec = new JobSpec("req-" + round + i, service ? "web" : "batch", "team", service,
-                        service ? JobSpec.Rank.PRODUCTION : random.nextBoolean() ? JobSpec.Rank.NORMAL : JobSpec.Rank.LOW, 1 + random.nextInt(12),
-                        1 + random.nextInt(3), 0, 2, null, random.nextInt(6) == 0 ? "a" : null, !service && random.nextInt(5) == 0, service,
-                        !service, "img-" + random.nextInt(3), 1 + random.nextInt(3), 10, 0, 0, Double.NaN);
+                JobSpec spec = new JobSpec(
+                        "req-" + round + i,
+                        service ? "web" : "batch",
+                        "team",
+                        service,
+                        service
+                                ? JobSpec.Rank.PRODUCTION
+                                : random.nextBoolean() ? JobSpec.Rank.NORMAL : JobSpec.Rank.LOW,
+                        1 + random.nextInt(12),
+                        1 + random.nextInt(3),
+                        0,
+                        2,
+                        null,
+                        random.nextInt(6) == 0 ? "a" : null,
+                        !service && random.nextInt(5) == 0,
+                        service,
+                        !service,
+                        "img-" + random.nextInt(3),
+                        1 + random.nextInt(3),
+                        10,
+                        0,
+                        0,
+                        Double.NaN);
                 Job job = scheduler.addJob(spec, round * 100 + i, 5);
                 job.moved = !service && random.nextInt(3) == 0;
             }
@@ -67,7 +111,9 @@
     }
 
     private static Report report(Machine m, long tick) {
-        TaskReport[] tasks = m.placements.values().stream().map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, "")).toArray(TaskReport[]::new);
+        TaskReport[] tasks = m.placements.values().stream()
+                .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
+                .toArray(TaskReport[]::new);
         return new Report(m.id, "w:1", m.type.name(), m.zone, m.spot, 1, tick, 5, Double.NaN, List.of(tasks));
     }
 
@@ -88,13 +134,36 @@
         assertTrue(started > 30_000, "little was placed: " + started);
     }
 
-    /** Of the machines that come free one after the other, how many go to older work of lower rank beside a flood of higher rank. */
+    /**
+     * Of the machines that come free one after the other, how many go to older work of lower rank beside a flood of
+     * higher rank.
+     */
     private static int toTheLower(int teams) {
         Map<String, Settings.Team> of = new TreeMap<>();
         for (int i = 0; i < teams; i++) {
             of.put("t" + i, new Settings.Team("t" + i, 0, 0, 0, 0));
         }
-        Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a", "b"), of, List.of(), 3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+        Settings settings = new Settings(
+                "n",
+                "a",
+                "p:1",
+                "m:1",
+                List.of(),
+                "c:1",
+                "s:1",
+                List.of("a", "b"),
+                of,
+                List.of(),
+                3,
+                20,
+                40,
+                100,
+                30,
+                8192,
+                12,
+                8,
+                4,
+                1000);
         Scheduler s = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
         Job lower = s.addJob(batch("req-0", JobSpec.Rank.LOW), 0, 5);
         s.addJob(batch("req-1", JobSpec.Rank.HIGH), 1, 5);
@@ -109,7 +178,27 @@
     }
 
     private static JobSpec batch(String id, JobSpec.Rank rank) {
-        return new JobSpec(id, "batch", "t0", false, rank, 2_000, 1, 0, 2, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                id,
+                "batch",
+                "t0",
+                false,
+                rank,
+                2_000,
+                1,
+                0,
+                2,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** Strict rank gave a lower class nothing for as long as a flood lasted; with one team nothing may change. */
@@ -121,16 +210,24 @@
 
     private static Map<String, String> where(Scheduler s) {
         Map<String, String> where = new TreeMap<>();
-        s.machines.values().forEach(m -> m.placements.values().forEach(p -> where.put(p.taskId, m.id + (p.stop ? " stopped" : ""))));
+        s.machines
+                .values()
+                .forEach(m ->
+                        m.placements.values().forEach(p -> where.put(p.taskId, m.id + (p.stop ? " stopped" : ""))));
         return where;
     }
 
     private static void plainPass(Scheduler s, long now) {
-        Comparator<Job> order = Comparator.<Job, Integer>comparing(j -> j.spec.rank().ordinal()).thenComparing(j -> j.order);
+        Comparator<Job> order =
+                Comparator.<Job, Integer>comparing(j -> j.spec.rank().ordinal()).thenComparing(j -> j.order);
         for (boolean second : new boolean[] {true, false}) {
-            for (Job job : s.jobs.values().stream().filter(j -> j.second() == second).sorted(order).toList()) {
+            for (Job job : s.jobs.values().stream()
+                    .filter(j -> j.second() == second)
+                    .sorted(order)
+                    .toList()) {
                 for (int i = 0; i < job.spec.tasks(); i++) {
-                    if (job.pending.get(i) && !(job.spec.service() ? service(s, job, i, now) : array(s, job, i, second, now))) {
+                    if (job.pending.get(i)
+                            && !(job.spec.service() ? service(s, job, i, now) : array(s, job, i, second, now))) {
                         break;
                     }
                 }
@@ -142,21 +239,36 @@
         if (!s.withinLimit(job.spec)) {
             return List.of();
         }
-        return s.machines.values().stream().filter(m -> {
-            long inZone = job.live.values().stream().filter(p -> p.machine.zone.equals(m.zone)).count();
-            return m.usable() && m.type.fits(job.spec) && (job.spec.zone() == null || job.spec.zone().equals(m.zone)) && (!m.spot || job.spec.spot())
-                    && (!job.spec.spread() || inZone + 1 <= (job.spec.tasks() + 1) / 2) && (!job.spec.oneZone() || inZone == job.live.size());
-        }).toList();
+        return s.machines.values().stream()
+                .filter(m -> {
+                    long inZone = job.live.values().stream()
+                            .filter(p -> p.machine.zone.equals(m.zone))
+                            .count();
+                    return m.usable()
+                            && m.type.fits(job.spec)
+                            && (job.spec.zone() == null || job.spec.zone().equals(m.zone))
+                            && (!m.spot || job.spec.spot())
+                            && (!job.spec.spread() || inZone + 1 <= (job.spec.tasks() + 1) / 2)
+                            && (!job.spec.oneZone() || inZone == job.live.size());
+                })
+                .toList();
     }
 
     private static double fetch(JobSpec spec, Machine m) {
-        long starting = m.there().stream().filter(p -> p.state() == State.SENT || p.state() == State.FETCHING).count();
-        boolean same = m.there().stream().anyMatch(p -> p.state() == State.SENT && p.job.spec.image().equals(spec.image()));
-        return m.images.containsKey(spec.image()) ? 0 : spec.imageGb() / m.type.fetchGbPerS() * (same ? 0.6 : 1 + 0.5 * Math.min(4, starting));
+        long starting = m.there().stream()
+                .filter(p -> p.state() == State.SENT || p.state() == State.FETCHING)
+                .count();
+        boolean same = m.there().stream()
+                .anyMatch(p -> p.state() == State.SENT && p.job.spec.image().equals(spec.image()));
+        return m.images.containsKey(spec.image())
+                ? 0
+                : spec.imageGb() / m.type.fetchGbPerS() * (same ? 0.6 : 1 + 0.5 * Math.min(4, starting));
     }
 
     private static boolean array(Scheduler s, Job job, int index, boolean second, long now) {
-        long idleFirst = s.machines.values().stream().filter(m -> m.first && m.usable() && m.idle()).count();
+        long idleFirst = s.machines.values().stream()
+                .filter(m -> m.first && m.usable() && m.idle())
+                .count();
         for (boolean own : new boolean[] {true, false}) {
             Machine best = null;
             double bestScore = 0;
@@ -186,12 +298,20 @@
         double all = 0;
         for (Machine m : s.machines.values()) {
             // As of the pass's start: what this pass places itself doesn't count.
-            all += m.there().stream().filter(p -> p.job.spec.service() && p.startedAt < now).mapToDouble(p -> p.job.spec.cpus()).sum();
+            all += m.there().stream()
+                    .filter(p -> p.job.spec.service() && p.startedAt < now)
+                    .mapToDouble(p -> p.job.spec.cpus())
+                    .sum();
         }
         for (Machine m : possible(s, job)) {
-            List<Placement> lower = new ArrayList<>(m.there().stream().filter(p -> !p.stop && !(p.state() == State.SENT && p.launchMayFollow())
-                    && p.job.spec.rank().ordinal() > job.spec.rank().ordinal()).toList());
-            lower.sort(Comparator.<Placement, Integer>comparing(p -> -p.job.spec.rank().ordinal()).thenComparing(p -> -p.startedAt));
+            List<Placement> lower = new ArrayList<>(m.there().stream()
+                    .filter(p -> !p.stop
+                            && !(p.state() == State.SENT && p.launchMayFollow())
+                            && p.job.spec.rank().ordinal() > job.spec.rank().ordinal())
+                    .toList());
+            lower.sort(Comparator.<Placement, Integer>comparing(
+                            p -> -p.job.spec.rank().ordinal())
+                    .thenComparing(p -> -p.startedAt));
             double room = m.type.cpus() - m.usedCpus;
             double lost = 0;
             List<Placement> victims = new ArrayList<>();
@@ -206,8 +326,13 @@
                 continue;
             }
             long mine = m.there().stream().filter(p -> p.job == job).count();
-            double others = m.there().stream().filter(p -> p.job != job && p.job.spec.service()).mapToDouble(p -> p.job.spec.cpus()).sum();
-            double score = -fetch(job.spec, m) - mine * Constants.REPLICA_APART - others / Math.max(1, all) * Constants.SERVICE_SPREAD
+            double others = m.there().stream()
+                    .filter(p -> p.job != job && p.job.spec.service())
+                    .mapToDouble(p -> p.job.spec.cpus())
+                    .sum();
+            double score = -fetch(job.spec, m)
+                    - mine * Constants.REPLICA_APART
+                    - others / Math.max(1, all) * Constants.SERVICE_SPREAD
                     - lost / Constants.LOST_PER_FETCH_S;
             if (best == null || score > bestScore) {
                 best = m;
--- a/src/test/java/org/hollypick/ReportValidityTest.java
+++ b/src/test/java/org/hollypick/ReportValidityTest.java
@@ -20,15 +20,18 @@
 import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.validity.ReportValidity;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Placement;
 import org.hollypick.core.ledger.Report;
 import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.validity.ReportValidity;
 import org.junit.jupiter.api.Test;
 
-/** What a report is worth, against a worker whose truth is known: which answers it took, which of its reports are copies, and when it began again. */
+/**
+ * What a report is worth, against a worker whose truth is known: which answers it took, which of its reports are
+ * copies, and when it began again.
+ */
 class ReportValidityTest {
     private static final long TOKEN = 7;
 
@@ -37,11 +40,13 @@
     }
 
     /**
-     * A worker that takes some answers and loses others, and whose older reports come again in between: deaf is one that took none of the last three, never one that took the
-     * one before the present report; and copies change nothing.
+     * A worker that takes some answers and loses others, and whose older reports come again in between: deaf is one
+     * that took none of the last three, never one that took the one before the present report; and copies change
+     * nothing.
      */
     @Property(tries = 300, seed = "20261202")
-    void deafIsWhoTookNoneOfTheLastAnswers(@ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
+    void deafIsWhoTookNoneOfTheLastAnswers(
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
         Random random = new Random(seed);
         ReportValidity validity = new ReportValidity();
         List<Report> sent = new ArrayList<>();
@@ -54,7 +59,8 @@
             long now = tick * 5_000L;
             Report r = report(1, tick, token, tasks.toArray(new TaskReport[0]));
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
-                assertEquals(ReportValidity.Freshness.COPY, validity.freshness(sent.get(random.nextInt(sent.size())), now));
+                assertEquals(
+                        ReportValidity.Freshness.COPY, validity.freshness(sent.get(random.nextInt(sent.size())), now));
             }
             assertEquals(ReportValidity.Freshness.NEW, validity.freshness(r, now));
             assertEquals(ReportValidity.Freshness.AGAIN, validity.freshness(r, now + 1_000));
@@ -62,7 +68,10 @@
             sent.add(r);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
             validity.reported(r, token == TOKEN, wanted, now);
-            assertEquals(missed >= Constants.UNACKNOWLEDGED, validity.unreachableInbound(), "after " + missed + " lost answers");
+            assertEquals(
+                    missed >= Constants.UNACKNOWLEDGED,
+                    validity.unreachableInbound(),
+                    "after " + missed + " lost answers");
             wanted.add(new Order(Order.Verb.START, "req-1/" + attempt, ++attempt, 0));
             validity.told(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
@@ -78,18 +87,65 @@
     // ---- what the leader concludes ----
 
     private static final long LEASE_MS = 20_000;
-    private final Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a"), Map.of(), List.of(), 3, LEASE_MS / 1000.0, 40, 100, 30, 8192, 12, 8, 4, 1000);
+    private final Settings settings = new Settings(
+            "n",
+            "a",
+            "p:1",
+            "m:1",
+            List.of(),
+            "c:1",
+            "s:1",
+            List.of("a"),
+            Map.of(),
+            List.of(),
+            3,
+            LEASE_MS / 1000.0,
+            40,
+            100,
+            30,
+            8192,
+            12,
+            8,
+            4,
+            1000);
     private final Scheduler scheduler = new Scheduler(TOKEN, settings, 0.3, new Leases(settings, List.of(), 0, true));
 
     private Machine machine(String id, boolean registered) {
-        return scheduler.addMachine(id, new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a")), "a", true, registered, 0);
+        return scheduler.addMachine(
+                id, new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a")), "a", true, registered, 0);
     }
 
     private Job job(long under) {
-        return scheduler.addJob(new JobSpec("req-1", "k", "", false, JobSpec.Rank.LOW, 1, 2, 0, 4, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN), 1, under);
+        return scheduler.addJob(
+                new JobSpec(
+                        "req-1",
+                        "k",
+                        "",
+                        false,
+                        JobSpec.Rank.LOW,
+                        1,
+                        2,
+                        0,
+                        4,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        Double.NaN),
+                1,
+                under);
     }
 
-    /** Its session ends again and again, and each new one was counted from when it was heard of: the takeover never ended. */
+    /**
+     * Its session ends again and again, and each new one was counted from when it was heard of: the takeover never
+     * ended.
+     */
     @Test
     void whatBeganAfterTheTermHoldsNothingOfOlderOnes() {
         Machine m = machine("n-1", true);
@@ -106,15 +162,21 @@
         Job job = job(5);
         Machine old = machine("n-1", true);
         Machine now = machine("n-2", true);
-        scheduler.ledger.report(old, report(1, 5, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 0);
-        scheduler.ledger.report(now, report(1, 5, 3, new TaskReport("req-1/0", 11, Placement.State.RUNNING, "")), true, 0);
+        scheduler.ledger.report(
+                old, report(1, 5, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 0);
+        scheduler.ledger.report(
+                now, report(1, 5, 3, new TaskReport("req-1/0", 11, Placement.State.RUNNING, "")), true, 0);
         assertEquals(now, job.live.get(0).machine);
         assertTrue(scheduler.ledger.orders(now).isEmpty());
-        scheduler.ledger.report(old, report(1, 6, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 100);
+        scheduler.ledger.report(
+                old, report(1, 6, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 100);
         assertEquals(now, job.live.get(0).machine);
     }
 
-    /** A report of an earlier life has larger counts: taken for the newest it made tasks of the present one seem gone, and they were started again elsewhere. */
+    /**
+     * A report of an earlier life has larger counts: taken for the newest it made tasks of the present one seem gone,
+     * and they were started again elsewhere.
+     */
     @Test
     void largerCountsBesideALowerTokenAreAnEarlierLifes() {
         Machine m = machine("n-1", true);
@@ -122,12 +184,16 @@
         Job job = job(TOKEN);
         scheduler.pass(0);
         Placement p = job.live.get(0);
-        scheduler.ledger.report(m, report(1, 6, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 1_000);
+        scheduler.ledger.report(
+                m, report(1, 6, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 1_000);
         assertFalse(scheduler.ledger.report(m, report(1, 99, 3), true, 2_000));
         assertEquals(p, job.live.get(0));
     }
 
-    /** After a lease that had ended, orders under its session went to a worker that had begun again with that session: the task ran there and elsewhere. */
+    /**
+     * After a lease that had ended, orders under its session went to a worker that had begun again with that session:
+     * the task ran there and elsewhere.
+     */
     @Test
     void nothingIsToldUnderASessionThatIsOver() {
         Machine m = machine("n-1", true);
@@ -139,7 +205,9 @@
         assertTrue(m.usable());
     }
 
-    /** Begun again, as the answer to a question shows: what it had is gone, but for what an order under way may bring. */
+    /**
+     * Begun again, as the answer to a question shows: what it had is gone, but for what an order under way may bring.
+     */
     @Test
     void whatHasBegunAgainHasNothing() {
         Machine m = machine("n-1", true);
@@ -147,7 +215,8 @@
         Job job = job(TOKEN);
         scheduler.pass(0);
         Placement p = job.live.get(0);
-        scheduler.ledger.report(m, report(1, 51, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 500);
+        scheduler.ledger.report(
+                m, report(1, 51, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 500);
         scheduler.ledger.begunAgain(m, report(1, 1, TOKEN), 1_000);
         assertTrue(job.pending.get(0));
         assertFalse(m.usable());
--- a/src/test/java/org/hollypick/SettingsTest.java
+++ b/src/test/java/org/hollypick/SettingsTest.java
@@ -58,41 +58,63 @@
     void namesWhatIsMissingOrImpossible() throws Exception {
         ObjectNode missing = toml();
         missing.remove("node_name");
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(missing)).getMessage().contains("node_name"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(missing))
+                .getMessage()
+                .contains("node_name"));
         ObjectNode bad = toml();
         bad.put("public_addr", "nowhere");
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(bad)).getMessage().contains("public_addr"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(bad))
+                .getMessage()
+                .contains("public_addr"));
         ObjectNode zero = toml();
         ((ObjectNode) zero.path("params").path("workers")).put("lease_s", 0);
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(zero)).getMessage().contains("lease_s"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(zero))
+                .getMessage()
+                .contains("lease_s"));
     }
 
     /** Limits tighten without notice, so what is written has to fit the tighter ones from the start. */
     @Test
     void theTighterLimitsHoldFromTheStart() throws Exception {
         ObjectNode toml = toml();
-        ObjectNode next = ((ObjectNode) toml.path("params").path("state")).putObject("next").put("value_kb", 2.0).put("txn_ops", 20);
+        ObjectNode next = ((ObjectNode) toml.path("params").path("state"))
+                .putObject("next")
+                .put("value_kb", 2.0)
+                .put("txn_ops", 20);
         Settings s = Settings.parse(toml);
         assertEquals(2 * 1024, s.valueBytes());
         assertEquals(16, s.txnOps());
         assertEquals(50, s.stateWriteRps());
         next.put("txn_ops", 0.5);
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml)).getMessage().contains("txn_ops"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
+                .getMessage()
+                .contains("txn_ops"));
         next.put("txn_ops", 4);
         next.put("write_rps", 0);
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml)).getMessage().contains("next.write_rps"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
+                .getMessage()
+                .contains("next.write_rps"));
         ((ObjectNode) toml.path("params").path("state")).put("next", 3);
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml)).getMessage().contains("next"));
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
+                .getMessage()
+                .contains("next"));
     }
 
     @Test
     void operatorsSettingsAreOneEdnMap() {
         assertEquals(20_000, OperatorSettings.parse("{:idle-s 20}").idleMs());
         assertEquals(OperatorSettings.defaults(), OperatorSettings.parse("{}"));
-        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idel-s 20}")).getMessage().contains("idel-s"));
-        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:first-share 2}")).getMessage().contains("first-share"));
+        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idel-s 20}"))
+                .getMessage()
+                .contains("idel-s"));
+        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:first-share 2}"))
+                .getMessage()
+                .contains("first-share"));
         assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idle-s"));
-        assertTrue(OperatorSettings.parse("{:graphs true :estimates true :graph-keep-s 60}").graphs());
-        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:graphs 1}")).getMessage().contains(":graphs must be true or false"));
+        assertTrue(OperatorSettings.parse("{:graphs true :estimates true :graph-keep-s 60}")
+                .graphs());
+        assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:graphs 1}"))
+                .getMessage()
+                .contains(":graphs must be true or false"));
     }
 }
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/WatchTest.java
@@ -13,14 +13,20 @@
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.Constants;
 import org.hollypick.core.spread.ReportBalancer;
-import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.core.watch.AdaptiveWindow;
+import org.hollypick.core.watch.LocalHealth;
 import org.hollypick.io.Sockets;
 import org.junit.jupiter.api.Test;
 
-/** What bounds the load of many machines: sockets by kind, calls under way, who reports where, and when a leader trusts itself. */
+/**
+ * What bounds the load of many machines: sockets by kind, calls under way, who reports where, and when a leader trusts
+ * itself.
+ */
 class WatchTest {
-    /** Whatever is opened and closed as the rules allow, no kind is refused its floor, and all together stay under the limit. */
+    /**
+     * Whatever is opened and closed as the rules allow, no kind is refused its floor, and all together stay under the
+     * limit.
+     */
     @Property(tries = 300, seed = "20261201")
     void everyKindHasItsFloor(@ForAll long seed, @ForAll @IntRange(min = 200, max = 5_000) int sockets) {
         Random random = new Random(seed);
@@ -53,7 +59,10 @@
 
     /** Machines that follow what they are told end evenly spread, and then none moves any more: no ping-pong. */
     @Property(tries = 100, seed = "20261201")
-    void sharesBecomeEvenAndStaySo(@ForAll long seed, @ForAll @IntRange(min = 3, max = 600) int machines, @ForAll @IntRange(min = 2, max = 5) int nodes) {
+    void sharesBecomeEvenAndStaySo(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 3, max = 600) int machines,
+            @ForAll @IntRange(min = 2, max = 5) int nodes) {
         Random random = new Random(seed);
         List<String> names = List.of("n0", "n1", "n2", "n3", "n4").subList(0, nodes);
         String[] at = new String[machines];
@@ -82,8 +91,11 @@
         int total = names.stream().mapToInt(reportBalancer::count).sum();
         assertEquals(machines, total);
         for (String n : names) {
-            double target = machines / (nodes - 1 + Constants.LEADER_SHARE) * (n.equals("n0") ? Constants.LEADER_SHARE : 1);
-            assertTrue(reportBalancer.count(n) <= target * Constants.UNEVEN + Constants.UNEVEN_MACHINES, n + " has " + reportBalancer.count(n) + " of " + machines);
+            double target =
+                    machines / (nodes - 1 + Constants.LEADER_SHARE) * (n.equals("n0") ? Constants.LEADER_SHARE : 1);
+            assertTrue(
+                    reportBalancer.count(n) <= target * Constants.UNEVEN + Constants.UNEVEN_MACHINES,
+                    n + " has " + reportBalancer.count(n) + " of " + machines);
         }
     }
 
--- a/src/test/java/org/hollypick/cli/GraphFileTest.java
+++ b/src/test/java/org/hollypick/cli/GraphFileTest.java
@@ -28,9 +28,13 @@
 
     @Test
     void bothFormsSayTheSame() throws IOException {
-        Path edn = file("g.edn", "{:name-id \"req-1\" :jobkind \"x\" :rank \"low\" :task {:cores 1.0 :ram-gb 2 :bundle \"i\"} :nodes [{:id \"a\"} {:id \"b\" :awaits [\"a\"]}]}");
-        Path json = file("g.json", "{\"name_id\":\"req-1\",\"jobkind\":\"x\",\"rank\":\"low\",\"task\":{\"cores\":1.0,\"ram_gb\":2,\"bundle\":\"i\"},"
-                + "\"nodes\":[{\"id\":\"a\"},{\"id\":\"b\",\"awaits\":[\"a\"]}]}");
+        Path edn = file(
+                "g.edn",
+                "{:name-id \"req-1\" :jobkind \"x\" :rank \"low\" :task {:cores 1.0 :ram-gb 2 :bundle \"i\"} :nodes [{:id \"a\"} {:id \"b\" :awaits [\"a\"]}]}");
+        Path json = file(
+                "g.json",
+                "{\"name_id\":\"req-1\",\"jobkind\":\"x\",\"rank\":\"low\",\"task\":{\"cores\":1.0,\"ram_gb\":2,\"bundle\":\"i\"},"
+                        + "\"nodes\":[{\"id\":\"a\"},{\"id\":\"b\",\"awaits\":[\"a\"]}]}");
         assertEquals(Set.of("a", "b"), GraphFile.read(edn).nodeIds());
         assertEquals(GraphFile.read(edn).nodeIds(), GraphFile.read(json).nodeIds());
     }
@@ -39,13 +43,23 @@
     void whatIsWrongIsNamedWithItsPlace() throws IOException {
         assertTrue(refused("a.json", "{\"name_id\":\n  oops}").contains("line 2, column"));
         assertTrue(refused("a.edn", "{:name-id").contains("not EDN"));
-        String all = refused("b.json", "{\"name_id\":\"x\",\"jobkind\":\"x\",\"rank\":\"low\",\"colour\":1,\"nodes\":[{\"id\":\"a\",\"cores\":1,\"ram_gb\":1,\"bundle\":\"i\"},"
-                + "{\"id\":\"a\",\"core\":2,\"awaits\":[\"z\"]}]}");
-        for (String place : new String[] {"colour: unknown key", "name_id: must be", "nodes[1].id: \"a\" is nodes[0] already", "nodes[1].core: unknown key", "nodes[1].cores: missing",
-            "nodes[1].awaits[0]: \"z\" is no node"}) {
+        String all = refused(
+                "b.json",
+                "{\"name_id\":\"x\",\"jobkind\":\"x\",\"rank\":\"low\",\"colour\":1,\"nodes\":[{\"id\":\"a\",\"cores\":1,\"ram_gb\":1,\"bundle\":\"i\"},"
+                        + "{\"id\":\"a\",\"core\":2,\"awaits\":[\"z\"]}]}");
+        for (String place : new String[] {
+            "colour: unknown key",
+            "name_id: must be",
+            "nodes[1].id: \"a\" is nodes[0] already",
+            "nodes[1].core: unknown key",
+            "nodes[1].cores: missing",
+            "nodes[1].awaits[0]: \"z\" is no node"
+        }) {
             assertTrue(all.contains(place), place + " in " + all);
         }
-        assertTrue(refused("c.edn", "{:name-id \"req-1\" :jobkind \"x\" :rank \"low\" :task {:cores 1 :ram-gb 1 :bundle \"i\"} :nodes [{:id \"a\" :awaits [\"b\"]} {:id \"b\" :awaits [\"a\"]}]}")
+        assertTrue(refused(
+                        "c.edn",
+                        "{:name-id \"req-1\" :jobkind \"x\" :rank \"low\" :task {:cores 1 :ram-gb 1 :bundle \"i\"} :nodes [{:id \"a\" :awaits [\"b\"]} {:id \"b\" :awaits [\"a\"]}]}")
                 .contains("nodes[0].awaits: a cycle"));
     }
 }
--- a/src/test/java/org/hollypick/cli/ProcessTest.java
+++ b/src/test/java/org/hollypick/cli/ProcessTest.java
@@ -19,12 +19,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own, on loopback, with every outside system away: it is killed and started again at once. */
+/**
+ * The program as a process of its own, on loopback, with every outside system away: it is killed and started again at
+ * once.
+ */
 class ProcessTest {
     private static final int STARTS = 20;
 
     @TempDir
     Path folder;
+
     private Process process;
     private int users;
     private int mesh;
@@ -73,9 +77,18 @@
     }
 
     private void start(Path settings) throws IOException {
-        process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
-                System.getProperty("java.class.path"), "org.hollypick.cli.Main", "--config", settings.toString())
-                .redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx64m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "org.hollypick.cli.Main",
+                        "--config",
+                        settings.toString())
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("log").toFile())
+                .start();
     }
 
     /** The answer's status, as soon as there is one; a fresh connection each time, as after an end. */
@@ -83,8 +96,13 @@
         long until = System.nanoTime() + withinMs * 1_000_000;
         while (System.nanoTime() < until && process.isAlive()) {
             try {
-                return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + users + "/ready")).timeout(Duration.ofSeconds(2)).build(),
-                        HttpResponse.BodyHandlers.discarding()).statusCode();
+                return HttpClient.newHttpClient()
+                        .send(
+                                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + users + "/ready"))
+                                        .timeout(Duration.ofSeconds(2))
+                                        .build(),
+                                HttpResponse.BodyHandlers.discarding())
+                        .statusCode();
             } catch (IOException e) {
                 Thread.sleep(20); // not listening yet
             }
@@ -104,7 +122,8 @@
         Path settings = settings();
         for (int i = 0; i < STARTS; i++) {
             start(settings);
-            assertEquals(503, ready(20_000), "start " + i + ": it answers, though it isn't ready without the state service");
+            assertEquals(
+                    503, ready(20_000), "start " + i + ": it answers, though it isn't ready without the state service");
             process.destroyForcibly();
             assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         }
@@ -120,6 +139,11 @@
         }
         assertEquals(503, ready(20_000));
         String log = Files.readString(folder.resolve("log"));
-        assertEquals(1, List.of(log.split("\n")).stream().filter(l -> l.contains("address taken")).count(), log);
+        assertEquals(
+                1,
+                List.of(log.split("\n")).stream()
+                        .filter(l -> l.contains("address taken"))
+                        .count(),
+                log);
     }
 }
--- a/src/test/java/org/hollypick/estimate/EstimateBench.java
+++ b/src/test/java/org/hollypick/estimate/EstimateBench.java
@@ -12,8 +12,8 @@
 import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.CompletionEstimate;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Report;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -36,8 +36,27 @@
 @Fork(1)
 public class EstimateBench {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a"));
-    private static final Settings SETTINGS = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a"), Map.of(), List.of(),
-            3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+    private static final Settings SETTINGS = new Settings(
+            "n",
+            "a",
+            "p:1",
+            "m:1",
+            List.of(),
+            "c:1",
+            "s:1",
+            List.of("a"),
+            Map.of(),
+            List.of(),
+            3,
+            20,
+            40,
+            100,
+            30,
+            8192,
+            12,
+            8,
+            4,
+            1000);
 
     private final Random random = new Random(1);
     private Scheduler scheduler;
@@ -50,10 +69,31 @@
         for (int i = 0; i < 1_000; i++) {
             Machine m = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
             m.registered = true;
-            scheduler.ledger.report(m, new Report(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()), true, 0);
+            scheduler.ledger.report(
+                    m, new Report(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()), true, 0);
         }
         for (int i = 0; i < 500; i++) {
-            spec = new JobSpec("req-" + i, "kind-" + i % 20, "team", false, JobSpec.Rank.NORMAL, 60, 2, 0, 1, null, null, false, false, true, "img", 1, 25, 0, 0, Double.NaN);
+            spec = new JobSpec(
+                    "req-" + i,
+                    "kind-" + i % 20,
+                    "team",
+                    false,
+                    JobSpec.Rank.NORMAL,
+                    60,
+                    2,
+                    0,
+                    1,
+                    null,
+                    null,
+                    false,
+                    false,
+                    true,
+                    "img",
+                    1,
+                    25,
+                    0,
+                    0,
+                    Double.NaN);
             last = scheduler.addJob(spec, i, 5);
             observe();
         }
@@ -63,7 +103,11 @@
     /** A task's end. */
     @Benchmark
     public void observe() {
-        scheduler.estimates.observe(spec, "m-" + random.nextInt(1_000), 25 * Math.exp(random.nextGaussian() * 0.4), random.nextInt(20) == 0);
+        scheduler.estimates.observe(
+                spec,
+                "m-" + random.nextInt(1_000),
+                25 * Math.exp(random.nextGaussian() * 0.4),
+                random.nextInt(20) == 0);
     }
 
     @Benchmark
--- a/src/test/java/org/hollypick/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/estimate/EstimatesTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.Estimates;
+import org.hollypick.core.estimate.PredictionInterval;
 import org.hollypick.core.estimate.Replay;
 import org.junit.jupiter.api.Test;
 
@@ -20,8 +20,18 @@
 class EstimatesTest {
     private static Map<String, Replay.Score> play(List<Replay.Run> runs, String name) {
         Map<String, Replay.Score> scores = new Replay().play(runs);
-        scores.forEach((of, s) -> System.out.printf(Locale.ROOT, "| %s | %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n", name, of, s.runs(), s.inside(), s.width(),
-                s.errors()[0], s.errors()[1], s.errors()[2], s.errors()[3]));
+        scores.forEach((of, s) -> System.out.printf(
+                Locale.ROOT,
+                "| %s | %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n",
+                name,
+                of,
+                s.runs(),
+                s.inside(),
+                s.width(),
+                s.errors()[0],
+                s.errors()[1],
+                s.errors()[2],
+                s.errors()[3]));
         return scores;
     }
 
@@ -41,8 +51,11 @@
     @Test
     void ownersEstimatesAreCorrected() {
         for (double off : new double[] {0.4, 2.5}) {
-            double[] errors = new Replay().play(Recorded.steady(7, off)).get("n>=20").errors();
-            assertTrue(errors[0] < errors[1] * 2 / 3, "a third below the owner's estimate: " + errors[0] + " of " + errors[1]);
+            double[] errors =
+                    new Replay().play(Recorded.steady(7, off)).get("n>=20").errors();
+            assertTrue(
+                    errors[0] < errors[1] * 2 / 3,
+                    "a third below the owner's estimate: " + errors[0] + " of " + errors[1]);
         }
     }
 
@@ -127,7 +140,9 @@
             e.observe(t, "m" + r.nextInt(3), odd[r.nextInt(odd.length)], r.nextInt(4) == 0);
             double ran = odd[r.nextInt(odd.length)];
             PredictionInterval b = e.interval(t, Double.isNaN(ran) || Double.isInfinite(ran) ? 0 : ran);
-            assertTrue(b.p10() >= 0 && b.p10() <= b.p50() && b.p50() <= b.p90() && Double.isFinite(b.p90()), () -> "seed " + seed + " " + b);
+            assertTrue(
+                    b.p10() >= 0 && b.p10() <= b.p50() && b.p50() <= b.p90() && Double.isFinite(b.p90()),
+                    () -> "seed " + seed + " " + b);
         }
     }
 
@@ -141,7 +156,10 @@
         assertEquals(1, e.interval(Recorded.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
     }
 
-    /** A successor starts from the records: what it says differs only by how they are rounded, and by what they leave out. */
+    /**
+     * A successor starts from the records: what it says differs only by how they are rounded, and by what they leave
+     * out.
+     */
     @Test
     void whatIsKeptSaysNearlyTheSame() {
         Estimates before = new Estimates(true);
--- a/src/test/java/org/hollypick/estimate/Recorded.java
+++ b/src/test/java/org/hollypick/estimate/Recorded.java
@@ -6,7 +6,10 @@
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.estimate.Replay;
 
-/** Runs as a deployment would record them, drawn from a seed: arrays of several kinds, whose tasks end in the order of their run times. */
+/**
+ * Runs as a deployment would record them, drawn from a seed: arrays of several kinds, whose tasks end in the order of
+ * their run times.
+ */
 final class Recorded {
     private final Random random;
     private final List<Replay.Run> runs = new ArrayList<>();
@@ -16,7 +19,27 @@
     }
 
     static JobSpec task(String kind, double estimateS) {
-        return new JobSpec("req-1", kind, "team", false, JobSpec.Rank.NORMAL, 1, 2, 0, 1, null, null, false, false, true, "img", 1, estimateS, 0, 0, Double.NaN);
+        return new JobSpec(
+                "req-1",
+                kind,
+                "team",
+                false,
+                JobSpec.Rank.NORMAL,
+                1,
+                2,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                estimateS,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** An array: run times about a median with a tail, the owner's estimate off by a factor. */
--- a/src/test/java/org/hollypick/graph/GraphBench.java
+++ b/src/test/java/org/hollypick/graph/GraphBench.java
@@ -33,7 +33,8 @@
 import org.openjdk.jmh.infra.BenchmarkParams;
 
 /**
- * What a node costs beside a task of an array; not in CI, see CONTRIBUTING.md. Each figure is for all nodes together: divide by their number.
+ * What a node costs beside a task of an array; not in CI, see CONTRIBUTING.md. Each figure is for all nodes together:
+ * divide by their number.
  */
 @org.openjdk.jmh.annotations.State(Scope.Thread)
 @BenchmarkMode(Mode.SingleShotTime)
@@ -43,8 +44,27 @@
 @Fork(1)
 public class GraphBench {
     private static final MachineType TYPE = new MachineType("t", 1_000, 0, 100_000, 50, 1, 1, 0.4, 30, Set.of("a"));
-    private static final Settings SETTINGS = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a"), Map.of(), List.of(),
-            3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+    private static final Settings SETTINGS = new Settings(
+            "n",
+            "a",
+            "p:1",
+            "m:1",
+            List.of(),
+            "c:1",
+            "s:1",
+            List.of("a"),
+            Map.of(),
+            List.of(),
+            3,
+            20,
+            40,
+            100,
+            30,
+            8192,
+            12,
+            8,
+            4,
+            1000);
 
     @Param({"1000", "10000", "100000"})
     private int nodes;
@@ -56,7 +76,27 @@
     private Scheduler chainWorld;
 
     private static JobSpec spec(int tasks) {
-        return new JobSpec("req-1", "c", "", false, JobSpec.Rank.NORMAL, tasks, 1, 0, 1, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                "req-1",
+                "c",
+                "",
+                false,
+                JobSpec.Rank.NORMAL,
+                tasks,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     /** {@code chain}: every so many nodes a new chain begins; 1: all are independent. */
@@ -75,7 +115,7 @@
         switch (params.getBenchmark().substring(params.getBenchmark().lastIndexOf('.') + 1)) {
             case "admit" -> chains = specs(50);
             case "release" -> {
-                grown = new Graph(3, i -> { });
+                grown = new Graph(3, i -> {});
                 grown.add(specs(50), null, null);
                 grown.durable(nodes);
                 grown.seal();
@@ -118,7 +158,7 @@
     /** Checked and taken in. */
     @Benchmark
     public int admit() {
-        Graph g = new Graph(3, i -> { });
+        Graph g = new Graph(3, i -> {});
         g.check(chains, null, null);
         g.add(chains, null, null);
         g.durable(nodes);
@@ -172,9 +212,11 @@
                     for (Placement p : m.placements.values()) {
                         tasks.add(new TaskReport(p.taskId, p.attempt, state, "done"));
                     }
-                    s.ledger.report(m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks), true, now);
+                    s.ledger.report(
+                            m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks), true, now);
                 }
-                s.ledger.report(m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()), true, now);
+                s.ledger.report(
+                        m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()), true, now);
             }
             job.committed = (BitSet) job.done.clone();
             s.ledger.progressCommitted(job);
@@ -190,12 +232,13 @@
             List<NodeSpec> specs = b.specs(50);
             System.gc();
             long before = used();
-            Graph g = new Graph(3, i -> { });
+            Graph g = new Graph(3, i -> {});
             g.add(specs, null, null);
             g.durable(n);
             g.seal();
             System.gc();
-            System.out.println(n + " nodes: " + (used() - before) / n + " bytes a node, without their ids; " + g.count());
+            System.out.println(
+                    n + " nodes: " + (used() - before) / n + " bytes a node, without their ids; " + g.count());
         }
     }
 
--- a/src/test/java/org/hollypick/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/graph/GraphQueueTest.java
@@ -25,7 +25,10 @@
 import org.hollypick.core.ledger.TaskReport;
 import org.junit.jupiter.api.Test;
 
-/** A graph of n independent, equal nodes can't be told from an array of n tasks: order, starts, sizes and use of the limit are the same. */
+/**
+ * A graph of n independent, equal nodes can't be told from an array of n tasks: order, starts, sizes and use of the
+ * limit are the same.
+ */
 class GraphQueueTest {
     private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
 
@@ -42,8 +45,27 @@
         Stretch(long seed, boolean asGraph) {
             this.random = new Random(seed);
             this.asGraph = asGraph;
-            Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a", "b"),
-                    Map.of("team", new Settings.Team("team", 0, random.nextBoolean() ? 0 : 14, 0, 0)), List.of(), 3, 20, 40, 100, 30, 8192, 12, 8, 4, 1000);
+            Settings settings = new Settings(
+                    "n",
+                    "a",
+                    "p:1",
+                    "m:1",
+                    List.of(),
+                    "c:1",
+                    "s:1",
+                    List.of("a", "b"),
+                    Map.of("team", new Settings.Team("team", 0, random.nextBoolean() ? 0 : 14, 0, 0)),
+                    List.of(),
+                    3,
+                    20,
+                    40,
+                    100,
+                    30,
+                    8192,
+                    12,
+                    8,
+                    4,
+                    1000);
             this.scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), now, true));
         }
 
@@ -51,11 +73,31 @@
             int tasks = 1 + random.nextInt(12);
             boolean drawnAsGraph = random.nextInt(2) == 0;
             JobSpec.Rank rank = JobSpec.Rank.values()[1 + random.nextInt(3)];
-            JobSpec one = new JobSpec("req-" + number, "c", "team", false, rank, 1, 1 + random.nextInt(3), 0, 1, null, random.nextInt(4) == 0 ? "a" : null,
-                    false, false, random.nextBoolean(), "img-" + random.nextInt(2), 1, 10, 0, 0, Double.NaN);
+            JobSpec one = new JobSpec(
+                    "req-" + number,
+                    "c",
+                    "team",
+                    false,
+                    rank,
+                    1,
+                    1 + random.nextInt(3),
+                    0,
+                    1,
+                    null,
+                    random.nextInt(4) == 0 ? "a" : null,
+                    false,
+                    false,
+                    random.nextBoolean(),
+                    "img-" + random.nextInt(2),
+                    1,
+                    10,
+                    0,
+                    0,
+                    Double.NaN);
             if (asGraph && drawnAsGraph) {
                 Job[] job = {null};
-                Graph g = new Graph(Integer.MAX_VALUE, i -> scheduler.release(job[0], i)); // an array's tasks are tried again for ever
+                // an array's tasks are tried again for ever
+                Graph g = new Graph(Integer.MAX_VALUE, i -> scheduler.release(job[0], i));
                 job[0] = scheduler.addJob(one, g, number, 5);
                 List<NodeSpec> nodes = new ArrayList<>();
                 for (int i = 0; i < tasks; i++) {
@@ -66,20 +108,41 @@
                 g.seal();
                 jobs.add(job[0]);
             } else {
-                JobSpec all = new JobSpec(one.id(), one.jobClass(), one.team(), false, rank, tasks, one.cpus(), 0, 1, null, one.zone(), false, false, one.spot(),
-                        one.image(), 1, 10, 0, 0, Double.NaN);
+                JobSpec all = new JobSpec(
+                        one.id(),
+                        one.jobClass(),
+                        one.team(),
+                        false,
+                        rank,
+                        tasks,
+                        one.cpus(),
+                        0,
+                        1,
+                        null,
+                        one.zone(),
+                        false,
+                        false,
+                        one.spot(),
+                        one.image(),
+                        1,
+                        10,
+                        0,
+                        0,
+                        Double.NaN);
                 jobs.add(scheduler.addJob(all, number, 5));
             }
         }
 
         private void machine(int number) {
-            Machine m = scheduler.addMachine("m-" + number, TYPE, random.nextBoolean() ? "a" : "b", random.nextBoolean(), false, now);
+            Machine m = scheduler.addMachine(
+                    "m-" + number, TYPE, random.nextBoolean() ? "a" : "b", random.nextBoolean(), false, now);
             m.registered = true;
             report(m, List.of());
         }
 
         private void report(Machine m, List<TaskReport> tasks) {
-            scheduler.ledger.report(m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, ++ticks, 5, Double.NaN, tasks), true, now);
+            scheduler.ledger.report(
+                    m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
 
         /** Every machine reports; tasks run, end, fail. */
--- a/src/test/java/org/hollypick/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/graph/GraphTest.java
@@ -29,10 +29,33 @@
 import org.hollypick.records.JobCodec;
 import org.junit.jupiter.api.Test;
 
-/** The graph against a slow, plain model that works everything out anew each time; and its log, from which a new leader has to find the same. */
+/**
+ * The graph against a slow, plain model that works everything out anew each time; and its log, from which a new leader
+ * has to find the same.
+ */
 class GraphTest {
     private static JobSpec task(double cpus) {
-        return new JobSpec("req-1", "c", "", false, JobSpec.Rank.NORMAL, 1, cpus, 0, 1, null, null, false, false, true, "img", 1, 10, 0, 0, Double.NaN);
+        return new JobSpec(
+                "req-1",
+                "c",
+                "",
+                false,
+                JobSpec.Rank.NORMAL,
+                1,
+                cpus,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                Double.NaN);
     }
 
     private static NodeSpec node(String id, String... awaits) {
@@ -55,11 +78,16 @@
         }
 
         boolean dead(String n) {
-            return ended.contains(n) || awaits.get(n).stream().anyMatch(this::dead) || (then.containsKey(n) && dead(then.get(n)));
+            return ended.contains(n)
+                    || awaits.get(n).stream().anyMatch(this::dead)
+                    || (then.containsKey(n) && dead(then.get(n)));
         }
 
         boolean ready(String n) {
-            return sealed && !dead(n) && !taskDone.contains(n) && awaits.get(n).stream().allMatch(this::done);
+            return sealed
+                    && !dead(n)
+                    && !taskDone.contains(n)
+                    && awaits.get(n).stream().allMatch(this::done);
         }
 
         boolean reaches(String from, String target, Set<String> seen) {
@@ -69,7 +97,8 @@
             if (!seen.add(from)) {
                 return false;
             }
-            return awaits.get(from).stream().anyMatch(o -> reaches(o, target, seen)) || (then.containsKey(from) && reaches(then.get(from), target, seen));
+            return awaits.get(from).stream().anyMatch(o -> reaches(o, target, seen))
+                    || (then.containsKey(from) && reaches(then.get(from), target, seen));
         }
     }
 
@@ -85,13 +114,18 @@
         for (int step = 0; step < 60; step++) {
             switch (r.nextInt(6)) {
                 case 0, 1 -> {
-                    List<String> running = released.stream().map(g::id).filter(n -> plain.ready(n)).toList();
+                    List<String> running = released.stream()
+                            .map(g::id)
+                            .filter(n -> plain.ready(n))
+                            .toList();
                     String parent = plain.sealed && !running.isEmpty() ? running.get(r.nextInt(running.size())) : null;
                     if (plain.sealed && parent == null) {
                         break;
                     }
                     List<NodeSpec> batch = batch(r, g, step);
-                    String next = parent != null && r.nextInt(3) == 0 ? batch.get(r.nextInt(batch.size())).id() : null;
+                    String next = parent != null && r.nextInt(3) == 0
+                            ? batch.get(r.nextInt(batch.size())).id()
+                            : null;
                     Refusal refusal = g.check(batch, parent, next);
                     boolean cyclic = next != null && cyclic(plain, batch, parent, next);
                     if (next != null && plain.then.containsKey(parent)) {
@@ -120,7 +154,8 @@
                     }
                 }
                 case 3, 4 -> {
-                    List<Integer> running = released.stream().filter(i -> plain.ready(g.id(i))).toList();
+                    List<Integer> running =
+                            released.stream().filter(i -> plain.ready(g.id(i))).toList();
                     if (!running.isEmpty()) {
                         int i = running.get(r.nextInt(running.size()));
                         done.set(i);
@@ -147,7 +182,7 @@
         Set<Integer> again = new TreeSet<>();
         Graph read = new Graph(2, again::add);
         for (JsonNode op : GraphRecords.unpack(GraphRecords.record("req-1", log))) {
-            GraphRecords.replay(op, read, (n, v) -> { });
+            GraphRecords.replay(op, read, (n, v) -> {});
         }
         read.committed(done);
         compare(plain, read, again, "seed " + seed + " read again");
@@ -167,7 +202,10 @@
                     awaits.add(g.id(r.nextInt(g.count())));
                 }
             }
-            batch.add(new NodeSpec("n" + step + "." + i, task(1 + r.nextInt(2)), awaits.stream().distinct().toList()));
+            batch.add(new NodeSpec(
+                    "n" + step + "." + i,
+                    task(1 + r.nextInt(2)),
+                    awaits.stream().distinct().toList()));
         }
         return batch;
     }
@@ -223,14 +261,19 @@
 
     @Test
     void whatCantBeIsRefusedWithAReason() {
-        Graph g = new Graph(0, i -> { });
-        assertTrue(g.check(List.of(node("a", "b"), node("b", "a")), null, null).why().contains("cycle"));
+        Graph g = new Graph(0, i -> {});
+        assertTrue(g.check(List.of(node("a", "b"), node("b", "a")), null, null)
+                .why()
+                .contains("cycle"));
         assertTrue(g.check(List.of(node("a", "a")), null, null).why().contains("cycle"));
         assertTrue(g.check(List.of(node("a", "x")), null, null).why().contains("x, which is unknown"));
         assertTrue(g.check(List.of(node("a"), node("a")), null, null).why().contains("twice"));
         g.add(List.of(node("a"), node("b", "a")), null, null);
         assertNull(g.check(List.of(node("a")), null, null), "known, and the same");
-        assertEquals(409, g.check(List.of(new NodeSpec("a", task(2), List.of())), null, null).status());
+        assertEquals(
+                409,
+                g.check(List.of(new NodeSpec("a", task(2), List.of())), null, null)
+                        .status());
         assertEquals(409, g.check(List.of(node("b")), null, null).status(), "awaits something else");
         assertEquals(409, g.check(List.of(node("b", "a")), "a", null).status(), "has another parent");
         // c stands for a, and awaits b, which awaits a: nobody would ever be done.
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -32,16 +32,30 @@
 
     /** What an answer says, older before newer. */
     private static final int UNKNOWN = 0;
+
     private static final int LIVE = 1;
     private static final int OVER = 2;
 
     private enum Fault {
-        NONE, MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT, THE_NEXT_ANSWER_ENDS_THE_DOUBT,
-        VIEW_ANSWERS_WITHOUT_A_FRESH_READ, JOINS_A_READ_UNDER_WAY, A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY,
+        NONE,
+        MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT,
+        THE_NEXT_ANSWER_ENDS_THE_DOUBT,
+        VIEW_ANSWERS_WITHOUT_A_FRESH_READ,
+        JOINS_A_READ_UNDER_WAY,
+        A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY,
         A_RELOAD_BRINGS_BACK_WHAT_IS_OVER
     }
 
-    private enum Phase { FREE, ARRIVED, CREATING, CREATED, AT_LEADER, FROM_RECORD, READ, TOLD }
+    private enum Phase {
+        FREE,
+        ARRIVED,
+        CREATING,
+        CREATED,
+        AT_LEADER,
+        FROM_RECORD,
+        READ,
+        TOLD
+    }
 
     /**
      * A request of a user.
@@ -58,11 +72,17 @@
     }
 
     /** The write of the end that the leader waits for. */
-    private enum Write { NONE, UNDER_WAY, DONE, CONFLICT }
+    private enum Write {
+        NONE,
+        UNDER_WAY,
+        DONE,
+        CONFLICT
+    }
 
     private static final class State implements Cloneable {
         /** The records: how many changes there were, and which one was what; 0 for none. */
         int epoch;
+
         int created;
         int ended;
         int leaderRecord;
@@ -75,24 +95,29 @@
          * is over.
          */
         boolean owns;
+
         boolean knowsOver;
         boolean doubt;
         Write write = Write.NONE;
         int writes;
         /** A write without an answer may yet be carried out; so may a creation, which is conditional on that leader. */
         boolean lateEnd;
+
         int lateCreation = NEVER;
         /** The leader loads all records again, as they were at that epoch; it has done so. */
         int loading = NEVER;
+
         boolean loaded;
         Request request = Request.NONE;
         /**
          * A read that a node began before: the epoch that it brings, and the node. Used by one of the faulty variants.
          */
         int earlierRead = NEVER;
+
         int earlierReader;
         /** The newest that any user was told. */
         int told;
+
         boolean wentBack;
         boolean overtaken;
 
@@ -108,12 +133,25 @@
         }
 
         StateKey.Packed key() {
-            StateKey key = new StateKey().number(epoch, 2).number(created, 2).number(ended, 2).number(leaderRecord, 2);
+            StateKey key = new StateKey()
+                    .number(epoch, 2)
+                    .number(created, 2)
+                    .number(ended, 2)
+                    .number(leaderRecord, 2);
             for (int view : views) {
                 key.number(view, 2);
             }
-            key.time(leader, 2).flag(owns).flag(knowsOver).flag(doubt).number(write.ordinal(), 2).number(writes, 2);
-            key.flag(lateEnd).time(lateCreation, 2).time(loading, 3).flag(loaded).number(told, 2);
+            key.time(leader, 2)
+                    .flag(owns)
+                    .flag(knowsOver)
+                    .flag(doubt)
+                    .number(write.ordinal(), 2)
+                    .number(writes, 2);
+            key.flag(lateEnd)
+                    .time(lateCreation, 2)
+                    .time(loading, 3)
+                    .flag(loaded)
+                    .number(told, 2);
             key.number(request.node, 2).number(request.phase.ordinal(), 3);
             key.number(request.floor, 2).number(request.value, 2);
             key.time(earlierRead, 3).number(earlierReader, 2);
@@ -139,7 +177,8 @@
 
         @Override
         public String toString() {
-            return "created=" + created + " ended=" + ended + " roster=" + leaderRecord + " views=" + Arrays.toString(views)
+            return "created=" + created + " ended=" + ended + " roster=" + leaderRecord + " views="
+                    + Arrays.toString(views)
                     + " leader=" + leader + " owns=" + owns + " doubt=" + doubt + " write=" + write + " " + request
                     + " told=" + told + "\n";
         }
@@ -343,14 +382,16 @@
     }
 
     /**
-     * What a node tells without a read: an end that its view shows, or a live job that it leads ({@code
-     * UserApi.certain}).
+     * What a node tells without a read: an end that its view shows, or a live job that it leads
+     * ({@code UserApi.certain}).
      */
     private static Integer certain(State s, int node, Fault fault) {
         if (s.at(s.views[node]) == OVER) {
             return OVER;
         }
-        boolean deposed = fault == Fault.A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY && node == 0 && s.leader != 0
+        boolean deposed = fault == Fault.A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY
+                && node == 0
+                && s.leader != 0
                 && s.at(s.views[0]) == LIVE;
         boolean inDoubt = s.doubt || s.write != Write.NONE;
         boolean mayTell = !inDoubt || fault == Fault.MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT;
@@ -368,8 +409,11 @@
 
     private static Result<State> search(Fault fault, boolean byArrival) {
         Set<StateKey.Packed> seen = new HashSet<>();
-        return StateSearch.run(List.of(new State()), (s, to) -> next(s, fault, to),
-                s -> s.wentBack || (byArrival && s.overtaken), s -> seen.add(s.key()));
+        return StateSearch.run(
+                List.of(new State()),
+                (s, to) -> next(s, fault, to),
+                s -> s.wentBack || (byArrival && s.overtaken),
+                s -> seen.add(s.key()));
     }
 
     @Test
--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/LimitModelTest.java
@@ -43,20 +43,31 @@
 
     /** The tasks; a set of them is a sum of these. */
     private static final int CANCELLED = 1;
+
     private static final int ENDING = 2;
     private static final int SUBMITTED = 4;
     private static final int[] TASKS = {CANCELLED, ENDING, SUBMITTED};
 
     /** Tokens of the two leaders. */
     private static final int FIRST = 1;
+
     private static final int SECOND = 2;
 
     private enum Fault {
-        NONE, SILENCE_FREES_THE_LIMIT, BEING_TOLD_TO_STOP_FREES_THE_LIMIT, ONLY_WHAT_WAS_FOUND_COUNTS,
-        TASKS_OF_CANCELLED_JOBS_DO_NOT_COUNT, AN_OLDER_REPORT_SHOWS_WHAT_IS_FOUND, OLDER_JOBS_START_AT_ONCE
+        NONE,
+        SILENCE_FREES_THE_LIMIT,
+        BEING_TOLD_TO_STOP_FREES_THE_LIMIT,
+        ONLY_WHAT_WAS_FOUND_COUNTS,
+        TASKS_OF_CANCELLED_JOBS_DO_NOT_COUNT,
+        AN_OLDER_REPORT_SHOWS_WHAT_IS_FOUND,
+        OLDER_JOBS_START_AT_ONCE
     }
 
-    private enum Rule { QUOTA, RAN_TWICE, RAN_CANCELLED }
+    private enum Rule {
+        QUOTA,
+        RAN_TWICE,
+        RAN_CANCELLED
+    }
 
     /** A machine with its worker, the messages on their way from and to it, and what the present leader knows of it. */
     private static final class Machine implements Cloneable {
@@ -64,10 +75,12 @@
         int there;
         /** It lists the second job's task as done. */
         boolean listsDone;
+
         int leaseFrom;
         int seenToken = FIRST;
         /** The newest report. */
         int reportAt = NEVER;
+
         int reportTasks;
         boolean reportDone;
         int reportToken = FIRST;
@@ -77,13 +90,16 @@
         boolean reportOutdated;
         /** The answer under way to it: its token, 0 for none, and the tasks that it ends. */
         int answerToken;
+
         int answerStops;
         /** A direct launch under way: its token, 0 for none, and its task. */
         int launchToken;
+
         int launchTask;
 
         /** The leader's account: {@code core.ledger.Machine}. */
         boolean up = true;
+
         boolean heard = true;
         boolean strays;
         int answeredAt;
@@ -104,17 +120,29 @@
         }
 
         void addTo(StateKey key) {
-            key.flag(sessionOver).number(there, 3).flag(listsDone).time(leaseFrom, 3).number(seenToken, 2);
+            key.flag(sessionOver)
+                    .number(there, 3)
+                    .flag(listsDone)
+                    .time(leaseFrom, 3)
+                    .number(seenToken, 2);
             key.time(reportAt, 3).number(reportTasks, 3).flag(reportDone).number(reportToken, 2);
             key.flag(reportTaken).flag(reportOutdated);
-            key.number(answerToken, 2).number(answerStops, 3).number(launchToken, 2).number(launchTask, 3);
-            key.flag(up).flag(heard).flag(strays).time(answeredAt, 3).number(placed, 3).number(shown, 3);
+            key.number(answerToken, 2)
+                    .number(answerStops, 3)
+                    .number(launchToken, 2)
+                    .number(launchTask, 3);
+            key.flag(up)
+                    .flag(heard)
+                    .flag(strays)
+                    .time(answeredAt, 3)
+                    .number(placed, 3)
+                    .number(shown, 3);
         }
 
         @Override
         public String toString() {
-            return "{there=" + there + (sessionOver ? " session over" : "") + " placed=" + placed
-                    + " heard=" + heard + " strays=" + strays + "}";
+            return "{there=" + there + (sessionOver ? " session over" : "") + " placed=" + placed + " heard=" + heard
+                    + " strays=" + strays + "}";
         }
     }
 
@@ -134,15 +162,18 @@
         boolean done;
         /** The user's request to cancel is known to the leader; the cancellation is durable; a user was told. */
         boolean asked;
+
         boolean durable;
         int toldAt = NEVER;
         /** Tasks that this leader found of the one before, and whether it once knew all machines. */
         int found;
+
         boolean settled = true;
         /**
          * Tasks whose latest attempt was started on the second machine, and those whose latest was the second leader's.
          */
         int startedLastOnSecond = ENDING;
+
         int startedBySecond;
         Rule broken;
 
@@ -213,8 +244,8 @@
 
         @Override
         public String toString() {
-            return "now=" + now + " leader=" + leader + " told=" + toldAt + " found=" + found + " "
-                    + List.of(machines) + " broken=" + broken + "\n";
+            return "now=" + now + " leader=" + leader + " told=" + toldAt + " found=" + found + " " + List.of(machines)
+                    + " broken=" + broken + "\n";
         }
     }
 
@@ -346,7 +377,8 @@
             to.add("report of machine " + i + " reaches the leader", s.next(t -> reachLeader(t, i, fault)));
         }
         if (i == WELL && s.limit == 1 && s.copy == null && s.leader == FIRST && (m.reportTasks & ENDING) != 0) {
-            to.add("a copy of the report of machine " + i + " is held back",
+            to.add(
+                    "a copy of the report of machine " + i + " is held back",
                     s.next(t -> t.copy = new Copy(i, m.reportTasks, m.reportDone)));
         }
         if (s.copy != null && s.copy.machine == i && s.leader == SECOND) {
@@ -509,8 +541,11 @@
         State both = running(running(new State(2), 0, CANCELLED), 1, ENDING);
         State bothAndOneWaits = both.next(t -> t.submittedUnder = FIRST);
         Set<StateKey.Packed> seen = new HashSet<>();
-        return StateSearch.run(List.of(both, bothAndOneWaits, second), (s, to) -> next(s, fault, to),
-                s -> s.broken != null, s -> seen.add(s.key()));
+        return StateSearch.run(
+                List.of(both, bothAndOneWaits, second),
+                (s, to) -> next(s, fault, to),
+                s -> s.broken != null,
+                s -> seen.add(s.key()));
     }
 
     @Test
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -32,13 +32,21 @@
     private static final int SECOND = 2;
 
     private enum Fault {
-        NONE, LAUNCHES_BEFORE_THE_REGISTRATION_IS_KNOWN, A_LOST_ANSWER_COUNTS_AS_REGISTERED,
-        A_HELD_BACK_REPORT_IS_A_FIRST_WORD, DOES_NOT_WAIT_FOR_REGISTERED_MACHINES,
-        WHAT_IS_NOT_LISTED_YET_IS_GONE, COUNTS_THE_LEASE_FROM_THE_REPORT
+        NONE,
+        LAUNCHES_BEFORE_THE_REGISTRATION_IS_KNOWN,
+        A_LOST_ANSWER_COUNTS_AS_REGISTERED,
+        A_HELD_BACK_REPORT_IS_A_FIRST_WORD,
+        DOES_NOT_WAIT_FOR_REGISTERED_MACHINES,
+        WHAT_IS_NOT_LISTED_YET_IS_GONE,
+        COUNTS_THE_LEASE_FROM_THE_REPORT
     }
 
     /** The transaction that registers the machine, as its writer knows it. */
-    private enum Write { NONE, UNDER_WAY, CARRIED_OUT }
+    private enum Write {
+        NONE,
+        UNDER_WAY,
+        CARRIED_OUT
+    }
 
     private static final class State implements Cloneable {
         int now;
@@ -63,6 +71,7 @@
         int answerToken;
         /** The answer under way, or a direct call, launches the task. */
         boolean answerLaunches;
+
         boolean launchUnderWay;
         /** A copy of a report, held back; it was written before the task came. */
         boolean copy;
@@ -85,6 +94,7 @@
         boolean shown;
         /** It counts the machine as gone. */
         boolean gone;
+
         boolean sawListed;
         boolean ranTwice;
 
@@ -101,11 +111,27 @@
 
         StateKey.Packed key() {
             StateKey key = new StateKey().number(now, 3).flag(leader == FIRST).number(termStart, 3);
-            key.flag(up).flag(over).flag(there).time(leaseFrom, 3).number(seenToken, 2).flag(listed).flag(elsewhere);
-            key.time(reportAt, 3).flag(reportShows).number(reportToken, 2).flag(reportTaken).number(answerToken, 2);
+            key.flag(up)
+                    .flag(over)
+                    .flag(there)
+                    .time(leaseFrom, 3)
+                    .number(seenToken, 2)
+                    .flag(listed)
+                    .flag(elsewhere);
+            key.time(reportAt, 3)
+                    .flag(reportShows)
+                    .number(reportToken, 2)
+                    .flag(reportTaken)
+                    .number(answerToken, 2);
             key.flag(answerLaunches).flag(launchUnderWay).flag(copy);
             key.number(write.ordinal(), 2).number(writes, 2).flag(lateWrite).flag(durable);
-            key.flag(known).flag(heardOf).flag(registered).flag(heard).flag(proved).flag(lapsed).time(answeredAt, 3);
+            key.flag(known)
+                    .flag(heardOf)
+                    .flag(registered)
+                    .flag(heard)
+                    .flag(proved)
+                    .flag(lapsed)
+                    .time(answeredAt, 3);
             return key.flag(placed).flag(shown).flag(gone).flag(sawListed).packed();
         }
 
@@ -360,8 +386,8 @@
 
     private static Result<State> search(Fault fault) {
         Set<StateKey.Packed> seen = new HashSet<>();
-        return StateSearch.run(List.of(new State()), (s, to) -> next(s, fault, to), s -> s.ranTwice,
-                s -> seen.add(s.key()));
+        return StateSearch.run(
+                List.of(new State()), (s, to) -> next(s, fault, to), s -> s.ranTwice, s -> seen.add(s.key()));
     }
 
     @Test
@@ -378,8 +404,8 @@
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault);
                 assertTrue(result.broken(), fault.toString());
-                System.out.println("registration model: " + fault + " after " + result.steps() + ": "
-                        + result.actions());
+                System.out.println(
+                        "registration model: " + fault + " after " + result.steps() + ": " + result.actions());
             }
         }
     }
--- a/src/test/java/org/hollypick/model/StateSearch.java
+++ b/src/test/java/org/hollypick/model/StateSearch.java
@@ -71,8 +71,8 @@
      *
      * @param isNew remembers a state, and tells whether it is seen for the first time
      */
-    public static <S> Result<S> run(List<S> first, BiConsumer<S, Successors<S>> next, Predicate<S> broken,
-            Predicate<S> isNew) {
+    public static <S> Result<S> run(
+            List<S> first, BiConsumer<S, Successors<S>> next, Predicate<S> broken, Predicate<S> isNew) {
         return new StateSearch<>(next, broken, isNew).run(first);
     }
 
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -21,8 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No controller gives an older answer than was given before (docs/safety.md, "went_back"), whoever asks what and
- * when.
+ * No controller gives an older answer than was given before (docs/safety.md, "went_back"), whoever asks what and when.
  */
 class AnswerConsistencyTest {
     /**
@@ -37,6 +36,7 @@
     private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, ALL_ON);
     /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
     private static final int DAYS = Integer.getInteger("answers.days", 3);
+
     private static final String ESTIMATE = "/submissions/req-000000/estimate";
     private static final int FIRST = Integer.getInteger("answers.first", 1);
 
@@ -55,8 +55,9 @@
             overtaken += day.checker.order.overtaken;
             longest = Math.max(longest, day.checker.order.longestMs);
         }
-        System.out.printf("days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n", DAYS, compared, overtaken,
-                longest, broken.size());
+        System.out.printf(
+                "days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n",
+                DAYS, compared, overtaken, longest, broken.size());
         assertEquals(Map.of(), broken);
     }
 
@@ -80,32 +81,34 @@
 
     /** A version whose calls are answered otherwise. */
     private static BiFunction<Runtime, Settings, Node> answered(Replies replies) {
-        return (r, s) -> NEW.apply(new Runtime() {
-            @Override
-            public long now() {
-                return r.now();
-            }
+        return (r, s) -> NEW.apply(
+                new Runtime() {
+                    @Override
+                    public long now() {
+                        return r.now();
+                    }
 
-            @Override
-            public long timeOfDay() {
-                return r.timeOfDay();
-            }
+                    @Override
+                    public long timeOfDay() {
+                        return r.timeOfDay();
+                    }
 
-            @Override
-            public void after(long ms, Runnable task) {
-                r.after(ms, task);
-            }
+                    @Override
+                    public void after(long ms, Runnable task) {
+                        r.after(ms, task);
+                    }
 
-            @Override
-            public void call(Call call, Consumer<Reply> reply) {
-                Reply known = replies.of(call, null);
-                if (known != null) {
-                    r.after(0, () -> reply.accept(known));
-                } else {
-                    r.call(call, answer -> reply.accept(replies.of(call, answer)));
-                }
-            }
-        }, s);
+                    @Override
+                    public void call(Call call, Consumer<Reply> reply) {
+                        Reply known = replies.of(call, null);
+                        if (known != null) {
+                            r.after(0, () -> reply.accept(known));
+                        } else {
+                            r.call(call, answer -> reply.accept(replies.of(call, answer)));
+                        }
+                    }
+                },
+                s);
     }
 
     private static boolean noticed(String rule, IntFunction<Day> days) {
@@ -129,8 +132,8 @@
     @Test
     void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
         Reply refusal = new Reply(503, Codec.object());
-        var version = answered((call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER
-                ? refusal : r);
+        var version = answered(
+                (call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER ? refusal : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
 
@@ -140,7 +143,8 @@
         assertTrue(noticed("went_back (same controller)", seed -> {
             Day day = new Day(seed, 1, null, null, NEW);
             Map<String, Reply> known = new HashMap<>();
-            day.faulty = (q, r) -> q == null || q.creates() || r.status() != 200 ? r
+            day.faulty = (q, r) -> q == null || q.creates() || r.status() != 200
+                    ? r
                     : day.world.random.nextBoolean() ? known.getOrDefault(q.node() + q.id(), r) : keep(known, q, r);
             return look(day);
         }));
@@ -156,7 +160,8 @@
     void theCheckerNoticesThatWhatCantRunIsAccepted() {
         assertTrue(noticed("accepted req-8", seed -> {
             Day day = new Day(seed, 1, null, null, NEW);
-            day.faulty = (q, r) -> r.status() == 422 ? new Reply(201, Codec.object().put("status", "pending")) : r;
+            day.faulty =
+                    (q, r) -> r.status() == 422 ? new Reply(201, Codec.object().put("status", "pending")) : r;
             day.oddRequests(6, 10_000);
             return day.play(20_000);
         }));
@@ -242,12 +247,14 @@
         day.state.refused = txn -> txn.path("then").toString().contains("\"h/x/");
         day.checker.withdrawing("req-700000");
         String withdraw = "/graphs/req-700000/nodes/n0/withdraw";
-        assertEquals(503, day.askAt(day.leader(), "POST", withdraw, Codec.object()).status());
+        assertEquals(
+                503, day.askAt(day.leader(), "POST", withdraw, Codec.object()).status());
         assertEquals(503, day.askAt(0, "GET", "/graphs/req-700000", null).status());
         day.state.refused = txn -> false;
         day.play(2_000);
         Reply later = day.askAt(0, "GET", "/graphs/req-700000", null);
-        assertEquals("cancelled", later.body().path("nodes").path(0).path("state").asText());
+        assertEquals(
+                "cancelled", later.body().path("nodes").path(0).path("state").asText());
         assertEquals(List.of(), day.checker.broken);
     }
 
@@ -320,12 +327,14 @@
                 Reply again = day.askAt(node, "POST", "/submissions", spec);
                 assertEquals("200 done", again.status() + " " + status(again));
             }
-            assertEquals(404, day.askAt(node, "GET", "/submissions/req-777777", null).status());
+            assertEquals(
+                    404, day.askAt(node, "GET", "/submissions/req-777777", null).status());
         }
         assertEquals(0, writes[0], "repetitions cost no write");
         day.state.outage(5_000);
         for (int node = 0; node < 3; node++) {
-            assertEquals(503, day.askAt(node, "GET", "/submissions/req-777777", null).status(), "nobody can know");
+            assertEquals(
+                    503, day.askAt(node, "GET", "/submissions/req-777777", null).status(), "nobody can know");
             assertEquals(503, day.askAt(node, "POST", "/submissions", wrong).status(), "422 only from fresh records");
             assertEquals(200, day.askAt(node, "POST", "/submissions", spec).status(), "what is over is known");
         }
--- a/src/test/java/org/hollypick/sim/AnswerOrder.java
+++ b/src/test/java/org/hollypick/sim/AnswerOrder.java
@@ -9,21 +9,27 @@
 import org.hollypick.io.Reply;
 
 /**
- * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers
- * and reach users:
+ * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers and
+ * reach users:
+ *
  * <ul>
- * <li>What leaves a controller is never older than what left the same controller before, whenever either question was
- * put.
- * <li>An answer to a question that reached a controller after a newer answer of any controller had reached a user
- * isn't older than that one.
+ *   <li>What leaves a controller is never older than what left the same controller before, whenever either question was
+ *       put.
+ *   <li>An answer to a question that reached a controller after a newer answer of any controller had reached a user
+ *       isn't older than that one.
  * </ul>
+ *
  * A question that was with one controller already when another's newer answer arrived may be answered with the older
- * state: no exchange of messages can rule that out, since the older answer may be on its way. Such answers are
- * counted, with the longest time by which one was late.
+ * state: no exchange of messages can rule that out, since the older answer may be on its way. Such answers are counted,
+ * with the longest time by which one was late.
  */
 final class AnswerOrder {
     /** What an answer says of a job; each is newer than the ones before. */
-    enum State { UNKNOWN, ACCEPTED, OVER }
+    enum State {
+        UNKNOWN,
+        ACCEPTED,
+        OVER
+    }
 
     /** A question about a job as it reached a controller. {@code creates}: it is a submission. */
     record Question(String node, String id, boolean creates, boolean refusals, long reachedAt) {}
@@ -34,9 +40,10 @@
     private final Map<String, Map<State, Long>> arrived = new HashMap<>();
     private final Map<Left, State> left = new HashMap<>();
     /** Hears of a job when a user is told for the first time that it is accepted, or over. */
-    Consumer<String> news = id -> { };
+    Consumer<String> news = id -> {};
     /** Answers that were compared with earlier ones, and those that were overtaken, at most by so many milliseconds. */
     int compared;
+
     int overtaken;
     long longestMs;
 
@@ -51,7 +58,9 @@
         if (!job && (parts.length < 2 || !parts[1].equals("graphs") || parts.length > 3)) {
             return null;
         }
-        String id = parts.length > 2 ? parts[2] : body == null ? "" : body.path("name_id").asText();
+        String id = parts.length > 2
+                ? parts[2]
+                : body == null ? "" : body.path("name_id").asText();
         boolean estimate = parts.length > 3 && parts[3].equals("estimate");
         return new Question(node, id, job && parts.length == 2, job && !estimate, now);
     }
@@ -73,8 +82,11 @@
         if (q.creates && r.status() == 201 && told.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < q.reachedAt) {
             broken.add("accepted twice " + what);
         }
-        long newer = told.entrySet().stream().filter(e -> e.getKey().compareTo(state) > 0)
-                .mapToLong(Map.Entry::getValue).min().orElse(Long.MAX_VALUE);
+        long newer = told.entrySet().stream()
+                .filter(e -> e.getKey().compareTo(state) > 0)
+                .mapToLong(Map.Entry::getValue)
+                .min()
+                .orElse(Long.MAX_VALUE);
         if (newer < q.reachedAt) {
             broken.add("went_back (asked later) " + what + " after " + newer);
         } else if (newer < now) {
@@ -87,7 +99,9 @@
         if (r.status() == 404 || r.status() == 400 || r.status() == 422) {
             return q.refusals ? State.UNKNOWN : null;
         }
-        return r.status() == 200 || r.status() == 201 ? state(r.body().path("status").asText()) : null;
+        return r.status() == 200 || r.status() == 201
+                ? state(r.body().path("status").asText())
+                : null;
     }
 
     private static State state(String status) {
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -27,6 +27,7 @@
     private static final double LIMIT = 24;
     /** Of a team at its limit that many cores at most are those of tasks that wait for their image. */
     private static final double FETCHING = 4;
+
     private static final BiFunction<Runtime, Settings, Node> TWO_TEAMS =
             (r, s) -> new Node(r, Day.withTeams(s, TEAMS, LIMIT), OperatorSettings.defaults());
     /** Longer than the time that a cancelled task has. */
@@ -38,7 +39,12 @@
 
     /** What ends, or stops, the leader's work. */
     private enum Change {
-        BACK_AT_ONCE, AWAY, FROZEN, CUT_OFF, OUT_OF_REACH_OF_MACHINES, IN_A_ZONE_THAT_IS_CUT_OFF;
+        BACK_AT_ONCE,
+        AWAY,
+        FROZEN,
+        CUT_OFF,
+        OUT_OF_REACH_OF_MACHINES,
+        IN_A_ZONE_THAT_IS_CUT_OFF;
 
         Change after(int steps) {
             return values()[(ordinal() + steps) % values().length];
@@ -62,7 +68,12 @@
 
     /** What befalls the machines of the cancelled jobs. */
     private enum Loss {
-        SHORT_HANG, SLOW_HANG, HANG_WITHIN_LEASE, LONG_HANG, CUT, DEAF;
+        SHORT_HANG,
+        SLOW_HANG,
+        HANG_WITHIN_LEASE,
+        LONG_HANG,
+        CUT,
+        DEAF;
 
         void strike(Day day, WorkerStandIn w) {
             switch (this) {
@@ -176,7 +187,7 @@
     void teamsAtTheirLimitsWhileCancelledMachinesAreLostAndTheLeaderChanges() {
         int[] wentOn = {0};
         for (int seed = 1; seed <= SEEDS; seed++) {
-            forEachPair(seed, day -> { }, (day, where) -> {
+            forEachPair(seed, day -> {}, (day, where) -> {
                 assertRulesKept(day, where);
                 wentOn[0] += day.checker.wentOnCancelled;
             });
@@ -209,7 +220,7 @@
     void jobsCancelledWhileTheirTasksFetchOnMachinesThatAreLost() {
         for (int seed = 1; seed <= SEEDS; seed++) {
             for (Loss loss : Loss.values()) {
-                assertRulesKept(whileFetching(seed, loss, w -> { }), loss + " seed " + seed);
+                assertRulesKept(whileFetching(seed, loss, w -> {}), loss + " seed " + seed);
             }
         }
     }
@@ -297,7 +308,7 @@
     @Test
     void jobsCancelledAtTheRefusalOfTheLeaderAloneJustBeforeAnOutage() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            assertRulesKept(refusedThenOut(seed, w -> { }), "seed " + seed);
+            assertRulesKept(refusedThenOut(seed, w -> {}), "seed " + seed);
         }
     }
 
@@ -315,7 +326,11 @@
 
     /** What befalls the leader in the moment in which it sends one particular message. */
     private enum Stop {
-        ENDS, FREEZES, CUT_OFF, UNHEARD, OUTAGE;
+        ENDS,
+        FREEZES,
+        CUT_OFF,
+        UNHEARD,
+        OUTAGE;
 
         void strike(Day day, int leader) {
             switch (this) {
--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/Checker.java
@@ -27,21 +27,26 @@
     final Set<String> asked = new HashSet<>();
     /** Those and all that need them. */
     private final Set<String> withdrawn = new HashSet<>();
+
     private final Map<String, Long> toldCancelledAt = new HashMap<>();
     /** When each job was last answered about, and from when on that may not be long ago: the end of all troubles. */
     private final Map<String, Long> answeredAt = new HashMap<>();
+
     private long calmFrom = Long.MAX_VALUE;
     /** Milliseconds from then to the first answer, by job. */
     final Map<String, Long> firstAnswer = new HashMap<>();
+
     private final Map<String, Long> overSince = new HashMap<>();
     private final Set<String> started = new HashSet<>();
     /** Descriptions of graphs' nodes by task, and what each does while it runs. */
     final Map<String, JsonNode> nodes = new HashMap<>();
+
     Program program;
     /** When the user of a job was told that one that it needs is cancelled. */
     private final Map<String, Long> orphanedAt = new HashMap<>();
     /** Cores that each team's tasks may take together. */
     final Map<String, Double> teamCpus = new HashMap<>();
+
     private final long cancelMs;
     int starts;
     /** Tasks that started after a user was told that their job is cancelled, however soon after. */
@@ -49,7 +54,8 @@
     /** Tasks of jobs called cancelled that went on, for a moment or longer, when their machine no longer hung. */
     int wentOnCancelled;
     /** Hears of each task in the moment in which it completes. */
-    Consumer<String> onCompleted = task -> { };
+    Consumer<String> onCompleted = task -> {};
+
     final Map<String, Integer> startsOf = new HashMap<>();
     private final Map<String, Integer> startsOfJob = new HashMap<>();
     int completed;
@@ -102,7 +108,8 @@
         checkQuota(teamOf(task));
         if ((w.spot && !spec.path("lendable").asBoolean())
                 || (spec.path("hall").isTextual() && !spec.path("hall").asText().equals(w.zone))
-                || (spec.path("spread").asBoolean() && inZone > (spec.path("shards").asInt() + 1) / 2)
+                || (spec.path("spread").asBoolean()
+                        && inZone > (spec.path("shards").asInt() + 1) / 2)
                 || (spec.path("together").asBoolean() && elsewhere > 0)) {
             broken.add("wrong_place " + task + " on " + w.name);
         }
@@ -176,7 +183,8 @@
 
     void completed(String task) {
         completed++;
-        done.computeIfAbsent(job(task), k -> new HashSet<>()).add(Integer.parseInt(task.substring(task.indexOf('/') + 1)));
+        done.computeIfAbsent(job(task), k -> new HashSet<>())
+                .add(Integer.parseInt(task.substring(task.indexOf('/') + 1)));
         onCompleted.accept(task);
     }
 
@@ -203,7 +211,9 @@
         if (before != null && !before.equals(status) && asked > overSince.get(id)) {
             broken.add("went_back " + id + " from " + before + " to " + status);
         }
-        if (orphanedAt.containsKey(id) && now > orphanedAt.get(id) + cancelMs && (status.equals("pending") || status.equals("running"))) {
+        if (orphanedAt.containsKey(id)
+                && now > orphanedAt.get(id) + cancelMs
+                && (status.equals("pending") || status.equals("running"))) {
             broken.add("orphaned " + id + " still " + status);
         }
         if (status.equals("done")) {
@@ -255,7 +265,11 @@
                 withdrawn.add(id);
             }
             if (toldCancelledAt.containsKey(awaited.asText()) || orphanedAt.containsKey(awaited.asText())) {
-                orphanedAt.putIfAbsent(id, Math.min(orphanedAt.getOrDefault(awaited.asText(), Long.MAX_VALUE), toldCancelledAt.getOrDefault(awaited.asText(), Long.MAX_VALUE)));
+                orphanedAt.putIfAbsent(
+                        id,
+                        Math.min(
+                                orphanedAt.getOrDefault(awaited.asText(), Long.MAX_VALUE),
+                                toldCancelledAt.getOrDefault(awaited.asText(), Long.MAX_VALUE)));
             }
         }
     }
@@ -286,7 +300,9 @@
 
     /** All of its tasks have completed, whoever knows of it. */
     boolean isComplete(String id) {
-        return submitted.get(id).has("nodes") || done.getOrDefault(id, Set.of()).size() >= submitted.get(id).path("shards").asInt();
+        return submitted.get(id).has("nodes")
+                || done.getOrDefault(id, Set.of()).size()
+                        >= submitted.get(id).path("shards").asInt();
     }
 
     boolean isDone(String task) {
@@ -307,7 +323,9 @@
     }
 
     void refused(String id, int status, long asked) {
-        if (accepted.contains(id) && asked > acceptedSince.get(id) && (status == 404 || status == 400 || status == 422)) {
+        if (accepted.contains(id)
+                && asked > acceptedSince.get(id)
+                && (status == 404 || status == 400 || status == 422)) {
             broken.add("forgotten " + id + " answered " + status);
         }
     }
--- a/src/test/java/org/hollypick/sim/CloudStandIn.java
+++ b/src/test/java/org/hollypick/sim/CloudStandIn.java
@@ -18,6 +18,7 @@
 final class CloudStandIn implements World.Endpoint {
     /** The only type of machine. */
     static final String TYPE = "t4";
+
     static final double CPUS = 8;
     static final double RAM_GB = 64;
     private static final long LAG_MS = 4_000;
@@ -43,9 +44,10 @@
     int bootMs = 8_000;
     /** Lists are in turn as new and as old as they may be, so that every second one is older than the one before. */
     boolean alternatingLists;
+
     private boolean oldList;
     /** Sees each machine that comes up. */
-    Consumer<WorkerStandIn> booted = w -> { };
+    Consumer<WorkerStandIn> booted = w -> {};
 
     CloudStandIn(World world, Checker checker, List<String> nodes, List<String> zones, long leaseMs, int size) {
         this.world = world;
@@ -64,8 +66,13 @@
 
     private void snapshot() {
         ArrayNode list = Codec.array();
-        hosts.forEach((name, h) -> list.addObject().put("name_id", name).put("addr", "w-" + name + ":9000").put("flavour", "t4")
-                .put("hall", h.zone).put("lendable", h.spot).put("status", h.failed ? "failed" : h.worker == null ? "starting" : "running")
+        hosts.forEach((name, h) -> list.addObject()
+                .put("name_id", name)
+                .put("addr", "w-" + name + ":9000")
+                .put("flavour", "t4")
+                .put("hall", h.zone)
+                .put("lendable", h.spot)
+                .put("status", h.failed ? "failed" : h.worker == null ? "starting" : "running")
                 .put("age_s", (world.now - h.born) / 1000.0));
         snapshots.add(new Snapshot(world.now, list));
         snapshots.removeIf(s -> s.at < world.now - 3 * LAG_MS);
@@ -97,8 +104,20 @@
     public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
         if (path.equals("/machine_types")) {
             ObjectNode r = Codec.object();
-            r.putArray("flavours").addObject().put("sku", TYPE).put("cores", CPUS).put("gpus", 0.0).put("ram_gb", RAM_GB).put("cache_gb", 50.0)
-                    .put("pull_gb_per_s", 1.0).put("price", 1.0).put("market_price", 0.4).put("ready_s", 6.0).putArray("halls").add("a").add("b");
+            r.putArray("flavours")
+                    .addObject()
+                    .put("sku", TYPE)
+                    .put("cores", CPUS)
+                    .put("gpus", 0.0)
+                    .put("ram_gb", RAM_GB)
+                    .put("cache_gb", 50.0)
+                    .put("pull_gb_per_s", 1.0)
+                    .put("price", 1.0)
+                    .put("market_price", 0.4)
+                    .put("ready_s", 6.0)
+                    .putArray("halls")
+                    .add("a")
+                    .add("b");
             reply.accept(new Reply(200, r));
         } else if (path.equals("/hosts")) {
             reply.accept(hire(body));
@@ -136,7 +155,9 @@
             return new Reply(200, answered.get(request));
         }
         String kind = body.path("hall").asText() + body.path("lendable").asBoolean();
-        long used = hosts.values().stream().filter(h -> (h.zone + h.spot).equals(kind)).count();
+        long used = hosts.values().stream()
+                .filter(h -> (h.zone + h.spot).equals(kind))
+                .count();
         int count = (int) Math.min(body.path("number").asInt(), capacity.get(kind) - used);
         if (count <= 0) {
             return new Reply(503, Codec.object().put("error", "no capacity"));
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -1,7 +1,6 @@
 package org.hollypick.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
@@ -17,14 +16,22 @@
 import org.hollypick.io.Runtime;
 import org.junit.jupiter.api.Test;
 
-/** Two troubles that meet (docs/combined-faults.md): what each alone doesn't break may break between them. Workers' leases last 15 s, and a cancelled task has 35 s. */
+/**
+ * Two troubles that meet (docs/combined-faults.md): what each alone doesn't break may break between them. Workers'
+ * leases last 15 s, and a cancelled task has 35 s.
+ */
 class CombinedFaultsTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<Runtime, Settings, Node> NEW =
+            (r, s) -> new Node(r, s, OperatorSettings.defaults());
     private static final long OUTAGE_MS = 60_000;
     /** More are played outside CI: {@code mvn test -Dtest=CombinedFaultsTest -Dcombined-faults.days=3000}. */
     private static final int DAYS = Integer.getInteger("combined-faults.days", 150);
+
     private static final int FIRST_DAY = Integer.getInteger("meetings.first", 1);
-    /** Drawn troubles are over by then: the last pair begins at 110 s, its second at most 35 s later, and ten changes of the leader take 100 s. */
+    /**
+     * Drawn troubles are over by then: the last pair begins at 110 s, its second at most 35 s later, and ten changes of
+     * the leader take 100 s.
+     */
     private static final long CALM_MS = 255_000;
 
     /** Its write is carried out, and nothing of that comes back to the leader. */
@@ -35,8 +42,9 @@
     }
 
     /**
-     * The gap: a cancellation is carried out and its answer to the leader lost; another controller, whose records show it, tells the user; then the service
-     * is down for all for longer than a cancelled task has, while the leader goes on by the promises of the others and answers the workers.
+     * The gap: a cancellation is carried out and its answer to the leader lost; another controller, whose records show
+     * it, tells the user; then the service is down for all for longer than a cancelled task has, while the leader goes
+     * on by the promises of the others and answers the workers.
      */
     @Test
     void whatAnotherControllerToldAsCancelledIsGoneThoughTheLeaderCantKnow() {
@@ -52,7 +60,10 @@
         }
     }
 
-    /** The same where the service answers, but seconds late and out of order, before it is down: whoever asks in between gets no older answer. */
+    /**
+     * The same where the service answers, but seconds late and out of order, before it is down: whoever asks in between
+     * gets no older answer.
+     */
     @Test
     void slowAnswersBeforeAnOutageTellNothingOlder() {
         for (int seed = 1; seed <= 10; seed++) {
@@ -71,7 +82,10 @@
         }
     }
 
-    /** Cancelled through the new leader; the old one, which workers and users still reach, keeps leases for a while, and knows nothing of that. */
+    /**
+     * Cancelled through the new leader; the old one, which workers and users still reach, keeps leases for a while, and
+     * knows nothing of that.
+     */
     @Test
     void whatIsCancelledThroughTheNewLeaderIsGoneAtTheOldOneToo() {
         for (int seed = 1; seed <= 10; seed++) {
@@ -81,16 +95,21 @@
 
     @Test
     void theCheckerNoticesAnOldLeaderThatKeepsLeasesForLonger() {
-        BiFunction<Runtime, Settings, Node> greedy = (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? Day.greedy(s, 60) : s);
+        BiFunction<Runtime, Settings, Node> greedy =
+                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? Day.greedy(s, 60) : s);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
-        assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled")));
+        assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.broken.stream()
+                .anyMatch(b -> b.startsWith("ran_cancelled")));
     }
 
     private static Day cancelledThroughTheNewLeader(int seed, BiFunction<Runtime, Settings, Node> version) {
         Day day = new Day(seed, 1, null, null, version).withRunningServices();
         int old = day.leader();
         day.cutFromStateAndPeers(old, 110_000);
-        List<String> ofZone = day.cloud.workers().stream().filter(w -> w.zone.equals("b")).map(w -> w.name).toList();
+        List<String> ofZone = day.cloud.workers().stream()
+                .filter(w -> w.zone.equals("b"))
+                .map(w -> w.name)
+                .toList();
         for (int other = 0; other < 3; other++) {
             if (other != old) {
                 day.cutFromWorkers(other, 110_000, ofZone); // these have only the old one
@@ -107,8 +126,9 @@
     }
 
     /**
-     * A launch is held up on its way to a machine, which hangs or can't be reached directly, and is carried out once that is over, however long ago its user asked
-     * to cancel the job. Nobody may be told before that can't happen any more: it was carried out and is known, the machine is gone, or it refuses the token.
+     * A launch is held up on its way to a machine, which hangs or can't be reached directly, and is carried out once
+     * that is over, however long ago its user asked to cancel the job. Nobody may be told before that can't happen any
+     * more: it was carried out and is known, the machine is gone, or it refuses the token.
      */
     @Test
     void aLaunchThatIsHeldUpKeepsTheCancellationFromBeingTold() {
@@ -121,8 +141,13 @@
                 WorkerStandIn[] held = {null};
                 boolean hangs = seed % 2 == 0;
                 day.world.sending = (from, call) -> {
-                    if (held[0] == null && call.path().equals("/commands") && call.body().toString().contains("launch")) {
-                        held[0] = day.cloud.workers().stream().filter(w -> w.addr.equals(call.address())).findAny().orElseThrow();
+                    if (held[0] == null
+                            && call.path().equals("/commands")
+                            && call.body().toString().contains("launch")) {
+                        held[0] = day.cloud.workers().stream()
+                                .filter(w -> w.addr.equals(call.address()))
+                                .findAny()
+                                .orElseThrow();
                         if (hangs) {
                             held[0].hang(ms);
                         } else {
@@ -147,7 +172,9 @@
                 }
                 waited += day.world.now - from > 5_000 ? 1 : 0;
                 fenced += day.state.stamp("h/roster") != token && seed % 4 <= 1 ? 1 : 0;
-                assertTrue(!hangs || seed % 4 > 1 || day.state.stamp("h/roster") == token, "the lease of one that hangs ends by itself");
+                assertTrue(
+                        !hangs || seed % 4 > 1 || day.state.stamp("h/roster") == token,
+                        "the lease of one that hangs ends by itself");
                 int starts = day.checker.starts;
                 day.play(100_000);
                 assertEquals(starts, day.checker.starts, "seed " + seed + ": started after its user was told");
@@ -159,7 +186,10 @@
         assertTrue(fenced > 0, "no launch called for a new token");
     }
 
-    /** Tasks of a small job end far apart, and the lead changes again and again in between: none runs a second time, and each job is done. */
+    /**
+     * Tasks of a small job end far apart, and the lead changes again and again in between: none runs a second time, and
+     * each job is done.
+     */
     @Test
     void tasksThatEndFarApartAreDoneForEveryLeader() {
         for (int seed = 1; seed <= 8; seed++) {
@@ -196,10 +226,16 @@
     }
 
     private static List<String> twice(Day day) {
-        return day.checker.startsOf.entrySet().stream().filter(e -> e.getValue() > 1).map(Map.Entry::getKey).toList();
+        return day.checker.startsOf.entrySet().stream()
+                .filter(e -> e.getValue() > 1)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
-    /** The lead goes over and back since each in turn loses the machines, all end, and one is back at once, with copies of reports and users who cancel. */
+    /**
+     * The lead goes over and back since each in turn loses the machines, all end, and one is back at once, with copies
+     * of reports and users who cancel.
+     */
     @Test
     void theLeadGoesOverAndBack() {
         for (int seed = 1; seed <= 12; seed++) {
@@ -225,7 +261,10 @@
         }
     }
 
-    /** Long tasks on machines that can't be reached, or are deaf, while the leader ends: they are neither started twice nor waited for without end. */
+    /**
+     * Long tasks on machines that can't be reached, or are deaf, while the leader ends: they are neither started twice
+     * nor waited for without end.
+     */
     @Test
     void longTasksOnMachinesOutOfReachOutliveTheLeader() {
         for (int seed = 1; seed <= 12; seed++) {
@@ -240,7 +279,8 @@
     void theCheckerNoticesASuccessorThatDoesNotWait() {
         boolean noticed = false;
         for (int seed = 1; seed <= 12 && !noticed; seed++) {
-            noticed = outOfReach(seed, k -> k.startsWith("h/m/")).checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice"));
+            noticed = outOfReach(seed, k -> k.startsWith("h/m/")).checker.broken.stream()
+                    .anyMatch(b -> b.startsWith("ran_twice"));
         }
         assertTrue(noticed);
     }
@@ -269,7 +309,9 @@
         return day;
     }
 
-    /** Copies of reports, of earlier sessions and lives too, at any controller, before and after a change of the lead. */
+    /**
+     * Copies of reports, of earlier sessions and lives too, at any controller, before and after a change of the lead.
+     */
     @Test
     void oldReportsSayNothingToAnyLeader() {
         for (int seed = 1; seed <= 20; seed++) {
@@ -280,7 +322,11 @@
             day.world.copyShare = 0.5;
             for (int i = 0; i < 8; i++) {
                 boolean anew = i % 2 == 0;
-                day.world.at(20_000 + 12_000 * i, () -> day.cloud.workers().stream().filter(w -> day.world.random.nextInt(3) == 0).forEach(w -> w.restart(300, anew)));
+                day.world.at(
+                        20_000 + 12_000 * i,
+                        () -> day.cloud.workers().stream()
+                                .filter(w -> day.world.random.nextInt(3) == 0)
+                                .forEach(w -> w.restart(300, anew)));
                 day.world.at(20_000 + 12_000 * i + day.world.random.nextInt(6_000), () -> day.crash(day.leader(), 300));
             }
             day.play(240_000);
@@ -288,7 +334,10 @@
         }
     }
 
-    /** Every second transaction of a kind gets no answer and is carried out seconds later, after newer ones, while leaders come and go. */
+    /**
+     * Every second transaction of a kind gets no answer and is carried out seconds later, after newer ones, while
+     * leaders come and go.
+     */
     @Test
     void lateTransactionsOfEachKindAreHarmless() {
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/")) {
@@ -327,7 +376,10 @@
         return day;
     }
 
-    /** Requests that are wrong, doubled or about what nobody knows, while a cancellation is in doubt and the service away, and after. */
+    /**
+     * Requests that are wrong, doubled or about what nobody knows, while a cancellation is in doubt and the service
+     * away, and after.
+     */
     @Test
     void wrongAndDoubledRequestsWhileACancellationIsInDoubt() {
         for (int seed = 1; seed <= 5; seed++) {
@@ -337,14 +389,32 @@
             day.state.outage(OUTAGE_MS);
             day.play(5_000);
             for (int node = 0; node < 3; node++) {
-                assertEquals(503, day.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object()).status(), "nobody can know");
-                assertEquals(404, day.askAt(node, "POST", "/submissions/nonsense/withdraw", Codec.object()).status());
+                assertEquals(
+                        503,
+                        day.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                                .status(),
+                        "nobody can know");
+                assertEquals(
+                        404,
+                        day.askAt(node, "POST", "/submissions/nonsense/withdraw", Codec.object())
+                                .status());
             }
-            assertEquals(503, day.askAt(leader, "GET", "/submissions/req-000000", null).status(), "the leader can't know");
+            assertEquals(
+                    503,
+                    day.askAt(leader, "GET", "/submissions/req-000000", null).status(),
+                    "the leader can't know");
             day.play(OUTAGE_MS);
             for (int node = 0; node < 3; node++) {
-                assertEquals(404, day.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object()).status());
-                assertEquals("aborted", day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object()).body().path("status").asText());
+                assertEquals(
+                        404,
+                        day.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                                .status());
+                assertEquals(
+                        "aborted",
+                        day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())
+                                .body()
+                                .path("status")
+                                .asText());
             }
             for (int node = 0; node < 3; node++) {
                 day.withdrawAt(node, "req-000001"); // at all three at once
@@ -383,8 +453,9 @@
     }
 
     /**
-     * The leader has lost its place in the watch and reads all records again, while the service is slow and jobs end: what it read before an end that it knows
-     * isn't taken up again. Else it would call a job live that others call done, and start its tasks once more.
+     * The leader has lost its place in the watch and reads all records again, while the service is slow and jobs end:
+     * what it read before an end that it knows isn't taken up again. Else it would call a job live that others call
+     * done, and start its tasks once more.
      */
     @Test
     void aLeaderThatReadsAllRecordsAgainTakesUpNothingThatIsOver() {
@@ -403,7 +474,9 @@
             Map<String, Long> completeAt = new TreeMap<>();
             while (day.world.now < 100_000) {
                 day.play(50);
-                day.checker.submitted.keySet().stream().filter(day.checker::isComplete).forEach(id -> completeAt.putIfAbsent(id, day.world.now));
+                day.checker.submitted.keySet().stream()
+                        .filter(day.checker::isComplete)
+                        .forEach(id -> completeAt.putIfAbsent(id, day.world.now));
                 completeAt.forEach((id, at) -> {
                     if (day.world.now - at < 6_000) {
                         day.look(id);
--- a/src/test/java/org/hollypick/sim/Controller.java
+++ b/src/test/java/org/hollypick/sim/Controller.java
@@ -6,7 +6,10 @@
 import org.hollypick.io.Answer;
 import org.hollypick.io.Reply;
 
-/** A controller's process as its host sees it, whatever its version. An answer is asked for what it says in the moment of sending. */
+/**
+ * A controller's process as its host sees it, whatever its version. An answer is asked for what it says in the moment
+ * of sending.
+ */
 interface Controller {
     void start();
 
--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/Day.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.List;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
@@ -29,15 +29,29 @@
     private static final long LEASE_MS = 15_000;
     /** What a cancelled task has beyond a lease. */
     private static final long CANCEL_MS = 20_000;
+
     private static final double TEAM_CPUS = 40;
     private static final String TEAM = "team";
-    /** Milliseconds within which a trouble meets the call that it is aimed at: a call, its execution and its answer take up to 11. */
+    /**
+     * Milliseconds within which a trouble meets the call that it is aimed at: a call, its execution and its answer take
+     * up to 11.
+     */
     private static final int AIM_MS = 15;
     /** Calls of controllers that troubles are aimed at: how the path begins, and what the body contains. */
-    private static final List<String[]> CALLS = List.of(new String[] {"/commands", "launch"}, new String[] {"/commands", "kill"}, new String[] {"/commit", "aborted"},
-            new String[] {"/commit", "done"}, new String[] {"/commit", "h/roster"}, new String[] {"/commit", "h/m/"}, new String[] {"/commit", "h/j/"},
-            new String[] {"/commit", "h/n/"}, new String[] {"/hosts", "hire"}, new String[] {"/hosts/return", ""}, new String[] {"/promise", ""},
-            new String[] {"/keep", ""}, new String[] {"/release", ""});
+    private static final List<String[]> CALLS = List.of(
+            new String[] {"/commands", "launch"},
+            new String[] {"/commands", "kill"},
+            new String[] {"/commit", "aborted"},
+            new String[] {"/commit", "done"},
+            new String[] {"/commit", "h/roster"},
+            new String[] {"/commit", "h/m/"},
+            new String[] {"/commit", "h/j/"},
+            new String[] {"/commit", "h/n/"},
+            new String[] {"/hosts", "hire"},
+            new String[] {"/hosts/return", ""},
+            new String[] {"/promise", ""},
+            new String[] {"/keep", ""},
+            new String[] {"/release", ""});
 
     /** A controller's host; processes come and go on it. */
     private final class Host implements World.Endpoint {
@@ -61,7 +75,9 @@
         void start() {
             process = world.new Process("bothy-" + index, rate);
             process.limit(sockets, costMs);
-            node = old ? production.controller(process, settings(index, false)) : Controller.of(version.apply(process, settings(index, tightened != null)));
+            node = old
+                    ? production.controller(process, settings(index, false))
+                    : Controller.of(version.apply(process, settings(index, tightened != null)));
             process.after(0, node::start);
         }
 
@@ -92,18 +108,27 @@
             }
             byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
             AnswerOrder.Question question = AnswerOrder.question(name(), method, path, body, world.now);
-            at.awake(() -> metering.run(name(), Growth.Metering.activity(path, body), () -> node.handle(method, path, bytes, answer -> at.out(() -> {
-                Reply r = faulty.apply(question, answer.get());
-                checker.order.left(question, r, world.now);
-                if (reporter != null) {
-                    at.answered(reporter);
-                }
-                answering.accept(name(), path);
-                if (path.equals("/hello") && r.ok() && r.body().path("orders").toString().contains("launch")) {
-                    answered(name(), r.body().path("baton").asLong());
-                }
-                reply.accept(r);
-            }))));
+            at.awake(() -> metering.run(
+                    name(),
+                    Growth.Metering.activity(path, body),
+                    () -> node.handle(
+                            method,
+                            path,
+                            bytes,
+                            answer -> at.out(() -> {
+                                Reply r = faulty.apply(question, answer.get());
+                                checker.order.left(question, r, world.now);
+                                if (reporter != null) {
+                                    at.answered(reporter);
+                                }
+                                answering.accept(name(), path);
+                                if (path.equals("/hello")
+                                        && r.ok()
+                                        && r.body().path("orders").toString().contains("launch")) {
+                                    answered(name(), r.body().path("baton").asLong());
+                                }
+                                reply.accept(r);
+                            }))));
         }
     }
 
@@ -123,11 +148,12 @@
     /** A faulty version's answers in the place of the right ones. */
     BiFunction<AnswerOrder.Question, Reply, Reply> faulty = (question, reply) -> reply;
     /** Sees which controller answers a request of a user or a machine, in the moment of sending, and to which path. */
-    BiConsumer<String, String> answering = (node, path) -> { };
+    BiConsumer<String, String> answering = (node, path) -> {};
     /** A job about which nothing is told to its users, for whatever reason. */
     String withheld;
     /** Of each controller started from now on; 0: no limit. */
     int sockets;
+
     double costMs;
     private int jobs;
     private boolean lasting;
@@ -139,11 +165,13 @@
     List<String> owners = List.of(TEAM);
     /** Every second array is bound to one zone or spread over both. */
     boolean zoneBound;
+
     private final Set<String> keep = new HashSet<>();
     private final Set<String> hasty = new HashSet<>();
     private final Set<String> looked = new HashSet<>();
     /** What is held up on its way, see {@link World#heldUp}. */
     ToLongBiFunction<String, Call> late = (from, call) -> 0;
+
     private final Set<String> muted = new HashSet<>();
 
     Day(long seed) {
@@ -155,13 +183,22 @@
         this(seed, size, null, null, (r, s) -> new Node(r, s, OperatorSettings.defaults()));
     }
 
-    /** {@code production}: with what the controllers begin; {@code tightened}: limits that come later; {@code version}: the new one. */
+    /**
+     * {@code production}: with what the controllers begin; {@code tightened}: limits that come later; {@code version}:
+     * the new one.
+     */
     Day(long seed, int size, Production production, Limits tightened, BiFunction<Runtime, Settings, Node> version) {
         this(seed, size, production, tightened, version, LEASE_MS);
     }
 
     /** {@code leaseMs}: of the workers; a cancelled task has 20 s more. */
-    Day(long seed, int size, Production production, Limits tightened, BiFunction<Runtime, Settings, Node> version, long leaseMs) {
+    Day(
+            long seed,
+            int size,
+            Production production,
+            Limits tightened,
+            BiFunction<Runtime, Settings, Node> version,
+            long leaseMs) {
         this.size = size;
         this.leaseMs = leaseMs;
         this.production = production;
@@ -177,7 +214,8 @@
         world.listen("state:1", state);
         world.listen("cloud:1", cloud);
         world.sending = (from, call) -> {
-            if (call.path().equals("/commands") || (call.path().startsWith("/hosts") && call.method().equals("POST"))) {
+            if (call.path().equals("/commands")
+                    || (call.path().startsWith("/hosts") && call.method().equals("POST"))) {
                 ordered(from);
             }
         };
@@ -197,7 +235,11 @@
                 public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
                     World.Process at = h.process;
                     byte[] bytes = body == null ? new byte[0] : Codec.write(body, true);
-                    at.awake(() -> metering.run(h.name(), path, () -> h.node.handleMesh(method, path, bytes, answer -> at.out(() -> reply.accept(answer.get())))));
+                    at.awake(() -> metering.run(
+                            h.name(),
+                            path,
+                            () -> h.node.handleMesh(
+                                    method, path, bytes, answer -> at.out(() -> reply.accept(answer.get())))));
                 }
             });
         }
@@ -222,23 +264,79 @@
 
     /** A faulty version's settings: a cancelled task seems to have that much longer. */
     static Settings greedy(Settings s, double moreS) {
-        return new Settings(s.node(), s.zone(), s.publicAddr(), s.meshAddr(), s.siblings(), s.cloud(), s.state(), s.zones(), s.teams(), s.objectives(),
-                s.reportS(), s.leaseS(), s.cancelS() + moreS, s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets());
+        return new Settings(
+                s.node(),
+                s.zone(),
+                s.publicAddr(),
+                s.meshAddr(),
+                s.siblings(),
+                s.cloud(),
+                s.state(),
+                s.zones(),
+                s.teams(),
+                s.objectives(),
+                s.reportS(),
+                s.leaseS(),
+                s.cancelS() + moreS,
+                s.stateRps(),
+                s.stateWriteRps(),
+                s.valueBytes(),
+                s.txnOps(),
+                s.cloudRps(),
+                s.listLagS(),
+                s.sockets());
     }
 
     /** The same settings with these teams, which each may take that many cores at once. */
     static Settings withTeams(Settings s, List<String> names, double cpusMax) {
         Map<String, Settings.Team> teams = new HashMap<>();
         names.forEach(n -> teams.put(n, new Settings.Team(n, cpusMax / 2, cpusMax, 0, 0)));
-        return new Settings(s.node(), s.zone(), s.publicAddr(), s.meshAddr(), s.siblings(), s.cloud(), s.state(),
-                s.zones(), teams, s.objectives(), s.reportS(), s.leaseS(), s.cancelS(), s.stateRps(), s.stateWriteRps(),
-                s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets());
+        return new Settings(
+                s.node(),
+                s.zone(),
+                s.publicAddr(),
+                s.meshAddr(),
+                s.siblings(),
+                s.cloud(),
+                s.state(),
+                s.zones(),
+                teams,
+                s.objectives(),
+                s.reportS(),
+                s.leaseS(),
+                s.cancelS(),
+                s.stateRps(),
+                s.stateWriteRps(),
+                s.valueBytes(),
+                s.txnOps(),
+                s.cloudRps(),
+                s.listLagS(),
+                s.sockets());
     }
 
     /** A faulty version's settings: workers' leases seem to last that long only. */
     static Settings shortLease(Settings s, double leaseS) {
-        return new Settings(s.node(), s.zone(), s.publicAddr(), s.meshAddr(), s.siblings(), s.cloud(), s.state(), s.zones(), s.teams(), s.objectives(),
-                s.reportS(), leaseS, s.cancelS(), s.stateRps(), s.stateWriteRps(), s.valueBytes(), s.txnOps(), s.cloudRps(), s.listLagS(), s.sockets());
+        return new Settings(
+                s.node(),
+                s.zone(),
+                s.publicAddr(),
+                s.meshAddr(),
+                s.siblings(),
+                s.cloud(),
+                s.state(),
+                s.zones(),
+                s.teams(),
+                s.objectives(),
+                s.reportS(),
+                leaseS,
+                s.cancelS(),
+                s.stateRps(),
+                s.stateWriteRps(),
+                s.valueBytes(),
+                s.txnOps(),
+                s.cloudRps(),
+                s.listLagS(),
+                s.sockets());
     }
 
     /** Limits of the state service. */
@@ -255,12 +353,33 @@
                 siblings.add(new Settings.Sibling("bothy-" + i, "a", "m" + i + ":1"));
             }
         }
-        return new Settings("bothy-" + index, "a", "p" + index + ":1", "m" + index + ":1", siblings, "cloud:1", "state:1", ZONES,
-                Map.of(TEAM, new Settings.Team(TEAM, 20 * size, TEAM_CPUS * size, 0, 0)), List.of(), 3, leaseMs / 1000.0, (leaseMs + CANCEL_MS) / 1000.0, 150,
-                tight ? tightened.writeRps : 60, tight ? tightened.valueBytes : 8192, tight ? tightened.txnOps : 12, 8, 4, 1000);
+        return new Settings(
+                "bothy-" + index,
+                "a",
+                "p" + index + ":1",
+                "m" + index + ":1",
+                siblings,
+                "cloud:1",
+                "state:1",
+                ZONES,
+                Map.of(TEAM, new Settings.Team(TEAM, 20 * size, TEAM_CPUS * size, 0, 0)),
+                List.of(),
+                3,
+                leaseMs / 1000.0,
+                (leaseMs + CANCEL_MS) / 1000.0,
+                150,
+                tight ? tightened.writeRps : 60,
+                tight ? tightened.valueBytes : 8192,
+                tight ? tightened.txnOps : 12,
+                8,
+                4,
+                1000);
     }
 
-    /** A controller orders machines about, or the cloud: only the one that the leader record names may, in the moment of sending. */
+    /**
+     * A controller orders machines about, or the cloud: only the one that the leader record names may, in the moment of
+     * sending.
+     */
     private void ordered(String node) {
         if (!node.equals(state.data("h/roster").path("leader").asText())) {
             checker.broken.add("without_right " + node + " at " + world.now);
@@ -271,7 +390,9 @@
     private void answered(String node, long token) {
         JsonNode then = state.put("h/roster", token);
         JsonNode now = state.data("h/roster");
-        if (then == null || !then.path("leader").equals(now.path("leader")) || !then.path("member").equals(now.path("member"))) {
+        if (then == null
+                || !then.path("leader").equals(now.path("leader"))
+                || !then.path("member").equals(now.path("member"))) {
             checker.broken.add("answered_without_right " + node + " at " + world.now);
         }
     }
@@ -314,17 +435,29 @@
         if (lasting) {
             keep.add(id);
         }
-        ObjectNode b = Codec.object().put("name_id", id).put("jobkind", service ? "web" : "batch").put("owner", owners.get(jobs % owners.size()))
-                .put("shape", service ? "standing" : "batch").put("rank", service ? "prod" : world.random.nextBoolean() ? "standard" : "low")
-                .put("shards", 1 + world.random.nextInt(6 * size)).put("cores", 1.0 + world.random.nextInt(2)).put("gpus", 0.0).put("ram_gb", 2.0)
-                .put("together", !service && world.random.nextInt(4) == 0).put("spread", service).put("lendable", !service)
-                .put("bundle", "img-" + world.random.nextInt(3)).put("pull_gb", 1.0).put("expect_s", service ? 0.0 : length * (4.0 + world.random.nextInt(15)))
-                .put("bookmark_s", 0.0).put("stow_s", 0.0);
+        ObjectNode b = Codec.object()
+                .put("name_id", id)
+                .put("jobkind", service ? "web" : "batch")
+                .put("owner", owners.get(jobs % owners.size()))
+                .put("shape", service ? "standing" : "batch")
+                .put("rank", service ? "prod" : world.random.nextBoolean() ? "standard" : "low")
+                .put("shards", 1 + world.random.nextInt(6 * size))
+                .put("cores", 1.0 + world.random.nextInt(2))
+                .put("gpus", 0.0)
+                .put("ram_gb", 2.0)
+                .put("together", !service && world.random.nextInt(4) == 0)
+                .put("spread", service)
+                .put("lendable", !service)
+                .put("bundle", "img-" + world.random.nextInt(3))
+                .put("pull_gb", 1.0)
+                .put("expect_s", service ? 0.0 : length * (4.0 + world.random.nextInt(15)))
+                .put("bookmark_s", 0.0)
+                .put("stow_s", 0.0);
         if (zoneBound && !service) {
             switch (world.random.nextInt(4)) {
                 case 0 -> b.put("hall", ZONES.get(world.random.nextInt(ZONES.size())));
                 case 1 -> b.put("spread", true).put("together", false);
-                default -> { }
+                default -> {}
             }
         }
         begin(id, b);
@@ -338,10 +471,24 @@
     /** One stage of a pipeline, submitted as soon as what it awaits is accepted. */
     private String stage(int tasks, double seconds, String... awaits) {
         String id = String.format("req-%06d", jobs++);
-        ObjectNode b = Codec.object().put("name_id", id).put("jobkind", "stage").put("owner", "team").put("shape", "batch")
-                .put("rank", world.random.nextBoolean() ? "urgent" : "low").put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0)
-                .put("together", false).put("spread", false).put("lendable", true).put("bundle", "img-0").put("pull_gb", 1.0).put("expect_s", seconds)
-                .put("bookmark_s", 0.0).put("stow_s", 0.0);
+        ObjectNode b = Codec.object()
+                .put("name_id", id)
+                .put("jobkind", "stage")
+                .put("owner", "team")
+                .put("shape", "batch")
+                .put("rank", world.random.nextBoolean() ? "urgent" : "low")
+                .put("shards", tasks)
+                .put("cores", 1.0)
+                .put("gpus", 0.0)
+                .put("ram_gb", 2.0)
+                .put("together", false)
+                .put("spread", false)
+                .put("lendable", true)
+                .put("bundle", "img-0")
+                .put("pull_gb", 1.0)
+                .put("expect_s", seconds)
+                .put("bookmark_s", 0.0)
+                .put("stow_s", 0.0);
         ArrayNode list = b.putArray("awaits");
         List.of(awaits).forEach(list::add);
         submitWhenAccepted(id, b);
@@ -358,7 +505,10 @@
         begin(id, b);
     }
 
-    /** First one job, then some side by side and one that may not be lent, then a last one that needs all; now and then submitted late or cancelled. */
+    /**
+     * First one job, then some side by side and one that may not be lent, then a last one that needs all; now and then
+     * submitted late or cancelled.
+     */
     void pipelines(int count, long within) {
         for (int i = 0; i < count; i++) {
             world.at(world.random.nextInt((int) within), this::pipeline);
@@ -374,7 +524,9 @@
         });
         batches.sort(null);
         boolean behind = !batches.isEmpty() && world.random.nextInt(3) == 0;
-        String first = behind ? stage(1 + world.random.nextInt(4), 4, batches.get(world.random.nextInt(batches.size()))) : stage(1 + world.random.nextInt(4), 4);
+        String first = behind
+                ? stage(1 + world.random.nextInt(4), 4, batches.get(world.random.nextInt(batches.size())))
+                : stage(1 + world.random.nextInt(4), 4);
         List<String> middle = new ArrayList<>();
         for (int i = 1 + world.random.nextInt(3); i > 0; i--) {
             middle.add(stage(1 + world.random.nextInt(3 * size), 5, first));
@@ -387,9 +539,16 @@
 
     /** What awaits itself or nothing that was ever accepted can never run. */
     private void refused(String known) {
-        ObjectNode b = ((ObjectNode) checker.submitted.getOrDefault(known, Codec.object())).deepCopy().put("name_id", "req-9" + known.substring(4));
-        b.putArray("awaits").add(known).add(world.random.nextBoolean() ? b.path("name_id").asText() : "req-777777");
-        world.send("user", new Call(anyNode(), "POST", "/submissions", b, 5_000, false), r -> checker.neverAccepted(b.path("name_id").asText(), r.status()));
+        ObjectNode b = ((ObjectNode) checker.submitted.getOrDefault(known, Codec.object()))
+                .deepCopy()
+                .put("name_id", "req-9" + known.substring(4));
+        b.putArray("awaits")
+                .add(known)
+                .add(world.random.nextBoolean() ? b.path("name_id").asText() : "req-777777");
+        world.send(
+                "user",
+                new Call(anyNode(), "POST", "/submissions", b, 5_000, false),
+                r -> checker.neverAccepted(b.path("name_id").asText(), r.status()));
     }
 
     /** A batch job of tasks of one core that run for about so long, all alike; nobody cancels it by chance. */
@@ -397,10 +556,26 @@
         String id = String.format("req-%06d", jobs);
         keep.add(id);
         String owner = owners.get(jobs++ % owners.size());
-        begin(id, Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", owner).put("shape", "batch")
-                .put("rank", "standard").put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0)
-                .put("together", false).put("spread", false).put("lendable", true).put("bundle", image)
-                .put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0));
+        begin(
+                id,
+                Codec.object()
+                        .put("name_id", id)
+                        .put("jobkind", "batch")
+                        .put("owner", owner)
+                        .put("shape", "batch")
+                        .put("rank", "standard")
+                        .put("shards", tasks)
+                        .put("cores", 1.0)
+                        .put("gpus", 0.0)
+                        .put("ram_gb", 2.0)
+                        .put("together", false)
+                        .put("spread", false)
+                        .put("lendable", true)
+                        .put("bundle", image)
+                        .put("pull_gb", 1.0)
+                        .put("expect_s", seconds)
+                        .put("bookmark_s", 0.0)
+                        .put("stow_s", 0.0));
         return id;
     }
 
@@ -426,7 +601,8 @@
     /** The same at one controller. */
     Reply askAt(int node, String method, String path, JsonNode body) {
         Reply[] answer = {null};
-        if (path.equals("/submissions") && !checker.submitted.containsKey(body.path("name_id").asText())) {
+        if (path.equals("/submissions")
+                && !checker.submitted.containsKey(body.path("name_id").asText())) {
             checker.submitting(body.path("name_id").asText(), body, world.now);
         }
         if (path.endsWith("/withdraw")) {
@@ -470,7 +646,10 @@
 
     /** Users who cancel a job in the moment when its last task completes. */
     void withdrawOnceComplete() {
-        checker.submitted.keySet().stream().filter(id -> checker.isAccepted(id) && checker.isComplete(id) && hasty.add(id)).toList().forEach(this::withdraw);
+        checker.submitted.keySet().stream()
+                .filter(id -> checker.isAccepted(id) && checker.isComplete(id) && hasty.add(id))
+                .toList()
+                .forEach(this::withdraw);
         world.at(50, this::withdrawOnceComplete);
     }
 
@@ -490,7 +669,8 @@
 
     private void lookOnceComplete() {
         checker.submitted.keySet().stream()
-                .filter(id -> checker.isAccepted(id) && checker.isComplete(id) && looked.add(id)).toList()
+                .filter(id -> checker.isAccepted(id) && checker.isComplete(id) && looked.add(id))
+                .toList()
                 .forEach(this::closeLook);
         world.at(25, this::lookOnceComplete);
     }
@@ -560,10 +740,24 @@
     }
 
     private static ObjectNode batch(String id, int tasks, double seconds) {
-        return Codec.object().put("name_id", id).put("jobkind", "batch").put("owner", "team").put("shape", "batch")
-                .put("rank", "standard").put("shards", tasks).put("cores", 1.0).put("gpus", 0.0).put("ram_gb", 2.0)
-                .put("together", false).put("spread", false).put("lendable", true).put("bundle", "img-0")
-                .put("pull_gb", 1.0).put("expect_s", seconds).put("bookmark_s", 0.0).put("stow_s", 0.0);
+        return Codec.object()
+                .put("name_id", id)
+                .put("jobkind", "batch")
+                .put("owner", "team")
+                .put("shape", "batch")
+                .put("rank", "standard")
+                .put("shards", tasks)
+                .put("cores", 1.0)
+                .put("gpus", 0.0)
+                .put("ram_gb", 2.0)
+                .put("together", false)
+                .put("spread", false)
+                .put("lendable", true)
+                .put("bundle", "img-0")
+                .put("pull_gb", 1.0)
+                .put("expect_s", seconds)
+                .put("bookmark_s", 0.0)
+                .put("stow_s", 0.0);
     }
 
     private String anyNode() {
@@ -576,7 +770,8 @@
             if (r.status() == 201 || r.status() == 200) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
                 poll(id);
-                if (!keep.contains(id) && (b.path("shape").asText().equals("standing") || world.random.nextInt(cancelledOf) == 0)) {
+                if (!keep.contains(id)
+                        && (b.path("shape").asText().equals("standing") || world.random.nextInt(cancelledOf) == 0)) {
                     world.at(world.random.nextInt(60_000), () -> withdraw(id));
                 }
                 world.at(world.random.nextInt(100_000), () -> again(id, b));
@@ -625,14 +820,17 @@
     void withdrawAt(int node, String id) {
         checker.withdrawing(id);
         long asked = world.now;
-        world.send("user", new Call("p" + node + ":1", "POST", "/submissions/" + id + "/withdraw", Codec.object(), 5_000, false), r -> {
-            if (r.status() == 200) {
-                checker.told(id, r.body().path("status").asText(), asked, world.now);
-            } else {
-                checker.refused(id, r.status(), asked);
-                world.at(1_000, () -> withdraw(id));
-            }
-        });
+        world.send(
+                "user",
+                new Call("p" + node + ":1", "POST", "/submissions/" + id + "/withdraw", Codec.object(), 5_000, false),
+                r -> {
+                    if (r.status() == 200) {
+                        checker.told(id, r.body().path("status").asText(), asked, world.now);
+                    } else {
+                        checker.refused(id, r.status(), asked);
+                        world.at(1_000, () -> withdraw(id));
+                    }
+                });
     }
 
     // ---- faults ----
@@ -752,20 +950,28 @@
 
     /** Only what the pattern says passes between controllers, the state service and the machines. */
     void links(Links links) {
-        world.close(links == null ? (from, to) -> false : (from, to) -> {
-            int controller = number(from, "bothy-", "");
-            if (controller < 0) {
-                int asked = number(to, "p", ":1");
-                return asked >= 0 && zoneOf(from) != null && !links.machines(asked, zoneOf(from));
-            }
-            int peer = number(to, "m", ":1");
-            return to.equals("state:1") ? !links.state(controller) : peer >= 0 ? !links.peers(controller, peer)
-                    : zoneOf(to) != null && !links.machines(controller, zoneOf(to));
-        });
+        world.close(
+                links == null
+                        ? (from, to) -> false
+                        : (from, to) -> {
+                            int controller = number(from, "bothy-", "");
+                            if (controller < 0) {
+                                int asked = number(to, "p", ":1");
+                                return asked >= 0 && zoneOf(from) != null && !links.machines(asked, zoneOf(from));
+                            }
+                            int peer = number(to, "m", ":1");
+                            return to.equals("state:1")
+                                    ? !links.state(controller)
+                                    : peer >= 0
+                                            ? !links.peers(controller, peer)
+                                            : zoneOf(to) != null && !links.machines(controller, zoneOf(to));
+                        });
     }
 
     private static int number(String name, String before, String after) {
-        return name.length() == before.length() + 1 + after.length() && name.startsWith(before) && name.endsWith(after) ? name.charAt(before.length()) - '0' : -1;
+        return name.length() == before.length() + 1 + after.length() && name.startsWith(before) && name.endsWith(after)
+                ? name.charAt(before.length()) - '0'
+                : -1;
     }
 
     /** Of a machine, by its name or address; null for anything else. */
@@ -874,7 +1080,10 @@
         }
     }
 
-    /** Troubles that meet: of each pair the second begins within milliseconds of a call, a state session, a lease or a cancelled task's time of the first. */
+    /**
+     * Troubles that meet: of each pair the second begins within milliseconds of a call, a state session, a lease or a
+     * cancelled task's time of the first.
+     */
     void drawMeetings(int pairs, long from, long to) {
         for (int i = 0; i < pairs; i++) {
             long first = from + world.random.nextInt((int) (to - from));
@@ -888,7 +1097,10 @@
         }
     }
 
-    /** The next call of that kind brings the trouble about within milliseconds: before it arrives, as it is carried out, or before its answer is back. */
+    /**
+     * The next call of that kind brings the trouble about within milliseconds: before it arrives, as it is carried out,
+     * or before its answer is back.
+     */
     void aim(Predicate<Call> which, Runnable trouble) {
         boolean[] struck = {false};
         world.sending = world.sending.andThen((from, call) -> {
@@ -902,7 +1114,8 @@
     /** A kind of call of those on which rules rest. */
     private Predicate<Call> someCall() {
         String[] kind = CALLS.get(world.random.nextInt(CALLS.size()));
-        return call -> call.path().startsWith(kind[0]) && (call.body() == null ? "" : call.body().toString()).contains(kind[1]);
+        return call -> call.path().startsWith(kind[0])
+                && (call.body() == null ? "" : call.body().toString()).contains(kind[1]);
     }
 
     /** One trouble of those that broke rules together with another: most strike the leading controller. */
@@ -924,7 +1137,10 @@
             case 9 -> crashAll();
             case 10 -> freeze(led, ms);
             case 11 -> cutFromWorkers(led, 2 * ms, some());
-            case 12 -> cloud.workers().stream().filter(w -> world.random.nextInt(3) == 0).forEach(w -> deafen(w, 2 * ms));
+            case 12 ->
+                cloud.workers().stream()
+                        .filter(w -> world.random.nextInt(3) == 0)
+                        .forEach(w -> deafen(w, 2 * ms));
             case 13, 14 -> cutZone(ZONES.get(world.random.nextInt(ZONES.size())), leaseMs + ms);
             case 15 -> mute(some(), leaseMs + ms);
             case 16 -> allAwayForLongerThanALease();
@@ -932,13 +1148,16 @@
             case 18, 19 -> cancelSome(ms);
             case 20, 21 -> refusalThenOutage(leaseMs + CANCEL_MS + ms);
             case 22 -> hosts.get(led).process.freezeBeforeSending(someCall(), ms);
-            default -> cloud.workers().stream().filter(w -> world.random.nextInt(3) == 0).forEach(w -> w.hang(ms));
+            default ->
+                cloud.workers().stream()
+                        .filter(w -> world.random.nextInt(3) == 0)
+                        .forEach(w -> w.hang(ms));
         }
     }
 
     /**
-     * Troubles in which answers overtake one another: slow ways to the state service and between controllers, a
-     * leader that is refused, stands still or ends.
+     * Troubles in which answers overtake one another: slow ways to the state service and between controllers, a leader
+     * that is refused, stands still or ends.
      */
     void drawAnswerTroubles(int count, long from, long to) {
         for (int i = 0; i < count; i++) {
@@ -977,20 +1196,33 @@
     /** The leading controller ends so often, each time to be back at once or after the next change. */
     void changeLeaders(int times, long everyMs) {
         for (int i = 0; i < times; i++) {
-            world.at(i * everyMs, () -> crash(state.data("h/roster") == null ? 0 : leader(), world.random.nextBoolean() ? 200 : everyMs - 1_000));
+            world.at(
+                    i * everyMs,
+                    () -> crash(
+                            state.data("h/roster") == null ? 0 : leader(),
+                            world.random.nextBoolean() ? 200 : everyMs - 1_000));
         }
     }
 
-    /** Users cancel half of the unfinished jobs within a fifth of a second, and a third of the machines hang that long; 0: none does. */
+    /**
+     * Users cancel half of the unfinished jobs within a fifth of a second, and a third of the machines hang that long;
+     * 0: none does.
+     */
     void cancelSome(long hangMs) {
-        checker.submitted.keySet().stream().filter(id -> !checker.isOver(id) && !keep.contains(id)).sorted().filter(id -> world.random.nextBoolean())
+        checker.submitted.keySet().stream()
+                .filter(id -> !checker.isOver(id) && !keep.contains(id))
+                .sorted()
+                .filter(id -> world.random.nextBoolean())
                 .forEach(id -> world.at(world.random.nextInt(200), () -> withdraw(id)));
         if (hangMs > 0) {
             cloud.workers().stream().filter(w -> world.random.nextInt(3) == 0).forEach(w -> w.hang(hangMs));
         }
     }
 
-    /** Users cancel at the very moment at which the state service refuses the leader alone; a second later it is out for all. */
+    /**
+     * Users cancel at the very moment at which the state service refuses the leader alone; a second later it is out for
+     * all.
+     */
     void refusalThenOutage(long outageMs) {
         world.refuse(state.data("h/roster") == null ? "bothy-0" : lead(), "state:1", 1_500);
         cancelSome(0);
--- a/src/test/java/org/hollypick/sim/FreezeTest.java
+++ b/src/test/java/org/hollypick/sim/FreezeTest.java
@@ -16,11 +16,15 @@
 import org.hollypick.io.Runtime;
 import org.junit.jupiter.api.Test;
 
-/** A controller that stands still while its clocks run on, longer than its state session, between a decision and the sending of what was decided. */
+/**
+ * A controller that stands still while its clocks run on, longer than its state session, between a decision and the
+ * sending of what was decided.
+ */
 class FreezeTest {
     private static final long LONGER_THAN_THE_HOLD_MS = 9_000;
     private static final List<Predicate<Call>> KINDS = List.of(
-            call -> call.path().equals("/commands") && call.body().path("orders").toString().contains("launch"),
+            call -> call.path().equals("/commands")
+                    && call.body().path("orders").toString().contains("launch"),
             call -> call.path().equals("/hosts") && call.method().equals("POST"),
             call -> call.path().equals("/hosts/return"));
 
@@ -54,12 +58,26 @@
         for (Predicate<Call> kind : KINDS) {
             boolean noticed = false;
             for (int seed = 1; seed <= 6 && !noticed; seed++) {
-                Day day = day(seed, kind, (r, s) -> new Node(new Passing(r) {
-                    @Override
-                    public void call(Call c, Consumer<Reply> reply) {
-                        r.call(new Call(c.address(), c.method(), c.path(), c.body(), c.timeoutMs(), c.mesh()), reply);
-                    }
-                }, s, OperatorSettings.defaults()));
+                Day day = day(
+                        seed,
+                        kind,
+                        (r, s) -> new Node(
+                                new Passing(r) {
+                                    @Override
+                                    public void call(Call c, Consumer<Reply> reply) {
+                                        r.call(
+                                                new Call(
+                                                        c.address(),
+                                                        c.method(),
+                                                        c.path(),
+                                                        c.body(),
+                                                        c.timeoutMs(),
+                                                        c.mesh()),
+                                                reply);
+                                    }
+                                },
+                                s,
+                                OperatorSettings.defaults()));
                 noticed = day.checker.broken.stream().anyMatch(b -> b.startsWith("without_right"));
             }
             assertTrue(noticed);
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -28,7 +27,12 @@
     private static final OperatorSettings ON = OperatorSettings.parse("{:graphs true}");
     private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, ON);
 
-    private static Day day(int seed, BiFunction<Runtime, Settings, Node> version, List<GraphUser> users, boolean cancels, Consumer<Day> troubles) {
+    private static Day day(
+            int seed,
+            BiFunction<Runtime, Settings, Node> version,
+            List<GraphUser> users,
+            boolean cancels,
+            Consumer<Day> troubles) {
         Day day = new Day(seed, 1, null, new Day.Limits(2_048, 4, 25), version);
         for (int i = 0; i < 5; i++) {
             GraphUser u = new GraphUser(day, String.format("req-7%05d", i), 3, 3);
@@ -50,7 +54,7 @@
     void graphsOfAQuietDayAreDone() {
         for (int seed = 1; seed <= 20; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            Day day = day(seed, NEW, users, false, d -> { });
+            Day day = day(seed, NEW, users, false, d -> {});
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             for (GraphUser u : users) {
                 assertEquals("done", u.told, "seed " + seed + " " + u.id);
@@ -79,7 +83,8 @@
     private static boolean breaks(String rule, BiFunction<Runtime, Settings, Node> version, Consumer<Day> troubles) {
         for (int seed = 1; seed <= 40; seed++) {
             try {
-                if (day(seed, version, new ArrayList<>(), true, troubles).checker.broken.stream().anyMatch(b -> b.startsWith(rule))) {
+                if (day(seed, version, new ArrayList<>(), true, troubles).checker.broken.stream()
+                        .anyMatch(b -> b.startsWith(rule))) {
                     return true;
                 }
             } catch (NullPointerException e) {
@@ -92,21 +97,31 @@
     /** Children that are told before they are durable are lost with the leader. */
     @Test
     void theCheckerNoticesChildrenThatAreToldTooEarly() {
-        assertTrue(breaks("too_early", (r, s) -> new Node(new Passing(r) {
-            @Override
-            public void call(Call c, Consumer<Reply> reply) {
-                if (c.path().equals("/commit") && c.body().path("then").toString().contains("h/x/")) {
-                    r.after(10, () -> reply.accept(new Reply(200, Codec.object().put("epoch", 1))));
-                    r.after(2_500, () -> r.call(c, x -> { }));
-                } else {
-                    r.call(c, reply);
-                }
-            }
-        }, s, ON), d -> {
-            for (int i = 0; i < 8; i++) {
-                d.world.at(15_000 + i * 11_000, () -> d.crash(d.leader(), 4_000));
-            }
-        }));
+        assertTrue(breaks(
+                "too_early",
+                (r, s) -> new Node(
+                        new Passing(r) {
+                            @Override
+                            public void call(Call c, Consumer<Reply> reply) {
+                                if (c.path().equals("/commit")
+                                        && c.body().path("then").toString().contains("h/x/")) {
+                                    r.after(
+                                            10,
+                                            () -> reply.accept(new Reply(
+                                                    200, Codec.object().put("epoch", 1))));
+                                    r.after(2_500, () -> r.call(c, x -> {}));
+                                } else {
+                                    r.call(c, reply);
+                                }
+                            }
+                        },
+                        s,
+                        ON),
+                d -> {
+                    for (int i = 0; i < 8; i++) {
+                        d.world.at(15_000 + i * 11_000, () -> d.crash(d.leader(), 4_000));
+                    }
+                }));
     }
 
     private static BiFunction<Runtime, Settings, Node> with(BiFunction<Integer, IntConsumer, Graph> maker) {
@@ -116,50 +131,61 @@
     /** If a cancelled node counts as done, what needs it runs for nothing, and the graph is called done without it. */
     @Test
     void theCheckerNoticesACancelledNodeThatCountsAsDone() {
-        assertTrue(breaks("lost", with((retries, release) -> new Graph(retries, release) {
-            @Override
-            public int[] endAll(int[] roots, State as, String why) {
-                BitSet pretended = new BitSet();
-                for (int i : roots) {
-                    pretended.set(i); // what awaits it runs as if it were done
-                }
-                committed(pretended);
-                return new int[0];
-            }
-        }), d -> { }));
+        assertTrue(breaks(
+                "lost",
+                with((retries, release) -> new Graph(retries, release) {
+                    @Override
+                    public int[] endAll(int[] roots, State as, String why) {
+                        BitSet pretended = new BitSet();
+                        for (int i : roots) {
+                            pretended.set(i); // what awaits it runs as if it were done
+                        }
+                        committed(pretended);
+                        return new int[0];
+                    }
+                }),
+                d -> {}));
     }
 
     /** A parent that runs again submits its children again: if they aren't known again, each is run twice. */
     @Test
     void theCheckerNoticesChildrenThatRunTwice() {
-        assertTrue(breaks("doubled", with((retries, release) -> new Graph(retries, release) {
-            private int again;
+        assertTrue(breaks(
+                "doubled",
+                with((retries, release) -> new Graph(retries, release) {
+                    private int again;
 
-            @Override
-            public Refusal check(List<NodeSpec> batch, String parent, String next) {
-                Refusal r = super.check(batch, parent, next);
-                return r != null && r.status() == 409 ? null : r;
-            }
+                    @Override
+                    public Refusal check(List<NodeSpec> batch, String parent, String next) {
+                        Refusal r = super.check(batch, parent, next);
+                        return r != null && r.status() == 409 ? null : r;
+                    }
 
-            @Override
-            public List<NodeSpec> add(List<NodeSpec> batch, String parent, String next) {
-                if (parent != null && !batch.isEmpty() && find(batch.get(0).id()) >= 0) {
-                    again++;
-                    List<NodeSpec> renamed = batch.stream().map(n -> new NodeSpec(n.id() + "-again" + again, n.task(), List.of())).toList();
-                    return super.add(renamed, parent, null);
-                }
-                return super.add(batch, parent, next);
-            }
+                    @Override
+                    public List<NodeSpec> add(List<NodeSpec> batch, String parent, String next) {
+                        if (parent != null
+                                && !batch.isEmpty()
+                                && find(batch.get(0).id()) >= 0) {
+                            again++;
+                            List<NodeSpec> renamed = batch.stream()
+                                    .map(n -> new NodeSpec(n.id() + "-again" + again, n.task(), List.of()))
+                                    .toList();
+                            return super.add(renamed, parent, null);
+                        }
+                        return super.add(batch, parent, next);
+                    }
 
-            @Override
-            public int find(String id) {
-                return super.find(super.find(id + "-again" + again) >= 0 ? id + "-again" + again : id);
-            }
-        }), d -> {
-            for (int i = 0; i < 10; i++) {
-                d.world.at(12_000 + i * 9_000, () -> d.cloud.workers().stream().findFirst().ifPresent(d.cloud::take));
-            }
-        }));
+                    @Override
+                    public int find(String id) {
+                        return super.find(super.find(id + "-again" + again) >= 0 ? id + "-again" + again : id);
+                    }
+                }),
+                d -> {
+                    for (int i = 0; i < 10; i++) {
+                        d.world.at(
+                                12_000 + i * 9_000,
+                                () -> d.cloud.workers().stream().findFirst().ifPresent(d.cloud::take));
+                    }
+                }));
     }
-
 }
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -13,7 +13,10 @@
 import org.hollypick.io.Reply;
 import org.junit.jupiter.api.Test;
 
-/** A graph as large as graphs may be: it fits the state service's limits, leases are renewed meanwhile, and a successor finds where it stands. */
+/**
+ * A graph as large as graphs may be: it fits the state service's limits, leases are renewed meanwhile, and a successor
+ * finds where it stands.
+ */
 class GraphSizeTest {
     private static final int NODES = 100_000;
     private static final int A_CALL = 700;
@@ -52,14 +55,32 @@
             day.play(50);
             assertTrue(day.world.now - crashed < 60_000, "nothing started after the takeover");
         }
-        System.out.printf(Locale.ROOT, "100,000 nodes: %.0f s to submit at 60 changes a second, %d records, %d bytes; first start %d ms after the leader's crash (hold %d ms), %.0f ms of real time%n",
-                seconds, records, bytes, day.world.now - crashed, 4_000, (System.nanoTime() - cpu) / 1e6);
+        System.out.printf(
+                Locale.ROOT,
+                "100,000 nodes: %.0f s to submit at 60 changes a second, %d records, %d bytes; first start %d ms after the leader's crash (hold %d ms), %.0f ms of real time%n",
+                seconds,
+                records,
+                bytes,
+                day.world.now - crashed,
+                4_000,
+                (System.nanoTime() - cpu) / 1e6);
         assertEquals(List.of(), day.checker.broken);
     }
 
     private static void submit(Day day, int from, int to) {
-        ObjectNode call = Codec.object().put("name_id", ID).put("jobkind", "graph").put("owner", "team").put("rank", "standard").put("more", to < NODES);
-        ObjectNode task = call.putObject("task").put("cores", 1.0).put("ram_gb", 2.0).put("bundle", "img-0").put("pull_gb", 1.0).put("lendable", true).put("expect_s", 2.0);
+        ObjectNode call = Codec.object()
+                .put("name_id", ID)
+                .put("jobkind", "graph")
+                .put("owner", "team")
+                .put("rank", "standard")
+                .put("more", to < NODES);
+        ObjectNode task = call.putObject("task")
+                .put("cores", 1.0)
+                .put("ram_gb", 2.0)
+                .put("bundle", "img-0")
+                .put("pull_gb", 1.0)
+                .put("lendable", true)
+                .put("expect_s", 2.0);
         for (int i = from; i < to; i++) {
             ObjectNode n = call.withArray("nodes").addObject().put("id", "n" + i);
             if (i % 50 != 0) { // two thousand chains of fifty
@@ -80,7 +101,9 @@
         }
         assertTrue(answer[0].status() <= 202, answer[0].toString());
         for (JsonNode n : call.path("nodes")) {
-            day.checker.nodes.put(answer[0].body().path("tasks").path(n.path("id").asText()).asText(), ((ObjectNode) task).deepCopy().put("shape", "batch"));
+            day.checker.nodes.put(
+                    answer[0].body().path("tasks").path(n.path("id").asText()).asText(),
+                    ((ObjectNode) task).deepCopy().put("shape", "batch"));
         }
     }
 }
