--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -33,6 +33,9 @@
     private static final int EVERY = Integer.getInteger("machines.every", 17);
 
     private static final int EVERY_SLOW = Math.min(EVERY, 7);
+    /** Seeds of each order with which a faulty version is given the chance to show. */
+    private static final int FAULTY_SEEDS = 8;
+
     private static final BiFunction<Runtime, Settings, Node> NEW =
             (r, s) -> new Node(r, s, OperatorSettings.defaults());
 
@@ -329,13 +332,24 @@
         assertEquals(List.of(), broken);
     }
 
-    /** A leader for which an old report counts as the machine's word under its own token. */
+    /**
+     * A leader for which an old report counts as the machine's word under its own token. Few orders show it, so those
+     * in which a held-back report comes before the machine's own are played with further seeds until one does.
+     */
     @Test
     void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
         BiConsumer<Day, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.state.stamp("h/roster"));
-        assertTrue(oldReports().stream()
-                .filter(o -> o.onlyHeldBack)
-                .anyMatch(o -> play(o, asIfNew).checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice"))));
+        List<OldReports> early = oldReports().stream()
+                .filter(o -> o.onlyHeldBack && o.to != To.OTHERS && o.when != When.A_LEASE_LATER)
+                .toList();
+        boolean noticed = false;
+        for (int again = 0; again < FAULTY_SEEDS && !noticed; again++) {
+            int further = again * oldReports().size();
+            noticed = early.stream()
+                    .map(o -> new OldReports(o.to, o.when, o.which, true, o.seed + further))
+                    .anyMatch(o -> play(o, asIfNew).checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice")));
+        }
+        assertTrue(noticed);
     }
 
     // ---- late commands, and machines that reach nobody ----
