--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -129,14 +129,14 @@
         if (term != null && (term.token != token)) {
             term.end();
             term = null;
-            state.setOwner(false);
+            state.setLeader(false);
         }
         if (term == null && token != 0 && !types.isEmpty() && membership.valid()) {
             if (token >>> (63 - Constants.ATTEMPT_BITS) != 0) {
                 LOG.error("token too large for attempt numbers token={}", Long.toUnsignedString(token));
                 return;
             }
-            state.setOwner(true);
+            state.setLeader(true);
             term = new LeaderTerm(token, runtime, settings, operator, view, dependencies, state, cloud, workers, types, membership, maker);
             term.start();
         }
@@ -199,7 +199,7 @@
         mesh.on("/keep", (body, answer) -> answer.accept(mayKeep(body)));
         mesh.on("/release", (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
         mesh.on(RelayCodec.PATH, (body, answer) -> answer.accept(term != null && term.acting()
-                ? RelayCodec.take(body, term.token, this::rightMs, this::hello).only(term::acting) : Answer.later("not the owner")));
+                ? RelayCodec.take(body, term.token, this::rightMs, this::hello).only(term::acting) : Answer.later("not the leader")));
         mesh.on(Routes.PATH, state.routes()::pass);
         mesh.on(Routes.WATCH_PATH, state.routes()::pass);
         mesh.on(PeerReachability.PATH, (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
@@ -215,7 +215,7 @@
     private Answer mayKeep(JsonNode body) {
         boolean own = body != null && term != null && term.acting() && Codec.u64(body.path("baton")) == term.token;
         return own ? term.keep(body.path("node").asText(), Codec.u64(body.path("epoch")), Codec.u64(body.path("echo")), body.path("kept").asBoolean())
-                : Answer.later("not the owner under that token");
+                : Answer.later("not the leader under that token");
     }
 
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
@@ -240,12 +240,12 @@
         return ready ? Answer.of(200, Codec.object().put("ready", true)) : Answer.later("starting");
     }
 
-    /** For how long others may pass on what this owner answers: no longer than it may act itself. */
+    /** For how long others may pass on what this leader answers: no longer than it may act itself. */
     private long rightMs() {
         return Math.min(Constants.RELAY_RIGHT_MS, membership.entitledUntil(term.token) - runtime.now());
     }
 
-    /** The owner's answer to a machine's report that came through that controller. */
+    /** The leader's answer to a machine's report that came through that controller. */
     private Answer hello(byte[] body, String via) {
         Report report = WorkerCodec.report(body);
         return report == null ? Answer.error(400, "not a report") : term.hello(report, via);
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -25,7 +25,7 @@
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 
-/** What users and running tasks ask about graphs, on any node: the owner answers, the others pass the call on to it once. */
+/** What users and running tasks ask about graphs, on any node: the leader answers, the others pass the call on to it once. */
 public final class GraphApi {
     private final Runtime runtime;
     private final Settings settings;
@@ -57,19 +57,19 @@
             owned(method, path, body, answer);
             return;
         }
-        String owner = settings.meshAddr(membership.leader());
-        if (owner == null) {
-            answer.accept(Answer.later("no owner"));
+        String leaderAddress = settings.meshAddr(membership.leader());
+        if (leaderAddress == null) {
+            answer.accept(Answer.later("no leader"));
             return;
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
         passed.put(UserApi.REVISION, view.revision()).set("body", body);
-        Call call = new Call(owner, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true);
+        Call call = new Call(leaderAddress, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true);
         runtime.call(call, r -> answer.accept(told(method, r)));
     }
 
     /**
-     * The owner's answer. To a question that changes nothing, one that a newer one has overtaken on its way isn't
+     * The leader's answer. To a question that changes nothing, one that a newer one has overtaken on its way isn't
      * given.
      */
     private Answer told(String method, Reply r) {
@@ -77,7 +77,7 @@
         JsonNode revision = r.body().path(UserApi.REVISION);
         boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
         if (status == 0 || status == 503 || older && method.equals("GET")) {
-            return Answer.later("owner");
+            return Answer.later("leader");
         }
         view.answeredFrom(Codec.u64(revision));
         return Answer.of(status, r.body().path("body"));
@@ -86,7 +86,7 @@
     /** A call that another controller passes on. */
     public void passed(JsonNode call, Consumer<Answer> answer) {
         if (call == null || term.get() == null || !term.get().acting()) {
-            answer.accept(Answer.later("not the owner"));
+            answer.accept(Answer.later("not the leader"));
             return;
         }
         view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -32,7 +32,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
 
-/** What users ask, on any node. The owner answers from its own state, the others ask it or read the records. */
+/** What users ask, on any node. The leader answers from its own state, the others ask it or read the records. */
 public final class UserApi {
     /** Between nodes: the newest revision that answers of the sender were built on (docs/safety.md, "went_back"). */
     static final String REVISION = "epoch";
@@ -45,8 +45,8 @@
     private final Dependencies dependencies;
     private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
-    /** Until when the owner isn't asked, after it left a question unanswered. */
-    private long ownerSilentUntil;
+    /** Until when the leader isn't asked, after it left a question unanswered. */
+    private long leaderSilentUntil;
     /** Polls that wait to be asked about, and whether that is due already. */
     private final Map<String, List<Consumer<Answer>>> polls = new LinkedHashMap<>();
     private boolean gathering;
@@ -188,40 +188,40 @@
         polls.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
         if (!gathering) {
             gathering = true;
-            runtime.after(Constants.GATHER_MS, this::askOwner);
+            runtime.after(Constants.GATHER_MS, this::askLeader);
         }
     }
 
-    /** All polls of a short while in one question: there are hundreds a second, and the owner has more to do than answer them. */
-    private void askOwner() {
+    /** All polls of a short while in one question: there are hundreds a second, and the leader has more to do than answer them. */
+    private void askLeader() {
         gathering = false;
         Map<String, List<Consumer<Answer>>> asked = new LinkedHashMap<>(polls);
         polls.clear();
-        String owner = ownerToAsk();
-        if (owner == null) {
+        String leaderAddress = leaderToAsk();
+        if (leaderAddress == null) {
             asked.forEach((id, answers) -> answers.forEach(a -> fromRecord(id, a)));
             return;
         }
         ObjectNode body = Codec.object().put(REVISION, view.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
-        runtime.call(new Call(owner, "POST", "/jobs", body, Constants.MESH_TIMEOUT_MS, true), r -> {
+        runtime.call(new Call(leaderAddress, "POST", "/jobs", body, Constants.MESH_TIMEOUT_MS, true), r -> {
             if (r.status() <= 0) {
-                ownerSilentUntil = runtime.now() + Constants.OWNER_SILENT_MS;
+                leaderSilentUntil = runtime.now() + Constants.LEADER_SILENT_MS;
             }
             long revision = Codec.u64(r.body().path(REVISION));
             asked.forEach((id, answers) -> {
                 JsonNode told = r.ok() ? r.body().path(id) : MissingNode.getInstance();
-                answers.forEach(a -> ownerTold(id, told, revision, a));
+                answers.forEach(a -> leaderTold(id, told, revision, a));
             });
         });
     }
 
     /**
-     * The owner's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't
+     * The leader's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't
      * final is only told if it is built on a revision no older than any answer before.
      */
-    private void ownerTold(String id, JsonNode told, long revision, Consumer<Answer> answer) {
+    private void leaderTold(String id, JsonNode told, long revision, Consumer<Answer> answer) {
         Answer over = over(id);
         if (over != null) {
             answer.accept(over);
@@ -277,9 +277,9 @@
         return t != null && t.acting() ? t.scheduler.jobs.get(id) : null;
     }
 
-    private String ownerToAsk() {
+    private String leaderToAsk() {
         LeaderTerm t = term.get();
-        return t != null && t.acting() || runtime.now() < ownerSilentUntil ? null : settings.meshAddr(membership.leader());
+        return t != null && t.acting() || runtime.now() < leaderSilentUntil ? null : settings.meshAddr(membership.leader());
     }
 
     /** From this node's own copy of the records, once that is known to be fresh. */
@@ -309,19 +309,19 @@
 
     // ---- estimates ----
 
-    /** When a job is likely to be done; worked out by its owner, where operators switched that on. */
+    /** When a job is likely to be done; worked out by its leader, where operators switched that on. */
     public void estimate(String id, Consumer<Answer> answer) {
         if (term.get() != null && term.get().acting()) {
             answer.accept(estimated(id));
             return;
         }
-        String owner = JobCodec.isId(id) ? ownerToAsk() : null;
-        if (owner == null) {
-            answer.accept(Answer.later("no owner"));
+        String leaderAddress = JobCodec.isId(id) ? leaderToAsk() : null;
+        if (leaderAddress == null) {
+            answer.accept(Answer.later("no leader"));
             return;
         }
         ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
-        runtime.call(new Call(owner, "POST", "/estimate", question, Constants.MESH_TIMEOUT_MS, true), r -> {
+        runtime.call(new Call(leaderAddress, "POST", "/estimate", question, Constants.MESH_TIMEOUT_MS, true), r -> {
             int status = r.body().path("status").asInt();
             long revision = Codec.u64(r.body().path(REVISION));
             Answer over = over(id);
@@ -331,7 +331,7 @@
                 view.answeredFrom(revision);
                 answer.accept(Answer.of(status, r.body().path("body")).only(() -> over(id) == null));
             } else {
-                answer.accept(Answer.later("owner"));
+                answer.accept(Answer.later("leader"));
             }
         });
     }
@@ -339,7 +339,7 @@
     /** Another controller asks for one of its users. */
     public Answer meshEstimate(JsonNode body) {
         learn(body);
-        Answer a = body != null && term.get() != null && term.get().acting() ? estimated(body.path("job").asText()) : Answer.later("not the owner");
+        Answer a = body != null && term.get() != null && term.get().acting() ? estimated(body.path("job").asText()) : Answer.later("not the leader");
         ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
         return Answer.of(200, told.set("body", a.body()));
     }
@@ -391,9 +391,9 @@
             });
             return;
         }
-        String owner = ownerToAsk();
-        if (owner != null) {
-            runtime.call(new Call(owner, "POST", "/jobs/" + id + "/abort", Codec.object(), Constants.STATE_TIMEOUT_MS, true), r -> {
+        String leaderAddress = leaderToAsk();
+        if (leaderAddress != null) {
+            runtime.call(new Call(leaderAddress, "POST", "/jobs/" + id + "/abort", Codec.object(), Constants.STATE_TIMEOUT_MS, true), r -> {
                 if (r.ok()) {
                     view.answeredFrom(Codec.u64(r.body().path(REVISION)));
                     ObjectNode told = r.body().deepCopy();
@@ -408,7 +408,7 @@
         withdrawn(id, answer);
     }
 
-    /** Only the owner aborts a live job; without it only what is over already, or never was, can be told. */
+    /** Only the leader aborts a live job; without it only what is over already, or never was, can be told. */
     private void withdrawn(String id, Consumer<Answer> answer) {
         view.fresh(fresh -> {
             Answer over = over(id);
@@ -417,14 +417,14 @@
             } else if (fresh && over != null) {
                 answer.accept(over);
             } else {
-                answer.accept(Answer.later("no owner"));
+                answer.accept(Answer.later("no leader"));
             }
         });
     }
 
     // ---- questions of other nodes ----
 
-    /** Another node asks about jobs; only an acting owner knows more than the records. What isn't certain is left out. */
+    /** Another node asks about jobs; only an acting leader knows more than the records. What isn't certain is left out. */
     public Answer meshStatus(JsonNode body) {
         learn(body);
         ObjectNode told = Codec.object().put(REVISION, view.revision());
--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/Candidate.java
@@ -18,7 +18,7 @@
 
 /**
  * How well this controller could lead, measured when it matters: some machines of each zone are asked directly, and by way of the others. One that reaches few
- * leaves a free lead to others for a while; an owner gives it up only to one that reaches what it reaches by all ways together.
+ * leaves a free lead to others for a while; a leader gives it up only to one that reaches what it reaches by all ways together.
  */
 public final class Candidate {
     /** Of the machines asked: how many answered this controller, how many only another, and how many the one that reached most. */
--- a/src/main/java/org/hollypick/cluster/Keys.java
+++ b/src/main/java/org/hollypick/cluster/Keys.java
@@ -12,7 +12,7 @@
     /** Sorts behind the jobs: a read by pages that shows a job shows all that its record names here. */
     private static final String AWAITED = "h/w/";
 
-    /** What a controller tells an owner that it doesn't reach. */
+    /** What a controller tells a leader that it doesn't reach. */
     public static final String LEADER_COMPLAINT = "h/l/";
     public static final String LEARNED = "h/e/";
     /** Sorts behind the jobs, as what they await does. */
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -54,7 +54,7 @@
     private final long rightsOver;
     private int incarnation;
     /** The newest roster that another controller told of. */
-    private Owner told;
+    private Leader told;
     /** When this node gave up its lead, by the time of day; told with its member key, so that all know. */
     private final LongArrayList resigned = new LongArrayList();
 
@@ -226,10 +226,10 @@
         return held && runtime.now() < holdUntil;
     }
 
-    // ---- promises: how an owner goes on while the state service is away ----
+    // ---- promises: how a leader goes on while the state service is away ----
 
     /**
-     * While renewals fail, asks every other controller whether it reaches the state service, and an owner asks them not to claim for
+     * While renewals fail, asks every other controller whether it reaches the state service, and a leader asks them not to claim for
      * a while: only if all of them promise does it count.
      */
     private void askOthers() {
@@ -339,14 +339,14 @@
     }
 
     /** Who leads by a roster: the node, the stamp of its member key, and the token. */
-    public record Owner(String node, long member, long token) {}
+    public record Leader(String node, long member, long token) {}
 
     /** Who leads, as far as this node knows: by its view, or by the word of another that knows a newer roster while this one's view stands still. Null if nobody does. */
-    public Owner owner() {
+    public Leader currentLeader() {
         if (toldNewer()) {
             return told;
         }
-        return free() ? null : new Owner(leader(), Codec.u64(view.get(Keys.ROSTER).data().path("member")), rosterStamp());
+        return free() ? null : new Leader(leader(), Codec.u64(view.get(Keys.ROSTER).data().path("member")), rosterStamp());
     }
 
     /** Another controller told of a newer roster than this node's view shows. Reports go there; everything else waits for the view. */
@@ -357,16 +357,16 @@
     private void learn(JsonNode roster) {
         long token = Codec.u64(roster.path("baton"));
         if (token != 0 && (told == null || Long.compareUnsigned(token, told.token) > 0)) {
-            told = new Owner(roster.path("leader").asText(), Codec.u64(roster.path("member")), token);
+            told = new Leader(roster.path("leader").asText(), Codec.u64(roster.path("member")), token);
         }
     }
 
     /** This node's answer to another that asks for a promise; it asks since it has no way to the state service, so it is told of the roster. */
     public ObjectNode promised(long token) {
         ObjectNode answer = Codec.object().put("promised", promise(token)).put("reaches_state", reachesState());
-        Owner owner = owner();
-        if (owner != null) {
-            answer.putObject("roster").put("leader", owner.node).put("member", owner.member).put("baton", owner.token);
+        Leader currentLeader = currentLeader();
+        if (currentLeader != null) {
+            answer.putObject("roster").put("leader", currentLeader.node).put("member", currentLeader.member).put("baton", currentLeader.token);
         }
         return answer;
     }
@@ -407,7 +407,7 @@
         }
         claimNotBefore = runtime.now() + Constants.RESIGNED_MS;
         join();
-        // Others may still pass answers of this owner on, for as long as it told them.
+        // Others may still pass answers of this leader on, for as long as it told them.
         released(member, possibly(Constants.RELAY_RIGHT_MS),
                 () -> state.end(old, r -> LOG.info("resigned tenancy={} status={}", Long.toUnsignedString(old), r.status())));
         changed.run();
@@ -453,7 +453,7 @@
         }
     }
 
-    /** Whether all owners so far have kept the limits of teams that this one keeps: an owner says which it keeps only if that holds for those before it. */
+    /** Whether all leaders so far have kept the limits of teams that this one keeps: a leader says which it keeps only if that holds for those before it. */
     public boolean limitsKept() {
         View.Entry roster = view.get(Keys.ROSTER);
         return roster == null || roster.data().path(LIMITS).asText().equals(limits);
@@ -464,7 +464,7 @@
         fence(token, limitsKept());
     }
 
-    /** The same, and tells that from now on the limits are kept that this owner keeps, whatever was before. */
+    /** The same, and tells that from now on the limits are kept that this leader keeps, whatever was before. */
     public void limitsKeptFromNow(long token) {
         fence(token, true);
     }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the owner. It has the owner's
+ * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the leader. It has the leader's
  * grant for that, for a while; it orders nothing but the end of tasks whose job is cancelled (docs/safety.md, "Kept leases").
  */
 public final class PartitionedLeaseRenewal {
@@ -36,32 +36,32 @@
     private final Membership membership;
     private final Predicate<String> cancelled;
     private final BooleanSupplier othersCount;
-    private final LongConsumer keptByOwner;
+    private final LongConsumer keptByLeader;
     private final long windowMs;
 
     private long grantedToken;
     private long grantedUntil;
-    /** When the owner last answered. */
+    /** When the leader last answered. */
     private long contactAt;
-    /** The number of the owner's newest answer, and under which token: another owner's numbers mean nothing to this one. */
+    /** The number of the leader's newest answer, and under which token: another leader's numbers mean nothing to this one. */
     private long echo;
     private long echoToken;
-    /** How many answers it has given, and of how many of them the owner knows. */
+    /** How many answers it has given, and of how many of them the leader knows. */
     private long kept;
     private long told;
     private boolean announced;
 
-    /** {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this owner's successor,
-     * would reckon with leases that it keeps; {@code keptByOwner}: hears of leases that an owner renewed without being entitled. */
+    /** {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this leader's successor,
+     * would reckon with leases that it keeps; {@code keptByLeader}: hears of leases that a leader renewed without being entitled. */
     public PartitionedLeaseRenewal(Runtime runtime, Settings settings, View view, Membership membership, Predicate<String> cancelled,
-            BooleanSupplier othersCount, LongConsumer keptByOwner) {
+            BooleanSupplier othersCount, LongConsumer keptByLeader) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
         this.membership = membership;
         this.cancelled = cancelled;
         this.othersCount = othersCount;
-        this.keptByOwner = keptByOwner;
+        this.keptByLeader = keptByLeader;
         this.windowMs = Leases.windowMs(settings);
         this.contactAt = runtime.now();
     }
@@ -74,13 +74,13 @@
 
     private void ask() {
         long token = membership.rosterStamp();
-        String owner = settings.meshAddr(membership.leader());
-        if (owner != null && view.loaded()) {
+        String leaderAddress = settings.meshAddr(membership.leader());
+        if (leaderAddress != null && view.loaded()) {
             long sent = runtime.now();
             long telling = kept;
             ObjectNode body = Codec.object().put("node", settings.node()).put("baton", token).put("epoch", view.epoch()).put("echo", echoToken == token ? echo : Leases.NO_ECHO)
                     .put("kept", telling > told);
-            runtime.call(new Call(owner, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true), r -> answered(r, token, sent, telling));
+            runtime.call(new Call(leaderAddress, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true), r -> answered(r, token, sent, telling));
         }
         runtime.after(Constants.KEEP_EVERY_MS, this::ask);
     }
@@ -99,11 +99,11 @@
         }
     }
 
-    /** Until when this node may keep leases under the roster that it knows; for an owner: since it was last entitled. */
+    /** Until when this node may keep leases under the roster that it knows; for a leader: since it was last entitled. */
     private long until() {
         long own = membership.token();
         if (own != 0) {
-            // An owner of a version that doesn't know of kept leases may follow: it would take them for ended ones.
+            // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
             return othersCount.getAsBoolean() ? membership.entitledUntil(own) + Membership.certainly(windowMs) : Leases.NEVER;
         }
         return grantedToken == membership.rosterStamp() ? grantedUntil : Leases.NEVER;
@@ -113,7 +113,7 @@
         return runtime.now() < until();
     }
 
-    /** Whether reports are to be answered here: the owner and the state service are both out of reach, and the right is there. */
+    /** Whether reports are to be answered here: the leader and the state service are both out of reach, and the right is there. */
     public boolean keeping() {
         boolean lost = membership.token() != 0 || runtime.now() - contactAt > Constants.KEEP_LOST_MS;
         boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
@@ -132,7 +132,7 @@
         }
         kept++;
         if (membership.token() != 0) {
-            keptByOwner.accept(runtime.now());
+            keptByLeader.accept(runtime.now());
         }
         List<Order> orders = new ArrayList<>();
         for (TaskReport t : report.tasks()) {
@@ -144,7 +144,7 @@
         return Answer.of(200, WorkerCodec.orders(token, orders)).only(this::mayKeep);
     }
 
-    /** The owner's answer to another controller that asks. */
+    /** The leader's answer to another controller that asks. */
     public static Answer told(long token, long number, boolean granted) {
         JsonNode body = Codec.object().put("baton", token).put("number", number).put("granted", granted);
         return Answer.of(200, body);
--- a/src/main/java/org/hollypick/config/Constants.java
+++ b/src/main/java/org/hollypick/config/Constants.java
@@ -11,11 +11,11 @@
     public static final long CLOCK_MARGIN_MS = 150;
 
     // ---- the member hold ----
-    /** Milliseconds. The successor of a crashed owner waits this long at most; it bounds how long nobody schedules. */
+    /** Milliseconds. The successor of a crashed leader waits this long at most; it bounds how long nobody schedules. */
     public static final long HOLD_MS = 4_000;
     /** Milliseconds between renewals: three tries fit into a hold. */
     public static final long RENEW_MS = 1_000;
-    /** Milliseconds between two resignations in the group, doubled with each lately: a new owner needs some seconds to hear of its machines. */
+    /** Milliseconds between two resignations in the group, doubled with each lately: a new leader needs some seconds to hear of its machines. */
     public static final long RESIGN_PAUSE_MS = 10_000;
     /** Milliseconds after which a resignation no longer counts. */
     public static final long RESIGN_MEMORY_MS = 300_000;
@@ -25,7 +25,7 @@
     public static final long TERM_LEAST_MS = 8_000;
     /** Milliseconds until a failed renewal is tried again: quick enough to catch the end of an outage. */
     public static final long RENEW_RETRY_MS = 500;
-    /** Milliseconds for which a node promises an owner that can't reach the state service not to claim its lead; also how long a
+    /** Milliseconds for which a node promises a leader that can't reach the state service not to claim its lead; also how long a
      * restarted node waits before it claims another's lead, since its earlier self may have promised. */
     public static final long PROMISE_MS = 4_000;
     /** Milliseconds since the last renewal after which promises are asked for: before the hold can lapse. */
@@ -51,20 +51,20 @@
      * a write may take. */
     public static final long CANCEL_AGAIN_MS = 3_000;
 
-    // ---- machines that only this owner can't reach ----
+    // ---- machines that only this leader can't reach ----
     /** Milliseconds between two questions to the other controllers about such machines. */
     public static final long REACH_EVERY_MS = 500;
     /** Machines in one such question at most: each costs the asked one a call. */
     public static final int REACH_MACHINES = 48;
-    /** Milliseconds for the asked controller's own question to a machine: its answer should be there before the owner's second try is over. */
+    /** Milliseconds for the asked controller's own question to a machine: its answer should be there before the leader's second try is over. */
     public static final long REACH_INSPECT_MS = 700;
     /** Milliseconds for the whole question. */
     public static final long REACH_TIMEOUT_MS = 1_200;
     /** Milliseconds for which it counts that another controller reached a machine. */
     public static final long REACH_VALID_MS = 3_000;
-    /** Milliseconds for which a machine that others reach isn't returned, if the lead stays: its lease runs out without an owner's answers. */
+    /** Milliseconds for which a machine that others reach isn't returned, if the lead stays: its lease runs out without a leader's answers. */
     public static final long REACH_PATIENCE_MS = 10_000;
-    /** Machines that others reach and this owner doesn't, from which on another should lead: two may be chance, packets lost or a slow machine. */
+    /** Machines that others reach and this leader doesn't, from which on another should lead: two may be chance, packets lost or a slow machine. */
     public static final int REACH_AT_FAULT = 3;
 
     // ---- whether machines are reached ----
@@ -98,58 +98,58 @@
     public static final long LEADERSHIP_DELAY_STEP_MS = 1_200;
     /** Milliseconds that it makes if all are reached by way of another controller only: less than what reaching half of them makes. */
     public static final long LEADERSHIP_DELAY_PEER_MS = 300;
-    /** Share of what an owner reaches by all ways that another must reach alone to lead better: one machine of a sample may hang. */
+    /** Share of what a leader reaches by all ways that another must reach alone to lead better: one machine of a sample may hang. */
     public static final double LEADERSHIP_DELAY_BETTER = 0.9;
-    /** Milliseconds between a controller's words to an owner that it doesn't reach, while machines come to it that the owner may miss. */
+    /** Milliseconds between a controller's words to a leader that it doesn't reach, while machines come to it that the leader may miss. */
     public static final long LEADER_COMPLAINT_EVERY_MS = 2_500;
-    /** Milliseconds for which reports can't be handed on before that: an owner's crash shows in the roster by then. */
+    /** Milliseconds for which reports can't be handed on before that: a leader's crash shows in the roster by then. */
     public static final long LEADER_COMPLAINT_AFTER_MS = 2_000;
     /** Milliseconds for which a machine counts as one that comes here: it asks each controller in turn, some seconds each. */
     public static final long LEADER_COMPLAINT_MEMORY_MS = 10_000;
     /** Machines named in it at most: some are enough to show that there are some. */
     public static final int LEADER_COMPLAINT_MACHINES = 16;
-    /** Part of the workers' lease for which an owner hears of nearly no machine until it goes, whatever the pause between resignations: the successor
+    /** Part of the workers' lease for which a leader hears of nearly no machine until it goes, whatever the pause between resignations: the successor
      * needs some seconds, and what isn't answered then ends. */
     public static final double CUT_OFF_LEASE = 1 / 3.0;
 
     // ---- kept leases ----
-    /** Milliseconds between two questions of a controller to the owner whether it may keep leases: one small call a second. */
+    /** Milliseconds between two questions of a controller to the leader whether it may keep leases: one small call a second. */
     public static final long KEEP_EVERY_MS = 1_000;
-    /** Milliseconds without an answer of the owner after which a controller counts as cut off from it: two questions and more. */
+    /** Milliseconds without an answer of the leader after which a controller counts as cut off from it: two questions and more. */
     public static final long KEEP_LOST_MS = 2_500;
     /** Milliseconds of a cancelled task's time that are left when a kept lease ends: to find and end what an order still under way started. */
     public static final long KEEP_MARGIN_MS = 3_000;
     /** Milliseconds below which keeping isn't worth anything: workers report every few seconds. */
     public static final long KEEP_LEAST_MS = 3_000;
-    /** Answers of an owner that it remembers the times of, by controller: more are never under way. */
+    /** Answers of a leader that it remembers the times of, by controller: more are never under way. */
     public static final int KEEP_ANSWERS = 8;
     /** Milliseconds added to a worker's lease before it counts as over: its own clock's steps. */
     public static final long LEASE_MARGIN_MS = 500;
 
-    // ---- reports handed on to the owner ----
+    // ---- reports handed on to the leader ----
     /** Milliseconds for which reports are gathered before they are handed on: a report may come late by a tenth of its interval unnoticed. */
     public static final long RELAY_GATHER_MS = 40;
-    /** Milliseconds for which a report may wait for an owner; the machine waits 4 s for its answer. */
+    /** Milliseconds for which a report may wait for a leader; the machine waits 4 s for its answer. */
     public static final long RELAY_HOLD_MS = 2_500;
     /** Milliseconds until waiting reports are looked at again, and until a failed bundle is sent again, doubled with each failure up to so many times. */
     public static final long RELAY_RETRY_MS = 100;
     public static final int RELAY_DOUBLINGS = 3;
     /** Milliseconds for a bundle. */
     public static final long RELAY_TIMEOUT_MS = 1_200;
-    /** Milliseconds for which an owner's answers may be passed on: as long as a bundle may take. An owner that resigns waits that long. */
+    /** Milliseconds for which a leader's answers may be passed on: as long as a bundle may take. A leader that resigns waits that long. */
     public static final long RELAY_RIGHT_MS = 1_200;
     /** Reports in one bundle at most, and their bytes: a request holds 64 KiB, and base64 makes a third more of them. */
     public static final int RELAY_REPORTS = 200;
     public static final int RELAY_BYTES = 40_000;
-    /** Bundles under way at most: the owner answers the reports of one together. */
+    /** Bundles under way at most: the leader answers the reports of one together. */
     public static final int RELAY_OPEN = 3;
     /** Reports that wait at most, and their bytes: one of each of some thousand machines. */
     public static final int RELAY_HELD = 6_000;
     public static final int RELAY_HELD_BYTES = 4 * 1024 * 1024;
     /** Milliseconds since its last bundle for which a controller counts as one that hands reports on. */
     public static final long RELAY_ALIVE_MS = 3_000;
-    /** Part of the machines that the owner hears itself, as a multiple of the others'. */
-    public static final double OWNER_SHARE = 0.5;
+    /** Part of the machines that the leader hears itself, as a multiple of the others'. */
+    public static final double LEADER_SHARE = 0.5;
     /** Multiple of its part, and machines besides, from which on a controller has too many: less isn't worth a move. */
     public static final double UNEVEN = 1.25;
     public static final int UNEVEN_MACHINES = 8;
@@ -171,7 +171,7 @@
     public static final long GRAPH_GAP_MS = 100;
     /** Milliseconds until a call that isn't durable yet is given up: its user waits 5 s. */
     public static final long GRAPH_TELL_MS = 4_000;
-    /** Milliseconds for a call that is passed on to the owner: it answers before its own time is up. */
+    /** Milliseconds for a call that is passed on to the leader: it answers before its own time is up. */
     public static final long GRAPH_PASS_MS = 4_500;
     /** Milliseconds until a graph that isn't sealed is cancelled: a client that lives sends its parts within seconds. */
     public static final long GRAPH_SEAL_MS = 600_000;
@@ -209,7 +209,7 @@
     public static final long WATCH_GAP_MS = 60;
     /** Milliseconds within which the watch has to bring what a read has told of; users wait 2 s for a poll. */
     public static final long CATCH_UP_MS = 1_000;
-    /** Milliseconds for which a node gathers users' polls before it asks the owner about all of them at once. */
+    /** Milliseconds for which a node gathers users' polls before it asks the leader about all of them at once. */
     public static final long GATHER_MS = 40;
     /** Milliseconds for a call to the cloud. */
     public static final long CLOUD_TIMEOUT_MS = 5_000;
@@ -217,8 +217,8 @@
     public static final long ORDER_TIMEOUT_MS = 1_000;
     /** Milliseconds for a question to another node; users wait 2 s for a poll. */
     public static final long MESH_TIMEOUT_MS = 700;
-    /** Milliseconds for which an owner that left a question unanswered isn't asked: its record is read instead. */
-    public static final long OWNER_SILENT_MS = 3_000;
+    /** Milliseconds for which a leader that left a question unanswered isn't asked: its record is read instead. */
+    public static final long LEADER_SILENT_MS = 3_000;
     /** Milliseconds by which a call's end is put off once, so that what came in while this process was held up is read first. */
     public static final long LAST_LOOK_MS = 30;
     /** Share of the sockets that are given out: connections made and not yet asked anything aren't counted, nor are listening sockets. */
@@ -240,8 +240,8 @@
     public static final int QUEUED_PER_ADDRESS = 200;
     /** Ratio of the state service's limits that the nodes plan to use together. */
     public static final double STATE_BUDGET = 0.85;
-    /** Ratio of the writes that the owner may use; the others share the rest. */
-    public static final double OWNER_WRITE_SHARE = 0.4;
+    /** Ratio of the writes that the leader may use; the others share the rest. */
+    public static final double LEADER_WRITE_SHARE = 0.4;
     /** Milliseconds of one stretch over which the other controllers' changes are counted: they get unused shares back that soon. */
     public static final long SHARE_WINDOW_MS = 1_000;
     /** Such stretches over which the mean is taken: a few submissions more or less in one of them are chance. */
@@ -283,7 +283,7 @@
     public static final int PROGRESS_PART_BYTES = 56;
 
     // ---- loops ----
-    /** Milliseconds between the owner's regular passes over machines and tasks. */
+    /** Milliseconds between the leader's regular passes over machines and tasks. */
     public static final long TICK_MS = 250;
     /** Milliseconds by which the regular loop may come late before this node counts as held up: calls to machines take a second at most. */
     public static final long LATE_MS = 400;
@@ -365,7 +365,7 @@
     /** Share of the machines that may be returned as silent in a second, and the least number: a hundred of a thousand may die at once. */
     public static final double RETURN_SHARE = 0.03;
     public static final double RETURNS_LEAST = 4;
-    /** The same share in a term's first time: what is silent then may have a full queue, or a wrong address of the owner. */
+    /** The same share in a term's first time: what is silent then may have a full queue, or a wrong address of the leader. */
     public static final double RETURN_SHARE_EARLY = 0.01;
     public static final long EARLY_MS = 15_000;
     /** Direct calls under way at most: bounds sockets and what the answers cost at once. */
@@ -374,7 +374,7 @@
     public static final int DIRECT_DOUBTFUL = 64;
     /** Orders in one answer or call at most: 64 KiB. */
     public static final int ORDERS_MAX = 300;
-    /** Milliseconds for which nearly all machines are silent until the owner gives up its lead: others may reach them, and worker leases are
+    /** Milliseconds for which nearly all machines are silent until the leader gives up its lead: others may reach them, and worker leases are
      * several times as long. */
     public static final long CUT_OFF_MS = 3_000;
     /** Milliseconds without any word from a machine after which it is returned; two questions fit in before. */
--- a/src/main/java/org/hollypick/control/AttainedServiceRecord.java
+++ b/src/main/java/org/hollypick/control/AttainedServiceRecord.java
@@ -11,7 +11,7 @@
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
 
-/** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next owner. */
+/** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next leader. */
 final class AttainedServiceRecord {
     private final View view;
     private final Settings settings;
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -15,7 +15,7 @@
 import org.hollypick.io.RateBudget;
 import org.hollypick.io.Runtime;
 
-/** What the machines' silence means: which are lost, which zones are dark, and whether it is this owner that is cut off or overloaded. */
+/** What the machines' silence means: which are lost, which zones are dark, and whether it is this leader that is cut off or overloaded. */
 final class FailureDetector {
     private final Runtime runtime;
     private final Settings settings;
@@ -27,7 +27,7 @@
     private final RateBudget returns;
     /** Since when nearly no machine has answered; 0 if some do. */
     private long cutOffSince;
-    /** Since when others reach machines that this owner doesn't; 0 if there are none. */
+    /** Since when others reach machines that this leader doesn't; 0 if there are none. */
     private long beyondSince;
     private long complainedAt = -Constants.REACH_VALID_MS;
     /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
@@ -111,7 +111,7 @@
         return own.sound(now) && now >= troubleUntil ? bounded(silent, now) : List.of();
     }
 
-    /** At most so many a second: what an owner takes for lost it may be wrong about, the more so after a takeover. */
+    /** At most so many a second: what a leader takes for lost it may be wrong about, the more so after a takeover. */
     private List<Machine> bounded(List<Machine> silent, long now) {
         double share = now - startedAt < Constants.EARLY_MS ? Constants.RETURN_SHARE_EARLY : Constants.RETURN_SHARE;
         returns.setRate(Math.max(Constants.RETURNS_LEAST, share * scheduler.machines.size()));
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/GraphLog.java
@@ -126,7 +126,7 @@
                 }
                 written.run();
             } else if (r.status() == 409 || r.status() == 400) {
-                // Another owner, or the graph is over: nothing more is recorded, and callers hear nothing good.
+                // Another leader, or the graph is over: nothing more is recorded, and callers hear nothing good.
                 if (r.status() == 400) {
                     LOG.error("record of a graph refused graph={}", id);
                 }
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -196,7 +196,7 @@
 
     // ---- from the records ----
 
-    /** A graph's record is there and it isn't over: all that earlier owners recorded of it is in the view. */
+    /** A graph's record is there and it isn't over: all that earlier leaders recorded of it is in the view. */
     void appear(String id, JsonNode record, long stamp) {
         if (graphs.containsKey(id)) {
             return;
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -175,7 +175,7 @@
         });
     }
 
-    /** The record is conditional on the roster, so that a later owner knows that no earlier one can have started the job. */
+    /** The record is conditional on the roster, so that a later leader knows that no earlier one can have started the job. */
     private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
         long roster = membership.rosterStamp();
         if (roster == 0 || state.crowded()) {
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -38,7 +38,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of ownership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records to
+ * One term of leadership, under one token: the loops that bring machines, tasks, rentals and the jobs' durable records to
  * what the scheduler wants. It does nothing outside itself unless {@code entitled} says that this node's hold is valid.
  */
 public final class LeaderTerm {
@@ -109,7 +109,7 @@
         this.graphs = operator.graphs() ? new Graphs(runtime, settings, view, state, scheduler, jobTermination, this::pump, maker == null ? Graph::new : maker, operator.graphKeepMs()) : null;
     }
 
-    /** Starts from the records; the view holds every change up to the roster's own, and older owners can make none after it. */
+    /** Starts from the records; the view holds every change up to the roster's own, and older leaders can make none after it. */
     public void start() {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
@@ -288,7 +288,7 @@
                 if (jobTermination.fenceDue(now) || scheduler.ledger.attemptsShort()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
-                    membership.limitsKeptFromNow(token); // once, after owners of an older version or with other limits
+                    membership.limitsKeptFromNow(token); // once, after leaders of an older version or with other limits
                 }
             }
             if (now >= nextSummary) {
@@ -316,7 +316,7 @@
     }
 
     /**
-     * Machines are out of reach from here: gives up the lead if another reaches, alone, what this owner does with the help of all; or if those that it can't ask may
+     * Machines are out of reach from here: gives up the lead if another reaches, alone, what this leader does with the help of all; or if those that it can't ask may
      * do better, unless it reaches nearly all by some way.
      */
     private void resignIfBetter() {
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/Progress.java
@@ -110,7 +110,7 @@
         return job.grows() ? end : Math.min(job.spec.tasks(), end);
     }
 
-    /** What earlier owners recorded about the jobs that are live. */
+    /** What earlier leaders recorded about the jobs that are live. */
     void load() {
         view.entries().forEach((key, e) -> {
             if (!key.startsWith(Keys.PROGRESS)) {
--- a/src/main/java/org/hollypick/control/Reachability.java
+++ b/src/main/java/org/hollypick/control/Reachability.java
@@ -12,7 +12,7 @@
 import org.hollypick.io.Runtime;
 
 /**
- * Whether machines that leave this owner's questions open are lost, or only out of its reach: other controllers put the same question.
+ * Whether machines that leave this leader's questions open are lost, or only out of its reach: other controllers put the same question.
  * What they reach isn't returned; several such machines are a reason to ask who would lead better.
  */
 final class Reachability {
@@ -105,7 +105,7 @@
         return elsewhere(m, now) && (now - m.elsewhereSince < Constants.REACH_PATIENCE_MS || now - m.lastReportAt < settings.leaseS() * 1_000 / 2);
     }
 
-    /** Machines that are only out of this owner's reach. */
+    /** Machines that are only out of this leader's reach. */
     static int beyond(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine m : machines) {
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/Rentals.java
@@ -36,7 +36,7 @@
     private final Runnable pump;
     private final Fleet fleet;
     private final long startedAt;
-    /** No earlier owner can have rented anything. */
+    /** No earlier leader can have rented anything. */
     private final boolean nobodyBefore;
     /** Rental requests under way. */
     private int hiring;
@@ -94,7 +94,7 @@
         // Machines whose return wasn't answered: again, until it is.
         giveBack(scheduler.machines.values().stream().filter(m -> m.returning && !returning.contains(m.id)).toList(), "again");
         if (!nobodyBefore && (!listedOnce || now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty())) {
-            return; // machines that an earlier owner rented may not be listed yet
+            return; // machines that an earlier leader rented may not be listed yet
         }
         if (!open.getAsBoolean()) {
             fleet.closed(now);
--- a/src/main/java/org/hollypick/control/RuntimeStatistics.java
+++ b/src/main/java/org/hollypick/control/RuntimeStatistics.java
@@ -25,7 +25,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What was learned of run times, kept for the next owner: kinds by hash in a few records, one written now and then after everything else. Each write is
+ * What was learned of run times, kept for the next leader: kinds by hash in a few records, one written now and then after everything else. Each write is
  * conditional on the roster and on the record that it replaces, so one that is applied late takes nothing back.
  */
 final class RuntimeStatistics {
@@ -59,7 +59,7 @@
         return Hashing.consistentHash(Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8), Constants.LEARNED_SLOTS);
     }
 
-    /** What earlier owners learned. */
+    /** What earlier leaders learned. */
     void load() {
         for (int i = 0; i < Constants.LEARNED_SLOTS; i++) {
             View.Entry e = view.get(Keys.learned(i));
--- a/src/main/java/org/hollypick/control/Summary.java
+++ b/src/main/java/org/hollypick/control/Summary.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The line about the fleet as a whole that an owner logs now and then. */
+/** The line about the fleet as a whole that a leader logs now and then. */
 final class Summary {
     private static final Logger LOG = LoggerFactory.getLogger(Summary.class);
 
     private final Scheduler scheduler;
     private final Rentals rentals;
-    /** How late the owner's loop runs, in milliseconds: what the node's processor share does to it. */
+    /** How late the leader's loop runs, in milliseconds: what the node's processor share does to it. */
     private final Histogram lateness = new Histogram(2);
 
     Summary(Scheduler scheduler, Rentals rentals) {
--- a/src/main/java/org/hollypick/core/Leases.java
+++ b/src/main/java/org/hollypick/core/Leases.java
@@ -9,17 +9,17 @@
 
 /**
  * When workers' leases have certainly ended, although other controllers may keep them alive while they reach neither the state service
- * nor the owner (docs/safety.md, "Kept leases"). Pure; one for each term. Every other controller asks again and again; the answer, if it grants
+ * nor the leader (docs/safety.md, "Kept leases"). Pure; one for each term. Every other controller asks again and again; the answer, if it grants
  * anything, lets it renew leases, under this token, for a while counted from when it sent the question.
  */
 public final class Leases {
     /** Before any time that a clock tells, and far enough from the end of the numbers to be reckoned with. */
     public static final long NEVER = -(1L << 61);
 
-    /** What a controller names that has seen no answer of this owner since it began. */
+    /** What a controller names that has seen no answer of this leader since it began. */
     public static final long NO_ECHO = 0;
 
-    /** What one other controller has told, and what it may do. Times are this owner's. */
+    /** What one other controller has told, and what it may do. Times are this leader's. */
     private static final class Custodian {
         /** Under older tokens it kept nothing after this. */
         private long olderUntil;
@@ -42,7 +42,7 @@
     private long ownKept = NEVER;
     private long numbers;
 
-    /** {@code nobodyBefore}: no older owner can have granted anything. */
+    /** {@code nobodyBefore}: no older leader can have granted anything. */
     public Leases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
         this.windowMs = windowMs(settings);
         this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS + Constants.LEASE_MARGIN_MS;
@@ -82,7 +82,7 @@
             k.asked = true;
             k.olderUntil = Math.min(k.olderUntil, now); // it knows this token, so it keeps nothing under an older one
         }
-        // One that has seen no answer of this owner may have begun again: it doesn't know what its earlier process kept, which had ended by now.
+        // One that has seen no answer of this leader may have begun again: it doesn't know what its earlier process kept, which had ended by now.
         if (kept || echo == NO_ECHO) {
             k.kept = Math.max(k.kept, now);
         }
@@ -123,7 +123,7 @@
         return now - renewed < leaseMs - Constants.UNHEARD_GAP_MS;
     }
 
-    /** Whether a lease is certainly over that this owner last renewed, or first heard of, at {@code renewed}. */
+    /** Whether a lease is certainly over that this leader last renewed, or first heard of, at {@code renewed}. */
     public boolean over(long renewed, long now) {
         if (now - renewed <= leaseMs) {
             return false; // by far the most common
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -155,7 +155,7 @@
         scheduler.passWanted = true;
     }
 
-    /** A reported attempt that this term didn't launch: from an earlier owner, if its task isn't elsewhere. */
+    /** A reported attempt that this term didn't launch: from an earlier leader, if its task isn't elsewhere. */
     private Placement adopt(Machine m, TaskReport t, long now) {
         int slash = t.task().lastIndexOf('/');
         Job job = slash < 0 ? null : scheduler.jobs.get(t.task().substring(0, slash));
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -15,7 +15,7 @@
 import org.hollypick.core.spread.ReportBalancer;
 
 /**
- * What one owner knows during one term, and what it decides. Pure: time comes in with each event, effects are left in the
+ * What one leader knows during one term, and what it decides. Pure: time comes in with each event, effects are left in the
  * dirty sets for the loops around to carry out. docs/safety.md argues why its decisions keep the rules.
  */
 public final class Scheduler {
@@ -29,7 +29,7 @@
     public final ReportBalancer reportBalancer;
     public final Ledger ledger;
     private boolean settled;
-    /** Earlier owners kept the same limits of teams. */
+    /** Earlier leaders kept the same limits of teams. */
     private boolean olderKeptLimits;
     private long unheardAt = -1;
     private boolean allHeard;
@@ -73,7 +73,7 @@
         this.planner = new Planner(this, firstShare);
     }
 
-    /** The owner before kept the same limits of teams, and all before it did. */
+    /** The leader before kept the same limits of teams, and all before it did. */
     public void olderKeptLimits() {
         olderKeptLimits = true;
     }
@@ -162,7 +162,7 @@
     }
 
     /**
-     * Its user asked to cancel it: whoever sees that in the records first may tell so, and this owner need not be the first.
+     * Its user asked to cancel it: whoever sees that in the records first may tell so, and this leader need not be the first.
      * Nothing of the job starts from here on, and all of it goes; what it would do yet is of use to nobody.
      */
     public void cancel(Job job) {
@@ -194,7 +194,7 @@
     public Machine addMachine(String id, MachineType type, String zone, boolean spot, boolean registered, long now) {
         Machine m = new Machine(id, type, zone, spot, now);
         m.registered = registered;
-        // A machine without a durable record can't have been given a task by an earlier owner.
+        // A machine without a durable record can't have been given a task by an earlier leader.
         m.heard = !registered;
         machines.put(id, m);
         settled &= m.known();
@@ -222,7 +222,7 @@
         lastNow = now;
         for (Machine m : machines.values()) {
             passWanted |= FaultAttribution.pardon(m, now);
-            // What older owners launched needs a session that began before this term: all of those have ended, whatever has begun since.
+            // What older leaders launched needs a session that began before this term: all of those have ended, whatever has begun since.
             boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
             boolean over = (m.up && !m.lapsed() || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
@@ -239,7 +239,7 @@
     }
 
     /**
-     * Whether a task of the job may yet start by a launch that was sent: this owner's, or an older one's on a machine
+     * Whether a task of the job may yet start by a launch that was sent: this leader's, or an older one's on a machine
      * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
      */
     public boolean launchMayCome(Job job) {
--- a/src/main/java/org/hollypick/core/TeamUse.java
+++ b/src/main/java/org/hollypick/core/TeamUse.java
@@ -17,7 +17,7 @@
     private final Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
     /** How often each team's use has changed. */
     private final Object2LongOpenHashMap<String> changes = new Object2LongOpenHashMap<>();
-    /** What tasks of earlier owners take, or took, that were there in this term; each attempt once. */
+    /** What tasks of earlier leaders take, or took, that were there in this term; each attempt once. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
     private final LongOpenHashSet foundAttempts = new LongOpenHashSet();
@@ -87,7 +87,7 @@
                 && fits(team.gpusMax(), gpus.getDouble(name) + Math.max(0, hiddenGpus) + keptGpus + spec.gpus());
     }
 
-    /** {@code olderKept}: earlier owners kept the same limits, so that all that they started took no more, what was found of it included. */
+    /** {@code olderKept}: earlier leaders kept the same limits, so that all that they started took no more, what was found of it included. */
     boolean allowsUnheard(Settings.Team team, JobSpec spec, boolean olderKept) {
         String name = team.name();
         double hiddenCpus = Math.min(unheardCpus, olderKept ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
--- a/src/main/java/org/hollypick/core/spread/ReportBalancer.java
+++ b/src/main/java/org/hollypick/core/spread/ReportBalancer.java
@@ -6,10 +6,10 @@
 
 /**
  * Which controller each machine reports to, and whether it should go to another: only while shares are far from even, and few at a time, since each
- * move costs a report. The owner, which has everything else to do, takes a smaller part. Pure; the owner's.
+ * move costs a report. The leader, which has everything else to do, takes a smaller part. Pure; the leader's.
  */
 public final class ReportBalancer {
-    private final String owner;
+    private final String leader;
     /** Who reports where. */
     private final Map<String, String> via = new HashMap<>();
     private final Map<String, Integer> counts = new HashMap<>();
@@ -18,8 +18,8 @@
     private double moves;
     private long movesAt;
 
-    public ReportBalancer(String owner, long now) {
-        this.owner = owner;
+    public ReportBalancer(String leader, long now) {
+        this.leader = leader;
         this.movesAt = now;
     }
 
@@ -51,28 +51,28 @@
         return counts.getOrDefault(node, 0);
     }
 
-    private static double weight(String node, String owner) {
-        return node.equals(owner) ? Constants.OWNER_SHARE : 1;
+    private static double weight(String node, String leader) {
+        return node.equals(leader) ? Constants.LEADER_SHARE : 1;
     }
 
     /** Where the machine that just reported through {@code node} should report from now on, or null: where it does. */
     public String elsewhere(String node, long now) {
-        double weights = weight(owner, owner);
-        int total = count(owner);
+        double weights = weight(leader, leader);
+        int total = count(leader);
         for (Map.Entry<String, Long> e : seen.entrySet()) {
-            if (!e.getKey().equals(owner) && now - e.getValue() < Constants.RELAY_ALIVE_MS) {
+            if (!e.getKey().equals(leader) && now - e.getValue() < Constants.RELAY_ALIVE_MS) {
                 weights += 1;
                 total += count(e.getKey());
             }
         }
         double target = total / weights;
-        if (count(node) <= target * weight(node, owner) * Constants.UNEVEN + Constants.UNEVEN_MACHINES) {
+        if (count(node) <= target * weight(node, leader) * Constants.UNEVEN + Constants.UNEVEN_MACHINES) {
             return null;
         }
         String least = null;
         double filled = 1;
         for (Map.Entry<String, Long> e : seen.entrySet()) {
-            double share = count(e.getKey()) / Math.max(1, target * weight(e.getKey(), owner));
+            double share = count(e.getKey()) / Math.max(1, target * weight(e.getKey(), leader));
             if (!e.getKey().equals(node) && share < filled && now - e.getValue() < Constants.RELAY_ALIVE_MS) {
                 least = e.getKey();
                 filled = share;
--- a/src/main/java/org/hollypick/core/watch/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/watch/LocalHealth.java
@@ -3,7 +3,7 @@
 import org.hollypick.config.Constants;
 
 /**
- * Whether this owner's own state may explain that it hears nothing. What it didn't get to ask, and what it was too busy to read, proves nothing about
+ * Whether this leader's own state may explain that it hears nothing. What it didn't get to ask, and what it was too busy to read, proves nothing about
  * a machine or a path (docs/many-machines.md). Pure.
  */
 public final class LocalHealth {
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a controller that can't hand reports on tells the owner by way of the state service, when nothing else leads there: machines that come to it. If the
- * owner misses them it is at fault. Only the decision who leads rests on it; it is attached to the hold and goes with it.
+ * What a controller that can't hand reports on tells the leader by way of the state service, when nothing else leads there: machines that come to it. If the
+ * leader misses them it is at fault. Only the decision who leads rests on it; it is attached to the hold and goes with it.
  */
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
@@ -28,7 +28,7 @@
     private final Settings settings;
     private final Membership membership;
     private final StateClient state;
-    /** Since when, and under which token, reports haven't reached the owner; 0 if the last one did. */
+    /** Since when, and under which token, reports haven't reached the leader; 0 if the last one did. */
     private long since;
     private long failing;
     private long saidAt;
@@ -43,12 +43,12 @@
         this.saidAt = runtime.now() - Constants.LEADER_COMPLAINT_EVERY_MS;
     }
 
-    /** The owner took reports. */
+    /** The leader took reports. */
     void handedOn() {
         since = 0;
     }
 
-    /** The owner under that token couldn't be told of those machines. */
+    /** The leader under that token couldn't be told of those machines. */
     void failed(long token, Collection<String> machines) {
         long now = runtime.now();
         if (since == 0 || failing != token) {
@@ -68,11 +68,11 @@
         ObjectNode data = Codec.object().put("baton", token);
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
-        LOG.info("the owner isn't reached, telling it by the state service token={} machines={}", token, names.size());
+        LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
         state.commitNow(new StateClient.Txn().when(Keys.ROSTER, token).putLeased(Keys.leaderComplaint(settings.node()), data, tenancy), r -> { });
     }
 
-    /** The machines that such a record names, if it is meant for that owner. */
+    /** The machines that such a record names, if it is meant for that leader. */
     public static List<String> machines(JsonNode data, long token) {
         List<String> names = new ArrayList<>();
         if (Codec.u64(data.path("baton")) == token) {
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands machines' reports on to the owner, many in one call, and its answers back to the machines. It decides nothing: to a machine it is a longer path
- * to the owner (docs/safety.md, "Relayed reports"). While there is no owner it holds reports for a moment, so that machines needn't look for one.
+ * Hands machines' reports on to the leader, many in one call, and its answers back to the machines. It decides nothing: to a machine it is a longer path
+ * to the leader (docs/safety.md, "Relayed reports"). While there is no leader it holds reports for a moment, so that machines needn't look for one.
  */
 public final class Relay {
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
@@ -42,14 +42,14 @@
     private boolean due;
     private long notBefore;
     private int failures;
-    /** Member keys whose owner wants nothing of it passed on any more. */
+    /** Member keys whose leader wants nothing of it passed on any more. */
     private final LongOpenHashSet released = new LongOpenHashSet();
-    /** Under this token the owner is of a version that takes no bundles. */
+    /** Under this token the leader is of a version that takes no bundles. */
     private long refusedToken;
 
     private record Held(byte[] report, long until, Consumer<Answer> answer) {}
 
-    /** {@code own}: the answer of this node itself while it is the owner, else null. */
+    /** {@code own}: the answer of this node itself while it is the leader, else null. */
     public Relay(Runtime runtime, Settings settings, Membership membership, StateClient state, PartitionedLeaseRenewal leaseRenewal,
             Function<byte[], Answer> own) {
         this.runtime = runtime;
@@ -66,7 +66,7 @@
         if (now != null) {
             answer.accept(now);
         } else if (report.length > Constants.RELAY_BYTES || refusedToken != 0 && refusedToken == token()) {
-            answer.accept(toOwner());
+            answer.accept(toLeader());
         } else if (held.size() >= Constants.RELAY_HELD || heldBytes + report.length > Constants.RELAY_HELD_BYTES) {
             answer.accept(Answer.later("too many reports wait"));
         } else {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The answer that this node can give by itself, as owner or since it keeps leases; null if there is none. */
+    /** The answer that this node can give by itself, as leader or since it keeps leases; null if there is none. */
     private Answer here(byte[] report) {
         Answer now = own.apply(report);
         if (now == null && !membership.toldNewer() && leaseRenewal.keeping()) {
@@ -115,15 +115,15 @@
             if (a != null) {
                 h.answer.accept(a);
             } else if (now >= h.until) {
-                h.answer.accept(Answer.later("no owner"));
+                h.answer.accept(Answer.later("no leader"));
             } else {
                 hold(h);
             }
         }
-        Membership.Owner leads = membership.owner();
-        String owner = leads == null ? null : settings.meshAddr(leads.node());
-        while (owner != null && now >= notBefore && open < Constants.RELAY_OPEN && !held.isEmpty()) {
-            send(owner, leads, now);
+        Membership.Leader leads = membership.currentLeader();
+        String currentLeader = leads == null ? null : settings.meshAddr(leads.node());
+        while (currentLeader != null && now >= notBefore && open < Constants.RELAY_OPEN && !held.isEmpty()) {
+            send(currentLeader, leads, now);
         }
         if (!held.isEmpty()) {
             flushSoon(Constants.RELAY_RETRY_MS);
@@ -131,11 +131,11 @@
     }
 
     private long token() {
-        Membership.Owner owner = membership.owner();
-        return owner == null ? 0 : owner.token();
+        Membership.Leader currentLeader = membership.currentLeader();
+        return currentLeader == null ? 0 : currentLeader.token();
     }
 
-    private void send(String owner, Membership.Owner leads, long now) {
+    private void send(String currentLeader, Membership.Leader leads, long now) {
         long token = leads.token();
         List<Held> bundle = new ArrayList<>();
         List<byte[]> reports = new ArrayList<>();
@@ -147,7 +147,7 @@
             bytes += h.report.length;
         }
         open++;
-        runtime.call(new Call(owner, "POST", RelayCodec.PATH, RelayCodec.bundle(settings.node(), token, reports), Constants.RELAY_TIMEOUT_MS, true), r -> {
+        runtime.call(new Call(currentLeader, "POST", RelayCodec.PATH, RelayCodec.bundle(settings.node(), token, reports), Constants.RELAY_TIMEOUT_MS, true), r -> {
             open--;
             answered(bundle, leads, now, r);
             if (!held.isEmpty()) {
@@ -156,22 +156,22 @@
         });
     }
 
-    private void answered(List<Held> bundle, Membership.Owner by, long sent, Reply r) {
+    private void answered(List<Held> bundle, Membership.Leader by, long sent, Reply r) {
         long token = by.token();
         List<Answer> answers = r.ok() ? RelayCodec.answers(r.body()) : List.of();
         if (r.ok() && answers.size() == bundle.size()) {
             failures = 0;
             leaderComplaint.handedOn();
-            long until = sent + Membership.certainly(RelayCodec.rightMs(r.body())); // the owner counted it from later on
+            long until = sent + Membership.certainly(RelayCodec.rightMs(r.body())); // the leader counted it from later on
             for (int i = 0; i < answers.size(); i++) {
                 bundle.get(i).answer.accept(answers.get(i).only(() -> runtime.now() < until && token() == token && !released.contains(by.member())));
             }
         } else if (r.status() == 404) {
-            LOG.info("the owner takes no bundles of reports token={}", token);
+            LOG.info("the leader takes no bundles of reports token={}", token);
             refusedToken = token;
-            bundle.forEach(h -> h.answer.accept(toOwner()));
+            bundle.forEach(h -> h.answer.accept(toLeader()));
         } else {
-            // Sent again, until its time is over: the owner takes a report that it knows for what it is. More and more seldom: it may be overloaded.
+            // Sent again, until its time is over: the leader takes a report that it knows for what it is. More and more seldom: it may be overloaded.
             bundle.forEach(this::hold);
             leaderComplaint.failed(token, machines(bundle));
             notBefore = runtime.now() + (Constants.RELAY_RETRY_MS << Math.min(failures++, Constants.RELAY_DOUBLINGS));
@@ -189,15 +189,15 @@
         return names;
     }
 
-    /** What an owner under that member key answered is dropped, and nothing of it passed on any more: it has ended, or has given up its lead. */
+    /** What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or has given up its lead. */
     public Answer release(long member) {
         released.add(member);
         return Answer.of(200, Codec.object().put("released", member != 0));
     }
 
-    private Answer toOwner() {
-        Membership.Owner owner = membership.owner();
-        String leader = owner == null ? membership.leader() : owner.node();
+    private Answer toLeader() {
+        Membership.Leader currentLeader = membership.currentLeader();
+        String leader = currentLeader == null ? membership.leader() : currentLeader.node();
         return leader == null || leader.equals(settings.node()) ? Answer.later("not entitled to act") : RelayCodec.elsewhere(leader);
     }
 }
--- a/src/main/java/org/hollypick/relay/RelayCodec.java
+++ b/src/main/java/org/hollypick/relay/RelayCodec.java
@@ -25,12 +25,12 @@
     }
 
     /**
-     * The owner's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers may be passed on; {@code hello}: by
+     * The leader's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers may be passed on; {@code hello}: by
      * report and by who sent it.
      */
     public static Answer take(JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, Answer> hello) {
         if (body == null || Codec.u64(body.path("baton")) != token) {
-            return Answer.later("not the owner under that token");
+            return Answer.later("not the leader under that token");
         }
         ArrayNode answers = Codec.array();
         for (JsonNode report : body.path("reports")) {
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -100,7 +100,7 @@
         int nodes = settings.siblings().size() + 1;
         this.requests = new RateBudget(settings.stateRps() * Constants.STATE_BUDGET / nodes, runtime.now());
         this.writes = new RateBudget(1, runtime.now());
-        setOwner(false);
+        setLeader(false);
         runtime.after(Constants.SUMMARY_MS, this::logUsage);
     }
 
@@ -114,13 +114,13 @@
         return routes;
     }
 
-    /** The owner's share of the writes is larger: progress and machines are its to record. It also has what the others leave unused. */
-    public void setOwner(boolean owner) {
+    /** The leader's share of the writes is larger: progress and machines are its to record. It also has what the others leave unused. */
+    public void setLeader(boolean leader) {
         int others = Math.max(1, settings.siblings().size());
         double all = settings.stateWriteRps() * Constants.STATE_BUDGET;
-        double own = settings.siblings().isEmpty() ? all : all * Constants.OWNER_WRITE_SHARE;
-        leaderShare = owner ? new ChangeShare(all, own, runtime.now()) : null;
-        writes.setRate(settings.siblings().isEmpty() || owner ? own : all * (1 - Constants.OWNER_WRITE_SHARE) / others);
+        double own = settings.siblings().isEmpty() ? all : all * Constants.LEADER_WRITE_SHARE;
+        leaderShare = leader ? new ChangeShare(all, own, runtime.now()) : null;
+        writes.setRate(settings.siblings().isEmpty() || leader ? own : all * (1 - Constants.LEADER_WRITE_SHARE) / others);
     }
 
     private void followShare() {
--- a/src/main/java/org/hollypick/worker/WorkerCodec.java
+++ b/src/main/java/org/hollypick/worker/WorkerCodec.java
@@ -18,7 +18,7 @@
 public final class WorkerCodec {
     private WorkerCodec() {}
 
-    /** The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy owner reads. */
+    /** The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy leader reads. */
     public static Report report(byte[] cbor) {
         try (JsonParser p = Codec.cborParser(cbor)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
--- a/src/test/java/org/hollypick/ReportValidityTest.java
+++ b/src/test/java/org/hollypick/ReportValidityTest.java
@@ -75,7 +75,7 @@
         }
     }
 
-    // ---- what the owner concludes ----
+    // ---- what the leader concludes ----
 
     private static final long LEASE_MS = 20_000;
     private final Settings settings = new Settings("n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", List.of("a"), Map.of(), List.of(), 3, LEASE_MS / 1000.0, 40, 100, 30, 8192, 12, 8, 4, 1000);
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -110,7 +110,7 @@
 
     /**
      * A controller that kept leases in a cut zone ends and is back within a fifth of a second, without knowing what it kept; the cut ends, and the zone's machines hang.
-     * The owner takes none of their leases for over before it is.
+     * The leader takes none of their leases for over before it is.
      */
     @Test
     void whatAnEarlierLifeOfAControllerKeptIsReckonedWith() {
