--- /dev/null
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -0,0 +1,234 @@
+package org.hollypick.sim;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiFunction;
+import java.util.function.Supplier;
+import java.util.stream.IntStream;
+import org.hollypick.Node;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Runtime;
+
+/**
+ * Plays simulated days with fixed seeds and prints one hash a day over every call that a controller sends and every
+ * answer to it: time, sender, address, method, path, status and bodies. A change that is meant to keep the behaviour
+ * keeps every hash ({@code tools/transcript}).
+ *
+ * <p>Usage: {@code Transcript FILE} compares with the hashes in that file and exits with 1 if one differs;
+ * {@code Transcript --record FILE} writes them.
+ */
+final class Transcript {
+    private static final String TWO_TEAMS_OTHER = "team-1";
+    private static final double TWO_TEAMS_CORES = 24;
+
+    private Transcript() {}
+
+    public static void main(String[] args) throws IOException {
+        boolean record = args[0].equals("--record");
+        Path file = Path.of(args[record ? 1 : 0]);
+        List<String> lines = hashes();
+        if (record) {
+            Files.write(file, lines);
+            return;
+        }
+        List<String> expected = Files.readAllLines(file);
+        List<String> differing = IntStream.range(0, Math.max(lines.size(), expected.size()))
+                .filter(i -> i >= lines.size() || i >= expected.size() || !lines.get(i).equals(expected.get(i)))
+                .mapToObj(i -> i < lines.size() ? lines.get(i) : "missing: " + expected.get(i))
+                .toList();
+        differing.forEach(line -> System.out.println("differs: " + line));
+        System.out.println(lines.size() + " days played, " + differing.size() + " differ");
+        if (!differing.isEmpty()) {
+            System.exit(1);
+        }
+    }
+
+    private static List<String> hashes() {
+        Map<String, Supplier<Day>> days = days();
+        return new ArrayList<>(days.entrySet())
+                .stream()
+                .map(entry -> entry.getKey() + " " + entry.getValue().get().world.digest())
+                .toList();
+    }
+
+    private static Map<String, Supplier<Day>> days() {
+        Map<String, Supplier<Day>> days = new LinkedHashMap<>();
+        for (int seed = 1; seed <= 10; seed++) {
+            int s = seed;
+            days.put("faults-" + s, () -> faults(s, 1));
+            days.put("combined-faults-" + s, () -> combinedFaults(s));
+            days.put("answers-" + s, () -> answers(s));
+        }
+        for (int seed = 1; seed <= 6; seed++) {
+            int s = seed;
+            days.put("pipelines-" + s, () -> pipelines(s));
+            days.put("graphs-" + s, () -> graphs(s));
+            days.put("estimates-" + s, () -> estimates(s));
+            days.put("quick-restarts-" + s, () -> quickRestarts(s));
+            days.put("two-teams-" + s, () -> twoTeams(s));
+            days.put("partition-" + s, () -> partition(s));
+        }
+        days.put("large-1", () -> faults(1, 12));
+        days.put("large-2", () -> faults(2, 12));
+        days.put("outage", () -> outage(3));
+        days.put("leaders-change", () -> leadersChange(4));
+        days.put("from-production", () -> fromProduction(5));
+        return days;
+    }
+
+    private static Day faults(int seed, int size) {
+        Day day = new Day(seed, size);
+        day.submitSome(30, 100_000);
+        day.drawFaults(10, 20_000, 150_000);
+        day.play(220_000);
+        return day;
+    }
+
+    private static Day combinedFaults(int seed) {
+        Day day = new Day(seed);
+        day.submitSome(25, 100_000);
+        day.drawMeetings(4, 20_000, 110_000);
+        day.play(300_000);
+        return day;
+    }
+
+    private static Day answers(int seed) {
+        Day day = new Day(seed);
+        day.submitSome(25, 100_000);
+        day.closeLooks();
+        day.oddRequests(20, 120_000);
+        day.drawAnswerTroubles(6, 20_000, 120_000);
+        day.play(240_000);
+        return day;
+    }
+
+    private static Day pipelines(int seed) {
+        Day day = withOperator(seed, "{}");
+        day.submitSome(20, 100_000);
+        day.pipelines(6, 90_000);
+        day.world.at(60_000, day::tighten);
+        day.drawFaults(6, 20_000, 150_000);
+        day.play(240_000);
+        return day;
+    }
+
+    private static Day graphs(int seed) {
+        Day day = withOperator(seed, "{:graphs true}");
+        for (int i = 0; i < 5; i++) {
+            GraphUser user = new GraphUser(day, String.format("req-7%05d", i), 3, 3);
+            day.world.at(3_000 + day.world.random.nextInt(50_000), user::start);
+            if (i == 1) {
+                day.world.at(30_000 + day.world.random.nextInt(60_000), user::withdraw);
+            } else if (i == 2) {
+                day.world.at(30_000 + day.world.random.nextInt(40_000), user::withdrawNode);
+            }
+        }
+        day.submitSome(8, 60_000);
+        day.drawFaults(6, 10_000, 120_000);
+        day.play(330_000);
+        return day;
+    }
+
+    private static Day estimates(int seed) {
+        Day day = withOperator(seed, "{:estimates true}");
+        day.submitSome(25, 100_000);
+        for (int i = 0; i < 40; i++) {
+            String path = String.format("/submissions/req-%06d/estimate", i % 20);
+            int node = i % 3;
+            day.world.at(5_000 + i * 4_000L, () -> day.lookAt(node, path.split("/")[2], path));
+        }
+        day.drawFaults(5, 20_000, 120_000);
+        day.play(220_000);
+        return day;
+    }
+
+    private static Day quickRestarts(int seed) {
+        Day day = new Day(seed, 4);
+        day.submitSome(25, 100_000);
+        for (int i = 0; i < 8; i++) {
+            int node = i % 3;
+            long back = 50L + day.world.random.nextInt(300);
+            day.world.at(15_000 + i * 9_000L, () -> day.crash(node, back));
+        }
+        day.world.at(100_000, day::crashAll);
+        day.play(200_000);
+        return day;
+    }
+
+    private static Day twoTeams(int seed) {
+        Day day = new Day(
+                seed,
+                1,
+                null,
+                null,
+                (r, s) -> new Node(
+                        r,
+                        Day.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
+                        OperatorSettings.defaults()));
+        day.owners = List.of("team", TWO_TEAMS_OTHER);
+        day.cancelledOf = 2;
+        day.submitSome(40, 100_000);
+        day.drawMeetings(3, 20_000, 110_000);
+        day.play(280_000);
+        return day;
+    }
+
+    private static Day partition(int seed) {
+        Day day = new Day(seed, 4).withRunningServices();
+        day.controllerInZone(1, "b");
+        day.submitSome(20, 80_000);
+        day.cutZone("b", seed % 2 == 0 ? 25_000 : 50_000);
+        day.play(120_000);
+        day.cutFromWorkers(day.leader(), 40_000);
+        day.play(90_000);
+        return day;
+    }
+
+    private static Day outage(int seed) {
+        Day day = new Day(seed).withRunningServices();
+        day.submitSome(20, 80_000);
+        day.state.outage(60_000);
+        day.play(180_000);
+        return day;
+    }
+
+    private static Day leadersChange(int seed) {
+        Day day = new Day(seed).withRunningServices();
+        day.submitSome(20, 80_000);
+        day.changeLeaders(10, 10_000);
+        day.play(200_000);
+        return day;
+    }
+
+    /** Begins with the version in production and is rolled over to this one. */
+    private static Day fromProduction(int seed) {
+        Day day = new Day(seed, 1, production(), new Day.Limits(2_048, 4, 25), version("{}"));
+        day.submitSome(25, 100_000);
+        day.roll(30_000, 12_000);
+        day.play(220_000);
+        return day;
+    }
+
+    private static Production production() {
+        try {
+            return Production.load();
+        } catch (Exception e) {
+            throw new IllegalStateException("the version in production can't be built", e);
+        }
+    }
+
+    private static Day withOperator(int seed, String operator) {
+        return new Day(seed, 1, null, new Day.Limits(2_048, 4, 25), version(operator));
+    }
+
+    private static BiFunction<Runtime, Settings, Node> version(String operator) {
+        OperatorSettings settings = OperatorSettings.parse(operator);
+        return (r, s) -> new Node(r, s, settings);
+    }
+}
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -198,7 +198,7 @@
         }
     }
 
-    /** A digest of every message of the day so far: the same seed and the same decisions give the same one. */
+    /** A digest of every call and every answer of the day so far: the same seed and the same decisions give the same one. */
     String digest() {
         if (digest == null) {
             digest = played.hash().toString();
@@ -257,6 +257,7 @@
                 return;
             }
             e.request(call.method(), call.path(), call.body(), r -> {
+                played.putLong(now).putInt(r.status()).putString(call.address() + r.body(), StandardCharsets.UTF_8);
                 if (unheard || answerLost.test(call)) {
                     return;
                 }
