--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Node.java
@@ -13,9 +13,11 @@
 import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.PeerReachability;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.control.Graphs;
 import org.hollypick.control.JobRecords;
 import org.hollypick.control.LeaderTerm;
@@ -136,7 +138,7 @@
             }
             types.putAll(t);
             leadership();
-            runtime.after(Constants.TYPES_MS, this::refreshTypes);
+            runtime.after(ReconcileConstants.MACHINE_TYPE_REFRESH_MS, this::refreshTypes);
         });
     }
 
@@ -162,7 +164,7 @@
             state.setLeader(false);
         }
         if (term == null && token != 0 && !types.isEmpty() && membership.valid()) {
-            if (token >>> (63 - Constants.ATTEMPT_BITS) != 0) {
+            if (token >>> (63 - JobConstants.ATTEMPT_BITS) != 0) {
                 LOG.error("token too large for attempt numbers token={}", Long.toUnsignedString(token));
                 return;
             }
@@ -308,7 +310,7 @@
 
     /** For how long others may pass on what this leader answers: no longer than it may act itself. */
     private long rightMs() {
-        return Math.min(Constants.RELAY_RIGHT_MS, membership.entitledUntil(term.token) - runtime.now());
+        return Math.min(RelayConstants.RELAY_VALIDITY_MS, membership.entitledUntil(term.token) - runtime.now());
     }
 
     /** The leader's answer to a machine's report that came through that controller. */
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -10,8 +10,8 @@
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.control.Graphs;
 import org.hollypick.control.LeaderTerm;
 import org.hollypick.core.MachineType;
@@ -73,7 +73,7 @@
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
         passed.put(UserApi.REVISION, view.revision()).set("body", body);
-        Call call = new Call(leaderAddress, "POST", "/graph", passed, Constants.GRAPH_PASS_MS, true);
+        Call call = new Call(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
         runtime.call(call, r -> answer.accept(told(method, r)));
     }
 
--- a/src/main/java/org/hollypick/api/GraphCodec.java
+++ b/src/main/java/org/hollypick/api/GraphCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.control.Graphs;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.graph.Graph;
@@ -58,7 +58,7 @@
         }
         return new GraphRecords.Head(
                 task(id, b, Codec.object()),
-                retries.isIntegralNumber() ? retries.asInt() : Constants.GRAPH_RETRIES,
+                retries.isIntegralNumber() ? retries.asInt() : GraphConstants.GRAPH_RETRIES,
                 onFailure.equals("end"));
     }
 
@@ -100,7 +100,7 @@
     }
 
     static boolean isNodeId(String id) {
-        if (id.isEmpty() || id.length() > Constants.GRAPH_ID_LENGTH) {
+        if (id.isEmpty() || id.length() > GraphConstants.GRAPH_ID_LENGTH) {
             return false;
         }
         return id.chars().allMatch(c -> c > ' ' && c < 127 && c != '/' && c != '?' && c != '#' && c != '%');
@@ -166,7 +166,7 @@
             counts.put(s.name().toLowerCase(Locale.ROOT), graph.count(s));
         }
         ArrayNode nodes = b.putArray("nodes");
-        int to = Math.min(graph.durableNodes(), from + Constants.GRAPH_PAGE);
+        int to = Math.min(graph.durableNodes(), from + GraphConstants.GRAPH_PAGE_NODES);
         for (int i = from; i < to; i++) {
             ObjectNode n = nodes.addObject()
                     .put("id", graph.id(i))
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -14,8 +14,10 @@
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ApiConstants;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.control.JobRecords;
 import org.hollypick.control.JobTermination;
 import org.hollypick.control.LeaderTerm;
@@ -197,7 +199,7 @@
         polls.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
         if (!gathering) {
             gathering = true;
-            runtime.after(Constants.GATHER_MS, this::askLeader);
+            runtime.after(ApiConstants.STATUS_BATCH_MS, this::askLeader);
         }
     }
 
@@ -217,9 +219,9 @@
         ObjectNode body = Codec.object().put(REVISION, view.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
-        runtime.call(new Call(leaderAddress, "POST", "/jobs", body, Constants.MESH_TIMEOUT_MS, true), r -> {
+        runtime.call(new Call(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
             if (r.status() <= 0) {
-                leaderSilentUntil = runtime.now() + Constants.LEADER_SILENT_MS;
+                leaderSilentUntil = runtime.now() + ApiConstants.SILENT_LEADER_MS;
             }
             long revision = Codec.u64(r.body().path(REVISION));
             asked.forEach((id, answers) -> {
@@ -345,19 +347,20 @@
             return;
         }
         ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
-        runtime.call(new Call(leaderAddress, "POST", "/estimate", question, Constants.MESH_TIMEOUT_MS, true), r -> {
-            int status = r.body().path("status").asInt();
-            long revision = Codec.u64(r.body().path(REVISION));
-            Answer over = over(id);
-            if (over != null) {
-                answer.accept(over);
-            } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
-                view.answeredFrom(revision);
-                answer.accept(Answer.of(status, r.body().path("body")).only(() -> over(id) == null));
-            } else {
-                answer.accept(Answer.later("leader"));
-            }
-        });
+        runtime.call(
+                new Call(leaderAddress, "POST", "/estimate", question, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
+                    int status = r.body().path("status").asInt();
+                    long revision = Codec.u64(r.body().path(REVISION));
+                    Answer over = over(id);
+                    if (over != null) {
+                        answer.accept(over);
+                    } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
+                        view.answeredFrom(revision);
+                        answer.accept(Answer.of(status, r.body().path("body")).only(() -> over(id) == null));
+                    } else {
+                        answer.accept(Answer.later("leader"));
+                    }
+                });
     }
 
     /** Another controller asks for one of its users. */
@@ -433,7 +436,7 @@
                             "POST",
                             "/jobs/" + id + "/abort",
                             Codec.object(),
-                            Constants.STATE_TIMEOUT_MS,
+                            StoreConstants.STORE_TIMEOUT_MS,
                             true),
                     r -> {
                         if (r.ok()) {
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.hollypick.Node;
 import org.hollypick.config.ConfigException;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.io.HttpServer;
 import org.hollypick.io.Network;
 import org.hollypick.io.Sockets;
@@ -140,7 +140,7 @@
                         buffers,
                         sockets,
                         Set.copyOf(List.of(settings.state(), settings.cloud())),
-                        (int) (settings.sockets() * Constants.IDLE_SOCKETS));
+                        (int) (settings.sockets() * NetworkConstants.IDLE_SOCKET_SHARE));
                 node = new Node(network, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
@@ -165,7 +165,7 @@
                 network.after(0, node::start);
                 started.complete(server);
             } catch (RuntimeException e) {
-                if (!(e.getCause() instanceof BindException) || ++tries >= Constants.LISTEN_TRIES) {
+                if (!(e.getCause() instanceof BindException) || ++tries >= NetworkConstants.LISTEN_ATTEMPTS) {
                     started.completeExceptionally(e);
                     return;
                 }
@@ -176,7 +176,7 @@
                             settings.meshAddr(),
                             e.getCause().getMessage());
                 }
-                network.after(Constants.LISTEN_AGAIN_MS, this::listen);
+                network.after(NetworkConstants.LISTEN_RETRY_MS, this::listen);
             }
         }
     }
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.MachineType;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
@@ -44,7 +44,7 @@
     }
 
     public void types(Consumer<Map<String, MachineType>> reply) {
-        send(Call.of(address, "GET", "/machine_types", null, Constants.CLOUD_TIMEOUT_MS), r -> {
+        send(Call.of(address, "GET", "/machine_types", null, NetworkConstants.CLOUD_TIMEOUT_MS), r -> {
             if (!r.ok()) {
                 reply.accept(null);
                 return;
@@ -85,7 +85,7 @@
                 .put("lendable", spot)
                 .put("number", count);
         send(
-                Call.of(address, "POST", "/hosts", body, Constants.CLOUD_TIMEOUT_MS)
+                Call.of(address, "POST", "/hosts", body, NetworkConstants.CLOUD_TIMEOUT_MS)
                         .only(still),
                 reply);
     }
@@ -95,13 +95,13 @@
         ArrayNode names = body.putArray("bothies");
         machines.forEach(names::add);
         send(
-                Call.of(address, "POST", "/hosts/return", body, Constants.CLOUD_TIMEOUT_MS)
+                Call.of(address, "POST", "/hosts/return", body, NetworkConstants.CLOUD_TIMEOUT_MS)
                         .only(still),
                 reply);
     }
 
     public void list(String from, Consumer<Reply> reply) {
         String path = "/hosts?page=500" + (from == null ? "" : "&from=" + from);
-        send(Call.of(address, "GET", path, null, Constants.CLOUD_TIMEOUT_MS), reply);
+        send(Call.of(address, "GET", path, null, NetworkConstants.CLOUD_TIMEOUT_MS), reply);
     }
 }
--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/Candidate.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.core.links.LeadershipDelay;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
@@ -89,15 +89,16 @@
         void begin() {
             open = asked.size();
             new HashMap<>(asked)
-                    .forEach((id, addr) -> workers.inspect(id, addr, Constants.LEADERSHIP_DELAY_ASK_MS, r -> {
-                        if (r.ok()) {
-                            direct.add(id);
-                        } else if (r.status() == Reply.LACK) {
-                            asked.remove(id); // it says nothing about the path
-                        }
-                        ended();
-                    }));
-            runtime.after(Constants.LEADERSHIP_DELAY_PATIENCE_MS, this::askPeers);
+                    .forEach((id, addr) ->
+                            workers.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
+                                if (r.ok()) {
+                                    direct.add(id);
+                                } else if (r.status() == Reply.LACK) {
+                                    asked.remove(id); // it says nothing about the path
+                                }
+                                ended();
+                            }));
+            runtime.after(ElectionConstants.CANDIDACY_ASK_PEERS_AFTER_MS, this::askPeers);
         }
 
         private void askPeers() {
@@ -154,7 +155,7 @@
         });
         Map<String, String> some = new LinkedHashMap<>();
         for (List<Map.Entry<String, JsonNode>> zone : byZone.values()) {
-            int count = Math.min(zone.size(), Constants.LEADERSHIP_DELAY_MACHINES);
+            int count = Math.min(zone.size(), ElectionConstants.CANDIDACY_PROBED_MACHINES);
             long from = Math.floorMod(runtime.now(), (long) zone.size());
             for (int i = 0; i < count; i++) {
                 Map.Entry<String, JsonNode> m = zone.get((int) ((from + (long) i * zone.size() / count) % zone.size()));
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -7,8 +7,11 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ClockConstants;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.core.Leases;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
@@ -76,8 +79,8 @@
         settings.siblings().forEach(s -> names.add(s.node()));
         this.rank = names.headSet(settings.node()).size();
         // An earlier self may have promised just before it ended.
-        this.silentUntil = runtime.now() + possibly(Constants.PROMISE_MS);
-        this.rightsOver = runtime.now() + possibly(Constants.RELAY_RIGHT_MS);
+        this.silentUntil = runtime.now() + possibly(ElectionConstants.LEASE_GRANT_MS);
+        this.rightsOver = runtime.now() + possibly(RelayConstants.RELAY_VALIDITY_MS);
         askOthers();
     }
 
@@ -138,7 +141,7 @@
                             "POST",
                             "/release",
                             Codec.object().put("member", member),
-                            Constants.MESH_TIMEOUT_MS,
+                            NetworkConstants.PEER_TIMEOUT_MS,
                             true),
                     r -> {
                         if (r.ok() && r.body().path("released").asBoolean() && --missing[0] == 0) {
@@ -153,32 +156,32 @@
         held = false;
         memberStamp = 0;
         long sent = runtime.now();
-        state.grant(Constants.STATE_SESSION_MS, r -> {
+        state.grant(ElectionConstants.SESSION_TTL_MS, r -> {
             if (!r.ok()) {
-                runtime.after(Constants.RENEW_RETRY_MS, this::join);
+                runtime.after(ElectionConstants.SESSION_RETRY_MS, this::join);
                 return;
             }
             stateSession = Codec.u64(r.body().path(WireNames.STATE_SESSION));
             held = true;
             heldFrom(sent);
             enter(self);
-            runtime.after(Constants.RENEW_MS, () -> renew(self));
+            runtime.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
         });
     }
 
     /** How long a time that runs on another clock certainly lasts here. */
     public static long certainly(long ms) {
-        return (long) (ms * (1 - Constants.DRIFT)) - Constants.CLOCK_MARGIN_MS;
+        return (long) (ms * (1 - ClockConstants.CLOCK_DRIFT_RATIO)) - ClockConstants.CLOCK_MARGIN_MS;
     }
 
     /** How long a time on another clock may last here. */
     private static long possibly(long ms) {
-        return (long) (ms * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS;
+        return (long) (ms * (1 + ClockConstants.CLOCK_DRIFT_RATIO)) + ClockConstants.CLOCK_MARGIN_MS;
     }
 
     private void heldFrom(long sent) {
         renewedAt = runtime.now();
-        stateSessionUntil = sent + certainly(Constants.STATE_SESSION_MS);
+        stateSessionUntil = sent + certainly(ElectionConstants.SESSION_TTL_MS);
     }
 
     private void enter(int self) {
@@ -205,13 +208,13 @@
                     if (g.ok() && Codec.u64(g.body().path(WireNames.STATE_SESSION)) == stateSession) {
                         entered(Codec.u64(g.body().path(WireNames.REVISION))); // an earlier try was applied after all
                     } else {
-                        runtime.after(Constants.RENEW_RETRY_MS, () -> enter(self));
+                        runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
                     }
                 });
             } else if (r.status() == 400) {
                 join();
             } else {
-                runtime.after(Constants.RENEW_RETRY_MS, () -> enter(self));
+                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
             }
         });
     }
@@ -235,14 +238,14 @@
             if (r.ok()) {
                 // A state session that could be renewed never ended, so whatever rests on it still stands.
                 heldFrom(sent);
-                runtime.after(Constants.RENEW_MS, () -> renew(self));
+                runtime.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
                 changed.run();
             } else if (r.status() == 404) {
                 LOG.info("state session lost state_session={}", Long.toUnsignedString(stateSession));
                 join();
                 changed.run();
             } else {
-                runtime.after(Constants.RENEW_RETRY_MS, () -> renew(self));
+                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> renew(self));
             }
         });
     }
@@ -259,7 +262,7 @@
      * to claim for a while: only if all of them promise does it count.
      */
     private void askOthers() {
-        if (!settings.siblings().isEmpty() && runtime.now() - renewedAt > Constants.PROMISE_AFTER_MS) {
+        if (!settings.siblings().isEmpty() && runtime.now() - renewedAt > ElectionConstants.LEASE_GRANT_AFTER_MS) {
             long token = token();
             long sent = runtime.now();
             int[] missing = {settings.siblings().size()};
@@ -270,7 +273,7 @@
                                 "POST",
                                 "/promise",
                                 Codec.object().put(WireNames.FENCING_TOKEN, token),
-                                Constants.MESH_TIMEOUT_MS,
+                                NetworkConstants.PEER_TIMEOUT_MS,
                                 true),
                         r -> {
                             if (r.ok()) {
@@ -278,19 +281,19 @@
                                 learn(r.body().path(WireNames.LEADER_RECORD));
                             }
                             if (r.ok() && r.body().path("reaches_state").asBoolean()) {
-                                aloneUntil = runtime.now() + Constants.ALONE_MS;
+                                aloneUntil = runtime.now() + ElectionConstants.ISOLATION_MS;
                             }
                             if (r.ok()
                                     && r.body().path("promised").asBoolean()
                                     && --missing[0] == 0
                                     && token == token()) {
                                 promisedToken = token;
-                                promisedUntil = sent + certainly(Constants.PROMISE_MS);
+                                promisedUntil = sent + certainly(ElectionConstants.LEASE_GRANT_MS);
                             }
                         });
             }
         }
-        runtime.after(Constants.PROMISE_EVERY_MS, this::askOthers);
+        runtime.after(ElectionConstants.LEASE_GRANT_INTERVAL_MS, this::askOthers);
     }
 
     /**
@@ -300,13 +303,13 @@
     public boolean alone() {
         long now = runtime.now();
         boolean cutOff =
-                !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > Constants.STATE_SESSION_MS;
+                !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > ElectionConstants.SESSION_TTL_MS;
         return !reachesState() && (now < aloneUntil || cutOff);
     }
 
     /** Whether the state service answered lately. */
     public boolean reachesState() {
-        return held && runtime.now() - renewedAt < Constants.PROMISE_AFTER_MS;
+        return held && runtime.now() - renewedAt < ElectionConstants.LEASE_GRANT_AFTER_MS;
     }
 
     /**
@@ -321,7 +324,7 @@
             // the state service is there: the asker alone is cut off from it, and its work is better taken over
             return false;
         }
-        silentUntil = Math.max(silentUntil, runtime.now() + possibly(Constants.PROMISE_MS));
+        silentUntil = Math.max(silentUntil, runtime.now() + possibly(ElectionConstants.LEASE_GRANT_MS));
         return true;
     }
 
@@ -454,13 +457,14 @@
                 member.data().path("resigned").forEach(t -> lately.add(t.asLong()));
             }
         }
-        lately.removeIf(t -> t > now + Constants.CLOCK_MARGIN_MS || now - t > Constants.RESIGN_MEMORY_MS);
+        lately.removeIf(
+                t -> t > now + ClockConstants.CLOCK_MARGIN_MS || now - t > ElectionConstants.RESIGNATION_MEMORY_MS);
         long last = 0;
         for (long t : lately) {
             last = Math.max(last, t);
         }
-        int count = Math.min(lately.size(), Constants.RESIGN_DOUBLINGS);
-        return lately.isEmpty() || now - last >= Constants.RESIGN_PAUSE_MS << count;
+        int count = Math.min(lately.size(), ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS);
+        return lately.isEmpty() || now - last >= ElectionConstants.RESIGNATION_PAUSE_MS << count;
     }
 
     /** Gives up the lead, and this incarnation with it, so that another controller takes over. */
@@ -468,15 +472,15 @@
         long old = stateSession;
         long member = memberStamp;
         resigned.add(runtime.timeOfDay());
-        if (resigned.size() > Constants.RESIGN_DOUBLINGS) {
+        if (resigned.size() > ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS) {
             resigned.removeLong(0);
         }
-        claimNotBefore = runtime.now() + Constants.RESIGNED_MS;
+        claimNotBefore = runtime.now() + ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS;
         join();
         // Others may still pass answers of this leader on, for as long as it told them.
         released(
                 member,
-                possibly(Constants.RELAY_RIGHT_MS),
+                possibly(RelayConstants.RELAY_VALIDITY_MS),
                 () -> state.end(
                         old,
                         r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
@@ -490,14 +494,14 @@
         }
         claiming = true;
         if (promised() || runtime.now() < claimNotBefore) {
-            runtime.after(Constants.CLAIM_STEP_MS, () -> {
+            runtime.after(ElectionConstants.CANDIDACY_STEP_MS, () -> {
                 claiming = false;
                 claimIfFree();
             });
             return;
         }
         runtime.after(
-                rank * Constants.CLAIM_STEP_MS,
+                rank * ElectionConstants.CANDIDACY_STEP_MS,
                 () -> candidate.measure(false, m -> {
                     long ms = m.waitMs();
                     if (ms > 0) {
@@ -572,7 +576,7 @@
         state.commitNow(txn.put(Keys.LEADER_RECORD, leaderRecord), r -> {
             LOG.info("leader record written status={} why={}", r.status(), why);
             // The watch brings the outcome, whatever the answer was.
-            runtime.after(r.ok() || r.status() == 409 ? 200 : Constants.RENEW_RETRY_MS, () -> {
+            runtime.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
                 claiming = false;
                 claimIfFree();
             });
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -7,8 +7,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 import java.util.function.Predicate;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.config.constants.LeaseConstants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Leases;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Placement;
@@ -101,10 +103,10 @@
                     .put("echo", echoToken == token ? echo : Leases.NO_ECHO)
                     .put("kept", telling > told);
             runtime.call(
-                    new Call(leaderAddress, "POST", "/keep", body, Constants.MESH_TIMEOUT_MS, true),
+                    new Call(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
                     r -> answered(r, token, sent, telling));
         }
-        runtime.after(Constants.KEEP_EVERY_MS, this::ask);
+        runtime.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::ask);
     }
 
     private void answered(Reply r, long token, long sent, long telling) {
@@ -145,7 +147,7 @@
      * there.
      */
     public boolean keeping() {
-        boolean lost = membership.token() != 0 || runtime.now() - contactAt > Constants.KEEP_LOST_MS;
+        boolean lost = membership.token() != 0 || runtime.now() - contactAt > LeaseConstants.LEADER_LOST_MS;
         boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
         if (keeping != announced) {
             announced = keeping;
@@ -174,7 +176,7 @@
             if (t.state() != Placement.State.EXITED
                     && slash > 0
                     && cancelled.test(t.task().substring(0, slash))
-                    && orders.size() < Constants.ORDERS_MAX) {
+                    && orders.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
                 orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), 0));
             }
         }
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
@@ -31,7 +31,7 @@
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
         runtime.call(
-                new Call(peer, "POST", PATH, body, Constants.REACH_TIMEOUT_MS, true),
+                new Call(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
                 r -> then.accept(
                         !r.ok()
                                 ? null
@@ -58,7 +58,7 @@
             body.path("machines").fields().forEachRemaining(f -> {
                 if (f.getValue().isTextual()
                         && f.getValue().asText().contains(":")
-                        && asked.size() < Constants.REACH_MACHINES) {
+                        && asked.size() < ReachabilityConstants.PEER_CHECK_MAX_MACHINES) {
                     asked.add(f);
                 }
             });
@@ -68,7 +68,7 @@
             answer.accept(Answer.of(200, told));
         }
         for (Map.Entry<String, JsonNode> m : asked) {
-            workers.inspect(m.getKey(), m.getValue().asText(), Constants.REACH_INSPECT_MS, r -> {
+            workers.inspect(m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
                 if (r.ok()) {
                     reached.add(m.getKey());
                 } else if (r.status() != Reply.LACK) {
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/View.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
@@ -116,14 +116,14 @@
         asking = new ArrayList<>();
         state.epoch(r -> {
             if (r.status() == 404 && loaded) {
-                catchingUp.add(
-                        new CatchUp(Codec.u64(r.body().path("epoch")), runtime.now() + Constants.CATCH_UP_MS, batch));
-                runtime.after(Constants.CATCH_UP_MS, this::caughtUp);
+                catchingUp.add(new CatchUp(
+                        Codec.u64(r.body().path("epoch")), runtime.now() + StoreConstants.WATCH_CATCH_UP_MS, batch));
+                runtime.after(StoreConstants.WATCH_CATCH_UP_MS, this::caughtUp);
                 caughtUp();
             } else {
                 batch.forEach(c -> c.accept(false));
             }
-            runtime.after(Constants.WATCH_GAP_MS, () -> {
+            runtime.after(StoreConstants.WATCH_GAP_MS, () -> {
                 reading = false;
                 if (!asking.isEmpty()) {
                     readEpoch();
@@ -208,7 +208,7 @@
             changed.accept(keys);
         }
         caughtUp();
-        long gap = Constants.WATCH_GAP_MS - (runtime.now() - watchedAt);
+        long gap = StoreConstants.WATCH_GAP_MS - (runtime.now() - watchedAt);
         if (gap > 0) {
             runtime.after(gap, this::watch);
         } else {
--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -4,6 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.hollypick.config.constants.AutoscalingConstants;
+import org.hollypick.config.constants.GraphConstants;
+import org.hollypick.config.constants.SchedulingConstants;
 import us.bpsm.edn.EdnException;
 import us.bpsm.edn.Keyword;
 import us.bpsm.edn.parser.Parseable;
@@ -15,11 +18,11 @@
         long idleMs, double warmCores, double firstShare, boolean graphs, long graphKeepMs, boolean estimates) {
     public static OperatorSettings defaults() {
         return new OperatorSettings(
-                Constants.IDLE_MS,
-                Constants.WARM_CORES,
-                Constants.FIRST_SHARE,
+                AutoscalingConstants.IDLE_SPOT_MS,
+                AutoscalingConstants.STANDBY_CORES,
+                SchedulingConstants.FIRST_PARTITION_SHARE,
                 false,
-                (long) (Constants.GRAPH_KEEP_S * 1000),
+                (long) (GraphConstants.GRAPH_RETENTION_S * 1000),
                 false);
     }
 
--- /dev/null
+++ b/src/main/java/org/hollypick/config/constants/EstimateConstants.java
@@ -0,0 +1,18 @@
+package org.hollypick.config.constants;
+
+/** Run-time statistics behind completion estimates. Each number has its unit and the reason for its value. */
+public final class EstimateConstants {
+    /** Records of what was learned: with the smallest values some hundred kinds fit. */
+    public static final int STATISTICS_RECORDS = 8;
+
+    /** Runs of a kind that a record holds. */
+    public static final int STATISTICS_RUNS = 32;
+
+    /** Milliseconds between two such records: three changes a minute. */
+    public static final long STATISTICS_WRITE_INTERVAL_MS = 20_000;
+
+    /** The format of those records; newer ones are left alone. */
+    public static final int STATISTICS_FORMAT = 1;
+
+    private EstimateConstants() {}
+}
--- a/src/main/java/org/hollypick/control/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/DependentCancellation.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.Records;
 import org.hollypick.state.StateClient;
@@ -69,7 +69,7 @@
                 waiting.keySet().removeAll(ending);
             } else {
                 // by then the view shows what was written otherwise
-                notBefore = runtime.now() + Constants.RENEW_RETRY_MS;
+                notBefore = runtime.now() + ElectionConstants.SESSION_RETRY_MS;
             }
         });
     }
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/FailureDetector.java
@@ -7,8 +7,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.watch.LocalHealth;
@@ -33,7 +35,7 @@
     /** Since when others reach machines that this leader doesn't; 0 if there are none. */
     private long beyondSince;
 
-    private long complainedAt = -Constants.REACH_VALID_MS;
+    private long complainedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
     /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
     private long troubleUntil;
 
@@ -54,13 +56,13 @@
 
     /** Asks machines that are quieter than their reports allow, and tells which are lost. */
     List<Machine> look(long now) {
-        if (now - startedAt < Constants.SILENT_GRACE_MS) {
+        if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
         // Machines report within a quarter more than the interval. Only the loss of services is worth asking more
         // often.
-        long usual = (long) (settings.reportS() * 1_250) + Constants.PROBE_SLACK_MS;
-        long early = (long) (settings.reportS() * 1_000 * Constants.PROBE_SHARE);
+        long usual = (long) (settings.reportS() * 1_250) + FailureDetectionConstants.PROBE_SLACK_MS;
+        long early = (long) (settings.reportS() * 1_000 * FailureDetectionConstants.PROBE_SHARE);
         List<Machine> silent = new ArrayList<>();
         List<Machine> unsure = new ArrayList<>();
         List<Machine> quietest = new ArrayList<>();
@@ -74,7 +76,7 @@
             long quiet = now - m.lastReportAt;
             int[] zone = byZone.computeIfAbsent(m.zone, z -> new int[2]);
             boolean doubted = m.validity.doubted();
-            if (quiet < Constants.TALKING_MS && !doubted) {
+            if (quiet < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
                 talking++;
                 zone[0]++;
             }
@@ -89,10 +91,13 @@
                     && m.heard
                     && m.idle()
                     && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.validity.unreachableInboundSince()))
-                            > Constants.USELESS_MS) {
+                            > ReachabilityConstants.UNREACHABLE_RETURN_MS) {
                 silent.add(m);
-            } else if (quiet > (doubted ? Constants.UNHEARD_GAP_MS : Constants.SILENT_MS)
-                    && m.unanswered >= Constants.UNANSWERED
+            } else if (quiet
+                            > (doubted
+                                    ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
+                                    : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS)
+                    && m.unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
                     && !reachability.spared(m, now)) {
                 if (reachability.nobodyReaches(m, now)) {
                     silent.add(m);
@@ -106,7 +111,7 @@
         quietest.forEach(probe);
         reachability.ask(unsure);
         int beyond = Reachability.beyond(scheduler.machines.values(), now);
-        beyondSince = beyond < Constants.REACH_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
+        beyondSince = beyond < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
         seen = "talking=" + talking + " doubtful=" + doubtful + " elsewhere=" + beyond;
         // Those that left a question open against those heard of just now: counting only the silent ones would give
         // them up one by one while this node is cut off from all of them.
@@ -115,10 +120,10 @@
                 .filter(e -> partitioned(e.getValue()[0], e.getValue()[1]))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toUnmodifiableSet());
-        if ((doubtful > 2 && share > Constants.SILENT_SHARE) || !partitioned.isEmpty()) {
-            troubleUntil = now + Constants.TROUBLE_OVER_MS;
+        if ((doubtful > 2 && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitioned.isEmpty()) {
+            troubleUntil = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
         }
-        if (doubtful <= 2 || share < Constants.CUT_OFF_SHARE) {
+        if (doubtful <= 2 || share < FailureDetectionConstants.ISOLATED_SHARE) {
             cutOffSince = 0;
         } else if (cutOffSince == 0) {
             cutOffSince = now;
@@ -128,8 +133,10 @@
 
     /** At most so many a second: what a leader takes for lost it may be wrong about, the more so after a takeover. */
     private List<Machine> bounded(List<Machine> silent, long now) {
-        double share = now - startedAt < Constants.EARLY_MS ? Constants.RETURN_SHARE_EARLY : Constants.RETURN_SHARE;
-        returns.setRate(Math.max(Constants.RETURNS_LEAST, share * scheduler.machines.size()));
+        double share = now - startedAt < FailureDetectionConstants.EARLY_TERM_MS
+                ? FailureDetectionConstants.SCALE_IN_SHARE_EARLY
+                : FailureDetectionConstants.SCALE_IN_SHARE;
+        returns.setRate(Math.max(FailureDetectionConstants.SCALE_IN_MIN_MACHINES, share * scheduler.machines.size()));
         List<Machine> some = new ArrayList<>();
         for (Machine m : silent) {
             if (!returns.has(1, now)) {
@@ -142,7 +149,8 @@
     }
 
     private static boolean partitioned(int talking, int doubtful) {
-        return doubtful >= Constants.DARK_MACHINES && doubtful >= Constants.CUT_OFF_SHARE * (doubtful + talking);
+        return doubtful >= FailureDetectionConstants.PARTITIONED_ZONE_MACHINES
+                && doubtful >= FailureDetectionConstants.ISOLATED_SHARE * (doubtful + talking);
     }
 
     /** What the last look found, for the log. */
@@ -158,7 +166,7 @@
     /** Machines have been out of reach for so long that what runs there won't outlast another pause. */
     boolean leasesAtStake(long now) {
         long since = Math.min(cutOffSince > 0 ? cutOffSince : now, beyondSince > 0 ? beyondSince : now);
-        return now - since > settings.leaseS() * 1_000 * Constants.CUT_OFF_LEASE;
+        return now - since > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
 
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
@@ -169,7 +177,7 @@
 
     /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
     boolean nobodyTells(long now) {
-        return !reachability.othersTell(now) || now - complainedAt < Constants.REACH_VALID_MS;
+        return !reachability.othersTell(now) || now - complainedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /**
@@ -177,11 +185,12 @@
      * or has only begun. If the others see the same, nobody would fare better.
      */
     boolean cutOff(long now) {
-        if (!own.sound(now) || now - startedAt < Constants.TERM_LEAST_MS) {
+        if (!own.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
         int beyond = Reachability.beyond(scheduler.machines.values(), now);
-        boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > Constants.CUT_OFF_MS;
-        return beyond >= Constants.REACH_AT_FAULT || (nearlyAll && (beyond > 0 || !reachability.othersTell(now)));
+        boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
+        return beyond >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
+                || (nearlyAll && (beyond > 0 || !reachability.othersTell(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/GraphLog.java
@@ -7,8 +7,10 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 import org.hollypick.cluster.Keys;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.config.constants.GraphConstants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.io.Runtime;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.Records;
@@ -87,7 +89,7 @@
         if (writing || unwritten.isEmpty() || runtime.now() < notBefore || state.crowded()) {
             return;
         }
-        int most = Math.min(settings.txnOps(), Constants.BODY_BYTES * 3 / 4 / settings.valueBytes());
+        int most = Math.min(settings.txnOps(), NetworkConstants.MAX_BODY_BYTES * 3 / 4 / settings.valueBytes());
         List<Entry> taken = new ArrayList<>();
         List<List<ObjectNode>> records = new ArrayList<>();
         int left = 0;
@@ -124,7 +126,7 @@
         state.commit(txn, r -> {
             if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
                 writing = false;
-                notBefore = runtime.now() + Constants.GRAPH_GAP_MS;
+                notBefore = runtime.now() + GraphConstants.GRAPH_WRITE_GAP_MS;
                 for (Entry e : taken) {
                     unwritten.poll();
                     e.durable.run();
@@ -138,7 +140,7 @@
                 notBefore = Long.MAX_VALUE;
                 writing = false;
             } else {
-                runtime.after(Constants.RENEW_RETRY_MS, () -> commit(txn, taken, written));
+                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> commit(txn, taken, written));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/Graphs.java
@@ -13,8 +13,9 @@
 import java.util.function.IntConsumer;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.graph.Graph;
@@ -135,7 +136,7 @@
                 log.add(GraphRecords.nodes(graph, to, to, loggedSpecs, parent, next), () -> {});
             }
             while (loggedNodes < to) {
-                int end = Math.min(to, loggedNodes + Constants.GRAPH_NODES_AN_ENTRY);
+                int end = Math.min(to, loggedNodes + GraphConstants.GRAPH_LOG_ENTRY_NODES);
                 ObjectNode op = entry(loggedNodes, end, parent, next);
                 while (end - loggedNodes > 1 && !log.fits(op)) {
                     end = loggedNodes + (end - loggedNodes) / 2;
@@ -391,7 +392,7 @@
 
     /** What can't be recorded soon is refused at once, before anything of it is taken in. */
     private boolean crowded(Live g, Consumer<Outcome> answer) {
-        boolean crowded = state.crowded() || (g != null && g.log.size() > Constants.GRAPH_BACKLOG);
+        boolean crowded = state.crowded() || (g != null && g.log.size() > GraphConstants.GRAPH_WRITE_BACKLOG);
         if (crowded) {
             answer.accept(Outcome.refused(503, "busy"));
         }
@@ -400,7 +401,7 @@
 
     /** A node's entry has to fit a record, whatever it awaits. */
     private Refusal check(Live g, List<NodeSpec> nodes, String parent, String next) {
-        int most = room / Constants.GRAPH_AWAIT_BYTES;
+        int most = room / GraphConstants.GRAPH_DEPENDENCY_BYTES;
         for (NodeSpec n : nodes) {
             if (n.awaits().size() > most) {
                 return new Refusal(
@@ -452,7 +453,7 @@
         if (g == null) {
             return;
         }
-        int most = Math.min(Constants.GRAPH_RESULT_BYTES, room / 2);
+        int most = Math.min(GraphConstants.GRAPH_RESULT_BYTES, room / 2);
         if (Records.bytes(result) > most) {
             answer.accept(Outcome.refused(
                     422, "a result of more than " + most + " bytes: store it elsewhere, and give a reference"));
@@ -464,9 +465,11 @@
             answer.accept(Outcome.refused(409, "another result is known"));
             return;
         }
-        if (known == null && g.resultBytes + Records.bytes(result) > Constants.GRAPH_RESULTS_BYTES) {
+        if (known == null && g.resultBytes + Records.bytes(result) > GraphConstants.GRAPH_ALL_RESULTS_BYTES) {
             answer.accept(Outcome.refused(
-                    422, "the graph's results are larger than " + Constants.GRAPH_RESULTS_BYTES + " bytes together"));
+                    422,
+                    "the graph's results are larger than " + GraphConstants.GRAPH_ALL_RESULTS_BYTES
+                            + " bytes together"));
             return;
         }
         if (known == null) {
@@ -522,7 +525,7 @@
         if (told[0]) {
             return;
         }
-        runtime.after(Constants.GRAPH_TELL_MS, () -> {
+        runtime.after(GraphConstants.GRAPH_RESPONSE_TIMEOUT_MS, () -> {
             if (!told[0]) {
                 told[0] = true;
                 answer.accept(Outcome.refused(503, "state service"));
@@ -547,7 +550,7 @@
                     }
                 });
             }
-            if (!g.graph.sealed() && !g.sealing && now - g.since > Constants.GRAPH_SEAL_MS) {
+            if (!g.graph.sealed() && !g.sealing && now - g.since > GraphConstants.GRAPH_SEAL_TIMEOUT_MS) {
                 g.sealing = true; // nothing is added to it any more
                 LOG.info("graph not sealed in time graph={} token={}", g.id, scheduler.token);
                 jobTermination.cancel(g.job, durable -> {});
@@ -580,7 +583,7 @@
                 keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size())
                         .forEach(txn::drop);
                 dropping = true;
-                state.commit(txn, r -> runtime.after(Constants.RENEW_RETRY_MS, () -> dropping = false));
+                state.commit(txn, r -> runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> dropping = false));
                 return;
             }
         }
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/JobRecords.java
@@ -12,8 +12,9 @@
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.JobSpec.Rank;
@@ -122,7 +123,7 @@
         List<String> open = open(awaits);
         int room = Records.room(settings);
         if (Records.bytes(Records.live(spec, Long.MAX_VALUE, open, null)) <= room) {
-            create(spec, open, null, Constants.CREATE_TRIES, then);
+            create(spec, open, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
             return;
         }
         Records.More more =
@@ -169,7 +170,7 @@
      */
     private void writeParts(JobSpec spec, Records.More more, int from, Consumer<Outcome> then) {
         if (from >= more.parts().size()) {
-            create(spec, List.of(), more, Constants.CREATE_TRIES, then);
+            create(spec, List.of(), more, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
             return;
         }
         if (state.crowded()) {
@@ -220,7 +221,7 @@
                     }
                 }
                 if (tries > 1) {
-                    runtime.after(2 * Constants.WATCH_GAP_MS, () -> create(spec, awaits, more, tries - 1, then));
+                    runtime.after(2 * StoreConstants.WATCH_GAP_MS, () -> create(spec, awaits, more, tries - 1, then));
                     return;
                 }
             }
--- a/src/main/java/org/hollypick/control/JobTermination.java
+++ b/src/main/java/org/hollypick/control/JobTermination.java
@@ -11,7 +11,8 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import org.hollypick.cluster.Keys;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
 import org.hollypick.core.Leases;
@@ -145,7 +146,7 @@
             return new Cancellation(job, runtime.now());
         });
         c.waiting.add(told);
-        runtime.after(Constants.CANCEL_PATIENCE_MS, () -> {
+        runtime.after(JobConstants.CANCELLATION_RESPONSE_TIMEOUT_MS, () -> {
             if (c.waiting.remove(told)) {
                 told.accept(false);
             }
@@ -163,7 +164,7 @@
     void writeCancellations(boolean reachable) {
         long now = runtime.now();
         for (Cancellation c : new ArrayList<>(cancelling.values())) {
-            boolean again = reachable && now - c.writtenAt >= Constants.CANCEL_AGAIN_MS && state.spare();
+            boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && state.spare();
             if (!c.writing && (again || !c.waiting.isEmpty()) && !scheduler.launchMayCome(c.job)) {
                 write(c);
             }
@@ -189,7 +190,7 @@
      * has to end it: workers refuse what was sent under the older one.
      */
     boolean fenceDue(long now) {
-        long since = now - Constants.FENCE_MS;
+        long since = now - JobConstants.FENCING_DELAY_MS;
         return cancelling.values().stream()
                 .anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
     }
@@ -268,7 +269,10 @@
         }
         int next = 0;
         while (next < finished.size()
-                && closings < (state.nothingWaits() ? Constants.ENDS_UNDER_WAY : Constants.ENDS_WAITING)) {
+                && closings
+                        < (state.nothingWaits()
+                                ? JobConstants.TERMINAL_WRITES_IN_FLIGHT
+                                : JobConstants.TERMINAL_WRITES_WHILE_QUEUED)) {
             List<Ending> batch = batch(finished, next);
             next += batch.size();
             close(batch);
@@ -286,7 +290,8 @@
             Ending e = ending(job, job.successful() ? Records.DONE : Records.ABORTED);
             bytes += Records.bytes(e.record);
             boolean alone = writtenAlone.contains(job.spec.id());
-            if (!batch.isEmpty() && (alone || batch.size() >= state.batch() || bytes > Constants.BODY_BYTES / 2)) {
+            if (!batch.isEmpty()
+                    && (alone || batch.size() >= state.batch() || bytes > NetworkConstants.MAX_BODY_BYTES / 2)) {
                 break;
             }
             batch.add(e);
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -12,9 +12,9 @@
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
@@ -102,7 +102,7 @@
 
         this.types = types;
         this.membership = membership;
-        this.lastTick = runtime.now() - Constants.TICK_MS;
+        this.lastTick = runtime.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
         boolean nobodyBefore = membership.terms() == 1;
         this.own = new LocalHealth(runtime.now());
         this.scheduler = new Scheduler(
@@ -325,7 +325,7 @@
         }
         long now = runtime.now();
         summary.ran(now - lastTick);
-        if (now - lastTick > Constants.TICK_MS + Constants.LATE_MS) {
+        if (now - lastTick > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
             own.seen(now); // this node itself was held up, so silence proves nothing yet
         }
         lastTick = now;
@@ -340,11 +340,11 @@
             }
             workers.contactUnheard();
             if (now >= nextList) {
-                nextList = now + Constants.LIST_MS;
+                nextList = now + ReconcileConstants.INSTANCE_LIST_INTERVAL_MS;
                 rentals.list();
             }
             if (now >= nextFleet) {
-                nextFleet = now + Constants.FLEET_MS;
+                nextFleet = now + ReconcileConstants.AUTOSCALING_INTERVAL_MS;
                 rentals.rentAndReturn(workers.failureDetector().partitioned(), now);
                 if (jobTermination.fenceDue(now) || scheduler.ledger.attemptsShort()) {
                     membership.fence(token);
@@ -353,18 +353,18 @@
                 }
             }
             if (now >= nextSummary) {
-                nextSummary = now + Constants.SUMMARY_MS;
+                nextSummary = now + ReconcileConstants.METRICS_LOG_INTERVAL_MS;
                 summary.log();
             }
             if (now >= nextSizes) {
-                nextSizes = now + Constants.SIZES_MS;
+                nextSizes = now + ReconcileConstants.ATTAINED_SERVICE_INTERVAL_MS;
                 attainedService.write();
             }
             pump();
         } else {
             own.seen(now);
         }
-        runtime.after(Constants.TICK_MS, this::loop);
+        runtime.after(ReconcileConstants.RECONCILE_INTERVAL_MS, this::loop);
     }
 
     private void logRight(long now) {
@@ -405,7 +405,7 @@
             return;
         }
         pumping = true;
-        runtime.after(Constants.PASS_GAP_MS, () -> {
+        runtime.after(ReconcileConstants.SCHEDULING_CYCLE_GAP_MS, () -> {
             pumping = false;
             if (!acting()) {
                 return;
@@ -413,7 +413,7 @@
             long now = runtime.now();
             if (scheduler.passWanted) {
                 scheduler.freed.clear();
-                nextPass = now + Constants.PASS_EVERY_MS;
+                nextPass = now + ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
                 scheduler.pass(now);
             }
             List<Machine> freed = new ArrayList<>(scheduler.freed);
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/Progress.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
@@ -71,7 +72,7 @@
     private record Part(Job job, String name, int from, int to) {
         /** Bits in base64, its name and what is around it. */
         private int bytes() {
-            return (to - from) / 6 + Constants.PROGRESS_PART_BYTES;
+            return (to - from) / 6 + JobConstants.COMPLETION_PART_OVERHEAD_BYTES;
         }
 
         private BitSet of(BitSet tasks) {
@@ -86,7 +87,8 @@
         this.settings = settings;
         this.scheduler = scheduler;
         this.room = Records.room(settings);
-        this.chunk = Math.min(Constants.PROGRESS_CHUNK, (room - Constants.PROGRESS_PART_BYTES) * 6);
+        this.chunk =
+                Math.min(JobConstants.COMPLETION_CHUNK_TASKS, (room - JobConstants.COMPLETION_PART_OVERHEAD_BYTES) * 6);
     }
 
     /**
@@ -95,10 +97,10 @@
      */
     private Part part(Job job, int from) {
         String id = job.spec.id();
-        boolean even = !job.grows() && (chunk == Constants.PROGRESS_CHUNK || job.spec.tasks() <= chunk);
+        boolean even = !job.grows() && (chunk == JobConstants.COMPLETION_CHUNK_TASKS || job.spec.tasks() <= chunk);
         return new Part(
                 job,
-                even ? id + "/" + from / Constants.PROGRESS_CHUNK : id + "@" + from + "/0",
+                even ? id + "/" + from / JobConstants.COMPLETION_CHUNK_TASKS : id + "@" + from + "/0",
                 from,
                 to(job, from + chunk));
     }
@@ -112,9 +114,9 @@
             return null;
         }
         int from = at < 0
-                ? Integer.parseInt(name.substring(slash + 1)) * Constants.PROGRESS_CHUNK
+                ? Integer.parseInt(name.substring(slash + 1)) * JobConstants.COMPLETION_CHUNK_TASKS
                 : Integer.parseInt(name.substring(at + 1, slash));
-        return new Part(job, name, from, to(job, from + Constants.PROGRESS_CHUNK));
+        return new Part(job, name, from, to(job, from + JobConstants.COMPLETION_CHUNK_TASKS));
     }
 
     /** A part of a job that grows keeps its full length from the start. */
@@ -172,7 +174,8 @@
                 boolean fits = dirty.contains(slot)
                         || (!slot.doubtful
                                 && dirty.size() < settings.txnOps()
-                                && (dirty.size() + 1) * settings.valueBytes() <= Constants.BODY_BYTES * 3 / 4);
+                                && (dirty.size() + 1) * settings.valueBytes()
+                                        <= NetworkConstants.MAX_BODY_BYTES * 3 / 4);
                 if (fits) {
                     dirty.add(slot);
                     included.add(new Written(part, part.of(job.done)));
@@ -208,7 +211,7 @@
             txn.when(slot.key, slot.stamp).put(slot.key, record);
         }
         writing = true;
-        notBefore = runtime.now() + Constants.PROGRESS_GAP_MS;
+        notBefore = runtime.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
         state.commit(txn, r -> {
             writing = false;
             if (r.ok()) {
--- a/src/main/java/org/hollypick/control/Reachability.java
+++ b/src/main/java/org/hollypick/control/Reachability.java
@@ -6,8 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.hollypick.cluster.PeerReachability;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.io.Runtime;
 
@@ -22,7 +23,7 @@
     private long askedAt;
     private long firstAskedAt;
     /** When another controller last told what it reaches and what it doesn't. */
-    private long toldAt = -Constants.REACH_VALID_MS;
+    private long toldAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
 
     private boolean asking;
 
@@ -35,13 +36,13 @@
     /** Has others try some of those machines, those not asked about for longest first. */
     void ask(List<Machine> doubtful) {
         long now = runtime.now();
-        if (asking || doubtful.isEmpty() || now - askedAt < Constants.REACH_EVERY_MS) {
+        if (asking || doubtful.isEmpty() || now - askedAt < ReachabilityConstants.PEER_CHECK_INTERVAL_MS) {
             return;
         }
         List<Machine> some = new ArrayList<>(doubtful);
         some.sort((a, b) -> Long.compare(a.elsewhereAskedAt, b.elsewhereAskedAt));
         Map<String, String> addresses = new HashMap<>();
-        for (Machine m : some.subList(0, Math.min(some.size(), Constants.REACH_MACHINES))) {
+        for (Machine m : some.subList(0, Math.min(some.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES))) {
             m.elsewhereAskedAt = now;
             addresses.put(m.id, m.addr);
         }
@@ -82,7 +83,7 @@
 
     /** Others told lately what they reach. */
     boolean othersTell(long now) {
-        return now - toldAt < Constants.REACH_VALID_MS;
+        return now - toldAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Another controller tried it in vain too, or none answers, which takes a while to know. */
@@ -90,21 +91,22 @@
         if (settings.siblings().isEmpty()) {
             return true;
         }
-        if (m.elsewhereAskedAt == 0 || now - firstAskedAt < Constants.REACH_TIMEOUT_MS) {
+        if (m.elsewhereAskedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
-        return !othersTell(now) || (m.elsewhereFailedAt > 0 && now - m.elsewhereFailedAt < Constants.REACH_VALID_MS);
+        return !othersTell(now)
+                || (m.elsewhereFailedAt > 0 && now - m.elsewhereFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
     /** Another controller reached the machine a moment ago, and this one doesn't. */
     static boolean elsewhere(Machine m, long now) {
-        return m.unanswered > 0 && m.elsewhereAt > 0 && now - m.elsewhereAt < Constants.REACH_VALID_MS;
+        return m.unanswered > 0 && m.elsewhereAt > 0 && now - m.elsewhereAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Not to be returned, though silent: its reports come by way of another, or may yet. */
     boolean spared(Machine m, long now) {
         return elsewhere(m, now)
-                && (now - m.elsewhereSince < Constants.REACH_PATIENCE_MS
+                && (now - m.elsewhereSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
                         || now - m.lastReportAt < settings.leaseS() * 1_000 / 2);
     }
 
@@ -112,7 +114,7 @@
     static int beyond(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine m : machines) {
-            count += elsewhere(m, now) && m.unanswered >= Constants.UNANSWERED ? 1 : 0;
+            count += elsewhere(m, now) && m.unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS ? 1 : 0;
         }
         return count;
     }
--- a/src/main/java/org/hollypick/control/Registry.java
+++ b/src/main/java/org/hollypick/control/Registry.java
@@ -16,8 +16,10 @@
 import java.util.function.Predicate;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
@@ -141,7 +143,7 @@
             return;
         }
         writing = true;
-        notBefore = runtime.now() + Constants.REGISTER_GAP_MS;
+        notBefore = runtime.now() + ReconcileConstants.REGISTRATION_GAP_MS;
         state.commit(txn, r -> {
             writing = false;
             if (r.ok()) {
@@ -169,7 +171,7 @@
             int bytes = Records.bytes(m.getValue()) + m.getKey().length() + 4; // quotes, colon and comma
             if (left < bytes) {
                 if (txn.ops() == settings.txnOps()
-                        || (txn.ops() + 1) * settings.valueBytes() > Constants.BODY_BYTES * 3 / 4) {
+                        || (txn.ops() + 1) * settings.valueBytes() > NetworkConstants.MAX_BODY_BYTES * 3 / 4) {
                     break;
                 }
                 record = Codec.object();
@@ -193,7 +195,7 @@
         Set<String> touched = new HashSet<>();
         Set<String> leftAlone = new HashSet<>();
         int bytes = txn.ops() * settings.valueBytes();
-        int most = Math.min(settings.txnOps(), txn.ops() + (state.spare() ? Constants.SHRINK_OPS : 0));
+        int most = Math.min(settings.txnOps(), txn.ops() + (state.spare() ? StoreConstants.SHRINKING_WRITES : 0));
         for (String id : unwanted) {
             boolean all = true;
             for (String key : keysOf.getOrDefault(id, Set.of())) {
@@ -210,7 +212,7 @@
                 int size = Records.bytes(left);
                 boolean tooLarge = size > Records.room(settings);
                 if (txn.ops() >= most
-                        || bytes + size > Constants.BODY_BYTES * 3 / 4
+                        || bytes + size > NetworkConstants.MAX_BODY_BYTES * 3 / 4
                         || (tooLarge && !namedElsewhere(left, key))) {
                     all = false;
                     leftAlone.add(key);
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/Rentals.java
@@ -10,9 +10,11 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.hollypick.cloud.CloudClient;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.AutoscalingConstants;
+import org.hollypick.config.constants.ClockConstants;
+import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.fleet.Fleet;
@@ -73,7 +75,7 @@
 
     void giveBack(List<Machine> list, String why) {
         List<String> names = new ArrayList<>();
-        for (Machine m : list.subList(0, Math.min(list.size(), Constants.RETURN_MAX))) {
+        for (Machine m : list.subList(0, Math.min(list.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST))) {
             if (returning.add(m.id)) {
                 m.returning = true;
                 names.add(m.id);
@@ -227,8 +229,9 @@
             boolean slowBoot = !m.up
                     && !m.registered
                     && (status.equals("running")
-                            ? now - listedAt.get(id) > Constants.NEVER_REPORTED_MS
-                            : now - m.createdAt > Constants.BOOT_PATIENCE * m.type.bootS() * 1000);
+                            ? now - listedAt.get(id) > FailureDetectionConstants.FIRST_HEARTBEAT_MS
+                            : now - m.createdAt
+                                    > FailureDetectionConstants.BOOT_TIMEOUT_MULTIPLE * m.type.bootS() * 1000);
             if (!m.returning && (status.equals("failed") || slowBoot)) {
                 bad.add(m);
             }
@@ -240,7 +243,7 @@
             Long first = listedAt.get(m.id);
             if (first != null
                     && !list.containsKey(m.id)
-                    && asked - first > settings.listLagS() * 2000 * (1 + Constants.DRIFT) + 500) {
+                    && asked - first > settings.listLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + 500) {
                 missing.add(m.id);
             }
         }
--- a/src/main/java/org/hollypick/control/RuntimeStatistics.java
+++ b/src/main/java/org/hollypick/control/RuntimeStatistics.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.EstimateConstants;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.estimate.Estimates;
 import org.hollypick.io.Codec;
@@ -51,22 +51,23 @@
         this.settings = settings;
         this.token = scheduler.token;
         this.estimates = scheduler.estimates;
-        for (int i = 0; i < Constants.LEARNED_SLOTS; i++) {
+        for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             slots.add(new LinkedHashMap<>());
         }
-        this.nextWrite = runtime.now() + Constants.LEARNED_MS;
+        this.nextWrite = runtime.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
     }
 
     private static int slot(String kind) {
         return Hashing.consistentHash(
-                Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8), Constants.LEARNED_SLOTS);
+                Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8),
+                EstimateConstants.STATISTICS_RECORDS);
     }
 
     /** What earlier leaders learned. */
     void load() {
-        for (int i = 0; i < Constants.LEARNED_SLOTS; i++) {
+        for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             View.Entry e = view.get(Keys.learned(i));
-            if (e == null || e.data().path("v").asInt() > Constants.LEARNED_FORMAT) {
+            if (e == null || e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT) {
                 continue;
             }
             try {
@@ -105,14 +106,14 @@
         if (runtime.now() < nextWrite || !state.spare()) {
             return;
         }
-        for (int i = 0; i < Constants.LEARNED_SLOTS; i++) {
-            int at = (nextSlot + i) % Constants.LEARNED_SLOTS;
+        for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
+            int at = (nextSlot + i) % EstimateConstants.STATISTICS_RECORDS;
             String key = Keys.learned(at);
             View.Entry e = view.get(key);
-            boolean newer = e != null && e.data().path("v").asInt() > Constants.LEARNED_FORMAT;
+            boolean newer = e != null && e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT;
             if (!newer && slots.get(at).containsValue(true)) {
                 nextSlot = at + 1;
-                nextWrite = runtime.now() + Constants.LEARNED_MS;
+                nextWrite = runtime.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
                 write(at, key, e == null ? 0 : e.stamp());
                 return;
             }
@@ -121,13 +122,13 @@
 
     private void write(int at, String key, long stamp) {
         LinkedHashMap<String, Boolean> kinds = slots.get(at);
-        ObjectNode record = Codec.object().put("v", Constants.LEARNED_FORMAT);
+        ObjectNode record = Codec.object().put("v", EstimateConstants.STATISTICS_FORMAT);
         ArrayDeque<ObjectNode> list = new ArrayDeque<>();
         int left = Records.room(settings) - 32;
         List<String> newestFirst = new ArrayList<>(kinds.keySet());
         Collections.reverse(newestFirst);
         for (String kind : newestFirst) {
-            Estimates.Kept kept = estimates.keep(kind, Constants.LEARNED_RUNS);
+            Estimates.Kept kept = estimates.keep(kind, EstimateConstants.STATISTICS_RUNS);
             ObjectNode k = kept == null ? null : write(kept);
             int bytes = k == null ? 0 : Records.bytes(k) + 1;
             if (k == null || bytes > left) {
--- a/src/main/java/org/hollypick/control/Summary.java
+++ b/src/main/java/org/hollypick/control/Summary.java
@@ -1,7 +1,7 @@
 package org.hollypick.control;
 
 import org.HdrHistogram.Histogram;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.ledger.Machine;
@@ -24,7 +24,7 @@
 
     /** The loop ran so long after the time before. */
     void ran(long sinceMs) {
-        lateness.recordValue(Math.max(0, sinceMs - Constants.TICK_MS));
+        lateness.recordValue(Math.max(0, sinceMs - ReconcileConstants.RECONCILE_INTERVAL_MS));
     }
 
     void log() {
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/Workers.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.core.Ledger;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
@@ -167,7 +167,9 @@
 
     /** An answer holds 64 KiB at most; what is left out follows with the next. */
     private static List<Order> limited(List<Order> orders) {
-        return orders.size() <= Constants.ORDERS_MAX ? orders : orders.subList(0, Constants.ORDERS_MAX);
+        return orders.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
+                ? orders
+                : orders.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
     }
 
     /** Sends the orders that wait, those for services first, as many at once as the sockets allow. */
@@ -201,7 +203,7 @@
             return;
         }
         boolean doubtful = m.unanswered > 0 || m.validity.doubted();
-        if (doubtful && openDoubtful >= Constants.DIRECT_DOUBTFUL) {
+        if (doubtful && openDoubtful >= FailureDetectionConstants.MAX_DIRECT_CALLS_UNRESPONSIVE) {
             return; // a zone that is cut off may not take every call from those that answer
         }
         boolean known = m.up;
@@ -241,7 +243,7 @@
                     m.validity.unanswered(); // while this node is overloaded it proves nothing
                 }
             }
-            m.directAfter = runtime.now() + Constants.DIRECT_PAUSE_MS;
+            m.directAfter = runtime.now() + FailureDetectionConstants.DIRECT_RETRY_MS;
             LOG.debug("order unanswered machine={} status={}", m.id, r.status());
             return;
         }
@@ -285,7 +287,7 @@
         }
         long now = runtime.now();
         for (Machine m : scheduler.machines.values()) {
-            if (!m.heard && !(m.up && now - m.answeredAt < Constants.REPORTS_AGAIN_MS)) {
+            if (!m.heard && !(m.up && now - m.answeredAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS)) {
                 probe(m);
             }
         }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -1,7 +1,7 @@
 package org.hollypick.core;
 
 import java.util.Map;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FaultConstants;
 import org.hollypick.core.ledger.Machine;
 
 /** Whose fault a task's failure is, the machine's or the job's, and how long either is left alone. */
@@ -58,7 +58,8 @@
     }
 
     private static void back(Job job, int index, long now) {
-        long wait = Math.min(Constants.TASK_BACKOFF_MAX_MS, Constants.TASK_BACKOFF_MS << Math.min(job.failures, 5));
+        long wait = Math.min(
+                FaultConstants.TASK_BACKOFF_MAX_MS, FaultConstants.TASK_BACKOFF_MS << Math.min(job.failures, 5));
         job.notBefore.put(index, now + (job.failures <= 1 ? 0 : wait));
     }
 
@@ -74,14 +75,14 @@
         if (job.failedOn.add(m.id) && job.failedOn.size() == 2) {
             job.failedOn.forEach(id -> acquit(machines.get(id)));
         }
-        if (own(m) >= Constants.MACHINE_ERRORS) {
+        if (own(m) >= FaultConstants.MACHINE_ERRORS) {
             m.faulty = true;
-            m.faultyUntil = now + Constants.QUARANTINE_MS;
+            m.faultyUntil = now + FaultConstants.QUARANTINE_MS;
         }
     }
 
     private void acquit(Machine m) {
-        if (m != null && m.faulty && own(m) < Constants.MACHINE_ERRORS) {
+        if (m != null && m.faulty && own(m) < FaultConstants.MACHINE_ERRORS) {
             m.faulty = false;
         }
     }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.ObjIntConsumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FaultConstants;
 import org.hollypick.core.ledger.Placement;
 
 /** A live job, owned by this controller. */
@@ -163,7 +163,7 @@
      * over.
      */
     public boolean failsEverywhere() {
-        return failedOn.size() >= Constants.JOB_ERRORS;
+        return failedOn.size() >= FaultConstants.JOB_ERRORS;
     }
 
     public boolean second() {
--- a/src/main/java/org/hollypick/core/Leases.java
+++ b/src/main/java/org/hollypick/core/Leases.java
@@ -4,8 +4,10 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ClockConstants;
+import org.hollypick.config.constants.LeaseConstants;
+import org.hollypick.config.constants.ReachabilityConstants;
 
 /**
  * When workers' leases have certainly ended, although other controllers may keep them alive while they reach neither
@@ -48,9 +50,9 @@
     /** {@code nobodyBefore}: no older leader can have granted anything. */
     public Leases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
         this.windowMs = windowMs(settings);
-        this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + Constants.DRIFT))
-                + Constants.CLOCK_MARGIN_MS
-                + Constants.LEASE_MARGIN_MS;
+        this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO))
+                + ClockConstants.CLOCK_MARGIN_MS
+                + LeaseConstants.LEASE_MARGIN_MS;
         this.termStart = termStart;
         for (String other : others) {
             Custodian k = new Custodian();
@@ -70,12 +72,12 @@
      * cancelled task has.
      */
     public static long windowMs(Settings settings) {
-        long window = (long) ((settings.cancelS() - settings.leaseS()) * 1000) - Constants.KEEP_MARGIN_MS;
-        return window < Constants.KEEP_LEAST_MS ? 0 : window;
+        long window = (long) ((settings.cancelS() - settings.leaseS()) * 1000) - LeaseConstants.RENEWAL_GRANT_MARGIN_MS;
+        return window < LeaseConstants.RENEWAL_GRANT_MIN_MS ? 0 : window;
     }
 
     private static long possibly(long ms) {
-        return (long) (ms * (1 + Constants.DRIFT)) + Constants.CLOCK_MARGIN_MS;
+        return (long) (ms * (1 + ClockConstants.CLOCK_DRIFT_RATIO)) + ClockConstants.CLOCK_MARGIN_MS;
     }
 
     /**
@@ -108,7 +110,7 @@
         Custodian k = custodians.get(node);
         if (k != null) {
             k.answers.put(number, now);
-            while (k.answers.size() > Constants.KEEP_ANSWERS) {
+            while (k.answers.size() > LeaseConstants.REMEMBERED_GRANTS) {
                 k.answers.remove(k.answers.keySet().iterator().next());
             }
             if (granted) {
@@ -133,7 +135,7 @@
      * that ends now wasn't renewed by it.
      */
     public boolean fresh(long renewed, long now) {
-        return now - renewed < leaseMs - Constants.UNHEARD_GAP_MS;
+        return now - renewed < leaseMs - ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS;
     }
 
     /** Whether a lease is certainly over that this leader last renewed, or first heard of, at {@code renewed}. */
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/Ledger.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Placement;
@@ -83,7 +83,7 @@
                 update(p, t, now);
                 if (r.token() == token
                         && p.there()
-                        && p.attempt >>> Constants.ATTEMPT_BITS != token
+                        && p.attempt >>> JobConstants.ATTEMPT_BITS != token
                         && !scheduler.settledBefore()) {
                     teamUse.found(p.spec, p.attempt);
                 }
@@ -318,10 +318,10 @@
     // ---- starts and stops ----
 
     public void start(Job job, int index, Machine m, long now) {
-        if (attempts >= 1L << Constants.ATTEMPT_BITS) {
+        if (attempts >= 1L << JobConstants.ATTEMPT_BITS) {
             throw new IllegalStateException("out of attempt numbers under this token");
         }
-        long attempt = (token << Constants.ATTEMPT_BITS) + attempts++;
+        long attempt = (token << JobConstants.ATTEMPT_BITS) + attempts++;
         Placement p = new Placement(job, index, attempt, m, now);
         m.add(p);
         job.placed(p);
@@ -449,6 +449,6 @@
 
     /** Attempt numbers are nearly used up: a new token brings new ones. */
     public boolean attemptsShort() {
-        return attempts > (1L << Constants.ATTEMPT_BITS) - 10_000;
+        return attempts > (1L << JobConstants.ATTEMPT_BITS) - 10_000;
     }
 }
--- a/src/main/java/org/hollypick/core/Planner.java
+++ b/src/main/java/org/hollypick/core/Planner.java
@@ -9,7 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.core.placement.Placer;
 
@@ -33,7 +34,7 @@
     /** Machines filled so far. */
     private int fills;
     /** When it was last looked which services wait for their team's limit alone. */
-    private long reservedAt = -Constants.PASS_EVERY_MS;
+    private long reservedAt = -ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
     /** By team: how often its use had changed when that was last seen to change, and when that was. */
     private final Map<String, UseSeen> usesSeen = new HashMap<>();
     /** Cores of all services, as of the last pass. */
@@ -97,7 +98,7 @@
             return;
         }
         List<Machine> one = List.of(m);
-        boolean byArrival = scheduler.severalTeams() && ++fills % Constants.FLOOR_EVERY == 0;
+        boolean byArrival = scheduler.severalTeams() && ++fills % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
         List<Job> first = byArrival ? byArrival(firstJobs) : firstJobs;
         List<Job> second = byArrival ? byArrival(secondJobs) : secondJobs;
         for (Job job : secondJobs) {
@@ -144,7 +145,7 @@
      * each team.
      */
     private void reserve(List<Machine> usable, long now) {
-        if (now - reservedAt < Constants.PASS_EVERY_MS) {
+        if (now - reservedAt < ReconcileConstants.FULL_SCHEDULING_CYCLE_MS) {
             return;
         }
         reservedAt = now;
@@ -162,9 +163,9 @@
     }
 
     /**
-     * Whether the team's use of its limit changed within the last {@link Constants#RESERVE_MS}. If not, hardly anything
-     * will come free for its services soon, and what is left of the limit is too little for them: arrays that fit into
-     * it waited for ever beside room.
+     * Whether the team's use of its limit changed within the last {@link SchedulingConstants#RESERVATION_MS}. If not,
+     * hardly anything will come free for its services soon, and what is left of the limit is too little for them:
+     * arrays that fit into it waited for ever beside room.
      */
     private boolean useChangedLately(String team, long now) {
         long changes = scheduler.teamUse.changes(team);
@@ -173,7 +174,7 @@
             seen = new UseSeen(changes, now);
             usesSeen.put(team, seen);
         }
-        return now - seen.since < Constants.RESERVE_MS;
+        return now - seen.since < SchedulingConstants.RESERVATION_MS;
     }
 
     private void place(Job job, List<Machine> own, List<Machine> others, boolean keepOneFree, long now) {
@@ -245,7 +246,7 @@
     private List<Machine> lendable(List<Machine> some) {
         List<Machine> list = new ArrayList<>();
         for (Machine m : some) {
-            if (idleFirst - (m.idle() ? 1 : 0) >= Constants.FIRST_KEEPS_FREE) {
+            if (idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES) {
                 list.add(m);
             }
         }
--- a/src/main/java/org/hollypick/core/estimate/MeanRatio.java
+++ b/src/main/java/org/hollypick/core/estimate/MeanRatio.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.AutoscalingConstants;
 import org.hollypick.core.JobSpec;
 
 /**
@@ -35,8 +35,8 @@
         private double estimated;
 
         void add(double ranS, double estimatedS) {
-            ran += Constants.RUN_RATIO_WEIGHT * (ranS - ran);
-            estimated += Constants.RUN_RATIO_WEIGHT * (estimatedS - estimated);
+            ran += AutoscalingConstants.RUN_RATIO_WEIGHT * (ranS - ran);
+            estimated += AutoscalingConstants.RUN_RATIO_WEIGHT * (estimatedS - estimated);
         }
     }
 }
--- a/src/main/java/org/hollypick/core/fleet/Fleet.java
+++ b/src/main/java/org/hollypick/core/fleet/Fleet.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.constants.AutoscalingConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
@@ -38,18 +38,18 @@
     private final Object2IntOpenHashMap<Kind> have = new Object2IntOpenHashMap<>();
 
     private long startedAt;
-    private final Mean arrayJobs = new Mean(Constants.LOAD_WINDOW_S);
-    private final Mean arrays = new Mean(Constants.LOAD_WINDOW_S);
+    private final Mean arrayJobs = new Mean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final Mean arrays = new Mean(AutoscalingConstants.LOAD_WINDOW_S);
     /** When an array last arrived, and how many a second did until then, as far as that can be relied on. */
     private long arrayArrivedAt;
 
     private double arrayRate;
-    private final Mean services = new Mean(Constants.SERVICE_WINDOW_S);
+    private final Mean services = new Mean(AutoscalingConstants.SERVICE_WINDOW_S);
 
     /** {@code firstTerm}: nobody owned anything before, so a crowd of users may be starting. */
     public Fleet(OperatorSettings operator, boolean firstTerm) {
         this.operator = operator;
-        this.crowdMs = firstTerm ? Constants.CROWD_MS : 0;
+        this.crowdMs = firstTerm ? AutoscalingConstants.WARM_UP_MS : 0;
     }
 
     /** Nobody can submit now: that nothing arrives says nothing. */
@@ -58,7 +58,7 @@
     }
 
     public void refused(Kind kind, long now) {
-        refusedUntil.put(kind, now + Constants.NO_CAPACITY_MS);
+        refusedUntil.put(kind, now + AutoscalingConstants.NO_CAPACITY_MS);
     }
 
     /** What there is to do and to do it with, in cores and core-seconds. */
@@ -96,7 +96,7 @@
         Map<String, Double> ordinary = new HashMap<>();
         have.clear();
         for (Machine m : scheduler.machines.values()) {
-            boolean slow = !m.up && now - m.createdAt > Constants.SLOW_BOOT * 1000 * m.type.bootS();
+            boolean slow = !m.up && now - m.createdAt > AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * m.type.bootS();
             if (m.returning || m.draining || m.faulty || slow || (m.useless() && !partitioned.contains(m.zone))) {
                 continue;
             }
@@ -123,7 +123,7 @@
             }
         }
         double supply = spotCores + Math.max(0, ordinaryCores - serviceNeed);
-        double base = arrays.perSecond() * Constants.LOAD_HEADROOM * reliance();
+        double base = arrays.perSecond() * AutoscalingConstants.LOAD_HEADROOM * reliance();
         if (demand.array != null) {
             double bootS = types.values().stream()
                     .mapToDouble(MachineType::bootS)
@@ -132,16 +132,18 @@
             JobSpec array = demand.array;
             // What a team's limit keeps from running needs no machine, however long it waits.
             double unused = scheduler.usableCores(demand.teamServices, demand.teamArrays) - supply;
-            double spot = Math.max(base - supply, Math.min(unused, late(demand, supply, bootS, Constants.CATCH_UP_S)));
+            double spot = Math.max(
+                    base - supply, Math.min(unused, late(demand, supply, bootS, AutoscalingConstants.CATCH_UP_S)));
             if (!rent(rents, array, types, lit, true, spot, now)) {
                 double missing = Math.min(
-                        late(demand, supply, bootS, Constants.CATCH_UP_ORDINARY_S),
+                        late(demand, supply, bootS, AutoscalingConstants.CATCH_UP_ON_DEMAND_S),
                         Math.min(unused, ordinaryLimit() - supply));
                 rent(rents, array, types, lit, false, missing, now);
             }
         }
         Collection<Machine> machines = scheduler.machines.values();
-        double surplus = cordon(machines, spare, supply - Math.max(base, demand.arrayCores * Constants.BUSY_MARGIN));
+        double surplus =
+                cordon(machines, spare, supply - Math.max(base, demand.arrayCores * AutoscalingConstants.BUSY_MARGIN));
         List<Placement> moves = scheduler.settled() ? moves(machines, spare, surplus, now) : List.of();
         return new Plan(rents, returns(machines, spare, supply - base, now), moves);
     }
@@ -163,7 +165,7 @@
         if (arrived.arrays() > 0) {
             arrayArrivedAt = now;
             arrayRate = arrayJobs.perSecond() * reliance();
-        } else if ((now - arrayArrivedAt) / 1000.0 * arrayRate > Constants.MISSED_ARRIVALS) {
+        } else if ((now - arrayArrivedAt) / 1000.0 * arrayRate > AutoscalingConstants.MISSED_ARRIVALS) {
             // So many didn't come that should have by now: the mean says nothing any more, and what it keeps is a
             // waste.
             arrays.forget();
@@ -176,7 +178,9 @@
      * Beyond this many cores spot machines work off a crowd soon enough; before anything is known there is no limit.
      */
     private double ordinaryLimit() {
-        return arrays.perSecond() > 0 ? arrays.perSecond() * Constants.ORDINARY_LOAD / reliance() : Double.MAX_VALUE;
+        return arrays.perSecond() > 0
+                ? arrays.perSecond() * AutoscalingConstants.ON_DEMAND_LOAD / reliance()
+                : Double.MAX_VALUE;
     }
 
     /** Mean cores that the arriving arrays keep busy. */
@@ -186,8 +190,8 @@
 
     /** How far the mean can be relied on, up to 1: that of many jobs more than that of a few. */
     private double reliance() {
-        double jobs = arrayJobs.perSecond() * Constants.LOAD_WINDOW_S;
-        return jobs / (jobs + Constants.LOAD_DOUBT_JOBS);
+        double jobs = arrayJobs.perSecond() * AutoscalingConstants.LOAD_WINDOW_S;
+        return jobs / (jobs + AutoscalingConstants.LOAD_DOUBT_JOBS);
     }
 
     /** Asks for so many cores, in several requests if need be; false if no kind can be had. */
@@ -200,7 +204,7 @@
             double cores,
             long now) {
         double left = cores;
-        for (int i = 0; i < Constants.RENTS_AT_ONCE && left > 0; i++) {
+        for (int i = 0; i < AutoscalingConstants.MAX_SCALE_OUT_REQUESTS && left > 0; i++) {
             Rent rent = pick(job, types, zones, spot, left, now);
             if (rent == null) {
                 return false;
@@ -246,7 +250,7 @@
         double allServices = machines.stream().mapToDouble(Machine::serviceCpus).sum();
         for (Map.Entry<String, Double> zone : spare.entrySet()) {
             double excess = Math.min(zone.getValue(), surplus);
-            double left = excess / Constants.MOVE_MARGIN;
+            double left = excess / AutoscalingConstants.MOVE_MARGIN;
             List<Machine> emptiest = new ArrayList<>();
             for (Machine m : machines) {
                 if (!m.spot && m.zone.equals(zone.getKey()) && (m.emptying || m.usable())) {
@@ -259,8 +263,9 @@
                 left -= m.type.cpus(); // those that are empty already are on their way out
                 excess -= m.type.cpus();
                 m.emptying = left >= 0 && m.serviceCpus() > 0;
-                m.emptiedNext =
-                        !m.emptying && excess >= 0 && m.type.cpus() <= allServices * Constants.EMPTIED_NEXT_SHARE;
+                m.emptiedNext = !m.emptying
+                        && excess >= 0
+                        && m.type.cpus() <= allServices * AutoscalingConstants.DRAINED_NEXT_SHARE;
                 if (m.emptying) {
                     move(m, machines, moves, now);
                 }
@@ -271,11 +276,11 @@
 
     private static void move(Machine from, Collection<Machine> machines, List<Placement> moves, long now) {
         for (Placement p : from.there()) {
-            if (moves.size() < Constants.MOVES_AT_ONCE
+            if (moves.size() < AutoscalingConstants.MAX_MOVES
                     && p.job.spec.service()
                     && !p.stop
                     && p.state() == Placement.State.RUNNING
-                    && now - p.runningAt > Constants.MOVE_AFTER_MS
+                    && now - p.runningAt > AutoscalingConstants.MOVE_AFTER_MS
                     && Placer.canMove(p, machines, now)) {
                 moves.add(p);
             }
@@ -284,8 +289,8 @@
 
     /** Cores kept in a zone for services to come. */
     private double warm(double need, int zones) {
-        double follows = services.perSecond() * Constants.WARM_S / zones;
-        return Math.max(operator.warmCores(), Math.max(follows, need * Constants.WARM_SHARE));
+        double follows = services.perSecond() * AutoscalingConstants.STANDBY_S / zones;
+        return Math.max(operator.warmCores(), Math.max(follows, need * AutoscalingConstants.STANDBY_SHARE));
     }
 
     /** Cores missing to have today's work done a while after new machines are up; sooner than that they can't help. */
@@ -382,7 +387,7 @@
             return null;
         }
         int count = (int) Math.ceil(cores / types.get(best.type()).cpus());
-        return new Rent(best, Math.min(count, Constants.HIRE_MAX));
+        return new Rent(best, Math.min(count, AutoscalingConstants.MAX_INSTANCES_PER_REQUEST));
     }
 
     private List<Machine> returns(
@@ -400,7 +405,8 @@
             } else if (m.up
                     && m.idle()
                     && !m.draining
-                    && now - m.idleSince > (m.spot && !m.surplus ? operator.idleMs() : Constants.IDLE_ORDINARY_MS)) {
+                    && now - m.idleSince
+                            > (m.spot && !m.surplus ? operator.idleMs() : AutoscalingConstants.IDLE_ON_DEMAND_MS)) {
                 idle.add(m);
             }
         }
--- a/src/main/java/org/hollypick/core/fleet/Mean.java
+++ b/src/main/java/org/hollypick/core/fleet/Mean.java
@@ -1,6 +1,6 @@
 package org.hollypick.core.fleet;
 
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.AutoscalingConstants;
 
 /** Follows the mean of something that arrives, per second, forgetting it over a window. */
 final class Mean {
@@ -34,6 +34,6 @@
 
     /** 0 until it was watched for long enough to tell anything. */
     double perSecond() {
-        return observedS >= Constants.MEAN_MIN_S ? mean / seen : 0;
+        return observedS >= AutoscalingConstants.MEAN_MIN_S ? mean / seen : 0;
     }
 }
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntConsumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.TaskSet;
 
@@ -91,8 +91,8 @@
                 return Refusal.invalid("node " + n.id() + " stands twice in one call");
             }
         }
-        if (ids.size() + fresh.size() > Constants.TASKS_MAX) {
-            return Refusal.invalid("more than " + Constants.TASKS_MAX + " nodes");
+        if (ids.size() + fresh.size() > JobConstants.MAX_TASKS_PER_JOB) {
+            return Refusal.invalid("more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes");
         }
         for (NodeSpec n : fresh.values()) {
             for (String other : n.awaits()) {
--- a/src/main/java/org/hollypick/core/links/LeadershipDelay.java
+++ b/src/main/java/org/hollypick/core/links/LeadershipDelay.java
@@ -1,6 +1,6 @@
 package org.hollypick.core.links;
 
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ElectionConstants;
 
 /**
  * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by
@@ -18,14 +18,14 @@
             return 0;
         }
         double reached = (direct + byPeers) / (double) asked;
-        double wait = Constants.LEADERSHIP_DELAY_STEP_MS * (1 - reached)
-                + Constants.LEADERSHIP_DELAY_PEER_MS * byPeers / (double) asked;
-        return Math.round(wait + Constants.LEADERSHIP_DELAY_MAX_MS * Math.max(0, 0.5 - reached) * 2);
+        double wait = ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS * (1 - reached)
+                + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * byPeers / (double) asked;
+        return Math.round(wait + ElectionConstants.CANDIDACY_DELAY_MAX_MS * Math.max(0, 0.5 - reached) * 2);
     }
 
     /** Nearly all machines are reached, by one way or another. */
     public static boolean nearlyAll(int asked, int direct, int byPeers) {
-        return direct + byPeers >= asked * Constants.LEADERSHIP_DELAY_BETTER;
+        return direct + byPeers >= asked * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
     /**
@@ -33,7 +33,7 @@
      * does with the help of all.
      */
     public static boolean better(int direct, int byPeers, int bestPeer) {
-        return bestPeer > direct && bestPeer >= (direct + byPeers) * Constants.LEADERSHIP_DELAY_BETTER;
+        return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
     /** More than half have answered: the rest needn't be waited for, since some machines always hang. */
--- a/src/main/java/org/hollypick/core/links/Route.java
+++ b/src/main/java/org/hollypick/core/links/Route.java
@@ -1,7 +1,7 @@
 package org.hollypick.core.links;
 
 import java.util.Arrays;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ReachabilityConstants;
 
 /**
  * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier
@@ -70,6 +70,6 @@
     /** That peer doesn't reach the service either, or isn't reached. */
     public void peerFailed(int peer, long now) {
         proven = proven == peer ? -1 : proven;
-        notBefore[peer] = now + Constants.ROUTE_AGAIN_MS;
+        notBefore[peer] = now + ReachabilityConstants.ROUTE_RETRY_MS;
     }
 }
--- a/src/main/java/org/hollypick/core/placement/Placer.java
+++ b/src/main/java/org/hollypick/core/placement/Placer.java
@@ -5,7 +5,8 @@
 import java.util.Collection;
 import java.util.Comparator;
 import java.util.List;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.AutoscalingConstants;
+import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.ledger.Machine;
@@ -87,7 +88,7 @@
         return -fetchS(s, m)
                 + 2 * m.usedCpus / m.type.cpus()
                 + (m.spot ? 3 : 0)
-                - (m.surplus ? Constants.SURPLUS_S : 0);
+                - (m.surplus ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
     }
 
     /**
@@ -98,9 +99,9 @@
     private static double serviceScore(Job job, Machine m, int replicas, double allServices) {
         double share = (m.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServices);
         return -fetchS(job.spec, m)
-                - replicas * Constants.REPLICA_APART
-                - share * Constants.SERVICE_SPREAD
-                - (m.emptiedNext ? Constants.EMPTIED_NEXT_S : 0);
+                - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
+                - share * SchedulingConstants.SERVICE_SPREAD_S
+                - (m.emptiedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
     /** Seconds until the image is there, more if others are being fetched. */
@@ -150,7 +151,7 @@
             for (Placement p : victims) {
                 lost += p.state() == Placement.State.RUNNING ? (now - p.runningAt) / 1000.0 * p.spec.cpus() : 0;
             }
-            score -= lost / Constants.LOST_PER_FETCH_S;
+            score -= lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
                 best = m;
                 bestVictims = victims;
--- a/src/main/java/org/hollypick/core/spread/ReportBalancer.java
+++ b/src/main/java/org/hollypick/core/spread/ReportBalancer.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.RelayConstants;
 
 /**
  * Which controller each machine reports to, and whether it should go to another: only while shares are far from even,
@@ -55,7 +55,7 @@
     }
 
     private static double weight(String node, String leader) {
-        return node.equals(leader) ? Constants.LEADER_SHARE : 1;
+        return node.equals(leader) ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1;
     }
 
     /** Where the machine that just reported through {@code node} should report from now on, or null: where it does. */
@@ -63,25 +63,27 @@
         double weights = weight(leader, leader);
         int total = count(leader);
         for (Map.Entry<String, Long> e : seen.entrySet()) {
-            if (!e.getKey().equals(leader) && now - e.getValue() < Constants.RELAY_ALIVE_MS) {
+            if (!e.getKey().equals(leader) && now - e.getValue() < RelayConstants.RELAY_ALIVE_MS) {
                 weights += 1;
                 total += count(e.getKey());
             }
         }
         double target = total / weights;
-        if (count(node) <= target * weight(node, leader) * Constants.UNEVEN + Constants.UNEVEN_MACHINES) {
+        if (count(node)
+                <= target * weight(node, leader) * RelayConstants.UNBALANCED_RATIO
+                        + RelayConstants.UNBALANCED_MACHINES) {
             return null;
         }
         String least = null;
         double filled = 1;
         for (Map.Entry<String, Long> e : seen.entrySet()) {
             double share = count(e.getKey()) / Math.max(1, target * weight(e.getKey(), leader));
-            if (!e.getKey().equals(node) && share < filled && now - e.getValue() < Constants.RELAY_ALIVE_MS) {
+            if (!e.getKey().equals(node) && share < filled && now - e.getValue() < RelayConstants.RELAY_ALIVE_MS) {
                 least = e.getKey();
                 filled = share;
             }
         }
-        double rate = Math.max(1, total * Constants.MOVED_SHARE);
+        double rate = Math.max(1, total * RelayConstants.REBALANCED_SHARE);
         moves = Math.min(rate, moves + rate * (now - movesAt) / 1000.0);
         movesAt = now;
         if (least == null || moves < 1) {
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.OptionalDouble;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.SchedulingConstants;
 
 /** The balanced cutoff of the paper's section IV-D. */
 public final class Cutoff {
@@ -73,11 +73,11 @@
 
         /** The first sign change between the open ends; a gap can hold two, so it is looked through in steps. */
         OptionalDouble root(double low, double high) {
-            double step = (high - low) / Constants.GAP_STEPS;
+            double step = (high - low) / SchedulingConstants.CUTOFF_SEARCH_STEPS;
             double a = low + step * 1e-6;
             double fa = difference(a);
-            for (int k = 1; k <= Constants.GAP_STEPS; k++) {
-                double b = k == Constants.GAP_STEPS ? high - step * 1e-6 : low + k * step;
+            for (int k = 1; k <= SchedulingConstants.CUTOFF_SEARCH_STEPS; k++) {
+                double b = k == SchedulingConstants.CUTOFF_SEARCH_STEPS ? high - step * 1e-6 : low + k * step;
                 double fb = difference(b);
                 if (fa < 0 != fb < 0) {
                     return OptionalDouble.of(bisect(a, b, fa < 0));
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.OptionalDouble;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.Job;
 
 /** The dynamic-timer policy: at a task's completion, jobs above the balanced cutoff move on. */
@@ -30,7 +30,7 @@
             return List.of();
         }
         double[] sizes = first.stream().mapToDouble(j -> j.partialSize).toArray();
-        if (!(Cutoff.cv2(sizes) > Constants.CV2_LIMIT)) {
+        if (!(Cutoff.cv2(sizes) > SchedulingConstants.UNBALANCED_CV2)) {
             return List.of();
         }
         OptionalDouble cutoff = Cutoff.balanced(sizes);
--- a/src/main/java/org/hollypick/core/validity/ReportValidity.java
+++ b/src/main/java/org/hollypick/core/validity/ReportValidity.java
@@ -1,7 +1,8 @@
 package org.hollypick.core.validity;
 
 import java.util.List;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.core.ledger.Placement;
 import org.hollypick.core.ledger.Report;
@@ -49,7 +50,9 @@
             return Freshness.NEW;
         }
         boolean same = r.session() == session && r.tick() == tick;
-        return same && now - takenAt < Constants.ANSWER_WAIT_MS ? Freshness.AGAIN : Freshness.COPY;
+        return same && now - takenAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
+                ? Freshness.AGAIN
+                : Freshness.COPY;
     }
 
     /** When the newest report came first. */
@@ -64,7 +67,7 @@
     public void reported(Report r, boolean knows, List<Order> wanted, long now) {
         if (answered) {
             if (!knows || anyAgain(wanted)) {
-                if (++unacknowledged >= Constants.UNACKNOWLEDGED) {
+                if (++unacknowledged >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
                     lapsed(now);
                 }
             } else if (!knewToken || (r.session() == toldSession && anyShown(r))) {
@@ -149,11 +152,12 @@
 
     /** Its reports come, and what it is told seems not to arrive by any way. */
     public boolean doubted() {
-        return unreachableInbound() || (unacknowledged > 0 && unanswered >= Constants.UNANSWERED);
+        return unreachableInbound()
+                || (unacknowledged > 0 && unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
     }
 
     /** Direct calls don't reach it, and no answer has been shown to since. One task is enough to find out. */
     public boolean onTrial() {
-        return unanswered >= Constants.UNANSWERED;
+        return unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 }
--- a/src/main/java/org/hollypick/core/watch/AdaptiveWindow.java
+++ b/src/main/java/org/hollypick/core/watch/AdaptiveWindow.java
@@ -1,6 +1,6 @@
 package org.hollypick.core.watch;
 
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FailureDetectionConstants;
 
 /**
  * How many calls to machines may be under way: one more with each answer that comes quickly, half as many when answers
@@ -8,15 +8,15 @@
  * takeover's load is bounded whatever the number of machines. Pure.
  */
 public final class AdaptiveWindow {
-    private double window = Constants.DIRECT_OPEN;
-    private long shrunkAt = -Constants.ADAPTIVE_WINDOW_MS;
+    private double window = FailureDetectionConstants.MAX_DIRECT_CALLS;
+    private long shrunkAt = -FailureDetectionConstants.ADAPTIVE_WINDOW_MS;
 
     public void answered(long tookMs, long now) {
-        if (tookMs <= Constants.SLOW_CALL_MS) {
-            window = Math.min(Constants.DIRECT_OPEN, window + 1 / window);
-        } else if (now - shrunkAt >= Constants.ADAPTIVE_WINDOW_MS) {
+        if (tookMs <= FailureDetectionConstants.SLOW_CALL_MS) {
+            window = Math.min(FailureDetectionConstants.MAX_DIRECT_CALLS, window + 1 / window);
+        } else if (now - shrunkAt >= FailureDetectionConstants.ADAPTIVE_WINDOW_MS) {
             shrunkAt = now;
-            window = Math.max(Constants.DIRECT_LEAST, window / 2);
+            window = Math.max(FailureDetectionConstants.MIN_DIRECT_CALLS, window / 2);
         }
     }
 
--- a/src/main/java/org/hollypick/core/watch/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/watch/LocalHealth.java
@@ -1,6 +1,6 @@
 package org.hollypick.core.watch;
 
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FailureDetectionConstants;
 
 /**
  * Whether this leader's own state may explain that it hears nothing. What it didn't get to ask, and what it was too
@@ -35,20 +35,20 @@
 
     /** A machine answered a call after that long. */
     public void answered(long tookMs, long now) {
-        if (now - stretch >= Constants.SLOW_STRETCH_MS) {
+        if (now - stretch >= FailureDetectionConstants.SLOW_WINDOW_MS) {
             stretch = now;
             answered = 0;
             slow = 0;
         }
         answered++;
-        slow += tookMs > Constants.SLOW_CALL_MS ? 1 : 0;
-        if (slow >= Constants.SLOW_CALLS && slow > answered * Constants.SLOW_SHARE) {
+        slow += tookMs > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
+        if (slow >= FailureDetectionConstants.SLOW_CALLS && slow > answered * FailureDetectionConstants.SLOW_SHARE) {
             at = now;
         }
     }
 
     /** Nothing was wrong here for long enough that two questions to a machine would have been asked and answered. */
     public boolean sound(long now) {
-        return now - at >= Constants.SILENT_GRACE_MS;
+        return now - at >= FailureDetectionConstants.FAILOVER_GRACE_MS;
     }
 }
--- a/src/main/java/org/hollypick/io/Answer.java
+++ b/src/main/java/org/hollypick/io/Answer.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.BooleanSupplier;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 
 /**
  * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code still} is asked in the moment of
@@ -40,11 +40,11 @@
         return new Answer(
                 503,
                 Codec.object().put("error", "busy"),
-                Constants.RETRY_AFTER_S + Math.floorMod(turn, Constants.RETRY_SPREAD_S));
+                NetworkConstants.RETRY_AFTER_S + Math.floorMod(turn, NetworkConstants.RETRY_AFTER_SPREAD_S));
     }
 
     /** Refused for now, told at once and with a time to come back. */
     public static Answer later(String message) {
-        return new Answer(503, Codec.object().put("error", message), Constants.RETRY_AFTER_S);
+        return new Answer(503, Codec.object().put("error", message), NetworkConstants.RETRY_AFTER_S);
     }
 }
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -11,7 +11,7 @@
 import io.undertow.util.SameThreadExecutor;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
@@ -43,8 +43,8 @@
         Undertow server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) Constants.BODY_BYTES)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, Constants.IDLE_CONNECTION_MS)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) NetworkConstants.MAX_BODY_BYTES)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetworkConstants.IDLE_CONNECTION_MS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, false)
--- a/src/main/java/org/hollypick/io/Network.java
+++ b/src/main/java/org/hollypick/io/Network.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -147,8 +147,8 @@
         void submit(Exchange x) {
             x.pool = this;
             x.timer = thread.executeAfter(guarded(x::expire), x.call.timeoutMs(), TimeUnit.MILLISECONDS);
-            if (busy >= Constants.CONNECTIONS_PER_ADDRESS) {
-                if (waiting.size() >= Constants.QUEUED_PER_ADDRESS) {
+            if (busy >= NetworkConstants.CONNECTIONS_PER_ADDRESS) {
+                if (waiting.size() >= NetworkConstants.QUEUED_PER_ADDRESS) {
                     x.finish(Reply.notSent());
                 } else {
                     waiting.add(x);
@@ -189,7 +189,7 @@
                 dropEldest(idleMax);
             }
             Exchange next;
-            while (busy < Constants.CONNECTIONS_PER_ADDRESS && (next = waiting.poll()) != null) {
+            while (busy < NetworkConstants.CONNECTIONS_PER_ADDRESS && (next = waiting.poll()) != null) {
                 if (!next.finished) {
                     run(next);
                 }
@@ -244,7 +244,8 @@
                 lack("waited for other calls to " + call.address());
             } else if (!late) {
                 late = true;
-                timer = thread.executeAfter(guarded(this::expire), Constants.LAST_LOOK_MS, TimeUnit.MILLISECONDS);
+                timer = thread.executeAfter(
+                        guarded(this::expire), NetworkConstants.TIMEOUT_GRACE_MS, TimeUnit.MILLISECONDS);
             } else {
                 fail();
             }
--- a/src/main/java/org/hollypick/io/Sockets.java
+++ b/src/main/java/org/hollypick/io/Sockets.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Locale;
 import java.util.Map;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 
 /**
  * The open connections of this node by what they are for. Each kind has a floor that the others leave it; what lies
@@ -25,12 +25,12 @@
     private final Map<Kind, Integer> most = new EnumMap<>(Kind.class);
 
     public Sockets(int sockets) {
-        limit = (int) (sockets * Constants.SOCKETS_USED);
-        floors.put(
-                Kind.CONTROL, Math.max(Constants.CONTROL_SOCKETS_LEAST, (int) (sockets * Constants.CONTROL_SOCKETS)));
-        floors.put(Kind.ORDERS, (int) (sockets * Constants.ORDER_SOCKETS));
-        floors.put(Kind.REPORTS, (int) (sockets * Constants.REPORT_SOCKETS));
-        floors.put(Kind.USERS, (int) (sockets * Constants.USER_SOCKETS));
+        limit = (int) (sockets * NetworkConstants.USABLE_SOCKET_SHARE);
+        floors.put(Kind.CONTROL, Math.max(NetworkConstants.MIN_CONTROL_SOCKETS, (int)
+                (sockets * NetworkConstants.CONTROL_SOCKET_SHARE)));
+        floors.put(Kind.ORDERS, (int) (sockets * NetworkConstants.COMMAND_SOCKET_SHARE));
+        floors.put(Kind.REPORTS, (int) (sockets * NetworkConstants.HEARTBEAT_SOCKET_SHARE));
+        floors.put(Kind.USERS, (int) (sockets * NetworkConstants.USER_SOCKET_SHARE));
         for (Kind k : Kind.values()) {
             open.put(k, 0);
             most.put(k, 0);
--- a/src/main/java/org/hollypick/mesh/Routes.java
+++ b/src/main/java/org/hollypick/mesh/Routes.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.links.Route;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
@@ -113,7 +113,7 @@
             p.end(r);
         });
         if (p.kind != Kind.WATCH) {
-            runtime.after(Constants.ROUTE_PATIENCE_MS, () -> {
+            runtime.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
                 if (waiting.contains(p) && p.peer == DIRECT) {
                     bad(sent);
                 }
@@ -147,7 +147,7 @@
     }
 
     private void probeAgain() {
-        runtime.after(Constants.ROUTE_AGAIN_MS, () -> {
+        runtime.after(ReachabilityConstants.ROUTE_RETRY_MS, () -> {
             if (!route.direct()) {
                 long sent = runtime.now();
                 runtime.call(probe, r -> heard(r, sent));
@@ -198,7 +198,7 @@
                     }
                 });
         if (p.kind != Kind.WATCH) {
-            runtime.after(Constants.ROUTE_PATIENCE_MS, () -> {
+            runtime.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
                 if (!answered[0] && !p.over()) {
                     peerFailed(peer);
                     if (p.kind == Kind.REPEATABLE) {
@@ -228,7 +228,7 @@
      * circles.
      */
     public void pass(JsonNode body, Consumer<Answer> answer) {
-        if (body == null || !route.direct() || passing >= Constants.ROUTE_PASSING) {
+        if (body == null || !route.direct() || passing >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
             answer.accept(Answer.later("no way from here"));
             return;
         }
@@ -239,7 +239,7 @@
                 body.path("method").asText(),
                 body.path("path").asText(),
                 content.isNull() || content.isMissingNode() ? null : content,
-                Math.min(body.path("timeout_ms").asLong(), Constants.ROUTE_PASSED_MS));
+                Math.min(body.path("timeout_ms").asLong(), ReachabilityConstants.FORWARDED_REQUEST_TIMEOUT_MS));
         long sent = runtime.now();
         runtime.call(call, r -> {
             passing--;
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.regex.Pattern;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.JobSpec.Rank;
 import org.hollypick.io.Codec;
@@ -50,7 +50,7 @@
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.asInt() < 1
-                || tasks.asInt() > Constants.TASKS_MAX) {
+                || tasks.asInt() > JobConstants.MAX_TASKS_PER_JOB) {
             throw new Invalid("shards");
         }
         Set<String> types = null;
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -9,8 +9,8 @@
 import java.util.Collection;
 import java.util.List;
 import org.hollypick.cluster.View;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.ledger.Machine;
 import org.hollypick.io.Codec;
@@ -26,7 +26,7 @@
 
     /** Bytes that a value may have, by this program's count. */
     public static int room(Settings settings) {
-        return (int) (settings.valueBytes() * Constants.VALUE_SHARE);
+        return (int) (settings.valueBytes() * StoreConstants.USABLE_VALUE_SHARE);
     }
 
     public static int bytes(JsonNode value) {
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Runtime;
 import org.hollypick.io.WireNames;
@@ -43,7 +43,7 @@
         this.settings = settings;
         this.membership = membership;
         this.state = state;
-        this.saidAt = runtime.now() - Constants.LEADER_COMPLAINT_EVERY_MS;
+        this.saidAt = runtime.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
     /** The leader took reports. */
@@ -61,13 +61,13 @@
         }
         machines.forEach(m -> heard.putAndMoveToLast(m, now));
         while (!heard.isEmpty()
-                && (heard.size() > Constants.LEADER_COMPLAINT_MACHINES
-                        || now - heard.getLong(heard.firstKey()) > Constants.LEADER_COMPLAINT_MEMORY_MS)) {
+                && (heard.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                        || now - heard.getLong(heard.firstKey()) > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
             heard.removeFirstLong();
         }
         Long stateSession = membership.stateSession();
-        if (now - since < Constants.LEADER_COMPLAINT_AFTER_MS
-                || now - saidAt < Constants.LEADER_COMPLAINT_EVERY_MS
+        if (now - since < ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
+                || now - saidAt < ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS
                 || stateSession == null
                 || !membership.leaderIsThere()
                 || heard.isEmpty()) {
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/Relay.java
@@ -10,8 +10,9 @@
 import java.util.function.Function;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReachabilityConstants;
+import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.core.ledger.Report;
 import org.hollypick.io.Answer;
 import org.hollypick.io.Call;
@@ -71,13 +72,14 @@
         Answer now = here(report);
         if (now != null) {
             answer.accept(now);
-        } else if (report.length > Constants.RELAY_BYTES || (refusedToken != 0 && refusedToken == token())) {
+        } else if (report.length > RelayConstants.RELAY_BATCH_BYTES || (refusedToken != 0 && refusedToken == token())) {
             answer.accept(toLeader());
-        } else if (held.size() >= Constants.RELAY_HELD || heldBytes + report.length > Constants.RELAY_HELD_BYTES) {
+        } else if (held.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
+                || heldBytes + report.length > RelayConstants.RELAY_QUEUE_BYTES) {
             answer.accept(Answer.later("too many reports wait"));
         } else {
-            hold(new Held(report, runtime.now() + Constants.RELAY_HOLD_MS, answer));
-            flushSoon(Constants.RELAY_GATHER_MS);
+            hold(new Held(report, runtime.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS, answer));
+            flushSoon(RelayConstants.RELAY_BATCH_MS);
         }
     }
 
@@ -128,11 +130,14 @@
         }
         Membership.Leader leads = membership.currentLeader();
         String currentLeader = leads == null ? null : settings.meshAddr(leads.node());
-        while (currentLeader != null && now >= notBefore && open < Constants.RELAY_OPEN && !held.isEmpty()) {
+        while (currentLeader != null
+                && now >= notBefore
+                && open < RelayConstants.RELAY_BATCHES_IN_FLIGHT
+                && !held.isEmpty()) {
             send(currentLeader, leads, now);
         }
         if (!held.isEmpty()) {
-            flushSoon(Constants.RELAY_RETRY_MS);
+            flushSoon(RelayConstants.RELAY_RETRY_MS);
         }
     }
 
@@ -147,8 +152,8 @@
         List<byte[]> reports = new ArrayList<>();
         int bytes = 0;
         while (!held.isEmpty()
-                && bundle.size() < Constants.RELAY_REPORTS
-                && bytes + held.peek().report.length <= Constants.RELAY_BYTES) {
+                && bundle.size() < RelayConstants.RELAY_BATCH_HEARTBEATS
+                && bytes + held.peek().report.length <= RelayConstants.RELAY_BATCH_BYTES) {
             Held h = next();
             bundle.add(h);
             reports.add(h.report);
@@ -161,7 +166,7 @@
                         "POST",
                         RelayCodec.PATH,
                         RelayCodec.bundle(settings.node(), token, reports),
-                        Constants.RELAY_TIMEOUT_MS,
+                        RelayConstants.RELAY_TIMEOUT_MS,
                         true),
                 r -> {
                     open--;
@@ -196,14 +201,17 @@
             // seldom: it may be overloaded.
             bundle.forEach(this::hold);
             leaderComplaint.failed(token, machines(bundle));
-            notBefore = runtime.now() + (Constants.RELAY_RETRY_MS << Math.min(failures++, Constants.RELAY_DOUBLINGS));
+            notBefore = runtime.now()
+                    + (RelayConstants.RELAY_RETRY_MS << Math.min(failures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS));
         }
     }
 
     private static Set<String> machines(List<Held> bundle) {
         Set<String> names = new LinkedHashSet<>();
         for (Held h : bundle) {
-            Report read = names.size() < Constants.LEADER_COMPLAINT_MACHINES ? WorkerCodec.report(h.report) : null;
+            Report read = names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                    ? WorkerCodec.report(h.report)
+                    : null;
             if (read != null) {
                 names.add(read.machine());
             }
--- a/src/main/java/org/hollypick/state/ChangeShare.java
+++ b/src/main/java/org/hollypick/state/ChangeShare.java
@@ -1,17 +1,17 @@
 package org.hollypick.state;
 
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.StoreConstants;
 
 /**
  * How many changes a second a leader may make: its own share, and what the other controllers leave unused of theirs.
  * What they use is told by the watch, which shows every change; theirs are those that aren't the leader's own. The
- * others keep to their shares, and get them back within {@link Constants#SHARE_WINDOWS} seconds.
+ * others keep to their shares, and get them back within {@link StoreConstants#WRITE_SHARE_WINDOWS} seconds.
  */
 final class ChangeShare {
     private final double all;
     private final double least;
     /** Changes of the other controllers in the last seconds in which any change was seen. */
-    private final int[] others = new int[Constants.SHARE_WINDOWS];
+    private final int[] others = new int[StoreConstants.WRITE_SHARE_WINDOWS];
 
     private int windows;
     private long windowSince;
@@ -40,12 +40,12 @@
     }
 
     private void roll(long now) {
-        if (now - windowSince < Constants.SHARE_WINDOW_MS) {
+        if (now - windowSince < StoreConstants.WRITE_SHARE_WINDOW_MS) {
             return;
         }
         // Without any, or after a long pause, the watch may have been held up, as in an outage: that tells nothing of
         // the others.
-        boolean whole = now - windowSince < 2 * Constants.SHARE_WINDOW_MS;
+        boolean whole = now - windowSince < 2 * StoreConstants.WRITE_SHARE_WINDOW_MS;
         if (seen > 0) {
             if (whole) {
                 others[windows++ % others.length] = seen - own;
@@ -66,7 +66,7 @@
         for (int changes : others) {
             sum += changes;
         }
-        double used = Math.max(0, sum) * 1000 / (others.length * Constants.SHARE_WINDOW_MS);
+        double used = Math.max(0, sum) * 1000 / (others.length * StoreConstants.WRITE_SHARE_WINDOW_MS);
         return Math.max(least, all - used);
     }
 }
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/state/StateClient.java
@@ -6,8 +6,10 @@
 import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReachabilityConstants;
+import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
 import org.hollypick.io.RateBudget;
@@ -44,7 +46,7 @@
         }
 
         boolean late(long now) {
-            return now >= since + Constants.STATE_QUEUE_MS;
+            return now >= since + StoreConstants.STORE_QUEUE_TIMEOUT_MS;
         }
     }
 
@@ -102,18 +104,18 @@
         this.routes = new Routes(
                 runtime,
                 settings.siblings(),
-                Call.of(address, "GET", "/keys/" + NEVER, null, Constants.ROUTE_AGAIN_MS));
+                Call.of(address, "GET", "/keys/" + NEVER, null, ReachabilityConstants.ROUTE_RETRY_MS));
         this.settings = settings;
         int nodes = settings.siblings().size() + 1;
-        this.requests = new RateBudget(settings.stateRps() * Constants.STATE_BUDGET / nodes, runtime.now());
+        this.requests = new RateBudget(settings.stateRps() * StoreConstants.STORE_RATE_SHARE / nodes, runtime.now());
         this.writes = new RateBudget(1, runtime.now());
         setLeader(false);
-        runtime.after(Constants.SUMMARY_MS, this::logUsage);
+        runtime.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, this::logUsage);
     }
 
     private void logUsage() {
         usage.log();
-        runtime.after(Constants.SUMMARY_MS, this::logUsage);
+        runtime.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, this::logUsage);
     }
 
     /** How calls get there; other controllers' too. */
@@ -127,11 +129,11 @@
      */
     public void setLeader(boolean leader) {
         int others = Math.max(1, settings.siblings().size());
-        double all = settings.stateWriteRps() * Constants.STATE_BUDGET;
-        double own = settings.siblings().isEmpty() ? all : all * Constants.LEADER_WRITE_SHARE;
+        double all = settings.stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
+        double own = settings.siblings().isEmpty() ? all : all * StoreConstants.LEADER_WRITE_SHARE;
         leaderShare = leader ? new ChangeShare(all, own, runtime.now()) : null;
         writes.setRate(
-                settings.siblings().isEmpty() || leader ? own : all * (1 - Constants.LEADER_WRITE_SHARE) / others);
+                settings.siblings().isEmpty() || leader ? own : all * (1 - StoreConstants.LEADER_WRITE_SHARE) / others);
     }
 
     private void followShare() {
@@ -159,7 +161,12 @@
     public boolean crowded() {
         boolean crowded = full()
                 || queuedPuts
-                        > Math.max(1, writes.rate() * Constants.STATE_QUEUE_MS / 1000.0 * Constants.QUEUE_PROMISE);
+                        > Math.max(
+                                1,
+                                writes.rate()
+                                        * StoreConstants.STORE_QUEUE_TIMEOUT_MS
+                                        / 1000.0
+                                        * StoreConstants.ADMITTED_QUEUE_SHARE);
         if (crowded) {
             usage.refused();
         }
@@ -167,7 +174,7 @@
     }
 
     private boolean full() {
-        return commits.size() >= Constants.STATE_QUEUE;
+        return commits.size() >= StoreConstants.STORE_QUEUE_LENGTH;
     }
 
     /**
@@ -185,12 +192,12 @@
 
     /** Changes to put into one transaction at most, if there are many. */
     public int batch() {
-        return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * Constants.BATCH_S));
+        return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * StoreConstants.WRITE_BATCH_S));
     }
 
     public void get(String key, Consumer<Reply> reply) {
         submit(
-                Call.of(address, "GET", "/keys/" + key, null, Constants.STATE_TIMEOUT_MS),
+                Call.of(address, "GET", "/keys/" + key, null, StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.REPEATABLE,
                 null,
                 reply);
@@ -203,12 +210,16 @@
 
     public void list(String prefix, String from, Consumer<Reply> reply) {
         String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
-        submit(Call.of(address, "GET", path, null, Constants.STATE_TIMEOUT_MS), Routes.Kind.REPEATABLE, null, reply);
+        submit(
+                Call.of(address, "GET", path, null, StoreConstants.STORE_TIMEOUT_MS),
+                Routes.Kind.REPEATABLE,
+                null,
+                reply);
     }
 
     public void commit(Txn txn, Consumer<Reply> reply) {
         submit(
-                Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS),
+                Call.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.ONCE,
                 txn,
                 reply);
@@ -219,7 +230,7 @@
         writes.take(txn.ops(), runtime.now());
         txn.count(usage);
         urgent(
-                Call.of(address, "POST", "/commit", txn.body(), Constants.STATE_TIMEOUT_MS),
+                Call.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.ONCE,
                 StateUsage.Request.COMMIT,
                 r -> {
@@ -231,7 +242,12 @@
     /** Asked twice, one of two state sessions is never used and ends by itself. */
     public void grant(long lifeMs, Consumer<Reply> reply) {
         urgent(
-                Call.of(address, "POST", "/holds", Codec.object().put("life_ms", lifeMs), Constants.STATE_TIMEOUT_MS),
+                Call.of(
+                        address,
+                        "POST",
+                        "/holds",
+                        Codec.object().put("life_ms", lifeMs),
+                        StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.REPEATABLE,
                 StateUsage.Request.HOLD,
                 reply);
@@ -244,7 +260,7 @@
                         "POST",
                         "/holds/" + Long.toUnsignedString(stateSession) + "/extend",
                         Codec.object(),
-                        Constants.STATE_TIMEOUT_MS),
+                        StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.REPEATABLE,
                 StateUsage.Request.HOLD,
                 reply);
@@ -257,7 +273,7 @@
                         "DELETE",
                         "/holds/" + Long.toUnsignedString(stateSession),
                         null,
-                        Constants.STATE_TIMEOUT_MS),
+                        StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.REPEATABLE,
                 StateUsage.Request.HOLD,
                 reply);
@@ -269,9 +285,9 @@
                         address,
                         "GET",
                         "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms="
-                                + Constants.WATCH_MS,
+                                + StoreConstants.WATCH_WAIT_MS,
                         null,
-                        Constants.WATCH_MS + Constants.STATE_TIMEOUT_MS),
+                        StoreConstants.WATCH_WAIT_MS + StoreConstants.STORE_TIMEOUT_MS),
                 Routes.Kind.WATCH,
                 StateUsage.Request.WATCH,
                 r -> {
@@ -288,7 +304,7 @@
 
     private void submit(Call call, Routes.Kind kind, Txn txn, Consumer<Reply> reply) {
         ArrayDeque<Queued> queue = txn == null ? reads : commits;
-        if (queue.size() >= Constants.STATE_QUEUE) {
+        if (queue.size() >= StoreConstants.STORE_QUEUE_LENGTH) {
             usage.notSent();
             reply.accept(Reply.notSent());
             return;
@@ -309,7 +325,7 @@
         }
         if (!wakes && !(reads.isEmpty() && commits.isEmpty())) {
             wakes = true;
-            runtime.after(Constants.STATE_QUEUE_STEP_MS, () -> {
+            runtime.after(StoreConstants.STORE_QUEUE_POLL_MS, () -> {
                 wakes = false;
                 drain();
             });
--- a/src/main/java/org/hollypick/worker/WorkerClient.java
+++ b/src/main/java/org/hollypick/worker/WorkerClient.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.ledger.Order;
 import org.hollypick.io.Call;
 import org.hollypick.io.Reply;
@@ -24,7 +24,7 @@
             String addr, long token, long session, List<Order> orders, BooleanSupplier still, Consumer<Reply> reply) {
         ObjectNode body = WorkerCodec.orders(token, orders).put(WireNames.WORKER_SESSION, session);
         runtime.call(
-                Call.of(addr, "POST", "/commands", body, Constants.ORDER_TIMEOUT_MS)
+                Call.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
                         .only(still),
                 reply);
     }
--- a/src/test/java/org/hollypick/LeasesTest.java
+++ b/src/test/java/org/hollypick/LeasesTest.java
@@ -11,8 +11,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ClockConstants;
+import org.hollypick.config.constants.LeaseConstants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Leases;
 import org.junit.jupiter.api.Test;
 
@@ -137,7 +139,7 @@
             }
 
             void answered(double sent, long telling, long number, boolean granted) {
-                if (fault != Fault.COUNTS_FROM_THE_ANSWER && clock() - sent > Constants.MESH_TIMEOUT_MS) {
+                if (fault != Fault.COUNTS_FROM_THE_ANSWER && clock() - sent > NetworkConstants.PEER_TIMEOUT_MS) {
                     return;
                 }
                 contactAt = clock();
@@ -146,8 +148,8 @@
                 if (granted) {
                     double from = fault == Fault.COUNTS_FROM_THE_ANSWER ? clock() : sent;
                     until = from
-                            + WINDOW_MS * (fault == Fault.KEEPS_LONGER ? 2 : 1 - Constants.DRIFT)
-                            - Constants.CLOCK_MARGIN_MS;
+                            + WINDOW_MS * (fault == Fault.KEEPS_LONGER ? 2 : 1 - ClockConstants.CLOCK_DRIFT_RATIO)
+                            - ClockConstants.CLOCK_MARGIN_MS;
                 }
             }
 
@@ -162,7 +164,7 @@
             }
 
             boolean keeps() {
-                return clock() - contactAt > Constants.KEEP_LOST_MS && clock() < until;
+                return clock() - contactAt > LeaseConstants.LEADER_LOST_MS && clock() < until;
             }
         }
 
--- a/src/test/java/org/hollypick/LinksCoreTest.java
+++ b/src/test/java/org/hollypick/LinksCoreTest.java
@@ -9,7 +9,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.links.LeadershipDelay;
 import org.hollypick.core.links.Route;
 
@@ -38,7 +39,9 @@
 
     private static boolean rests(List<Happened> all, int peer, long now) {
         return all.stream()
-                .anyMatch(h -> h.what.equals("peerFailed") && h.peer == peer && now < h.at + Constants.ROUTE_AGAIN_MS);
+                .anyMatch(h -> h.what.equals("peerFailed")
+                        && h.peer == peer
+                        && now < h.at + ReachabilityConstants.ROUTE_RETRY_MS);
     }
 
     private static boolean proven(List<Happened> all, int peer) {
@@ -111,7 +114,8 @@
         int d = Math.min(direct, asked);
         int p = Math.min(byPeers, asked - d);
         long wait = LeadershipDelay.waitMs(asked, d, p);
-        assertTrue(wait >= 0 && wait <= Constants.LEADERSHIP_DELAY_MAX_MS + Constants.LEADERSHIP_DELAY_STEP_MS);
+        assertTrue(wait >= 0
+                && wait <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
         assertTrue(d == asked || LeadershipDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
         assertTrue(
                 d + p == asked || LeadershipDelay.waitMs(asked, d, p + 1) <= wait || LeadershipDelay.enough(asked, d));
@@ -119,6 +123,6 @@
                 || LeadershipDelay.enough(asked, d));
         assertTrue(asked % 2 != 0
                 || LeadershipDelay.waitMs(asked, asked / 2, 0)
-                        > LeadershipDelay.waitMs(asked, 0, asked) + Constants.CLAIM_STEP_MS);
+                        > LeadershipDelay.waitMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
     }
 }
--- a/src/test/java/org/hollypick/PlannerTest.java
+++ b/src/test/java/org/hollypick/PlannerTest.java
@@ -10,8 +10,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.Leases;
@@ -205,7 +205,7 @@
     @Test
     void aFloodOfHigherRankLeavesOlderWorkItsFloor() {
         assertEquals(0, toTheLower(1));
-        assertEquals(120 / Constants.FLOOR_EVERY, toTheLower(2));
+        assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_EVERY, toTheLower(2));
     }
 
     private static Map<String, String> where(Scheduler s) {
@@ -273,7 +273,8 @@
             Machine best = null;
             double bestScore = 0;
             for (Machine m : possible(s, job)) {
-                boolean lent = !second || idleFirst - (m.idle() ? 1 : 0) >= Constants.FIRST_KEEPS_FREE;
+                boolean lent =
+                        !second || idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
                 if (m.first == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
@@ -331,9 +332,9 @@
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
             double score = -fetch(job.spec, m)
-                    - mine * Constants.REPLICA_APART
-                    - others / Math.max(1, all) * Constants.SERVICE_SPREAD
-                    - lost / Constants.LOST_PER_FETCH_S;
+                    - mine * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
+                    - others / Math.max(1, all) * SchedulingConstants.SERVICE_SPREAD_S
+                    - lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
                 best = m;
                 bestVictims = victims;
--- a/src/test/java/org/hollypick/ReportValidityTest.java
+++ b/src/test/java/org/hollypick/ReportValidityTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
-import org.hollypick.config.Constants;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.Leases;
@@ -64,12 +64,14 @@
             }
             assertEquals(ReportValidity.Freshness.NEW, validity.freshness(r, now));
             assertEquals(ReportValidity.Freshness.AGAIN, validity.freshness(r, now + 1_000));
-            assertEquals(ReportValidity.Freshness.COPY, validity.freshness(r, now + Constants.ANSWER_WAIT_MS));
+            assertEquals(
+                    ReportValidity.Freshness.COPY,
+                    validity.freshness(r, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
             sent.add(r);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
             validity.reported(r, token == TOKEN, wanted, now);
             assertEquals(
-                    missed >= Constants.UNACKNOWLEDGED,
+                    missed >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
                     validity.unreachableInbound(),
                     "after " + missed + " lost answers");
             wanted.add(new Order(Order.Verb.START, "req-1/" + attempt, ++attempt, 0));
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/WatchTest.java
@@ -11,7 +11,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.core.spread.ReportBalancer;
 import org.hollypick.core.watch.AdaptiveWindow;
 import org.hollypick.core.watch.LocalHealth;
@@ -49,7 +51,7 @@
                 s.closed(k);
                 open.merge(k, -1, Integer::sum);
             }
-            for (int i = 0; i < sockets * Constants.CONTROL_SOCKETS; i++) {
+            for (int i = 0; i < sockets * NetworkConstants.CONTROL_SOCKET_SHARE; i++) {
                 assertTrue(s.room(k), k + " is refused its floor");
                 s.opened(k);
                 open.merge(k, 1, Integer::sum);
@@ -84,17 +86,19 @@
                     moved++;
                 }
             }
-            assertTrue(moved - before <= Math.max(1, machines * Constants.MOVED_SHARE) + 1, "few at a time");
+            assertTrue(moved - before <= Math.max(1, machines * RelayConstants.REBALANCED_SHARE) + 1, "few at a time");
             assertTrue(t < 300_000 || moved == before, "it has settled");
         }
         assertTrue(moved <= machines, "no machine moves again and again");
         int total = names.stream().mapToInt(reportBalancer::count).sum();
         assertEquals(machines, total);
         for (String n : names) {
-            double target =
-                    machines / (nodes - 1 + Constants.LEADER_SHARE) * (n.equals("n0") ? Constants.LEADER_SHARE : 1);
+            double target = machines
+                    / (nodes - 1 + RelayConstants.LEADER_HEARTBEAT_SHARE)
+                    * (n.equals("n0") ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1);
             assertTrue(
-                    reportBalancer.count(n) <= target * Constants.UNEVEN + Constants.UNEVEN_MACHINES,
+                    reportBalancer.count(n)
+                            <= target * RelayConstants.UNBALANCED_RATIO + RelayConstants.UNBALANCED_MACHINES,
                     n + " has " + reportBalancer.count(n) + " of " + machines);
         }
     }
@@ -109,24 +113,26 @@
         assertEquals(null, reportBalancer.elsewhere("a", 5_000));
         reportBalancer.alive("b", 5_000);
         assertEquals("b", reportBalancer.elsewhere("a", 6_000));
-        assertEquals(null, reportBalancer.elsewhere("a", 5_001 + Constants.RELAY_ALIVE_MS));
+        assertEquals(null, reportBalancer.elsewhere("a", 5_001 + RelayConstants.RELAY_ALIVE_MS));
     }
 
     @Test
     void slowAnswersHalveTheCallsUnderWayOnceAStretch() {
         AdaptiveWindow probeWindow = new AdaptiveWindow();
         for (int i = 0; i < 50; i++) {
-            probeWindow.answered(Constants.SLOW_CALL_MS + 1, 1_000);
+            probeWindow.answered(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
         }
-        assertEquals(Constants.DIRECT_OPEN / 2, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS / 2, probeWindow.window());
         for (int i = 0; i < 20; i++) {
-            probeWindow.answered(Constants.SLOW_CALL_MS + 1, 2_000 + i * Constants.ADAPTIVE_WINDOW_MS);
+            probeWindow.answered(
+                    FailureDetectionConstants.SLOW_CALL_MS + 1,
+                    2_000 + i * FailureDetectionConstants.ADAPTIVE_WINDOW_MS);
         }
-        assertEquals(Constants.DIRECT_LEAST, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MIN_DIRECT_CALLS, probeWindow.window());
         for (int i = 0; i < 10_000; i++) {
             probeWindow.answered(10, 60_000);
         }
-        assertEquals(Constants.DIRECT_OPEN, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS, probeWindow.window());
     }
 
     /** One slow machine among many says nothing about this node; many do, and for a while after. */
@@ -134,7 +140,7 @@
     void manySlowAnswersAreThisNodesOwnTrouble() {
         LocalHealth own = new LocalHealth(0);
         assertFalse(own.sound(1_000), "just begun");
-        assertTrue(own.sound(Constants.SILENT_GRACE_MS));
+        assertTrue(own.sound(FailureDetectionConstants.FAILOVER_GRACE_MS));
         for (int i = 0; i < 100; i++) {
             own.answered(i % 10 == 0 ? 900 : 20, 5_000);
         }
@@ -142,8 +148,8 @@
         for (int i = 0; i < 100; i++) {
             own.answered(i % 2 == 0 ? 900 : 20, 8_000);
         }
-        assertFalse(own.sound(8_000 + Constants.SILENT_GRACE_MS - 1));
-        assertTrue(own.sound(8_000 + Constants.SILENT_GRACE_MS));
+        assertFalse(own.sound(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS - 1));
+        assertTrue(own.sound(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS));
         own.seen(20_000);
         assertFalse(own.sound(20_001), "a gap, or a call not sent");
     }
--- a/src/test/java/org/hollypick/sim/Growth.java
+++ b/src/test/java/org/hollypick/sim/Growth.java
@@ -9,9 +9,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.hollypick.Node;
-import org.hollypick.config.Constants;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.io.Call;
 import org.hollypick.io.Reply;
 import org.hollypick.io.Runtime;
@@ -140,9 +140,9 @@
         Runtime metered = new Passing(r) {
             @Override
             public void after(long ms, Runnable task) {
-                String name = ms == Constants.PASS_GAP_MS
+                String name = ms == ReconcileConstants.SCHEDULING_CYCLE_GAP_MS
                         ? "pass and orders"
-                        : ms == Constants.TICK_MS ? "regular loop" : "other timers";
+                        : ms == ReconcileConstants.RECONCILE_INTERVAL_MS ? "regular loop" : "other timers";
                 r.after(ms, () -> meter.run(name, task));
             }
 
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -39,7 +39,9 @@
         }
         List<String> expected = Files.readAllLines(file);
         List<String> differing = IntStream.range(0, Math.max(lines.size(), expected.size()))
-                .filter(i -> i >= lines.size() || i >= expected.size() || !lines.get(i).equals(expected.get(i)))
+                .filter(i -> i >= lines.size()
+                        || i >= expected.size()
+                        || !lines.get(i).equals(expected.get(i)))
                 .mapToObj(i -> i < lines.size() ? lines.get(i) : "missing: " + expected.get(i))
                 .toList();
         differing.forEach(line -> System.out.println("differs: " + line));
@@ -53,8 +55,9 @@
         Map<String, Supplier<Day>> days = days();
         return new ArrayList<>(days.entrySet())
                 .stream()
-                .map(entry -> entry.getKey() + " " + entry.getValue().get().world.digest())
-                .toList();
+                        .map(entry -> entry.getKey() + " "
+                                + entry.getValue().get().world.digest())
+                        .toList();
     }
 
     private static Map<String, Supplier<Day>> days() {
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/World.java
@@ -19,7 +19,7 @@
 import java.util.function.Predicate;
 import java.util.function.ToLongBiFunction;
 import java.util.stream.Stream;
-import org.hollypick.config.Constants;
+import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Reply;
@@ -198,7 +198,10 @@
         }
     }
 
-    /** A digest of every call and every answer of the day so far: the same seed and the same decisions give the same one. */
+    /**
+     * A digest of every call and every answer of the day so far: the same seed and the same decisions give the same
+     * one.
+     */
     String digest() {
         if (digest == null) {
             digest = played.hash().toString();
@@ -393,7 +396,7 @@
         void answered(String from) {
             if (sockets != null && reporters.containsKey(from)) {
                 long used = reporters.get(from);
-                at(sockets.crowded(Sockets.Kind.REPORTS) ? 0 : Constants.IDLE_CONNECTION_MS, () -> {
+                at(sockets.crowded(Sockets.Kind.REPORTS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS, () -> {
                     if (reporters.remove(from, used)) {
                         sockets.closed(Sockets.Kind.REPORTS);
                     }
