--- a/src/main/java/org/hollypick/Node.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -5,92 +5,92 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.hollypick.agent.AgentClient;
+import org.hollypick.agent.AgentCodec;
 import org.hollypick.api.GraphApi;
 import org.hollypick.api.UserApi;
 import org.hollypick.cloud.CloudClient;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.cluster.PeerReachability;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.RelayConstants;
-import org.hollypick.control.Graphs;
-import org.hollypick.control.JobRecords;
 import org.hollypick.control.LeaderTerm;
-import org.hollypick.core.Dependencies;
+import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.jobs.JobStore;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.MachineType;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.io.Answer;
+import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.io.WireNames;
-import org.hollypick.mesh.PeerEndpoints;
-import org.hollypick.mesh.Routes;
+import org.hollypick.peer.PeerRequestDispatcher;
+import org.hollypick.peer.RequestRouter;
 import org.hollypick.records.Records;
-import org.hollypick.relay.Relay;
-import org.hollypick.relay.RelayCodec;
-import org.hollypick.state.StateClient;
-import org.hollypick.worker.WorkerClient;
-import org.hollypick.worker.WorkerCodec;
+import org.hollypick.relay.HeartbeatRelay;
+import org.hollypick.relay.HeartbeatRelayCodec;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** A controller: everything but sockets and clocks. All of it runs on one event loop. */
-public final class Node {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class Controller {
+    private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
     private final OperatorSettings operator;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final CloudClient cloud;
-    private final WorkerClient workers;
-    private final View view;
+    private final AgentClient workers;
+    private final StoreReplica view;
     private final Membership membership;
-    private final Dependencies dependencies;
-    private final JobRecords jobs;
+    private final JobDependencies dependencies;
+    private final JobStore jobs;
     private final UserApi users;
     private final PartitionedLeaseRenewal leaseRenewal;
-    private final Relay relay;
-    private final PeerEndpoints mesh = new PeerEndpoints();
+    private final HeartbeatRelay relay;
+    private final PeerRequestDispatcher mesh = new PeerRequestDispatcher();
     /** Null unless the operators switched graphs on. */
     private final GraphApi graphs;
     /** Shared with the term; prices in it follow the cloud. */
     private final Map<String, MachineType> types = new HashMap<>();
 
-    private final Graphs.Maker maker;
+    private final GraphService.Maker maker;
     private LeaderTerm term;
 
-    public Node(Runtime runtime, Settings settings, OperatorSettings operator) {
-        this(runtime, settings, operator, new Dependencies());
+    public Controller(EventLoop runtime, Settings settings, OperatorSettings operator) {
+        this(runtime, settings, operator, new JobDependencies());
     }
 
-    public Node(Runtime runtime, Settings settings, OperatorSettings operator, Dependencies dependencies) {
+    public Controller(EventLoop runtime, Settings settings, OperatorSettings operator, JobDependencies dependencies) {
         this(runtime, settings, operator, dependencies, null);
     }
 
     /** {@code maker}: makes graphs, if they are switched on; null: as usual. */
-    public Node(
-            Runtime runtime,
+    public Controller(
+            EventLoop runtime,
             Settings settings,
             OperatorSettings operator,
-            Dependencies dependencies,
-            Graphs.Maker maker) {
+            JobDependencies dependencies,
+            GraphService.Maker maker) {
         this.maker = maker;
         this.runtime = runtime;
         this.settings = settings;
         this.operator = operator;
-        this.state = new StateClient(runtime, settings);
+        this.state = new KeyValueStoreClient(runtime, settings);
         this.cloud = new CloudClient(runtime, settings);
-        this.workers = new WorkerClient(runtime);
-        this.view = new View(runtime, state, Keys.PREFIX, this::recordsChanged);
+        this.workers = new AgentClient(runtime);
+        this.view = new StoreReplica(runtime, state, StoreKeys.PREFIX, this::recordsChanged);
         this.membership = new Membership(runtime, state, settings, view, this::leadership);
         this.dependencies = dependencies;
-        this.jobs = new JobRecords(runtime, settings, state, view, membership, dependencies);
+        this.jobs = new JobStore(runtime, settings, state, view, membership, dependencies);
         this.users = new UserApi(
                 runtime,
                 settings,
@@ -112,7 +112,7 @@
                 this::cancelled,
                 () -> term != null && term.scheduler.leases.allAsked(),
                 this::kept);
-        this.relay = new Relay(
+        this.relay = new HeartbeatRelay(
                 runtime,
                 settings,
                 membership,
@@ -190,7 +190,7 @@
     // ---- requests ----
 
     /** A request of users, workers or health checks. */
-    public void handle(String method, String target, byte[] bytes, Consumer<Answer> answer) {
+    public void handle(String method, String target, byte[] bytes, Consumer<ServerResponse> answer) {
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         if (path.equals("/hello")) {
@@ -225,12 +225,12 @@
                 answer.accept(notAllowed());
             }
         } else {
-            answer.accept(Answer.error(404, "no such path"));
+            answer.accept(ServerResponse.error(404, "no such path"));
         }
     }
 
     /** A request of another controller. */
-    public void handleMesh(String method, String path, byte[] bytes, Consumer<Answer> answer) {
+    public void handleMesh(String method, String path, byte[] bytes, Consumer<ServerResponse> answer) {
         if (method.equals("POST") && path.startsWith("/jobs/") && path.endsWith("/abort")) {
             users.meshAbort(path.substring("/jobs/".length(), path.length() - "/abort".length()), answer);
         } else {
@@ -241,21 +241,21 @@
     private void listenToOthers() {
         mesh.on(
                 "/promise",
-                (body, answer) -> answer.accept(Answer.of(
+                (body, answer) -> answer.accept(ServerResponse.of(
                         200, membership.promised(body == null ? 0 : Codec.u64(body.path(WireNames.FENCING_TOKEN))))));
         mesh.on("/keep", (body, answer) -> answer.accept(mayKeep(body)));
         mesh.on(
                 "/release",
                 (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
         mesh.on(
-                RelayCodec.PATH,
+                HeartbeatRelayCodec.PATH,
                 (body, answer) -> answer.accept(
                         term != null && term.acting()
-                                ? RelayCodec.take(body, term.token, this::rightMs, this::hello)
+                                ? HeartbeatRelayCodec.take(body, term.token, this::rightMs, this::hello)
                                         .only(term::acting)
-                                : Answer.later("not the leader")));
-        mesh.on(Routes.PATH, state.routes()::pass);
-        mesh.on(Routes.WATCH_PATH, state.routes()::pass);
+                                : ServerResponse.later("not the leader")));
+        mesh.on(RequestRouter.PATH, state.routes()::pass);
+        mesh.on(RequestRouter.WATCH_PATH, state.routes()::pass);
         mesh.on(
                 PeerReachability.PATH,
                 (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
@@ -268,7 +268,7 @@
         }
     }
 
-    private Answer mayKeep(JsonNode body) {
+    private ServerResponse mayKeep(JsonNode body) {
         boolean own = body != null
                 && term != null
                 && term.acting()
@@ -279,12 +279,12 @@
                         Codec.u64(body.path("epoch")),
                         Codec.u64(body.path("echo")),
                         body.path("kept").asBoolean())
-                : Answer.later("not the leader under that token");
+                : ServerResponse.later("not the leader under that token");
     }
 
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
     private boolean cancelled(String id) {
-        View.Entry e = view.get(Keys.job(id));
+        StoreReplica.Entry e = view.get(StoreKeys.job(id));
         return dependencies.isCancelled(id)
                 || (term != null && term.jobTermination.cancelling(id))
                 || (e != null
@@ -298,14 +298,14 @@
         }
     }
 
-    private static Answer notAllowed() {
-        return Answer.error(405, "method not allowed");
+    private static ServerResponse notAllowed() {
+        return ServerResponse.error(405, "method not allowed");
     }
 
-    private Answer ready() {
+    private ServerResponse ready() {
         boolean ready =
                 view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.alone();
-        return ready ? Answer.of(200, Codec.object().put("ready", true)) : Answer.later("starting");
+        return ready ? ServerResponse.of(200, Codec.object().put("ready", true)) : ServerResponse.later("starting");
     }
 
     /** For how long others may pass on what this leader answers: no longer than it may act itself. */
@@ -314,8 +314,8 @@
     }
 
     /** The leader's answer to a machine's report that came through that controller. */
-    private Answer hello(byte[] body, String via) {
-        Report report = WorkerCodec.report(body);
-        return report == null ? Answer.error(400, "not a report") : term.hello(report, via);
+    private ServerResponse hello(byte[] body, String via) {
+        Heartbeat report = AgentCodec.report(body);
+        return report == null ? ServerResponse.error(400, "not a report") : term.hello(report, via);
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -0,0 +1,44 @@
+package org.hollypick.agent;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.WireNames;
+
+/** Orders and questions straight to a worker's address. */
+public final class AgentClient {
+    private final EventLoop runtime;
+
+    public AgentClient(EventLoop runtime) {
+        this.runtime = runtime;
+    }
+
+    /** {@code still}: whether this node may order anything, asked when the order is sent. */
+    public void command(
+            String addr,
+            long token,
+            long session,
+            List<Command> orders,
+            BooleanSupplier still,
+            Consumer<Response> reply) {
+        ObjectNode body = AgentCodec.orders(token, orders).put(WireNames.WORKER_SESSION, session);
+        runtime.call(
+                Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
+                        .only(still),
+                reply);
+    }
+
+    /** Whether that machine answers: its report. */
+    public void inspect(String machine, String addr, long timeoutMs, Consumer<Response> reply) {
+        runtime.call(
+                Request.of(addr, "GET", "/inspect", null, timeoutMs),
+                r -> reply.accept(
+                        r.ok() && !r.body().path("bothy").asText().equals(machine) ? Response.noAnswer() : r));
+    }
+}
--- a/src/main/java/org/hollypick/worker/WorkerCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -1,4 +1,4 @@
-package org.hollypick.worker;
+package org.hollypick.agent;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -8,22 +8,22 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.TaskStatus;
 import org.hollypick.io.Codec;
 import org.hollypick.io.WireNames;
 
 /** The workers' wire names. */
-public final class WorkerCodec {
-    private WorkerCodec() {}
+public final class AgentCodec {
+    private AgentCodec() {}
 
     /**
      * The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy leader
      * reads.
      */
-    public static Report report(byte[] cbor) {
+    public static Heartbeat report(byte[] cbor) {
         try (JsonParser p = Codec.cborParser(cbor)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
                 return null;
@@ -54,7 +54,7 @@
             }
             return f.machine.isEmpty() || !f.hasSession || !f.hasTick
                     ? null
-                    : new Report(
+                    : new Heartbeat(
                             f.machine, f.addr, f.type, f.zone, f.spot, f.session, f.tick, f.token, f.noticeS, f.tasks);
         } catch (IOException | RuntimeException e) {
             return null; // garbage from outside must never harm the node
@@ -74,10 +74,10 @@
         private long tick;
         private long token;
         private double noticeS = Double.NaN;
-        private final List<TaskReport> tasks = new ArrayList<>();
+        private final List<TaskStatus> tasks = new ArrayList<>();
     }
 
-    private static void tasks(JsonParser p, JsonToken list, List<TaskReport> tasks) throws IOException {
+    private static void tasks(JsonParser p, JsonToken list, List<TaskStatus> tasks) throws IOException {
         if (list != JsonToken.START_ARRAY) {
             p.skipChildren();
             return;
@@ -98,7 +98,7 @@
                     default -> p.skipChildren();
                 }
             }
-            tasks.add(new TaskReport(task, attempt, state, why));
+            tasks.add(new TaskStatus(task, attempt, state, why));
         }
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** The report in a worker's answer, or null if it isn't one. */
-    public static Report report(JsonNode b) {
+    public static Heartbeat report(JsonNode b) {
         if (b == null
                 || !b.isObject()
                 || !b.path("bothy").isTextual()
@@ -130,16 +130,16 @@
                 || !b.path("tick").isIntegralNumber()) {
             return null;
         }
-        List<TaskReport> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (JsonNode t : b.path("shards")) {
             State state = state(t.path("status").asText());
-            tasks.add(new TaskReport(
+            tasks.add(new TaskStatus(
                     t.path("shard").asText(),
                     Codec.u64(t.path("try")),
                     state,
                     t.path("cause").asText("")));
         }
-        return new Report(
+        return new Heartbeat(
                 b.path("bothy").asText(),
                 b.path("addr").asText(""),
                 b.path("flavour").asText(""),
@@ -152,10 +152,10 @@
                 tasks);
     }
 
-    public static ObjectNode orders(long token, List<Order> orders) {
+    public static ObjectNode orders(long token, List<Command> orders) {
         ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray("orders");
-        for (Order o : orders) {
+        for (Command o : orders) {
             ObjectNode n = list.addObject();
             switch (o.verb()) {
                 case START -> n.put("verb", "launch");
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.GraphConstants;
-import org.hollypick.control.Graphs;
 import org.hollypick.control.LeaderTerm;
+import org.hollypick.control.graphs.GraphService;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.NodeSpec;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 
@@ -30,18 +30,18 @@
  * once.
  */
 public final class GraphApi {
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
+    private final StoreReplica view;
     private final Membership membership;
     private final UserApi jobs;
     private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
 
     public GraphApi(
-            Runtime runtime,
+            EventLoop runtime,
             Settings settings,
-            View view,
+            StoreReplica view,
             Membership membership,
             UserApi jobs,
             Supplier<LeaderTerm> term,
@@ -56,10 +56,10 @@
     }
 
     /** A call from outside; {@code path} begins with {@code /graphs}. */
-    public void handle(String method, String path, byte[] bytes, Consumer<Answer> answer) {
+    public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> answer) {
         JsonNode body = Codec.read(bytes, false);
         if (method.equals("POST") && (body == null || !body.isObject())) {
-            answer.accept(Answer.error(400, "not a CBOR map"));
+            answer.accept(ServerResponse.error(400, "not a CBOR map"));
             return;
         }
         if (term.get() != null && term.get().acting()) {
@@ -68,12 +68,13 @@
         }
         String leaderAddress = settings.meshAddr(membership.leader());
         if (leaderAddress == null) {
-            answer.accept(Answer.later("no leader"));
+            answer.accept(ServerResponse.later("no leader"));
             return;
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
         passed.put(UserApi.REVISION, view.revision()).set("body", body);
-        Call call = new Call(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
+        Request call =
+                new Request(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
         runtime.call(call, r -> answer.accept(told(method, r)));
     }
 
@@ -81,21 +82,21 @@
      * The leader's answer. To a question that changes nothing, one that a newer one has overtaken on its way isn't
      * given.
      */
-    private Answer told(String method, Reply r) {
+    private ServerResponse told(String method, Response r) {
         int status = r.ok() ? r.body().path("status").asInt() : 503;
         JsonNode revision = r.body().path(UserApi.REVISION);
         boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
         if (status == 0 || status == 503 || (older && method.equals("GET"))) {
-            return Answer.later("leader");
+            return ServerResponse.later("leader");
         }
         view.answeredFrom(Codec.u64(revision));
-        return Answer.of(status, r.body().path("body"));
+        return ServerResponse.of(status, r.body().path("body"));
     }
 
     /** A call that another controller passes on. */
-    public void passed(JsonNode call, Consumer<Answer> answer) {
+    public void passed(JsonNode call, Consumer<ServerResponse> answer) {
         if (call == null || term.get() == null || !term.get().acting()) {
-            answer.accept(Answer.later("not the leader"));
+            answer.accept(ServerResponse.later("not the leader"));
             return;
         }
         view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
@@ -106,12 +107,12 @@
                 a -> answer.accept(passedBack(a)));
     }
 
-    private Answer passedBack(Answer a) {
+    private ServerResponse passedBack(ServerResponse a) {
         ObjectNode body = Codec.object().put(UserApi.REVISION, view.revision()).put("status", a.status());
-        return Answer.of(200, body.set("body", a.body()));
+        return ServerResponse.of(200, body.set("body", a.body()));
     }
 
-    private void owned(String method, String path, JsonNode body, Consumer<Answer> answer) {
+    private void owned(String method, String path, JsonNode body, Consumer<ServerResponse> answer) {
         String[] query = path.split("\\?", 2);
         List<String> parts = List.of(query[0].split("/"));
         boolean post = method.equals("POST");
@@ -119,7 +120,10 @@
                 ? parts.get(2)
                 : body == null ? "" : body.path("name_id").asText("");
         if (!JobCodec.isId(id)) {
-            answer.accept(parts.size() > 2 ? Answer.error(404, "no such graph") : Answer.error(400, "name_id"));
+            answer.accept(
+                    parts.size() > 2
+                            ? ServerResponse.error(404, "no such graph")
+                            : ServerResponse.error(400, "name_id"));
             return;
         }
         switch (parts.size()) {
@@ -131,11 +135,11 @@
                 } else if (post && parts.get(3).equals("nodes")) {
                     children(id, body, answer);
                 } else {
-                    answer.accept(Answer.error(404, "no such path"));
+                    answer.accept(ServerResponse.error(404, "no such path"));
                 }
             }
             case 6 -> node(post, id, parts, body, answer);
-            default -> answer.accept(Answer.error(404, "no such path"));
+            default -> answer.accept(ServerResponse.error(404, "no such path"));
         }
     }
 
@@ -148,22 +152,22 @@
         return 0;
     }
 
-    private void submit(boolean post, String id, JsonNode body, Consumer<Answer> answer) {
+    private void submit(boolean post, String id, JsonNode body, Consumer<ServerResponse> answer) {
         if (!post) {
-            answer.accept(Answer.error(405, "method not allowed"));
+            answer.accept(ServerResponse.error(405, "method not allowed"));
             return;
         }
-        View.Entry e = view.get(Keys.job(id));
+        StoreReplica.Entry e = view.get(StoreKeys.job(id));
         if (e != null && GraphRecords.isEnded(e.data())) {
             show(false, id, 0, answer); // a late retry
             return;
         }
         if (e != null && !GraphRecords.isGraph(e.data())) {
-            answer.accept(Answer.error(409, "the id is a job's"));
+            answer.accept(ServerResponse.error(409, "the id is a job's"));
             return;
         }
         if (types.get() == null) {
-            answer.accept(Answer.later("starting"));
+            answer.accept(ServerResponse.later("starting"));
             return;
         }
         GraphRecords.Head head;
@@ -172,7 +176,7 @@
             head = GraphCodec.head(id, body);
             nodes = GraphCodec.nodes(body, JobCodec.write(head.base()));
         } catch (GraphCodec.Malformed x) {
-            answer.accept(Answer.error(400, x.getMessage()));
+            answer.accept(ServerResponse.error(400, x.getMessage()));
             return;
         }
         if (refused(nodes, answer)) {
@@ -182,33 +186,35 @@
         term.get().graphs.submit(id, head, nodes, last, o -> answer.accept(answer(o)));
     }
 
-    private boolean refused(List<NodeSpec> nodes, Consumer<Answer> answer) {
+    private boolean refused(List<NodeSpec> nodes, Consumer<ServerResponse> answer) {
         for (NodeSpec n : nodes) {
             String never = Admission.neverRuns(n.task(), settings, types.get());
             if (never != null) {
-                answer.accept(Answer.error(422, "node " + n.id() + ": " + never));
+                answer.accept(ServerResponse.error(422, "node " + n.id() + ": " + never));
                 return true;
             }
         }
         return false;
     }
 
-    private static Answer answer(Graphs.Outcome o) {
-        return o.status() == 503 ? Answer.later(o.body().path("error").asText()) : Answer.of(o.status(), o.body());
+    private static ServerResponse answer(GraphService.Outcome o) {
+        return o.status() == 503
+                ? ServerResponse.later(o.body().path("error").asText())
+                : ServerResponse.of(o.status(), o.body());
     }
 
-    private void show(boolean post, String id, int from, Consumer<Answer> answer) {
+    private void show(boolean post, String id, int from, Consumer<ServerResponse> answer) {
         if (post) {
-            answer.accept(Answer.error(405, "method not allowed"));
+            answer.accept(ServerResponse.error(405, "method not allowed"));
             return;
         }
         jobs.status(id, a -> {
-            View.Entry e = view.get(Keys.job(id));
+            StoreReplica.Entry e = view.get(StoreKeys.job(id));
             if (a.status() == 200 && e != null && !GraphRecords.isGraph(e.data()) && !GraphRecords.isEnded(e.data())) {
-                answer.accept(Answer.error(404, "no graph, but a job"));
+                answer.accept(ServerResponse.error(404, "no graph, but a job"));
                 return;
             }
-            Graphs.Live live = term.get() != null && term.get().acting()
+            GraphService.Live live = term.get() != null && term.get().acting()
                     ? term.get().graphs.find(id)
                     : null;
             if (a.status() != 200) {
@@ -219,18 +225,18 @@
                 ObjectNode b = GraphCodec.describe(live, id, from);
                 b.put("status", a.body().path("status").asText());
                 ended(id, b);
-                answer.accept(Answer.of(200, b));
+                answer.accept(ServerResponse.of(200, b));
             } else {
                 ObjectNode b = a.body().deepCopy();
                 ended(id, b);
-                answer.accept(Answer.of(200, b.put("graph", id)));
+                answer.accept(ServerResponse.of(200, b.put("graph", id)));
             }
         });
     }
 
     /** What a graph's own record says once it is over. */
     private void ended(String id, ObjectNode b) {
-        View.Entry e = view.get(Keys.job(id));
+        StoreReplica.Entry e = view.get(StoreKeys.job(id));
         if (e != null && GraphRecords.isEnded(e.data())) {
             for (String field : List.of("nodes", "failed", "cancelled", "why")) {
                 if (!b.has(field)) {
@@ -240,25 +246,25 @@
         }
     }
 
-    private void children(String id, JsonNode body, Consumer<Answer> answer) {
-        Graphs.Live live = term.get().graphs.find(id);
+    private void children(String id, JsonNode body, Consumer<ServerResponse> answer) {
+        GraphService.Live live = term.get().graphs.find(id);
         if (live == null || live.job() == null) {
             missing(id, answer);
             return;
         }
         if (!body.path("parent").isTextual() || !body.path("try").isIntegralNumber()) {
-            answer.accept(Answer.error(400, "parent, try"));
+            answer.accept(ServerResponse.error(400, "parent, try"));
             return;
         }
         List<NodeSpec> nodes;
         try {
             nodes = GraphCodec.nodes(body, JobCodec.write(live.job().spec));
         } catch (GraphCodec.Malformed x) {
-            answer.accept(Answer.error(400, x.getMessage()));
+            answer.accept(ServerResponse.error(400, x.getMessage()));
             return;
         }
         if (types.get() == null) {
-            answer.accept(Answer.later("starting"));
+            answer.accept(ServerResponse.later("starting"));
         } else if (!refused(nodes, answer)) {
             String next = body.path("then").isTextual() ? body.path("then").asText() : null;
             term.get()
@@ -274,18 +280,19 @@
     }
 
     /** A graph that isn't known here as live: over, or never submitted, which only a fresh view tells. */
-    private void missing(String id, Consumer<Answer> answer) {
+    private void missing(String id, Consumer<ServerResponse> answer) {
         jobs.status(
                 id,
-                a -> answer.accept(a.status() == 200 ? Answer.error(409, "the graph is over, or its id a job's") : a));
+                a -> answer.accept(
+                        a.status() == 200 ? ServerResponse.error(409, "the graph is over, or its id a job's") : a));
     }
 
-    private void node(boolean post, String id, List<String> parts, JsonNode body, Consumer<Answer> answer) {
+    private void node(boolean post, String id, List<String> parts, JsonNode body, Consumer<ServerResponse> answer) {
         String node = parts.get(4);
         String what = parts.get(5);
-        Graphs.Live live = term.get().graphs.find(id);
+        GraphService.Live live = term.get().graphs.find(id);
         if (!parts.get(3).equals("nodes") || (!what.equals("result") && !what.equals("withdraw"))) {
-            answer.accept(Answer.error(404, "no such path"));
+            answer.accept(ServerResponse.error(404, "no such path"));
         } else if (live == null || (post && live.job() == null)) {
             missing(id, answer);
         } else if (post && what.equals("withdraw")) {
@@ -295,13 +302,13 @@
         } else if (what.equals("result")) {
             result(live, node, answer);
         } else {
-            answer.accept(Answer.error(405, "method not allowed"));
+            answer.accept(ServerResponse.error(405, "method not allowed"));
         }
     }
 
-    private void keep(String id, String node, JsonNode body, Consumer<Answer> answer) {
+    private void keep(String id, String node, JsonNode body, Consumer<ServerResponse> answer) {
         if (!body.path("try").isIntegralNumber()) {
-            answer.accept(Answer.error(400, "try"));
+            answer.accept(ServerResponse.error(400, "try"));
             return;
         }
         try {
@@ -314,23 +321,23 @@
                             GraphCodec.result(body),
                             o -> answer.accept(answer(o)));
         } catch (GraphCodec.Malformed x) {
-            answer.accept(Answer.error(400, x.getMessage()));
+            answer.accept(ServerResponse.error(400, x.getMessage()));
         }
     }
 
     /** A cancelled node, or a result, that a successor might not find isn't told. */
-    private static Answer unrecorded() {
-        return Answer.later("what a node ended with is being recorded");
+    private static ServerResponse unrecorded() {
+        return ServerResponse.later("what a node ended with is being recorded");
     }
 
-    private static void result(Graphs.Live live, String node, Consumer<Answer> answer) {
+    private static void result(GraphService.Live live, String node, Consumer<ServerResponse> answer) {
         int i = live.graph().find(node);
         if (live.unrecorded()) {
             answer.accept(unrecorded());
             return;
         }
         if (i < 0) {
-            answer.accept(Answer.error(404, "no such node"));
+            answer.accept(ServerResponse.error(404, "no such node"));
             return;
         }
         Graph.State state = live.graph().state(i);
@@ -338,15 +345,17 @@
             boolean never = state == Graph.State.FAILED || state == Graph.State.CANCELLED;
             answer.accept(
                     never
-                            ? Answer.error(
+                            ? ServerResponse.error(
                                     409,
                                     state.name().toLowerCase(Locale.ROOT) + ": "
                                             + live.graph().reason(i))
-                            : Answer.later("not done yet"));
+                            : ServerResponse.later("not done yet"));
             return;
         }
         JsonNode result = live.resultOf(i);
         answer.accept(
-                result == null ? Answer.error(404, "the node is done and gave no result") : Answer.of(200, result));
+                result == null
+                        ? ServerResponse.error(404, "the node is done and gave no result")
+                        : ServerResponse.of(200, result));
     }
 }
--- a/src/main/java/org/hollypick/api/GraphCodec.java
+++ b/src/main/java/org/hollypick/api/GraphCodec.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.Set;
 import org.hollypick.config.constants.GraphConstants;
-import org.hollypick.control.Graphs;
+import org.hollypick.control.graphs.GraphService;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.NodeSpec;
@@ -157,7 +157,7 @@
     }
 
     /** A graph as its users see it, with a page of nodes from an index on. */
-    static ObjectNode describe(Graphs.Live live, String id, int from) {
+    static ObjectNode describe(GraphService.Live live, String id, int from) {
         Graph graph = live.graph();
         ObjectNode b =
                 Codec.object().put("graph", id).put("sealed", graph.sealed()).put("nodes_count", graph.count());
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -11,26 +11,26 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ApiConstants;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.config.constants.StoreConstants;
-import org.hollypick.control.JobRecords;
-import org.hollypick.control.JobTermination;
 import org.hollypick.control.LeaderTerm;
-import org.hollypick.core.Dependencies;
+import org.hollypick.control.jobs.JobStore;
+import org.hollypick.control.jobs.JobTermination;
 import org.hollypick.core.Job;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.estimate.CompletionEstimate;
 import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
 
@@ -39,30 +39,30 @@
     /** Between nodes: the newest revision that answers of the sender were built on (docs/safety.md, "went_back"). */
     static final String REVISION = "epoch";
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
+    private final StoreReplica view;
     private final Membership membership;
-    private final JobRecords records;
-    private final Dependencies dependencies;
+    private final JobStore records;
+    private final JobDependencies dependencies;
     private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
     /** Until when the leader isn't asked, after it left a question unanswered. */
     private long leaderSilentUntil;
     /** Polls that wait to be asked about, and whether that is due already. */
-    private final Map<String, List<Consumer<Answer>>> polls = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<ServerResponse>>> polls = new LinkedHashMap<>();
 
     private boolean gathering;
     /** Submissions refused so far. */
     private int refused;
 
     public UserApi(
-            Runtime runtime,
+            EventLoop runtime,
             Settings settings,
-            View view,
+            StoreReplica view,
             Membership membership,
-            JobRecords records,
-            Dependencies dependencies,
+            JobStore records,
+            JobDependencies dependencies,
             Supplier<LeaderTerm> term,
             Supplier<Map<String, MachineType>> types) {
         this.runtime = runtime;
@@ -77,14 +77,14 @@
 
     // ---- submissions ----
 
-    public void submit(JsonNode body, Consumer<Answer> answer) {
+    public void submit(JsonNode body, Consumer<ServerResponse> answer) {
         if (body == null || !body.isObject()) {
-            answer.accept(Answer.error(400, "not a CBOR map"));
+            answer.accept(ServerResponse.error(400, "not a CBOR map"));
             return;
         }
         String id = body.path("name_id").asText("");
         if (!body.path("name_id").isTextual() || !JobCodec.isId(id)) {
-            answer.accept(Answer.error(400, "name_id"));
+            answer.accept(ServerResponse.error(400, "name_id"));
             return;
         }
         if (records.known(id)) {
@@ -97,16 +97,16 @@
             spec = JobCodec.submission(body);
             awaits = JobCodec.awaits(body);
         } catch (JobCodec.Invalid e) {
-            unlessKnown(id, Answer.error(400, "missing or invalid: " + e.getMessage()), answer);
+            unlessKnown(id, ServerResponse.error(400, "missing or invalid: " + e.getMessage()), answer);
             return;
         }
         if (types.get() == null || !view.loaded()) {
-            answer.accept(Answer.later("starting"));
+            answer.accept(ServerResponse.later("starting"));
             return;
         }
         String never = Admission.neverRuns(spec, settings, types.get());
         if (never != null) {
-            unlessKnown(id, Answer.error(422, never), answer);
+            unlessKnown(id, ServerResponse.error(422, never), answer);
             return;
         }
         if (known(awaits)) {
@@ -116,30 +116,30 @@
         // A job that another node has just accepted may not be in this node's view yet.
         view.fresh(fresh -> {
             if (!fresh) {
-                answer.accept(Answer.later("state service"));
-            } else if (view.get(Keys.job(id)) != null) {
+                answer.accept(ServerResponse.later("state service"));
+            } else if (view.get(StoreKeys.job(id)) != null) {
                 status(id, answer);
             } else if (known(awaits)) {
                 create(spec, awaits, answer);
             } else {
-                answer.accept(Answer.error(422, "awaits a job that was never accepted"));
+                answer.accept(ServerResponse.error(422, "awaits a job that was never accepted"));
             }
         });
     }
 
     private boolean known(Set<String> ids) {
         for (String id : ids) {
-            if (view.get(Keys.job(id)) == null) {
+            if (view.get(StoreKeys.job(id)) == null) {
                 return false;
             }
         }
         return true;
     }
 
-    private void create(JobSpec spec, Set<String> awaits, Consumer<Answer> answer) {
+    private void create(JobSpec spec, Set<String> awaits, Consumer<ServerResponse> answer) {
         for (String id : awaits) {
-            if (Records.isService(view.get(Keys.job(id)).data())) {
-                unlessKnown(spec.id(), Answer.error(422, "awaits a service, which is never done"), answer);
+            if (Records.isService(view.get(StoreKeys.job(id)).data())) {
+                unlessKnown(spec.id(), ServerResponse.error(422, "awaits a service, which is never done"), answer);
                 return;
             }
         }
@@ -148,8 +148,8 @@
                 case CREATED -> answer.accept(created(spec.id(), awaits));
                 case KNOWN -> status(spec.id(), answer);
                 case TOO_LARGE ->
-                    unlessKnown(spec.id(), Answer.error(400, "larger than the state service can hold"), answer);
-                default -> answer.accept(Answer.crowded(refused++));
+                    unlessKnown(spec.id(), ServerResponse.error(400, "larger than the state service can hold"), answer);
+                default -> answer.accept(ServerResponse.crowded(refused++));
             }
         });
     }
@@ -158,20 +158,20 @@
      * The write's own answer may come after others have told that the job is over. One that awaits what was cancelled
      * is over at once.
      */
-    private Answer created(String id, Set<String> awaits) {
-        Answer over = over(id);
+    private ServerResponse created(String id, Set<String> awaits) {
+        ServerResponse over = over(id);
         if (over != null) {
             return over;
         }
         String status = dependencies.anyCancelled(awaits) ? Records.ABORTED : "pending";
-        return Answer.of(201, body(id, status, 0, 0)).only(() -> over(id) == null);
+        return ServerResponse.of(201, body(id, status, 0, 0)).only(() -> over(id) == null);
     }
 
     /** A refusal that is final is only given after a fresh read: a job that was accepted stays accepted. */
-    private void unlessKnown(String id, Answer refusal, Consumer<Answer> answer) {
+    private void unlessKnown(String id, ServerResponse refusal, Consumer<ServerResponse> answer) {
         view.fresh(fresh -> {
             if (!fresh) {
-                answer.accept(Answer.later("state service"));
+                answer.accept(ServerResponse.later("state service"));
             } else if (unknown(id)) {
                 answer.accept(refusal.only(() -> unknown(id)));
             } else {
@@ -182,12 +182,12 @@
 
     // ---- polls ----
 
-    public void status(String id, Consumer<Answer> answer) {
+    public void status(String id, Consumer<ServerResponse> answer) {
         if (!JobCodec.isId(id)) {
-            answer.accept(Answer.error(404, "no such job"));
+            answer.accept(ServerResponse.error(404, "no such job"));
             return;
         }
-        Answer known = certain(id);
+        ServerResponse known = certain(id);
         if (known != null) {
             answer.accept(known);
             return;
@@ -209,7 +209,7 @@
      */
     private void askLeader() {
         gathering = false;
-        Map<String, List<Consumer<Answer>>> asked = new LinkedHashMap<>(polls);
+        Map<String, List<Consumer<ServerResponse>>> asked = new LinkedHashMap<>(polls);
         polls.clear();
         String leaderAddress = leaderToAsk();
         if (leaderAddress == null) {
@@ -219,7 +219,7 @@
         ObjectNode body = Codec.object().put(REVISION, view.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
-        runtime.call(new Call(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
+        runtime.call(new Request(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
             if (r.status() <= 0) {
                 leaderSilentUntil = runtime.now() + ApiConstants.SILENT_LEADER_MS;
             }
@@ -235,13 +235,13 @@
      * The leader's word may be overtaken on its way by a newer one, or by this node's own records: a state that isn't
      * final is only told if it is built on a revision no older than any answer before.
      */
-    private void leaderTold(String id, JsonNode told, long revision, Consumer<Answer> answer) {
-        Answer over = over(id);
+    private void leaderTold(String id, JsonNode told, long revision, Consumer<ServerResponse> answer) {
+        ServerResponse over = over(id);
         if (over != null) {
             answer.accept(over);
         } else if (told.isObject() && (ended(told) || view.mayAnswerFrom(revision))) {
             view.answeredFrom(revision);
-            answer.accept(Answer.of(200, told).only(() -> ended(told) || over(id) == null));
+            answer.accept(ServerResponse.of(200, told).only(() -> ended(told) || over(id) == null));
         } else {
             fromRecord(id, answer);
         }
@@ -254,8 +254,8 @@
     }
 
     /** What this node knows for certain: a terminal state, or a live job that it owns. Null if nothing. */
-    private Answer certain(String id) {
-        Answer over = over(id);
+    private ServerResponse certain(String id) {
+        ServerResponse over = over(id);
         if (over != null) {
             return over;
         }
@@ -269,24 +269,24 @@
     }
 
     private boolean unknown(String id) {
-        return view.get(Keys.job(id)) == null;
+        return view.get(StoreKeys.job(id)) == null;
     }
 
     /**
      * A terminal state that is durable; null without one. Nobody needs to write that a job is cancelled with one that
      * it needs.
      */
-    private Answer over(String id) {
-        View.Entry e = view.get(Keys.job(id));
+    private ServerResponse over(String id) {
+        StoreReplica.Entry e = view.get(StoreKeys.job(id));
         if (e != null && Records.isOver(e.data())) {
             view.answeredFrom(e.stamp());
-            return Answer.of(
+            return ServerResponse.of(
                     200,
                     body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
         }
         if (e != null && dependencies.isCancelled(id)) {
             view.answeredFrom(view.epoch());
-            return Answer.of(200, body(id, Records.ABORTED, 0, 0));
+            return ServerResponse.of(200, body(id, Records.ABORTED, 0, 0));
         }
         return null;
     }
@@ -304,24 +304,24 @@
     }
 
     /** From this node's own copy of the records, once that is known to be fresh. */
-    private void fromRecord(String id, Consumer<Answer> answer) {
+    private void fromRecord(String id, Consumer<ServerResponse> answer) {
         view.fresh(fresh -> {
-            Answer over = over(id);
+            ServerResponse over = over(id);
             if (!fresh) {
-                answer.accept(Answer.later("state service"));
+                answer.accept(ServerResponse.later("state service"));
             } else if (unknown(id)) {
-                answer.accept(Answer.error(404, "no such job").only(() -> unknown(id)));
+                answer.accept(ServerResponse.error(404, "no such job").only(() -> unknown(id)));
             } else if (over != null) {
                 answer.accept(over);
             } else {
-                answer.accept(Answer.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
+                answer.accept(ServerResponse.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
             }
         });
     }
 
-    private static Answer live(Job job) {
+    private static ServerResponse live(Job job) {
         int running = job.running;
-        return Answer.of(
+        return ServerResponse.of(
                 200, body(job.spec.id(), running > 0 ? "running" : "pending", job.done.cardinality(), running));
     }
 
@@ -336,56 +336,58 @@
     // ---- estimates ----
 
     /** When a job is likely to be done; worked out by its leader, where operators switched that on. */
-    public void estimate(String id, Consumer<Answer> answer) {
+    public void estimate(String id, Consumer<ServerResponse> answer) {
         if (term.get() != null && term.get().acting()) {
             answer.accept(estimated(id));
             return;
         }
         String leaderAddress = JobCodec.isId(id) ? leaderToAsk() : null;
         if (leaderAddress == null) {
-            answer.accept(Answer.later("no leader"));
+            answer.accept(ServerResponse.later("no leader"));
             return;
         }
         ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
         runtime.call(
-                new Call(leaderAddress, "POST", "/estimate", question, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
+                new Request(leaderAddress, "POST", "/estimate", question, NetworkConstants.PEER_TIMEOUT_MS, true),
+                r -> {
                     int status = r.body().path("status").asInt();
                     long revision = Codec.u64(r.body().path(REVISION));
-                    Answer over = over(id);
+                    ServerResponse over = over(id);
                     if (over != null) {
                         answer.accept(over);
                     } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
                         view.answeredFrom(revision);
-                        answer.accept(Answer.of(status, r.body().path("body")).only(() -> over(id) == null));
+                        answer.accept(
+                                ServerResponse.of(status, r.body().path("body")).only(() -> over(id) == null));
                     } else {
-                        answer.accept(Answer.later("leader"));
+                        answer.accept(ServerResponse.later("leader"));
                     }
                 });
     }
 
     /** Another controller asks for one of its users. */
-    public Answer meshEstimate(JsonNode body) {
+    public ServerResponse meshEstimate(JsonNode body) {
         learn(body);
-        Answer a = body != null && term.get() != null && term.get().acting()
+        ServerResponse a = body != null && term.get() != null && term.get().acting()
                 ? estimated(body.path("job").asText())
-                : Answer.later("not the leader");
+                : ServerResponse.later("not the leader");
         ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
-        return Answer.of(200, told.set("body", a.body()));
+        return ServerResponse.of(200, told.set("body", a.body()));
     }
 
-    private Answer estimated(String id) {
-        Answer over = over(id);
+    private ServerResponse estimated(String id) {
+        ServerResponse over = over(id);
         if (over != null) {
             return over;
         }
         Job job = term.get().scheduler.jobs.get(id);
         if (job == null || !certainlyLive(job)) {
             // Its end may be durable, and told by another node; GET /submissions/ID finds out, by a fresh view.
-            return Answer.later("not known here yet");
+            return ServerResponse.later("not known here yet");
         }
         ObjectNode b = Codec.object().put("name_id", id).put("status", job.running > 0 ? "running" : "pending");
         if (job.spec.service()) {
-            return Answer.of(200, b.put("reason", "a service runs until it is cancelled"));
+            return ServerResponse.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
         CompletionEstimate.Answer finish = new CompletionEstimate(
                         term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now())
@@ -399,7 +401,7 @@
                 .putObject("history")
                 .put("n", interval.runs())
                 .put("from", interval.from());
-        return Answer.of(200, b);
+        return ServerResponse.of(200, b);
     }
 
     private static double round(double seconds) {
@@ -408,12 +410,12 @@
 
     // ---- withdrawals ----
 
-    public void withdraw(String id, Consumer<Answer> answer) {
+    public void withdraw(String id, Consumer<ServerResponse> answer) {
         if (!JobCodec.isId(id)) {
-            answer.accept(Answer.error(404, "no such job"));
+            answer.accept(ServerResponse.error(404, "no such job"));
             return;
         }
-        Answer over = over(id);
+        ServerResponse over = over(id);
         if (over != null) {
             answer.accept(over);
             return;
@@ -423,15 +425,15 @@
             JobTermination jobTermination = term.get().jobTermination;
             jobTermination.cancel(job, done -> {
                 view.answeredFrom(jobTermination.cancelledAt());
-                Answer aborted = Answer.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0));
-                answer.accept(done ? aborted : Answer.later("state service"));
+                ServerResponse aborted = ServerResponse.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0));
+                answer.accept(done ? aborted : ServerResponse.later("state service"));
             });
             return;
         }
         String leaderAddress = leaderToAsk();
         if (leaderAddress != null) {
             runtime.call(
-                    new Call(
+                    new Request(
                             leaderAddress,
                             "POST",
                             "/jobs/" + id + "/abort",
@@ -443,7 +445,7 @@
                             view.answeredFrom(Codec.u64(r.body().path(REVISION)));
                             ObjectNode told = r.body().deepCopy();
                             told.remove(REVISION);
-                            answer.accept(Answer.of(200, told));
+                            answer.accept(ServerResponse.of(200, told));
                         } else {
                             withdrawn(id, answer);
                         }
@@ -454,15 +456,15 @@
     }
 
     /** Only the leader aborts a live job; without it only what is over already, or never was, can be told. */
-    private void withdrawn(String id, Consumer<Answer> answer) {
+    private void withdrawn(String id, Consumer<ServerResponse> answer) {
         view.fresh(fresh -> {
-            Answer over = over(id);
+            ServerResponse over = over(id);
             if (fresh && unknown(id)) {
-                answer.accept(Answer.error(404, "no such job").only(() -> unknown(id)));
+                answer.accept(ServerResponse.error(404, "no such job").only(() -> unknown(id)));
             } else if (fresh && over != null) {
                 answer.accept(over);
             } else {
-                answer.accept(Answer.later("no leader"));
+                answer.accept(ServerResponse.later("no leader"));
             }
         });
     }
@@ -472,31 +474,32 @@
     /**
      * Another node asks about jobs; only an acting leader knows more than the records. What isn't certain is left out.
      */
-    public Answer meshStatus(JsonNode body) {
+    public ServerResponse meshStatus(JsonNode body) {
         learn(body);
         ObjectNode told = Codec.object().put(REVISION, view.revision());
         for (JsonNode n : body == null ? Codec.array() : body.path("jobs")) {
-            Answer a = certain(n.asText());
+            ServerResponse a = certain(n.asText());
             if (a != null) {
                 told.set(n.asText(), a.body());
             }
         }
-        return Answer.of(200, told);
+        return ServerResponse.of(200, told);
     }
 
-    public void meshAbort(String id, Consumer<Answer> answer) {
+    public void meshAbort(String id, Consumer<ServerResponse> answer) {
         if (owned(id) != null) {
             withdraw(id, a -> answer.accept(a.status() == 200 ? revised(a) : a));
         } else {
-            Answer known = certain(id);
-            answer.accept(known != null ? revised(known) : Answer.error(404, "not owned here"));
+            ServerResponse known = certain(id);
+            answer.accept(known != null ? revised(known) : ServerResponse.error(404, "not owned here"));
         }
     }
 
     /** The answer, and the revision that it is built on. */
-    private Answer revised(Answer a) {
+    private ServerResponse revised(ServerResponse a) {
         ObjectNode body = a.body().deepCopy();
-        return Answer.of(a.status(), body.put(REVISION, view.revision())).only(a.still());
+        return ServerResponse.of(a.status(), body.put(REVISION, view.revision()))
+                .only(a.still());
     }
 
     /** Another node tells the newest revision that an answer of its was built on. */
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.ConfigException;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.io.ConnectionBudget;
 import org.hollypick.io.HttpServer;
-import org.hollypick.io.Network;
-import org.hollypick.io.Sockets;
+import org.hollypick.io.XnioEventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
@@ -119,9 +119,9 @@
         private final CompletableFuture<Undertow> started;
         private XnioWorker worker;
         private DefaultByteBufferPool buffers;
-        private Sockets sockets;
-        private Network network;
-        private Node node;
+        private ConnectionBudget sockets;
+        private XnioEventLoop network;
+        private Controller node;
         private int tries;
 
         Starter(Settings settings, OperatorSettings operator, CompletableFuture<Undertow> started) {
@@ -134,14 +134,14 @@
         public void run() {
             try {
                 buffers = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
-                sockets = new Sockets(settings.sockets());
-                network = new Network(
+                sockets = new ConnectionBudget(settings.sockets());
+                network = new XnioEventLoop(
                         worker.getIoThread(),
                         buffers,
                         sockets,
                         Set.copyOf(List.of(settings.state(), settings.cloud())),
                         (int) (settings.sockets() * NetworkConstants.IDLE_SOCKET_SHARE));
-                node = new Node(network, settings, operator);
+                node = new Controller(network, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
                 started.completeExceptionally(e);
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -11,12 +11,12 @@
 import java.util.concurrent.TimeUnit;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Network;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Sockets;
+import org.hollypick.io.ConnectionBudget;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.hollypick.io.WireNames;
+import org.hollypick.io.XnioEventLoop;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -61,14 +61,18 @@
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
-        Network client = new Network(
-                worker.getIoThread(), new DefaultByteBufferPool(true, 8 * 1024), new Sockets(100), Set.of(), 10);
+        XnioEventLoop client = new XnioEventLoop(
+                worker.getIoThread(),
+                new DefaultByteBufferPool(true, 8 * 1024),
+                new ConnectionBudget(100),
+                Set.of(),
+                10);
         boolean ok = true;
-        for (Call call : List.of(
-                Call.of(users, "GET", "/ready", null, 5_000),
-                Call.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
-                Call.of(users, "GET", "/submissions/req-1", null, 5_000),
-                Call.of(
+        for (Request call : List.of(
+                Request.of(users, "GET", "/ready", null, 5_000),
+                Request.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
+                Request.of(users, "GET", "/submissions/req-1", null, 5_000),
+                Request.of(
                         users,
                         "POST",
                         "/hello",
@@ -77,10 +81,10 @@
                                 .put(WireNames.WORKER_SESSION, 1)
                                 .put("tick", 1),
                         5_000),
-                new Call(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
-            BlockingQueue<Reply> got = new ArrayBlockingQueue<>(1);
+                new Request(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
+            BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
             client.after(0, () -> client.call(call, got::add));
-            Reply reply = got.poll(10, TimeUnit.SECONDS);
+            Response reply = got.poll(10, TimeUnit.SECONDS);
             ok &= reply != null && reply.status() >= 400;
         }
         server.stop();
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -13,30 +13,30 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.MachineType;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.RateBudget;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.TokenBucket;
 
 /**
  * The cloud's protocol, inside its request limit. Over the limit a call isn't sent; the loops try again. {@code still}:
  * asked when it is sent.
  */
 public final class CloudClient {
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final String address;
-    private final RateBudget budget;
+    private final TokenBucket budget;
 
-    public CloudClient(Runtime runtime, Settings settings) {
+    public CloudClient(EventLoop runtime, Settings settings) {
         this.runtime = runtime;
         this.address = settings.cloud();
-        this.budget = new RateBudget(settings.cloudRps() * 0.8, runtime.now());
+        this.budget = new TokenBucket(settings.cloudRps() * 0.8, runtime.now());
     }
 
-    private void send(Call call, Consumer<Reply> reply) {
+    private void send(Request call, Consumer<Response> reply) {
         if (!budget.has(1, runtime.now())) {
-            reply.accept(Reply.notSent());
+            reply.accept(Response.notSent());
             return;
         }
         budget.take(1, runtime.now());
@@ -44,7 +44,7 @@
     }
 
     public void types(Consumer<Map<String, MachineType>> reply) {
-        send(Call.of(address, "GET", "/machine_types", null, NetworkConstants.CLOUD_TIMEOUT_MS), r -> {
+        send(Request.of(address, "GET", "/machine_types", null, NetworkConstants.CLOUD_TIMEOUT_MS), r -> {
             if (!r.ok()) {
                 reply.accept(null);
                 return;
@@ -77,7 +77,7 @@
             boolean spot,
             int count,
             BooleanSupplier still,
-            Consumer<Reply> reply) {
+            Consumer<Response> reply) {
         ObjectNode body = Codec.object()
                 .put("hire", request)
                 .put("flavour", type)
@@ -85,23 +85,23 @@
                 .put("lendable", spot)
                 .put("number", count);
         send(
-                Call.of(address, "POST", "/hosts", body, NetworkConstants.CLOUD_TIMEOUT_MS)
+                Request.of(address, "POST", "/hosts", body, NetworkConstants.CLOUD_TIMEOUT_MS)
                         .only(still),
                 reply);
     }
 
-    public void giveBack(Collection<String> machines, BooleanSupplier still, Consumer<Reply> reply) {
+    public void giveBack(Collection<String> machines, BooleanSupplier still, Consumer<Response> reply) {
         ObjectNode body = Codec.object();
         ArrayNode names = body.putArray("bothies");
         machines.forEach(names::add);
         send(
-                Call.of(address, "POST", "/hosts/return", body, NetworkConstants.CLOUD_TIMEOUT_MS)
+                Request.of(address, "POST", "/hosts/return", body, NetworkConstants.CLOUD_TIMEOUT_MS)
                         .only(still),
                 reply);
     }
 
-    public void list(String from, Consumer<Reply> reply) {
+    public void list(String from, Consumer<Response> reply) {
         String path = "/hosts?page=500" + (from == null ? "" : "&from=" + from);
-        send(Call.of(address, "GET", path, null, NetworkConstants.CLOUD_TIMEOUT_MS), reply);
+        send(Request.of(address, "GET", path, null, NetworkConstants.CLOUD_TIMEOUT_MS), reply);
     }
 }
--- a/src/main/java/org/hollypick/cluster/Candidate.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.hollypick.agent.AgentClient;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
-import org.hollypick.core.links.LeadershipDelay;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
-import org.hollypick.worker.WorkerClient;
+import org.hollypick.core.routing.CandidacyDelay;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 
 /**
  * How well this controller could lead, measured when it matters: some machines of each zone are asked directly, and by
  * way of the others. One that reaches few leaves a free lead to others for a while; a leader gives it up only to one
  * that reaches what it reaches by all ways together.
  */
-public final class Candidate {
+public final class CandidacyEvaluation {
     /**
      * Of the machines asked: how many answered this controller, how many only another, and how many the one that
      * reached most.
@@ -29,12 +29,12 @@
     public record Measured(int asked, int direct, int byPeers, int bestPeer) {
         /** For how long a free lead is left to others. */
         public long waitMs() {
-            return LeadershipDelay.waitMs(asked, direct, byPeers);
+            return CandidacyDelay.waitMs(asked, direct, byPeers);
         }
 
         /** Nearly all machines are reached, by one way or another. */
         public boolean reachesNearlyAll() {
-            return LeadershipDelay.nearlyAll(asked, direct, byPeers);
+            return CandidacyDelay.nearlyAll(asked, direct, byPeers);
         }
 
         /**
@@ -42,20 +42,20 @@
          * alone.
          */
         public boolean betterElsewhere() {
-            return LeadershipDelay.better(direct, byPeers, bestPeer);
+            return CandidacyDelay.better(direct, byPeers, bestPeer);
         }
     }
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
-    private final WorkerClient workers;
+    private final StoreReplica view;
+    private final AgentClient workers;
 
-    Candidate(Runtime runtime, Settings settings, View view) {
+    CandidacyEvaluation(EventLoop runtime, Settings settings, StoreReplica view) {
         this.runtime = runtime;
         this.settings = settings;
         this.view = view;
-        this.workers = new WorkerClient(runtime);
+        this.workers = new AgentClient(runtime);
     }
 
     /** One round of questions; {@code whole}: the others are asked too, even if most machines answer at once. */
@@ -93,7 +93,7 @@
                             workers.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
                                 if (r.ok()) {
                                     direct.add(id);
-                                } else if (r.status() == Reply.LACK) {
+                                } else if (r.status() == Response.LACK) {
                                     asked.remove(id); // it says nothing about the path
                                 }
                                 ended();
@@ -126,7 +126,7 @@
             if (told) {
                 return;
             }
-            if (!whole && LeadershipDelay.enough(asked.size(), direct.size())) {
+            if (!whole && CandidacyDelay.enough(asked.size(), direct.size())) {
                 told = true;
                 then.accept(new Measured(asked.size(), direct.size(), 0, 0));
             } else if (open == 0 && !peersAsked) {
@@ -144,7 +144,7 @@
     private Map<String, String> some() {
         Map<String, List<Map.Entry<String, JsonNode>>> byZone = new LinkedHashMap<>();
         view.entries().forEach((key, e) -> {
-            if (key.startsWith(Keys.MACHINES)) {
+            if (key.startsWith(StoreKeys.MACHINES)) {
                 e.data().fields().forEachRemaining(m -> {
                     if (!m.getValue().path("addr").asText().isEmpty()) {
                         byZone.computeIfAbsent(m.getValue().path("zone").asText(), z -> new ArrayList<>())
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -12,12 +12,12 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.config.constants.RelayConstants;
-import org.hollypick.core.Leases;
-import org.hollypick.io.Call;
+import org.hollypick.core.WorkerLeases;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
 import org.hollypick.io.WireNames;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,11 +29,11 @@
     private static final String LIMITS = "limits";
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
-    private final Runtime runtime;
-    private final StateClient state;
+    private final EventLoop runtime;
+    private final KeyValueStoreClient state;
     private final Settings settings;
-    private final View view;
-    private final Candidate candidate;
+    private final StoreReplica view;
+    private final CandidacyEvaluation candidate;
     private final Runnable changed;
     private final int rank;
     private final String limits;
@@ -67,13 +67,14 @@
     /** When this node gave up its lead, by the time of day; told with its member key, so that all know. */
     private final LongArrayList resigned = new LongArrayList();
 
-    public Membership(Runtime runtime, StateClient state, Settings settings, View view, Runnable changed) {
+    public Membership(
+            EventLoop runtime, KeyValueStoreClient state, Settings settings, StoreReplica view, Runnable changed) {
         this.runtime = runtime;
         this.state = state;
         this.settings = settings;
         this.view = view;
         this.limits = settings.limitsMark();
-        this.candidate = new Candidate(runtime, settings, view);
+        this.candidate = new CandidacyEvaluation(runtime, settings, view);
         this.changed = changed;
         TreeSet<String> names = new TreeSet<>(List.of(settings.node()));
         settings.siblings().forEach(s -> names.add(s.node()));
@@ -89,7 +90,7 @@
      * session is ended.
      */
     public void start() {
-        state.get(Keys.member(settings.node()), r -> {
+        state.get(StoreKeys.member(settings.node()), r -> {
             if (r.ok() && r.body().path(WireNames.STATE_SESSION).isNumber()) {
                 endEarlier(
                         Codec.u64(r.body().path(WireNames.STATE_SESSION)),
@@ -136,7 +137,7 @@
         int[] missing = {settings.siblings().size()};
         for (Settings.Sibling s : settings.siblings()) {
             runtime.call(
-                    new Call(
+                    new Request(
                             s.addr(),
                             "POST",
                             "/release",
@@ -193,8 +194,8 @@
         resigned.forEach(times::add);
         // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the
         // others would take for a new incarnation while this one still acts.
-        String key = Keys.member(settings.node());
-        state.commitNow(new StateClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
+        String key = StoreKeys.member(settings.node());
+        state.commitNow(new KeyValueStoreClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
             if (self != incarnation) {
                 return;
             }
@@ -268,7 +269,7 @@
             int[] missing = {settings.siblings().size()};
             for (Settings.Sibling s : settings.siblings()) {
                 runtime.call(
-                        new Call(
+                        new Request(
                                 s.addr(),
                                 "POST",
                                 "/promise",
@@ -354,12 +355,14 @@
 
     /** Until when this node may, or might, act as leader under this token. */
     public long entitledUntil(long token) {
-        return Math.max(held ? stateSessionUntil : Leases.NEVER, promisedToken == token ? promisedUntil : Leases.NEVER);
+        return Math.max(
+                held ? stateSessionUntil : WorkerLeases.NEVER,
+                promisedToken == token ? promisedUntil : WorkerLeases.NEVER);
     }
 
     /** The leader record's revision if the leader record names this very incarnation, else 0. */
     public long token() {
-        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord != null
                         && memberStamp != 0
                         && leaderRecord.data().path("leader").asText().equals(settings.node())
@@ -370,7 +373,7 @@
 
     /** The leader that the leader record names, which may be dead; null without a leader record. */
     public String leader() {
-        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null ? null : leaderRecord.data().path("leader").asText();
     }
 
@@ -381,7 +384,7 @@
 
     /** How many terms there have been, the present one included. */
     public long terms() {
-        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null ? 0 : leaderRecord.data().path("terms").asLong();
     }
 
@@ -405,7 +408,7 @@
                 ? null
                 : new Leader(
                         leader(),
-                        Codec.u64(view.get(Keys.LEADER_RECORD).data().path("member")),
+                        Codec.u64(view.get(StoreKeys.LEADER_RECORD).data().path("member")),
                         leaderRecordRevision());
     }
 
@@ -441,7 +444,7 @@
     }
 
     public long leaderRecordRevision() {
-        return view.stamp(Keys.LEADER_RECORD);
+        return view.stamp(StoreKeys.LEADER_RECORD);
     }
 
     /**
@@ -452,7 +455,7 @@
         long now = runtime.timeOfDay();
         LongArrayList lately = new LongArrayList(resigned);
         for (Settings.Sibling s : settings.siblings()) {
-            View.Entry member = view.get(Keys.member(s.node()));
+            StoreReplica.Entry member = view.get(StoreKeys.member(s.node()));
             if (member != null) {
                 member.data().path("resigned").forEach(t -> lately.add(t.asLong()));
             }
@@ -512,7 +515,7 @@
     }
 
     /** Asks some machines, and the others about them: who would lead best? */
-    public void measure(Consumer<Candidate.Measured> then) {
+    public void measure(Consumer<CandidacyEvaluation.Measured> then) {
         candidate.measure(true, then);
     }
 
@@ -521,11 +524,11 @@
             claiming = false;
         } else {
             String leader = leader();
-            StateClient.Txn txn = new StateClient.Txn()
-                    .when(Keys.LEADER_RECORD, leaderRecordRevision())
-                    .when(Keys.member(settings.node()), memberStamp);
+            KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
+                    .when(StoreKeys.LEADER_RECORD, leaderRecordRevision())
+                    .when(StoreKeys.member(settings.node()), memberStamp);
             if (leader != null && !leader.equals(settings.node())) {
-                txn.when(Keys.member(leader), view.stamp(Keys.member(leader)));
+                txn.when(StoreKeys.member(leader), view.stamp(StoreKeys.member(leader)));
             }
             write(txn, limitsKept(), leader == null ? "first" : "after " + leader);
         }
@@ -536,7 +539,7 @@
      * if that holds for those before it.
      */
     public boolean limitsKept() {
-        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null || leaderRecord.data().path(LIMITS).asText().equals(limits);
     }
 
@@ -557,15 +560,15 @@
         if (!claiming && valid() && entitled(token)) {
             claiming = true;
             write(
-                    new StateClient.Txn()
-                            .when(Keys.LEADER_RECORD, token)
-                            .when(Keys.member(settings.node()), memberStamp),
+                    new KeyValueStoreClient.Txn()
+                            .when(StoreKeys.LEADER_RECORD, token)
+                            .when(StoreKeys.member(settings.node()), memberStamp),
                     limitsKept,
                     "a fence");
         }
     }
 
-    private void write(StateClient.Txn txn, boolean limitsKept, String why) {
+    private void write(KeyValueStoreClient.Txn txn, boolean limitsKept, String why) {
         ObjectNode leaderRecord = Codec.object()
                 .put("leader", settings.node())
                 .put("member", memberStamp)
@@ -573,7 +576,7 @@
         if (limitsKept) {
             leaderRecord.put(LIMITS, limits);
         }
-        state.commitNow(txn.put(Keys.LEADER_RECORD, leaderRecord), r -> {
+        state.commitNow(txn.put(StoreKeys.LEADER_RECORD, leaderRecord), r -> {
             LOG.info("leader record written status={} why={}", r.status(), why);
             // The watch brings the outcome, whatever the answer was.
             runtime.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
@@ -584,9 +587,10 @@
     }
 
     private boolean free() {
-        View.Entry leaderRecord = view.get(Keys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null
-                || view.stamp(Keys.member(leaderRecord.data().path("leader").asText()))
+                || view.stamp(StoreKeys.member(
+                                leaderRecord.data().path("leader").asText()))
                         != Codec.u64(leaderRecord.data().path("member"));
     }
 }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -7,22 +7,22 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
 import java.util.function.Predicate;
+import org.hollypick.agent.AgentCodec;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.LeaseConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.core.Leases;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.TaskStatus;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.io.WireNames;
-import org.hollypick.worker.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,9 +34,9 @@
 public final class PartitionedLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionedLeaseRenewal.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
+    private final StoreReplica view;
     private final Membership membership;
     private final Predicate<String> cancelled;
     private final BooleanSupplier othersCount;
@@ -66,9 +66,9 @@
      * renewed without being entitled.
      */
     public PartitionedLeaseRenewal(
-            Runtime runtime,
+            EventLoop runtime,
             Settings settings,
-            View view,
+            StoreReplica view,
             Membership membership,
             Predicate<String> cancelled,
             BooleanSupplier othersCount,
@@ -80,7 +80,7 @@
         this.cancelled = cancelled;
         this.othersCount = othersCount;
         this.keptByLeader = keptByLeader;
-        this.windowMs = Leases.windowMs(settings);
+        this.windowMs = WorkerLeases.windowMs(settings);
         this.contactAt = runtime.now();
     }
 
@@ -100,16 +100,16 @@
                     .put("node", settings.node())
                     .put(WireNames.FENCING_TOKEN, token)
                     .put("epoch", view.epoch())
-                    .put("echo", echoToken == token ? echo : Leases.NO_ECHO)
+                    .put("echo", echoToken == token ? echo : WorkerLeases.NO_ECHO)
                     .put("kept", telling > told);
             runtime.call(
-                    new Call(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
+                    new Request(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
                     r -> answered(r, token, sent, telling));
         }
         runtime.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::ask);
     }
 
-    private void answered(Reply r, long token, long sent, long telling) {
+    private void answered(Response r, long token, long sent, long telling) {
         if (!r.ok() || Codec.u64(r.body().path(WireNames.FENCING_TOKEN)) != token) {
             return;
         }
@@ -133,9 +133,9 @@
             // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
             return othersCount.getAsBoolean()
                     ? membership.entitledUntil(own) + Membership.certainly(windowMs)
-                    : Leases.NEVER;
+                    : WorkerLeases.NEVER;
         }
-        return grantedToken == membership.leaderRecordRevision() ? grantedUntil : Leases.NEVER;
+        return grantedToken == membership.leaderRecordRevision() ? grantedUntil : WorkerLeases.NEVER;
     }
 
     private boolean mayKeep() {
@@ -161,7 +161,7 @@
      * The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the
      * answer.
      */
-    public Answer answer(Report report) {
+    public ServerResponse answer(Heartbeat report) {
         long token = membership.leaderRecordRevision();
         if (Long.compareUnsigned(report.token(), token) > 0) {
             return null;
@@ -170,25 +170,25 @@
         if (membership.token() != 0) {
             keptByLeader.accept(runtime.now());
         }
-        List<Order> orders = new ArrayList<>();
-        for (TaskReport t : report.tasks()) {
+        List<Command> orders = new ArrayList<>();
+        for (TaskStatus t : report.tasks()) {
             int slash = t.task().lastIndexOf('/');
-            if (t.state() != Placement.State.EXITED
+            if (t.state() != Assignment.State.EXITED
                     && slash > 0
                     && cancelled.test(t.task().substring(0, slash))
                     && orders.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
-                orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), 0));
+                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), 0));
             }
         }
-        return Answer.of(200, WorkerCodec.orders(token, orders)).only(this::mayKeep);
+        return ServerResponse.of(200, AgentCodec.orders(token, orders)).only(this::mayKeep);
     }
 
     /** The leader's answer to another controller that asks. */
-    public static Answer told(long token, long number, boolean granted) {
+    public static ServerResponse told(long token, long number, boolean granted) {
         JsonNode body = Codec.object()
                 .put(WireNames.FENCING_TOKEN, token)
                 .put("number", number)
                 .put("granted", granted);
-        return Answer.of(200, body);
+        return ServerResponse.of(200, body);
     }
 }
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.hollypick.agent.AgentClient;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
-import org.hollypick.worker.WorkerClient;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
 
 /** The question of one controller to another which of some machines answer that one. */
 public final class PeerReachability {
@@ -26,12 +26,12 @@
 
     /** Asks one peer about machines, by their addresses; null if it didn't answer. */
     public static void ask(
-            Runtime runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
+            EventLoop runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
         ObjectNode body = Codec.object();
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
         runtime.call(
-                new Call(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
+                new Request(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
                 r -> then.accept(
                         !r.ok()
                                 ? null
@@ -49,7 +49,8 @@
     }
 
     /** The asked one's side: it tries them all at once. */
-    public static void answer(WorkerClient workers, JsonNode body, boolean reachesState, Consumer<Answer> answer) {
+    public static void answer(
+            AgentClient workers, JsonNode body, boolean reachesState, Consumer<ServerResponse> answer) {
         ObjectNode told = Codec.object().put("reaches_state", reachesState);
         ArrayNode reached = told.putArray("reached");
         ArrayNode failed = told.putArray("failed");
@@ -65,17 +66,17 @@
         }
         int[] open = {asked.size()};
         if (open[0] == 0) {
-            answer.accept(Answer.of(200, told));
+            answer.accept(ServerResponse.of(200, told));
         }
         for (Map.Entry<String, JsonNode> m : asked) {
             workers.inspect(m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
                 if (r.ok()) {
                     reached.add(m.getKey());
-                } else if (r.status() != Reply.LACK) {
+                } else if (r.status() != Response.LACK) {
                     failed.add(m.getKey());
                 }
                 if (--open[0] == 0) {
-                    answer.accept(Answer.of(200, told));
+                    answer.accept(ServerResponse.of(200, told));
                 }
             });
         }
--- a/src/main/java/org/hollypick/cluster/Keys.java
+++ b/src/main/java/org/hollypick/cluster/StoreKeys.java
@@ -1,7 +1,7 @@
 package org.hollypick.cluster;
 
 /** The names of this service's records in the state service. */
-public final class Keys {
+public final class StoreKeys {
     public static final String PREFIX = "h/";
     public static final String LEADER_RECORD = "h/roster";
     private static final String MEMBER = "h/n/";
@@ -19,7 +19,7 @@
     /** Sorts behind the jobs, as what they await does. */
     public static final String GRAPH_LOG = "h/x/";
 
-    private Keys() {}
+    private StoreKeys() {}
 
     public static String member(String node) {
         return MEMBER + node;
--- a/src/main/java/org/hollypick/cluster/View.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -8,24 +8,24 @@
 import java.util.function.Consumer;
 import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 import org.hollypick.io.WireNames;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * This node's copy of everything under one prefix, kept by one watch. It may lag; only terminal states in it are final.
  */
-public final class View {
-    private static final Logger LOG = LoggerFactory.getLogger(View.class);
+public final class StoreReplica {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
 
     /** A record and the stamp of its last change. */
     public record Entry(JsonNode data, long stamp) {}
 
-    private final Runtime runtime;
-    private final StateClient state;
+    private final EventLoop runtime;
+    private final KeyValueStoreClient state;
     private final String prefix;
     private final Consumer<List<String>> changed;
     private Map<String, Entry> entries = new HashMap<>();
@@ -47,7 +47,7 @@
     /** Waits until this copy has reached an epoch; given up after a while. */
     private record CatchUp(long epoch, long until, List<Consumer<Boolean>> then) {}
 
-    public View(Runtime runtime, StateClient state, String prefix, Consumer<List<String>> changed) {
+    public StoreReplica(EventLoop runtime, KeyValueStoreClient state, String prefix, Consumer<List<String>> changed) {
         this.runtime = runtime;
         this.state = state;
         this.prefix = prefix;
@@ -176,7 +176,7 @@
         state.watch(prefix, epoch, this::watched);
     }
 
-    private void watched(Reply r) {
+    private void watched(Response r) {
         if (r.status() == 410) {
             LOG.info("watch too old, reading all again epoch={}", epoch);
             load();
--- a/src/main/java/org/hollypick/control/Summary.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -2,22 +2,23 @@
 
 import org.HdrHistogram.Histogram;
 import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.control.provisioning.InstanceProvisioner;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
+import org.hollypick.core.assignment.Machine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The line about the fleet as a whole that a leader logs now and then. */
-final class Summary {
-    private static final Logger LOG = LoggerFactory.getLogger(Summary.class);
+final class LeaderMetrics {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
 
     private final Scheduler scheduler;
-    private final Rentals rentals;
+    private final InstanceProvisioner rentals;
     /** How late the leader's loop runs, in milliseconds: what the node's processor share does to it. */
     private final Histogram lateness = new Histogram(2);
 
-    Summary(Scheduler scheduler, Rentals rentals) {
+    LeaderMetrics(Scheduler scheduler, InstanceProvisioner rentals) {
         this.scheduler = scheduler;
         this.rentals = rentals;
     }
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -7,33 +7,42 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.hollypick.agent.AgentClient;
 import org.hollypick.cloud.CloudClient;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReconcileConstants;
-import org.hollypick.core.Dependencies;
+import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.jobs.AttainedServiceStore;
+import org.hollypick.control.jobs.CompletionStore;
+import org.hollypick.control.jobs.DependentCancellation;
+import org.hollypick.control.jobs.JobTermination;
+import org.hollypick.control.jobs.RuntimeStatisticsStore;
+import org.hollypick.control.machines.AgentManager;
+import org.hollypick.control.machines.MachineRegistry;
+import org.hollypick.control.provisioning.InstanceProvisioner;
 import org.hollypick.core.Job;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
 import org.hollypick.core.graph.Graph;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.watch.LocalHealth;
-import org.hollypick.io.Answer;
+import org.hollypick.core.health.LocalHealth;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
 import org.hollypick.relay.LeaderComplaint;
-import org.hollypick.state.StateClient;
-import org.hollypick.worker.WorkerClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,26 +56,26 @@
 
     public final long token;
     public final Scheduler scheduler;
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
+    private final StoreReplica view;
 
-    private final Workers workers;
-    private final Rentals rentals;
-    private final Registry registry;
-    private final Progress progress;
+    private final AgentManager workers;
+    private final InstanceProvisioner rentals;
+    private final MachineRegistry registry;
+    private final CompletionStore progress;
     private final DependentCancellation dependentCancellation;
-    private final Dependencies dependencies;
+    private final JobDependencies dependencies;
     private final Map<String, MachineType> types;
     private final Membership membership;
     private boolean measuring;
-    private final AttainedServiceRecord attainedService;
-    private final Summary summary;
+    private final AttainedServiceStore attainedService;
+    private final LeaderMetrics summary;
     public final JobTermination jobTermination;
     /** Null unless the operators switched them on. */
-    public final Graphs graphs;
+    public final GraphService graphs;
     /** Null unless the operators switched estimates on. */
-    private final RuntimeStatistics runtimeStatistics;
+    private final RuntimeStatisticsStore runtimeStatistics;
 
     private boolean ended;
     /** By what this node last acted, as it was logged. */
@@ -83,17 +92,17 @@
 
     public LeaderTerm(
             long token,
-            Runtime runtime,
+            EventLoop runtime,
             Settings settings,
             OperatorSettings operator,
-            View view,
-            Dependencies dependencies,
-            StateClient state,
+            StoreReplica view,
+            JobDependencies dependencies,
+            KeyValueStoreClient state,
             CloudClient cloud,
-            WorkerClient client,
+            AgentClient client,
             Map<String, MachineType> types,
             Membership membership,
-            Graphs.Maker maker) {
+            GraphService.Maker maker) {
         this.token = token;
         this.runtime = runtime;
         this.settings = settings;
@@ -109,7 +118,7 @@
                 token,
                 settings,
                 operator.firstShare(),
-                new Leases(
+                new WorkerLeases(
                         settings,
                         settings.siblings().stream().map(Settings.Sibling::node).toList(),
                         runtime.now(),
@@ -118,8 +127,8 @@
         if (membership.limitsKept()) {
             scheduler.olderKeptLimits();
         }
-        this.workers = new Workers(runtime, settings, scheduler, client, types, this::acting, own, this::pump);
-        this.rentals = new Rentals(
+        this.workers = new AgentManager(runtime, settings, scheduler, client, types, this::acting, own, this::pump);
+        this.rentals = new InstanceProvisioner(
                 runtime,
                 settings,
                 operator,
@@ -130,17 +139,17 @@
                 membership::reachesState,
                 this::pump,
                 nobodyBefore);
-        this.registry = new Registry(runtime, view, state, settings, token, scheduler.gone::contains);
-        this.progress = new Progress(runtime, view, state, settings, scheduler);
+        this.registry = new MachineRegistry(runtime, view, state, settings, token, scheduler.gone::contains);
+        this.progress = new CompletionStore(runtime, view, state, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
-        this.attainedService = new AttainedServiceRecord(view, settings, state, scheduler);
-        this.summary = new Summary(scheduler, rentals);
+        this.attainedService = new AttainedServiceStore(view, settings, state, scheduler);
+        this.summary = new LeaderMetrics(scheduler, rentals);
         this.jobTermination = new JobTermination(
                 runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
         this.runtimeStatistics =
-                operator.estimates() ? new RuntimeStatistics(runtime, view, state, settings, scheduler) : null;
+                operator.estimates() ? new RuntimeStatisticsStore(runtime, view, state, settings, scheduler) : null;
         this.graphs = operator.graphs()
-                ? new Graphs(
+                ? new GraphService(
                         runtime,
                         settings,
                         view,
@@ -160,7 +169,7 @@
     public void start() {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
-            if (!key.startsWith(Keys.MACHINES)) {
+            if (!key.startsWith(StoreKeys.MACHINES)) {
                 keys.add(key);
             }
         });
@@ -201,7 +210,7 @@
     }
 
     /** A worker's report, through that controller, while this node may act. */
-    public Answer hello(Report r, String via) {
+    public ServerResponse hello(Heartbeat r, String via) {
         return workers.hello(r, via);
     }
 
@@ -214,9 +223,9 @@
      * Another controller asks whether it may keep leases when it is cut off; its view holds every change up to
      * {@code epoch}.
      */
-    public Answer keep(String node, long epoch, long echo, boolean kept) {
+    public ServerResponse keep(String node, long epoch, long echo, boolean kept) {
         long now = runtime.now();
-        Leases leases = scheduler.leases;
+        WorkerLeases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
         boolean granted = leases.allAsked() && jobTermination.allCancelledKnown(epoch);
         return PartitionedLeaseRenewal.told(token, leases.answer(node, granted, now), granted)
@@ -230,15 +239,15 @@
 
         registry.changed(keys);
         keys.stream()
-                .filter(k -> k.startsWith(Keys.LEADER_COMPLAINT) && view.get(k) != null)
+                .filter(k -> k.startsWith(StoreKeys.LEADER_COMPLAINT) && view.get(k) != null)
                 .forEach(k -> workers.failureDetector()
                         .complained(LeaderComplaint.machines(view.get(k).data(), token)));
         for (String key : keys) {
-            if (!key.startsWith(Keys.JOB)) {
+            if (!key.startsWith(StoreKeys.JOB)) {
                 continue;
             }
-            View.Entry e = view.get(key);
-            String id = key.substring(Keys.JOB.length());
+            StoreReplica.Entry e = view.get(key);
+            String id = key.substring(StoreKeys.JOB.length());
             Job job = scheduler.jobs.get(id);
             if (e == null) {
                 continue;
--- a/src/main/java/org/hollypick/control/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.graphs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,15 +6,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
-import org.hollypick.cluster.Keys;
+import org.hollypick.cluster.StoreKeys;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,9 +26,9 @@
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final String id;
     private final long token;
     private final LongSupplier numbers;
@@ -41,7 +41,13 @@
     private record Entry(ObjectNode op, int bytes, Runnable durable) {}
 
     /** {@code numbers}: each number once in this term. */
-    GraphLog(Runtime runtime, Settings settings, StateClient state, String id, long token, LongSupplier numbers) {
+    GraphLog(
+            EventLoop runtime,
+            Settings settings,
+            KeyValueStoreClient state,
+            String id,
+            long token,
+            LongSupplier numbers) {
         this.runtime = runtime;
         this.settings = settings;
         this.state = state;
@@ -111,10 +117,11 @@
             taken.forEach(e -> unwritten.poll().durable.run());
             return;
         }
-        StateClient.Txn txn =
-                new StateClient.Txn().when(Keys.LEADER_RECORD, token).when(Keys.job(id), order);
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
+                .when(StoreKeys.LEADER_RECORD, token)
+                .when(StoreKeys.job(id), order);
         for (List<ObjectNode> ops : records) {
-            String key = Keys.graphLog(id, token, numbers.getAsLong());
+            String key = StoreKeys.graphLog(id, token, numbers.getAsLong());
             txn.when(key, 0).put(key, GraphRecords.record(id, ops));
         }
         writing = true;
@@ -122,7 +129,7 @@
     }
 
     /** The same keys again until the outcome is known: a second copy of an entry may never stand beside the first. */
-    private void commit(StateClient.Txn txn, List<Entry> taken, Runnable written) {
+    private void commit(KeyValueStoreClient.Txn txn, List<Entry> taken, Runnable written) {
         state.commit(txn, r -> {
             if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
                 writing = false;
@@ -147,7 +154,7 @@
 
     private static boolean onlyOwnKeys(JsonNode body) {
         for (JsonNode failed : body.path("failed")) {
-            if (!failed.asText().startsWith(Keys.GRAPH_LOG)) {
+            if (!failed.asText().startsWith(StoreKeys.GRAPH_LOG)) {
                 return false;
             }
         }
--- a/src/main/java/org/hollypick/control/Graphs.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.graphs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -11,23 +11,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.GraphConstants;
+import org.hollypick.control.jobs.JobTermination;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
+import org.hollypick.core.assignment.Assignment;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.NodeSpec;
 import org.hollypick.core.graph.Refusal;
-import org.hollypick.core.ledger.Placement;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -35,8 +36,8 @@
  * Task graphs in one term. What a call changes is taken in at once, and blocks what it has to block; what it allows,
  * and the answer, wait until it is durable. Each graph has a log ({@link GraphLog}).
  */
-public final class Graphs {
-    private static final Logger LOG = LoggerFactory.getLogger(Graphs.class);
+public final class GraphService {
+    private static final Logger LOG = LoggerFactory.getLogger(GraphService.class);
 
     /** How a call ended: {@code status} for the user, and what it tells. */
     public record Outcome(int status, ObjectNode body) {
@@ -167,10 +168,10 @@
         }
     }
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final View view;
-    private final StateClient state;
+    private final StoreReplica view;
+    private final KeyValueStoreClient state;
     private final Scheduler scheduler;
     private final JobTermination jobTermination;
     private final Runnable pump;
@@ -184,11 +185,11 @@
     private long written;
     private boolean dropping;
 
-    Graphs(
-            Runtime runtime,
+    public GraphService(
+            EventLoop runtime,
             Settings settings,
-            View view,
-            StateClient state,
+            StoreReplica view,
+            KeyValueStoreClient state,
             Scheduler scheduler,
             JobTermination jobTermination,
             Runnable pump,
@@ -209,7 +210,7 @@
     // ---- from the records ----
 
     /** A graph's record is there and it isn't over: all that earlier leaders recorded of it is in the view. */
-    void appear(String id, JsonNode record, long stamp) {
+    public void appear(String id, JsonNode record, long stamp) {
         if (graphs.containsKey(id)) {
             return;
         }
@@ -245,18 +246,18 @@
     private List<String> logOf(String id) {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
-            if (key.startsWith(Keys.graphLog(id))) {
+            if (key.startsWith(StoreKeys.graphLog(id))) {
                 keys.add(key);
             }
         });
         keys.sort((a, b) -> view.stamp(a) != view.stamp(b)
                 ? Long.compareUnsigned(view.stamp(a), view.stamp(b))
-                : Long.compare(Keys.graphLogNumber(a), Keys.graphLogNumber(b)));
+                : Long.compare(StoreKeys.graphLogNumber(a), StoreKeys.graphLogNumber(b)));
         return keys;
     }
 
     /** The graph's end is durable. */
-    void over(String id) {
+    public void over(String id) {
         Live g = graphs.get(id);
         if (g != null && !g.over()) {
             g.overAt = runtime.now();
@@ -269,7 +270,7 @@
     /** Any graph that can still be told about; null if there is none, or its nodes are forgotten. */
     public Live find(String id) {
         Live g = graphs.get(id);
-        View.Entry e = view.get(Keys.job(id));
+        StoreReplica.Entry e = view.get(StoreKeys.job(id));
         if (g == null && e != null && GraphRecords.isEnded(e.data())) {
             return ended(id);
         }
@@ -314,15 +315,15 @@
         }
         graphs.put(id, made);
         ObjectNode record = GraphRecords.live(head, scheduler.token);
-        StateClient.Txn txn = new StateClient.Txn()
-                .when(Keys.job(id), 0)
-                .when(Keys.LEADER_RECORD, scheduler.token)
-                .put(Keys.job(id), record);
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
+                .when(StoreKeys.job(id), 0)
+                .when(StoreKeys.LEADER_RECORD, scheduler.token)
+                .put(StoreKeys.job(id), record);
         state.commit(txn, r -> {
             if (!r.ok()) {
                 // It may be there, or come: then the view shows it, and a repeated call finds it.
                 graphs.remove(id, made);
-                View.Entry e = view.get(Keys.job(id));
+                StoreReplica.Entry e = view.get(StoreKeys.job(id));
                 if (e != null && !Records.isOver(e.data()) && GraphRecords.isGraph(e.data())) {
                     appear(id, e.data(), e.stamp());
                 }
@@ -432,7 +433,7 @@
             answer.accept(Outcome.refused(422, "unknown node " + node));
             return null;
         }
-        Placement p = g.job.live.get(i);
+        Assignment p = g.job.live.get(i);
         boolean runs =
                 p != null && p.attempt == attempt && p.there() && !p.stop && g.graph.state(i) == Graph.State.READY;
         if (!runs) {
@@ -536,7 +537,7 @@
 
     // ---- the loop ----
 
-    void flush() {
+    public void flush() {
         long now = runtime.now();
         for (Live g : new ArrayList<>(graphs.values())) {
             if (g.over() || g.job == null) {
@@ -579,7 +580,8 @@
                     endedAt.remove(ended.getKey());
                     return;
                 }
-                StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token);
+                KeyValueStoreClient.Txn txn =
+                        new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, scheduler.token);
                 keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size())
                         .forEach(txn::drop);
                 dropping = true;
@@ -590,11 +592,11 @@
     }
 
     /** What earlier terms left of graphs that are over, when the term starts: it is kept as if they had ended now. */
-    void loadEnded() {
+    public void loadEnded() {
         view.entries().forEach((key, e) -> {
-            if (key.startsWith(Keys.GRAPH_LOG)) {
+            if (key.startsWith(StoreKeys.GRAPH_LOG)) {
                 String id = GraphRecords.graphOf(e.data());
-                View.Entry root = view.get(Keys.job(id));
+                StoreReplica.Entry root = view.get(StoreKeys.job(id));
                 if (root != null && Records.isOver(root.data())) {
                     endedAt.putIfAbsent(id, runtime.now());
                 }
@@ -603,7 +605,7 @@
     }
 
     /** The record that a graph's end leaves; null if the job is no graph. */
-    ObjectNode endOf(Job job, String status) {
+    public ObjectNode endOf(Job job, String status) {
         Live g = graphs.get(job.spec.id());
         if (g == null || g.job != job) {
             return null;
--- a/src/main/java/org/hollypick/control/AttainedServiceRecord.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -1,35 +1,35 @@
-package org.hollypick.control;
+package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
-import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 
 /** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next leader. */
-final class AttainedServiceRecord {
-    private final View view;
+public final class AttainedServiceStore {
+    private final StoreReplica view;
     private final Settings settings;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     private final Scheduler scheduler;
     private String last = "";
 
-    AttainedServiceRecord(View view, Settings settings, StateClient state, Scheduler scheduler) {
+    public AttainedServiceStore(StoreReplica view, Settings settings, KeyValueStoreClient state, Scheduler scheduler) {
         this.view = view;
         this.settings = settings;
         this.state = state;
         this.scheduler = scheduler;
     }
 
-    void load() {
+    public void load() {
         Map<String, Double> sizes = new HashMap<>();
         view.entries().forEach((key, e) -> {
-            if (key.startsWith(Keys.SIZES)) {
+            if (key.startsWith(StoreKeys.SIZES)) {
                 e.data()
                         .path("sizes")
                         .fields()
@@ -44,7 +44,7 @@
         });
     }
 
-    void write() {
+    public void write() {
         ObjectNode record = Codec.object();
         ObjectNode sizes = record.putObject("sizes");
         // The value limit bounds it, the largest first; a size that is left out restarts at zero after a takeover.
@@ -62,9 +62,9 @@
         String text = record.toString();
         if (!text.equals(last)) {
             state.commit(
-                    new StateClient.Txn()
-                            .when(Keys.LEADER_RECORD, scheduler.token)
-                            .put(Keys.sizes(settings.node()), record),
+                    new KeyValueStoreClient.Txn()
+                            .when(StoreKeys.LEADER_RECORD, scheduler.token)
+                            .put(StoreKeys.sizes(settings.node()), record),
                     r -> {
                         if (r.ok()) {
                             last = text;
--- a/src/main/java/org/hollypick/control/Progress.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,17 +10,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 
 /**
  * Which tasks of the live jobs are done, durably: many jobs to a record, since changes per second are scarce. Each
@@ -29,10 +29,10 @@
  * others one by one: a part is taken out only when the other record is durable, and a reader takes in whatever any
  * record says.
  */
-final class Progress {
-    private final Runtime runtime;
-    private final View view;
-    private final StateClient state;
+public final class CompletionStore {
+    private final EventLoop runtime;
+    private final StoreReplica view;
+    private final KeyValueStoreClient state;
     private final Settings settings;
     private final Scheduler scheduler;
     private final int room;
@@ -80,7 +80,8 @@
         }
     }
 
-    Progress(Runtime runtime, View view, StateClient state, Settings settings, Scheduler scheduler) {
+    public CompletionStore(
+            EventLoop runtime, StoreReplica view, KeyValueStoreClient state, Settings settings, Scheduler scheduler) {
         this.runtime = runtime;
         this.view = view;
         this.state = state;
@@ -125,9 +126,9 @@
     }
 
     /** What earlier leaders recorded about the jobs that are live. */
-    void load() {
+    public void load() {
         view.entries().forEach((key, e) -> {
-            if (!key.startsWith(Keys.PROGRESS)) {
+            if (!key.startsWith(StoreKeys.PROGRESS)) {
                 return;
             }
             Slot slot = new Slot(key, e.stamp());
@@ -154,7 +155,7 @@
      * Writes what has been done since the last time, one transaction at a time and after everything that users wait
      * for.
      */
-    void flush() {
+    public void flush() {
         if (writing || scheduler.progressDirty.isEmpty() || runtime.now() < notBefore || !state.spare()) {
             return;
         }
@@ -197,7 +198,7 @@
     private record Written(Part part, BitSet done) {}
 
     private void write(Set<Slot> dirty, List<Written> included) {
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, scheduler.token);
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, scheduler.token);
         for (Slot slot : dirty) {
             slot.parts.values().removeIf(part -> {
                 boolean over = part.job.status != Job.Status.LIVE;
@@ -264,7 +265,7 @@
                 }
             }
             if (slot == null) {
-                String key = Keys.progress(slots.size());
+                String key = StoreKeys.progress(slots.size());
                 slot = new Slot(key, view.stamp(key));
                 slots.add(slot);
             }
--- a/src/main/java/org/hollypick/control/JobRecords.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -9,23 +9,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.config.constants.StoreConstants;
-import org.hollypick.core.Dependencies;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.JobSpec.Rank;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 
 /** The durable records of jobs on any node: what they say of one another, and new ones. */
-public final class JobRecords {
+public final class JobStore {
     /** What became of a submission. {@code TOO_LARGE}: no record can hold it. */
     public enum Outcome {
         CREATED,
@@ -34,25 +34,25 @@
         LATER
     }
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
-    private final StateClient state;
-    private final View view;
+    private final KeyValueStoreClient state;
+    private final StoreReplica view;
     private final Membership membership;
-    private final Dependencies dependencies;
+    private final JobDependencies dependencies;
     private long written;
     /** Jobs that certainly have a record which the view doesn't show yet: submitted again they cost no write. */
     private final Set<String> durable = new HashSet<>();
     /** Jobs whose records are being written, and who has submitted them once more since. */
     private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
 
-    public JobRecords(
-            Runtime runtime,
+    public JobStore(
+            EventLoop runtime,
             Settings settings,
-            StateClient state,
-            View view,
+            KeyValueStoreClient state,
+            StoreReplica view,
             Membership membership,
-            Dependencies dependencies) {
+            JobDependencies dependencies) {
         this.runtime = runtime;
         this.settings = settings;
         this.state = state;
@@ -64,11 +64,11 @@
     /** Records changed in the view. */
     public void follow(Collection<String> keys) {
         for (String key : keys) {
-            View.Entry e = key.startsWith(Keys.JOB) ? view.get(key) : null;
+            StoreReplica.Entry e = key.startsWith(StoreKeys.JOB) ? view.get(key) : null;
             if (e == null) {
                 continue;
             }
-            String id = key.substring(Keys.JOB.length());
+            String id = key.substring(StoreKeys.JOB.length());
             durable.remove(id);
             if (!Records.isOver(e.data())) {
                 dependencies.live(id, rank(e.data()), Records.awaits(e.data(), view));
@@ -82,13 +82,13 @@
 
     /** Whether the job certainly has a record, in the view or not. */
     public boolean known(String id) {
-        return durable.contains(id) || view.get(Keys.job(id)) != null;
+        return durable.contains(id) || view.get(StoreKeys.job(id)) != null;
     }
 
     /** The job had a record at this revision. */
     private void known(String id, long revision) {
         view.answeredFrom(revision);
-        if (view.get(Keys.job(id)) == null) {
+        if (view.get(StoreKeys.job(id)) == null) {
             durable.add(id);
         }
     }
@@ -127,7 +127,7 @@
             return;
         }
         Records.More more =
-                new Records.More(Keys.awaited(settings.node(), membership.member(), written++), parts(open, room));
+                new Records.More(StoreKeys.awaited(settings.node(), membership.member(), written++), parts(open, room));
         if (Records.bytes(Records.live(spec, Long.MAX_VALUE, List.of(), more)) > room) {
             then.accept(Outcome.TOO_LARGE);
         } else {
@@ -177,7 +177,7 @@
             then.accept(Outcome.LATER);
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn();
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn();
         int to = Math.min(more.parts().size(), from + settings.txnOps());
         for (int i = from; i < to; i++) {
             txn.when(more.key(i), 0).put(more.key(i), Records.part(more.parts().get(i)));
@@ -201,10 +201,10 @@
             then.accept(Outcome.LATER);
             return;
         }
-        String key = Keys.job(spec.id());
-        StateClient.Txn txn = new StateClient.Txn()
+        String key = StoreKeys.job(spec.id());
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
                 .when(key, 0)
-                .when(Keys.LEADER_RECORD, leaderRecord)
+                .when(StoreKeys.LEADER_RECORD, leaderRecord)
                 .put(key, Records.live(spec, leaderRecord, awaits, more));
         state.commit(txn, r -> {
             if (r.ok()) {
--- a/src/main/java/org/hollypick/control/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -10,18 +10,18 @@
 import java.util.Set;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.hollypick.cluster.Keys;
+import org.hollypick.cluster.StoreKeys;
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.core.Dependencies;
 import org.hollypick.core.Job;
-import org.hollypick.core.Leases;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.Scheduler;
+import org.hollypick.core.WorkerLeases;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,10 +30,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobTermination.class);
 
     private final long token;
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Scheduler scheduler;
-    private final Dependencies dependencies;
-    private final StateClient state;
+    private final JobDependencies dependencies;
+    private final KeyValueStoreClient state;
     private final Runnable changed;
     /** What a job's record says once it is over, and who hears that it is. */
     private final BiFunction<Job, String, ObjectNode> record;
@@ -61,7 +61,7 @@
         private final long since;
         private final List<Consumer<Boolean>> waiting = new ArrayList<>();
         private boolean writing;
-        private long writtenAt = Leases.NEVER;
+        private long writtenAt = WorkerLeases.NEVER;
 
         Cancellation(Job job, long since) {
             this.job = job;
@@ -75,11 +75,11 @@
         }
     }
 
-    JobTermination(
-            Runtime runtime,
+    public JobTermination(
+            EventLoop runtime,
             Scheduler scheduler,
-            Dependencies dependencies,
-            StateClient state,
+            JobDependencies dependencies,
+            KeyValueStoreClient state,
             Runnable changed,
             BiFunction<Job, String, ObjectNode> record,
             Consumer<String> ended) {
@@ -97,12 +97,12 @@
      * Whether this term has ended the job, though the view's record is still the one before. It mustn't be taken up
      * again from that: users would be told that it is live, and its tasks would start once more.
      */
-    boolean knownOver(String id) {
+    public boolean knownOver(String id) {
         return overBeforeView.contains(id);
     }
 
     /** The view shows that the job is over. */
-    void shownOver(String id) {
+    public void shownOver(String id) {
         overBeforeView.remove(id);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** The end is durable. */
-    void over(Job job, String status) {
+    public void over(Job job, String status) {
         String id = job.spec.id();
         scheduler.jobs.remove(id);
         ended.accept(id);
@@ -161,7 +161,7 @@
      * shown by the reports that are answered, and told to end by each answer. {@code reachable}: the state service
      * answers; without a user who waits it is written only then, and after everything that users wait for.
      */
-    void writeCancellations(boolean reachable) {
+    public void writeCancellations(boolean reachable) {
         long now = runtime.now();
         for (Cancellation c : new ArrayList<>(cancelling.values())) {
             boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && state.spare();
@@ -189,7 +189,7 @@
      * A launch has kept a cancellation waiting for so long, on a machine whose lease is still renewed, that a new token
      * has to end it: workers refuse what was sent under the older one.
      */
-    boolean fenceDue(long now) {
+    public boolean fenceDue(long now) {
         long since = now - JobConstants.FENCING_DELAY_MS;
         return cancelling.values().stream()
                 .anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
@@ -203,19 +203,19 @@
     }
 
     /** Until the outcome is known for certain, this node's own idea of the jobs is no answer to users. */
-    private void commit(List<Ending> endings, Consumer<Reply> reply) {
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
+    private void commit(List<Ending> endings, Consumer<Response> reply) {
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
         for (Ending e : endings) {
             String id = e.job.spec.id();
             e.job.endsInDoubt++;
             if (e.status.equals(Records.ABORTED)) {
                 abortsInDoubt.add(id);
             }
-            txn.when(Keys.job(id), e.job.order).put(Keys.job(id), e.record);
+            txn.when(StoreKeys.job(id), e.job.order).put(StoreKeys.job(id), e.record);
         }
         state.commit(txn, r -> {
             for (Ending e : endings) {
-                if (r.status() != Reply.NO_ANSWER && --e.job.endsInDoubt == 0) {
+                if (r.status() != Response.NO_ANSWER && --e.job.endsInDoubt == 0) {
                     abortsInDoubt.remove(e.job.spec.id());
                 }
             }
@@ -228,7 +228,7 @@
     }
 
     /** A cancellation of this term was found in the records. */
-    void cancelled(Job job, long stamp) {
+    public void cancelled(Job job, long stamp) {
         cancelledAt(stamp);
         over(job, Records.ABORTED);
     }
@@ -241,7 +241,7 @@
     /**
      * Whether whoever has followed the records up to there knows every cancellation that may have been told to anyone.
      */
-    boolean allCancelledKnown(long epoch) {
+    public boolean allCancelledKnown(long epoch) {
         return abortsInDoubt.isEmpty() && Long.compareUnsigned(epoch, cancelledAt) >= 0;
     }
 
@@ -260,7 +260,7 @@
      * state service, fewer are under way: ends that waited there would keep new jobs from being accepted, and too few
      * would be told late.
      */
-    void closeFinished() {
+    public void closeFinished() {
         List<Job> finished = new ArrayList<>();
         for (Job job : scheduler.progressDirty) {
             if (job.finished() && !job.closing) {
@@ -312,8 +312,8 @@
             closings--;
             if (r.status() == 409) {
                 for (JsonNode key : r.body().path("failed")) {
-                    if (key.asText().startsWith(Keys.JOB)) {
-                        writtenAlone.add(key.asText().substring(Keys.JOB.length()));
+                    if (key.asText().startsWith(StoreKeys.JOB)) {
+                        writtenAlone.add(key.asText().substring(StoreKeys.JOB.length()));
                     }
                 }
             }
--- a/src/main/java/org/hollypick/control/RuntimeStatistics.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -11,16 +11,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.EstimateConstants;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.estimate.Estimates;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,12 +29,12 @@
  * after everything else. Each write is conditional on the leader record and on the record that it replaces, so one that
  * is applied late takes nothing back.
  */
-final class RuntimeStatistics {
-    private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatistics.class);
+public final class RuntimeStatisticsStore {
+    private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatisticsStore.class);
 
-    private final Runtime runtime;
-    private final View view;
-    private final StateClient state;
+    private final EventLoop runtime;
+    private final StoreReplica view;
+    private final KeyValueStoreClient state;
     private final Settings settings;
     private final long token;
     private final Estimates estimates;
@@ -44,7 +44,8 @@
     private long nextWrite;
     private int nextSlot;
 
-    RuntimeStatistics(Runtime runtime, View view, StateClient state, Settings settings, Scheduler scheduler) {
+    public RuntimeStatisticsStore(
+            EventLoop runtime, StoreReplica view, KeyValueStoreClient state, Settings settings, Scheduler scheduler) {
         this.runtime = runtime;
         this.view = view;
         this.state = state;
@@ -64,9 +65,9 @@
     }
 
     /** What earlier leaders learned. */
-    void load() {
+    public void load() {
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
-            View.Entry e = view.get(Keys.learned(i));
+            StoreReplica.Entry e = view.get(StoreKeys.learned(i));
             if (e == null || e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT) {
                 continue;
             }
@@ -76,7 +77,7 @@
                     slots.get(i).put(k.path("k").asText(), false);
                 }
             } catch (RuntimeException x) { // learning goes on without it
-                LOG.error("what was learned can't be read key={} reason={}", Keys.learned(i), x.toString());
+                LOG.error("what was learned can't be read key={} reason={}", StoreKeys.learned(i), x.toString());
             }
         }
     }
@@ -97,7 +98,7 @@
         return new Estimates.Kept(k.path("k").asText(), k.path("n").asLong(), read);
     }
 
-    void flush() {
+    public void flush() {
         for (String kind : estimates.takeDirty()) {
             LinkedHashMap<String, Boolean> kinds = slots.get(slot(kind));
             kinds.remove(kind);
@@ -108,8 +109,8 @@
         }
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             int at = (nextSlot + i) % EstimateConstants.STATISTICS_RECORDS;
-            String key = Keys.learned(at);
-            View.Entry e = view.get(key);
+            String key = StoreKeys.learned(at);
+            StoreReplica.Entry e = view.get(key);
             boolean newer = e != null && e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT;
             if (!newer && slots.get(at).containsValue(true)) {
                 nextSlot = at + 1;
@@ -143,8 +144,8 @@
         Map<String, Boolean> written = new LinkedHashMap<>(kinds);
         kinds.replaceAll((k, dirty) -> false);
         state.commit(
-                new StateClient.Txn()
-                        .when(Keys.LEADER_RECORD, token)
+                new KeyValueStoreClient.Txn()
+                        .when(StoreKeys.LEADER_RECORD, token)
                         .when(key, stamp)
                         .put(key, record),
                 r -> {
--- a/src/main/java/org/hollypick/control/Workers.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.machines;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -6,23 +6,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
+import org.hollypick.agent.AgentClient;
+import org.hollypick.agent.AgentCodec;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
-import org.hollypick.core.Ledger;
+import org.hollypick.core.AssignmentTable;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.validity.ReportValidity;
-import org.hollypick.core.watch.AdaptiveWindow;
-import org.hollypick.core.watch.LocalHealth;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
-import org.hollypick.relay.RelayCodec;
-import org.hollypick.worker.WorkerClient;
-import org.hollypick.worker.WorkerCodec;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.health.AdaptiveWindow;
+import org.hollypick.core.health.HeartbeatValidity;
+import org.hollypick.core.health.LocalHealth;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.relay.HeartbeatRelayCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,13 +30,13 @@
  * Dealings with the workers in one term: their reports, the orders in answers and sent directly, and who has fallen
  * silent.
  */
-final class Workers {
-    private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
+public final class AgentManager {
+    private static final Logger LOG = LoggerFactory.getLogger(AgentManager.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
 
     private final Scheduler scheduler;
-    private final WorkerClient client;
+    private final AgentClient client;
     private final Map<String, MachineType> types;
     private final BooleanSupplier acting;
     private final Runnable pump;
@@ -48,11 +48,11 @@
     /** Direct calls under way to machines that left one unanswered. */
     private int openDoubtful;
 
-    Workers(
-            Runtime runtime,
+    public AgentManager(
+            EventLoop runtime,
             Settings settings,
             Scheduler scheduler,
-            WorkerClient client,
+            AgentClient client,
             Map<String, MachineType> types,
             BooleanSupplier acting,
             LocalHealth own,
@@ -69,32 +69,32 @@
     }
 
     /** A worker's report, which came through that controller, while this node may act. */
-    Answer hello(Report r, String via) {
+    public ServerResponse hello(Heartbeat r, String via) {
         long now = runtime.now();
         if (Long.compareUnsigned(r.token(), scheduler.token) > 0 || scheduler.gone.contains(r.machine())) {
-            return Answer.later("not for this node");
+            return ServerResponse.later("not for this node");
         }
         Machine m = scheduler.machines.get(r.machine());
         if (m == null) {
             MachineType type = types.get(r.type());
             if (type == null) {
-                return Answer.later("machine type not known yet");
+                return ServerResponse.later("machine type not known yet");
             }
             LOG.info("machine machine={} type={} zone={} spot={}", r.machine(), r.type(), r.zone(), r.spot());
             m = scheduler.addMachine(r.machine(), type, r.zone(), r.spot(), false, now);
         }
-        if (Ledger.outdated(m, r)) {
-            return Answer.later("a report of an earlier session");
+        if (AssignmentTable.outdated(m, r)) {
+            return ServerResponse.later("a report of an earlier session");
         }
-        ReportValidity.Freshness freshness = m.validity.freshness(r, now);
-        if (freshness == ReportValidity.Freshness.COPY) {
-            return Answer.later("an older report");
+        HeartbeatValidity.Freshness freshness = m.validity.freshness(r, now);
+        if (freshness == HeartbeatValidity.Freshness.COPY) {
+            return ServerResponse.later("an older report");
         }
         boolean was = m.up;
         long before = m.session;
         boolean accepted = accept(m, r, true, now);
         if (!accepted && (!m.up || r.session() != m.session)) {
-            return Answer.later("a report of an earlier session");
+            return ServerResponse.later("a report of an earlier session");
         }
         if (!was) {
             LOG.info(
@@ -110,14 +110,14 @@
         if (scheduler.freed.remove(m)) {
             scheduler.fill(m, now);
         }
-        List<Order> orders = limited(scheduler.ledger.orders(m));
-        if (freshness == ReportValidity.Freshness.NEW
+        List<Command> orders = limited(scheduler.ledger.orders(m));
+        if (freshness == HeartbeatValidity.Freshness.NEW
                 && !acknowledges(m, r, was && r.session() != before, orders, now)) {
-            return Answer.later("answers don't reach the machine");
+            return ServerResponse.later("answers don't reach the machine");
         }
         String elsewhere = orders.isEmpty() && m.heard ? scheduler.reportBalancer.elsewhere(via, now) : null;
         if (elsewhere != null) {
-            return RelayCodec.elsewhere(elsewhere);
+            return HeartbeatRelayCodec.elsewhere(elsewhere);
         }
         m.answeredAt = m.validity.takenAt();
         m.validity.told(orders);
@@ -127,14 +127,15 @@
             scheduler.ordersUrgent.remove(m);
         }
         pump.run();
-        return Answer.of(200, WorkerCodec.orders(scheduler.token, orders)).only(acting);
+        return ServerResponse.of(200, AgentCodec.orders(scheduler.token, orders))
+                .only(acting);
     }
 
     /**
      * Draws what a new report shows of the answers before; false if the next one would only lengthen a lease that the
      * machine itself lets run out.
      */
-    private boolean acknowledges(Machine m, Report r, boolean newSession, List<Order> orders, long now) {
+    private boolean acknowledges(Machine m, Heartbeat r, boolean newSession, List<Command> orders, long now) {
         boolean unreachableInbound = m.validity.unreachableInbound();
         boolean knows = r.token() == scheduler.token;
         if (newSession && m.answeredAt > 0 && scheduler.leases.fresh(m.answeredAt, now)) {
@@ -159,21 +160,21 @@
         return !m.validity.unreachableInbound() || (m.heard && m.idle());
     }
 
-    private boolean accept(Machine m, Report r, boolean hello, long now) {
+    private boolean accept(Machine m, Heartbeat r, boolean hello, long now) {
         m.lastReportAt = now;
         m.unanswered = 0;
         return scheduler.ledger.report(m, r, hello, now);
     }
 
     /** An answer holds 64 KiB at most; what is left out follows with the next. */
-    private static List<Order> limited(List<Order> orders) {
+    private static List<Command> limited(List<Command> orders) {
         return orders.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
                 ? orders
                 : orders.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
     }
 
     /** Sends the orders that wait, those for services first, as many at once as the sockets allow. */
-    void send() {
+    public void send() {
         send(scheduler.ordersUrgent);
         send(scheduler.ordersDirty);
     }
@@ -197,9 +198,9 @@
                 || m.returning) {
             return;
         }
-        List<Order> orders = m.up && !m.lapsed() ? limited(scheduler.ledger.orders(m)) : List.of();
+        List<Command> orders = m.up && !m.lapsed() ? limited(scheduler.ledger.orders(m)) : List.of();
         // What may be cleared can wait for the machine's next report.
-        if (m.heard && !probe && orders.stream().allMatch(o -> o.verb() == Order.Verb.FORGET)) {
+        if (m.heard && !probe && orders.stream().allMatch(o -> o.verb() == Command.Verb.FORGET)) {
             return;
         }
         boolean doubtful = m.unanswered > 0 || m.validity.doubted();
@@ -217,7 +218,7 @@
             open--;
             openDoubtful -= doubtful ? 1 : 0;
             long now = runtime.now();
-            if (r.status() == Reply.LACK) {
+            if (r.status() == Response.LACK) {
                 own.lacked(now);
                 probeWindow.lacked(now);
             } else if (r.status() > 0 && !doubtful) {
@@ -233,11 +234,11 @@
     }
 
     /** {@code tick}: the newest count of the machine that was known when it was asked; -1 for none. */
-    private void answered(Machine m, List<Order> orders, long session, long tick, Reply r) {
+    private void answered(Machine m, List<Command> orders, long session, long tick, Response r) {
         boolean settled = r.status() == 200 || r.status() == 409 || r.status() == 400 || r.neverSent();
         scheduler.ledger.directEnded(m, orders, session, settled);
         if (r.status() != 200 && r.status() != 409) {
-            if (r.status() != Reply.LACK) {
+            if (r.status() != Response.LACK) {
                 m.unanswered++;
                 if (own.sound(runtime.now())) {
                     m.validity.unanswered(); // while this node is overloaded it proves nothing
@@ -247,7 +248,7 @@
             LOG.debug("order unanswered machine={} status={}", m.id, r.status());
             return;
         }
-        Report report = WorkerCodec.report(r.body());
+        Heartbeat report = AgentCodec.report(r.body());
         if (report != null
                 && scheduler.machines.get(m.id) == m
                 && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
@@ -281,7 +282,7 @@
      * After a takeover nothing tells more quickly what is where than asking every registered machine, some at a time;
      * but one that was just answered reports again by itself, since it saw a new token.
      */
-    void contactUnheard() {
+    public void contactUnheard() {
         if (scheduler.settled()) {
             return;
         }
@@ -294,7 +295,7 @@
     }
 
     /** What the machines' silence means. */
-    FailureDetector failureDetector() {
+    public FailureDetector failureDetector() {
         return failureDetector;
     }
 }
--- a/src/main/java/org/hollypick/control/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.machines;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,24 +12,24 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.watch.LocalHealth;
-import org.hollypick.io.RateBudget;
-import org.hollypick.io.Runtime;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.health.LocalHealth;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.TokenBucket;
 
 /**
  * What the machines' silence means: which are lost, which zones are partitioned, and whether it is this leader that is
  * cut off or overloaded.
  */
-final class FailureDetector {
-    private final Runtime runtime;
+public final class FailureDetector {
+    private final EventLoop runtime;
     private final Settings settings;
     private final Scheduler scheduler;
     private final LocalHealth own;
-    private final Reachability reachability;
+    private final PeerReachabilityTracker reachability;
     private final Consumer<Machine> probe;
     private final long startedAt;
-    private final RateBudget returns;
+    private final TokenBucket returns;
     /** Since when nearly no machine has answered; 0 if some do. */
     private long cutOffSince;
     /** Since when others reach machines that this leader doesn't; 0 if there are none. */
@@ -43,19 +43,20 @@
     private String seen = "";
 
     /** {@code probe}: asks a machine directly. */
-    FailureDetector(Runtime runtime, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
+    FailureDetector(
+            EventLoop runtime, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
         this.runtime = runtime;
         this.settings = settings;
         this.scheduler = scheduler;
         this.own = own;
-        this.reachability = new Reachability(runtime, settings, scheduler.machines);
+        this.reachability = new PeerReachabilityTracker(runtime, settings, scheduler.machines);
         this.probe = probe;
         this.startedAt = runtime.now();
-        this.returns = new RateBudget(0, startedAt);
+        this.returns = new TokenBucket(0, startedAt);
     }
 
     /** Asks machines that are quieter than their reports allow, and tells which are lost. */
-    List<Machine> look(long now) {
+    public List<Machine> look(long now) {
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
@@ -110,7 +111,7 @@
         quietest.sort((a, b) -> Long.compare(a.lastReportAt, b.lastReportAt));
         quietest.forEach(probe);
         reachability.ask(unsure);
-        int beyond = Reachability.beyond(scheduler.machines.values(), now);
+        int beyond = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
         beyondSince = beyond < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
         seen = "talking=" + talking + " doubtful=" + doubtful + " elsewhere=" + beyond;
         // Those that left a question open against those heard of just now: counting only the silent ones would give
@@ -154,29 +155,29 @@
     }
 
     /** What the last look found, for the log. */
-    String seen() {
+    public String seen() {
         return seen;
     }
 
     /** Zones that seem to be cut off: what is rented there can't be reached. */
-    Set<String> partitioned() {
+    public Set<String> partitioned() {
         return partitioned;
     }
 
     /** Machines have been out of reach for so long that what runs there won't outlast another pause. */
-    boolean leasesAtStake(long now) {
+    public boolean leasesAtStake(long now) {
         long since = Math.min(cutOffSince > 0 ? cutOffSince : now, beyondSince > 0 ? beyondSince : now);
         return now - since > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
 
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
-    void complained(List<String> machines) {
+    public void complained(List<String> machines) {
         complainedAt = machines.isEmpty() ? complainedAt : runtime.now();
         machines.forEach(reachability::reached);
     }
 
     /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
-    boolean nobodyTells(long now) {
+    public boolean nobodyTells(long now) {
         return !reachability.othersTell(now) || now - complainedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
@@ -184,11 +185,11 @@
      * Another controller should lead: it reaches machines that this one doesn't, and not since this one is overloaded
      * or has only begun. If the others see the same, nobody would fare better.
      */
-    boolean cutOff(long now) {
+    public boolean cutOff(long now) {
         if (!own.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
-        int beyond = Reachability.beyond(scheduler.machines.values(), now);
+        int beyond = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
         boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
         return beyond >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
                 || (nearlyAll && (beyond > 0 || !reachability.othersTell(now)));
--- a/src/main/java/org/hollypick/control/Registry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.machines;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,17 +14,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.hollypick.cluster.Keys;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.StoreConstants;
-import org.hollypick.core.ledger.Machine;
+import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,12 +34,12 @@
  * write that is applied late can neither bring a machine back nor take one out that was added since. A record that is
  * too large to be written again, since the limits have tightened, is dropped once its machines are named in others.
  */
-final class Registry {
-    private static final Logger LOG = LoggerFactory.getLogger(Registry.class);
+public final class MachineRegistry {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-    private final Runtime runtime;
-    private final View view;
-    private final StateClient state;
+    private final EventLoop runtime;
+    private final StoreReplica view;
+    private final KeyValueStoreClient state;
     private final Settings settings;
     private final long token;
     private final Predicate<String> gone;
@@ -57,7 +57,13 @@
     private boolean writing;
     private long notBefore;
 
-    Registry(Runtime runtime, View view, StateClient state, Settings settings, long token, Predicate<String> gone) {
+    public MachineRegistry(
+            EventLoop runtime,
+            StoreReplica view,
+            KeyValueStoreClient state,
+            Settings settings,
+            long token,
+            Predicate<String> gone) {
         this.runtime = runtime;
         this.view = view;
         this.state = state;
@@ -67,10 +73,10 @@
     }
 
     /** Every machine that the records name. */
-    void load(BiConsumer<String, JsonNode> machine) {
+    public void load(BiConsumer<String, JsonNode> machine) {
         List<String> keys = new ArrayList<>();
         view.entries().keySet().forEach(key -> {
-            if (key.startsWith(Keys.MACHINES)) {
+            if (key.startsWith(StoreKeys.MACHINES)) {
                 keys.add(key);
             }
         });
@@ -86,12 +92,12 @@
     }
 
     /** Records changed in the view. */
-    void changed(Collection<String> keys) {
+    public void changed(Collection<String> keys) {
         for (String key : keys) {
-            if (!key.startsWith(Keys.MACHINES)) {
+            if (!key.startsWith(StoreKeys.MACHINES)) {
                 continue;
             }
-            View.Entry e = view.get(key);
+            StoreReplica.Entry e = view.get(key);
             if (e == null) {
                 keysOf.values().forEach(set -> set.remove(key));
                 continue;
@@ -109,12 +115,12 @@
         keysOf.computeIfAbsent(id, k -> new HashSet<>()).add(key);
     }
 
-    void add(Machine m) {
+    public void add(Machine m) {
         wanted.put(m.id, m);
     }
 
     /** The machine is certainly gone. */
-    void drop(String id) {
+    public void drop(String id) {
         wanted.remove(id);
         copies.remove(id);
         unwanted.add(id);
@@ -123,11 +129,11 @@
     /**
      * Writes what is wanted, one transaction at a time; {@code registered} hears of the machines that are durable now.
      */
-    void flush(Consumer<List<Machine>> registered) {
+    public void flush(Consumer<List<Machine>> registered) {
         if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || runtime.now() < notBefore) {
             return;
         }
-        StateClient.Txn txn = new StateClient.Txn().when(Keys.LEADER_RECORD, token);
+        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
         Map<String, JsonNode> adding = new LinkedHashMap<>();
         wanted.forEach((id, m) -> adding.put(id, Records.machine(m)));
         copies.forEach(adding::putIfAbsent);
@@ -162,7 +168,7 @@
     }
 
     /** New records for so many of the machines as the transaction has room for; returns the key that names each. */
-    private Map<String, String> create(StateClient.Txn txn, Map<String, JsonNode> machines) {
+    private Map<String, String> create(KeyValueStoreClient.Txn txn, Map<String, JsonNode> machines) {
         Map<String, String> added = new HashMap<>();
         ObjectNode record = null;
         String key = null;
@@ -175,7 +181,7 @@
                     break;
                 }
                 record = Codec.object();
-                key = Keys.machines(settings.node(), token, written++);
+                key = StoreKeys.machines(settings.node(), token, written++);
                 txn.when(key, 0).put(key, record);
                 left = Records.room(settings) - 2;
             }
@@ -190,7 +196,7 @@
      * Takes machines out of their records, as far as the transaction has room; returns those that are out of all of
      * theirs.
      */
-    private Set<String> shrink(StateClient.Txn txn) {
+    private Set<String> shrink(KeyValueStoreClient.Txn txn) {
         Set<String> out = new HashSet<>();
         Set<String> touched = new HashSet<>();
         Set<String> leftAlone = new HashSet<>();
@@ -199,7 +205,7 @@
         for (String id : unwanted) {
             boolean all = true;
             for (String key : keysOf.getOrDefault(id, Set.of())) {
-                View.Entry e = view.get(key);
+                StoreReplica.Entry e = view.get(key);
                 if (e == null) {
                     all = false; // written, but the view doesn't show it yet
                 }
@@ -244,7 +250,7 @@
             boolean elsewhere = false;
             boolean soon = false;
             for (String key : keysOf.getOrDefault(m.getKey(), Set.of())) {
-                View.Entry e = view.get(key);
+                StoreReplica.Entry e = view.get(key);
                 soon |= e == null; // written, but the view doesn't show it yet
                 elsewhere |= !key.equals(tooLarge) && e != null && Records.bytes(e.data()) <= Records.room(settings);
             }
--- a/src/main/java/org/hollypick/control/Reachability.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.machines;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,15 +9,15 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.io.Runtime;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.io.EventLoop;
 
 /**
  * Whether machines that leave this leader's questions open are lost, or only out of its reach: other controllers put
  * the same question. What they reach isn't returned; several such machines are a reason to ask who would lead better.
  */
-final class Reachability {
-    private final Runtime runtime;
+final class PeerReachabilityTracker {
+    private final EventLoop runtime;
     private final Settings settings;
     private final Map<String, Machine> machines;
     private long askedAt;
@@ -27,7 +27,7 @@
 
     private boolean asking;
 
-    Reachability(Runtime runtime, Settings settings, Map<String, Machine> machines) {
+    PeerReachabilityTracker(EventLoop runtime, Settings settings, Map<String, Machine> machines) {
         this.runtime = runtime;
         this.settings = settings;
         this.machines = machines;
--- a/src/main/java/org/hollypick/control/Rentals.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -1,4 +1,4 @@
-package org.hollypick.control;
+package org.hollypick.control.provisioning;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -17,18 +17,18 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.fleet.Fleet;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.autoscaling.Autoscaler;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Dealings with the cloud in one term: rents, returns and the list that tells which machines there are. */
-final class Rentals {
-    private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+public final class InstanceProvisioner {
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceProvisioner.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
     private final Scheduler scheduler;
     private final CloudClient cloud;
@@ -36,7 +36,7 @@
     private final BooleanSupplier acting;
     private final BooleanSupplier open;
     private final Runnable pump;
-    private final Fleet fleet;
+    private final Autoscaler fleet;
     private final long startedAt;
     /** No earlier leader can have rented anything. */
     private final boolean nobodyBefore;
@@ -49,8 +49,8 @@
     private boolean listedOnce;
     private long hires;
 
-    Rentals(
-            Runtime runtime,
+    public InstanceProvisioner(
+            EventLoop runtime,
             Settings settings,
             OperatorSettings operator,
             Scheduler scheduler,
@@ -68,12 +68,12 @@
         this.acting = acting;
         this.open = open;
         this.pump = pump;
-        this.fleet = new Fleet(operator, nobodyBefore);
+        this.fleet = new Autoscaler(operator, nobodyBefore);
         this.nobodyBefore = nobodyBefore;
         this.startedAt = runtime.now();
     }
 
-    void giveBack(List<Machine> list, String why) {
+    public void giveBack(List<Machine> list, String why) {
         List<String> names = new ArrayList<>();
         for (Machine m : list.subList(0, Math.min(list.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST))) {
             if (returning.add(m.id)) {
@@ -97,12 +97,12 @@
     }
 
     /** Mean cores that the arriving arrays keep busy. */
-    double load() {
+    public double load() {
         return fleet.load();
     }
 
     /** {@code partitioned}: zones in which nothing is rented now. */
-    void rentAndReturn(Set<String> partitioned, long now) {
+    public void rentAndReturn(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
         giveBack(
                 scheduler.machines.values().stream()
@@ -116,9 +116,9 @@
         if (!open.getAsBoolean()) {
             fleet.closed(now);
         }
-        Fleet.Plan plan = fleet.plan(scheduler, types, settings.zones(), partitioned, now);
+        Autoscaler.Plan plan = fleet.plan(scheduler, types, settings.zones(), partitioned, now);
         if (hiring == 0) { // else machines may be on their way already
-            for (Fleet.Rent rent : plan.rents()) {
+            for (Autoscaler.Rent rent : plan.rents()) {
                 hiring++;
                 hire(rent.kind(), settings.node() + "-" + scheduler.token + "-" + hires++, rent.count());
             }
@@ -131,7 +131,7 @@
         pump.run();
     }
 
-    private void hire(Fleet.Kind kind, String name, int count) {
+    private void hire(Autoscaler.Kind kind, String name, int count) {
         if (!acting.getAsBoolean()) {
             hiring--;
             return;
@@ -160,7 +160,7 @@
                 if (got < count) {
                     fleet.refused(kind, now);
                 }
-            } else if (r.status() == Reply.NO_ANSWER) {
+            } else if (r.status() == Response.NO_ANSWER) {
                 // It may have been carried out: the same name again gives the same machines.
                 runtime.after(1_000, () -> hire(kind, name, count));
             } else {
@@ -172,7 +172,7 @@
         });
     }
 
-    void list() {
+    public void list() {
         if (!listing) {
             listing = true;
             page(null, runtime.now(), new HashMap<>());
--- a/src/main/java/org/hollypick/core/Ledger.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -4,26 +4,26 @@
 import java.util.Iterator;
 import java.util.List;
 import org.hollypick.config.constants.JobConstants;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.hollypick.core.tyrex.Tyrex;
 
 /**
  * The life of placements in one term: from the decision to start, through reports, to the certainty that nothing is
  * there.
  */
-public final class Ledger {
+public final class AssignmentTable {
     private final Scheduler scheduler;
     private final long token;
-    private final TeamUse teamUse;
+    private final TeamUsage teamUse;
     private final FaultAttribution faultAttribution;
     private long attempts;
 
-    Ledger(Scheduler scheduler, TeamUse teamUse) {
+    AssignmentTable(Scheduler scheduler, TeamUsage teamUse) {
         this.scheduler = scheduler;
         this.token = scheduler.token;
         this.teamUse = teamUse;
@@ -36,7 +36,7 @@
      * Takes in a worker's report. False if it is older than what is known or from a session that is over: it says
      * nothing. {@code hello}: it came as a report, which no earlier answer to a report can still follow.
      */
-    public boolean report(Machine m, Report r, boolean hello, long now) {
+    public boolean report(Machine m, Heartbeat r, boolean hello, long now) {
         scheduler.lastNow = now;
         if ((m.up && !r.newerThan(m.session, m.tick)) || outdated(m, r)) {
             return false;
@@ -73,8 +73,8 @@
         }
         m.beginReport();
         boolean strays = false;
-        for (TaskReport t : r.tasks()) {
-            Placement p = m.at(t.task(), t.attempt());
+        for (TaskStatus t : r.tasks()) {
+            Assignment p = m.at(t.task(), t.attempt());
             if (p == null) {
                 p = adopt(m, t, now);
             }
@@ -93,7 +93,7 @@
         }
         scheduler.passWanted |= m.strays && !strays;
         m.strays = strays;
-        for (Placement p : m.unlisted()) {
+        for (Assignment p : m.unlisted()) {
             if (p.state() != State.SENT || (p.stop && !p.launchMayFollow())) {
                 remove(p);
             }
@@ -114,7 +114,7 @@
      * Whether a report says nothing whatever its count: of a session that is over, or with larger counts and a lower
      * token than the machine has shown. A worker's token never falls, so that was written in an earlier life.
      */
-    public static boolean outdated(Machine m, Report r) {
+    public static boolean outdated(Machine m, Heartbeat r) {
         return Long.compareUnsigned(r.session(), m.minSession) < 0
                 || (m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0)
                 || (m.up && r.newerThan(m.session, m.tick) && Long.compareUnsigned(r.token(), m.seenToken) < 0);
@@ -130,18 +130,18 @@
      * An answer to a question that was put after larger counts were known: the worker has begun again, with nothing.
      * Only what an order still under way may bring is there yet, for a lease from now on at most.
      */
-    public void begunAgain(Machine m, Report r, long now) {
+    public void begunAgain(Machine m, Heartbeat r, long now) {
         scheduler.lastNow = now;
         m.lapsedAt = now;
         m.sessionSince = now;
         m.beginReport();
-        for (TaskReport t : r.tasks()) {
-            Placement p = m.at(t.task(), t.attempt());
+        for (TaskStatus t : r.tasks()) {
+            Assignment p = m.at(t.task(), t.attempt());
             if (p != null) {
                 m.listed(p, now);
             }
         }
-        for (Placement p : m.unlisted()) {
+        for (Assignment p : m.unlisted()) {
             if (!p.launchMayFollow()) {
                 remove(p);
             }
@@ -151,7 +151,7 @@
 
     private void drain(Machine m, double noticeS) {
         m.draining = true;
-        for (Placement p : m.there()) {
+        for (Assignment p : m.there()) {
             JobSpec s = p.spec;
             if (s.checkpointS() > 0 && !s.service()) {
                 stop(p, noticeS > s.saveS() ? Math.ceil(s.saveS()) : 0);
@@ -163,7 +163,7 @@
     }
 
     /** A reported attempt that this term didn't launch: from an earlier leader, if its task isn't elsewhere. */
-    private Placement adopt(Machine m, TaskReport t, long now) {
+    private Assignment adopt(Machine m, TaskStatus t, long now) {
         int slash = t.task().lastIndexOf('/');
         Job job = slash < 0 ? null : scheduler.jobs.get(t.task().substring(0, slash));
         if (job == null || job.status != Job.Status.LIVE) {
@@ -181,7 +181,7 @@
         if (t.state() == State.EXITED && (!"done".equals(t.why()) || job.spec.service())) {
             return null;
         }
-        Placement other = t.state() == State.EXITED ? null : job.live.get(index);
+        Assignment other = t.state() == State.EXITED ? null : job.live.get(index);
         if (other != null) {
             if (Long.compareUnsigned(other.attempt, t.attempt()) > 0) {
                 return null;
@@ -189,7 +189,7 @@
             // a late copy of a report showed it: the newer attempt was only launched when the older was gone
             remove(other);
         }
-        Placement p = new Placement(job, index, t.attempt(), m, now);
+        Assignment p = new Assignment(job, index, t.attempt(), m, now);
         m.add(p);
         if (t.state() != State.EXITED) {
             job.placed(p);
@@ -201,7 +201,7 @@
         return p;
     }
 
-    private void update(Placement p, TaskReport t, long now) {
+    private void update(Assignment p, TaskStatus t, long now) {
         if (!p.there()) {
             return;
         }
@@ -217,7 +217,7 @@
         }
     }
 
-    private void exited(Placement p, String why, long now) {
+    private void exited(Assignment p, String why, long now) {
         Machine m = p.machine;
         Job job = p.job;
         m.release(p);
@@ -226,7 +226,7 @@
             boolean first = !job.done.get(p.index);
             job.done.set(p.index);
             job.pending.clear(p.index);
-            Placement other = job.live.get(p.index);
+            Assignment other = job.live.get(p.index);
             if (other != null && other != p) {
                 stop(other, 0);
             }
@@ -260,7 +260,7 @@
     }
 
     void loseAll(Machine m) {
-        for (Placement p : new ArrayList<>(m.placements.values())) {
+        for (Assignment p : new ArrayList<>(m.placements.values())) {
             remove(p);
         }
         m.reported = List.of();
@@ -268,7 +268,7 @@
     }
 
     /** Nothing of it can be on its machine any more. */
-    private void remove(Placement p) {
+    private void remove(Assignment p) {
         if (p.there()) {
             cutShort(p, scheduler.lastNow);
         }
@@ -282,13 +282,13 @@
     }
 
     /** It ran for that long, and would have run for longer. */
-    private void cutShort(Placement p, long now) {
+    private void cutShort(Assignment p, long now) {
         if (p.runningAt > 0) {
             scheduler.estimates.observe(p.spec, p.machine.id, (now - p.runningAt) / 1000.0, true);
         }
     }
 
-    private void freeTask(Placement p) {
+    private void freeTask(Assignment p) {
         Job job = p.job;
         if (job.unplaced(p)) {
             teamUse.add(p.spec, -1);
@@ -305,8 +305,8 @@
 
     /** Everything in {@code job.committed} is durable; its exited attempts may be cleared. */
     public void progressCommitted(Job job) {
-        for (Iterator<Placement> i = job.uncommitted.iterator(); i.hasNext(); ) {
-            Placement p = i.next();
+        for (Iterator<Assignment> i = job.uncommitted.iterator(); i.hasNext(); ) {
+            Assignment p = i.next();
             if (job.committed.get(p.index)) {
                 p.clearable = true; // the order goes with the answer to the machine's next report
                 i.remove();
@@ -322,7 +322,7 @@
             throw new IllegalStateException("out of attempt numbers under this token");
         }
         long attempt = (token << JobConstants.ATTEMPT_BITS) + attempts++;
-        Placement p = new Placement(job, index, attempt, m, now);
+        Assignment p = new Assignment(job, index, attempt, m, now);
         m.add(p);
         job.placed(p);
         teamUse.add(p.spec, 1);
@@ -330,11 +330,11 @@
     }
 
     /** Orders for services go out first. */
-    private void wantOrders(Placement p) {
+    private void wantOrders(Assignment p) {
         (p.job.spec.service() ? scheduler.ordersUrgent : scheduler.ordersDirty).add(p.machine);
     }
 
-    public void stop(Placement p, double graceS) {
+    public void stop(Assignment p, double graceS) {
         if (!p.stop || graceS < p.graceS) {
             p.stop = true;
             p.graceS = graceS;
@@ -349,28 +349,28 @@
     // ---- orders ----
 
     /** The difference between what the machine reported and what is wanted, as orders. */
-    public List<Order> orders(Machine m) {
-        List<Order> orders = new ArrayList<>();
-        List<Order> clears = new ArrayList<>();
-        for (TaskReport t : m.reported) {
-            Placement p = m.at(t.task(), t.attempt());
+    public List<Command> orders(Machine m) {
+        List<Command> orders = new ArrayList<>();
+        List<Command> clears = new ArrayList<>();
+        for (TaskStatus t : m.reported) {
+            Assignment p = m.at(t.task(), t.attempt());
             if (t.state() == State.EXITED) {
                 if (p == null || (p.clearable && !p.launchMayFollow())) {
-                    clears.add(new Order(Order.Verb.FORGET, t.task(), t.attempt(), 0));
+                    clears.add(new Command(Command.Verb.FORGET, t.task(), t.attempt(), 0));
                 }
             } else if (p == null) {
                 // Of no live job, or a second attempt: it goes. Unheard machines too; their tasks belong to no one
                 // else.
-                orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), 0));
+                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), 0));
             } else if (p.stop && (t.state() != State.SAVING || p.graceS == 0)) {
-                orders.add(new Order(Order.Verb.STOP, t.task(), t.attempt(), p.graceS));
+                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), p.graceS));
             }
         }
         orders.addAll(clears);
         if (m.registered) {
-            for (Placement p : m.placements.values()) {
+            for (Assignment p : m.placements.values()) {
                 if (p.state() == State.SENT && !p.stop) {
-                    orders.add(new Order(Order.Verb.START, p.taskId, p.attempt, 0));
+                    orders.add(new Command(Command.Verb.START, p.taskId, p.attempt, 0));
                 }
             }
         }
@@ -378,20 +378,20 @@
     }
 
     /** The orders go out as the answer to a report. */
-    public void sentInAnswer(Machine m, List<Order> orders) {
-        for (Order o : orders) {
-            Placement p = m.at(o.task(), o.attempt());
-            if (o.verb() == Order.Verb.START && p != null) {
+    public void sentInAnswer(Machine m, List<Command> orders) {
+        for (Command o : orders) {
+            Assignment p = m.at(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.START && p != null) {
                 p.viaHello = true;
             }
         }
     }
 
-    public void sentDirect(Machine m, List<Order> orders) {
+    public void sentDirect(Machine m, List<Command> orders) {
         m.directBusy = true;
-        for (Order o : orders) {
-            Placement p = m.at(o.task(), o.attempt());
-            if (o.verb() == Order.Verb.START && p != null) {
+        for (Command o : orders) {
+            Assignment p = m.at(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.START && p != null) {
                 p.directInFlight = true;
             }
         }
@@ -400,11 +400,11 @@
     /**
      * A direct call ended. {@code settled}: it was executed, refused or never sent; otherwise it may be executed late.
      */
-    public void directEnded(Machine m, List<Order> orders, long session, boolean settled) {
+    public void directEnded(Machine m, List<Command> orders, long session, boolean settled) {
         m.directBusy = false;
-        for (Order o : orders) {
-            Placement p = m.at(o.task(), o.attempt());
-            if (o.verb() == Order.Verb.START && p != null) {
+        for (Command o : orders) {
+            Assignment p = m.at(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.START && p != null) {
                 p.directInFlight = false;
                 if (!settled && m.session == session) {
                     p.directDoubt = true;
@@ -419,7 +419,7 @@
      * as long as its lease lasts.
      */
     public boolean startMayCome(Job job) {
-        for (Placement p : job.live.values()) {
+        for (Assignment p : job.live.values()) {
             if (p.state() == State.FETCHING || (p.state() == State.SENT && p.launchMayFollow())) {
                 return true;
             }
@@ -439,7 +439,7 @@
      * The same on a machine whose lease was renewed since: others' leases end by themselves, and the launch with them.
      */
     public boolean launchUnderWay(Job job, long renewedSince) {
-        for (Placement p : job.live.values()) {
+        for (Assignment p : job.live.values()) {
             if (p.state() == State.SENT && (p.directInFlight || p.directDoubt) && p.machine.answeredAt > renewedSince) {
                 return true;
             }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import org.hollypick.config.constants.FaultConstants;
-import org.hollypick.core.ledger.Machine;
+import org.hollypick.core.assignment.Machine;
 
 /** Whose fault a task's failure is, the machine's or the job's, and how long either is left alone. */
 final class FaultAttribution {
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.ObjIntConsumer;
 import org.hollypick.config.constants.FaultConstants;
-import org.hollypick.core.ledger.Placement;
+import org.hollypick.core.assignment.Assignment;
 
 /** A live job, owned by this controller. */
 public final class Job {
@@ -42,13 +42,13 @@
     /** Tasks with nothing anywhere. */
     public final BitSet pending = new BitSet();
     /** Tasks that may be somewhere. */
-    public final Int2ObjectOpenHashMap<Placement> live = new Int2ObjectOpenHashMap<>();
+    public final Int2ObjectOpenHashMap<Assignment> live = new Int2ObjectOpenHashMap<>();
 
     private final Object2IntOpenHashMap<String> inZone = new Object2IntOpenHashMap<>();
     /** Tasks that were last reported as running or saving. */
     public int running;
     /** Attempts that ended with done and whose progress isn't durable yet. */
-    public final List<Placement> uncommitted = new ArrayList<>();
+    public final List<Assignment> uncommitted = new ArrayList<>();
 
     public final Int2LongOpenHashMap notBefore = new Int2LongOpenHashMap();
     public int failures;
@@ -142,14 +142,14 @@
     }
 
     /** It starts now, or was found, on that machine. */
-    public void placed(Placement p) {
+    public void placed(Assignment p) {
         live.put(p.index, p);
         pending.clear(p.index);
         inZone.addTo(p.machine.zone, 1);
     }
 
     /** That attempt can't be anywhere any more; whether the task waits again is up to the caller. */
-    public boolean unplaced(Placement p) {
+    public boolean unplaced(Assignment p) {
         if (live.get(p.index) != p) {
             return false;
         }
--- a/src/main/java/org/hollypick/core/Dependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -16,7 +16,7 @@
  * not done. Chains may be thousands of jobs long, so nothing here recurses. Not final: tests put faulty ones in its
  * place.
  */
-public class Dependencies {
+public class JobDependencies {
     private enum Fate {
         LIVE,
         DONE,
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.hollypick.config.Settings;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.balancing.HeartbeatBalancer;
 import org.hollypick.core.estimate.Estimates;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.spread.ReportBalancer;
 
 /**
  * What one leader knows during one term, and what it decides. Pure: time comes in with each event, effects are left in
@@ -21,14 +21,14 @@
 public final class Scheduler {
     public final long token;
     private final Settings settings;
-    public final Leases leases;
-    private final Planner planner;
-    final TeamUse teamUse = new TeamUse();
+    public final WorkerLeases leases;
+    private final SchedulingCycle planner;
+    final TeamUsage teamUse = new TeamUsage();
     public final Estimates estimates;
     /** Which controller each machine reports to. */
-    public final ReportBalancer reportBalancer;
+    public final HeartbeatBalancer reportBalancer;
 
-    public final Ledger ledger;
+    public final AssignmentTable ledger;
     private boolean settled;
     /** Earlier leaders kept the same limits of teams. */
     private boolean olderKeptLimits;
@@ -62,19 +62,19 @@
     public boolean passWanted;
 
     /** {@code leases}: when a worker's lease is certainly over. */
-    public Scheduler(long token, Settings settings, double firstShare, Leases leases) {
+    public Scheduler(long token, Settings settings, double firstShare, WorkerLeases leases) {
         this(token, settings, firstShare, leases, false);
     }
 
     /** {@code learns}: from the run times of tasks, for those who ask when something will be done. */
-    public Scheduler(long token, Settings settings, double firstShare, Leases leases, boolean learns) {
+    public Scheduler(long token, Settings settings, double firstShare, WorkerLeases leases, boolean learns) {
         this.estimates = new Estimates(learns);
         this.token = token;
         this.settings = settings;
-        this.reportBalancer = new ReportBalancer(settings.node(), leases.termStart());
+        this.reportBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
         this.leases = leases;
-        this.ledger = new Ledger(this, teamUse);
-        this.planner = new Planner(this, firstShare);
+        this.ledger = new AssignmentTable(this, teamUse);
+        this.planner = new SchedulingCycle(this, firstShare);
     }
 
     /** The leader before kept the same limits of teams, and all before it did. */
@@ -145,7 +145,7 @@
     /** That task of such a job isn't to run any more: it doesn't wait, and where it may be it is stopped. */
     public void withdraw(Job job, int index) {
         job.pending.clear(index);
-        Placement p = job.live.get(index);
+        Assignment p = job.live.get(index);
         if (p != null) {
             ledger.stop(p, 0);
         }
@@ -173,7 +173,7 @@
     public void cancel(Job job) {
         job.withdrawn = true;
         job.pending.clear();
-        for (Placement p : new ArrayList<>(job.live.values())) {
+        for (Assignment p : new ArrayList<>(job.live.values())) {
             ledger.stop(p, 0);
         }
         passWanted = true;
@@ -188,7 +188,7 @@
     public void close(Job job) {
         job.status = Job.Status.DONE;
         job.committed = job.done;
-        for (Placement p : new ArrayList<>(job.live.values())) {
+        for (Assignment p : new ArrayList<>(job.live.values())) {
             ledger.stop(p, 0);
         }
         ledger.progressCommitted(job);
--- a/src/main/java/org/hollypick/core/Planner.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.SchedulingConstants;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.placement.Placer;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.placement.MachineSelector;
 
 /** Which job goes where next: the two Tyrex partitions, their order and their lending. */
-final class Planner {
+final class SchedulingCycle {
     /**
      * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
      * holds among jobs of one rank.
@@ -42,7 +42,7 @@
 
     private record UseSeen(long changes, long since) {}
 
-    Planner(Scheduler scheduler, double firstShare) {
+    SchedulingCycle(Scheduler scheduler, double firstShare) {
         this.scheduler = scheduler;
         this.firstShare = firstShare;
     }
@@ -71,7 +71,7 @@
         allServices = 0;
         for (Machine m : scheduler.machines.values()) {
             allServices += m.serviceCpus();
-            if (Placer.takesTasks(m, now)) {
+            if (MachineSelector.takesTasks(m, now)) {
                 usable.add(m);
                 (m.first ? firstMachines : secondMachines).add(m);
             }
@@ -94,7 +94,7 @@
      * to.
      */
     void fill(Machine m, long now) {
-        if (!Placer.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
+        if (!MachineSelector.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
             return;
         }
         List<Machine> one = List.of(m);
@@ -129,7 +129,7 @@
      */
     private void placeService(Job job, List<Machine> machines, long now) {
         for (int i = next(job, 0, now); i >= 0; i = next(job, i + 1, now)) {
-            Placer.Choice choice = Placer.preempt(job, machines, allServices, now);
+            MachineSelector.Choice choice = MachineSelector.preempt(job, machines, allServices, now);
             if (choice == null) {
                 return;
             }
@@ -156,7 +156,8 @@
             if (spec.service()
                     && !scheduler.withinLimit(spec)
                     && useChangedLately(spec.team(), now)
-                    && room.computeIfAbsent(spec.team(), t -> Placer.preempt(job, usable, allServices, now) != null)) {
+                    && room.computeIfAbsent(
+                            spec.team(), t -> MachineSelector.preempt(job, usable, allServices, now) != null)) {
                 scheduler.teamUse.owe(spec, job.pending.cardinality());
             }
         }
@@ -185,9 +186,9 @@
         int i = next(job, 0, now);
         while (i >= 0) {
             JobSpec spec = job.spec(i);
-            Machine m = noRoom.contains(spec) ? null : Placer.choose(job, spec, own, now);
+            Machine m = noRoom.contains(spec) ? null : MachineSelector.choose(job, spec, own, now);
             if (m == null && !noRoom.contains(spec)) {
-                m = Placer.choose(job, spec, keepOneFree ? lendable(others) : others, now);
+                m = MachineSelector.choose(job, spec, keepOneFree ? lendable(others) : others, now);
             }
             if (m == null) {
                 if (!job.mixed()) {
@@ -207,8 +208,8 @@
             } while (i >= 0
                     && job.spec(i) == spec
                     && m.hasRoom(spec)
-                    && Placer.takesTasks(m, now)
-                    && Placer.allowed(job, spec, m));
+                    && MachineSelector.takesTasks(m, now)
+                    && MachineSelector.allowed(job, spec, m));
         }
     }
 
--- a/src/main/java/org/hollypick/core/TeamUse.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -4,14 +4,14 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import org.hollypick.config.Settings;
-import org.hollypick.core.ledger.Machine;
+import org.hollypick.core.assignment.Machine;
 
 /**
  * What each team's tasks take, counting every one that may be anywhere. Until every machine of earlier terms has been
  * heard, tasks may be there that nobody here knows of: then what they take at most is counted too (docs/safety.md,
  * "quota").
  */
-final class TeamUse {
+final class TeamUsage {
     private static final double SLACK = 1e-6; // sums of decimal amounts
 
     private final Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
--- a/src/main/java/org/hollypick/core/Leases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -15,7 +15,7 @@
  * asks again and again; the answer, if it grants anything, lets it renew leases, under this token, for a while counted
  * from when it sent the question.
  */
-public final class Leases {
+public final class WorkerLeases {
     /** Before any time that a clock tells, and far enough from the end of the numbers to be reckoned with. */
     public static final long NEVER = -(1L << 61);
 
@@ -48,7 +48,7 @@
     private long numbers;
 
     /** {@code nobodyBefore}: no older leader can have granted anything. */
-    public Leases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
+    public WorkerLeases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
         this.windowMs = windowMs(settings);
         this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO))
                 + ClockConstants.CLOCK_MARGIN_MS
--- a/src/main/java/org/hollypick/core/ledger/Placement.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -1,10 +1,10 @@
-package org.hollypick.core.ledger;
+package org.hollypick.core.assignment;
 
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 
 /** One attempt of a task that is, or may be, on a machine. */
-public final class Placement {
+public final class Assignment {
     public enum State {
         SENT,
         FETCHING,
@@ -42,7 +42,7 @@
     public final long startedAt;
     public long runningAt;
 
-    public Placement(Job job, int index, long attempt, Machine machine, long now) {
+    public Assignment(Job job, int index, long attempt, Machine machine, long now) {
         this.job = job;
         this.index = index;
         this.spec = job.spec(index);
--- a/src/main/java/org/hollypick/core/ledger/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.ledger;
+package org.hollypick.core.assignment;
 
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
-import org.hollypick.core.validity.ReportValidity;
+import org.hollypick.core.health.HeartbeatValidity;
 
 /** A machine and everything that may be on it. */
 public final class Machine {
@@ -46,7 +46,7 @@
      */
     public boolean needsReport;
     /** Whether what it is told reaches it. */
-    public final ReportValidity validity = new ReportValidity();
+    public final HeartbeatValidity validity = new HeartbeatValidity();
 
     public long session;
     public long tick;
@@ -100,9 +100,9 @@
     /** No direct call before this time; the last one was left unanswered. */
     public long directAfter;
     /** By attempt: those never repeat, whatever the task. */
-    public final Long2ObjectLinkedOpenHashMap<Placement> placements = new Long2ObjectLinkedOpenHashMap<>();
+    public final Long2ObjectLinkedOpenHashMap<Assignment> placements = new Long2ObjectLinkedOpenHashMap<>();
 
-    public List<TaskReport> reported = List.of();
+    public List<TaskStatus> reported = List.of();
     public final Object2LongOpenHashMap<String> images = new Object2LongOpenHashMap<>();
     public final Set<String> failedJobs = new HashSet<>();
     /** When a task last failed on it. */
@@ -127,7 +127,7 @@
         this.idleSince = now;
     }
 
-    public void add(Placement p) {
+    public void add(Assignment p) {
         placements.put(p.attempt, p);
         count(p, 1);
         p.usesRoom = true;
@@ -135,12 +135,12 @@
     }
 
     /** The placement that an order or a report names; null if there is none. */
-    public Placement at(String task, long attempt) {
-        Placement p = placements.get(attempt);
+    public Assignment at(String task, long attempt) {
+        Assignment p = placements.get(attempt);
         return p != null && p.taskId.equals(task) ? p : null;
     }
 
-    void count(Placement p, int sign) {
+    void count(Assignment p, int sign) {
         if (p.there()) {
             there += sign;
             starting += p.starting() ? sign : 0;
@@ -159,7 +159,7 @@
     }
 
     /** The present report lists the placement. */
-    public void listed(Placement p, long now) {
+    public void listed(Assignment p, long now) {
         if (p.listedIn == 0) {
             newPlacementListedAt = now;
         }
@@ -174,9 +174,9 @@
         return Math.max(Math.max(answeredAt, sessionSince), newPlacementListedAt);
     }
 
-    public List<Placement> unlisted() {
-        List<Placement> list = new ArrayList<>();
-        for (Placement p : placements.values()) {
+    public List<Assignment> unlisted() {
+        List<Assignment> list = new ArrayList<>();
+        for (Assignment p : placements.values()) {
             if (p.listedIn != reports) {
                 list.add(p);
             }
@@ -185,14 +185,14 @@
     }
 
     /** Its room may be used by others: it exited, or is killed at once by an order ahead of theirs. */
-    public void release(Placement p) {
+    public void release(Assignment p) {
         if (p.usesRoom) {
             p.usesRoom = false;
             use(p, -1);
         }
     }
 
-    private void use(Placement p, int sign) {
+    private void use(Assignment p, int sign) {
         usedCpus += sign * p.spec.cpus();
         usedGpus += sign * p.spec.gpus();
         usedMemory += sign * p.spec.memory();
@@ -241,9 +241,9 @@
         return serviceCpus;
     }
 
-    public List<Placement> there() {
-        List<Placement> list = new ArrayList<>();
-        for (Placement p : placements.values()) {
+    public List<Assignment> there() {
+        List<Assignment> list = new ArrayList<>();
+        for (Assignment p : placements.values()) {
             if (p.there()) {
                 list.add(p);
             }
