--- a/src/main/java/org/hollypick/core/fleet/Mean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -1,9 +1,9 @@
-package org.hollypick.core.fleet;
+package org.hollypick.core.autoscaling;
 
 import org.hollypick.config.constants.AutoscalingConstants;
 
 /** Follows the mean of something that arrives, per second, forgetting it over a window. */
-final class Mean {
+final class ArrivalMean {
     private final double windowS;
     private double mean;
     /** How much of the window has been seen; corrects the mean while it is young. */
@@ -12,7 +12,7 @@
     private long at;
     private double observedS;
 
-    Mean(double windowS) {
+    ArrivalMean(double windowS) {
         this.windowS = windowS;
     }
 
--- a/src/main/java/org/hollypick/core/fleet/Fleet.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.fleet;
+package org.hollypick.core.autoscaling;
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
@@ -16,19 +16,19 @@
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.placement.Placer;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.placement.MachineSelector;
 
 /** Works out which machines to rent and which to give back. */
-public final class Fleet {
+public final class Autoscaler {
     /** A kind of machine to rent. */
     public record Kind(String type, String zone, boolean spot) {}
 
     public record Rent(Kind kind, int count) {}
 
     /** {@code moves}: replicas to stop, so that they start again on a machine that is kept. */
-    public record Plan(List<Rent> rents, List<Machine> returns, List<Placement> moves) {}
+    public record Plan(List<Rent> rents, List<Machine> returns, List<Assignment> moves) {}
 
     private final OperatorSettings operator;
     private final long crowdMs;
@@ -38,16 +38,16 @@
     private final Object2IntOpenHashMap<Kind> have = new Object2IntOpenHashMap<>();
 
     private long startedAt;
-    private final Mean arrayJobs = new Mean(AutoscalingConstants.LOAD_WINDOW_S);
-    private final Mean arrays = new Mean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final ArrivalMean arrayJobs = new ArrivalMean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final ArrivalMean arrays = new ArrivalMean(AutoscalingConstants.LOAD_WINDOW_S);
     /** When an array last arrived, and how many a second did until then, as far as that can be relied on. */
     private long arrayArrivedAt;
 
     private double arrayRate;
-    private final Mean services = new Mean(AutoscalingConstants.SERVICE_WINDOW_S);
+    private final ArrivalMean services = new ArrivalMean(AutoscalingConstants.SERVICE_WINDOW_S);
 
     /** {@code firstTerm}: nobody owned anything before, so a crowd of users may be starting. */
-    public Fleet(OperatorSettings operator, boolean firstTerm) {
+    public Autoscaler(OperatorSettings operator, boolean firstTerm) {
         this.operator = operator;
         this.crowdMs = firstTerm ? AutoscalingConstants.WARM_UP_MS : 0;
     }
@@ -144,7 +144,7 @@
         Collection<Machine> machines = scheduler.machines.values();
         double surplus =
                 cordon(machines, spare, supply - Math.max(base, demand.arrayCores * AutoscalingConstants.BUSY_MARGIN));
-        List<Placement> moves = scheduler.settled() ? moves(machines, spare, surplus, now) : List.of();
+        List<Assignment> moves = scheduler.settled() ? moves(machines, spare, surplus, now) : List.of();
         return new Plan(rents, returns(machines, spare, supply - base, now), moves);
     }
 
@@ -244,9 +244,9 @@
      * than needed those with the fewest replicas in a zone are emptied: each replica that has run for a while moves to
      * a machine of the zone that has room and holds its image, so it is away for an exchange of orders only.
      */
-    private static List<Placement> moves(
+    private static List<Assignment> moves(
             Collection<Machine> machines, Map<String, Double> spare, double surplus, long now) {
-        List<Placement> moves = new ArrayList<>();
+        List<Assignment> moves = new ArrayList<>();
         double allServices = machines.stream().mapToDouble(Machine::serviceCpus).sum();
         for (Map.Entry<String, Double> zone : spare.entrySet()) {
             double excess = Math.min(zone.getValue(), surplus);
@@ -274,14 +274,14 @@
         return moves;
     }
 
-    private static void move(Machine from, Collection<Machine> machines, List<Placement> moves, long now) {
-        for (Placement p : from.there()) {
+    private static void move(Machine from, Collection<Machine> machines, List<Assignment> moves, long now) {
+        for (Assignment p : from.there()) {
             if (moves.size() < AutoscalingConstants.MAX_MOVES
                     && p.job.spec.service()
                     && !p.stop
-                    && p.state() == Placement.State.RUNNING
+                    && p.state() == Assignment.State.RUNNING
                     && now - p.runningAt > AutoscalingConstants.MOVE_AFTER_MS
-                    && Placer.canMove(p, machines, now)) {
+                    && MachineSelector.canMove(p, machines, now)) {
                 moves.add(p);
             }
         }
@@ -309,7 +309,7 @@
             if (s.service() || !s.spot()) {
                 d.service = job;
                 d.teamServices.addTo(s.team(), (pending + job.live.size()) * s.cpus());
-                for (Placement p : job.live.values()) {
+                for (Assignment p : job.live.values()) {
                     d.serviceCores.merge(p.machine.zone, s.cpus(), Double::sum);
                 }
                 shares(job, zones)
@@ -323,7 +323,7 @@
                     d.teamArrays.addTo(s.team(), count * spec.cpus());
                 });
             }
-            for (Placement p : job.live.values()) {
+            for (Assignment p : job.live.values()) {
                 double runs = scheduler.expectedRunS(p.spec);
                 double ran = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
                 d.arrayWork += p.spec.cpus() * Math.max(runs - ran, runs * 0.1);
--- a/src/main/java/org/hollypick/core/spread/ReportBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.spread;
+package org.hollypick.core.balancing;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * and few at a time, since each move costs a report. The leader, which has everything else to do, takes a smaller part.
  * Pure; the leader's.
  */
-public final class ReportBalancer {
+public final class HeartbeatBalancer {
     private final String leader;
     /** Who reports where. */
     private final Map<String, String> via = new HashMap<>();
@@ -21,7 +21,7 @@
     private double moves;
     private long movesAt;
 
-    public ReportBalancer(String leader, long now) {
+    public HeartbeatBalancer(String leader, long now) {
         this.leader = leader;
         this.movesAt = now;
     }
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -13,8 +13,8 @@
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Machine;
 
 /**
  * When a job is likely to be done, from drawn courses of events. Pure; it changes nothing and is worked out only when
@@ -138,8 +138,8 @@
         waitingWork[0] += job.unreleased()
                 * spec.cpus()
                 * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
-        List<Placement> running = new ArrayList<>();
-        for (Placement p : job.live.values()) {
+        List<Assignment> running = new ArrayList<>();
+        for (Assignment p : job.live.values()) {
             if (p.there()) {
                 running.add(p);
             }
@@ -164,7 +164,7 @@
             }
             PriorityQueue<Double> ends = new PriorityQueue<>();
             double last = start;
-            for (Placement p : running) {
+            for (Assignment p : running) {
                 double elapsed = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
                 double end = start
                         + samplers.computeIfAbsent(p.spec, estimates::sampler).draw(random, elapsed)
--- a/src/main/java/org/hollypick/core/validity/ReportValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -1,19 +1,19 @@
-package org.hollypick.core.validity;
+package org.hollypick.core.health;
 
 import java.util.List;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.TaskStatus;
 
 /**
  * Whether a machine's reports are new, and whether what it is told reaches it (docs/hearing.md). A worker has one
  * report in flight at a time: a newer one that still lacks what the answer before told shows that this answer wasn't
  * taken. Pure; one for each machine in one term.
  */
-public final class ReportValidity {
+public final class HeartbeatValidity {
     /** {@code AGAIN}: the newest one once more, while its worker may still wait for the answer. */
     public enum Freshness {
         NEW,
@@ -30,7 +30,7 @@
     /** That one was answered, with these orders. */
     private boolean answered;
 
-    private List<Order> told = List.of();
+    private List<Command> told = List.of();
     private long toldSession;
     /** It had seen this term's token by then. */
     private boolean knewToken;
@@ -41,7 +41,7 @@
     private long unreachableInboundSince;
 
     /** What this report is, beside those that came before. */
-    public Freshness freshness(Report r, long now) {
+    public Freshness freshness(Heartbeat r, long now) {
         if (!reported || r.newerThan(session, tick)) {
             reported = true;
             session = r.session();
@@ -64,7 +64,7 @@
      * A new report: what it shows of the answer before. {@code wanted}: what it would be told now; {@code knows}: it
      * has seen this term's token.
      */
-    public void reported(Report r, boolean knows, List<Order> wanted, long now) {
+    public void reported(Heartbeat r, boolean knows, List<Command> wanted, long now) {
         if (answered) {
             if (!knows || anyAgain(wanted)) {
                 if (++unacknowledged >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
@@ -83,9 +83,9 @@
      * Whether something that was told would be told again. With hundreds of reports a second, attempts are compared
      * before names.
      */
-    private boolean anyAgain(List<Order> wanted) {
-        for (Order o : told) {
-            for (Order w : wanted) {
+    private boolean anyAgain(List<Command> wanted) {
+        for (Command o : told) {
+            for (Command w : wanted) {
                 if (o.attempt() == w.attempt() && o.equals(w)) {
                     return true;
                 }
@@ -94,8 +94,8 @@
         return false;
     }
 
-    private boolean anyShown(Report r) {
-        for (Order o : told) {
+    private boolean anyShown(Heartbeat r) {
+        for (Command o : told) {
             if (shows(r, o)) {
                 return true;
             }
@@ -104,20 +104,20 @@
     }
 
     /** Whether the report is as it would be after that order. */
-    private static boolean shows(Report r, Order o) {
-        Placement.State state = null;
-        for (TaskReport t : r.tasks()) {
+    private static boolean shows(Heartbeat r, Command o) {
+        Assignment.State state = null;
+        for (TaskStatus t : r.tasks()) {
             state = t.attempt() == o.attempt() && t.task().equals(o.task()) ? t.state() : state;
         }
         return switch (o.verb()) {
             case START -> state != null;
-            case STOP -> state == Placement.State.SAVING || state == Placement.State.EXITED;
+            case STOP -> state == Assignment.State.SAVING || state == Assignment.State.EXITED;
             case FORGET -> state == null;
         };
     }
 
     /** The newest report is answered with that. */
-    public void told(List<Order> orders) {
+    public void told(List<Command> orders) {
         answered = true;
         told = orders;
         toldSession = session;
--- a/src/main/java/org/hollypick/core/watch/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/health/LocalHealth.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.watch;
+package org.hollypick.core.health;
 
 import org.hollypick.config.constants.FailureDetectionConstants;
 
--- a/src/main/java/org/hollypick/core/placement/Placer.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -9,15 +9,15 @@
 import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Machine;
 
 /** Chooses a machine for a task: what is allowed, what is best, and what may be stopped for it. */
-public final class Placer {
-    private Placer() {}
+public final class MachineSelector {
+    private MachineSelector() {}
 
     /** A machine and the tasks to stop on it first. */
-    public record Choice(Machine machine, List<Placement> victims) {}
+    public record Choice(Machine machine, List<Assignment> victims) {}
 
     /** Whether the job's tasks may start here, given where its other tasks may be; room is another question. */
     public static boolean allowed(Job job, JobSpec s, Machine m) {
@@ -43,7 +43,7 @@
      * Whether a replica could go on at once on another machine of its zone: one with room and its image, and none of
      * its own job.
      */
-    public static boolean canMove(Placement p, Collection<Machine> machines, long now) {
+    public static boolean canMove(Assignment p, Collection<Machine> machines, long now) {
         Object2IntOpenHashMap<Machine> replicas = replicas(p.job);
         for (Machine m : machines) {
             if (m != p.machine
@@ -113,7 +113,7 @@
 
     private static boolean fetching(Machine m, String image) {
         if (m.startingTasks() > 0) {
-            for (Placement p : m.placements.values()) {
+            for (Assignment p : m.placements.values()) {
                 if (p.starting() && p.spec.image().equals(image)) {
                     return true;
                 }
@@ -132,7 +132,7 @@
      */
     public static Choice preempt(Job job, Collection<Machine> machines, double allServices, long now) {
         Machine best = null;
-        List<Placement> bestVictims = List.of();
+        List<Assignment> bestVictims = List.of();
         double bestScore = 0;
         Object2IntOpenHashMap<Machine> replicas = replicas(job);
         for (Machine m : machines) {
@@ -143,13 +143,13 @@
             if (best != null && score <= bestScore) {
                 continue; // what is lost only makes it worse
             }
-            List<Placement> victims = m.hasRoom(job.spec) ? List.of() : victims(job, m);
+            List<Assignment> victims = m.hasRoom(job.spec) ? List.of() : victims(job, m);
             if (victims == null) {
                 continue;
             }
             double lost = 0;
-            for (Placement p : victims) {
-                lost += p.state() == Placement.State.RUNNING ? (now - p.runningAt) / 1000.0 * p.spec.cpus() : 0;
+            for (Assignment p : victims) {
+                lost += p.state() == Assignment.State.RUNNING ? (now - p.runningAt) / 1000.0 * p.spec.cpus() : 0;
             }
             score -= lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
@@ -161,22 +161,22 @@
         return best == null ? null : new Choice(best, bestVictims);
     }
 
-    private static List<Placement> victims(Job job, Machine m) {
-        List<Placement> lower = new ArrayList<>();
-        for (Placement p : m.placements.values()) {
+    private static List<Assignment> victims(Job job, Machine m) {
+        List<Assignment> lower = new ArrayList<>();
+        for (Assignment p : m.placements.values()) {
             if (p.there()
                     && !p.stop
-                    && !(p.state() == Placement.State.SENT && p.launchMayFollow())
+                    && !(p.state() == Assignment.State.SENT && p.launchMayFollow())
                     && p.job.rank.compareTo(job.rank) > 0) {
                 lower.add(p);
             }
         }
-        lower.sort(Comparator.comparing((Placement p) -> p.job.rank).reversed().thenComparingLong(p -> -p.startedAt));
+        lower.sort(Comparator.comparing((Assignment p) -> p.job.rank).reversed().thenComparingLong(p -> -p.startedAt));
         double cpus = m.type.cpus() - m.usedCpus;
         double gpus = m.type.gpus() - m.usedGpus;
         double memory = m.type.memory() - m.usedMemory;
-        List<Placement> chosen = new ArrayList<>();
-        for (Placement p : lower) {
+        List<Assignment> chosen = new ArrayList<>();
+        for (Assignment p : lower) {
             if (fits(job.spec, cpus, gpus, memory)) {
                 break;
             }
--- a/src/main/java/org/hollypick/core/links/LeadershipDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.links;
+package org.hollypick.core.routing;
 
 import org.hollypick.config.constants.ElectionConstants;
 
@@ -6,8 +6,8 @@
  * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by
  * way of another. Who reaches most claims first, and of two that reach the same the one that needs no other. Pure.
  */
-public final class LeadershipDelay {
-    private LeadershipDelay() {}
+public final class CandidacyDelay {
+    private CandidacyDelay() {}
 
     /**
      * {@code direct}, {@code byPeers}: those of the machines asked that answered this controller, and those that
--- a/src/main/java/org/hollypick/core/links/Route.java
+++ b/src/main/java/org/hollypick/core/routing/RouteSelector.java
@@ -1,4 +1,4 @@
-package org.hollypick.core.links;
+package org.hollypick.core.routing;
 
 import java.util.Arrays;
 import org.hollypick.config.constants.ReachabilityConstants;
@@ -7,7 +7,7 @@
  * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier
  * calls fared alone, since nobody tells of a cut (docs/links.md). Pure.
  */
-public final class Route {
+public final class RouteSelector {
     /** When the newest answer over the direct way came. */
     private long answeredAt;
 
@@ -19,7 +19,7 @@
     /** The peer that the last call went by, and with success; -1: none. */
     private int proven = -1;
 
-    public Route(int peers, long now) {
+    public RouteSelector(int peers, long now) {
         notBefore = new long[peers];
         Arrays.fill(notBefore, now);
         answeredAt = now;
--- a/src/main/java/org/hollypick/io/Sockets.java
+++ b/src/main/java/org/hollypick/io/ConnectionBudget.java
@@ -10,7 +10,7 @@
  * above the floors is for whoever comes first, up to the limit of sockets (docs/many-machines.md). Pure counting, on
  * the event loop.
  */
-public final class Sockets {
+public final class ConnectionBudget {
     /** What a connection is for. */
     public enum Kind {
         CONTROL,
@@ -24,7 +24,7 @@
     private final Map<Kind, Integer> open = new EnumMap<>(Kind.class);
     private final Map<Kind, Integer> most = new EnumMap<>(Kind.class);
 
-    public Sockets(int sockets) {
+    public ConnectionBudget(int sockets) {
         limit = (int) (sockets * NetworkConstants.USABLE_SOCKET_SHARE);
         floors.put(Kind.CONTROL, Math.max(NetworkConstants.MIN_CONTROL_SOCKETS, (int)
                 (sockets * NetworkConstants.CONTROL_SOCKET_SHARE)));
--- a/src/main/java/org/hollypick/io/Runtime.java
+++ b/src/main/java/org/hollypick/io/EventLoop.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** What the node needs of the world around it; the tests put a simulated world in its place. */
-public interface Runtime {
+public interface EventLoop {
     /** The steady clock, in milliseconds. */
     long now();
 
@@ -14,5 +14,5 @@
     void after(long ms, Runnable task);
 
     /** Sends a request; the reply comes back on the event loop, exactly once. */
-    void call(Call call, Consumer<Reply> reply);
+    void call(Request call, Consumer<Response> reply);
 }
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -21,11 +21,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
     /** What a connection is for, by its first request. */
-    private static final AttachmentKey<Sockets.Kind> KIND = AttachmentKey.create(Sockets.Kind.class);
+    private static final AttachmentKey<ConnectionBudget.Kind> KIND = AttachmentKey.create(ConnectionBudget.Kind.class);
 
     /** What answers a request; it may answer later, but always on the event loop. */
     public interface Service {
-        void handle(String method, String target, byte[] body, Consumer<Answer> answer);
+        void handle(String method, String target, byte[] body, Consumer<ServerResponse> answer);
     }
 
     private HttpServer() {}
@@ -33,7 +33,7 @@
     public static Undertow start(
             XnioWorker worker,
             ByteBufferPool buffers,
-            Sockets sockets,
+            ConnectionBudget sockets,
             String publicAddr,
             Service users,
             String meshAddr,
@@ -60,7 +60,7 @@
         return server;
     }
 
-    private static HttpHandler handler(Service service, Sockets sockets, boolean json) {
+    private static HttpHandler handler(Service service, ConnectionBudget sockets, boolean json) {
         return exchange -> {
             count(exchange, sockets, json);
             exchange.getRequestReceiver()
@@ -76,36 +76,37 @@
         };
     }
 
-    private static void count(HttpServerExchange x, Sockets sockets, boolean json) {
+    private static void count(HttpServerExchange x, ConnectionBudget sockets, boolean json) {
         if (x.getConnection().getAttachment(KIND) == null) {
-            Sockets.Kind kind = json || x.getRequestPath().equals("/ready")
-                    ? Sockets.Kind.CONTROL
-                    : x.getRequestPath().equals("/hello") ? Sockets.Kind.REPORTS : Sockets.Kind.USERS;
+            ConnectionBudget.Kind kind = json || x.getRequestPath().equals("/ready")
+                    ? ConnectionBudget.Kind.CONTROL
+                    : x.getRequestPath().equals("/hello") ? ConnectionBudget.Kind.REPORTS : ConnectionBudget.Kind.USERS;
             x.getConnection().putAttachment(KIND, kind);
             sockets.opened(kind);
             x.getConnection().addCloseListener(c -> sockets.closed(kind));
         }
     }
 
-    private static void serve(Service service, HttpServerExchange x, byte[] body, Sockets sockets, boolean json) {
+    private static void serve(
+            Service service, HttpServerExchange x, byte[] body, ConnectionBudget sockets, boolean json) {
         try {
             String query = x.getQueryString();
             String target = query.isEmpty() ? x.getRequestPath() : x.getRequestPath() + "?" + query;
             service.handle(x.getRequestMethod().toString(), target, body, a -> send(x, a, sockets, json));
         } catch (RuntimeException e) {
             LOG.error("request failed path=" + x.getRequestPath(), e);
-            send(x, Answer.later("internal"), sockets, json);
+            send(x, ServerResponse.later("internal"), sockets, json);
         }
     }
 
-    private static void send(HttpServerExchange x, Answer decided, Sockets sockets, boolean json) {
+    private static void send(HttpServerExchange x, ServerResponse decided, ConnectionBudget sockets, boolean json) {
         if (x.isResponseStarted()) {
             return;
         }
         if (sockets.crowded(x.getConnection().getAttachment(KIND))) {
             x.setPersistent(false); // the other side connects again when it has something to say
         }
-        Answer a = decided.now();
+        ServerResponse a = decided.now();
         x.setStatusCode(a.status());
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, json ? "application/json" : "application/cbor");
         if (a.retryAfterS() > 0) {
--- a/src/main/java/org/hollypick/io/Call.java
+++ b/src/main/java/org/hollypick/io/Request.java
@@ -8,7 +8,7 @@
  * moment of sending: a call may have waited for a connection, or the whole process may have stood still, since it was
  * decided on; without the right it isn't sent.
  */
-public record Call(
+public record Request(
         String address,
         String method,
         String path,
@@ -16,16 +16,16 @@
         long timeoutMs,
         boolean mesh,
         BooleanSupplier still) {
-    public Call(String address, String method, String path, JsonNode body, long timeoutMs, boolean mesh) {
+    public Request(String address, String method, String path, JsonNode body, long timeoutMs, boolean mesh) {
         this(address, method, path, body, timeoutMs, mesh, () -> true);
     }
 
-    public static Call of(String address, String method, String path, JsonNode body, long timeoutMs) {
-        return new Call(address, method, path, body, timeoutMs, false);
+    public static Request of(String address, String method, String path, JsonNode body, long timeoutMs) {
+        return new Request(address, method, path, body, timeoutMs, false);
     }
 
     /** The same call, only sent while that holds. */
-    public Call only(BooleanSupplier still) {
-        return new Call(address, method, path, body, timeoutMs, mesh, still);
+    public Request only(BooleanSupplier still) {
+        return new Request(address, method, path, body, timeoutMs, mesh, still);
     }
 }
--- a/src/main/java/org/hollypick/io/Reply.java
+++ b/src/main/java/org/hollypick/io/Response.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 
 /** What came back. {@link #NO_ANSWER}: the request may have been, or may still be, executed. */
-public record Reply(int status, JsonNode body) {
+public record Response(int status, JsonNode body) {
     /** Never sent: no connection could be made, and a given-up connection attempt doesn't complete later. */
     public static final int NOT_SENT = -1;
 
@@ -15,16 +15,16 @@
      */
     public static final int LACK = -2;
 
-    public static Reply lack() {
-        return new Reply(LACK, MissingNode.getInstance());
+    public static Response lack() {
+        return new Response(LACK, MissingNode.getInstance());
     }
 
-    public static Reply notSent() {
-        return new Reply(NOT_SENT, MissingNode.getInstance());
+    public static Response notSent() {
+        return new Response(NOT_SENT, MissingNode.getInstance());
     }
 
-    public static Reply noAnswer() {
-        return new Reply(NO_ANSWER, MissingNode.getInstance());
+    public static Response noAnswer() {
+        return new Response(NO_ANSWER, MissingNode.getInstance());
     }
 
     /** Certainly never sent, so it can't be executed late. */
--- a/src/main/java/org/hollypick/io/Answer.java
+++ b/src/main/java/org/hollypick/io/ServerResponse.java
@@ -9,42 +9,42 @@
  * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code still} is asked in the moment of
  * sending: an answer that rests on a right which has ended since it was decided on isn't given.
  */
-public record Answer(int status, JsonNode body, int retryAfterS, BooleanSupplier still) {
-    public Answer(int status, JsonNode body, int retryAfterS) {
+public record ServerResponse(int status, JsonNode body, int retryAfterS, BooleanSupplier still) {
+    public ServerResponse(int status, JsonNode body, int retryAfterS) {
         this(status, body, retryAfterS, () -> true);
     }
 
     /** The same answer, only given while that holds. */
-    public Answer only(BooleanSupplier still) {
-        return new Answer(status, body, retryAfterS, still);
+    public ServerResponse only(BooleanSupplier still) {
+        return new ServerResponse(status, body, retryAfterS, still);
     }
 
     /** What is to be sent now. */
-    public Answer now() {
+    public ServerResponse now() {
         return still.getAsBoolean() ? this : later("no longer entitled to act");
     }
 
-    public static Answer of(int status, JsonNode body) {
-        return new Answer(status, body, 0);
+    public static ServerResponse of(int status, JsonNode body) {
+        return new ServerResponse(status, body, 0);
     }
 
-    public static Answer error(int status, String message) {
+    public static ServerResponse error(int status, String message) {
         ObjectNode body = Codec.object().put("error", message);
-        return new Answer(status, body, 0);
+        return new ServerResponse(status, body, 0);
     }
 
     /**
      * Refused since many come at once: told at once, and the {@code turn}th is told another time than the one before.
      */
-    public static Answer crowded(int turn) {
-        return new Answer(
+    public static ServerResponse crowded(int turn) {
+        return new ServerResponse(
                 503,
                 Codec.object().put("error", "busy"),
                 NetworkConstants.RETRY_AFTER_S + Math.floorMod(turn, NetworkConstants.RETRY_AFTER_SPREAD_S));
     }
 
     /** Refused for now, told at once and with a time to come back. */
-    public static Answer later(String message) {
-        return new Answer(503, Codec.object().put("error", message), NetworkConstants.RETRY_AFTER_S);
+    public static ServerResponse later(String message) {
+        return new ServerResponse(503, Codec.object().put("error", message), NetworkConstants.RETRY_AFTER_S);
     }
 }
--- a/src/main/java/org/hollypick/io/RateBudget.java
+++ b/src/main/java/org/hollypick/io/TokenBucket.java
@@ -1,13 +1,13 @@
 package org.hollypick.io;
 
 /** A token bucket that holds one second's worth, or less where that is said. */
-public final class RateBudget {
+public final class TokenBucket {
     private double rate;
     private double size;
     private double tokens;
     private long at;
 
-    public RateBudget(double rate, long now) {
+    public TokenBucket(double rate, long now) {
         this.rate = rate;
         this.size = rate;
         this.tokens = rate;
--- a/src/main/java/org/hollypick/io/Network.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -38,13 +38,13 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** The real world: one XNIO I/O thread is the event loop; requests go out over Undertow's client on the same thread. */
-public final class Network implements Runtime {
-    private static final Logger LOG = LoggerFactory.getLogger(Network.class);
+public final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final Map<String, Pool> pools = new HashMap<>();
-    private final Sockets sockets;
+    private final ConnectionBudget sockets;
     private final Set<String> control;
     private final int idleMax;
     private final Connecting connecting;
@@ -56,7 +56,8 @@
      * {@code control}: addresses of the services that this node can't do without; {@code idleMax}: connections kept
      * open for later use.
      */
-    public Network(XnioIoThread thread, ByteBufferPool buffers, Sockets sockets, Set<String> control, int idleMax) {
+    public XnioEventLoop(
+            XnioIoThread thread, ByteBufferPool buffers, ConnectionBudget sockets, Set<String> control, int idleMax) {
         this.thread = thread;
         this.buffers = buffers;
         this.sockets = sockets;
@@ -128,7 +129,7 @@
     }
 
     @Override
-    public void call(Call call, Consumer<Reply> reply) {
+    public void call(Request call, Consumer<Response> reply) {
         // Long watches have connections of their own, so that nothing waits behind them.
         String key = call.path().startsWith("/watch") ? call.address() + "#watch" : call.address();
         pools.computeIfAbsent(key, Pool::new).submit(new Exchange(call, reply));
@@ -149,7 +150,7 @@
             x.timer = thread.executeAfter(guarded(x::expire), x.call.timeoutMs(), TimeUnit.MILLISECONDS);
             if (busy >= NetworkConstants.CONNECTIONS_PER_ADDRESS) {
                 if (waiting.size() >= NetworkConstants.QUEUED_PER_ADDRESS) {
-                    x.finish(Reply.notSent());
+                    x.finish(Response.notSent());
                 } else {
                     waiting.add(x);
                 }
@@ -162,7 +163,9 @@
             busy++;
             x.running = true;
             ClientConnection c;
-            x.kind = x.call.mesh() || control.contains(x.call.address()) ? Sockets.Kind.CONTROL : Sockets.Kind.ORDERS;
+            x.kind = x.call.mesh() || control.contains(x.call.address())
+                    ? ConnectionBudget.Kind.CONTROL
+                    : ConnectionBudget.Kind.ORDERS;
             while ((c = free.pollLast()) != null) {
                 idle.remove(c);
                 if (c.isOpen()) {
@@ -174,7 +177,7 @@
             if (!sockets.room(x.kind)) {
                 dropEldest(idle.size() - 1);
             }
-            if (sockets.room(x.kind) || x.kind == Sockets.Kind.CONTROL) {
+            if (sockets.room(x.kind) || x.kind == ConnectionBudget.Kind.CONTROL) {
                 x.connect();
             } else {
                 x.lack("no socket left");
@@ -221,19 +224,19 @@
 
     /** One request and its reply; finishes exactly once. */
     private final class Exchange {
-        private final Call call;
-        private final Consumer<Reply> reply;
+        private final Request call;
+        private final Consumer<Response> reply;
         private Pool pool;
         private XnioExecutor.Key timer;
         private ClientConnection connection;
-        private Sockets.Kind kind;
+        private ConnectionBudget.Kind kind;
         private IoFuture<StreamConnection> attempt;
         private boolean late;
         private boolean running;
         private boolean sent;
         private boolean finished;
 
-        Exchange(Call call, Consumer<Reply> reply) {
+        Exchange(Request call, Consumer<Response> reply) {
             this.call = call;
             this.reply = reply;
         }
@@ -252,7 +255,7 @@
         }
 
         void fail() {
-            end(sent ? Reply.noAnswer() : Reply.notSent(), false);
+            end(sent ? Response.noAnswer() : Response.notSent(), false);
         }
 
         /** Not sent for want of something here. */
@@ -261,14 +264,14 @@
                 told = true;
                 LOG.info("calls not sent first={} sockets={}", what, sockets);
             }
-            end(Reply.lack(), false);
+            end(Response.lack(), false);
         }
 
-        void finish(Reply r) {
+        void finish(Response r) {
             end(r, false);
         }
 
-        private void end(Reply r, boolean reusable) {
+        private void end(Response r, boolean reusable) {
             if (finished) {
                 return;
             }
@@ -342,7 +345,7 @@
         void send(ClientConnection c) {
             connection = c;
             if (!call.still().getAsBoolean()) {
-                finish(Reply.notSent()); // the right that it was decided on has ended meanwhile
+                finish(Response.notSent()); // the right that it was decided on has ended meanwhile
                 return;
             }
             sent = true;
@@ -420,7 +423,7 @@
                     }
                     if (n < 0) {
                         JsonNode tree = Codec.read(body.toByteArray(), call.mesh());
-                        end(new Reply(status, tree == null ? MissingNode.getInstance() : tree), true);
+                        end(new Response(status, tree == null ? MissingNode.getInstance() : tree), true);
                         return;
                     }
                     body.write(buffer.array(), 0, n);
--- a/src/main/java/org/hollypick/mesh/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
@@ -1,17 +1,17 @@
-package org.hollypick.mesh;
+package org.hollypick.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.hollypick.io.Answer;
 import org.hollypick.io.Codec;
+import org.hollypick.io.ServerResponse;
 
 /** What other controllers ask this one: JSON by POST, each kind of question with a path and someone who answers it. */
-public final class PeerEndpoints {
+public final class PeerRequestDispatcher {
     /** {@code body}: null if it isn't JSON. */
     public interface Question {
-        void ask(JsonNode body, Consumer<Answer> answer);
+        void ask(JsonNode body, Consumer<ServerResponse> answer);
     }
 
     private final Map<String, Question> questions = new HashMap<>();
@@ -20,10 +20,10 @@
         questions.put(path, question);
     }
 
-    public void handle(String method, String path, byte[] bytes, Consumer<Answer> answer) {
+    public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> answer) {
         Question question = method.equals("POST") ? questions.get(path) : null;
         if (question == null) {
-            answer.accept(Answer.error(404, "no such path"));
+            answer.accept(ServerResponse.error(404, "no such path"));
         } else {
             question.ask(Codec.read(bytes, true), answer);
         }
--- a/src/main/java/org/hollypick/mesh/Routes.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -1,4 +1,4 @@
-package org.hollypick.mesh;
+package org.hollypick.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,12 +9,12 @@
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.core.links.Route;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
+import org.hollypick.core.routing.RouteSelector;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,14 +23,14 @@
  * service and to whoever calls it is a longer path, nothing else: calls may be lost, late or carried out unheard on it
  * as on any other (docs/safety.md, "By way of a peer").
  */
-public final class Routes {
+public final class RequestRouter {
     /** What other controllers are asked to pass on; watches have connections of their own. */
     public static final String PATH = "/state";
 
     public static final String WATCH_PATH = "/watch";
 
     private static final int DIRECT = -1;
-    private static final Logger LOG = LoggerFactory.getLogger(Routes.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
     /** Whether a call may be sent a second time while the first may still be carried out. */
     public enum Kind {
@@ -39,40 +39,40 @@
         WATCH
     }
 
-    private final Runtime runtime;
-    private final Call probe;
+    private final EventLoop runtime;
+    private final Request probe;
     private final List<Settings.Sibling> peers;
-    private final Route route;
+    private final RouteSelector route;
     /** Calls that went the direct way and watches, as long as they aren't answered. */
     private final Set<Pending> waiting = new LinkedHashSet<>();
     /** Calls of others that are under way from here. */
     private int passing;
 
     /** {@code probe}: a small call that shows whether the service answers directly. */
-    public Routes(Runtime runtime, List<Settings.Sibling> peers, Call probe) {
+    public RequestRouter(EventLoop runtime, List<Settings.Sibling> peers, Request probe) {
         this.runtime = runtime;
         this.peers = peers;
         this.probe = probe;
-        this.route = new Route(peers.size(), runtime.now());
+        this.route = new RouteSelector(peers.size(), runtime.now());
     }
 
     private final class Pending {
-        private final Call call;
+        private final Request call;
         private final Kind kind;
-        private Consumer<Reply> reply;
+        private Consumer<Response> reply;
         private int peer = DIRECT;
 
-        Pending(Call call, Kind kind, Consumer<Reply> reply) {
+        Pending(Request call, Kind kind, Consumer<Response> reply) {
             this.call = call;
             this.kind = kind;
             this.reply = reply;
         }
 
         /** The first answer counts. */
-        void end(Reply r) {
+        void end(Response r) {
             waiting.remove(this);
             if (reply != null) {
-                Consumer<Reply> to = reply;
+                Consumer<Response> to = reply;
                 reply = null;
                 to.accept(r);
             }
@@ -83,7 +83,7 @@
         }
     }
 
-    public void call(Call call, Kind kind, Consumer<Reply> reply) {
+    public void call(Request call, Kind kind, Consumer<Response> reply) {
         send(new Pending(call, kind, reply));
     }
 
@@ -96,7 +96,7 @@
                 if (r.status() > 0 && !p.over()) {
                     send(p);
                 } else {
-                    p.end(Reply.noAnswer());
+                    p.end(Response.noAnswer());
                 }
             });
         } else {
@@ -122,13 +122,13 @@
     }
 
     /** What a direct call's answer, or its want, says of the way. */
-    private void heard(Reply r, long sent) {
+    private void heard(Response r, long sent) {
         if (r.status() > 0 && r.status() != 503) {
             if (!route.direct()) {
                 LOG.info("the state service is reached directly again");
             }
             route.answered(runtime.now());
-        } else if (r.status() != Reply.LACK) {
+        } else if (r.status() != Response.LACK) {
             bad(sent);
         }
     }
@@ -168,7 +168,7 @@
             waiting.add(p);
         }
         runtime.call(
-                new Call(
+                new Request(
                         peers.get(peer).addr(),
                         "POST",
                         p.kind == Kind.WATCH ? WATCH_PATH : PATH,
@@ -187,10 +187,10 @@
                         } else {
                             route.peerAnswered(peer);
                         }
-                        p.end(new Reply(status, r.body().path("body")));
+                        p.end(new Response(status, r.body().path("body")));
                     } else {
                         peerFailed(peer);
-                        if (r.status() == Reply.NO_ANSWER) {
+                        if (r.status() == Response.NO_ANSWER) {
                             p.end(r);
                         } else {
                             send(p); // it wasn't passed on
@@ -218,7 +218,7 @@
     private void endWatches(int peer) {
         for (Pending p : new ArrayList<>(waiting)) {
             if (p.kind == Kind.WATCH && p.peer == peer) {
-                p.end(Reply.noAnswer());
+                p.end(Response.noAnswer());
             }
         }
     }
@@ -227,14 +227,14 @@
      * Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in
      * circles.
      */
-    public void pass(JsonNode body, Consumer<Answer> answer) {
+    public void pass(JsonNode body, Consumer<ServerResponse> answer) {
         if (body == null || !route.direct() || passing >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
-            answer.accept(Answer.later("no way from here"));
+            answer.accept(ServerResponse.later("no way from here"));
             return;
         }
         passing++;
         JsonNode content = body.path("body");
-        Call call = Call.of(
+        Request call = Request.of(
                 probe.address(),
                 body.path("method").asText(),
                 body.path("path").asText(),
@@ -246,7 +246,7 @@
             heard(r, sent);
             ObjectNode told = Codec.object().put("status", r.status());
             told.set("body", r.body().isMissingNode() ? null : r.body());
-            answer.accept(Answer.of(200, told));
+            answer.accept(ServerResponse.of(200, told));
         });
     }
 }
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -8,11 +8,11 @@
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.List;
-import org.hollypick.cluster.View;
+import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.ledger.Machine;
+import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.Codec;
 
 /** What the durable records hold. */
@@ -69,13 +69,13 @@
      * All that a live job awaits. Of a part that isn't there the key stands in: no such job is ever done, so nothing
      * starts.
      */
-    public static List<String> awaits(JsonNode record, View view) {
+    public static List<String> awaits(JsonNode record, StoreReplica view) {
         List<String> ids = new ArrayList<>();
         record.path(AWAITS).forEach(id -> ids.add(id.asText()));
         JsonNode more = record.path(MORE);
         for (int i = 0; i < more.path("parts").asInt(); i++) {
             String key = partKey(more.path("key").asText(), i);
-            View.Entry part = view.get(key);
+            StoreReplica.Entry part = view.get(key);
             if (part == null) {
                 ids.add(key);
             } else {
--- a/src/main/java/org/hollypick/relay/Relay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Function;
+import org.hollypick.agent.AgentCodec;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.config.constants.RelayConstants;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
+import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
-import org.hollypick.state.StateClient;
-import org.hollypick.worker.WorkerCodec;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,15 +29,15 @@
  * to a machine it is a longer path to the leader (docs/safety.md, "Relayed reports"). While there is no leader it holds
  * reports for a moment, so that machines needn't look for one.
  */
-public final class Relay {
-    private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
+public final class HeartbeatRelay {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRelay.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
     private final Membership membership;
     private final PartitionedLeaseRenewal leaseRenewal;
     private final LeaderComplaint leaderComplaint;
-    private final Function<byte[], Answer> own;
+    private final Function<byte[], ServerResponse> own;
     private final ArrayDeque<Held> held = new ArrayDeque<>();
     private int heldBytes;
     private int open;
@@ -49,16 +49,16 @@
     /** Under this token the leader is of a version that takes no bundles. */
     private long refusedToken;
 
-    private record Held(byte[] report, long until, Consumer<Answer> answer) {}
+    private record Held(byte[] report, long until, Consumer<ServerResponse> answer) {}
 
     /** {@code own}: the answer of this node itself while it is the leader, else null. */
-    public Relay(
-            Runtime runtime,
+    public HeartbeatRelay(
+            EventLoop runtime,
             Settings settings,
             Membership membership,
-            StateClient state,
+            KeyValueStoreClient state,
             PartitionedLeaseRenewal leaseRenewal,
-            Function<byte[], Answer> own) {
+            Function<byte[], ServerResponse> own) {
         this.runtime = runtime;
         this.settings = settings;
         this.membership = membership;
@@ -68,15 +68,15 @@
     }
 
     /** A machine's report; the answer follows within the time that the machine waits. */
-    public void hello(byte[] report, Consumer<Answer> answer) {
-        Answer now = here(report);
+    public void hello(byte[] report, Consumer<ServerResponse> answer) {
+        ServerResponse now = here(report);
         if (now != null) {
             answer.accept(now);
         } else if (report.length > RelayConstants.RELAY_BATCH_BYTES || (refusedToken != 0 && refusedToken == token())) {
             answer.accept(toLeader());
         } else if (held.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
                 || heldBytes + report.length > RelayConstants.RELAY_QUEUE_BYTES) {
-            answer.accept(Answer.later("too many reports wait"));
+            answer.accept(ServerResponse.later("too many reports wait"));
         } else {
             hold(new Held(report, runtime.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS, answer));
             flushSoon(RelayConstants.RELAY_BATCH_MS);
@@ -84,11 +84,11 @@
     }
 
     /** The answer that this node can give by itself, as leader or since it keeps leases; null if there is none. */
-    private Answer here(byte[] report) {
-        Answer now = own.apply(report);
+    private ServerResponse here(byte[] report) {
+        ServerResponse now = own.apply(report);
         if (now == null && !membership.toldNewer() && leaseRenewal.keeping()) {
-            Report read = WorkerCodec.report(report);
-            now = read == null ? Answer.error(400, "not a report") : leaseRenewal.answer(read);
+            Heartbeat read = AgentCodec.report(report);
+            now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.answer(read);
         }
         return now;
     }
@@ -119,11 +119,11 @@
         int count = held.size();
         for (int i = 0; i < count; i++) {
             Held h = next();
-            Answer a = here(h.report);
+            ServerResponse a = here(h.report);
             if (a != null) {
                 h.answer.accept(a);
             } else if (now >= h.until) {
-                h.answer.accept(Answer.later("no leader"));
+                h.answer.accept(ServerResponse.later("no leader"));
             } else {
                 hold(h);
             }
@@ -161,11 +161,11 @@
         }
         open++;
         runtime.call(
-                new Call(
+                new Request(
                         currentLeader,
                         "POST",
-                        RelayCodec.PATH,
-                        RelayCodec.bundle(settings.node(), token, reports),
+                        HeartbeatRelayCodec.PATH,
+                        HeartbeatRelayCodec.bundle(settings.node(), token, reports),
                         RelayConstants.RELAY_TIMEOUT_MS,
                         true),
                 r -> {
@@ -177,14 +177,14 @@
                 });
     }
 
-    private void answered(List<Held> bundle, Membership.Leader by, long sent, Reply r) {
+    private void answered(List<Held> bundle, Membership.Leader by, long sent, Response r) {
         long token = by.token();
-        List<Answer> answers = r.ok() ? RelayCodec.answers(r.body()) : List.of();
+        List<ServerResponse> answers = r.ok() ? HeartbeatRelayCodec.answers(r.body()) : List.of();
         if (r.ok() && answers.size() == bundle.size()) {
             failures = 0;
             leaderComplaint.handedOn();
             // the leader counted it from later on
-            long until = sent + Membership.certainly(RelayCodec.rightMs(r.body()));
+            long until = sent + Membership.certainly(HeartbeatRelayCodec.rightMs(r.body()));
             for (int i = 0; i < answers.size(); i++) {
                 bundle.get(i)
                         .answer
@@ -209,9 +209,8 @@
     private static Set<String> machines(List<Held> bundle) {
         Set<String> names = new LinkedHashSet<>();
         for (Held h : bundle) {
-            Report read = names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES
-                    ? WorkerCodec.report(h.report)
-                    : null;
+            Heartbeat read =
+                    names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES ? AgentCodec.report(h.report) : null;
             if (read != null) {
                 names.add(read.machine());
             }
@@ -223,16 +222,16 @@
      * What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or
      * has given up its lead.
      */
-    public Answer release(long member) {
+    public ServerResponse release(long member) {
         released.add(member);
-        return Answer.of(200, Codec.object().put("released", member != 0));
+        return ServerResponse.of(200, Codec.object().put("released", member != 0));
     }
 
-    private Answer toLeader() {
+    private ServerResponse toLeader() {
         Membership.Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.leader() : currentLeader.node();
         return leader == null || leader.equals(settings.node())
-                ? Answer.later("not entitled to act")
-                : RelayCodec.elsewhere(leader);
+                ? ServerResponse.later("not entitled to act")
+                : HeartbeatRelayCodec.elsewhere(leader);
     }
 }
--- a/src/main/java/org/hollypick/relay/RelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import java.util.function.LongSupplier;
-import org.hollypick.io.Answer;
 import org.hollypick.io.Codec;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.io.WireNames;
 
 /**
  * What controllers say to one another about machines' reports: the bytes of each as they came, and an answer for each.
  */
-public final class RelayCodec {
+public final class HeartbeatRelayCodec {
     public static final String PATH = "/reports";
 
-    private RelayCodec() {}
+    private HeartbeatRelayCodec() {}
 
     static JsonNode bundle(String node, long token, List<byte[]> reports) {
         ObjectNode body = Codec.object().put("node", node).put(WireNames.FENCING_TOKEN, token);
@@ -31,15 +31,16 @@
      * The leader's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers
      * may be passed on; {@code hello}: by report and by who sent it.
      */
-    public static Answer take(
-            JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, Answer> hello) {
+    public static ServerResponse take(
+            JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, ServerResponse> hello) {
         if (body == null || Codec.u64(body.path(WireNames.FENCING_TOKEN)) != token) {
-            return Answer.later("not the leader under that token");
+            return ServerResponse.later("not the leader under that token");
         }
         ArrayNode answers = Codec.array();
         for (JsonNode report : body.path("reports")) {
             try {
-                Answer a = hello.apply(report.binaryValue(), body.path("node").asText())
+                ServerResponse a = hello.apply(
+                                report.binaryValue(), body.path("node").asText())
                         .now();
                 answers.addObject()
                         .put("status", a.status())
@@ -50,24 +51,24 @@
             }
         }
         JsonNode told = Codec.object().put("right_ms", rightMs.getAsLong()).set("answers", answers);
-        return Answer.of(200, told);
+        return ServerResponse.of(200, told);
     }
 
     static long rightMs(JsonNode body) {
         return body.path("right_ms").asLong();
     }
 
-    static List<Answer> answers(JsonNode body) {
-        List<Answer> list = new ArrayList<>();
+    static List<ServerResponse> answers(JsonNode body) {
+        List<ServerResponse> list = new ArrayList<>();
         for (JsonNode a : body.path("answers")) {
-            list.add(new Answer(
+            list.add(new ServerResponse(
                     a.path("status").asInt(503), a.path("body"), a.path("retry").asInt()));
         }
         return list;
     }
 
     /** The machine should report to that controller. */
-    public static Answer elsewhere(String node) {
-        return Answer.of(421, Codec.object().put("foreman", node));
+    public static ServerResponse elsewhere(String node) {
+        return ServerResponse.of(421, Codec.object().put("foreman", node));
     }
 }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import org.hollypick.cluster.Keys;
 import org.hollypick.cluster.Membership;
+import org.hollypick.cluster.StoreKeys;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.hollypick.io.WireNames;
-import org.hollypick.state.StateClient;
+import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,10 +26,10 @@
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
 
-    private final Runtime runtime;
+    private final EventLoop runtime;
     private final Settings settings;
     private final Membership membership;
-    private final StateClient state;
+    private final KeyValueStoreClient state;
     /** Since when, and under which token, reports haven't reached the leader; 0 if the last one did. */
     private long since;
 
@@ -38,7 +38,7 @@
     /** Machines whose reports couldn't be handed on, and when: they go from one controller to the next. */
     private final Object2LongLinkedOpenHashMap<String> heard = new Object2LongLinkedOpenHashMap<>();
 
-    LeaderComplaint(Runtime runtime, Settings settings, Membership membership, StateClient state) {
+    LeaderComplaint(EventLoop runtime, Settings settings, Membership membership, KeyValueStoreClient state) {
         this.runtime = runtime;
         this.settings = settings;
         this.membership = membership;
@@ -79,9 +79,9 @@
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
         state.commitNow(
-                new StateClient.Txn()
-                        .when(Keys.LEADER_RECORD, token)
-                        .putLeased(Keys.leaderComplaint(settings.node()), data, stateSession),
+                new KeyValueStoreClient.Txn()
+                        .when(StoreKeys.LEADER_RECORD, token)
+                        .putLeased(StoreKeys.leaderComplaint(settings.node()), data, stateSession),
                 r -> {});
     }
 
--- a/src/main/java/org/hollypick/state/StateClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -1,4 +1,4 @@
-package org.hollypick.state;
+package org.hollypick.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,37 +10,37 @@
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.StoreConstants;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.RateBudget;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+import org.hollypick.io.TokenBucket;
 import org.hollypick.io.WireNames;
-import org.hollypick.mesh.Routes;
+import org.hollypick.peer.RequestRouter;
 
 /** The state service's protocol, inside this node's share of its limits. Leases never wait in the queue. */
-public final class StateClient {
+public final class KeyValueStoreClient {
     /** Nothing is ever written here: the answer tells the epoch, and that there is a way. */
     private static final String NEVER = "h/never";
 
-    private final Runtime runtime;
-    private final Routes routes;
+    private final EventLoop runtime;
+    private final RequestRouter routes;
     private final String address;
     private final Settings settings;
-    private final RateBudget requests;
-    private final RateBudget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     /** Requests that change nothing: they need no share of the changes and so never wait behind one that does. */
     private final ArrayDeque<Queued> reads = new ArrayDeque<>();
 
     private final ArrayDeque<Queued> commits = new ArrayDeque<>();
-    private final StateUsage usage = new StateUsage();
+    private final StoreUsage usage = new StoreUsage();
     private int queuedPuts;
     /** Null unless this controller leads. */
-    private ChangeShare leaderShare;
+    private WriteShare leaderShare;
     /** The queues will be looked at again shortly. */
     private boolean wakes;
 
-    private record Queued(Call call, Routes.Kind kind, Txn txn, long since, Consumer<Reply> reply) {
+    private record Queued(Request call, RequestRouter.Kind kind, Txn txn, long since, Consumer<Response> reply) {
         int puts() {
             return txn == null ? 0 : txn.ops();
         }
@@ -80,7 +80,7 @@
             return then.size();
         }
 
-        private void count(StateUsage usage) {
+        private void count(StoreUsage usage) {
             for (JsonNode change : then) {
                 String key = change.path(change.has("put") ? "put" : "drop").asText();
                 usage.changed(key, when.containsKey(key) && when.getLong(key) == 0);
@@ -98,17 +98,17 @@
         }
     }
 
-    public StateClient(Runtime runtime, Settings settings) {
+    public KeyValueStoreClient(EventLoop runtime, Settings settings) {
         this.runtime = runtime;
         this.address = settings.state();
-        this.routes = new Routes(
+        this.routes = new RequestRouter(
                 runtime,
                 settings.siblings(),
-                Call.of(address, "GET", "/keys/" + NEVER, null, ReachabilityConstants.ROUTE_RETRY_MS));
+                Request.of(address, "GET", "/keys/" + NEVER, null, ReachabilityConstants.ROUTE_RETRY_MS));
         this.settings = settings;
         int nodes = settings.siblings().size() + 1;
-        this.requests = new RateBudget(settings.stateRps() * StoreConstants.STORE_RATE_SHARE / nodes, runtime.now());
-        this.writes = new RateBudget(1, runtime.now());
+        this.requests = new TokenBucket(settings.stateRps() * StoreConstants.STORE_RATE_SHARE / nodes, runtime.now());
+        this.writes = new TokenBucket(1, runtime.now());
         setLeader(false);
         runtime.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, this::logUsage);
     }
@@ -119,7 +119,7 @@
     }
 
     /** How calls get there; other controllers' too. */
-    public Routes routes() {
+    public RequestRouter routes() {
         return routes;
     }
 
@@ -131,7 +131,7 @@
         int others = Math.max(1, settings.siblings().size());
         double all = settings.stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
         double own = settings.siblings().isEmpty() ? all : all * StoreConstants.LEADER_WRITE_SHARE;
-        leaderShare = leader ? new ChangeShare(all, own, runtime.now()) : null;
+        leaderShare = leader ? new WriteShare(all, own, runtime.now()) : null;
         writes.setRate(
                 settings.siblings().isEmpty() || leader ? own : all * (1 - StoreConstants.LEADER_WRITE_SHARE) / others);
     }
@@ -143,14 +143,14 @@
     }
 
     /** The watch showed so many changes, of whichever controller. */
-    private void seen(Reply events) {
+    private void seen(Response events) {
         if (leaderShare != null && events.ok()) {
             leaderShare.seen(events.body().path("events").size(), runtime.now());
             followShare();
         }
     }
 
-    private void own(Txn txn, Reply reply) {
+    private void own(Txn txn, Response reply) {
         if (leaderShare != null && reply.ok()) {
             leaderShare.own(txn.ops(), runtime.now());
             followShare();
@@ -195,44 +195,44 @@
         return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * StoreConstants.WRITE_BATCH_S));
     }
 
-    public void get(String key, Consumer<Reply> reply) {
+    public void get(String key, Consumer<Response> reply) {
         submit(
-                Call.of(address, "GET", "/keys/" + key, null, StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.REPEATABLE,
+                Request.of(address, "GET", "/keys/" + key, null, StoreConstants.STORE_TIMEOUT_MS),
+                RequestRouter.Kind.REPEATABLE,
                 null,
                 reply);
     }
 
     /** The answer is 404 and tells the epoch. */
-    public void epoch(Consumer<Reply> reply) {
+    public void epoch(Consumer<Response> reply) {
         get(NEVER, reply);
     }
 
-    public void list(String prefix, String from, Consumer<Reply> reply) {
+    public void list(String prefix, String from, Consumer<Response> reply) {
         String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
         submit(
-                Call.of(address, "GET", path, null, StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.REPEATABLE,
+                Request.of(address, "GET", path, null, StoreConstants.STORE_TIMEOUT_MS),
+                RequestRouter.Kind.REPEATABLE,
                 null,
                 reply);
     }
 
-    public void commit(Txn txn, Consumer<Reply> reply) {
+    public void commit(Txn txn, Consumer<Response> reply) {
         submit(
-                Call.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.ONCE,
+                Request.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
+                RequestRouter.Kind.ONCE,
                 txn,
                 reply);
     }
 
     /** Leadership and membership: ahead of the queue, like leases. */
-    public void commitNow(Txn txn, Consumer<Reply> reply) {
+    public void commitNow(Txn txn, Consumer<Response> reply) {
         writes.take(txn.ops(), runtime.now());
         txn.count(usage);
         urgent(
-                Call.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.ONCE,
-                StateUsage.Request.COMMIT,
+                Request.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
+                RequestRouter.Kind.ONCE,
+                StoreUsage.Request.COMMIT,
                 r -> {
                     own(txn, r);
                     reply.accept(r);
@@ -240,73 +240,73 @@
     }
 
     /** Asked twice, one of two state sessions is never used and ends by itself. */
-    public void grant(long lifeMs, Consumer<Reply> reply) {
+    public void grant(long lifeMs, Consumer<Response> reply) {
         urgent(
-                Call.of(
+                Request.of(
                         address,
                         "POST",
                         "/holds",
                         Codec.object().put("life_ms", lifeMs),
                         StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.REPEATABLE,
-                StateUsage.Request.HOLD,
+                RequestRouter.Kind.REPEATABLE,
+                StoreUsage.Request.HOLD,
                 reply);
     }
 
-    public void extend(long stateSession, Consumer<Reply> reply) {
+    public void extend(long stateSession, Consumer<Response> reply) {
         urgent(
-                Call.of(
+                Request.of(
                         address,
                         "POST",
                         "/holds/" + Long.toUnsignedString(stateSession) + "/extend",
                         Codec.object(),
                         StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.REPEATABLE,
-                StateUsage.Request.HOLD,
+                RequestRouter.Kind.REPEATABLE,
+                StoreUsage.Request.HOLD,
                 reply);
     }
 
-    public void end(long stateSession, Consumer<Reply> reply) {
+    public void end(long stateSession, Consumer<Response> reply) {
         urgent(
-                Call.of(
+                Request.of(
                         address,
                         "DELETE",
                         "/holds/" + Long.toUnsignedString(stateSession),
                         null,
                         StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.REPEATABLE,
-                StateUsage.Request.HOLD,
+                RequestRouter.Kind.REPEATABLE,
+                StoreUsage.Request.HOLD,
                 reply);
     }
 
-    public void watch(String prefix, long from, Consumer<Reply> reply) {
+    public void watch(String prefix, long from, Consumer<Response> reply) {
         urgent(
-                Call.of(
+                Request.of(
                         address,
                         "GET",
                         "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms="
                                 + StoreConstants.WATCH_WAIT_MS,
                         null,
                         StoreConstants.WATCH_WAIT_MS + StoreConstants.STORE_TIMEOUT_MS),
-                Routes.Kind.WATCH,
-                StateUsage.Request.WATCH,
+                RequestRouter.Kind.WATCH,
+                StoreUsage.Request.WATCH,
                 r -> {
                     seen(r);
                     reply.accept(r);
                 });
     }
 
-    private void urgent(Call call, Routes.Kind kind, StateUsage.Request counted, Consumer<Reply> reply) {
+    private void urgent(Request call, RequestRouter.Kind kind, StoreUsage.Request counted, Consumer<Response> reply) {
         requests.take(1, runtime.now());
         usage.sent(counted);
         routes.call(call, kind, reply);
     }
 
-    private void submit(Call call, Routes.Kind kind, Txn txn, Consumer<Reply> reply) {
+    private void submit(Request call, RequestRouter.Kind kind, Txn txn, Consumer<Response> reply) {
         ArrayDeque<Queued> queue = txn == null ? reads : commits;
         if (queue.size() >= StoreConstants.STORE_QUEUE_LENGTH) {
             usage.notSent();
-            reply.accept(Reply.notSent());
+            reply.accept(Response.notSent());
             return;
         }
         Queued next = new Queued(call, kind, txn, runtime.now(), reply);
@@ -350,7 +350,7 @@
             Queued late = queue.poll();
             queuedPuts -= late.puts();
             usage.notSent();
-            late.reply.accept(Reply.notSent());
+            late.reply.accept(Response.notSent());
         }
     }
 
@@ -358,7 +358,7 @@
         queuedPuts -= next.puts();
         requests.take(1, now);
         writes.take(next.puts(), now);
-        usage.sent(next.txn == null ? StateUsage.Request.READ : StateUsage.Request.COMMIT);
+        usage.sent(next.txn == null ? StoreUsage.Request.READ : StoreUsage.Request.COMMIT);
         usage.waited(now - next.since);
         if (next.txn != null) {
             next.txn.count(usage);
--- a/src/main/java/org/hollypick/state/StateUsage.java
+++ b/src/main/java/org/hollypick/store/StoreUsage.java
@@ -1,4 +1,4 @@
-package org.hollypick.state;
+package org.hollypick.store;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -11,7 +11,7 @@
  * Counts what this controller asks of the state service, by kind, so that its log shows which limit binds and who uses
  * it.
  */
-final class StateUsage {
+final class StoreUsage {
     /** Kinds of requests; each counts once against the limit of requests a second. */
     enum Request {
         READ,
@@ -20,7 +20,7 @@
         WATCH
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(StateUsage.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StoreUsage.class);
 
     private final Map<Request, Integer> requests = new EnumMap<>(Request.class);
     /** Puts and deletes sent, by the prefix of their key; a record that is written for the first time counts apart. */
--- a/src/main/java/org/hollypick/state/ChangeShare.java
+++ b/src/main/java/org/hollypick/store/WriteShare.java
@@ -1,4 +1,4 @@
-package org.hollypick.state;
+package org.hollypick.store;
 
 import org.hollypick.config.constants.StoreConstants;
 
@@ -7,7 +7,7 @@
  * What they use is told by the watch, which shows every change; theirs are those that aren't the leader's own. The
  * others keep to their shares, and get them back within {@link StoreConstants#WRITE_SHARE_WINDOWS} seconds.
  */
-final class ChangeShare {
+final class WriteShare {
     private final double all;
     private final double least;
     /** Changes of the other controllers in the last seconds in which any change was seen. */
@@ -21,7 +21,7 @@
     /**
      * {@code all}: changes a second that all controllers plan to make; {@code least}: the leader's own share of them.
      */
-    ChangeShare(double all, double least, long now) {
+    WriteShare(double all, double least, long now) {
         this.all = all;
         this.least = least;
         this.windowSince = now;
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -29,10 +29,10 @@
             .definedBy("org.hollypick.core..")
             .layer("io")
             .definedBy("org.hollypick.io..")
-            .layer("mesh")
-            .definedBy("org.hollypick.mesh..")
+            .layer("peer")
+            .definedBy("org.hollypick.peer..")
             .layer("protocols")
-            .definedBy("org.hollypick.state..", "org.hollypick.cloud..", "org.hollypick.worker..")
+            .definedBy("org.hollypick.store..", "org.hollypick.cloud..", "org.hollypick.agent..")
             .layer("cluster")
             .definedBy("org.hollypick.cluster..")
             .layer("records")
@@ -43,34 +43,34 @@
             .definedBy("org.hollypick.control..")
             .layer("api")
             .definedBy("org.hollypick.api..")
-            .layer("node")
+            .layer("controller")
             .definedBy("org.hollypick")
             .layer("cli")
             .definedBy("org.hollypick.cli..")
             .whereLayer("cli")
             .mayNotBeAccessedByAnyLayer()
-            .whereLayer("node")
+            .whereLayer("controller")
             .mayOnlyBeAccessedByLayers("cli")
             .whereLayer("api")
-            .mayOnlyBeAccessedByLayers("node")
+            .mayOnlyBeAccessedByLayers("controller")
             .whereLayer("relay")
-            .mayOnlyBeAccessedByLayers("control", "node")
+            .mayOnlyBeAccessedByLayers("control", "controller")
             .whereLayer("control")
-            .mayOnlyBeAccessedByLayers("api", "node")
+            .mayOnlyBeAccessedByLayers("api", "controller")
             .whereLayer("records")
-            .mayOnlyBeAccessedByLayers("control", "api", "node", "cli")
+            .mayOnlyBeAccessedByLayers("control", "api", "controller", "cli")
             .whereLayer("cluster")
-            .mayOnlyBeAccessedByLayers("relay", "records", "control", "api", "node")
-            .whereLayer("mesh")
-            .mayOnlyBeAccessedByLayers("protocols", "node")
+            .mayOnlyBeAccessedByLayers("relay", "records", "control", "api", "controller")
+            .whereLayer("peer")
+            .mayOnlyBeAccessedByLayers("protocols", "controller")
             .whereLayer("protocols")
-            .mayOnlyBeAccessedByLayers("relay", "cluster", "control", "node")
+            .mayOnlyBeAccessedByLayers("relay", "cluster", "control", "controller")
             .whereLayer("io")
             .mayOnlyBeAccessedByLayers(
-                    "mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli")
+                    "peer", "protocols", "cluster", "relay", "records", "control", "api", "controller", "cli")
             .whereLayer("core")
             .mayOnlyBeAccessedByLayers(
-                    "mesh", "protocols", "cluster", "relay", "records", "control", "api", "node", "cli");
+                    "peer", "protocols", "cluster", "relay", "records", "control", "api", "controller", "cli");
 
     /** Whoever uses the client library needs nothing of the server. */
     @ArchTest
@@ -88,7 +88,7 @@
                     "org.hollypick.records..",
                     "org.hollypick.config..",
                     "org.hollypick.cluster..",
-                    "org.hollypick.state..",
+                    "org.hollypick.store..",
                     "org.hollypick.cli..");
 
     @ArchTest
@@ -110,7 +110,7 @@
 
     /**
      * Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may
-     * spell it out: StateClient names a key that is never written.
+     * spell it out: KeyValueStoreClient names a key that is never written.
      */
     private static final Map<String, List<String>> WIRE_NAMES = Map.of(
             "\"baton\"", List.of("io/WireNames.java"),
@@ -118,7 +118,7 @@
             "\"tenancy\"", List.of("io/WireNames.java"),
             "\"stamp\"", List.of("io/WireNames.java"),
             "\"roster\"", List.of("io/WireNames.java"),
-            "\"h/", List.of("cluster/Keys.java", "state/StateClient.java"));
+            "\"h/", List.of("cluster/StoreKeys.java", "store/KeyValueStoreClient.java"));
 
     @Test
     void wireNamesStandInTheirCodecsOnly() throws IOException {
--- a/src/test/java/org/hollypick/SettingsTest.java
+++ b/src/test/java/org/hollypick/config/SettingsTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -6,9 +6,6 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import org.hollypick.config.ConfigException;
-import org.hollypick.config.OperatorSettings;
-import org.hollypick.config.Settings;
 import org.junit.jupiter.api.Test;
 
 /** Both kinds of settings: what is read, and that what is wrong is named. */
--- a/src/test/java/org/hollypick/LedgerTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,26 +10,21 @@
 import java.util.Map;
 import java.util.Set;
 import org.hollypick.config.Settings;
-import org.hollypick.core.Job;
-import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
-import org.hollypick.core.MachineType;
-import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
 /** What may be where: each test is a failure that was found, or that the argument in docs/safety.md rests on. */
-class LedgerTest {
+class AssignmentTableTest {
     private static final long LEASE_MS = 20_000;
     private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
 
     private final Scheduler scheduler =
-            new Scheduler(5, settings(Map.of()), 0.3, new Leases(settings(Map.of()), List.of(), 0, true));
+            new Scheduler(5, settings(Map.of()), 0.3, new WorkerLeases(settings(Map.of()), List.of(), 0, true));
 
     private static Settings settings(Map<String, Settings.Team> teams) {
         return new Settings(
@@ -91,20 +86,20 @@
         return m;
     }
 
-    private static Report report(String id, long session, long tick, long token, TaskReport... tasks) {
-        return new Report(id, "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
+    private static Heartbeat report(String id, long session, long tick, long token, TaskStatus... tasks) {
+        return new Heartbeat(id, "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
     }
 
-    private Placement launched(Job job, Machine m, long now) {
+    private Assignment launched(Job job, Machine m, long now) {
         scheduler.pass(now);
-        Placement p = job.live.get(0);
+        Assignment p = job.live.get(0);
         assertNotNull(p);
         assertEquals(m, p.machine);
         return p;
     }
 
-    private static long clears(List<Order> orders) {
-        return orders.stream().filter(o -> o.verb() == Order.Verb.FORGET).count();
+    private static long clears(List<Command> orders) {
+        return orders.stream().filter(o -> o.verb() == Command.Verb.FORGET).count();
     }
 
     /**
@@ -128,11 +123,11 @@
     void anAttemptIsNotClearedWhileACopyOfItsLaunchMayFollow() {
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Placement p = launched(job, m, 0);
-        List<Order> orders = scheduler.ledger.orders(m);
+        Assignment p = launched(job, m, 0);
+        List<Command> orders = scheduler.ledger.orders(m);
         scheduler.ledger.sentDirect(m, orders);
         scheduler.ledger.directEnded(m, orders, 1, false);
-        TaskReport failed = new TaskReport(p.taskId, p.attempt, State.EXITED, "error");
+        TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
         scheduler.ledger.report(m, report("n-1", 1, 2, 5, failed), true, 1_000);
         assertEquals(0, clears(scheduler.ledger.orders(m)));
         assertTrue(job.pending.get(0), "an exited attempt can't start again, so the task is free");
@@ -143,9 +138,9 @@
     void anAttemptIsNotClearedWhileTheAnswerThatCarriesItIsUnderWay() {
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Placement p = launched(job, m, 0);
+        Assignment p = launched(job, m, 0);
         scheduler.ledger.sentInAnswer(m, scheduler.ledger.orders(m));
-        TaskReport failed = new TaskReport(p.taskId, p.attempt, State.EXITED, "error");
+        TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
         scheduler.ledger.report(m, report("n-1", 1, 2, 5, failed), false, 100);
         assertEquals(0, clears(scheduler.ledger.orders(m)));
         scheduler.ledger.report(m, report("n-1", 1, 3, 5, failed), true, 3_000);
@@ -156,9 +151,9 @@
     void aDoneAttemptIsClearedOnlyWhenItsProgressIsDurable() {
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Placement p = launched(job, m, 0);
+        Assignment p = launched(job, m, 0);
         scheduler.ledger.report(
-                m, report("n-1", 1, 2, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
+                m, report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
         assertTrue(job.finished());
         assertEquals(0, clears(scheduler.ledger.orders(m)));
         scheduler.close(job);
@@ -197,11 +192,11 @@
     void reportsOfAnExpiredSessionSayNothing() {
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Placement p = launched(job, m, 0);
+        Assignment p = launched(job, m, 0);
         scheduler.tick(LEASE_MS + 2_000);
         assertFalse(scheduler.ledger.report(
                 m,
-                report("n-1", 1, 9, 5, new TaskReport(p.taskId, p.attempt, State.RUNNING, "")),
+                report("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
                 true,
                 LEASE_MS + 3_000));
         assertTrue(job.pending.get(0));
@@ -220,7 +215,7 @@
                 5,
                 settings(Map.of("team", new Settings.Team("team", 0, 4, 0, 0))),
                 0.3,
-                new Leases(settings(Map.of()), List.of(), 0, true));
+                new WorkerLeases(settings(Map.of()), List.of(), 0, true));
         Machine m = limited.addMachine("n-1", TYPE, "a", true, false, 0);
         m.registered = true;
         limited.ledger.report(m, report("n-1", 1, 1, 5), true, 0);
@@ -242,7 +237,7 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, m, 0);
-        List<Order> orders = scheduler.ledger.orders(m);
+        List<Command> orders = scheduler.ledger.orders(m);
         scheduler.ledger.sentDirect(m, orders);
         scheduler.cancel(job);
         assertTrue(scheduler.ledger.launchUnderWay(job));
@@ -250,11 +245,11 @@
         assertTrue(scheduler.ledger.launchUnderWay(job));
         scheduler.ledger.report(m, report("n-1", 1, 20, 5), true, 20_000);
         assertTrue(scheduler.ledger.launchUnderWay(job), "a report that doesn't show it proves nothing");
-        Placement p = job.live.get(0);
+        Assignment p = job.live.get(0);
         scheduler.ledger.report(
-                m, report("n-1", 1, 21, 5, new TaskReport(p.taskId, p.attempt, State.FETCHING, "")), true, 21_000);
+                m, report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.FETCHING, "")), true, 21_000);
         assertFalse(scheduler.ledger.launchUnderWay(job));
-        assertEquals(List.of(new Order(Order.Verb.STOP, p.taskId, p.attempt, 0)), scheduler.ledger.orders(m));
+        assertEquals(List.of(new Command(Command.Verb.STOP, p.taskId, p.attempt, 0)), scheduler.ledger.orders(m));
     }
 
     /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
@@ -262,15 +257,15 @@
     void aTaskOfACancelledJobMayStartUntilItsMachineShowsThatItWont() {
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Placement p = launched(job, m, 0);
+        Assignment p = launched(job, m, 0);
         scheduler.cancel(job);
         assertFalse(scheduler.launchMayCome(job), "it was never sent");
-        scheduler.ledger.sentInAnswer(m, List.of(new Order(Order.Verb.START, p.taskId, p.attempt, 0)));
+        scheduler.ledger.sentInAnswer(m, List.of(new Command(Command.Verb.START, p.taskId, p.attempt, 0)));
         assertTrue(scheduler.launchMayCome(job), "the answer may be on its way");
-        TaskReport fetching = new TaskReport(p.taskId, p.attempt, State.FETCHING, "");
+        TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.FETCHING, "");
         scheduler.ledger.report(m, report("n-1", 1, 20, 5, fetching), true, 2_000);
         assertTrue(scheduler.launchMayCome(job), "it starts once the image is there");
-        TaskReport stopped = new TaskReport(p.taskId, p.attempt, State.EXITED, "stopped");
+        TaskStatus stopped = new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped");
         scheduler.ledger.report(m, report("n-1", 1, 21, 5, stopped), true, 3_000);
         assertFalse(scheduler.launchMayCome(job));
     }
@@ -281,7 +276,7 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, m, 0);
-        List<Order> orders = scheduler.ledger.orders(m);
+        List<Command> orders = scheduler.ledger.orders(m);
         scheduler.ledger.sentDirect(m, orders);
         scheduler.ledger.directEnded(m, orders, 1, false);
         scheduler.cancel(job);
@@ -295,23 +290,23 @@
         Machine m = reporting();
         Job low = scheduler.addJob(spec("req-1", 4, false), 1, 5);
         scheduler.pass(0);
-        TaskReport[] running = low.live.values().stream()
-                .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
-                .toArray(TaskReport[]::new);
+        TaskStatus[] running = low.live.values().stream()
+                .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+                .toArray(TaskStatus[]::new);
         scheduler.ledger.report(m, report("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
         scheduler.pass(100);
-        List<Order> orders = scheduler.ledger.orders(m);
-        assertEquals(Order.Verb.STOP, orders.get(0).verb());
-        assertEquals(Order.Verb.START, orders.get(orders.size() - 1).verb());
+        List<Command> orders = scheduler.ledger.orders(m);
+        assertEquals(Command.Verb.STOP, orders.get(0).verb());
+        assertEquals(Command.Verb.START, orders.get(orders.size() - 1).verb());
         assertTrue(orders.get(orders.size() - 1).task().startsWith("req-2/"));
     }
 
     private void fail(Machine m, Job job, long tick, long now) {
-        Placement p = job.live.values().iterator().next();
+        Assignment p = job.live.values().iterator().next();
         assertEquals(m, p.machine);
         scheduler.ledger.report(
-                m, report(m.id, 1, tick, 5, new TaskReport(p.taskId, p.attempt, State.EXITED, "error")), true, now);
+                m, report(m.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")), true, now);
     }
 
     /** Two jobs that fail on one machine alone speak against the machine; what runs there goes on. */
@@ -322,9 +317,9 @@
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         Job good = scheduler.addJob(spec("req-3", 1, true), 3, 5);
         scheduler.pass(0);
-        Placement running = good.live.get(0);
-        Placement a = one.live.get(0);
-        Placement b = two.live.get(0);
+        Assignment running = good.live.get(0);
+        Assignment a = one.live.get(0);
+        Assignment b = two.live.get(0);
         scheduler.ledger.report(
                 m,
                 report(
@@ -332,9 +327,9 @@
                         1,
                         2,
                         5,
-                        new TaskReport(running.taskId, running.attempt, State.RUNNING, ""),
-                        new TaskReport(a.taskId, a.attempt, State.EXITED, "error"),
-                        new TaskReport(b.taskId, b.attempt, State.EXITED, "error")),
+                        new TaskStatus(running.taskId, running.attempt, State.RUNNING, ""),
+                        new TaskStatus(a.taskId, a.attempt, State.EXITED, "error"),
+                        new TaskStatus(b.taskId, b.attempt, State.EXITED, "error")),
                 true,
                 100);
         assertTrue(m.faulty);
@@ -379,8 +374,8 @@
 
     private static final Settings LIMITED = settings(Map.of("team", new Settings.Team("team", 0, 10, 0, 0)));
 
-    private static TaskReport running(String task, long attempt) {
-        return new TaskReport(task, attempt, State.RUNNING, null);
+    private static TaskStatus running(String task, long attempt) {
+        return new TaskStatus(task, attempt, State.RUNNING, null);
     }
 
     /**
@@ -388,7 +383,7 @@
      * of the team waits.
      */
     private static Scheduler halfHeard(boolean olderKept, long token) {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
+        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         if (olderKept) {
             s.olderKeptLimits();
         }
@@ -420,7 +415,7 @@
                         2,
                         5,
                         running("req-000001/0", 3),
-                        new TaskReport("req-000001/1", 4, State.EXITED, "done")),
+                        new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                 true,
                 200);
         s.pass(200);
@@ -441,7 +436,7 @@
         Scheduler s = halfHeard(false, 5);
         s.ledger.report(
                 s.machines.get("n-1"),
-                report("n-1", 1, 2, 5, new TaskReport("req-000001/1", 4, State.EXITED, "done")),
+                report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                 true,
                 200);
         s.pass(200);
@@ -467,7 +462,7 @@
      */
     @Test
     void tasksThatNobodyCountsAreWaitedFor() {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
+        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         Machine m = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-3", TYPE, "a", true, false, 0).registered = true;
         s.addJob(spec("req-000002", 4, false), 6, 5);
@@ -489,7 +484,7 @@
      */
     @Test
     void servicesComeFirstWhereOnlyTheLimitKeepsThem() {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new Leases(LIMITED, List.of(), 0, true));
+        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.registered = true;
@@ -526,10 +521,10 @@
                 5);
         s.pass(2_000);
         assertEquals(0, service.live.size());
-        Placement[] there = array.live.values().toArray(new Placement[0]);
-        TaskReport[] one = new TaskReport[there.length];
+        Assignment[] there = array.live.values().toArray(new Assignment[0]);
+        TaskStatus[] one = new TaskStatus[there.length];
         for (int i = 0; i < there.length; i++) {
-            one[i] = new TaskReport(
+            one[i] = new TaskStatus(
                     there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
         }
         s.ledger.report(spot, report("n-1", 1, 2, 5, one), true, 2_500);
--- a/src/test/java/org/hollypick/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,16 +14,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import org.hollypick.config.Settings;
-import org.hollypick.core.Job;
-import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
-import org.hollypick.core.MachineType;
-import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.hollypick.core.tyrex.Cutoff;
 import org.hollypick.core.tyrex.Tyrex;
 import org.junit.jupiter.api.Test;
@@ -59,7 +54,8 @@
                 8,
                 4,
                 1000);
-        private final Scheduler scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
+        private final Scheduler scheduler =
+                new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
         private final Random random;
         private final Set<String> sick = new HashSet<>();
         private final Set<String> broken = new HashSet<>();
@@ -151,13 +147,13 @@
 
         /** Each task runs for some ten seconds, or fails at once. */
         private void report(Machine m) {
-            List<TaskReport> tasks = new ArrayList<>();
-            for (Placement p : m.placements.values()) {
+            List<TaskStatus> tasks = new ArrayList<>();
+            for (Assignment p : m.placements.values()) {
                 boolean fails = (sick.contains(m.id) && p.startedAt > 41_000) || broken.contains(p.job.spec.id());
                 boolean ends = now - p.startedAt > 6_000 + random.nextInt(8_000);
                 if (p.state() != State.EXITED) {
                     done += !fails && ends ? 1 : 0;
-                    tasks.add(new TaskReport(
+                    tasks.add(new TaskStatus(
                             p.taskId,
                             p.attempt,
                             fails || ends ? State.EXITED : State.RUNNING,
@@ -165,7 +161,7 @@
                 }
             }
             scheduler.ledger.report(
-                    m, new Report(m.id, "addr:1", "t", m.zone, true, 1, ++ticks, 5, Double.NaN, tasks), true, now);
+                    m, new Heartbeat(m.id, "addr:1", "t", m.zone, true, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
     }
 
--- a/src/test/java/org/hollypick/DependenciesTest.java
+++ b/src/test/java/org/hollypick/core/JobDependenciesTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,12 +13,11 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import org.hollypick.core.Dependencies;
 import org.hollypick.core.JobSpec.Rank;
 import org.junit.jupiter.api.Test;
 
 /** A slow plain model that looks through everything for each question, compared with the real graph. */
-class DependenciesTest {
+class JobDependenciesTest {
     private static final class Plain {
         final Map<String, List<String>> awaits = new TreeMap<>();
         final Map<String, Rank> ranks = new HashMap<>();
@@ -58,7 +57,7 @@
     void theGraphSaysWhatThePlainModelSays() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
-            Dependencies real = new Dependencies();
+            JobDependencies real = new JobDependencies();
             Plain plain = new Plain();
             Set<String> announced = new HashSet<>();
             List<String> ids = new ArrayList<>();
@@ -102,7 +101,7 @@
         }
     }
 
-    private static void arrive(Random random, Dependencies real, Plain plain, List<String> ids) {
+    private static void arrive(Random random, JobDependencies real, Plain plain, List<String> ids) {
         List<String> batch = new ArrayList<>();
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
             String id = "req-" + ids.size();
@@ -124,7 +123,7 @@
     void whatIsAwaitedIsAsUrgentAsWhatNeedsIt() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Dependencies real = new Dependencies();
+            JobDependencies real = new JobDependencies();
             Plain plain = new Plain();
             List<String> ids = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
@@ -137,7 +136,7 @@
     /** Chains are walked, not recursed into: one of thousands of jobs must not end the process. */
     @Test
     void longChainsAndWideFansArePossible() {
-        Dependencies real = new Dependencies();
+        JobDependencies real = new JobDependencies();
         int many = 50_000;
         real.live("req-0", Rank.LOW, List.of());
         for (int i = 1; i < many; i++) {
--- a/src/test/java/org/hollypick/PlannerTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,20 +12,15 @@
 import java.util.TreeMap;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.SchedulingConstants;
-import org.hollypick.core.Job;
-import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
-import org.hollypick.core.MachineType;
-import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
 /** A slow plain model of one pass, task by task and with nothing kept between them, compared with the real one. */
-class PlannerTest {
+class SchedulingCycleTest {
     private static final MachineType SMALL = new MachineType("s", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final MachineType LARGE = new MachineType("l", 16, 0, 128, 50, 0.5, 2, 0.9, 30, Set.of("a", "b"));
 
@@ -52,7 +47,7 @@
                 8,
                 4,
                 1000);
-        Scheduler scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
+        Scheduler scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
         int machines = 2 + random.nextInt(14);
         for (int i = 0; i < machines; i++) {
             Machine m = scheduler.addMachine(
@@ -110,11 +105,11 @@
         return scheduler;
     }
 
-    private static Report report(Machine m, long tick) {
-        TaskReport[] tasks = m.placements.values().stream()
-                .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
-                .toArray(TaskReport[]::new);
-        return new Report(m.id, "w:1", m.type.name(), m.zone, m.spot, 1, tick, 5, Double.NaN, List.of(tasks));
+    private static Heartbeat report(Machine m, long tick) {
+        TaskStatus[] tasks = m.placements.values().stream()
+                .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+                .toArray(TaskStatus[]::new);
+        return new Heartbeat(m.id, "w:1", m.type.name(), m.zone, m.spot, 1, tick, 5, Double.NaN, List.of(tasks));
     }
 
     @Test
@@ -164,7 +159,7 @@
                 8,
                 4,
                 1000);
-        Scheduler s = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), 0, true));
+        Scheduler s = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
         Job lower = s.addJob(batch("req-0", JobSpec.Rank.LOW), 0, 5);
         s.addJob(batch("req-1", JobSpec.Rank.HIGH), 1, 5);
         s.pass(10);
@@ -294,7 +289,7 @@
 
     private static boolean service(Scheduler s, Job job, int index, long now) {
         Machine best = null;
-        List<Placement> bestVictims = List.of();
+        List<Assignment> bestVictims = List.of();
         double bestScore = 0;
         double all = 0;
         for (Machine m : s.machines.values()) {
@@ -305,18 +300,18 @@
                     .sum();
         }
         for (Machine m : possible(s, job)) {
-            List<Placement> lower = new ArrayList<>(m.there().stream()
+            List<Assignment> lower = new ArrayList<>(m.there().stream()
                     .filter(p -> !p.stop
                             && !(p.state() == State.SENT && p.launchMayFollow())
                             && p.job.spec.rank().ordinal() > job.spec.rank().ordinal())
                     .toList());
-            lower.sort(Comparator.<Placement, Integer>comparing(
+            lower.sort(Comparator.<Assignment, Integer>comparing(
                             p -> -p.job.spec.rank().ordinal())
                     .thenComparing(p -> -p.startedAt));
             double room = m.type.cpus() - m.usedCpus;
             double lost = 0;
-            List<Placement> victims = new ArrayList<>();
-            for (Placement p : lower) {
+            List<Assignment> victims = new ArrayList<>();
+            for (Assignment p : lower) {
                 if (room + 1e-6 < job.spec.cpus()) {
                     victims.add(p);
                     room += p.job.spec.cpus();
--- a/src/test/java/org/hollypick/LeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,14 +15,13 @@
 import org.hollypick.config.constants.ClockConstants;
 import org.hollypick.config.constants.LeaseConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.core.Leases;
 import org.junit.jupiter.api.Test;
 
 /**
  * When a lease counts as over, against a plain model of a worker, two custodians, a leader and a network that loses and
  * holds back, on drifting clocks.
  */
-class LeasesTest {
+public class WorkerLeasesTest {
     private static final long LEASE_MS = 15_000;
     private static final List<String> KEEPERS = List.of("k0", "k1");
     private static final Settings SETTINGS = new Settings(
@@ -46,7 +45,7 @@
             8,
             4,
             1000);
-    private static final long WINDOW_MS = Leases.windowMs(SETTINGS);
+    private static final long WINDOW_MS = WorkerLeases.windowMs(SETTINGS);
 
     /** What a custodian may do wrong. */
     private enum Fault {
@@ -65,7 +64,7 @@
         private final boolean beginsAgain;
 
         private final PriorityQueue<Event> events = new PriorityQueue<>();
-        private final Leases leases;
+        private final WorkerLeases leases;
         private final List<Custodian> custodians = new ArrayList<>();
         private final double leaderRate;
         private final double workerRate;
@@ -119,7 +118,7 @@
                 double sent = clock();
                 long telling = kept;
                 int asking = life;
-                long seen = echo == Leases.NO_ECHO && fault == Fault.BEGINS_AGAIN_UNNOTICED ? -1 : echo;
+                long seen = echo == WorkerLeases.NO_ECHO && fault == Fault.BEGINS_AGAIN_UNNOTICED ? -1 : echo;
                 boolean tells = telling > told && fault != Fault.HIDES;
                 if (linked && random.nextInt(10) > 0) {
                     after(delay(), () -> {
@@ -158,7 +157,7 @@
                 life++;
                 until = Double.NEGATIVE_INFINITY;
                 contactAt = clock();
-                echo = Leases.NO_ECHO;
+                echo = WorkerLeases.NO_ECHO;
                 kept = 0;
                 told = 0;
             }
@@ -176,7 +175,7 @@
             this.workerRate = rate();
             this.sentAt = now * workerRate;
             this.answeredAt = leaderTime();
-            this.leases = new Leases(SETTINGS, KEEPERS, leaderTime(), random.nextBoolean());
+            this.leases = new WorkerLeases(SETTINGS, KEEPERS, leaderTime(), random.nextBoolean());
             for (String name : KEEPERS) {
                 Custodian k = new Custodian(name, rate());
                 custodians.add(k);
@@ -289,10 +288,10 @@
     /** If it never counted as over, nothing lost would ever start again without the cloud. */
     @Test
     void withoutAnyWordItIsOverByAndBy() {
-        Leases leases = new Leases(SETTINGS, KEEPERS, 0, false);
+        WorkerLeases leases = new WorkerLeases(SETTINGS, KEEPERS, 0, false);
         assertFalse(leases.over(0, LEASE_MS + 1_000), "an older leader's grant may still hold");
         assertTrue(leases.over(0, WINDOW_MS + LEASE_MS + 2_000));
-        Leases first = new Leases(SETTINGS, KEEPERS, 0, true);
+        WorkerLeases first = new WorkerLeases(SETTINGS, KEEPERS, 0, true);
         assertTrue(first.over(0, LEASE_MS + 1_000), "nobody granted anything");
         for (String k : KEEPERS) {
             first.asked(k, 0, false, 100);
--- a/src/test/java/org/hollypick/FleetTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,19 +11,18 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.fleet.Fleet;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
 /** What is rented, returned and emptied; each test is a cause of waiting or waste that was found. */
-class FleetTest {
+class AutoscalerTest {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 50, Set.of("a", "b"));
     private static final Map<String, MachineType> TYPES = Map.of("t", TYPE);
     private static final List<String> ZONES = List.of("a", "b");
@@ -32,15 +31,16 @@
             "n", "a", "p:1", "m:1", List.of(), "c:1", "s:1", ZONES, Map.of(), List.of(), 3, 20, 40, 100, 30, 8192, 12,
             8, 4, 1000);
 
-    private final Scheduler scheduler = new Scheduler(5, SETTINGS, 0.3, new Leases(SETTINGS, List.of(), 0, true));
-    private final Fleet fleet = new Fleet(OperatorSettings.defaults(), true);
+    private final Scheduler scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
+    private final Autoscaler fleet = new Autoscaler(OperatorSettings.defaults(), true);
     private int machines;
 
     private Machine machine(String zone, boolean spot, long now) {
         Machine m = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
         m.registered = true;
         m.images.put("img", now);
-        scheduler.ledger.report(m, new Report(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
+        scheduler.ledger.report(
+                m, new Heartbeat(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
         return m;
     }
 
@@ -98,20 +98,23 @@
                 5);
     }
 
-    private static int rented(Fleet.Plan plan, String zone, boolean spot) {
+    private static int rented(Autoscaler.Plan plan, String zone, boolean spot) {
         return plan.rents().stream()
                 .filter(r -> r.kind().zone().equals(zone) && r.kind().spot() == spot)
-                .mapToInt(Fleet.Rent::count)
+                .mapToInt(Autoscaler.Rent::count)
                 .sum();
     }
 
     private void allRun(long now) {
         for (Machine m : scheduler.machines.values()) {
-            TaskReport[] tasks = m.placements.values().stream()
-                    .map(p -> new TaskReport(p.taskId, p.attempt, State.RUNNING, ""))
-                    .toArray(TaskReport[]::new);
+            TaskStatus[] tasks = m.placements.values().stream()
+                    .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+                    .toArray(TaskStatus[]::new);
             scheduler.ledger.report(
-                    m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)), true, now);
+                    m,
+                    new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)),
+                    true,
+                    now);
         }
     }
 
@@ -125,7 +128,7 @@
         Job job = service("req-1", 32);
         scheduler.pass(0);
         assertEquals(16, job.live.size());
-        Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
+        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertEquals(1, rented(plan, "a", false), "only room for services to come");
         assertEquals(2, rented(plan, "b", false), "all sixteen that wait, and room for services to come");
     }
@@ -145,7 +148,7 @@
     void zonesAreKeptEvenAtEqualPrices() {
         machine("a", true, 0);
         array("req-1", 2_000);
-        Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
+        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(
                 rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0,
                 plan.rents().toString());
@@ -210,7 +213,7 @@
         // Spread by hand: one replica a machine and more, as ends leave them.
         allRun(1_000);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(), "they have only just started");
-        Fleet.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 100_000);
+        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 100_000);
         assertFalse(plan.moves().isEmpty());
         plan.moves().forEach(p -> {
             assertTrue(p.machine.emptying);
@@ -268,7 +271,7 @@
                 8,
                 4,
                 1000);
-        Scheduler few = new Scheduler(5, limited, 0.3, new Leases(limited, List.of(), 0, true));
+        Scheduler few = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
         JobSpec array = new JobSpec(
                 "req-1",
                 "batch",
@@ -291,11 +294,11 @@
                 0,
                 Double.NaN);
         few.addJob(array, 1, 5);
-        Fleet.Plan plan = new Fleet(OperatorSettings.defaults(), true).plan(few, TYPES, ZONES, 1_000);
-        assertEquals(4, plan.rents().stream().mapToInt(Fleet.Rent::count).sum(), "64 cores");
+        Autoscaler.Plan plan = new Autoscaler(OperatorSettings.defaults(), true).plan(few, TYPES, ZONES, 1_000);
+        assertEquals(4, plan.rents().stream().mapToInt(Autoscaler.Rent::count).sum(), "64 cores");
         scheduler.addJob(array, 1, 5);
         plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
-        assertTrue(plan.rents().stream().mapToInt(Fleet.Rent::count).sum() > 4, "without a limit");
+        assertTrue(plan.rents().stream().mapToInt(Autoscaler.Rent::count).sum() > 4, "without a limit");
     }
 
     /** A scheduler whose only team may use that many cores. */
@@ -321,7 +324,7 @@
                 8,
                 4,
                 1000);
-        return new Scheduler(5, limited, 0.3, new Leases(limited, List.of(), 0, true));
+        return new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
     }
 
     private static Job addService(Scheduler to, String id, int tasks) {
@@ -378,12 +381,12 @@
                 5);
     }
 
-    private static double rentedCores(Fleet.Plan plan) {
+    private static double rentedCores(Autoscaler.Plan plan) {
         return plan.rents().stream().mapToDouble(r -> r.count() * TYPE.cpus()).sum();
     }
 
     /** Plans until the mean load of arrays is known: one of 30 tasks, 1,800 core-seconds, arrives each second. */
-    private static long followArrays(Fleet fleet, Scheduler scheduler) {
+    private static long followArrays(Autoscaler fleet, Scheduler scheduler) {
         long now = 0;
         for (; now < 200_000; now += 1_000) {
             scheduler.jobs.clear();
@@ -398,7 +401,7 @@
     @Tag("known-red")
     void roomForArraysToComeKeepsWithinTheLimits() {
         Scheduler limited = withLimit(320);
-        Fleet rents = new Fleet(OperatorSettings.defaults(), true);
+        Autoscaler rents = new Autoscaler(OperatorSettings.defaults(), true);
         long now = followArrays(rents, limited);
         assertTrue(rents.load() > 1_000, "mean load " + rents.load());
         assertEquals(320, rentedCores(rents.plan(limited, TYPES, ZONES, now)), "all of the limit");
@@ -407,7 +410,7 @@
         double wholeMachines = ZONES.size() * TYPE.cpus(); // the last one of each zone is rented whole
         assertTrue(rented >= 320 && rented <= 320 + wholeMachines, "services, room for more, and arrays: " + rented);
         addService(limited, "req-more", 160);
-        Fleet.Plan plan = rents.plan(limited, TYPES, ZONES, now + 2_000);
+        Autoscaler.Plan plan = rents.plan(limited, TYPES, ZONES, now + 2_000);
         assertEquals(320, rentedCores(plan), "services take all of the limit");
     }
 
@@ -417,6 +420,7 @@
     void servicesAwaitedBeyondTheLimitRentNothing() {
         Scheduler limited = withLimit(320);
         addService(limited, "req-1", 400);
-        assertEquals(320, rentedCores(new Fleet(OperatorSettings.defaults(), true).plan(limited, TYPES, ZONES, 1_000)));
+        assertEquals(
+                320, rentedCores(new Autoscaler(OperatorSettings.defaults(), true).plan(limited, TYPES, ZONES, 1_000)));
     }
 }
--- a/src/test/java/org/hollypick/estimate/EstimateBench.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -1,4 +1,4 @@
-package org.hollypick.estimate;
+package org.hollypick.core.estimate;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,13 +9,11 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.estimate.CompletionEstimate;
-import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Report;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -34,7 +32,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 4, time = 1)
 @Fork(1)
-public class EstimateBench {
+public class EstimateBenchmark {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a"));
     private static final Settings SETTINGS = new Settings(
             "n",
@@ -65,12 +63,12 @@
 
     @Setup
     public void prepare() {
-        scheduler = new Scheduler(5, SETTINGS, 0.3, new Leases(SETTINGS, List.of(), 0, true), true);
+        scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true), true);
         for (int i = 0; i < 1_000; i++) {
             Machine m = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
             m.registered = true;
             scheduler.ledger.report(
-                    m, new Report(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()), true, 0);
+                    m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()), true, 0);
         }
         for (int i = 0; i < 500; i++) {
             spec = new JobSpec(
--- a/src/test/java/org/hollypick/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
@@ -1,4 +1,4 @@
-package org.hollypick.estimate;
+package org.hollypick.core.estimate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,9 +11,6 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.Estimates;
-import org.hollypick.core.estimate.PredictionInterval;
-import org.hollypick.core.estimate.Replay;
 import org.junit.jupiter.api.Test;
 
 /** What runs teach: bands that hold what they say, hard cases by name, and nothing odd whatever goes in. */
@@ -41,18 +38,18 @@
 
     @Test
     void bandsHoldWhatTheySay() {
-        holds(play(Recorded.steady(1, 1), "steady").get("n>=20"), "steady");
-        holds(play(Recorded.steady(2, 2.5), "estimates too high").get("n>=20"), "too high");
-        holds(play(Recorded.steady(3, 0.4), "estimates too low").get("n>=20"), "too low");
-        holds(play(Recorded.drift(4), "drift").get("n>=20"), "drift");
-        holds(play(Recorded.humps(5), "two humps, alternating").get("n>=20"), "humps");
+        holds(play(RecordedRuns.steady(1, 1), "steady").get("n>=20"), "steady");
+        holds(play(RecordedRuns.steady(2, 2.5), "estimates too high").get("n>=20"), "too high");
+        holds(play(RecordedRuns.steady(3, 0.4), "estimates too low").get("n>=20"), "too low");
+        holds(play(RecordedRuns.drift(4), "drift").get("n>=20"), "drift");
+        holds(play(RecordedRuns.humps(5), "two humps, alternating").get("n>=20"), "humps");
     }
 
     @Test
     void ownersEstimatesAreCorrected() {
         for (double off : new double[] {0.4, 2.5}) {
             double[] errors =
-                    new Replay().play(Recorded.steady(7, off)).get("n>=20").errors();
+                    new Replay().play(RecordedRuns.steady(7, off)).get("n>=20").errors();
             assertTrue(
                     errors[0] < errors[1] * 2 / 3,
                     "a third below the owner's estimate: " + errors[0] + " of " + errors[1]);
@@ -64,7 +61,7 @@
     void aTenfoldJumpIsFoundWithinTwentyTasks() {
         for (int seed = 1; seed <= 20; seed++) {
             Estimates e = new Estimates(true);
-            List<Replay.Run> runs = Recorded.tenfold(seed);
+            List<Replay.Run> runs = RecordedRuns.tenfold(seed);
             int missed = 0;
             int after = 0;
             for (Replay.Run run : runs) {
@@ -77,19 +74,19 @@
             }
             assertTrue(missed <= 20, "seed " + seed + ": outside of the band " + missed + " of 40");
         }
-        play(Recorded.tenfold(1), "tenfold");
+        play(RecordedRuns.tenfold(1), "tenfold");
     }
 
     @Test
     void aKindNeverSeenSaysSo() {
         Estimates e = new Estimates(true);
-        PredictionInterval none = e.interval(Recorded.task("new", 30), 0);
+        PredictionInterval none = e.interval(RecordedRuns.task("new", 30), 0);
         assertEquals("no history: the owner's estimate", none.from());
         assertTrue(none.runs() == 0 && none.p90() / none.p10() > 20);
         for (int i = 0; i < 30; i++) {
-            e.observe(Recorded.task("old", 10), "m-" + i, 20 + i % 3, false);
+            e.observe(RecordedRuns.task("old", 10), "m-" + i, 20 + i % 3, false);
         }
-        PredictionInterval borrowed = e.interval(Recorded.task("new", 30), 0);
+        PredictionInterval borrowed = e.interval(RecordedRuns.task("new", 30), 0);
         assertTrue(borrowed.from().startsWith("borrowed from"), borrowed.from());
         assertTrue(borrowed.p50() > 40, "the team's tasks take twice their estimate: " + borrowed);
     }
@@ -98,7 +95,7 @@
     @Test
     void runsThatWereCutShortDoNotCountAsShortOnes() {
         Estimates e = new Estimates(true);
-        JobSpec t = Recorded.task("k", 30);
+        JobSpec t = RecordedRuns.task("k", 30);
         for (int i = 0; i < 60; i++) {
             e.observe(t, "m-" + i, i % 2 == 0 ? 30 + i % 5 : 3, i % 2 != 0);
         }
@@ -109,7 +106,7 @@
     @Test
     void whatHasRunForLongIsExpectedToRunOn() {
         Estimates e = new Estimates(true);
-        JobSpec t = Recorded.task("k", 10);
+        JobSpec t = RecordedRuns.task("k", 10);
         Random r = new Random(1);
         for (int i = 0; i < 64; i++) {
             e.observe(t, "m-" + i, 10 * Math.exp(r.nextGaussian() * 0.6), false);
@@ -121,7 +118,7 @@
     @Test
     void aSickMachineTeachesNothing() {
         Estimates e = new Estimates(true);
-        JobSpec t = Recorded.task("k", 10);
+        JobSpec t = RecordedRuns.task("k", 10);
         Random r = new Random(2);
         for (int i = 0; i < 200; i++) {
             boolean sick = i > 40 && i % 4 == 0;
@@ -136,7 +133,7 @@
         Estimates e = new Estimates(true);
         double[] odd = {0, 1e9, Double.NaN, -5, Double.POSITIVE_INFINITY, 1e-12, 30, 31, 29};
         for (int i = 0; i < 200; i++) {
-            JobSpec t = Recorded.task("k" + r.nextInt(4), odd[r.nextInt(odd.length)]);
+            JobSpec t = RecordedRuns.task("k" + r.nextInt(4), odd[r.nextInt(odd.length)]);
             e.observe(t, "m" + r.nextInt(3), odd[r.nextInt(odd.length)], r.nextInt(4) == 0);
             double ran = odd[r.nextInt(odd.length)];
             PredictionInterval b = e.interval(t, Double.isNaN(ran) || Double.isInfinite(ran) ? 0 : ran);
@@ -150,10 +147,10 @@
     void memoryIsBoundedWhateverTheNumberOfKinds() {
         Estimates e = new Estimates(true);
         for (int i = 0; i < 10_000; i++) {
-            e.observe(Recorded.task("kind-" + i, 10), "m-" + i, 10, false);
+            e.observe(RecordedRuns.task("kind-" + i, 10), "m-" + i, 10, false);
         }
         assertTrue(e.size() <= 2_000, "kinds " + e.size());
-        assertEquals(1, e.interval(Recorded.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
+        assertEquals(1, e.interval(RecordedRuns.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
     }
 
     /**
@@ -163,15 +160,15 @@
     @Test
     void whatIsKeptSaysNearlyTheSame() {
         Estimates before = new Estimates(true);
-        for (Replay.Run run : Recorded.steady(9, 1)) {
+        for (Replay.Run run : RecordedRuns.steady(9, 1)) {
             before.observe(run.task(), run.machine(), run.ranS(), run.cutShort());
         }
         Estimates after = new Estimates(true);
         for (String kind : before.takeDirty()) {
             after.restore(before.keep(kind, 32));
         }
-        PredictionInterval a = before.interval(Recorded.task("steady", 25), 0);
-        PredictionInterval b = after.interval(Recorded.task("steady", 25), 0);
+        PredictionInterval a = before.interval(RecordedRuns.task("steady", 25), 0);
+        PredictionInterval b = after.interval(RecordedRuns.task("steady", 25), 0);
         assertTrue(Math.abs(Math.log(a.p50() / b.p50())) < 0.35, a + " and " + b);
         assertTrue(Math.abs(Math.log(a.p90() / b.p90())) < 0.5, a + " and " + b);
     }
--- a/src/test/java/org/hollypick/estimate/Recorded.java
+++ b/src/test/java/org/hollypick/core/estimate/RecordedRuns.java
@@ -1,20 +1,19 @@
-package org.hollypick.estimate;
+package org.hollypick.core.estimate;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.estimate.Replay;
 
 /**
  * Runs as a deployment would record them, drawn from a seed: arrays of several kinds, whose tasks end in the order of
  * their run times.
  */
-final class Recorded {
+final class RecordedRuns {
     private final Random random;
     private final List<Replay.Run> runs = new ArrayList<>();
 
-    Recorded(long seed) {
+    RecordedRuns(long seed) {
         random = new Random(seed);
     }
 
@@ -43,7 +42,7 @@
     }
 
     /** An array: run times about a median with a tail, the owner's estimate off by a factor. */
-    Recorded array(String kind, int tasks, double medianS, double spread, double estimateOff) {
+    RecordedRuns array(String kind, int tasks, double medianS, double spread, double estimateOff) {
         JobSpec task = task(kind, Math.max(1, medianS * estimateOff * Math.exp(random.nextGaussian() * 0.4)));
         List<Replay.Run> some = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
@@ -62,7 +61,7 @@
 
     /** Many arrays of a steady kind. */
     static List<Replay.Run> steady(long seed, double estimateOff) {
-        Recorded r = new Recorded(seed);
+        RecordedRuns r = new RecordedRuns(seed);
         for (int i = 0; i < 60; i++) {
             r.array("steady", 10 + r.random.nextInt(40), 25, 0.45, estimateOff);
         }
@@ -71,7 +70,7 @@
 
     /** A kind that gets slower, a quarter in all. */
     static List<Replay.Run> drift(long seed) {
-        Recorded r = new Recorded(seed);
+        RecordedRuns r = new RecordedRuns(seed);
         for (int i = 0; i < 60; i++) {
             r.array("drift", 20, 30 * (1 + i / 240.0), 0.4, 1);
         }
@@ -80,7 +79,7 @@
 
     /** Many kinds that run a few times each. */
     static List<Replay.Run> thin(long seed) {
-        Recorded r = new Recorded(seed);
+        RecordedRuns r = new RecordedRuns(seed);
         for (int i = 0; i < 120; i++) {
             r.array("thin-" + i, 3, 10 * Math.exp(r.random.nextGaussian() * 0.5), 0.4, 1);
         }
@@ -89,7 +88,7 @@
 
     /** Two humps, in one array or the other; and one that alternates from task to task. */
     static List<Replay.Run> humps(long seed) {
-        Recorded r = new Recorded(seed);
+        RecordedRuns r = new RecordedRuns(seed);
         for (int i = 0; i < 400; i++) {
             r.array("humps", 1, r.random.nextBoolean() ? 10 : 60, 0.2, 1);
             r.array("alternates", 1, i % 2 == 0 ? 5 : 40, 0.15, 1);
@@ -99,7 +98,7 @@
 
     /** Inputs grow tenfold from one array to the next; the owner's estimate doesn't follow. */
     static List<Replay.Run> tenfold(long seed) {
-        Recorded r = new Recorded(seed);
+        RecordedRuns r = new RecordedRuns(seed);
         for (int i = 0; i < 20; i++) {
             r.array("grows", 10, 12, 0.35, 1);
         }
--- a/src/test/java/org/hollypick/graph/GraphBench.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -1,4 +1,4 @@
-package org.hollypick.graph;
+package org.hollypick.core.graph;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -9,16 +9,14 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.graph.Graph;
-import org.hollypick.core.graph.NodeSpec;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -42,7 +40,7 @@
 @Warmup(iterations = 6)
 @Measurement(iterations = 10)
 @Fork(1)
-public class GraphBench {
+public class GraphBenchmark {
     private static final MachineType TYPE = new MachineType("t", 1_000, 0, 100_000, 50, 1, 1, 0.4, 30, Set.of("a"));
     private static final Settings SETTINGS = new Settings(
             "n",
@@ -137,11 +135,11 @@
     }
 
     private static Scheduler world() {
-        Scheduler s = new Scheduler(5, SETTINGS, 0.3, new Leases(SETTINGS, List.of(), 0, true));
+        Scheduler s = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
         for (int i = 0; i < 4; i++) {
             Machine m = s.addMachine("m-" + i, TYPE, "a", true, false, 0);
             m.registered = true;
-            s.ledger.report(m, new Report(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()), true, 0);
+            s.ledger.report(m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()), true, 0);
         }
         return s;
     }
@@ -208,15 +206,15 @@
             s.pass(now);
             for (Machine m : s.machines.values()) {
                 for (State state : List.of(State.RUNNING, State.EXITED)) {
-                    List<TaskReport> tasks = new ArrayList<>();
-                    for (Placement p : m.placements.values()) {
-                        tasks.add(new TaskReport(p.taskId, p.attempt, state, "done"));
+                    List<TaskStatus> tasks = new ArrayList<>();
+                    for (Assignment p : m.placements.values()) {
+                        tasks.add(new TaskStatus(p.taskId, p.attempt, state, "done"));
                     }
                     s.ledger.report(
-                            m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks), true, now);
+                            m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks), true, now);
                 }
                 s.ledger.report(
-                        m, new Report(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()), true, now);
+                        m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()), true, now);
             }
             job.committed = (BitSet) job.done.clone();
             s.ledger.progressCommitted(job);
@@ -227,7 +225,7 @@
     /** Heap a node takes. */
     public static void main(String[] args) {
         for (int n : new int[] {1_000, 10_000, 100_000}) {
-            GraphBench b = new GraphBench();
+            GraphBenchmark b = new GraphBenchmark();
             b.nodes = n;
             List<NodeSpec> specs = b.specs(50);
             System.gc();
--- a/src/test/java/org/hollypick/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -1,4 +1,4 @@
-package org.hollypick.graph;
+package org.hollypick.core.graph;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,16 +13,14 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.graph.Graph;
-import org.hollypick.core.graph.NodeSpec;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Placement.State;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -66,7 +64,7 @@
                     8,
                     4,
                     1000);
-            this.scheduler = new Scheduler(5, settings, 0.3, new Leases(settings, List.of(), now, true));
+            this.scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), now, true));
         }
 
         private void arrive(int number) {
@@ -140,23 +138,23 @@
             report(m, List.of());
         }
 
-        private void report(Machine m, List<TaskReport> tasks) {
+        private void report(Machine m, List<TaskStatus> tasks) {
             scheduler.ledger.report(
-                    m, new Report(m.id, "w:1", "t", m.zone, m.spot, 1, ++ticks, 5, Double.NaN, tasks), true, now);
+                    m, new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
 
         /** Every machine reports; tasks run, end, fail. */
         private void reports() {
             for (Machine m : List.copyOf(scheduler.machines.values())) {
-                List<TaskReport> tasks = new ArrayList<>();
-                for (Placement p : List.copyOf(m.placements.values())) {
+                List<TaskStatus> tasks = new ArrayList<>();
+                for (Assignment p : List.copyOf(m.placements.values())) {
                     int what = random.nextInt(10);
                     if (p.stop && p.there()) {
-                        tasks.add(new TaskReport(p.taskId, p.attempt, State.EXITED, "stopped"));
+                        tasks.add(new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped"));
                     } else if (p.state() == State.RUNNING && what < 4) {
-                        tasks.add(new TaskReport(p.taskId, p.attempt, State.EXITED, what == 0 ? "error" : "done"));
+                        tasks.add(new TaskStatus(p.taskId, p.attempt, State.EXITED, what == 0 ? "error" : "done"));
                     } else if (p.there()) {
-                        tasks.add(new TaskReport(p.taskId, p.attempt, State.RUNNING, ""));
+                        tasks.add(new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""));
                     }
                 }
                 report(m, tasks);
@@ -189,7 +187,7 @@
                 scheduler.tick(now);
                 scheduler.pass(now);
                 for (Machine m : scheduler.machines.values()) {
-                    for (Placement p : m.placements.values()) {
+                    for (Assignment p : m.placements.values()) {
                         if (p.startedAt == now) {
                             trace.add(step + " " + p.taskId + " on " + m.id + " attempt " + p.attempt);
                         }
--- a/src/test/java/org/hollypick/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -1,4 +1,4 @@
-package org.hollypick.graph;
+package org.hollypick.core.graph;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -21,10 +21,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.Graph.State;
-import org.hollypick.core.graph.NodeSpec;
-import org.hollypick.core.graph.Refusal;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/hollypick/WatchTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,17 +14,15 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.config.constants.RelayConstants;
-import org.hollypick.core.spread.ReportBalancer;
-import org.hollypick.core.watch.AdaptiveWindow;
-import org.hollypick.core.watch.LocalHealth;
-import org.hollypick.io.Sockets;
+import org.hollypick.core.balancing.HeartbeatBalancer;
+import org.hollypick.io.ConnectionBudget;
 import org.junit.jupiter.api.Test;
 
 /**
  * What bounds the load of many machines: sockets by kind, calls under way, who reports where, and when a leader trusts
  * itself.
  */
-class WatchTest {
+class HealthTest {
     /**
      * Whatever is opened and closed as the rules allow, no kind is refused its floor, and all together stay under the
      * limit.
@@ -32,10 +30,10 @@
     @Property(tries = 300, seed = "20261201")
     void everyKindHasItsFloor(@ForAll long seed, @ForAll @IntRange(min = 200, max = 5_000) int sockets) {
         Random random = new Random(seed);
-        Sockets s = new Sockets(sockets);
-        Map<Sockets.Kind, Integer> open = new HashMap<>();
+        ConnectionBudget s = new ConnectionBudget(sockets);
+        Map<ConnectionBudget.Kind, Integer> open = new HashMap<>();
         for (int i = 0; i < 4 * sockets; i++) {
-            Sockets.Kind k = Sockets.Kind.values()[random.nextInt(4)];
+            ConnectionBudget.Kind k = ConnectionBudget.Kind.values()[random.nextInt(4)];
             if (random.nextInt(5) == 0 && open.getOrDefault(k, 0) > 0) {
                 s.closed(k);
                 open.merge(k, -1, Integer::sum);
@@ -46,7 +44,7 @@
             assertTrue(open.values().stream().mapToInt(n -> n).sum() <= sockets);
             assertFalse(s.crowded(k), "what had room isn't too much");
         }
-        for (Sockets.Kind k : Sockets.Kind.values()) {
+        for (ConnectionBudget.Kind k : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(k, 0) > 0) {
                 s.closed(k);
                 open.merge(k, -1, Integer::sum);
@@ -71,7 +69,7 @@
         for (int m = 0; m < machines; m++) {
             at[m] = names.get(random.nextInt(1 + random.nextInt(nodes)));
         }
-        ReportBalancer reportBalancer = new ReportBalancer("n0", 0);
+        HeartbeatBalancer reportBalancer = new HeartbeatBalancer("n0", 0);
         int moved = 0;
         for (long t = 0; t < 400_000; t += 1_000) {
             int before = moved;
@@ -106,7 +104,7 @@
     /** A controller that hands nothing on any more is sent nothing. */
     @Test
     void nobodyIsSentToAControllerThatIsSilent() {
-        ReportBalancer reportBalancer = new ReportBalancer("a", 0);
+        HeartbeatBalancer reportBalancer = new HeartbeatBalancer("a", 0);
         for (int m = 0; m < 100; m++) {
             reportBalancer.reported("m" + m, "a", 0);
         }
--- a/src/test/java/org/hollypick/ReportValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,26 +17,25 @@
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.Leases;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
-import org.hollypick.core.ledger.Machine;
-import org.hollypick.core.ledger.Order;
-import org.hollypick.core.ledger.Placement;
-import org.hollypick.core.ledger.Report;
-import org.hollypick.core.ledger.TaskReport;
-import org.hollypick.core.validity.ReportValidity;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
 /**
  * What a report is worth, against a worker whose truth is known: which answers it took, which of its reports are
  * copies, and when it began again.
  */
-class ReportValidityTest {
+class HeartbeatValidityTest {
     private static final long TOKEN = 7;
 
-    private static Report report(long session, long tick, long token, TaskReport... tasks) {
-        return new Report("n-1", "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
+    private static Heartbeat report(long session, long tick, long token, TaskStatus... tasks) {
+        return new Heartbeat("n-1", "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
     }
 
     /**
@@ -48,24 +47,25 @@
     void deafIsWhoTookNoneOfTheLastAnswers(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
         Random random = new Random(seed);
-        ReportValidity validity = new ReportValidity();
-        List<Report> sent = new ArrayList<>();
+        HeartbeatValidity validity = new HeartbeatValidity();
+        List<Heartbeat> sent = new ArrayList<>();
         long token = 0;
         long attempt = 0;
-        List<TaskReport> tasks = new ArrayList<>();
-        List<Order> wanted = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
+        List<Command> wanted = new ArrayList<>();
         int missed = 0;
         for (int tick = 1; tick <= 40; tick++) {
             long now = tick * 5_000L;
-            Report r = report(1, tick, token, tasks.toArray(new TaskReport[0]));
+            Heartbeat r = report(1, tick, token, tasks.toArray(new TaskStatus[0]));
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
                 assertEquals(
-                        ReportValidity.Freshness.COPY, validity.freshness(sent.get(random.nextInt(sent.size())), now));
+                        HeartbeatValidity.Freshness.COPY,
+                        validity.freshness(sent.get(random.nextInt(sent.size())), now));
             }
-            assertEquals(ReportValidity.Freshness.NEW, validity.freshness(r, now));
-            assertEquals(ReportValidity.Freshness.AGAIN, validity.freshness(r, now + 1_000));
+            assertEquals(HeartbeatValidity.Freshness.NEW, validity.freshness(r, now));
+            assertEquals(HeartbeatValidity.Freshness.AGAIN, validity.freshness(r, now + 1_000));
             assertEquals(
-                    ReportValidity.Freshness.COPY,
+                    HeartbeatValidity.Freshness.COPY,
                     validity.freshness(r, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
             sent.add(r);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
@@ -74,11 +74,11 @@
                     missed >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
                     validity.unreachableInbound(),
                     "after " + missed + " lost answers");
-            wanted.add(new Order(Order.Verb.START, "req-1/" + attempt, ++attempt, 0));
+            wanted.add(new Command(Command.Verb.START, "req-1/" + attempt, ++attempt, 0));
             validity.told(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
                 token = TOKEN;
-                wanted.forEach(o -> tasks.add(new TaskReport(o.task(), o.attempt(), Placement.State.RUNNING, "")));
+                wanted.forEach(o -> tasks.add(new TaskStatus(o.task(), o.attempt(), Assignment.State.RUNNING, "")));
                 missed = 0;
             } else {
                 missed++;
@@ -110,7 +110,8 @@
             8,
             4,
             1000);
-    private final Scheduler scheduler = new Scheduler(TOKEN, settings, 0.3, new Leases(settings, List.of(), 0, true));
+    private final Scheduler scheduler =
+            new Scheduler(TOKEN, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
 
     private Machine machine(String id, boolean registered) {
         return scheduler.addMachine(
@@ -165,13 +166,13 @@
         Machine old = machine("n-1", true);
         Machine now = machine("n-2", true);
         scheduler.ledger.report(
-                old, report(1, 5, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 0);
+                old, report(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 0);
         scheduler.ledger.report(
-                now, report(1, 5, 3, new TaskReport("req-1/0", 11, Placement.State.RUNNING, "")), true, 0);
+                now, report(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")), true, 0);
         assertEquals(now, job.live.get(0).machine);
         assertTrue(scheduler.ledger.orders(now).isEmpty());
         scheduler.ledger.report(
-                old, report(1, 6, 3, new TaskReport("req-1/0", 10, Placement.State.RUNNING, "")), true, 100);
+                old, report(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 100);
         assertEquals(now, job.live.get(0).machine);
     }
 
@@ -185,9 +186,9 @@
         scheduler.ledger.report(m, report(1, 5, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.pass(0);
-        Placement p = job.live.get(0);
+        Assignment p = job.live.get(0);
         scheduler.ledger.report(
-                m, report(1, 6, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 1_000);
+                m, report(1, 6, TOKEN, new TaskStatus(p.taskId, p.attempt, Assignment.State.RUNNING, "")), true, 1_000);
         assertFalse(scheduler.ledger.report(m, report(1, 99, 3), true, 2_000));
         assertEquals(p, job.live.get(0));
     }
@@ -216,9 +217,9 @@
         scheduler.ledger.report(m, report(1, 50, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.pass(0);
-        Placement p = job.live.get(0);
+        Assignment p = job.live.get(0);
         scheduler.ledger.report(
-                m, report(1, 51, TOKEN, new TaskReport(p.taskId, p.attempt, Placement.State.RUNNING, "")), true, 500);
+                m, report(1, 51, TOKEN, new TaskStatus(p.taskId, p.attempt, Assignment.State.RUNNING, "")), true, 500);
         scheduler.ledger.begunAgain(m, report(1, 1, TOKEN), 1_000);
         assertTrue(job.pending.get(0));
         assertFalse(m.usable());
--- a/src/test/java/org/hollypick/LinksCoreTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,11 +11,9 @@
 import net.jqwik.api.constraints.IntRange;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.core.links.LeadershipDelay;
-import org.hollypick.core.links.Route;
 
 /** Which way a call takes, and who leaves a free lead to whom, against plain rules over all that has happened. */
-class LinksCoreTest {
+class RoutingTest {
     private static final int PEERS = 3;
 
     /** Everything that happened to a way, looked through anew for each question. */
@@ -61,7 +59,7 @@
     void aWayIsWhatThePlainRulesSay(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000;
-        Route route = new Route(PEERS, now);
+        RouteSelector route = new RouteSelector(PEERS, now);
         List<Happened> all = new ArrayList<>(List.of(new Happened("answered", -1, now, now)));
         for (int step = 0; step < 60; step++) {
             now += 1 + random.nextInt(700);
@@ -113,16 +111,15 @@
             @ForAll @IntRange(max = 40) int byPeers) {
         int d = Math.min(direct, asked);
         int p = Math.min(byPeers, asked - d);
-        long wait = LeadershipDelay.waitMs(asked, d, p);
+        long wait = CandidacyDelay.waitMs(asked, d, p);
         assertTrue(wait >= 0
                 && wait <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
-        assertTrue(d == asked || LeadershipDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
-        assertTrue(
-                d + p == asked || LeadershipDelay.waitMs(asked, d, p + 1) <= wait || LeadershipDelay.enough(asked, d));
-        assertTrue(LeadershipDelay.waitMs(asked, d, 0) >= LeadershipDelay.waitMs(asked, d, asked - d)
-                || LeadershipDelay.enough(asked, d));
+        assertTrue(d == asked || CandidacyDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
+        assertTrue(d + p == asked || CandidacyDelay.waitMs(asked, d, p + 1) <= wait || CandidacyDelay.enough(asked, d));
+        assertTrue(CandidacyDelay.waitMs(asked, d, 0) >= CandidacyDelay.waitMs(asked, d, asked - d)
+                || CandidacyDelay.enough(asked, d));
         assertTrue(asked % 2 != 0
-                || LeadershipDelay.waitMs(asked, asked / 2, 0)
-                        > LeadershipDelay.waitMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
+                || CandidacyDelay.waitMs(asked, asked / 2, 0)
+                        > CandidacyDelay.waitMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
     }
 }
--- a/src/test/java/org/hollypick/CutoffTest.java
+++ b/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.core.tyrex;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,6 @@
 import java.util.Arrays;
 import java.util.OptionalDouble;
 import java.util.Random;
-import org.hollypick.core.tyrex.Cutoff;
 import org.junit.jupiter.api.Test;
 
 /** The balanced cutoff against a slow plain model that follows the paper's definition word by word. */
--- a/src/test/java/org/hollypick/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.io;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -20,13 +20,6 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.hollypick.io.Answer;
-import org.hollypick.io.Call;
-import org.hollypick.io.Codec;
-import org.hollypick.io.HttpServer;
-import org.hollypick.io.Network;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Sockets;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -38,8 +31,8 @@
 /** The server and the client over a real loopback socket. */
 class HttpTest {
     private XnioWorker worker;
-    private Network network;
-    private Sockets sockets;
+    private XnioEventLoop network;
+    private ConnectionBudget sockets;
     private Undertow server;
     private String addr;
 
@@ -52,8 +45,8 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, 8192);
-        sockets = new Sockets(100);
-        network = new Network(worker.getIoThread(), buffers, sockets, Set.of(), 10);
+        sockets = new ConnectionBudget(100);
+        network = new XnioEventLoop(worker.getIoThread(), buffers, sockets, Set.of(), 10);
         addr = free();
         HttpServer.Service echo = (method, path, body, answer) -> {
             if (path.equals("/hang")) {
@@ -61,13 +54,13 @@
             }
             var tree = Codec.read(body, false);
             if (path.equals("/none")) {
-                answer.accept(Answer.error(404, "none"));
+                answer.accept(ServerResponse.error(404, "none"));
                 return;
             }
             answer.accept(
                     path.equals("/later")
-                            ? Answer.later("busy")
-                            : Answer.of(
+                            ? ServerResponse.later("busy")
+                            : ServerResponse.of(
                                     200,
                                     Codec.object()
                                             .put("method", method)
@@ -92,10 +85,10 @@
         }
     }
 
-    private Reply call(Call call) throws Exception {
-        BlockingQueue<Reply> got = new ArrayBlockingQueue<>(1);
+    private Response call(Request call) throws Exception {
+        BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
         network.after(0, () -> network.call(call, got::add));
-        Reply reply = got.poll(10, TimeUnit.SECONDS);
+        Response reply = got.poll(10, TimeUnit.SECONDS);
         assertNotNull(reply);
         return reply;
     }
@@ -103,13 +96,13 @@
     @Test
     void carriesSmallAndLargeBodiesOnKeptConnections() throws Exception {
         for (String text : new String[] {"x", "y".repeat(60_000), "z"}) {
-            Reply r = call(Call.of(addr, "POST", "/echo", Codec.object().put("text", text), 5_000));
+            Response r = call(Request.of(addr, "POST", "/echo", Codec.object().put("text", text), 5_000));
             assertEquals(200, r.status());
             assertEquals(text, r.body().path("text").asText());
         }
         assertEquals(
                 "GET",
-                call(Call.of(addr, "GET", "/echo", null, 5_000))
+                call(Request.of(addr, "GET", "/echo", null, 5_000))
                         .body()
                         .path("method")
                         .asText());
@@ -118,10 +111,11 @@
     @Test
     void tellsNoAnswerFromNotSent() throws Exception {
         assertEquals(
-                Reply.NO_ANSWER,
-                call(Call.of(addr, "POST", "/hang", Codec.object(), 300)).status());
+                Response.NO_ANSWER,
+                call(Request.of(addr, "POST", "/hang", Codec.object(), 300)).status());
         assertEquals(
-                Reply.NOT_SENT, call(Call.of(free(), "GET", "/", null, 2_000)).status());
+                Response.NOT_SENT,
+                call(Request.of(free(), "GET", "/", null, 2_000)).status());
     }
 
     /**
@@ -141,13 +135,15 @@
             String to = "127.0.0.1:" + dark.getLocalPort();
             Set<Integer> answers = new HashSet<>();
             for (int i = 0; i < 4; i++) {
-                answers.add(call(Call.of(to, "GET", "/", null, 200)).status());
+                answers.add(call(Request.of(to, "GET", "/", null, 200)).status());
             }
-            assertTrue(answers.stream().allMatch(s -> s == Reply.NOT_SENT || s == Reply.NO_ANSWER), answers.toString());
-            for (int i = 0; i < 100 && sockets.open(Sockets.Kind.ORDERS) > 0; i++) {
+            assertTrue(
+                    answers.stream().allMatch(s -> s == Response.NOT_SENT || s == Response.NO_ANSWER),
+                    answers.toString());
+            for (int i = 0; i < 100 && sockets.open(ConnectionBudget.Kind.ORDERS) > 0; i++) {
                 Thread.sleep(20);
             }
-            assertEquals(0, sockets.open(Sockets.Kind.ORDERS));
+            assertEquals(0, sockets.open(ConnectionBudget.Kind.ORDERS));
             for (Socket s : fill) {
                 s.close();
             }
@@ -161,15 +157,16 @@
     @Test
     void aCallWithoutRoomIsToldApart() throws Exception {
         for (int i = 0; i < 100; i++) {
-            sockets.opened(Sockets.Kind.REPORTS);
+            sockets.opened(ConnectionBudget.Kind.REPORTS);
         }
         for (int i = 0; i < 12; i++) {
-            sockets.opened(Sockets.Kind.ORDERS);
+            sockets.opened(ConnectionBudget.Kind.ORDERS);
         }
         assertEquals(
-                Reply.LACK, call(Call.of(addr, "GET", "/echo", null, 2_000)).status());
+                Response.LACK,
+                call(Request.of(addr, "GET", "/echo", null, 2_000)).status());
         assertEquals(
-                404, call(new Call(addr, "GET", "/none", null, 2_000, true)).status());
+                404, call(new Request(addr, "GET", "/none", null, 2_000, true)).status());
         assertTrue(
                 raw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
                         .contains("Connection: close"),
@@ -196,7 +193,7 @@
         assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\nabc")
                 .startsWith("HTTP/1.1 4"));
         assertTrue(raw("nonsense\r\n\r\n").isEmpty() || raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 4"));
-        assertEquals(200, call(Call.of(addr, "GET", "/echo", null, 5_000)).status());
+        assertEquals(200, call(Request.of(addr, "GET", "/echo", null, 5_000)).status());
     }
 
     @Test
--- a/src/test/java/org/hollypick/CancelModelTest.java
+++ b/src/test/java/org/hollypick/model/CancellationModelTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.hollypick.model.StateSearch;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -18,9 +17,9 @@
  * answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone in time once anybody was
  * told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The
  * first controller launched the task; its state session is the one that counts. Times are in ticks; drift is
- * {@code LeasesTest}'s matter.
+ * {@code WorkerLeasesTest}'s matter.
  */
-class CancelModelTest {
+class CancellationModelTest {
     private static final int TICKS = 8;
     private static final int LEASE = 3;
     private static final int CANCEL = 5;
@@ -181,7 +180,7 @@
 
     private static void next(State s, Fault fault, Consumer<State> to) {
         if (s.now < TICKS) {
-            State t = s.next(CancelModelTest::tick);
+            State t = s.next(CancellationModelTest::tick);
             // A session that is over ends the task and refuses the launch: nothing more can happen here.
             if (t.now <= t.leaseFrom + LEASE) {
                 to.accept(t);
--- a/src/test/java/org/hollypick/HandoverModelTest.java
+++ b/src/test/java/org/hollypick/model/FailoverModelTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,17 +9,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.model.StateSearch;
 import org.junit.jupiter.api.Test;
 
 /**
  * All that can happen when a leader gives up its lead, or ends and is started again at once, while two other
  * controllers pass its answers on: every order of messages, each of them lost, late or doubled, one controller standing
  * still at any moment, up to a number of ticks of time. The clocks run alike: drift is taken off and added where rights
- * are counted, and {@code LeasesTest} and {@code FreezeTest} are about that. What must hold (docs/safety.md): no answer
- * of the old leader reaches a machine once its successor has begun.
+ * are counted, and {@code WorkerLeasesTest} and {@code FreezeTest} are about that. What must hold (docs/safety.md): no
+ * answer of the old leader reaches a machine once its successor has begun.
  */
-class HandoverModelTest {
+class FailoverModelTest {
     private static final int TICKS = 6;
     /** For how long an answer may be passed on, by the leader's word. */
     private static final int RIGHT = 2;
--- a/src/test/java/org/hollypick/CodecTest.java
+++ b/src/test/java/org/hollypick/records/CodecTest.java
@@ -1,4 +1,4 @@
-package org.hollypick;
+package org.hollypick.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,12 +9,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
+import org.hollypick.agent.AgentCodec;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.ledger.Report;
+import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.io.Codec;
-import org.hollypick.records.GraphRecords;
-import org.hollypick.records.JobCodec;
-import org.hollypick.worker.WorkerCodec;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -57,8 +55,8 @@
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
             ObjectNode b = drawn(random);
-            Report streamed = WorkerCodec.report(Codec.write(b, false));
-            assertEquals(WorkerCodec.report(b), streamed);
+            Heartbeat streamed = AgentCodec.report(Codec.write(b, false));
+            assertEquals(AgentCodec.report(b), streamed);
         }
     }
 
@@ -68,12 +66,12 @@
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = Codec.write(drawn(random), false);
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
-            assertNull(WorkerCodec.report(cut));
+            assertNull(AgentCodec.report(cut));
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
-            WorkerCodec.report(bytes); // may still be a report, but never an exception
+            AgentCodec.report(bytes); // may still be a report, but never an exception
         }
-        assertNull(WorkerCodec.report(Codec.write(Codec.object().put("bothy", "n-1"), false)));
-        assertNull(WorkerCodec.report(Codec.write(Codec.array(), false)));
+        assertNull(AgentCodec.report(Codec.write(Codec.object().put("bothy", "n-1"), false)));
+        assertNull(AgentCodec.report(Codec.write(Codec.array(), false)));
     }
 
     /** Its record named an empty team, which no reader took: a job without a team was accepted and never ran. */
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -11,13 +11,13 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -29,11 +29,11 @@
      * already.
      */
     private interface Replies {
-        Reply of(Call call, Reply reply);
+        Response of(Request call, Response reply);
     }
 
     private static final OperatorSettings ALL_ON = OperatorSettings.parse("{:estimates true, :graphs true}");
-    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, ALL_ON);
+    private static final BiFunction<EventLoop, Settings, Controller> NEW = (r, s) -> new Controller(r, s, ALL_ON);
     /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
     private static final int DAYS = Integer.getInteger("answers.days", 3);
 
@@ -47,7 +47,7 @@
         int overtaken = 0;
         long longest = 0;
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            Day day = drawn(seed, NEW);
+            ClusterScenario day = drawn(seed, NEW);
             if (!day.checker.broken.isEmpty()) {
                 broken.put(seed, day.checker.broken);
             }
@@ -61,8 +61,8 @@
         assertEquals(Map.of(), broken);
     }
 
-    private static Day drawn(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.cancelledOf = 2;
         day.closeLooks();
         day.submitSome(12, 60_000);
@@ -80,9 +80,9 @@
     }
 
     /** A version whose calls are answered otherwise. */
-    private static BiFunction<Runtime, Settings, Node> answered(Replies replies) {
+    private static BiFunction<EventLoop, Settings, Controller> answered(Replies replies) {
         return (r, s) -> NEW.apply(
-                new Runtime() {
+                new EventLoop() {
                     @Override
                     public long now() {
                         return r.now();
@@ -99,8 +99,8 @@
                     }
 
                     @Override
-                    public void call(Call call, Consumer<Reply> reply) {
-                        Reply known = replies.of(call, null);
+                    public void call(Request call, Consumer<Response> reply) {
+                        Response known = replies.of(call, null);
                         if (known != null) {
                             r.after(0, () -> reply.accept(known));
                         } else {
@@ -111,7 +111,7 @@
                 s);
     }
 
-    private static boolean noticed(String rule, IntFunction<Day> days) {
+    private static boolean noticed(String rule, IntFunction<ClusterScenario> days) {
         for (int seed = 1; seed <= 12; seed++) {
             if (days.apply(seed).checker.broken.stream().anyMatch(b -> b.startsWith(rule))) {
                 return true;
@@ -123,7 +123,7 @@
     /** Any reading of the epoch seems to say that this node's copy of the records is fresh. */
     @Test
     void theCheckerNoticesAnswersFromMemoryWithoutTheRevision() {
-        Reply old = new Reply(404, Codec.object().put("epoch", 0));
+        Response old = new Response(404, Codec.object().put("epoch", 0));
         var version = answered((call, r) -> call.path().equals("/keys/h/never") ? old : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
@@ -131,9 +131,9 @@
     /** A transaction without an answer is taken for one that wasn't carried out. */
     @Test
     void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
-        Reply refusal = new Reply(503, Codec.object());
-        var version = answered(
-                (call, r) -> call.path().equals("/commit") && r != null && r.status() == Reply.NO_ANSWER ? refusal : r);
+        Response refusal = new Response(503, Codec.object());
+        var version = answered((call, r) ->
+                call.path().equals("/commit") && r != null && r.status() == Response.NO_ANSWER ? refusal : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
 
@@ -141,8 +141,8 @@
     @Test
     void theCheckerNoticesAnswersThatAreGivenOnceMore() {
         assertTrue(noticed("went_back (same controller)", seed -> {
-            Day day = new Day(seed, 1, null, null, NEW);
-            Map<String, Reply> known = new HashMap<>();
+            ClusterScenario day = new ClusterScenario(seed, 1, null, null, NEW);
+            Map<String, Response> known = new HashMap<>();
             day.faulty = (q, r) -> q == null || q.creates() || r.status() != 200
                     ? r
                     : day.world.random.nextBoolean() ? known.getOrDefault(q.node() + q.id(), r) : keep(known, q, r);
@@ -150,7 +150,7 @@
         }));
     }
 
-    private static Reply keep(Map<String, Reply> known, AnswerOrder.Question q, Reply r) {
+    private static Response keep(Map<String, Response> known, AnswerOrderChecker.Question q, Response r) {
         known.putIfAbsent(q.node() + q.id(), r);
         return r;
     }
@@ -159,9 +159,9 @@
     @Test
     void theCheckerNoticesThatWhatCantRunIsAccepted() {
         assertTrue(noticed("accepted req-8", seed -> {
-            Day day = new Day(seed, 1, null, null, NEW);
-            day.faulty =
-                    (q, r) -> r.status() == 422 ? new Reply(201, Codec.object().put("status", "pending")) : r;
+            ClusterScenario day = new ClusterScenario(seed, 1, null, null, NEW);
+            day.faulty = (q, r) ->
+                    r.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : r;
             day.oddRequests(6, 10_000);
             return day.play(20_000);
         }));
@@ -170,15 +170,15 @@
     /**
      * The state service's answers, the watches' too, take up to that much longer, and some to transactions are lost.
      */
-    private static Day slow(int seed, int byMs, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario slow(int seed, int byMs, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.world.slow("state:1", byMs, 60_000);
         day.world.lateWrites = txn -> txn.path("then").toString().contains("\"h/j/");
         day.world.lostAnswerShare = 0.3;
         return look(day);
     }
 
-    private static Day look(Day day) {
+    private static ClusterScenario look(ClusterScenario day) {
         day.cancelledOf = 2;
         day.closeLooks();
         day.submitSome(6, 20_000);
@@ -196,14 +196,15 @@
     @Test
     void whatIsCarriedOutWithoutAnAnswerIsToldByNobodyAndThenTakenBack() {
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
-            Day day = lostAnswers(3, kind, NEW);
+            ClusterScenario day = lostAnswers(3, kind, NEW);
             assertEquals(List.of(), day.checker.broken, kind);
             assertTrue(day.checker.order.compared > 500, kind + ": " + day.checker.order.compared);
         }
     }
 
-    private static Day lostAnswers(int seed, String kind, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario lostAnswers(
+            int seed, String kind, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
         day.world.lostAnswerShare = 0.5;
         day.world.at(20_000, () -> day.crash(day.leader(), 400));
@@ -220,13 +221,13 @@
      */
     @Test
     void noEstimateOfAJobWhoseEndIsInDoubt() {
-        Day day = new Day(1, 1, null, null, NEW).withRunningServices();
+        ClusterScenario day = new ClusterScenario(1, 1, null, null, NEW).withRunningServices();
         int leader = day.leader();
         assertEquals("running", status(day.askAt(leader, "GET", ESTIMATE, null)));
         day.world.cutOneWay("state:1", "bothy-" + leader, 5_000);
         day.withdrawAt(leader, "req-000000");
         day.play(100);
-        Reply other = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
+        Response other = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
         assertEquals("aborted", status(other));
         assertEquals(503, day.askAt(leader, "GET", ESTIMATE, null).status());
         day.play(8_000);
@@ -240,7 +241,7 @@
      */
     @Test
     void theEndOfANodeThatIsNotDurableIsNotTold() {
-        Day day = new Day(1, 1, null, null, NEW);
+        ClusterScenario day = new ClusterScenario(1, 1, null, null, NEW);
         day.play(5_000);
         new GraphUser(day, "req-700000", 2, 2).start();
         day.play(500);
@@ -252,7 +253,7 @@
         assertEquals(503, day.askAt(0, "GET", "/graphs/req-700000", null).status());
         day.state.refused = txn -> false;
         day.play(2_000);
-        Reply later = day.askAt(0, "GET", "/graphs/req-700000", null);
+        Response later = day.askAt(0, "GET", "/graphs/req-700000", null);
         assertEquals(
                 "cancelled", later.body().path("nodes").path(0).path("state").asText());
         assertEquals(List.of(), day.checker.broken);
@@ -264,7 +265,7 @@
     @Test
     void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
         for (int seed = 1; seed <= 4; seed++) {
-            Day day = new Day(seed, 1, null, null, NEW).withRunningServices();
+            ClusterScenario day = new ClusterScenario(seed, 1, null, null, NEW).withRunningServices();
             int leader = day.leader();
             int other = (leader + 1) % 3;
             day.world.slow("m" + leader + ":1", 300, 10_000);
@@ -281,7 +282,7 @@
     /** Right after a job is accepted its submission comes again and again, at all controllers, whose records lag. */
     @Test
     void aFloodOfRepetitionsCostsAWriteForEachControllerAtMost() {
-        Day day = new Day(1, 1, null, null, NEW);
+        ClusterScenario day = new ClusterScenario(1, 1, null, null, NEW);
         day.play(20_000);
         day.world.slow("state:1", 300, 10_000);
         int[] writes = {0};
@@ -298,11 +299,11 @@
         assertEquals(List.of(), day.checker.broken);
     }
 
-    private static boolean writes(Call call, String what) {
+    private static boolean writes(Request call, String what) {
         return call.path().equals("/commit") && call.body().toString().contains(what);
     }
 
-    private static String status(Reply reply) {
+    private static String status(Response reply) {
         return reply.body().path("status").asText();
     }
 
@@ -312,7 +313,7 @@
      */
     @Test
     void wrongAndRepeatedRequestsAreAnsweredAlikeEverywhere() {
-        Day day = new Day(1, 1, null, null, NEW);
+        ClusterScenario day = new ClusterScenario(1, 1, null, null, NEW);
         day.oddRequests(40, 20_000);
         day.play(5_000);
         day.submitArrays(1, 1);
@@ -324,7 +325,7 @@
         for (int node = 0; node < 3; node++) {
             assertEquals("done", status(day.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
             for (int i = 0; i < 50; i++) {
-                Reply again = day.askAt(node, "POST", "/submissions", spec);
+                Response again = day.askAt(node, "POST", "/submissions", spec);
                 assertEquals("200 done", again.status() + " " + status(again));
             }
             assertEquals(
--- a/src/test/java/org/hollypick/sim/AnswerOrder.java
+++ b/src/test/java/org/hollypick/sim/AnswerOrderChecker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 
 /**
  * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers and
@@ -23,7 +23,7 @@
  * state: no exchange of messages can rule that out, since the older answer may be on its way. Such answers are counted,
  * with the longest time by which one was late.
  */
-final class AnswerOrder {
+final class AnswerOrderChecker {
     /** What an answer says of a job; each is newer than the ones before. */
     enum State {
         UNKNOWN,
@@ -47,7 +47,7 @@
     int overtaken;
     long longestMs;
 
-    AnswerOrder(List<String> broken) {
+    AnswerOrderChecker(List<String> broken) {
         this.broken = broken;
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** The answer leaves its controller. */
-    void left(Question q, Reply r, long now) {
+    void left(Question q, Response r, long now) {
         State state = q == null ? null : state(q, r);
         if (state == null) {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    private static State state(Question q, Reply r) {
+    private static State state(Question q, Response r) {
         if (r.status() == 404 || r.status() == 400 || r.status() == 422) {
             return q.refusals ? State.UNKNOWN : null;
         }
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -10,10 +10,10 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -28,8 +28,8 @@
     /** Of a team at its limit that many cores at most are those of tasks that wait for their image. */
     private static final double FETCHING = 4;
 
-    private static final BiFunction<Runtime, Settings, Node> TWO_TEAMS =
-            (r, s) -> new Node(r, Day.withTeams(s, TEAMS, LIMIT), OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> TWO_TEAMS =
+            (r, s) -> new Controller(r, ClusterScenario.withTeams(s, TEAMS, LIMIT), OperatorSettings.defaults());
     /** Longer than the time that a cancelled task has. */
     private static final long OUTAGE_MS = 50_000;
     /** Calls and answers of a leader at which it is struck: the cancellations are told by then, or wait for a lease. */
@@ -50,7 +50,7 @@
             return values()[(ordinal() + steps) % values().length];
         }
 
-        void strike(Day day) {
+        void strike(ClusterScenario day) {
             int leader = day.leader();
             switch (this) {
                 case BACK_AT_ONCE -> day.crash(leader, 200);
@@ -75,7 +75,7 @@
         CUT,
         DEAF;
 
-        void strike(Day day, WorkerStandIn w) {
+        void strike(ClusterScenario day, FakeAgent w) {
             switch (this) {
                 case SHORT_HANG -> w.hang(1_500);
                 case SLOW_HANG -> w.hang(3_500);
@@ -92,17 +92,17 @@
         }
     }
 
-    private static void assertRulesKept(Day day, String where) {
+    private static void assertRulesKept(ClusterScenario day, String where) {
         assertEquals(List.of(), day.checker.broken, where);
         assertEquals(List.of(), day.checker.startsAfterCancellation, where + ": started after its user was told");
     }
 
-    private static Stream<WorkerStandIn> machinesOf(Day day, String job) {
+    private static Stream<FakeAgent> machinesOf(ClusterScenario day, String job) {
         return day.cloud.workers().stream().filter(w -> w.has(job));
     }
 
     /** One-task jobs, some for seconds and some for long, so that at any moment some wait, fetch, run and end. */
-    private static List<String> smallJobs(Day day, int count, long everyMs) {
+    private static List<String> smallJobs(ClusterScenario day, int count, long everyMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int number = i;
@@ -112,7 +112,7 @@
     }
 
     /** One after the other of those jobs is cancelled, the youngest first. */
-    private static void cancelEvery(Day day, List<String> ids, long everyMs, int count) {
+    private static void cancelEvery(ClusterScenario day, List<String> ids, long everyMs, int count) {
         for (int i = 0; i < count; i++) {
             int number = i;
             day.world.at(everyMs * i, () -> {
@@ -123,8 +123,8 @@
         }
     }
 
-    private static Day changesHands(int seed, Change change, Change back) {
-        Day day = new Day(seed);
+    private static ClusterScenario changesHands(int seed, Change change, Change back) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.play(5_000);
         List<String> ids = smallJobs(day, 80, 150);
         day.play(13_000);
@@ -146,8 +146,9 @@
     }
 
     /** Two teams at their limits; jobs that run are cancelled as their machines are lost and the leader changes. */
-    private static Day atTheLimit(int seed, Change change, Loss loss, long changeAfterMs, Consumer<Day> fault) {
-        Day day = new Day(seed, 1, null, null, TWO_TEAMS);
+    private static ClusterScenario atTheLimit(
+            int seed, Change change, Loss loss, long changeAfterMs, Consumer<ClusterScenario> fault) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, TWO_TEAMS);
         day.owners = TEAMS;
         TEAMS.forEach(t -> day.checker.teamCpus.put(t, LIMIT));
         day.play(5_000);
@@ -171,12 +172,13 @@
     }
 
     /** Each change with each loss, a second before the first cancellation to three after; a quarter of them a seed. */
-    private static void forEachPair(int seed, Consumer<Day> fault, BiConsumer<Day, String> then) {
+    private static void forEachPair(
+            int seed, Consumer<ClusterScenario> fault, BiConsumer<ClusterScenario, String> then) {
         for (Change change : Change.values()) {
             for (Loss loss : Loss.values()) {
                 if ((change.ordinal() + loss.ordinal() + seed) % 4 == 0) {
                     long after = -1_000L + 100L * ((seed * 31 + change.ordinal() * 7 + loss.ordinal() * 11) % 40);
-                    Day day = atTheLimit(seed, change, loss, after, fault);
+                    ClusterScenario day = atTheLimit(seed, change, loss, after, fault);
                     then.accept(day, change + " " + loss + " after " + after + " seed " + seed);
                 }
             }
@@ -198,14 +200,14 @@
     /** A successor that doesn't know of the machines takes their silence for room under the limit. */
     @Test
     void theCheckerNoticesALimitThatIsFreedOnSilence() {
-        Consumer<Day> forgets = day -> day.state.hidden = key -> key.startsWith("h/m/");
-        Day day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
+        Consumer<ClusterScenario> forgets = day -> day.state.hidden = key -> key.startsWith("h/m/");
+        ClusterScenario day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
         assertTrue(day.checker.broken.stream().anyMatch(b -> b.startsWith("quota of")), day.checker.broken::toString);
     }
 
     /** Jobs are cancelled while their tasks wait for their image, on machines that are lost just then. */
-    private static Day whileFetching(int seed, Loss loss, Consumer<WorkerStandIn> fault) {
-        Day day = new Day(seed).withRunningServices();
+    private static ClusterScenario whileFetching(int seed, Loss loss, Consumer<FakeAgent> fault) {
+        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         day.cloud.workers().forEach(fault);
         for (int i = 0; i < 8; i++) {
             String id = day.submitBatch(3, 60, "img-fetched-" + i);
@@ -228,13 +230,13 @@
     /** As it was: only a launch that no report had shown kept a cancellation from being told. */
     @Test
     void theCheckerNoticesACancellationThatIsToldWhileAMachineFetches() {
-        Day day = whileFetching(1, Loss.CUT, w -> w.callsFetchingRunning = true);
+        ClusterScenario day = whileFetching(1, Loss.CUT, w -> w.callsFetchingRunning = true);
         assertFalse(day.checker.startsAfterCancellation.isEmpty());
     }
 
     /** Launches go out in answers that are held up for a while; their jobs are cancelled at each moment of that. */
-    private static Day answersHeldUp(int seed) {
-        Day day = new Day(seed).withRunningServices();
+    private static ClusterScenario answersHeldUp(int seed) {
+        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         for (int spell = 0; spell < 10; spell++) {
             day.world.at(4_000L * spell, () -> day.cloud.workers().forEach(w -> day.deafen(w, 2_500)));
         }
@@ -257,8 +259,8 @@
      * One-task jobs, four a second, a quarter cancelled within seconds. The leader ends; then the gap: answers to the
      * leader are lost, it is refused alone, then everybody.
      */
-    private static Day throughTheGap(int seed) {
-        Day day = new Day(seed);
+    private static ClusterScenario throughTheGap(int seed) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.play(5_000);
         for (int i = 0; i < 320; i++) {
             int number = i;
@@ -284,15 +286,15 @@
     @Test
     void oneTaskJobsThroughAChangeOfTheLeaderAndTheGap() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Day day = throughTheGap(seed);
+            ClusterScenario day = throughTheGap(seed);
             assertRulesKept(day, "seed " + seed);
             assertTrue(day.checker.told() > 60, "only " + day.checker.told() + " were cancelled");
         }
     }
 
     /** The leader alone is refused, a second later everybody for long; jobs are cancelled every 40 ms around both. */
-    private static Day refusedThenOut(int seed, Consumer<WorkerStandIn> fault) {
-        Day day = new Day(seed);
+    private static ClusterScenario refusedThenOut(int seed, Consumer<FakeAgent> fault) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.play(5_000);
         List<String> ids = smallJobs(day, 60, 100);
         day.play(30_000);
@@ -315,7 +317,7 @@
     /** A machine that isn't told to end a cancelled task goes on with it, also after it hung. */
     @Test
     void theCheckerNoticesACancelledTaskThatNobodyEnds() {
-        Day day = refusedThenOut(1, w -> {
+        ClusterScenario day = refusedThenOut(1, w -> {
             w.ignored = "kill";
             w.hangLater(45_000, 2_000);
         });
@@ -332,7 +334,7 @@
         UNHEARD,
         OUTAGE;
 
-        void strike(Day day, int leader) {
+        void strike(ClusterScenario day, int leader) {
             switch (this) {
                 case ENDS -> day.crash(leader, 300);
                 case FREEZES -> day.freeze(leader, 5_000);
@@ -347,8 +349,8 @@
     }
 
     /** Jobs that run, fetch and wait are cancelled; as it sends the message of that number the leader is struck. */
-    private static Day struckAtMessage(int seed, int message, Stop stop) {
-        Day day = new Day(seed).withRunningServices();
+    private static ClusterScenario struckAtMessage(int seed, int message, Stop stop) {
+        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         List<String> ids = new ArrayList<>(List.of("req-000000", "req-000001"));
         ids.add(day.submitBatch(2, 60, "img-fetched"));
         day.play(1_500);
@@ -384,8 +386,8 @@
     }
 
     /** Without any other trouble a job's user cancels it as its last task ends, or up to 60 ms later. */
-    private static Day atTheEnd(int seed) {
-        Day day = new Day(seed);
+    private static ClusterScenario atTheEnd(int seed) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.play(5_000);
         int[] ends = {0};
         day.checker.onCompleted = task -> {
@@ -404,7 +406,7 @@
     @Test
     void jobsCancelledAtTheEndOfTheirLastTask() {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Day day = atTheEnd(seed);
+            ClusterScenario day = atTheEnd(seed);
             assertRulesKept(day, "seed " + seed);
             int cancelled = day.checker.told();
             assertTrue(cancelled > 10 && cancelled < 110, "both ends should have won, cancelled: " + cancelled);
