--- a/src/test/java/org/hollypick/sim/Day.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -15,16 +15,16 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.ToLongBiFunction;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /** A short day: three controllers, users, machines and faults drawn from a seed, with every rule checked. */
-final class Day {
+final class ClusterScenario {
     private static final List<String> ZONES = List.of("a", "b");
     private static final long LEASE_MS = 15_000;
     /** What a cancelled task has beyond a lease. */
@@ -54,12 +54,12 @@
             new String[] {"/release", ""});
 
     /** A controller's host; processes come and go on it. */
-    private final class Host implements World.Endpoint {
+    private final class Host implements SimulatedWorld.Endpoint {
         final int index;
         String zone = "a";
         final double rate;
-        World.Process process;
-        Controller node;
+        SimulatedWorld.Process process;
+        ControllerProcess node;
         /** It still has the version in production. */
         boolean old;
 
@@ -77,7 +77,7 @@
             process.limit(sockets, costMs);
             node = old
                     ? production.controller(process, settings(index, false))
-                    : Controller.of(version.apply(process, settings(index, tightened != null)));
+                    : ControllerProcess.of(version.apply(process, settings(index, tightened != null)));
             process.after(0, node::start);
         }
 
@@ -95,28 +95,28 @@
         }
 
         @Override
-        public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
+        public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
             if (withheld != null && path.equals("/submissions/" + withheld)) {
-                reply.accept(new Reply(503, Codec.object()));
+                reply.accept(new Response(503, Codec.object()));
                 return;
             }
-            World.Process at = process;
+            SimulatedWorld.Process at = process;
             String reporter = path.equals("/hello") ? body.path("bothy").asText() : null;
             if (reporter != null && !at.accepts(reporter)) {
-                reply.accept(Reply.notSent());
+                reply.accept(Response.notSent());
                 return;
             }
             byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
-            AnswerOrder.Question question = AnswerOrder.question(name(), method, path, body, world.now);
+            AnswerOrderChecker.Question question = AnswerOrderChecker.question(name(), method, path, body, world.now);
             at.awake(() -> metering.run(
                     name(),
-                    Growth.Metering.activity(path, body),
+                    GrowthBenchmark.Metering.activity(path, body),
                     () -> node.handle(
                             method,
                             path,
                             bytes,
                             answer -> at.out(() -> {
-                                Reply r = faulty.apply(question, answer.get());
+                                Response r = faulty.apply(question, answer.get());
                                 checker.order.left(question, r, world.now);
                                 if (reporter != null) {
                                     at.answered(reporter);
@@ -132,21 +132,21 @@
         }
     }
 
-    final World world;
-    final StateStandIn state;
-    final Checker checker;
-    final CloudStandIn cloud;
-    private final WaitingCheck waitingCheck;
+    final SimulatedWorld world;
+    final FakeKeyValueStore state;
+    final InvariantChecker checker;
+    final FakeCloud cloud;
+    private final StarvationChecker waitingCheck;
     private final List<Host> hosts = new ArrayList<>();
     private final int size;
     private final long leaseMs;
-    private final Production production;
+    private final ProductionVersion production;
     private final Limits tightened;
-    private final BiFunction<Runtime, Settings, Node> version;
+    private final BiFunction<EventLoop, Settings, Controller> version;
     /** Takes the time of what the controllers are asked. */
-    Growth.Metering metering = (node, activity, handling) -> handling.run();
+    GrowthBenchmark.Metering metering = (node, activity, handling) -> handling.run();
     /** A faulty version's answers in the place of the right ones. */
-    BiFunction<AnswerOrder.Question, Reply, Reply> faulty = (question, reply) -> reply;
+    BiFunction<AnswerOrderChecker.Question, Response, Response> faulty = (question, reply) -> reply;
     /** Sees which controller answers a request of a user or a machine, in the moment of sending, and to which path. */
     BiConsumer<String, String> answering = (node, path) -> {};
     /** A job about which nothing is told to its users, for whatever reason. */
@@ -169,48 +169,53 @@
     private final Set<String> keep = new HashSet<>();
     private final Set<String> hasty = new HashSet<>();
     private final Set<String> looked = new HashSet<>();
-    /** What is held up on its way, see {@link World#heldUp}. */
-    ToLongBiFunction<String, Call> late = (from, call) -> 0;
+    /** What is held up on its way, see {@link SimulatedWorld#heldUp}. */
+    ToLongBiFunction<String, Request> late = (from, call) -> 0;
 
     private final Set<String> muted = new HashSet<>();
 
-    Day(long seed) {
+    ClusterScenario(long seed) {
         this(seed, 1);
     }
 
     /** {@code size}: how many times as many machines and tasks as usual. */
-    Day(long seed, int size) {
-        this(seed, size, null, null, (r, s) -> new Node(r, s, OperatorSettings.defaults()));
+    ClusterScenario(long seed, int size) {
+        this(seed, size, null, null, (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
     }
 
     /**
      * {@code production}: with what the controllers begin; {@code tightened}: limits that come later; {@code version}:
      * the new one.
      */
-    Day(long seed, int size, Production production, Limits tightened, BiFunction<Runtime, Settings, Node> version) {
+    ClusterScenario(
+            long seed,
+            int size,
+            ProductionVersion production,
+            Limits tightened,
+            BiFunction<EventLoop, Settings, Controller> version) {
         this(seed, size, production, tightened, version, LEASE_MS);
     }
 
     /** {@code leaseMs}: of the workers; a cancelled task has 20 s more. */
-    Day(
+    ClusterScenario(
             long seed,
             int size,
-            Production production,
+            ProductionVersion production,
             Limits tightened,
-            BiFunction<Runtime, Settings, Node> version,
+            BiFunction<EventLoop, Settings, Controller> version,
             long leaseMs) {
         this.size = size;
         this.leaseMs = leaseMs;
         this.production = production;
         this.tightened = tightened;
         this.version = version;
-        world = new World(seed);
-        state = new StateStandIn(world);
-        checker = new Checker(leaseMs + CANCEL_MS);
+        world = new SimulatedWorld(seed);
+        state = new FakeKeyValueStore(world);
+        checker = new InvariantChecker(leaseMs + CANCEL_MS);
         checker.teamCpus.put(TEAM, TEAM_CPUS * size);
         List<String> nodes = List.of("p0:1", "p1:1", "p2:1");
-        cloud = new CloudStandIn(world, checker, nodes, ZONES, leaseMs, size);
-        waitingCheck = new WaitingCheck(checker, cloud);
+        cloud = new FakeCloud(world, checker, nodes, ZONES, leaseMs, size);
+        waitingCheck = new StarvationChecker(checker, cloud);
         world.listen("state:1", state);
         world.listen("cloud:1", cloud);
         world.sending = (from, call) -> {
@@ -225,15 +230,15 @@
             hosts.add(h);
             h.start();
             world.listen("p" + i + ":1", h);
-            world.listen("m" + i + ":1", new World.Endpoint() {
+            world.listen("m" + i + ":1", new SimulatedWorld.Endpoint() {
                 @Override
                 public boolean listens() {
                     return h.listens();
                 }
 
                 @Override
-                public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
-                    World.Process at = h.process;
+                public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
+                    SimulatedWorld.Process at = h.process;
                     byte[] bytes = body == null ? new byte[0] : Codec.write(body, true);
                     at.awake(() -> metering.run(
                             h.name(),
@@ -247,12 +252,12 @@
         sweep();
     }
 
-    private long mutedOrLate(String from, Call call) {
-        return muted.contains(from) ? World.LOST : late.applyAsLong(from, call);
+    private long mutedOrLate(String from, Request call) {
+        return muted.contains(from) ? SimulatedWorld.LOST : late.applyAsLong(from, call);
     }
 
     /** Six services that nobody cancels run. */
-    Day withRunningServices() {
+    ClusterScenario withRunningServices() {
         play(5_000);
         submitLasting(6);
         play(35_000);
@@ -547,7 +552,7 @@
                 .add(world.random.nextBoolean() ? b.path("name_id").asText() : "req-777777");
         world.send(
                 "user",
-                new Call(anyNode(), "POST", "/submissions", b, 5_000, false),
+                new Request(anyNode(), "POST", "/submissions", b, 5_000, false),
                 r -> checker.neverAccepted(b.path("name_id").asText(), r.status()));
     }
 
@@ -594,13 +599,13 @@
     }
 
     /** A user's request and its answer, while time goes on. */
-    Reply ask(String method, String path, JsonNode body) {
+    Response ask(String method, String path, JsonNode body) {
         return askAt(world.random.nextInt(3), method, path, body);
     }
 
     /** The same at one controller. */
-    Reply askAt(int node, String method, String path, JsonNode body) {
-        Reply[] answer = {null};
+    Response askAt(int node, String method, String path, JsonNode body) {
+        Response[] answer = {null};
         if (path.equals("/submissions")
                 && !checker.submitted.containsKey(body.path("name_id").asText())) {
             checker.submitting(body.path("name_id").asText(), body, world.now);
@@ -609,7 +614,7 @@
             checker.withdrawing(path.split("/")[2]);
         }
         long asked = world.now;
-        world.send("user", new Call("p" + node + ":1", method, path, body, 5_000, false), r -> {
+        world.send("user", new Request("p" + node + ":1", method, path, body, 5_000, false), r -> {
             answer[0] = r;
             if (r.status() == 200 && path.startsWith("/submissions/")) {
                 checker.told(path.split("/")[2], r.body().path("status").asText(), asked, world.now);
@@ -625,22 +630,23 @@
     void look(String id) {
         long asked = world.now;
         for (Host h : hosts) {
-            world.send("user", new Call("p" + h.index + ":1", "GET", "/submissions/" + id, null, 2_000, false), r -> {
-                if (r.status() == 200) {
-                    checker.told(id, r.body().path("status").asText(), asked, world.now);
-                }
-            });
+            world.send(
+                    "user", new Request("p" + h.index + ":1", "GET", "/submissions/" + id, null, 2_000, false), r -> {
+                        if (r.status() == 200) {
+                            checker.told(id, r.body().path("status").asText(), asked, world.now);
+                        }
+                    });
         }
     }
 
     /** A user's request to some controller, its body as it comes from the wire. */
-    void raw(String method, String path, byte[] body, Consumer<Reply> reply) {
+    void raw(String method, String path, byte[] body, Consumer<Response> reply) {
         Host h = hosts.get(world.random.nextInt(hosts.size()));
         if (h.process.dead) {
-            world.at(10, () -> reply.accept(new Reply(503, Codec.object())));
+            world.at(10, () -> reply.accept(new Response(503, Codec.object())));
             return;
         }
-        World.Process at = h.process;
+        SimulatedWorld.Process at = h.process;
         at.awake(() -> h.node.handle(method, path, body, answer -> at.out(() -> reply.accept(answer.get()))));
     }
 
@@ -697,7 +703,7 @@
 
     void lookAt(int node, String id, String path) {
         long asked = world.now;
-        world.send("user", new Call("p" + node + ":1", "GET", path, null, 2_000, false), r -> {
+        world.send("user", new Request("p" + node + ":1", "GET", path, null, 2_000, false), r -> {
             if (r.status() == 200) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
             } else {
@@ -719,7 +725,7 @@
         int due = 422;
         switch (world.random.nextInt(6)) {
             case 0 -> b.put("owner", "nobody");
-            case 1 -> b.put("cores", CloudStandIn.CPUS + 1.0);
+            case 1 -> b.put("cores", FakeCloud.CPUS + 1.0);
             case 2 -> b.put("hall", "nowhere");
             case 3 -> b.putArray("flavours").add("none");
             case 4 -> b.put("shape", "standing").put("shards", (int) (TEAM_CPUS * size) + 1);
@@ -732,7 +738,7 @@
         }
         int expected = due;
         for (int node = 0; node < hosts.size(); node++) {
-            Call call = new Call("p" + node + ":1", "POST", "/submissions", b, 5_000, false);
+            Request call = new Request("p" + node + ":1", "POST", "/submissions", b, 5_000, false);
             Runnable send = () -> world.send("user", call, r -> checker.neverAccepted(id, expected, r.status()));
             world.at(world.random.nextInt(3_000), send);
             world.at(world.random.nextInt(3_000), send);
@@ -766,7 +772,7 @@
 
     private void submit(String id, ObjectNode b, long until) {
         long asked = world.now;
-        world.send("user", new Call(anyNode(), "POST", "/submissions", b, 5_000, false), r -> {
+        world.send("user", new Request(anyNode(), "POST", "/submissions", b, 5_000, false), r -> {
             if (r.status() == 201 || r.status() == 200) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
                 poll(id);
@@ -791,7 +797,7 @@
 
     void againAt(int node, String id, JsonNode b) {
         long asked = world.now;
-        world.send("user", new Call("p" + node + ":1", "POST", "/submissions", b, 5_000, false), r -> {
+        world.send("user", new Request("p" + node + ":1", "POST", "/submissions", b, 5_000, false), r -> {
             if (r.status() == 200 || r.status() == 201) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
             } else {
@@ -802,7 +808,7 @@
 
     private void poll(String id) {
         long asked = world.now;
-        world.send("user", new Call(anyNode(), "GET", "/submissions/" + id, null, 2_000, false), r -> {
+        world.send("user", new Request(anyNode(), "GET", "/submissions/" + id, null, 2_000, false), r -> {
             if (r.status() == 200) {
                 checker.told(id, r.body().path("status").asText(), asked, world.now);
             } else if (r.status() == 404) {
@@ -822,7 +828,8 @@
         long asked = world.now;
         world.send(
                 "user",
-                new Call("p" + node + ":1", "POST", "/submissions/" + id + "/withdraw", Codec.object(), 5_000, false),
+                new Request(
+                        "p" + node + ":1", "POST", "/submissions/" + id + "/withdraw", Codec.object(), 5_000, false),
                 r -> {
                     if (r.status() == 200) {
                         checker.told(id, r.body().path("status").asText(), asked, world.now);
@@ -851,7 +858,7 @@
     }
 
     /** The leading controller stands still between the decision for its next call of that kind and sending it. */
-    void freezeLeaderBefore(Predicate<Call> which, long ms) {
+    void freezeLeaderBefore(Predicate<Request> which, long ms) {
         hosts.get(leader()).process.freezeBeforeSending(which, ms);
     }
 
@@ -893,7 +900,7 @@
     }
 
     void cutFromWorkers(int node, long ms, Collection<String> names) {
-        for (WorkerStandIn w : cloud.workers()) {
+        for (FakeAgent w : cloud.workers()) {
             if (names.contains(w.name)) {
                 world.cut(w.name, "p" + node + ":1", ms);
                 world.cut("bothy-" + node, w.addr, ms);
@@ -902,23 +909,23 @@
     }
 
     /** Reports of that machine arrive at that controller, and nothing from there reaches it. */
-    void deafen(WorkerStandIn w, int node, long ms) {
+    void deafen(FakeAgent w, int node, long ms) {
         world.cutOneWay("bothy-" + node, w.addr, ms);
         world.cutOneWay("p" + node + ":1", w.name, ms);
     }
 
-    void deafen(WorkerStandIn w, long ms) {
+    void deafen(FakeAgent w, long ms) {
         hosts.forEach(h -> deafen(w, h.index, ms));
     }
 
     /** The machine reaches no controller, while their direct calls reach it and are answered. */
-    void mute(WorkerStandIn w, long ms) {
+    void mute(FakeAgent w, long ms) {
         muted.add(w.name);
         world.at(ms, () -> muted.remove(w.name));
     }
 
     /** Nothing passes between the machine and any controller. */
-    void silence(WorkerStandIn w, long ms) {
+    void silence(FakeAgent w, long ms) {
         hosts.forEach(h -> cutFromWorkers(h.index, ms, Set.of(w.name)));
     }
 
@@ -949,7 +956,7 @@
     }
 
     /** Only what the pattern says passes between controllers, the state service and the machines. */
-    void links(Links links) {
+    void links(LinkPattern links) {
         world.close(
                 links == null
                         ? (from, to) -> false
@@ -976,7 +983,7 @@
 
     /** Of a machine, by its name or address; null for anything else. */
     private String zoneOf(String machine) {
-        for (WorkerStandIn w : cloud.workers()) {
+        for (FakeAgent w : cloud.workers()) {
             if (w.name.equals(machine) || w.addr.equals(machine)) {
                 return w.zone;
             }
@@ -1003,7 +1010,7 @@
                     world.cut(other.name(), "m" + h.index + ":1", ms);
                 }
             }
-            for (WorkerStandIn w : cloud.workers()) {
+            for (FakeAgent w : cloud.workers()) {
                 if (inside != w.zone.equals(zone)) {
                     world.cut(w.name, "p" + h.index + ":1", ms);
                     world.cut(h.name(), w.addr, ms);
@@ -1013,8 +1020,8 @@
     }
 
     private void fault() {
-        List<WorkerStandIn> workers = cloud.workers();
-        WorkerStandIn w = workers.isEmpty() ? null : workers.get(world.random.nextInt(workers.size()));
+        List<FakeAgent> workers = cloud.workers();
+        FakeAgent w = workers.isEmpty() ? null : workers.get(world.random.nextInt(workers.size()));
         int node = world.random.nextInt(3);
         long ms = 1_000L + world.random.nextInt(30_000);
         switch (world.random.nextInt(21)) {
@@ -1101,7 +1108,7 @@
      * The next call of that kind brings the trouble about within milliseconds: before it arrives, as it is carried out,
      * or before its answer is back.
      */
-    void aim(Predicate<Call> which, Runnable trouble) {
+    void aim(Predicate<Request> which, Runnable trouble) {
         boolean[] struck = {false};
         world.sending = world.sending.andThen((from, call) -> {
             if (!struck[0] && which.test(call)) {
@@ -1112,7 +1119,7 @@
     }
 
     /** A kind of call of those on which rules rest. */
-    private Predicate<Call> someCall() {
+    private Predicate<Request> someCall() {
         String[] kind = CALLS.get(world.random.nextInt(CALLS.size()));
         return call -> call.path().startsWith(kind[0])
                 && (call.body() == null ? "" : call.body().toString()).contains(kind[1]);
@@ -1236,7 +1243,7 @@
         return names;
     }
 
-    Day play(long ms) {
+    ClusterScenario play(long ms) {
         world.runUntil(world.now + ms);
         return this;
     }
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Predicate;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -21,8 +21,8 @@
  * leases last 15 s, and a cancelled task has 35 s.
  */
 class CombinedFaultsTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
     private static final long OUTAGE_MS = 60_000;
     /** More are played outside CI: {@code mvn test -Dtest=CombinedFaultsTest -Dcombined-faults.days=3000}. */
     private static final int DAYS = Integer.getInteger("combined-faults.days", 150);
@@ -35,7 +35,7 @@
     private static final long CALM_MS = 255_000;
 
     /** Its write is carried out, and nothing of that comes back to the leader. */
-    private static void cancelWithoutAnswer(Day day, int leader) {
+    private static void cancelWithoutAnswer(ClusterScenario day, int leader) {
         day.world.cutOneWay("state:1", "bothy-" + leader, 14_000);
         day.withdrawAt(leader, "req-000000");
         day.play(60);
@@ -49,10 +49,10 @@
     @Test
     void whatAnotherControllerToldAsCancelledIsGoneThoughTheLeaderCantKnow() {
         for (int seed = 1; seed <= 10; seed++) {
-            Day day = new Day(seed).withRunningServices();
+            ClusterScenario day = new ClusterScenario(seed).withRunningServices();
             int leader = day.leader();
             cancelWithoutAnswer(day, leader);
-            Reply told = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
+            Response told = day.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
             assertEquals("aborted", told.body().path("status").asText(), "seed " + seed);
             day.state.outage(OUTAGE_MS);
             day.play(OUTAGE_MS + 60_000);
@@ -67,7 +67,7 @@
     @Test
     void slowAnswersBeforeAnOutageTellNothingOlder() {
         for (int seed = 1; seed <= 10; seed++) {
-            Day day = new Day(seed).withRunningServices();
+            ClusterScenario day = new ClusterScenario(seed).withRunningServices();
             int leader = day.leader();
             day.world.slow("state:1", 4_000, 20_000);
             for (int i = 0; i < 4; i++) {
@@ -95,15 +95,16 @@
 
     @Test
     void theCheckerNoticesAnOldLeaderThatKeepsLeasesForLonger() {
-        BiFunction<Runtime, Settings, Node> greedy =
-                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? Day.greedy(s, 60) : s);
+        BiFunction<EventLoop, Settings, Controller> greedy =
+                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.greedy(s, 60) : s);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
         assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.broken.stream()
                 .anyMatch(b -> b.startsWith("ran_cancelled")));
     }
 
-    private static Day cancelledThroughTheNewLeader(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version).withRunningServices();
+    private static ClusterScenario cancelledThroughTheNewLeader(
+            int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
         int old = day.leader();
         day.cutFromStateAndPeers(old, 110_000);
         List<String> ofZone = day.cloud.workers().stream()
@@ -136,9 +137,9 @@
         int fenced = 0;
         for (int seed = 1; seed <= 12; seed++) {
             for (long ms : new long[] {9_000, 13_000, 25_000, 50_000}) {
-                Day day = new Day(seed);
+                ClusterScenario day = new ClusterScenario(seed);
                 day.play(20_000);
-                WorkerStandIn[] held = {null};
+                FakeAgent[] held = {null};
                 boolean hangs = seed % 2 == 0;
                 day.world.sending = (from, call) -> {
                     if (held[0] == null
@@ -193,7 +194,7 @@
     @Test
     void tasksThatEndFarApartAreDoneForEveryLeader() {
         for (int seed = 1; seed <= 8; seed++) {
-            Day day = smallJobs(seed, k -> false);
+            ClusterScenario day = smallJobs(seed, k -> false);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             assertEquals(List.of(), twice(day), "seed " + seed);
             day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
@@ -210,8 +211,8 @@
         assertTrue(noticed);
     }
 
-    private static Day smallJobs(int seed, Predicate<String> hidden) {
-        Day day = new Day(seed);
+    private static ClusterScenario smallJobs(int seed, Predicate<String> hidden) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.state.hidden = hidden;
         day.length = 5;
         day.cancelledOf = 1_000_000;
@@ -225,7 +226,7 @@
         return day;
     }
 
-    private static List<String> twice(Day day) {
+    private static List<String> twice(ClusterScenario day) {
         return day.checker.startsOf.entrySet().stream()
                 .filter(e -> e.getValue() > 1)
                 .map(Map.Entry::getKey)
@@ -239,7 +240,7 @@
     @Test
     void theLeadGoesOverAndBack() {
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = new Day(seed).withRunningServices();
+            ClusterScenario day = new ClusterScenario(seed).withRunningServices();
             day.cancelledOf = 2;
             day.submitSome(20, 60_000);
             day.world.copyShare = 0.3;
@@ -268,7 +269,7 @@
     @Test
     void longTasksOnMachinesOutOfReachOutliveTheLeader() {
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = outOfReach(seed, k -> false);
+            ClusterScenario day = outOfReach(seed, k -> false);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
         }
@@ -285,15 +286,15 @@
         assertTrue(noticed);
     }
 
-    private static Day outOfReach(int seed, Predicate<String> hidden) {
-        Day day = new Day(seed);
+    private static ClusterScenario outOfReach(int seed, Predicate<String> hidden) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.length = 6;
         day.cancelledOf = 3;
         day.state.hidden = hidden;
         day.play(5_000);
         day.submitArrays(10, 10_000);
         day.play(30_000);
-        for (WorkerStandIn w : day.cloud.workers()) {
+        for (FakeAgent w : day.cloud.workers()) {
             int how = day.world.random.nextInt(3);
             for (int node = 0; node < 3; node++) {
                 if (how == 0) {
@@ -315,7 +316,7 @@
     @Test
     void oldReportsSayNothingToAnyLeader() {
         for (int seed = 1; seed <= 20; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.length = 3;
             day.cancelledOf = 2;
             day.submitSome(25, 100_000);
@@ -343,7 +344,7 @@
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/")) {
             int starts = 0;
             for (int seed = 1; seed <= 8; seed++) {
-                Day day = lateTransactions(seed, kind, false);
+                ClusterScenario day = lateTransactions(seed, kind, false);
                 assertEquals(List.of(), day.checker.broken, kind + " seed " + seed);
                 starts += day.checker.starts;
             }
@@ -361,8 +362,8 @@
         assertTrue(noticed);
     }
 
-    private static Day lateTransactions(int seed, String kind, boolean careless) {
-        Day day = new Day(seed);
+    private static ClusterScenario lateTransactions(int seed, String kind, boolean careless) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.state.careless = careless;
         day.cancelledOf = 2;
         day.submitSome(25, 100_000);
@@ -383,7 +384,7 @@
     @Test
     void wrongAndDoubledRequestsWhileACancellationIsInDoubt() {
         for (int seed = 1; seed <= 5; seed++) {
-            Day day = new Day(seed).withRunningServices();
+            ClusterScenario day = new ClusterScenario(seed).withRunningServices();
             int leader = day.leader();
             cancelWithoutAnswer(day, leader);
             day.state.outage(OUTAGE_MS);
@@ -437,8 +438,8 @@
         assertEquals(Map.of(), broken);
     }
 
-    static Day drawn(int seed) {
-        Day day = new Day(seed);
+    static ClusterScenario drawn(int seed) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.length = seed % 2 == 0 ? 4 : 1;
         day.cancelledOf = 2;
         day.zoneBound = true;
@@ -448,7 +449,7 @@
         day.play(CALM_MS);
         day.checker.calm(day.world.now);
         day.submitSome(8, 10_000);
-        day.play(WaitingCheck.NEGLECTED_MS + 15_000);
+        day.play(StarvationChecker.NEGLECTED_MS + 15_000);
         return day;
     }
 
@@ -460,7 +461,7 @@
     @Test
     void aLeaderThatReadsAllRecordsAgainTakesUpNothingThatIsOver() {
         for (int seed = 1; seed <= 4; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.cancelledOf = 1_000_000;
             day.play(5_000);
             day.length = 0.5;
--- a/src/test/java/org/hollypick/sim/StormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -9,34 +9,34 @@
 import java.util.Set;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
  * More machines than a controller has sockets, and less processor time than a takeover would like
  * (docs/incidents/storm.md).
  */
-class StormTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+class ConnectionStormTest {
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
     private static final int SIZE = 30;
     private static final int SOCKETS = 150;
 
     /** What a day's controllers did: changes of lead, and good machines returned. */
     private static final class Watched {
-        private final Day day;
+        private final ClusterScenario day;
         private final List<Long> changes = new ArrayList<>();
         private final Set<String> wellReturned = new HashSet<>();
         private final Set<String> hung = new HashSet<>();
         private long leaderRecord;
 
-        Watched(long seed, BiFunction<Runtime, Settings, Node> version, int sockets) {
-            day = new Day(seed, SIZE, null, null, version);
+        Watched(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
+            day = new ClusterScenario(seed, SIZE, null, null, version);
             day.play(3_000);
             day.submitLasting(30);
             day.submitSome(20, 60_000);
@@ -57,7 +57,7 @@
 
         /** One that runs services is neither idle nor more than is needed. */
         private void returned(String id) {
-            for (WorkerStandIn w : day.cloud.workers()) {
+            for (FakeAgent w : day.cloud.workers()) {
                 if (w.name.equals(id) && w.tasks() > 0 && !hung.contains(id)) {
                     wellReturned.add(id);
                 }
@@ -77,7 +77,7 @@
     }
 
     /** All controllers end, and come back with few sockets and little processor time. */
-    private static Watched crashOfAll(long seed, BiFunction<Runtime, Settings, Node> version, int sockets) {
+    private static Watched crashOfAll(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
         Watched w = new Watched(seed, version, sockets);
         w.day.crashAll();
         return w.play(90_000);
@@ -121,7 +121,7 @@
     @Test
     void machinesThatHangAreReturnedWhileSocketsAreShort() {
         Watched w = crashOfAll(1, NEW, SOCKETS);
-        List<WorkerStandIn> some = w.day.cloud.workers().subList(0, 12);
+        List<FakeAgent> some = w.day.cloud.workers().subList(0, 12);
         some.forEach(m -> {
             w.hung.add(m.name);
             m.hang(120_000);
@@ -137,14 +137,14 @@
      */
     @Test
     void aLackTakenForSilenceCostsGoodMachines() {
-        BiFunction<Runtime, Settings, Node> faulty = (r, s) -> NEW.apply(
-                new Passing(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+                new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Call call, Consumer<Reply> reply) {
+                    public void call(Request call, Consumer<Response> reply) {
                         if (call.path().equals("/reach")) {
-                            r.after(1, () -> reply.accept(new Reply(404, null)));
+                            r.after(1, () -> reply.accept(new Response(404, null)));
                         } else {
-                            super.call(call, a -> reply.accept(a.status() == Reply.LACK ? Reply.noAnswer() : a));
+                            super.call(call, a -> reply.accept(a.status() == Response.LACK ? Response.noAnswer() : a));
                         }
                     }
                 },
--- a/src/test/java/org/hollypick/sim/Passing.java
+++ b/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
@@ -1,15 +1,15 @@
 package org.hollypick.sim;
 
 import java.util.function.Consumer;
-import org.hollypick.io.Call;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /** Passes everything on to another runtime; those who look at something, or change it, override that. */
-class Passing implements Runtime {
-    private final Runtime to;
+class DelegatingEventLoop implements EventLoop {
+    private final EventLoop to;
 
-    Passing(Runtime to) {
+    DelegatingEventLoop(EventLoop to) {
         this.to = to;
     }
 
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void call(Call call, Consumer<Reply> reply) {
+    public void call(Request call, Consumer<Response> reply) {
         to.call(call, reply);
     }
 }
--- a/src/test/java/org/hollypick/sim/ReplayTest.java
+++ b/src/test/java/org/hollypick/sim/DeterminismTest.java
@@ -4,12 +4,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
 /** A seed tells the whole day: without that, no failure that was found could be looked at again. */
-class ReplayTest {
+class DeterminismTest {
     @Test
     void theSameSeedPlaysTheSameDay() {
         List<String> first = digests();
@@ -20,12 +20,12 @@
     private static List<String> digests() {
         List<String> digests = new ArrayList<>();
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = new Day(
+            ClusterScenario day = new ClusterScenario(
                     seed,
                     seed % 3 == 0 ? 12 : 1,
                     null,
-                    new Day.Limits(2_048, 4, 25),
-                    (r, s) -> new Node(r, s, OperatorSettings.defaults()));
+                    new ClusterScenario.Limits(2_048, 4, 25),
+                    (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
             day.submitSome(30, 100_000);
             day.pipelines(6, 90_000);
             day.world.at(60_000, day::tighten);
--- a/src/test/java/org/hollypick/sim/WorkerStandIn.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /** A worker, written from the protocol: reports, leases, tokens, images, orders late and repeated. */
-final class WorkerStandIn implements World.Endpoint {
+final class FakeAgent implements SimulatedWorld.Endpoint {
     private static final class Task {
         String status = "fetching";
         String cause;
@@ -25,8 +25,8 @@
     final String addr;
     final String zone;
     final boolean spot;
-    private final World world;
-    private final Checker checker;
+    private final SimulatedWorld world;
+    private final InvariantChecker checker;
     private final List<String> nodes;
     private final long leaseMs;
     private final double cpus;
@@ -60,9 +60,9 @@
     private long lastReport;
     Double notice;
 
-    WorkerStandIn(
-            World world,
-            Checker checker,
+    FakeAgent(
+            SimulatedWorld world,
+            InvariantChecker checker,
             List<String> nodes,
             String name,
             String addr,
@@ -292,7 +292,7 @@
         int now = life;
         world.send(
                 name,
-                new Call(nodes.get(node), "POST", "/hello", describe(), 4_000, false),
+                new Request(nodes.get(node), "POST", "/hello", describe(), 4_000, false),
                 r -> act(now, () -> {
                     reporting = false;
                     if (r.status() == 200
@@ -424,14 +424,14 @@
     }
 
     @Override
-    public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
+    public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
         act(life, () -> {
             if (path.equals("/inspect")) {
-                reply.accept(new Reply(200, describe()));
+                reply.accept(new Response(200, describe()));
             } else if (!careless
                     && (body.path("baton").asLong() < token
                             || body.path("tenure").asLong() != session)) {
-                reply.accept(new Reply(409, describe()));
+                reply.accept(new Response(409, describe()));
             } else {
                 boolean higher = body.path("baton").asLong() > token;
                 token = Math.max(token, body.path("baton").asLong());
@@ -439,7 +439,7 @@
                 if (higher) {
                     changed();
                 }
-                reply.accept(new Reply(200, describe()));
+                reply.accept(new Response(200, describe()));
             }
         });
     }
--- a/src/test/java/org/hollypick/sim/CloudStandIn.java
+++ b/src/test/java/org/hollypick/sim/FakeCloud.java
@@ -12,10 +12,10 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 
 /** The cloud, written from the protocol: requests by name, boot times, a late list. */
-final class CloudStandIn implements World.Endpoint {
+final class FakeCloud implements SimulatedWorld.Endpoint {
     /** The only type of machine. */
     static final String TYPE = "t4";
 
@@ -27,14 +27,14 @@
         String zone;
         boolean spot;
         long born;
-        WorkerStandIn worker;
+        FakeAgent worker;
         boolean failed;
     }
 
     private record Snapshot(long at, ArrayNode list) {}
 
-    private final World world;
-    private final BiFunction<String, Host, WorkerStandIn> boot;
+    private final SimulatedWorld world;
+    private final BiFunction<String, Host, FakeAgent> boot;
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final Map<String, ObjectNode> answered = new LinkedHashMap<>();
     private final List<Snapshot> snapshots = new ArrayList<>();
@@ -47,9 +47,15 @@
 
     private boolean oldList;
     /** Sees each machine that comes up. */
-    Consumer<WorkerStandIn> booted = w -> {};
+    Consumer<FakeAgent> booted = w -> {};
 
-    CloudStandIn(World world, Checker checker, List<String> nodes, List<String> zones, long leaseMs, int size) {
+    FakeCloud(
+            SimulatedWorld world,
+            InvariantChecker checker,
+            List<String> nodes,
+            List<String> zones,
+            long leaseMs,
+            int size) {
         this.world = world;
         for (String z : zones) {
             capacity.put(z + true, 3 * size);
@@ -57,7 +63,7 @@
         }
         this.boot = (name, h) -> {
             String addr = "w-" + name + ":9000";
-            WorkerStandIn w = new WorkerStandIn(world, checker, nodes, name, addr, h.zone, h.spot, CPUS, leaseMs);
+            FakeAgent w = new FakeAgent(world, checker, nodes, name, addr, h.zone, h.spot, CPUS, leaseMs);
             world.listen(addr, w);
             return w;
         };
@@ -84,8 +90,8 @@
         return hosts.keySet();
     }
 
-    List<WorkerStandIn> workers() {
-        List<WorkerStandIn> list = new ArrayList<>();
+    List<FakeAgent> workers() {
+        List<FakeAgent> list = new ArrayList<>();
         hosts.values().forEach(h -> {
             if (h.worker != null && !h.worker.gone) {
                 list.add(h.worker);
@@ -95,13 +101,13 @@
     }
 
     /** Spot machines taken back without notice. */
-    void take(WorkerStandIn w) {
+    void take(FakeAgent w) {
         w.vanish();
         hosts.remove(w.name);
     }
 
     @Override
-    public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
+    public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
         if (path.equals("/machine_types")) {
             ObjectNode r = Codec.object();
             r.putArray("flavours")
@@ -118,7 +124,7 @@
                     .putArray("halls")
                     .add("a")
                     .add("b");
-            reply.accept(new Reply(200, r));
+            reply.accept(new Response(200, r));
         } else if (path.equals("/hosts")) {
             reply.accept(hire(body));
         } else if (path.equals("/hosts/return")) {
@@ -128,7 +134,7 @@
                     h.worker.vanish();
                 }
             }
-            reply.accept(new Reply(200, Codec.object()));
+            reply.accept(new Response(200, Codec.object()));
         } else {
             oldList = !oldList;
             long oldest = oldList ? 2 * LAG_MS - 1_000 : 0;
@@ -145,14 +151,14 @@
             }
             ObjectNode r = Codec.object().put("truncated", false);
             r.set("bothies", s.list.deepCopy());
-            reply.accept(new Reply(200, r));
+            reply.accept(new Response(200, r));
         }
     }
 
-    private Reply hire(JsonNode body) {
+    private Response hire(JsonNode body) {
         String request = body.path("hire").asText();
         if (answered.containsKey(request)) {
-            return new Reply(200, answered.get(request));
+            return new Response(200, answered.get(request));
         }
         String kind = body.path("hall").asText() + body.path("lendable").asBoolean();
         long used = hosts.values().stream()
@@ -160,7 +166,7 @@
                 .count();
         int count = (int) Math.min(body.path("number").asInt(), capacity.get(kind) - used);
         if (count <= 0) {
-            return new Reply(503, Codec.object().put("error", "no capacity"));
+            return new Response(503, Codec.object().put("error", "no capacity"));
         }
         ObjectNode r = Codec.object();
         ArrayNode list = r.putArray("bothies");
@@ -180,6 +186,6 @@
             });
         }
         answered.put(request, r);
-        return new Reply(200, r);
+        return new Response(200, r);
     }
 }
--- a/src/test/java/org/hollypick/sim/StateStandIn.java
+++ b/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
@@ -12,11 +12,11 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.hollypick.io.Codec;
-import org.hollypick.io.RateBudget;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
+import org.hollypick.io.TokenBucket;
 
 /** The state service, written from the protocol. */
-final class StateStandIn implements World.Endpoint {
+final class FakeKeyValueStore implements SimulatedWorld.Endpoint {
     private record Entry(JsonNode data, long stamp, long tenancy) {}
 
     private static final class Hold {
@@ -24,9 +24,9 @@
         long ends;
     }
 
-    private record Watch(String prefix, long from, Consumer<Reply> reply) {}
+    private record Watch(String prefix, long from, Consumer<Response> reply) {}
 
-    private final World world;
+    private final SimulatedWorld world;
     private final TreeMap<String, Entry> keys = new TreeMap<>();
     private final Map<Long, Hold> holds = new HashMap<>();
     private final List<ObjectNode> events = new ArrayList<>();
@@ -36,8 +36,8 @@
     private boolean down;
     private int valueBytes = 8_192;
     private int txnOps = 12;
-    private final RateBudget requests;
-    private final RateBudget writes;
+    private final TokenBucket requests;
+    private final TokenBucket writes;
     /** Refusals for a value or a transaction that is too large: nodes should know better. */
     int tooLarge;
     /** Puts and deletes that were carried out. */
@@ -51,10 +51,10 @@
     /** Share of a state session's life after which it ends; below 1 breaks the promise that none ends early. */
     double holdShare = 1;
 
-    StateStandIn(World world) {
+    FakeKeyValueStore(SimulatedWorld world) {
         this.world = world;
-        this.requests = new RateBudget(150, world.now);
-        this.writes = new RateBudget(60, world.now);
+        this.requests = new TokenBucket(150, world.now);
+        this.writes = new TokenBucket(60, world.now);
     }
 
     /** From now on, without notice. What is stored stays readable. */
@@ -147,7 +147,7 @@
     void forgetChanges() {
         List<Watch> open = new ArrayList<>(watches);
         watches.clear();
-        open.forEach(w -> w.reply.accept(new Reply(410, Codec.object())));
+        open.forEach(w -> w.reply.accept(new Response(410, Codec.object())));
     }
 
     private void wake() {
@@ -155,7 +155,7 @@
             ObjectNode r = events(w.prefix, w.from);
             if (!r.path("events").isEmpty()) {
                 watches.remove(w);
-                w.reply.accept(new Reply(200, r));
+                w.reply.accept(new Response(200, r));
             }
         }
     }
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void request(String method, String path, JsonNode body, Consumer<Reply> reply) {
+    public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
         expire();
         String where = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
         Map<String, String> query = new HashMap<>();
@@ -183,12 +183,12 @@
             }
         }
         if (down || (where.equals("/commit") && refused.test(body))) {
-            reply.accept(new Reply(503, Codec.object()));
+            reply.accept(new Response(503, Codec.object()));
             return;
         }
         int puts = body == null ? 0 : body.path("then").size();
         if (!requests.has(1, world.now) || !writes.has(puts, world.now)) {
-            reply.accept(new Reply(429, Codec.object()));
+            reply.accept(new Response(429, Codec.object()));
             return;
         }
         requests.take(1, world.now);
@@ -197,14 +197,14 @@
             long from = Long.parseLong(query.get("from"));
             ObjectNode now = events(query.get("prefix"), from);
             if (!now.path("events").isEmpty()) {
-                reply.accept(new Reply(200, now));
+                reply.accept(new Response(200, now));
                 return;
             }
             Watch w = new Watch(query.get("prefix"), from, reply);
             watches.add(w);
             world.at(Long.parseLong(query.get("wait_ms")), () -> {
                 if (watches.remove(w)) {
-                    reply.accept(new Reply(200, events(w.prefix, w.from)));
+                    reply.accept(new Response(200, events(w.prefix, w.from)));
                 }
             });
         } else if (where.equals("/keys")) {
@@ -224,18 +224,18 @@
                             .set("data", e.getValue().data);
                 }
             }
-            reply.accept(new Reply(200, r));
+            reply.accept(new Response(200, r));
         } else if (where.startsWith("/keys/")) {
             Entry e = keys.get(where.substring(6));
             if (e == null) {
-                reply.accept(new Reply(404, Codec.object().put("epoch", epoch)));
+                reply.accept(new Response(404, Codec.object().put("epoch", epoch)));
             } else {
                 ObjectNode r = Codec.object().put("key", where.substring(6)).put("stamp", e.stamp);
                 r.set("data", e.data);
                 if (e.tenancy != 0) {
                     r.put("tenancy", e.tenancy);
                 }
-                reply.accept(new Reply(200, r));
+                reply.accept(new Response(200, r));
             }
         } else if (where.equals("/commit")) {
             reply.accept(commit(body));
@@ -245,22 +245,22 @@
             h.ends = world.now + (long) (h.lifeMs * holdShare);
             holds.put(++tenancies, h);
             long id = tenancies;
-            reply.accept(new Reply(200, Codec.object().put("tenancy", id)));
+            reply.accept(new Response(200, Codec.object().put("tenancy", id)));
             tick(id);
         } else if (where.startsWith("/holds/")) {
             long id = Long.parseLong(where.split("/")[2]);
             Hold h = holds.get(id);
             if (h == null) {
-                reply.accept(new Reply(404, Codec.object()));
+                reply.accept(new Response(404, Codec.object()));
             } else if (method.equals("DELETE")) {
                 endHold(id);
-                reply.accept(new Reply(200, Codec.object()));
+                reply.accept(new Response(200, Codec.object()));
             } else {
                 h.ends = world.now + (long) (h.lifeMs * holdShare);
-                reply.accept(new Reply(200, Codec.object().put("tenancy", id)));
+                reply.accept(new Response(200, Codec.object().put("tenancy", id)));
             }
         } else {
-            reply.accept(new Reply(400, Codec.object()));
+            reply.accept(new Response(400, Codec.object()));
         }
     }
 
@@ -273,7 +273,7 @@
         });
     }
 
-    private Reply commit(JsonNode body) {
+    private Response commit(JsonNode body) {
         boolean fits = body.path("then").size() <= txnOps
                 && body.path("when").size() <= 4 * txnOps
                 && Codec.write(body, true).length <= 64 * 1024;
@@ -282,7 +282,7 @@
         }
         if (!fits) {
             tooLarge++;
-            return new Reply(400, Codec.object().put("error", "too large"));
+            return new Response(400, Codec.object().put("error", "too large"));
         }
         ArrayNode failed = Codec.array();
         for (JsonNode c : body.path("when")) {
@@ -293,13 +293,13 @@
         }
         for (JsonNode op : body.path("then")) {
             if (op.has("tenancy") && !holds.containsKey(op.get("tenancy").asLong())) {
-                return new Reply(400, Codec.object().put("error", "no such lease"));
+                return new Response(400, Codec.object().put("error", "no such lease"));
             }
         }
         if (!failed.isEmpty() && !careless) {
             ObjectNode r = Codec.object().put("epoch", epoch);
             r.set("failed", failed);
-            return new Reply(409, r);
+            return new Response(409, r);
         }
         epoch++;
         changes += body.path("then").size();
@@ -316,6 +316,6 @@
             }
         }
         world.at(0, this::wake);
-        return new Reply(200, Codec.object().put("epoch", epoch));
+        return new Response(200, Codec.object().put("epoch", epoch));
     }
 }
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -9,31 +9,31 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.core.Dependencies;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.core.graph.NodeSpec;
 import org.hollypick.core.graph.Refusal;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /** Graphs that grow, hand on and are cancelled, on days with faults; each rule of the jobs holds, and their own. */
 class GraphDaysTest {
     private static final OperatorSettings ON = OperatorSettings.parse("{:graphs true}");
-    private static final BiFunction<Runtime, Settings, Node> NEW = (r, s) -> new Node(r, s, ON);
+    private static final BiFunction<EventLoop, Settings, Controller> NEW = (r, s) -> new Controller(r, s, ON);
 
-    private static Day day(
+    private static ClusterScenario day(
             int seed,
-            BiFunction<Runtime, Settings, Node> version,
+            BiFunction<EventLoop, Settings, Controller> version,
             List<GraphUser> users,
             boolean cancels,
-            Consumer<Day> troubles) {
-        Day day = new Day(seed, 1, null, new Day.Limits(2_048, 4, 25), version);
+            Consumer<ClusterScenario> troubles) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, new ClusterScenario.Limits(2_048, 4, 25), version);
         for (int i = 0; i < 5; i++) {
             GraphUser u = new GraphUser(day, String.format("req-7%05d", i), 3, 3);
             users.add(u);
@@ -54,7 +54,7 @@
     void graphsOfAQuietDayAreDone() {
         for (int seed = 1; seed <= 20; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            Day day = day(seed, NEW, users, false, d -> {});
+            ClusterScenario day = day(seed, NEW, users, false, d -> {});
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             for (GraphUser u : users) {
                 assertEquals("done", u.told, "seed " + seed + " " + u.id);
@@ -68,7 +68,7 @@
         int refused = 0;
         for (int seed = 1; seed <= 150; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            Day day = day(seed, NEW, users, true, d -> d.drawFaults(6, 10_000, 120_000));
+            ClusterScenario day = day(seed, NEW, users, true, d -> d.drawFaults(6, 10_000, 120_000));
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             assertEquals(0, day.state.tooLarge, "seed " + seed);
             for (GraphUser u : users) {
@@ -80,7 +80,8 @@
         assertTrue(refused > 0, "late children of cancelled graphs were refused");
     }
 
-    private static boolean breaks(String rule, BiFunction<Runtime, Settings, Node> version, Consumer<Day> troubles) {
+    private static boolean breaks(
+            String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 40; seed++) {
             try {
                 if (day(seed, version, new ArrayList<>(), true, troubles).checker.broken.stream()
@@ -99,15 +100,15 @@
     void theCheckerNoticesChildrenThatAreToldTooEarly() {
         assertTrue(breaks(
                 "too_early",
-                (r, s) -> new Node(
-                        new Passing(r) {
+                (r, s) -> new Controller(
+                        new DelegatingEventLoop(r) {
                             @Override
-                            public void call(Call c, Consumer<Reply> reply) {
+                            public void call(Request c, Consumer<Response> reply) {
                                 if (c.path().equals("/commit")
                                         && c.body().path("then").toString().contains("h/x/")) {
                                     r.after(
                                             10,
-                                            () -> reply.accept(new Reply(
+                                            () -> reply.accept(new Response(
                                                     200, Codec.object().put("epoch", 1))));
                                     r.after(2_500, () -> r.call(c, x -> {}));
                                 } else {
@@ -124,8 +125,9 @@
                 }));
     }
 
-    private static BiFunction<Runtime, Settings, Node> with(BiFunction<Integer, IntConsumer, Graph> maker) {
-        return (r, s) -> new Node(r, s, ON, new Dependencies(), (retries, release) -> maker.apply(retries, release));
+    private static BiFunction<EventLoop, Settings, Controller> with(BiFunction<Integer, IntConsumer, Graph> maker) {
+        return (r, s) ->
+                new Controller(r, s, ON, new JobDependencies(), (retries, release) -> maker.apply(retries, release));
     }
 
     /** If a cancelled node counts as done, what needs it runs for nothing, and the graph is called done without it. */
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -7,10 +7,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Locale;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -24,7 +24,8 @@
 
     @Test
     void aHundredThousandNodesAreRecordedAndTakenOver() {
-        Day day = new Day(1, 4, null, null, (r, s) -> new Node(r, s, OperatorSettings.parse("{:graphs true}")));
+        ClusterScenario day = new ClusterScenario(
+                1, 4, null, null, (r, s) -> new Controller(r, s, OperatorSettings.parse("{:graphs true}")));
         day.play(5_000);
         int before = day.leader();
         long from = day.world.now;
@@ -67,7 +68,7 @@
         assertEquals(List.of(), day.checker.broken);
     }
 
-    private static void submit(Day day, int from, int to) {
+    private static void submit(ClusterScenario day, int from, int to) {
         ObjectNode call = Codec.object()
                 .put("name_id", ID)
                 .put("jobkind", "graph")
@@ -91,7 +92,7 @@
             day.checker.submitting(ID, call, day.world.now);
             day.checker.program = (name, attempt, finish) -> day.world.at(1_000, finish);
         }
-        Reply[] answer = {null};
+        Response[] answer = {null};
         while (answer[0] == null || answer[0].status() == 503 || answer[0].status() <= 0) {
             answer[0] = null;
             day.raw("POST", "/graphs", Codec.write(call, false), r -> answer[0] = r);
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -12,9 +12,9 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /**
  * A client with a graph, and what its tasks do: each node's part is drawn from its name, so that an attempt that runs
@@ -22,7 +22,7 @@
  * to be cancelled starts, none is run under two names, and none that was accepted gets lost.
  */
 final class GraphUser {
-    private final Day day;
+    private final ClusterScenario day;
     final String id;
     private final int depth;
     private final int width;
@@ -40,7 +40,7 @@
     int refusedChildren;
 
     /** {@code depth}: how often nodes may add children below one another; {@code width}: how many each adds at most. */
-    GraphUser(Day day, String id, int depth, int width) {
+    GraphUser(ClusterScenario day, String id, int depth, int width) {
         this.day = day;
         this.id = id;
         this.depth = depth;
@@ -105,12 +105,12 @@
     }
 
     /** Repeats a call until it is answered for certain. */
-    private void post(String path, ObjectNode body, int tries, Consumer<Reply> then) {
+    private void post(String path, ObjectNode body, int tries, Consumer<Response> then) {
         if (tries > 120) {
             return;
         }
         day.world.send(
-                "user", new Call("p" + day.world.random.nextInt(3) + ":1", "POST", path, body, 5_000, false), r -> {
+                "user", new Request("p" + day.world.random.nextInt(3) + ":1", "POST", path, body, 5_000, false), r -> {
                     if (r.status() == 200
                             || r.status() == 201
                             || r.status() == 409
@@ -128,7 +128,7 @@
      * Takes in which task each node is, as a user's upload of descriptions does; a node that got two names would run
      * twice.
      */
-    private void learn(ObjectNode call, Reply r) {
+    private void learn(ObjectNode call, Response r) {
         if (!r.body().path("tasks").isObject()) {
             if (r.status() != 409) {
                 day.checker.broken.add("graph refused " + id + ": " + r.status() + " " + r.body());
@@ -220,7 +220,7 @@
         long asked = day.world.now;
         day.world.send(
                 "user",
-                new Call("p" + day.world.random.nextInt(3) + ":1", "GET", "/submissions/" + id, null, 2_000, false),
+                new Request("p" + day.world.random.nextInt(3) + ":1", "GET", "/submissions/" + id, null, 2_000, false),
                 r -> {
                     if (r.status() == 200) {
                         told = r.body().path("status").asText();
--- a/src/test/java/org/hollypick/sim/Growth.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReconcileConstants;
-import org.hollypick.io.Call;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /**
  * What grows with the fleet: processor time of the leader by activity, in the simulated world, without sockets or HTTP.
  * Not a test; run by hand: {@code mvn -q test-compile exec:java -Dexec.classpathScope=test
  * -Dexec.mainClass=org.hollypick.sim.Growth -Dexec.args="540 1100 2500 5000"}.
  */
-public final class Growth {
+public final class GrowthBenchmark {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int MACHINES_A_SIZE = 14;
     private static final long WARM_MS = 90_000;
@@ -50,7 +50,7 @@
         }
     }
 
-    private Growth() {}
+    private GrowthBenchmark() {}
 
     public static void main(String[] args) {
         System.out.printf(
@@ -65,7 +65,7 @@
     private static void measure(int machines) {
         int size = Math.max(1, machines / MACHINES_A_SIZE);
         Map<String, Meter> meters = new TreeMap<>();
-        Day day = new Day(
+        ClusterScenario day = new ClusterScenario(
                 1, size, null, null, (r, s) -> metered(r, s, meters.computeIfAbsent(s.node(), k -> new Meter())));
         day.metering = (node, activity, run) -> meters.get(node).run(activity, run);
         long[] state = new long[2];
@@ -94,8 +94,7 @@
                         String.format(Locale.ROOT, "%s %.2f (%.0f); ", activity, ms, sum[1] / (MEASURED_MS / 1000.0)));
             }
         }));
-        long there =
-                day.cloud.workers().stream().mapToLong(WorkerStandIn::tasks).sum();
+        long there = day.cloud.workers().stream().mapToLong(FakeAgent::tasks).sum();
         double bytes = state[0] / (MEASURED_MS / 1000.0);
         double changes = state[1] / (MEASURED_MS / 1000.0);
         int found = day.cloud.workers().size();
@@ -113,7 +112,7 @@
             day.play(50);
             long token = day.state.stamp("h/roster");
             led = led == 0 && !day.lead().equals(leaderAtFirst) ? day.world.now : led;
-            List<WorkerStandIn> workers = day.cloud.workers();
+            List<FakeAgent> workers = day.cloud.workers();
             long seen = workers.stream().filter(w -> w.token >= token).count();
             half = half == 0 && led > 0 && seen >= 0.5 * workers.size() ? day.world.now : half;
             known = known == 0 && led > 0 && seen >= 0.99 * workers.size() ? day.world.now : known;
@@ -136,8 +135,8 @@
                 heap);
     }
 
-    private static Node metered(Runtime r, Settings s, Meter meter) {
-        Runtime metered = new Passing(r) {
+    private static Controller metered(EventLoop r, Settings s, Meter meter) {
+        EventLoop metered = new DelegatingEventLoop(r) {
             @Override
             public void after(long ms, Runnable task) {
                 String name = ms == ReconcileConstants.SCHEDULING_CYCLE_GAP_MS
@@ -147,7 +146,7 @@
             }
 
             @Override
-            public void call(Call c, Consumer<Reply> reply) {
+            public void call(Request c, Consumer<Response> reply) {
                 String path = c.path();
                 String name = path.startsWith("/watch")
                         ? "watch"
@@ -161,7 +160,7 @@
                 r.call(c, a -> meter.run(name, () -> reply.accept(a)));
             }
         };
-        return new Node(metered, s, OperatorSettings.defaults());
+        return new Controller(metered, s, OperatorSettings.defaults());
     }
 
     /** Runs a request's handling for a meter. */
--- a/src/test/java/org/hollypick/sim/RelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -7,27 +7,27 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /** Reports that other controllers hand on to the leader, and its answers that they pass back. */
-class RelayTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+class HeartbeatRelayTest {
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
 
     /**
      * The others stand still with the leader's answers in hand; it ends meanwhile, and another one leads when they go
      * on.
      */
-    private static Day standstill(
-            int seed, long freezeMs, long restartMs, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 6, null, null, version);
+    private static ClusterScenario standstill(
+            int seed, long freezeMs, long restartMs, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 6, null, null, version);
         day.submitSome(80, 110_000);
         boolean[] armed = {false};
         day.world.sending = (from, call) -> {
@@ -58,10 +58,10 @@
     /** Without the bound that the leader tells, its orders would reach machines while another one leads. */
     @Test
     void theCheckerNoticesAnswersPassedOnForTooLong() {
-        BiFunction<Runtime, Settings, Node> faulty = (r, s) -> NEW.apply(
-                new Passing(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+                new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Call call, Consumer<Reply> reply) {
+                    public void call(Request call, Consumer<Response> reply) {
                         super.call(call, a -> {
                             if (call.path().equals("/reports") && a.ok()) {
                                 ((ObjectNode) a.body()).put("right_ms", 60_000);
@@ -96,15 +96,15 @@
      */
     @Test
     void theCheckerNoticesAnEarlierSelfsHoldThatEndsAtOnce() {
-        BiFunction<Runtime, Settings, Node> faulty = (r, s) -> NEW.apply(
-                new Passing(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+                new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Call call, Consumer<Reply> reply) {
+                    public void call(Request call, Consumer<Response> reply) {
                         if (call.path().equals("/release")) {
                             r.after(
                                     1,
                                     () -> reply.accept(
-                                            new Reply(200, Codec.object().put("released", true))));
+                                            new Response(200, Codec.object().put("released", true))));
                         } else {
                             super.call(call, reply);
                         }
@@ -122,7 +122,7 @@
     /** All machines stay with the controllers that are left, at once and without looking for the leader. */
     @Test
     void aNewLeaderHearsOfMachinesThroughTheOthers() {
-        Day day = new Day(5, 8);
+        ClusterScenario day = new ClusterScenario(5, 8);
         day.play(3_000);
         day.submitLasting(12);
         day.play(60_000);
--- a/src/test/java/org/hollypick/sim/HearingTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -14,37 +14,37 @@
  * Machines whose reports arrive while nothing reaches them, copies of reports that come late, machines that are back at
  * once (docs/hearing.md).
  */
-class HearingTest {
+class InboundReachabilityTest {
     private static final long LEASE_MS = 15_000;
     private static final long FIVE_MINUTES_MS = 300_000;
 
-    private static Day day(long seed) {
+    private static ClusterScenario day(long seed) {
         return day(seed, 3);
     }
 
-    private static Day day(long seed, int services) {
-        Day day = new Day(seed, 4);
+    private static ClusterScenario day(long seed, int services) {
+        ClusterScenario day = new ClusterScenario(seed, 4);
         day.play(5_000);
         day.submitLasting(services);
         day.play(40_000);
         return day;
     }
 
-    private static List<WorkerStandIn> zone(Day day) {
-        List<WorkerStandIn> some =
+    private static List<FakeAgent> zone(ClusterScenario day) {
+        List<FakeAgent> some =
                 day.cloud.workers().stream().filter(w -> w.zone.equals("a")).toList();
         assertTrue(some.size() >= 2);
         return some;
     }
 
-    private static List<String> arrays(Day day) {
+    private static List<String> arrays(ClusterScenario day) {
         return day.checker.submitted.entrySet().stream()
                 .filter(e -> e.getValue().path("shape").asText().equals("batch"))
                 .map(e -> e.getKey())
                 .toList();
     }
 
-    private static void assertOver(Day day, long seed) {
+    private static void assertOver(ClusterScenario day, long seed) {
         assertEquals(List.of(), day.checker.broken, "seed " + seed);
         arrays(day).forEach(id -> assertTrue(day.checker.isOver(id), "seed " + seed + ": " + id + " isn't over"));
     }
@@ -56,7 +56,7 @@
     @Test
     void aDeafZoneHoldsUpATakeoverForALeaseAtMost() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = day(seed, 5);
+            ClusterScenario day = day(seed, 5);
             day.submitArrays(12, 1_000);
             day.world.at(1_500, () -> {
                 zone(day).forEach(w -> day.deafen(w, FIVE_MINUTES_MS));
@@ -75,9 +75,9 @@
     @Test
     void whatAWorkerThatBeganAgainWasGivenIsWaitedForByItsOwnLease() {
         for (int seed = 1; seed <= 3; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             day.length = 6;
-            List<WorkerStandIn> some = zone(day);
+            List<FakeAgent> some = zone(day);
             day.mute(some.stream().map(w -> w.name).toList(), 60_000);
             day.world.at(6_000, () -> some.forEach(w -> w.restart(200, false)));
             day.world.at(7_000, () -> day.submitArrays(8, 1_000));
@@ -93,8 +93,8 @@
     @Test
     void blackHolesDrawNoWork() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = day(seed);
-            List<WorkerStandIn> deaf = zone(day);
+            ClusterScenario day = day(seed);
+            List<FakeAgent> deaf = zone(day);
             deaf.forEach(w -> day.deafen(w, FIVE_MINUTES_MS));
             Set<String> launches = new HashSet<>();
             Set<String> addresses = deaf.stream().map(w -> w.addr).collect(Collectors.toSet());
@@ -124,8 +124,8 @@
     @Test
     void aShortTroubleOfManyCostsNothing() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = day(seed, 5);
-            List<WorkerStandIn> some = zone(day);
+            ClusterScenario day = day(seed, 5);
+            List<FakeAgent> some = zone(day);
             int lost = day.checker.lost;
             some.forEach(w -> day.deafen(w, 8_000));
             day.play(60_000);
@@ -146,9 +146,9 @@
     @Test
     void oneDeafPathCostsNothing() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             int lost = day.checker.lost;
-            List<WorkerStandIn> some = new ArrayList<>(day.cloud.workers());
+            List<FakeAgent> some = new ArrayList<>(day.cloud.workers());
             some.removeIf(w -> w.name.hashCode() % 2 == 0);
             int node = seed % 3;
             some.forEach(w -> day.deafen(w, node, 120_000));
@@ -166,11 +166,11 @@
     @Test
     void copiesReviveNothing() {
         for (int seed = 1; seed <= 10; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             day.world.copyShare = 0.5;
             day.submitArrays(40, 120_000);
             day.play(30_000);
-            List<WorkerStandIn> some = new ArrayList<>(day.cloud.workers().subList(0, 4));
+            List<FakeAgent> some = new ArrayList<>(day.cloud.workers().subList(0, 4));
             some.subList(0, 2).forEach(w -> w.hang(60_000));
             some.subList(2, 4).forEach(day.cloud::take);
             List<String> hung = some.subList(0, 2).stream().map(w -> w.name).toList();
@@ -191,9 +191,9 @@
     @Test
     void aMachineThatIsBackAtOnceIsUsedAgain() {
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             boolean anew = seed % 2 == 0;
-            List<WorkerStandIn> some = new ArrayList<>(day.cloud.workers().stream()
+            List<FakeAgent> some = new ArrayList<>(day.cloud.workers().stream()
                     .filter(w -> w.running() > 0)
                     .limit(3)
                     .toList());
@@ -214,7 +214,7 @@
     @Test
     void aControllerWithoutStateServiceAndOthersLetsUsersAndMachinesGo() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             int lost = day.checker.lost;
             int node = seed % 2 == 0 ? day.leader() : (day.leader() + 1) % 3;
             day.cutFromStateAndPeers(node, 60_000);
@@ -236,7 +236,7 @@
     void afterAllTroublesNothingIsForgotten() {
         List<Long> first = new ArrayList<>();
         for (int seed = 1; seed <= 60; seed++) {
-            Day day = drawn(seed, null);
+            ClusterScenario day = drawn(seed, null);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
             first.addAll(day.checker.firstAnswer.values());
         }
@@ -246,8 +246,8 @@
                 "first answers after the troubles: p99 " + first.get(first.size() * 99 / 100));
     }
 
-    private static Day drawn(long seed, String withheld) {
-        Day day = new Day(seed, 2);
+    private static ClusterScenario drawn(long seed, String withheld) {
+        ClusterScenario day = new ClusterScenario(seed, 2);
         day.submitSome(25, 90_000);
         day.drawFaults(12, 20_000, 100_000);
         day.world.at(100_000, () -> day.withheld = withheld);
--- a/src/test/java/org/hollypick/sim/Checker.java
+++ b/src/test/java/org/hollypick/sim/InvariantChecker.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 
 /** One check a rule, fed by the stand-ins with what really happened. */
-final class Checker {
+final class InvariantChecker {
     /** What is asked for that long without an answer, while there is no trouble, is forgotten. */
     private static final long FORGOTTEN_MS = 75_000;
 
     final List<String> broken = new ArrayList<>();
-    final AnswerOrder order = new AnswerOrder(broken);
+    final AnswerOrderChecker order = new AnswerOrderChecker(broken);
     final Map<String, JsonNode> submitted = new HashMap<>();
-    private final Map<String, Set<WorkerStandIn>> on = new HashMap<>();
+    private final Map<String, Set<FakeAgent>> on = new HashMap<>();
     private final Map<String, Set<Integer>> done = new HashMap<>();
     private final Set<String> accepted = new HashSet<>();
     private final Map<String, Long> acceptedSince = new HashMap<>();
@@ -62,7 +62,7 @@
     /** Tasks that ended with their worker's lease. */
     int lost;
 
-    Checker(long cancelMs) {
+    InvariantChecker(long cancelMs) {
         this.cancelMs = cancelMs;
     }
 
@@ -75,12 +75,12 @@
         return task.substring(0, task.indexOf('/'));
     }
 
-    void started(String task, WorkerStandIn w, long now) {
+    void started(String task, FakeAgent w, long now) {
         starts++;
         startsOf.merge(task, 1, Integer::sum);
         startsOfJob.merge(job(task), 1, Integer::sum);
         JsonNode spec = spec(task);
-        Set<WorkerStandIn> where = on.computeIfAbsent(task, k -> new HashSet<>());
+        Set<FakeAgent> where = on.computeIfAbsent(task, k -> new HashSet<>());
         if (!where.isEmpty()) {
             broken.add("ran_twice " + task + " on " + w.name);
         }
@@ -94,8 +94,8 @@
         checkCancelledStart(task, now);
         int inZone = 0;
         int elsewhere = 0;
-        for (Map.Entry<String, Set<WorkerStandIn>> e : on.entrySet()) {
-            for (WorkerStandIn other : e.getValue()) {
+        for (Map.Entry<String, Set<FakeAgent>> e : on.entrySet()) {
+            for (FakeAgent other : e.getValue()) {
                 if (job(e.getKey()).equals(job(task))) {
                     if (other.zone.equals(w.zone)) {
                         inZone++;
@@ -118,7 +118,7 @@
     /** What a team's tasks take together now, whether their job is over or not. */
     double cpusOf(String team) {
         double cpus = 0;
-        for (Map.Entry<String, Set<WorkerStandIn>> e : on.entrySet()) {
+        for (Map.Entry<String, Set<FakeAgent>> e : on.entrySet()) {
             if (!e.getValue().isEmpty() && teamOf(e.getKey()).equals(team)) {
                 cpus += e.getValue().size() * spec(e.getKey()).path("cores").asDouble();
             }
@@ -174,8 +174,8 @@
         return node != null ? node : job == null || job.has("nodes") ? null : job;
     }
 
-    void left(String task, WorkerStandIn w) {
-        Set<WorkerStandIn> where = on.get(task);
+    void left(String task, FakeAgent w) {
+        Set<FakeAgent> where = on.get(task);
         if (where != null) {
             where.remove(w);
         }
@@ -284,7 +284,7 @@
      * time.
      */
     void neverAccepted(String id, int due, int status) {
-        if (status != due && status != 503 && status != Reply.NO_ANSWER && status != Reply.NOT_SENT) {
+        if (status != due && status != 503 && status != Response.NO_ANSWER && status != Response.NOT_SENT) {
             String what = status == 200 || status == 201 ? "accepted " : "refused otherwise ";
             broken.add(what + id + ", due " + due + ", answered " + status);
         }
--- a/src/test/java/org/hollypick/sim/RulesTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The rules on simulated days, and proof that the checker notices when a safeguard is taken away. */
-class RulesTest {
+class InvariantsTest {
     private static final int DAYS = 600;
 
     @Test
     void aQuietDayRunsEverything() {
-        Day day = new Day(1);
+        ClusterScenario day = new ClusterScenario(1);
         day.submitSome(40, 60_000);
         day.play(200_000);
         assertEquals(List.of(), day.checker.broken);
@@ -24,7 +24,7 @@
     void drawnDaysWithFaultsKeepTheRules() {
         int starts = 0;
         for (int seed = 100; seed < 100 + DAYS; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.submitSome(25, 120_000);
             day.drawFaults(10, 20_000, 150_000);
             day.play(220_000);
@@ -36,7 +36,7 @@
 
     @Test
     void everyAcceptedJobEndsAfterTheLossOfAllControllers() {
-        Day day = new Day(7);
+        ClusterScenario day = new ClusterScenario(7);
         day.submitSome(15, 30_000);
         day.world.at(35_000, () -> day.state.outage(15_000));
         day.world.at(40_000, day::crashAll);
@@ -54,7 +54,7 @@
      */
     @Test
     void runningWorkSurvivesALongOutageOfTheStateService() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         day.state.outage(60_000);
         day.play(5_000);
         int lost = day.checker.lost;
@@ -67,7 +67,7 @@
     /** With one of the others gone there is no promise, so the leader must stop; nobody may act then. */
     @Test
     void withoutAllPromisesNobodyActsInAnOutage() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         day.world.at(100, () -> day.crash(0, 90_000));
         day.state.outage(60_000);
         day.play(5_000);
@@ -82,7 +82,7 @@
     @Test
     void largeDaysWithFaultsKeepTheRules() {
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = new Day(seed, 12);
+            ClusterScenario day = new ClusterScenario(seed, 12);
             day.submitSome(40, 100_000);
             day.drawFaults(14, 20_000, 150_000);
             day.play(240_000);
@@ -94,7 +94,7 @@
     /** A leader that no machine reaches kept its lead, and the leases of all of them ran out. */
     @Test
     void aLeaderCutOffFromTheMachinesLeavesTheLeadToAnother() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         int before = day.leader();
         int lost = day.checker.lost;
         day.cutFromWorkers(before, 40_000);
@@ -111,7 +111,7 @@
      */
     @Test
     void aLeaderThatAloneCantReachTheStateServiceGoesOnByAnother() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         int before = day.leader();
         day.world.cut("bothy-" + before, "state:1", 40_000);
         day.submitSome(10, 20_000);
@@ -128,7 +128,7 @@
     /** It was promised the lead on and on, and took no new jobs: with no way by another one either it is replaced. */
     @Test
     void aLeaderWithoutAnyWayToTheStateServiceIsReplaced() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         int before = day.leader();
         day.world.cut("bothy-" + before, "state:1", 40_000);
         for (int other = 0; other < 3; other++) {
@@ -145,7 +145,7 @@
     /** In an outage for all nobody is better off elsewhere. */
     @Test
     void inAnOutageAllStayReady() {
-        Day day = new Day(3).withRunningServices();
+        ClusterScenario day = new ClusterScenario(3).withRunningServices();
         day.state.outage(30_000);
         day.play(12_000);
         for (int node = 0; node < 3; node++) {
@@ -158,7 +158,7 @@
     void theCheckerNoticesALeaderThatDoesNotWait() {
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.state.hidden = k -> k.startsWith("h/m/");
             day.submitSome(25, 40_000);
             day.world.at(
@@ -183,7 +183,7 @@
     void theCheckerNoticesAHoldThatEndsEarly() {
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.state.holdShare = 0.2;
             day.submitSome(25, 60_000);
             for (int i = 0; i < 12; i++) {
--- a/src/test/java/org/hollypick/sim/Links.java
+++ b/src/test/java/org/hollypick/sim/LinkPattern.java
@@ -1,7 +1,7 @@
 package org.hollypick.sim;
 
 /** Which links between three controllers, the state service and the machines of two zones are up: twelve bits. */
-record Links(int bits) {
+record LinkPattern(int bits) {
     static final int COUNT = 1 << 12;
     private static final int NODES = 3;
 
--- a/src/test/java/org/hollypick/sim/LinksTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
 /** Cuts that leave some links up (docs/links.md): wherever there is a way by at most one peer, work goes on. */
-class LinksTest {
+class LinkPatternsTest {
     private static final long CUT_MS = 40_000;
     /**
      * As long as the deployments': a machine that finds two controllers cut off in turn needs fifteen seconds for it.
@@ -27,15 +27,16 @@
 
     /** How a cut went. */
     private record Outcome(
-            Links links, int lost, long startedAfter, int changes, Set<String> returned, List<String> broken) {
+            LinkPattern links, int lost, long startedAfter, int changes, Set<String> returned, List<String> broken) {
         boolean full() {
             return lost == 0 && startedAfter <= BOUND_MS;
         }
     }
 
     /** Some dozen machines with services that nobody cancels. */
-    private static Day running(int seed) {
-        Day day = new Day(seed, 6, null, null, (r, s) -> new Node(r, s, OperatorSettings.defaults()), LEASE_MS);
+    private static ClusterScenario running(int seed) {
+        ClusterScenario day = new ClusterScenario(
+                seed, 6, null, null, (r, s) -> new Controller(r, s, OperatorSettings.defaults()), LEASE_MS);
         day.play(3_000);
         day.submitLasting(5);
         day.play(37_000);
@@ -43,8 +44,8 @@
     }
 
     /** Services run; the links are as they say; after a while new work comes; the cut ends. */
-    private static Outcome play(int seed, Links links) {
-        Day day = running(seed);
+    private static Outcome play(int seed, LinkPattern links) {
+        ClusterScenario day = running(seed);
         int lost = day.checker.lost;
         Set<String> returned = new TreeSet<>();
         day.world.sending = (from, call) -> {
@@ -86,8 +87,8 @@
     /** Every pattern of a kind, one in so many; {@code main} plays them all. */
     private static List<Outcome> all(int step) {
         List<Outcome> list = new ArrayList<>();
-        for (int bits = step / 2; bits < Links.COUNT; bits += step) {
-            list.add(play(1 + bits % 5, new Links(bits)));
+        for (int bits = step / 2; bits < LinkPattern.COUNT; bits += step) {
+            list.add(play(1 + bits % 5, new LinkPattern(bits)));
         }
         return list;
     }
@@ -98,7 +99,7 @@
     void whereverThereIsAWayWorkGoesOn() {
         for (Outcome o : all(29)) {
             assertEquals(List.of(), o.broken, o.links.toString());
-            if (o.links.coverage() == Links.Coverage.FULL) {
+            if (o.links.coverage() == LinkPattern.Coverage.FULL) {
                 assertTrue(o.full(), o.toString());
                 assertEquals(Set.of(), o.returned, o.toString());
                 assertTrue(o.changes <= 3, o.toString());
@@ -111,14 +112,14 @@
     void linksThatChangeAllTheTimeKeepTheRules() {
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.submitSome(25, 100_000);
             day.drawFaults(4, 20_000, 120_000);
             for (long at = 15_000; at < 130_000; at += 2_000 + day.world.random.nextInt(12_000)) {
                 // Most links are up at a time, or nothing would run.
-                int first = day.world.random.nextInt(Links.COUNT);
-                int second = day.world.random.nextInt(Links.COUNT);
-                Links links = new Links(first | second);
+                int first = day.world.random.nextInt(LinkPattern.COUNT);
+                int second = day.world.random.nextInt(LinkPattern.COUNT);
+                LinkPattern links = new LinkPattern(first | second);
                 day.world.at(at, () -> day.links(links));
             }
             day.world.at(135_000, () -> day.links(null));
@@ -136,13 +137,16 @@
     @Test
     void linksThatFlapMoveTheLeadSeldom() {
         for (int seed = 1; seed <= 3; seed++) {
-            Day day = running(seed);
+            ClusterScenario day = running(seed);
             int lost = day.checker.lost;
             for (int i = 0; i < 15; i++) {
                 boolean down = i % 2 == 0;
                 day.world.at(
                         4_000L * i,
-                        () -> day.links(down ? new Links(Links.COUNT - 1 & ~Links.machinesOf(day.leader())) : null));
+                        () -> day.links(
+                                down
+                                        ? new LinkPattern(LinkPattern.COUNT - 1 & ~LinkPattern.machinesOf(day.leader()))
+                                        : null));
             }
             long lead = day.state.data("h/roster").path("member").asLong();
             int changes = 0;
@@ -167,7 +171,7 @@
     @Test
     void theLeadGoesToWhoeverReachesTheMachines() {
         for (int seed = 1; seed <= 6; seed++) {
-            Day day = running(seed);
+            ClusterScenario day = running(seed);
             int lost = day.checker.lost;
             int leaderAtFirst = day.leader();
             int well = (leaderAtFirst + 1 + seed % 2) % 3;
@@ -175,12 +179,12 @@
             long[] gaveUpAt = {0};
             day.world.sending =
                     (from, call) -> gaveUpAt[0] = call.path().equals("/release") ? day.world.now : gaveUpAt[0];
-            int cut = Links.machinesOf(leaderAtFirst) | Links.machinesOf(other);
-            day.links(new Links(Links.COUNT - 1 & ~cut));
+            int cut = LinkPattern.machinesOf(leaderAtFirst) | LinkPattern.machinesOf(other);
+            day.links(new LinkPattern(LinkPattern.COUNT - 1 & ~cut));
             // Controllers refuse each other soon after: from then on nobody tells anybody anything.
             day.world.at(
                     seed % 3 == 0 ? 2_000 : 7_000,
-                    () -> day.links(new Links(Links.COUNT - 1 & ~cut & ~Links.ALL_PEERS)));
+                    () -> day.links(new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEERS)));
             while (day.leader() == leaderAtFirst) {
                 day.play(10);
                 assertTrue(day.world.now < 60_000, "nobody took over");
@@ -211,7 +215,7 @@
             row[6] = Math.max(row[6], o.changes);
             broken += o.broken.isEmpty() ? 0 : 1;
             if (!o.broken.isEmpty()
-                    || (o.links.coverage() == Links.Coverage.FULL
+                    || (o.links.coverage() == LinkPattern.Coverage.FULL
                             && (!o.full() || RETURNED.test(o) || o.changes > 3))) {
                 System.out.println(o);
             }
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -25,14 +25,14 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.client.GraphSpec;
 import org.hollypick.client.HollypickClient;
 import org.hollypick.client.HollypickException;
 import org.hollypick.client.Task;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -47,8 +47,8 @@
         CompletableFuture<Void> run(String node, HollypickClient.Running self);
     }
 
-    private final Day day =
-            new Day(5, 1, null, null, (r, s) -> new Node(r, s, OperatorSettings.parse("{:graphs true}")));
+    private final ClusterScenario day = new ClusterScenario(
+            5, 1, null, null, (r, s) -> new Controller(r, s, OperatorSettings.parse("{:graphs true}")));
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final Map<String, String> nodeOf = new HashMap<>();
     private HttpServer http;
@@ -64,7 +64,7 @@
         http.setExecutor(threads);
         http.createContext("/", x -> {
             byte[] bytes = x.getRequestBody().readAllBytes();
-            Reply r = ask(x.getRequestMethod(), x.getRequestURI().toString(), bytes);
+            Response r = ask(x.getRequestMethod(), x.getRequestURI().toString(), bytes);
             byte[] told = Codec.write(r.body(), false);
             if (r.status() == 503) {
                 x.getResponseHeaders().add("Retry-After", "1");
@@ -119,10 +119,10 @@
     }
 
     /** A call's way into the simulated world; descriptions of new nodes go to the machines, as users' uploads do. */
-    private Reply ask(String method, String path, byte[] bytes) {
+    private Response ask(String method, String path, byte[] bytes) {
         JsonNode body = Codec.read(bytes, false);
         synchronized (day) {
-            Reply[] answer = {null};
+            Response[] answer = {null};
             if (body != null && body.has("nodes")) {
                 String id = body.path("name_id").asText(path.split("/").length > 2 ? path.split("/")[2] : "");
                 if (!day.checker.submitted.containsKey(id)) {
@@ -137,7 +137,7 @@
                 day.play(10);
             }
             if (answer[0] == null) {
-                return Reply.noAnswer();
+                return Response.noAnswer();
             }
             if (body != null) {
                 body.path("nodes").forEach(n -> {
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -14,13 +14,13 @@
 import java.util.function.BiConsumer;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -36,28 +36,28 @@
     /** Seeds of each order with which a faulty version is given the chance to show. */
     private static final int FAULTY_SEEDS = 8;
 
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
 
-    private static Day day(int seed, BiFunction<Runtime, Settings, Node> version) {
-        return new Day(seed, 1, null, null, version);
+    private static ClusterScenario day(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        return new ClusterScenario(seed, 1, null, null, version);
     }
 
-    private static boolean launches(Call call) {
+    private static boolean launches(Request call) {
         return call.path().equals("/commands")
                 && call.body().path("orders").toString().contains("launch");
     }
 
-    private static boolean registers(Call call) {
+    private static boolean registers(Request call) {
         return call.path().equals("/commit")
                 && call.body().path("then").toString().contains("\"h/m/");
     }
 
-    private static boolean rents(Call call) {
+    private static boolean rents(Request call) {
         return call.path().equals("/hosts") && call.method().equals("POST");
     }
 
-    private static boolean returns(Call call) {
+    private static boolean returns(Request call) {
         return call.path().equals("/hosts/return");
     }
 
@@ -100,8 +100,8 @@
         return all;
     }
 
-    private static Day play(NewMachines order, BiFunction<Runtime, Settings, Node> version) {
-        Day day = day(order.seed, version);
+    private static ClusterScenario play(NewMachines order, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = day(order.seed, version);
         day.cloud.bootMs = order.bootMs;
         day.cloud.alternatingLists = true;
         day.cancelledOf = 4;
@@ -126,7 +126,7 @@
     }
 
     /** Ends the leader at the first such event, and then the next one at the first of its own. */
-    private static void endLeaderAt(Day day, NewMachines order, int times) {
+    private static void endLeaderAt(ClusterScenario day, NewMachines order, int times) {
         boolean[] due = {true};
         Runnable end = () -> {
             if (due[0]) {
@@ -139,8 +139,8 @@
                 });
             }
         };
-        Consumer<WorkerStandIn> up = w -> end.run();
-        Consumer<Call> report = call -> end.run();
+        Consumer<FakeAgent> up = w -> end.run();
+        Consumer<Request> report = call -> end.run();
         day.cloud.booted = order.end == End.MACHINE_UP ? up : w -> {};
         day.world.reporting = order.end == End.FIRST_REPORT ? report : call -> {};
         day.world.sending = (from, call) -> {
@@ -163,7 +163,7 @@
         int days = 0;
         for (NewMachines order : newMachines()) {
             if (order.seed % EVERY == 0) {
-                Day day = play(order, NEW);
+                ClusterScenario day = play(order, NEW);
                 days++;
                 starts += day.checker.starts;
                 if (!day.checker.broken.isEmpty()) {
@@ -178,15 +178,15 @@
     /** A leader that takes a registration for durable when it sends it, while that takes seconds. */
     @Test
     void theCheckerNoticesALaunchBeforeTheRegistrationIsDurable() {
-        BiFunction<Runtime, Settings, Node> hasty = (r, s) -> NEW.apply(
-                new Passing(r) {
+        BiFunction<EventLoop, Settings, Controller> hasty = (r, s) -> NEW.apply(
+                new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Call call, Consumer<Reply> reply) {
+                    public void call(Request call, Consumer<Response> reply) {
                         if (registers(call)) {
                             super.after(
                                     1,
                                     () -> reply.accept(
-                                            new Reply(200, Codec.object().put("epoch", 0))));
+                                            new Response(200, Codec.object().put("epoch", 0))));
                             super.after(4_000, () -> super.call(call, late -> {}));
                         } else {
                             super.call(call, reply);
@@ -244,11 +244,11 @@
      * time. By then many machines are in a later session, and their tasks were started again elsewhere.
      * {@code altered}: what the network makes of an old report; nothing unless it is broken.
      */
-    private static Day play(OldReports order, BiConsumer<Day, ObjectNode> altered) {
-        Day day = day(order.seed, NEW);
+    private static ClusterScenario play(OldReports order, BiConsumer<ClusterScenario, ObjectNode> altered) {
+        ClusterScenario day = day(order.seed, NEW);
         day.length = 4;
         day.cancelledOf = 4;
-        List<Call> reports = new ArrayList<>();
+        List<Request> reports = new ArrayList<>();
         day.play(5_000);
         day.submitLasting(3);
         day.submitArrays(8, 30_000);
@@ -261,7 +261,7 @@
             day.late = (from, call) -> {
                 if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
                     reports.add(call);
-                    return World.LOST;
+                    return SimulatedWorld.LOST;
                 }
                 return 0;
             };
@@ -280,7 +280,11 @@
         return day;
     }
 
-    private static void arrive(Day day, OldReports order, List<Call> reports, BiConsumer<Day, ObjectNode> altered) {
+    private static void arrive(
+            ClusterScenario day,
+            OldReports order,
+            List<Request> reports,
+            BiConsumer<ClusterScenario, ObjectNode> altered) {
         int leader = day.leader();
         if (order.which == Which.NEWEST_FIRST) {
             Collections.reverse(reports);
@@ -294,7 +298,7 @@
                 if (order.to == To.ALL || (node == leader) == (order.to == To.LEADER)) {
                     ObjectNode body = r.body().deepCopy();
                     altered.accept(day, body);
-                    Call copy = new Call(r.address(), r.method(), r.path(), body, r.timeoutMs(), false);
+                    Request copy = new Request(r.address(), r.method(), r.path(), body, r.timeoutMs(), false);
                     day.world.deliverOnce(copy, "p" + node + ":1");
                 }
             }
@@ -322,7 +326,7 @@
         List<String> broken = new ArrayList<>();
         for (OldReports order : oldReports()) {
             if (order.seed % EVERY_SLOW == 0) {
-                Day day = play(order, (d, body) -> {});
+                ClusterScenario day = play(order, (d, body) -> {});
                 if (!day.checker.broken.isEmpty()) {
                     broken.add(order + " " + day.checker.broken);
                 }
@@ -338,7 +342,7 @@
      */
     @Test
     void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
-        BiConsumer<Day, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.state.stamp("h/roster"));
+        BiConsumer<ClusterScenario, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.state.stamp("h/roster"));
         List<OldReports> early = oldReports().stream()
                 .filter(o -> o.onlyHeldBack && o.to != To.OTHERS && o.when != When.A_LEASE_LATER)
                 .toList();
@@ -384,8 +388,8 @@
      * controller meanwhile, or hear none, for less or more than a lease; users cancel every second job at once or
      * later.
      */
-    private static Day play(LateCommands order, Consumer<WorkerStandIn> up) {
-        Day day = day(order.seed, NEW);
+    private static ClusterScenario play(LateCommands order, Consumer<FakeAgent> up) {
+        ClusterScenario day = day(order.seed, NEW);
         day.cloud.booted = up;
         day.length = 3;
         day.cancelledOf = 2;
@@ -434,7 +438,7 @@
         List<String> broken = new ArrayList<>();
         for (LateCommands order : lateCommands()) {
             if (order.seed % EVERY == 0) {
-                Day day = play(order, w -> {});
+                ClusterScenario day = play(order, w -> {});
                 if (!day.checker.broken.isEmpty() || !day.checker.startsAfterCancellation.isEmpty()) {
                     broken.add(order + " " + day.checker.broken + " after being told "
                             + day.checker.startsAfterCancellation);
@@ -451,7 +455,7 @@
     @Test
     void aTaskThatWaitsForItsImageIsStoppedBeforeItsCancellationIsTold() {
         for (int seed = 1; seed <= 8; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.play(20_000);
             boolean[] fetching = {false};
             day.world.reporting = call -> fetching[0] |= call.body().toString().contains("fetching");
@@ -478,7 +482,7 @@
     void mutedMachinesGetNoWorkOnceTheirLeaseHasEnded() {
         int lost = 0;
         for (int seed = 1; seed <= 5; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.length = 3;
             day.play(5_000);
             day.submitLasting(3);
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.io.Codec;
 import org.junit.jupiter.api.Test;
@@ -19,13 +19,13 @@
     private static final double CHANGES_PER_SECOND = 30;
 
     /** The controllers know, and keep to, a limit of changes that the jobs use up. */
-    private static Day day() {
-        Day day = new Day(
+    private static ClusterScenario day() {
+        ClusterScenario day = new ClusterScenario(
                 4,
                 6,
                 null,
-                new Day.Limits(8192, 12, CHANGES_PER_SECOND),
-                (r, s) -> new Node(r, s, OperatorSettings.defaults()));
+                new ClusterScenario.Limits(8192, 12, CHANGES_PER_SECOND),
+                (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
         day.tighten();
         return day;
     }
@@ -52,7 +52,7 @@
     }
 
     /** Submits one-task jobs at equal intervals; returns their names. */
-    private static List<String> submit(Day day, int count, long withinMs) {
+    private static List<String> submit(ClusterScenario day, int count, long withinMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = "req-9" + String.format("%05d", i);
@@ -63,7 +63,7 @@
     }
 
     /** Counts the transactions by which jobs are ended. */
-    private static int[] countEnds(Day day) {
+    private static int[] countEnds(ClusterScenario day) {
         int[] transactions = {0};
         var before = day.world.sending;
         day.world.sending = before.andThen((from, call) -> {
@@ -87,7 +87,7 @@
     /** Jobs end while the service is down; afterwards each end needs a change, but not a request of its own. */
     @Test
     void jobsThatEndCloseTogetherShareATransaction() {
-        Day day = day();
+        ClusterScenario day = day();
         List<String> ids = submit(day, JOBS, 10_000);
         day.play(14_000);
         day.state.outage(OUTAGE_MS);
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.function.Predicate;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -23,8 +23,8 @@
  * room. Each check has a faulty variant that it notices.
  */
 class PartitionFaultsTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
     /** Days of each kind: more are played outside CI with {@code -Dpartition.days=...}. */
     private static final int SEEDS = Integer.getInteger("partition.days", 3);
     /** Days of which a faulty variant has to be noticed on one. */
@@ -36,13 +36,13 @@
     /** By then all that follows from a trouble of that day is over. */
     private static final long SETTLED_MS = 20_000;
 
-    private static void keepsTheRules(IntFunction<Day> day) {
+    private static void keepsTheRules(IntFunction<ClusterScenario> day) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             assertEquals(List.of(), day.apply(seed).checker.broken, "seed " + seed);
         }
     }
 
-    private static void notices(String rule, IntFunction<Day> faulty) {
+    private static void notices(String rule, IntFunction<ClusterScenario> faulty) {
         boolean noticed = false;
         for (int seed = 1; seed <= FAULTY_SEEDS && !noticed; seed++) {
             noticed = faulty.apply(seed).checker.broken.stream().anyMatch(b -> b.startsWith(rule));
@@ -51,15 +51,15 @@
     }
 
     /** The troubles are over soon: from then on every job is answered about, and none waits beside room. */
-    private static Day calm(Day day) {
+    private static ClusterScenario calm(ClusterScenario day) {
         day.play(SETTLED_MS);
         day.checker.calm(day.world.now);
-        return day.play(WaitingCheck.NEGLECTED_MS + 5_000);
+        return day.play(StarvationChecker.NEGLECTED_MS + 5_000);
     }
 
     /** Arrays, half of them bound to a zone or spread, and some services. */
-    private static Day busy(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario busy(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.zoneBound = true;
         day.length = 3;
         day.cancelledOf = 3;
@@ -78,8 +78,8 @@
         notices("forgotten", seed -> allAway(seed, key -> key.equals("h/j/req-000003")));
     }
 
-    private static Day allAway(int seed, Predicate<String> hidden) {
-        Day day = busy(seed, NEW);
+    private static ClusterScenario allAway(int seed, Predicate<String> hidden) {
+        ClusterScenario day = busy(seed, NEW);
         day.state.hidden = hidden;
         day.allAwayForLongerThanALease();
         day.submitArrays(4, CUT_MS);
@@ -103,12 +103,12 @@
                         seed,
                         true,
                         5 * CUT_MS,
-                        (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? Day.greedy(s, 90) : s)));
+                        (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.greedy(s, 90) : s)));
     }
 
-    private static Day zoneCut(
-            int seed, boolean leaderInside, long cutMs, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version).withRunningServices();
+    private static ClusterScenario zoneCut(
+            int seed, boolean leaderInside, long cutMs, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
         int inside = leaderInside ? day.leader() : (day.leader() + 1) % 3;
         day.controllerInZone(inside, "b");
         day.cutZone("b", cutMs);
@@ -128,8 +128,8 @@
         keepsTheRules(PartitionFaultsTest::keeperBackAtOnce);
     }
 
-    private static Day keeperBackAtOnce(int seed) {
-        Day day = new Day(seed, 4);
+    private static ClusterScenario keeperBackAtOnce(int seed) {
+        ClusterScenario day = new ClusterScenario(seed, 4);
         day.length = 30;
         day.cancelledOf = Integer.MAX_VALUE;
         day.play(5_000);
@@ -163,8 +163,8 @@
         notices("wrong_place", seed -> boundToAZone(seed, key -> key.startsWith("h/m/")));
     }
 
-    private static Day boundToAZone(int seed, Predicate<String> hidden) {
-        Day day = busy(seed, NEW);
+    private static ClusterScenario boundToAZone(int seed, Predicate<String> hidden) {
+        ClusterScenario day = busy(seed, NEW);
         day.state.hidden = hidden;
         String zone = seed % 2 == 0 ? "a" : "b";
         day.cloud.workers().stream()
@@ -185,11 +185,11 @@
 
     @Test
     void theCheckerNoticesALeaderThatTakesLeasesForOverTooEarly() {
-        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, Day.shortLease(s, 4))));
+        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, ClusterScenario.shortLease(s, 4))));
     }
 
-    private static Day muteWorkers(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = busy(seed, version);
+    private static ClusterScenario muteWorkers(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = busy(seed, version);
         List<String> names = day.cloud.workers().stream()
                 .filter(w -> seed % 3 == 0 || w.zone.equals("a") || day.world.random.nextBoolean())
                 .map(w -> w.name)
@@ -216,8 +216,8 @@
         notices("neglected req-000020", seed -> moreThanRoom(seed, key -> key.equals("h/j/req-000020")));
     }
 
-    private static Day moreThanRoom(int seed, Predicate<String> hidden) {
-        Day day = new Day(seed);
+    private static ClusterScenario moreThanRoom(int seed, Predicate<String> hidden) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.zoneBound = true;
         day.submitLasting(2); // their machines stay, with room beside them
         day.play(8_000);
@@ -239,7 +239,7 @@
     @Test
     void arraysGetWhatServicesCantUseOfTheLimit() {
         int seed = 4;
-        Day day = new Day(seed, 2);
+        ClusterScenario day = new ClusterScenario(seed, 2);
         day.length = 6;
         day.cancelledOf = 4;
         day.zoneBound = true;
@@ -249,7 +249,7 @@
         day.play(50_000);
         day.checker.calm(day.world.now);
         day.submitSome(30, 60_000);
-        day.play(60_000 + 2 * WaitingCheck.NEGLECTED_MS);
+        day.play(60_000 + 2 * StarvationChecker.NEGLECTED_MS);
         assertEquals(List.of(), day.checker.broken, "seed " + seed);
     }
 
@@ -265,8 +265,8 @@
         notices("without_right", seed -> tenChanges(seed, 0.3));
     }
 
-    private static Day tenChanges(int seed, double holdShare) {
-        Day day = busy(seed, NEW);
+    private static ClusterScenario tenChanges(int seed, double holdShare) {
+        ClusterScenario day = busy(seed, NEW);
         day.state.holdShare = holdShare;
         day.changeLeaders(10, 12_000);
         day.submitSome(8, 100_000);
@@ -299,14 +299,14 @@
                 seed -> refusalThenOutage(
                         seed,
                         (r, s) -> NEW.apply(
-                                new Passing(r) {
+                                new DelegatingEventLoop(r) {
                                     @Override
-                                    public void call(Call call, Consumer<Reply> reply) {
+                                    public void call(Request call, Consumer<Response> reply) {
                                         if (call.path().equals("/commit")
                                                 && call.body().toString().contains("aborted")) {
                                             r.after(
                                                     1,
-                                                    () -> reply.accept(new Reply(
+                                                    () -> reply.accept(new Response(
                                                             200, Codec.object().put("epoch", 1))));
                                         } else {
                                             super.call(call, reply);
@@ -316,8 +316,8 @@
                                 s)));
     }
 
-    private static Day refusalThenOutage(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = busy(seed, version);
+    private static ClusterScenario refusalThenOutage(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = busy(seed, version);
         if (seed % 2 == 0) {
             day.world.slow("state:1", 800, 10_000);
         }
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -5,10 +5,10 @@
 
 import java.util.List;
 import java.util.function.BiFunction;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -16,13 +16,13 @@
  * has 35 s.
  */
 class PartitionedLeaseRenewalTest {
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
     /** Two leases' time, nearly: longer than a lease, shorter than a lease that is kept. */
     private static final long CUT_MS = 28_000;
 
-    private static Day day(long seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario day(long seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.controllerInZone(2, "b");
         day.play(5_000);
         day.submitLasting(8);
@@ -30,8 +30,8 @@
         return day;
     }
 
-    private static Day led(long seed, int leader, BiFunction<Runtime, Settings, Node> version) {
-        Day day = day(seed, version);
+    private static ClusterScenario led(long seed, int leader, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = day(seed, version);
         for (int node = 0; node < 3; node++) {
             if (node != leader) {
                 day.crash(node, 12_000);
@@ -43,7 +43,7 @@
         return day;
     }
 
-    private static void survives(Day day) {
+    private static void survives(ClusterScenario day) {
         int lost = day.checker.lost;
         int starts = day.checker.starts;
         day.cutZone("b", CUT_MS);
@@ -69,7 +69,7 @@
     /** The successor may not take kept leases for ended ones, and finds what runs before it starts anything twice. */
     @Test
     void workInACutZoneOutlivesTheLeadersCrash() {
-        Day day = led(3, 0, NEW);
+        ClusterScenario day = led(3, 0, NEW);
         day.world.at(12_000, () -> day.crash(0, 8_000));
         survives(day);
     }
@@ -82,7 +82,7 @@
     void aTeamAtItsLimitGoesOnWhileAZoneIsPartitioned() {
         int starts = 0;
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = new Day(seed, 4, null, null, NEW);
+            ClusterScenario day = new ClusterScenario(seed, 4, null, null, NEW);
             day.controllerInZone(2, "b");
             day.play(5_000);
             day.submitSome(60, 90_000);
@@ -111,13 +111,13 @@
     @Test
     void drawnDaysWithCutZonesKeepTheRules() {
         for (int seed = 1; seed <= 150; seed++) {
-            Day day = drawn(seed, NEW);
+            ClusterScenario day = drawn(seed, NEW);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
         }
     }
 
-    private static Day drawn(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.controllerInZone(2, "b");
         day.submitSome(30, 150_000);
         day.drawFaults(5, 20_000, 170_000);
@@ -130,8 +130,8 @@
         return day;
     }
 
-    private static Day longCut(int seed, BiFunction<Runtime, Settings, Node> version) {
-        Day day = day(seed, version);
+    private static ClusterScenario longCut(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = day(seed, version);
         day.submitSome(30, 10_000);
         day.play(16_000); // their users cancel services within a minute
         day.cutZone("b", 70_000);
@@ -142,7 +142,7 @@
     /** One that keeps leases for longer keeps tasks alive whose cancellation was told long ago. */
     @Test
     void theCheckerNoticesLeasesKeptForTooLong() {
-        BiFunction<Runtime, Settings, Node> greedy = (r, s) -> NEW.apply(r, Day.greedy(s, 60));
+        BiFunction<EventLoop, Settings, Controller> greedy = (r, s) -> NEW.apply(r, ClusterScenario.greedy(s, 60));
         boolean noticed = false;
         for (int seed = 1; seed <= 20 && !noticed; seed++) {
             noticed = longCut(seed, greedy).checker.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled"));
@@ -156,7 +156,7 @@
      */
     @Test
     void manySilentMachinesDoNotTakeAllCalls() {
-        Day day = new Day(2, 24, null, null, NEW);
+        ClusterScenario day = new ClusterScenario(2, 24, null, null, NEW);
         day.controllerInZone(2, "b");
         day.play(5_000);
         day.submitLasting(40);
--- a/src/test/java/org/hollypick/sim/ReachTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** A leader that only some machines can't reach: are they lost, or is it the path? The other controllers can tell. */
-class ReachTest {
-    private static Day day(long seed) {
-        Day day = new Day(seed, 4);
+class PeerReachabilityTest {
+    private static ClusterScenario day(long seed) {
+        ClusterScenario day = new ClusterScenario(seed, 4);
         day.play(5_000);
         day.submitLasting(6);
         day.play(40_000);
@@ -23,7 +23,7 @@
     @Test
     void machinesThatOthersReachAreNotReturnedAndEndTheLead() {
         for (int seed = 1; seed <= 8; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             int before = day.leader();
             int lost = day.checker.lost;
             List<String> cut = day.cloud.workers().stream()
@@ -44,9 +44,9 @@
     /** Machines that hang answer nobody: asking the others may not hold up their replacement. */
     @Test
     void machinesThatHangAreReturnedAsBefore() {
-        Day day = day(1);
+        ClusterScenario day = day(1);
         int before = day.leader();
-        List<WorkerStandIn> hung = day.cloud.workers().subList(0, 3);
+        List<FakeAgent> hung = day.cloud.workers().subList(0, 3);
         List<String> names = hung.stream().map(w -> w.name).toList();
         hung.forEach(w -> w.hang(60_000));
         day.play(9_000);
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -15,26 +15,26 @@
 import java.util.Set;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.core.Dependencies;
+import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec.Rank;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that await others, limits that tighten, and the version in production beside the present one. */
 class PipelinesTest {
     private static final int DAYS = 200;
     /** What a state service may come down to. */
-    private static final Day.Limits TIGHT = new Day.Limits(2_048, 4, 25);
+    private static final ClusterScenario.Limits TIGHT = new ClusterScenario.Limits(2_048, 4, 25);
 
-    private static final BiFunction<Runtime, Settings, Node> NEW =
-            (r, s) -> new Node(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
 
-    private static Day day(long seed, BiFunction<Runtime, Settings, Node> version) {
-        return new Day(seed, 1, null, TIGHT, version);
+    private static ClusterScenario day(long seed, BiFunction<EventLoop, Settings, Controller> version) {
+        return new ClusterScenario(seed, 1, null, TIGHT, version);
     }
 
     /**
@@ -45,7 +45,7 @@
     void pipelinesKeepTheRulesWhileLimitsTighten() {
         int starts = 0;
         for (int seed = 1; seed <= DAYS; seed++) {
-            Day day = day(seed, NEW);
+            ClusterScenario day = day(seed, NEW);
             day.submitSome(12, 120_000);
             day.pipelines(8, 110_000);
             day.world.at(60_000, day::tighten);
@@ -64,10 +64,10 @@
      */
     @Test
     void theRollFromProductionKeepsTheRules() throws Exception {
-        Production production = Production.load();
+        ProductionVersion production = ProductionVersion.load();
         for (int seed = 1; seed <= 60; seed++) {
             int size = seed % 10 == 0 ? 12 : 1;
-            Day day = new Day(seed, size, production, TIGHT, NEW);
+            ClusterScenario day = new ClusterScenario(seed, size, production, TIGHT, NEW);
             day.submitSome(20, 150_000);
             day.drawFaults(8, 10_000, 170_000);
             day.roll(25_000, 12_000);
@@ -89,9 +89,10 @@
     }
 
     /** Whether some of the drawn days breaks a rule whose name begins so. */
-    private static boolean breaks(String rule, BiFunction<Runtime, Settings, Node> version, Consumer<Day> troubles) {
+    private static boolean breaks(
+            String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 60; seed++) {
-            Day day = day(seed, version);
+            ClusterScenario day = day(seed, version);
             day.pipelines(14, 60_000);
             day.world.at(40_000, day::tighten);
             troubles.accept(day);
@@ -106,10 +107,10 @@
     /** A task's end that isn't durable yet is no reason to start: a cancellation may still win the record. */
     @Test
     void theCheckerNoticesAStartBeforeTheEndIsDurable() {
-        Day[] playing = {null};
+        ClusterScenario[] playing = {null};
         assertTrue(breaks(
                 "too_early",
-                (r, s) -> new Node(r, s, OperatorSettings.defaults(), new Dependencies() {
+                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     private final Map<String, Collection<String>> awaits = new HashMap<>();
 
                     @Override
@@ -143,7 +144,7 @@
     void theCheckerNoticesThatNothingFollowsACancellation() {
         assertTrue(breaks(
                 "orphaned",
-                (r, s) -> new Node(r, s, OperatorSettings.defaults(), new Dependencies() {
+                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
                     public boolean isCancelled(String id) {
                         return false;
@@ -155,10 +156,10 @@
     /** If only the leader knew, others would call a job pending that it has called cancelled. */
     @Test
     void theCheckerNoticesACascadeThatOnlyTheLeaderKnows() {
-        Day[] playing = {null};
+        ClusterScenario[] playing = {null};
         assertTrue(breaks(
                 "went_back",
-                (r, s) -> new Node(r, s, OperatorSettings.defaults(), new Dependencies() {
+                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
                     public boolean isCancelled(String id) {
                         return s.node().equals("bothy-" + playing[0].leader()) && super.isCancelled(id);
@@ -177,7 +178,7 @@
     @Test
     void everyNodeTellsWhatIsCancelledWithoutItsRecord() {
         for (int seed = 1; seed <= 20; seed++) {
-            Day day = day(seed, NEW);
+            ClusterScenario day = day(seed, NEW);
             day.pipelines(14, 60_000);
             withoutRecordsOfWhatFollows(day);
             day.play(180_000);
@@ -185,7 +186,7 @@
         }
     }
 
-    private static void withoutRecordsOfWhatFollows(Day day) {
+    private static void withoutRecordsOfWhatFollows(ClusterScenario day) {
         day.state.refused = txn -> {
             for (JsonNode op : txn.path("then")) {
                 String key = op.path("put").asText();
@@ -232,7 +233,7 @@
      */
     @Test
     void aJobMayAwaitHundredsOfOthers() {
-        Day day = day(5, NEW);
+        ClusterScenario day = day(5, NEW);
         day.tighten();
         day.play(5_000);
         List<String> ids = new ArrayList<>();
@@ -258,7 +259,7 @@
      */
     @Test
     void progressOfAJobLargerThanAValueIsKept() {
-        Day day = new Day(8, 20, null, new Day.Limits(640, 4, 40), NEW);
+        ClusterScenario day = new ClusterScenario(8, 20, null, new ClusterScenario.Limits(640, 4, 40), NEW);
         day.tighten();
         day.play(5_000);
         int tasks = 4_000;
@@ -278,7 +279,7 @@
     /** What can't be read, or be stored whatever the limits, is refused for good; what was accepted before stays so. */
     @Test
     void garbageInAwaitsIsRefused() {
-        Day day = day(6, NEW);
+        ClusterScenario day = day(6, NEW);
         day.play(5_000);
         assertEquals(
                 201, day.ask("POST", "/submissions", job("req-1", 1, List.of())).status());
@@ -329,7 +330,7 @@
      */
     @Test
     void aCancellationReachesWhatComesLater() {
-        Day day = day(7, NEW);
+        ClusterScenario day = day(7, NEW);
         day.play(5_000);
         for (String id : List.of("req-1", "req-2")) {
             assertEquals(
@@ -390,7 +391,7 @@
      */
     @Test
     void progressOfTheOldVersionThatIsTooLargeMovesOn() {
-        Day day = new Day(12, 20, null, TIGHT, NEW);
+        ClusterScenario day = new ClusterScenario(12, 20, null, TIGHT, NEW);
         day.play(5_000);
         ObjectNode packed = Codec.object();
         for (int i = 0; i < 220; i++) {
@@ -407,8 +408,7 @@
         assertEquals(List.of(), day.checker.broken);
         assertEquals(0, day.state.tooLarge);
         day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
-        assertEquals(
-                0, day.cloud.workers().stream().mapToInt(WorkerStandIn::tasks).sum());
+        assertEquals(0, day.cloud.workers().stream().mapToInt(FakeAgent::tasks).sum());
     }
 
     /**
@@ -417,7 +417,7 @@
      */
     @Test
     void recordsOfTheOldVersionThatAreTooLargeGiveTheirMachinesToOthers() throws Exception {
-        Day day = new Day(11, 20, Production.load(), TIGHT, NEW);
+        ClusterScenario day = new ClusterScenario(11, 20, ProductionVersion.load(), TIGHT, NEW);
         day.submitSome(40, 30_000);
         day.play(40_000);
         // Machines that came up together, as production packs them: 50 to a record.
--- a/src/test/java/org/hollypick/sim/FreezeTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -8,28 +8,29 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /**
  * A controller that stands still while its clocks run on, longer than its state session, between a decision and the
  * sending of what was decided.
  */
-class FreezeTest {
+class ProcessPauseTest {
     private static final long LONGER_THAN_THE_HOLD_MS = 9_000;
-    private static final List<Predicate<Call>> KINDS = List.of(
+    private static final List<Predicate<Request>> KINDS = List.of(
             call -> call.path().equals("/commands")
                     && call.body().path("orders").toString().contains("launch"),
             call -> call.path().equals("/hosts") && call.method().equals("POST"),
             call -> call.path().equals("/hosts/return"));
 
-    private static Day day(int seed, Predicate<Call> kind, BiFunction<Runtime, Settings, Node> version) {
-        Day day = new Day(seed, 1, null, null, version);
+    private static ClusterScenario day(
+            int seed, Predicate<Request> kind, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
         day.submitSome(30, 100_000);
         day.play(30_000);
         int before = day.leader();
@@ -44,9 +45,9 @@
 
     @Test
     void whatWasDecidedBeforeAStandstillIsNotSentWithoutTheRight() {
-        for (Predicate<Call> kind : KINDS) {
+        for (Predicate<Request> kind : KINDS) {
             for (int seed = 1; seed <= 6; seed++) {
-                Day day = day(seed, kind, (r, s) -> new Node(r, s, OperatorSettings.defaults()));
+                ClusterScenario day = day(seed, kind, (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
                 assertEquals(List.of(), day.checker.broken, "seed " + seed);
             }
         }
@@ -55,18 +56,18 @@
     /** Checked only when it is decided, an order goes out that nobody has the right to give any more. */
     @Test
     void theCheckerNoticesARightThatIsOnlyCheckedAtTheDecision() {
-        for (Predicate<Call> kind : KINDS) {
+        for (Predicate<Request> kind : KINDS) {
             boolean noticed = false;
             for (int seed = 1; seed <= 6 && !noticed; seed++) {
-                Day day = day(
+                ClusterScenario day = day(
                         seed,
                         kind,
-                        (r, s) -> new Node(
-                                new Passing(r) {
+                        (r, s) -> new Controller(
+                                new DelegatingEventLoop(r) {
                                     @Override
-                                    public void call(Call c, Consumer<Reply> reply) {
+                                    public void call(Request c, Consumer<Response> reply) {
                                         r.call(
-                                                new Call(
+                                                new Request(
                                                         c.address(),
                                                         c.method(),
                                                         c.path(),
--- a/src/test/java/org/hollypick/sim/Production.java
+++ b/src/test/java/org/hollypick/sim/ProductionVersion.java
@@ -23,23 +23,23 @@
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /**
  * The version in production, as deploy/service.toml names it: its own classes, built from the repository's history and
  * loaded beside the present ones. What passes between it and the simulated world is only what the network carries.
  */
-final class Production {
-    private static Production loaded;
+final class ProductionVersion {
+    private static ProductionVersion loaded;
 
     private final ClassLoader loader;
 
-    private Production(ClassLoader loader) {
+    private ProductionVersion(ClassLoader loader) {
         this.loader = loader;
     }
 
-    static synchronized Production load() throws Exception {
+    static synchronized ProductionVersion load() throws Exception {
         if (loaded == null) {
             String commit = new TomlMapper()
                     .readTree(Files.readString(Path.of("deploy/service.toml")))
@@ -49,7 +49,7 @@
             if (!Files.isDirectory(classes.resolve("org"))) {
                 compile(sources(commit, classes.resolveSibling(commit + "-sources")), classes);
             }
-            loaded = new Production(new OwnFirst(classes.toUri().toURL()));
+            loaded = new ProductionVersion(new OwnFirst(classes.toUri().toURL()));
         }
         return loaded;
     }
@@ -57,7 +57,7 @@
     /** Classes of this program come from the given place only, all others from where the tests' own come from. */
     private static final class OwnFirst extends URLClassLoader {
         private OwnFirst(URL classes) {
-            super(new URL[] {classes}, Production.class.getClassLoader());
+            super(new URL[] {classes}, ProductionVersion.class.getClassLoader());
         }
 
         @Override
@@ -106,7 +106,7 @@
     }
 
     /** A controller of that version. */
-    Controller controller(World.Process process, Settings settings) {
+    ControllerProcess controller(SimulatedWorld.Process process, Settings settings) {
         try {
             Class<?> runtime = loader.loadClass("org.hollypick.io.Runtime");
             Object bridge = Proxy.newProxyInstance(
@@ -139,9 +139,9 @@
     }
 
     @SuppressWarnings("unchecked")
-    private void call(World.Process process, Object call, Object reply) throws ReflectiveOperationException {
+    private void call(SimulatedWorld.Process process, Object call, Object reply) throws ReflectiveOperationException {
         Constructor<?> replies = loader.loadClass("org.hollypick.io.Reply").getConstructor(int.class, JsonNode.class);
-        Call sent = new Call(
+        Request sent = new Request(
                 (String) part(call, "address"),
                 (String) part(call, "method"),
                 (String) part(call, "path"),
@@ -184,7 +184,7 @@
         return there.getConstructors()[0].newInstance(fields.toArray());
     }
 
-    private static final class Bridge implements Controller {
+    private static final class Bridge implements ControllerProcess {
         private final Object node;
         private final Method start;
         private final Method handle;
@@ -208,10 +208,10 @@
             }
         }
 
-        private static Consumer<Object> answer(Consumer<Supplier<Reply>> reply) {
+        private static Consumer<Object> answer(Consumer<Supplier<Response>> reply) {
             return a -> {
                 try {
-                    Reply r = new Reply((Integer) part(a, "status"), (JsonNode) part(a, "body"));
+                    Response r = new Response((Integer) part(a, "status"), (JsonNode) part(a, "body"));
                     reply.accept(() -> r);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
@@ -225,12 +225,12 @@
         }
 
         @Override
-        public void handle(String method, String path, byte[] body, Consumer<Supplier<Reply>> reply) {
+        public void handle(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
             invoke(handle, method, path, body, answer(reply));
         }
 
         @Override
-        public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Reply>> reply) {
+        public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
             invoke(handleMesh, method, path, body, answer(reply));
         }
     }
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -9,8 +9,8 @@
 
 /** Controllers that end and are back within a fraction of a second, before anyone has missed them. */
 class RestartTest {
-    private static Day running(int seed) {
-        Day day = new Day(seed, 4);
+    private static ClusterScenario running(int seed) {
+        ClusterScenario day = new ClusterScenario(seed, 4);
         day.play(5_000);
         day.submitLasting(6);
         day.play(30_000);
@@ -18,7 +18,7 @@
     }
 
     /** Milliseconds from the leader's end until a leader record names another incarnation. */
-    private static long withoutLeader(Day day, long within) {
+    private static long withoutLeader(ClusterScenario day, long within) {
         long member = day.state.data("h/roster").path("member").asLong();
         long from = day.world.now;
         while (day.state.data("h/roster").path("member").asLong() == member) {
@@ -33,7 +33,7 @@
     void aLeaderThatIsBackAtOnceIsReplacedAtOnce() {
         for (int seed = 1; seed <= 4; seed++) {
             for (long restart : new long[] {50, 200, 1_000}) {
-                Day day = running(seed);
+                ClusterScenario day = running(seed);
                 int lost = day.checker.lost;
                 day.crash(day.leader(), restart);
                 long took = withoutLeader(day, restart + 1_000);
@@ -49,7 +49,7 @@
     @Test
     void allThatAreBackAtOnceLeadAgainAtOnce() {
         for (int seed = 1; seed <= 4; seed++) {
-            Day day = running(seed);
+            ClusterScenario day = running(seed);
             for (int node = 0; node < 3; node++) {
                 day.crash(node, 100);
             }
@@ -67,7 +67,7 @@
     void endsUponEndsKeepTheRules() {
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
-            Day day = new Day(seed);
+            ClusterScenario day = new ClusterScenario(seed);
             day.submitSome(25, 100_000);
             day.drawFaults(6, 20_000, 120_000);
             for (int i = 0; i < 6; i++) {
@@ -80,7 +80,7 @@
         assertTrue(starts > 120 * 25, "the days did little: " + starts);
     }
 
-    private static void cascade(Day day, int more) {
+    private static void cascade(ClusterScenario day, int more) {
         List<Integer> some = new ArrayList<>(List.of(0, 1, 2));
         some.removeIf(n -> day.world.random.nextInt(3) == 0);
         long back = 50L + day.world.random.nextInt(300);
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -6,28 +6,28 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /** What was learned outlives controllers, outages and tighter limits; and a job's finish is told by any of them. */
 class RuntimeStatisticsTest {
     private int jobs;
 
-    private static Day day(long seed) {
-        Day day = new Day(
+    private static ClusterScenario day(long seed) {
+        ClusterScenario day = new ClusterScenario(
                 seed,
                 2,
                 null,
-                new Day.Limits(2_048, 4, 25),
-                (r, s) -> new Node(r, s, OperatorSettings.parse("{:estimates true}")));
+                new ClusterScenario.Limits(2_048, 4, 25),
+                (r, s) -> new Controller(r, s, OperatorSettings.parse("{:estimates true}")));
         day.play(5_000);
         return day;
     }
 
-    private String array(Day day, int tasks, String... awaits) {
+    private String array(ClusterScenario day, int tasks, String... awaits) {
         String id = String.format("req-6%05d", jobs++);
         ObjectNode b = Codec.object()
                 .put("name_id", id)
@@ -54,8 +54,8 @@
         return id;
     }
 
-    private static JsonNode estimate(Day day, String id) {
-        Reply r = day.ask("GET", "/submissions/" + id + "/estimate", null);
+    private static JsonNode estimate(ClusterScenario day, String id) {
+        Response r = day.ask("GET", "/submissions/" + id + "/estimate", null);
         for (int i = 0; i < 200 && r.status() != 200; i++) {
             day.play(200);
             r = day.ask("GET", "/submissions/" + id + "/estimate", null);
@@ -68,7 +68,7 @@
         return estimate.path("done_in_s").path("p50").asDouble();
     }
 
-    private void learn(Day day) {
+    private void learn(ClusterScenario day) {
         for (int i = 0; i < 6; i++) {
             array(day, 12);
             day.play(25_000);
@@ -81,7 +81,7 @@
         int inside = 0;
         int all = 0;
         for (int seed = 1; seed <= 12; seed++) {
-            Day day = day(seed);
+            ClusterScenario day = day(seed);
             learn(day);
             for (int i = 0; i < 4; i++) {
                 String id = array(day, 10);
@@ -112,7 +112,7 @@
     @Test
     void whatWasLearnedOutlivesEveryController() {
         for (int trouble = 0; trouble < 4; trouble++) {
-            Day day = day(20 + trouble);
+            ClusterScenario day = day(20 + trouble);
             learn(day);
             int before = estimate(day, array(day, 8)).path("history").path("n").asInt();
             assertTrue(before >= 20, "learned " + before);
@@ -140,7 +140,7 @@
 
     @Test
     void whatAJobAwaitsIsPartOfItsTime() {
-        Day day = day(3);
+        ClusterScenario day = day(3);
         learn(day);
         String first = array(day, 8);
         String second = array(day, 8, first);
@@ -154,7 +154,7 @@
     /** A record that can't be read is set aside, and one of a newer format is left as it is. */
     @Test
     void strangeRecordsAreLeftAlone() {
-        Day day = day(4);
+        ClusterScenario day = day(4);
         learn(day);
         ObjectNode newer = Codec.object().put("v", 99).put("new", "format");
         ObjectNode broken = Codec.object().put("v", 1);
--- a/src/test/java/org/hollypick/sim/Served.java
+++ b/src/test/java/org/hollypick/sim/ServiceLevelSummary.java
@@ -13,8 +13,8 @@
  * those that started. A class of its own for each team (as variants have them) shows the team. Ends with 1 if any is
  * under half by the loosest: a strict one is a matter of speed.
  */
-public final class Served {
-    private Served() {}
+public final class ServiceLevelSummary {
+    private ServiceLevelSummary() {}
 
     public static void main(String[] files) throws Exception {
         double worst = 1;
--- a/src/test/java/org/hollypick/sim/World.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -20,17 +20,17 @@
 import java.util.function.ToLongBiFunction;
 import java.util.stream.Stream;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
-import org.hollypick.io.Sockets;
+import org.hollypick.io.ConnectionBudget;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 
 /** Simulated time and network. Cuts hold messages back and deliver them late, or lose them. */
-final class World {
+final class SimulatedWorld {
     /** Something with an address. */
     interface Endpoint {
-        void request(String method, String path, JsonNode body, Consumer<Reply> reply);
+        void request(String method, String path, JsonNode body, Consumer<Response> reply);
 
         /** False refuses connections. */
         default boolean listens() {
@@ -77,11 +77,11 @@
      * Milliseconds by which a call, by its sender, is held up: it gets no answer and is carried out once, so much
      * later. 0: it isn't; {@link #LOST}: it is never carried out.
      */
-    ToLongBiFunction<String, Call> heldUp = (from, call) -> 0;
+    ToLongBiFunction<String, Request> heldUp = (from, call) -> 0;
     /** Calls that are carried out at once while their answer is lost. */
-    Predicate<Call> answerLost = call -> false;
+    Predicate<Request> answerLost = call -> false;
     /** Sees each machine's report in the moment of sending: for copies that arrive later. */
-    Consumer<Call> reporting = report -> {};
+    Consumer<Request> reporting = report -> {};
     /**
      * Hosts whose calls to an address are answered with 503 at once, as one that is overloaded refuses a single caller.
      */
@@ -91,11 +91,11 @@
 
     private String digest;
     /** Sees what controllers send, in the moment of sending. */
-    BiConsumer<String, Call> sending = (from, call) -> {};
+    BiConsumer<String, Request> sending = (from, call) -> {};
 
     private final Hasher played = Hashing.murmur3_128().newHasher();
 
-    World(long seed) {
+    SimulatedWorld(long seed) {
         random = new Random(seed);
     }
 
@@ -171,14 +171,14 @@
     }
 
     /** A request that was held up, or a copy of one, arrives at an address; nobody gets its answer. */
-    void deliverOnce(Call call, String to) {
+    void deliverOnce(Request call, String to) {
         if (endpoints.get(to).listens()) {
             endpoints.get(to).request(call.method(), call.path(), call.body(), r -> {});
         }
     }
 
     /** The same request once more, after a while, to another address; nobody gets its answer. */
-    private void copy(Call call) {
+    private void copy(Request call) {
         if (call.path().equals("/hello") && copyShare > 0 && random.nextDouble() < copyShare) {
             String to = "p" + random.nextInt(3) + ":1";
             at(1_000 + random.nextInt(60_000), () -> deliverOnce(call, to));
@@ -210,11 +210,11 @@
     }
 
     /** Sends a request from one host to an address; the reply comes exactly once. */
-    void send(String from, Call call, Consumer<Reply> reply) {
+    void send(String from, Request call, Consumer<Response> reply) {
         played.putLong(now)
                 .putString(from + call.address() + call.method() + call.path() + call.body(), StandardCharsets.UTF_8);
         boolean[] over = {false};
-        Consumer<Reply> once = r -> {
+        Consumer<Response> once = r -> {
             if (!over[0]) {
                 over[0] = true;
                 reply.accept(r);
@@ -223,10 +223,10 @@
         String link = link(from, call.address());
         Endpoint e = endpoints.get(call.address());
         if (e == null || !e.listens()) {
-            at(1, () -> once.accept(Reply.notSent()));
+            at(1, () -> once.accept(Response.notSent()));
             return;
         }
-        at(call.timeoutMs(), () -> once.accept(Reply.noAnswer()));
+        at(call.timeoutMs(), () -> once.accept(Response.noAnswer()));
         copy(call);
         if (call.path().equals("/hello")) {
             reporting.accept(call);
@@ -239,7 +239,7 @@
             return;
         }
         if (refused.contains(from + ">" + call.address())) {
-            at(2, () -> once.accept(new Reply(503, Codec.object())));
+            at(2, () -> once.accept(new Response(503, Codec.object())));
             return;
         }
         if (lateWriteShare > 0
@@ -291,7 +291,7 @@
      * The runtime of one process; once it is killed nothing of it runs any more. What it decides to send leaves it a
      * millisecond later: if it stands still in between, that goes out, if at all, when it goes on.
      */
-    final class Process implements Runtime {
+    final class Process implements EventLoop {
         private static final long OUT_MS = 1;
 
         private final String host;
@@ -299,7 +299,7 @@
          * Its connections; null: as many as it likes. A machine's stays open until it is closed after an answer, or
          * unused for long.
          */
-        private Sockets sockets;
+        private ConnectionBudget sockets;
 
         private int limit;
         private final Map<String, Long> reporters = new HashMap<>();
@@ -317,7 +317,7 @@
         boolean dead;
         private long frozenUntil;
         /** Calls of that kind freeze the process, once, after they were decided on and before they are sent. */
-        private Predicate<Call> trap = call -> false;
+        private Predicate<Request> trap = call -> false;
 
         private long trapMs;
 
@@ -374,7 +374,7 @@
         }
 
         void limit(int sockets, double costMs) {
-            this.sockets = sockets > 0 ? new Sockets(sockets) : null;
+            this.sockets = sockets > 0 ? new ConnectionBudget(sockets) : null;
             this.limit = sockets;
             this.costMs = costMs;
         }
@@ -384,11 +384,14 @@
             if (sockets == null || reporters.put(from, now) != null) {
                 return true;
             }
-            if (Stream.of(Sockets.Kind.values()).mapToInt(sockets::open).sum() >= limit) {
+            if (Stream.of(ConnectionBudget.Kind.values())
+                            .mapToInt(sockets::open)
+                            .sum()
+                    >= limit) {
                 reporters.remove(from);
                 return false;
             }
-            sockets.opened(Sockets.Kind.REPORTS);
+            sockets.opened(ConnectionBudget.Kind.REPORTS);
             return true;
         }
 
@@ -396,9 +399,9 @@
         void answered(String from) {
             if (sockets != null && reporters.containsKey(from)) {
                 long used = reporters.get(from);
-                at(sockets.crowded(Sockets.Kind.REPORTS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS, () -> {
+                at(sockets.crowded(ConnectionBudget.Kind.REPORTS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS, () -> {
                     if (reporters.remove(from, used)) {
-                        sockets.closed(Sockets.Kind.REPORTS);
+                        sockets.closed(ConnectionBudget.Kind.REPORTS);
                     }
                 });
             }
@@ -409,7 +412,7 @@
             frozenUntil = Math.max(frozenUntil, now + ms);
         }
 
-        void freezeBeforeSending(Predicate<Call> which, long ms) {
+        void freezeBeforeSending(Predicate<Request> which, long ms) {
             trap = which;
             trapMs = ms;
         }
@@ -420,21 +423,22 @@
         }
 
         @Override
-        public void call(Call call, Consumer<Reply> reply) {
+        public void call(Request call, Consumer<Response> reply) {
             if (trap.test(call)) {
                 trap = c -> false;
                 freeze(trapMs);
             }
-            Sockets.Kind kind =
-                    call.mesh() || call.address().endsWith(":1") ? Sockets.Kind.CONTROL : Sockets.Kind.ORDERS;
+            ConnectionBudget.Kind kind = call.mesh() || call.address().endsWith(":1")
+                    ? ConnectionBudget.Kind.CONTROL
+                    : ConnectionBudget.Kind.ORDERS;
             if (sockets != null) {
-                if (kind == Sockets.Kind.ORDERS && !sockets.room(kind)) {
-                    at(0, () -> awake(() -> reply.accept(Reply.lack())));
+                if (kind == ConnectionBudget.Kind.ORDERS && !sockets.room(kind)) {
+                    at(0, () -> awake(() -> reply.accept(Response.lack())));
                     return;
                 }
                 sockets.opened(kind);
             }
-            Consumer<Reply> in = r -> {
+            Consumer<Response> in = r -> {
                 if (sockets != null) {
                     sockets.closed(kind);
                 }
@@ -445,7 +449,7 @@
                     sending.accept(host, call);
                     send(host, call, in);
                 } else {
-                    in.accept(Reply.notSent());
+                    in.accept(Response.notSent());
                 }
             });
         }
--- a/src/test/java/org/hollypick/sim/WaitingCheck.java
+++ b/src/test/java/org/hollypick/sim/StarvationChecker.java
@@ -10,7 +10,7 @@
  * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room and its team is under
  * its limit. It looks at the tasks that the machines really hold, not at what any controller knows of them.
  */
-final class WaitingCheck {
+final class StarvationChecker {
     /** Milliseconds for which a job may wait beside room: the operators' bound. */
     static final long NEGLECTED_MS = 90_000;
     /** Amounts are sums of decimal numbers. */
@@ -19,15 +19,15 @@
     /** Since when a job waits beside room, and how many of its tasks had started or ended by then. */
     private record Waiting(long since, int progress) {}
 
-    private final Checker checker;
-    private final CloudStandIn cloud;
+    private final InvariantChecker checker;
+    private final FakeCloud cloud;
     private final Map<String, Waiting> waiting = new HashMap<>();
     /** Cores and memory of the tasks on each machine, and where the tasks of each job are, as of the last look. */
-    private final Map<WorkerStandIn, double[]> used = new HashMap<>();
+    private final Map<FakeAgent, double[]> used = new HashMap<>();
 
     private final Map<String, Map<String, Integer>> zonesOf = new HashMap<>();
 
-    WaitingCheck(Checker checker, CloudStandIn cloud) {
+    StarvationChecker(InvariantChecker checker, FakeCloud cloud) {
         this.checker = checker;
         this.cloud = cloud;
     }
@@ -56,7 +56,7 @@
     private void count() {
         used.clear();
         zonesOf.clear();
-        for (WorkerStandIn w : cloud.workers()) {
+        for (FakeAgent w : cloud.workers()) {
             double[] sum = used.computeIfAbsent(w, k -> new double[2]);
             for (String task : w.taskNames()) {
                 JsonNode spec = checker.spec(task);
@@ -83,19 +83,19 @@
                 && checker.doneOf(id) + there < job.path("shards").asInt();
     }
 
-    private boolean takes(WorkerStandIn w, String id, JsonNode job) {
+    private boolean takes(FakeAgent w, String id, JsonNode job) {
         double cores = job.path("cores").asDouble();
         double[] there = used.get(w);
         return w.isWell()
-                && there[0] + cores <= CloudStandIn.CPUS + SLACK
-                && there[1] + job.path("ram_gb").asDouble() <= CloudStandIn.RAM_GB + SLACK
+                && there[0] + cores <= FakeCloud.CPUS + SLACK
+                && there[1] + job.path("ram_gb").asDouble() <= FakeCloud.RAM_GB + SLACK
                 && checker.teamHasRoom(job.path("owner").asText(), cores)
                 && allowed(w, job, zonesOf.getOrDefault(id, Map.of()));
     }
 
-    private static boolean allowed(WorkerStandIn w, JsonNode job, Map<String, Integer> zones) {
+    private static boolean allowed(FakeAgent w, JsonNode job, Map<String, Integer> zones) {
         JsonNode types = job.path("flavours");
-        boolean type = !types.isArray() || List.of(types.toString().split("\"")).contains(CloudStandIn.TYPE);
+        boolean type = !types.isArray() || List.of(types.toString().split("\"")).contains(FakeCloud.TYPE);
         boolean zone =
                 !job.path("hall").isTextual() || job.path("hall").asText().equals(w.zone);
         boolean kind = !w.spot || job.path("lendable").asBoolean();
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -10,10 +10,10 @@
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
-import org.hollypick.Node;
+import org.hollypick.Controller;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
 
 /**
  * Plays simulated days with fixed seeds and prints one hash a day over every call that a controller sends and every
@@ -52,7 +52,7 @@
     }
 
     private static List<String> hashes() {
-        Map<String, Supplier<Day>> days = days();
+        Map<String, Supplier<ClusterScenario>> days = days();
         return new ArrayList<>(days.entrySet())
                 .stream()
                         .map(entry -> entry.getKey() + " "
@@ -60,8 +60,8 @@
                         .toList();
     }
 
-    private static Map<String, Supplier<Day>> days() {
-        Map<String, Supplier<Day>> days = new LinkedHashMap<>();
+    private static Map<String, Supplier<ClusterScenario>> days() {
+        Map<String, Supplier<ClusterScenario>> days = new LinkedHashMap<>();
         for (int seed = 1; seed <= 10; seed++) {
             int s = seed;
             days.put("faults-" + s, () -> faults(s, 1));
@@ -85,24 +85,24 @@
         return days;
     }
 
-    private static Day faults(int seed, int size) {
-        Day day = new Day(seed, size);
+    private static ClusterScenario faults(int seed, int size) {
+        ClusterScenario day = new ClusterScenario(seed, size);
         day.submitSome(30, 100_000);
         day.drawFaults(10, 20_000, 150_000);
         day.play(220_000);
         return day;
     }
 
-    private static Day combinedFaults(int seed) {
-        Day day = new Day(seed);
+    private static ClusterScenario combinedFaults(int seed) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.submitSome(25, 100_000);
         day.drawMeetings(4, 20_000, 110_000);
         day.play(300_000);
         return day;
     }
 
-    private static Day answers(int seed) {
-        Day day = new Day(seed);
+    private static ClusterScenario answers(int seed) {
+        ClusterScenario day = new ClusterScenario(seed);
         day.submitSome(25, 100_000);
         day.closeLooks();
         day.oddRequests(20, 120_000);
@@ -111,8 +111,8 @@
         return day;
     }
 
-    private static Day pipelines(int seed) {
-        Day day = withOperator(seed, "{}");
+    private static ClusterScenario pipelines(int seed) {
+        ClusterScenario day = withOperator(seed, "{}");
         day.submitSome(20, 100_000);
         day.pipelines(6, 90_000);
         day.world.at(60_000, day::tighten);
@@ -121,8 +121,8 @@
         return day;
     }
 
-    private static Day graphs(int seed) {
-        Day day = withOperator(seed, "{:graphs true}");
+    private static ClusterScenario graphs(int seed) {
+        ClusterScenario day = withOperator(seed, "{:graphs true}");
         for (int i = 0; i < 5; i++) {
             GraphUser user = new GraphUser(day, String.format("req-7%05d", i), 3, 3);
             day.world.at(3_000 + day.world.random.nextInt(50_000), user::start);
@@ -138,8 +138,8 @@
         return day;
     }
 
-    private static Day estimates(int seed) {
-        Day day = withOperator(seed, "{:estimates true}");
+    private static ClusterScenario estimates(int seed) {
+        ClusterScenario day = withOperator(seed, "{:estimates true}");
         day.submitSome(25, 100_000);
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
@@ -151,8 +151,8 @@
         return day;
     }
 
-    private static Day quickRestarts(int seed) {
-        Day day = new Day(seed, 4);
+    private static ClusterScenario quickRestarts(int seed) {
+        ClusterScenario day = new ClusterScenario(seed, 4);
         day.submitSome(25, 100_000);
         for (int i = 0; i < 8; i++) {
             int node = i % 3;
@@ -164,15 +164,15 @@
         return day;
     }
 
-    private static Day twoTeams(int seed) {
-        Day day = new Day(
+    private static ClusterScenario twoTeams(int seed) {
+        ClusterScenario day = new ClusterScenario(
                 seed,
                 1,
                 null,
                 null,
-                (r, s) -> new Node(
+                (r, s) -> new Controller(
                         r,
-                        Day.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
+                        ClusterScenario.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
                         OperatorSettings.defaults()));
         day.owners = List.of("team", TWO_TEAMS_OTHER);
         day.cancelledOf = 2;
@@ -182,8 +182,8 @@
         return day;
     }
 
-    private static Day partition(int seed) {
-        Day day = new Day(seed, 4).withRunningServices();
+    private static ClusterScenario partition(int seed) {
+        ClusterScenario day = new ClusterScenario(seed, 4).withRunningServices();
         day.controllerInZone(1, "b");
         day.submitSome(20, 80_000);
         day.cutZone("b", seed % 2 == 0 ? 25_000 : 50_000);
@@ -193,16 +193,16 @@
         return day;
     }
 
-    private static Day outage(int seed) {
-        Day day = new Day(seed).withRunningServices();
+    private static ClusterScenario outage(int seed) {
+        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         day.submitSome(20, 80_000);
         day.state.outage(60_000);
         day.play(180_000);
         return day;
     }
 
-    private static Day leadersChange(int seed) {
-        Day day = new Day(seed).withRunningServices();
+    private static ClusterScenario leadersChange(int seed) {
+        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         day.submitSome(20, 80_000);
         day.changeLeaders(10, 10_000);
         day.play(200_000);
@@ -210,28 +210,29 @@
     }
 
     /** Begins with the version in production and is rolled over to this one. */
-    private static Day fromProduction(int seed) {
-        Day day = new Day(seed, 1, production(), new Day.Limits(2_048, 4, 25), version("{}"));
+    private static ClusterScenario fromProduction(int seed) {
+        ClusterScenario day =
+                new ClusterScenario(seed, 1, production(), new ClusterScenario.Limits(2_048, 4, 25), version("{}"));
         day.submitSome(25, 100_000);
         day.roll(30_000, 12_000);
         day.play(220_000);
         return day;
     }
 
-    private static Production production() {
+    private static ProductionVersion production() {
         try {
-            return Production.load();
+            return ProductionVersion.load();
         } catch (Exception e) {
             throw new IllegalStateException("the version in production can't be built", e);
         }
     }
 
-    private static Day withOperator(int seed, String operator) {
-        return new Day(seed, 1, null, new Day.Limits(2_048, 4, 25), version(operator));
+    private static ClusterScenario withOperator(int seed, String operator) {
+        return new ClusterScenario(seed, 1, null, new ClusterScenario.Limits(2_048, 4, 25), version(operator));
     }
 
-    private static BiFunction<Runtime, Settings, Node> version(String operator) {
+    private static BiFunction<EventLoop, Settings, Controller> version(String operator) {
         OperatorSettings settings = OperatorSettings.parse(operator);
-        return (r, s) -> new Node(r, s, settings);
+        return (r, s) -> new Controller(r, s, settings);
     }
 }
--- a/src/test/java/org/hollypick/state/StateClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -1,4 +1,4 @@
-package org.hollypick.state;
+package org.hollypick.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,14 +12,14 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Call;
 import org.hollypick.io.Codec;
-import org.hollypick.io.Reply;
-import org.hollypick.io.Runtime;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /** How one controller shares out its part of the state service's limits among its own requests. */
-class StateClientTest {
+class KeyValueStoreClientTest {
     private static final long ANSWER_MS = 10;
     private static final double REQUESTS_PER_SECOND = 120;
     private static final double CHANGES_PER_SECOND = 30;
@@ -28,12 +28,12 @@
     private static final int SECONDS = 30;
 
     /** A state service that executes every request after a few milliseconds, and a clock. */
-    private static final class Service implements Runtime {
+    private static final class Service implements EventLoop {
         private record Task(long at, long number, Runnable run) {}
 
         private final PriorityQueue<Task> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
-        private final List<Call> calls = new ArrayList<>();
+        private final List<Request> calls = new ArrayList<>();
         private long now;
         private long number;
         private boolean answersEvents;
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void call(Call call, Consumer<Reply> reply) {
+        public void call(Request call, Consumer<Response> reply) {
             calls.add(call);
             ObjectNode body = Codec.object().put("epoch", 1);
             if (answersEvents && call.path().startsWith("/commit")) {
@@ -66,7 +66,7 @@
                     events.addObject().put("put", "h/j/1");
                 }
             }
-            after(ANSWER_MS, () -> reply.accept(new Reply(200, body)));
+            after(ANSWER_MS, () -> reply.accept(new Response(200, body)));
         }
 
         private void run(long untilMs) {
@@ -84,7 +84,7 @@
     }
 
     private final Service service = new Service();
-    private final StateClient state = new StateClient(service, settings());
+    private final KeyValueStoreClient state = new KeyValueStoreClient(service, settings());
 
     private static Settings settings() {
         List<Settings.Sibling> others =
@@ -115,7 +115,7 @@
     @Test
     void readsDoNotWaitBehindChanges() {
         for (int i = 0; i < 60; i++) {
-            state.commit(new StateClient.Txn().put("h/j/" + i, Codec.object()), r -> {});
+            state.commit(new KeyValueStoreClient.Txn().put("h/j/" + i, Codec.object()), r -> {});
         }
         service.run(1_000);
         long asked = service.now();
@@ -128,7 +128,7 @@
 
     @Test
     void aLeaderMayMakeTheChangesThatOthersLeaveUnused() {
-        ChangeShare share = new ChangeShare(ALL, LEAST, 0);
+        WriteShare share = new WriteShare(ALL, LEAST, 0);
         for (long now = 100; now <= 5_000; now += 100) {
             share.own(1, now);
             share.seen(1, now);
@@ -147,7 +147,7 @@
 
     @Test
     void aWatchThatShowsNothingTellsNothingOfTheOthers() {
-        ChangeShare share = new ChangeShare(ALL, LEAST, 0);
+        WriteShare share = new WriteShare(ALL, LEAST, 0);
         assertEquals(LEAST, share.rate(4_000), 0.01, "not known yet");
         for (long now = 4_100; now <= 9_000; now += 100) {
             share.seen(1, now);
@@ -164,7 +164,9 @@
         state.watch("h/", 0, r -> watchAgain());
         for (long at = 0; at < SECONDS * 1_000; at += 50) {
             service.after(
-                    at, () -> state.commit(new StateClient.Txn().put("h/j/" + service.now(), Codec.object()), r -> {}));
+                    at,
+                    () -> state.commit(
+                            new KeyValueStoreClient.Txn().put("h/j/" + service.now(), Codec.object()), r -> {}));
         }
         service.run(SECONDS * 1_000);
         assertTrue(service.sent("/commit") > SECONDS * 15, "sent " + service.sent("/commit"));
