--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -118,7 +118,7 @@
                 membership,
                 state,
                 leaseRenewal,
-                report -> term != null && term.acting() ? hello(report, settings.node()) : null);
+                report -> term != null && term.holdsLeaderLease() ? hello(report, settings.node()) : null);
         listenToOthers();
     }
 
@@ -184,7 +184,7 @@
                     maker);
             term.start();
         }
-        membership.claimIfFree();
+        membership.campaignIfVacant();
     }
 
     // ---- requests ----
@@ -250,10 +250,10 @@
         mesh.on(
                 HeartbeatRelayCodec.PATH,
                 (body, answer) -> answer.accept(
-                        term != null && term.acting()
+                        term != null && term.holdsLeaderLease()
                                 ? HeartbeatRelayCodec.take(body, term.token, this::rightMs, this::hello)
-                                        .only(term::acting)
-                                : ServerResponse.later("not the leader")));
+                                        .onlyWhile(term::holdsLeaderLease)
+                                : ServerResponse.retryLater("not the leader")));
         mesh.on(RequestRouter.PATH, state.routes()::pass);
         mesh.on(RequestRouter.WATCH_PATH, state.routes()::pass);
         mesh.on(
@@ -271,15 +271,15 @@
     private ServerResponse mayKeep(JsonNode body) {
         boolean own = body != null
                 && term != null
-                && term.acting()
+                && term.holdsLeaderLease()
                 && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token;
         return own
-                ? term.keep(
+                ? term.grantPartitionedRenewal(
                         body.path("node").asText(),
                         Codec.u64(body.path("epoch")),
                         Codec.u64(body.path("echo")),
                         body.path("kept").asBoolean())
-                : ServerResponse.later("not the leader under that token");
+                : ServerResponse.retryLater("not the leader under that token");
     }
 
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
@@ -304,18 +304,20 @@
 
     private ServerResponse ready() {
         boolean ready =
-                view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.alone();
-        return ready ? ServerResponse.of(200, Codec.object().put("ready", true)) : ServerResponse.later("starting");
+                view.loaded() && !types.isEmpty() && membership.leaderRecordRevision() != 0 && !membership.isolated();
+        return ready
+                ? ServerResponse.of(200, Codec.object().put("ready", true))
+                : ServerResponse.retryLater("starting");
     }
 
     /** For how long others may pass on what this leader answers: no longer than it may act itself. */
     private long rightMs() {
-        return Math.min(RelayConstants.RELAY_VALIDITY_MS, membership.entitledUntil(term.token) - runtime.now());
+        return Math.min(RelayConstants.RELAY_VALIDITY_MS, membership.leaderLeaseUntil(term.token) - runtime.now());
     }
 
     /** The leader's answer to a machine's report that came through that controller. */
     private ServerResponse hello(byte[] body, String via) {
         Heartbeat report = AgentCodec.report(body);
-        return report == null ? ServerResponse.error(400, "not a report") : term.hello(report, via);
+        return report == null ? ServerResponse.error(400, "not a report") : term.heartbeatReceived(report, via);
     }
 }
--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -30,7 +30,7 @@
         ObjectNode body = AgentCodec.orders(token, orders).put(WireNames.WORKER_SESSION, session);
         runtime.call(
                 Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
-                        .only(still),
+                        .onlyWhile(still),
                 reply);
     }
 
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -114,8 +114,8 @@
 
     private static State state(String status) {
         return switch (status) {
-            case "fetching" -> State.FETCHING;
-            case "saving" -> State.SAVING;
+            case "fetching" -> State.PULLING_IMAGE;
+            case "saving" -> State.CHECKPOINTING;
             case "exited" -> State.EXITED;
             default -> State.RUNNING;
         };
@@ -158,9 +158,9 @@
         for (Command o : orders) {
             ObjectNode n = list.addObject();
             switch (o.verb()) {
-                case START -> n.put("verb", "launch");
-                case STOP -> n.put("verb", "kill").put("leeway_s", o.graceS());
-                case FORGET -> n.put("verb", "clear");
+                case LAUNCH -> n.put("verb", "launch");
+                case KILL -> n.put("verb", "kill").put("leeway_s", o.graceS());
+                case CLEAR -> n.put("verb", "clear");
             }
             n.put("shard", o.task()).put("try", o.attempt());
         }
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -62,13 +62,13 @@
             answer.accept(ServerResponse.error(400, "not a CBOR map"));
             return;
         }
-        if (term.get() != null && term.get().acting()) {
+        if (term.get() != null && term.get().holdsLeaderLease()) {
             owned(method, path, body, answer);
             return;
         }
         String leaderAddress = settings.meshAddr(membership.leader());
         if (leaderAddress == null) {
-            answer.accept(ServerResponse.later("no leader"));
+            answer.accept(ServerResponse.retryLater("no leader"));
             return;
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
@@ -87,7 +87,7 @@
         JsonNode revision = r.body().path(UserApi.REVISION);
         boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
         if (status == 0 || status == 503 || (older && method.equals("GET"))) {
-            return ServerResponse.later("leader");
+            return ServerResponse.retryLater("leader");
         }
         view.answeredFrom(Codec.u64(revision));
         return ServerResponse.of(status, r.body().path("body"));
@@ -95,8 +95,8 @@
 
     /** A call that another controller passes on. */
     public void passed(JsonNode call, Consumer<ServerResponse> answer) {
-        if (call == null || term.get() == null || !term.get().acting()) {
-            answer.accept(ServerResponse.later("not the leader"));
+        if (call == null || term.get() == null || !term.get().holdsLeaderLease()) {
+            answer.accept(ServerResponse.retryLater("not the leader"));
             return;
         }
         view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
@@ -167,7 +167,7 @@
             return;
         }
         if (types.get() == null) {
-            answer.accept(ServerResponse.later("starting"));
+            answer.accept(ServerResponse.retryLater("starting"));
             return;
         }
         GraphRecords.Head head;
@@ -199,7 +199,7 @@
 
     private static ServerResponse answer(GraphService.Outcome o) {
         return o.status() == 503
-                ? ServerResponse.later(o.body().path("error").asText())
+                ? ServerResponse.retryLater(o.body().path("error").asText())
                 : ServerResponse.of(o.status(), o.body());
     }
 
@@ -214,7 +214,7 @@
                 answer.accept(ServerResponse.error(404, "no graph, but a job"));
                 return;
             }
-            GraphService.Live live = term.get() != null && term.get().acting()
+            GraphService.Live live = term.get() != null && term.get().holdsLeaderLease()
                     ? term.get().graphs.find(id)
                     : null;
             if (a.status() != 200) {
@@ -264,7 +264,7 @@
             return;
         }
         if (types.get() == null) {
-            answer.accept(ServerResponse.later("starting"));
+            answer.accept(ServerResponse.retryLater("starting"));
         } else if (!refused(nodes, answer)) {
             String next = body.path("then").isTextual() ? body.path("then").asText() : null;
             term.get()
@@ -327,7 +327,7 @@
 
     /** A cancelled node, or a result, that a successor might not find isn't told. */
     private static ServerResponse unrecorded() {
-        return ServerResponse.later("what a node ended with is being recorded");
+        return ServerResponse.retryLater("what a node ended with is being recorded");
     }
 
     private static void result(GraphService.Live live, String node, Consumer<ServerResponse> answer) {
@@ -349,7 +349,7 @@
                                     409,
                                     state.name().toLowerCase(Locale.ROOT) + ": "
                                             + live.graph().reason(i))
-                            : ServerResponse.later("not done yet"));
+                            : ServerResponse.retryLater("not done yet"));
             return;
         }
         JsonNode result = live.resultOf(i);
--- a/src/main/java/org/hollypick/api/GraphCodec.java
+++ b/src/main/java/org/hollypick/api/GraphCodec.java
@@ -178,8 +178,8 @@
                         graph.reason(i)
                                 .substring(0, Math.min(160, graph.reason(i).length())));
             }
-            if (live.job() != null && live.job().live.containsKey(i)) {
-                n.put("try", live.job().live.get(i).attempt);
+            if (live.job() != null && live.job().assignments.containsKey(i)) {
+                n.put("try", live.job().assignments.get(i).attempt);
             }
         }
         if (to < graph.durableNodes()) {
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -101,7 +101,7 @@
             return;
         }
         if (types.get() == null || !view.loaded()) {
-            answer.accept(ServerResponse.later("starting"));
+            answer.accept(ServerResponse.retryLater("starting"));
             return;
         }
         String never = Admission.neverRuns(spec, settings, types.get());
@@ -116,7 +116,7 @@
         // A job that another node has just accepted may not be in this node's view yet.
         view.fresh(fresh -> {
             if (!fresh) {
-                answer.accept(ServerResponse.later("state service"));
+                answer.accept(ServerResponse.retryLater("state service"));
             } else if (view.get(StoreKeys.job(id)) != null) {
                 status(id, answer);
             } else if (known(awaits)) {
@@ -149,7 +149,7 @@
                 case KNOWN -> status(spec.id(), answer);
                 case TOO_LARGE ->
                     unlessKnown(spec.id(), ServerResponse.error(400, "larger than the state service can hold"), answer);
-                default -> answer.accept(ServerResponse.crowded(refused++));
+                default -> answer.accept(ServerResponse.shedLoad(refused++));
             }
         });
     }
@@ -164,16 +164,16 @@
             return over;
         }
         String status = dependencies.anyCancelled(awaits) ? Records.ABORTED : "pending";
-        return ServerResponse.of(201, body(id, status, 0, 0)).only(() -> over(id) == null);
+        return ServerResponse.of(201, body(id, status, 0, 0)).onlyWhile(() -> over(id) == null);
     }
 
     /** A refusal that is final is only given after a fresh read: a job that was accepted stays accepted. */
     private void unlessKnown(String id, ServerResponse refusal, Consumer<ServerResponse> answer) {
         view.fresh(fresh -> {
             if (!fresh) {
-                answer.accept(ServerResponse.later("state service"));
+                answer.accept(ServerResponse.retryLater("state service"));
             } else if (unknown(id)) {
-                answer.accept(refusal.only(() -> unknown(id)));
+                answer.accept(refusal.onlyWhile(() -> unknown(id)));
             } else {
                 status(id, answer);
             }
@@ -241,7 +241,7 @@
             answer.accept(over);
         } else if (told.isObject() && (ended(told) || view.mayAnswerFrom(revision))) {
             view.answeredFrom(revision);
-            answer.accept(ServerResponse.of(200, told).only(() -> ended(told) || over(id) == null));
+            answer.accept(ServerResponse.of(200, told).onlyWhile(() -> ended(told) || over(id) == null));
         } else {
             fromRecord(id, answer);
         }
@@ -260,7 +260,7 @@
             return over;
         }
         Job job = owned(id);
-        return job != null && certainlyLive(job) ? live(job).only(() -> certainlyLive(job)) : null;
+        return job != null && certainlyLive(job) ? live(job).onlyWhile(() -> certainlyLive(job)) : null;
     }
 
     /** While an end is in doubt it may be durable already, and another node may have told it: only the record knows. */
@@ -279,13 +279,13 @@
     private ServerResponse over(String id) {
         StoreReplica.Entry e = view.get(StoreKeys.job(id));
         if (e != null && Records.isOver(e.data())) {
-            view.answeredFrom(e.stamp());
+            view.answeredFrom(e.revision());
             return ServerResponse.of(
                     200,
                     body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
         }
         if (e != null && dependencies.isCancelled(id)) {
-            view.answeredFrom(view.epoch());
+            view.answeredFrom(view.appliedRevision());
             return ServerResponse.of(200, body(id, Records.ABORTED, 0, 0));
         }
         return null;
@@ -293,12 +293,12 @@
 
     private Job owned(String id) {
         LeaderTerm t = term.get();
-        return t != null && t.acting() ? t.scheduler.jobs.get(id) : null;
+        return t != null && t.holdsLeaderLease() ? t.scheduler.jobs.get(id) : null;
     }
 
     private String leaderToAsk() {
         LeaderTerm t = term.get();
-        return (t != null && t.acting()) || runtime.now() < leaderSilentUntil
+        return (t != null && t.holdsLeaderLease()) || runtime.now() < leaderSilentUntil
                 ? null
                 : settings.meshAddr(membership.leader());
     }
@@ -308,13 +308,13 @@
         view.fresh(fresh -> {
             ServerResponse over = over(id);
             if (!fresh) {
-                answer.accept(ServerResponse.later("state service"));
+                answer.accept(ServerResponse.retryLater("state service"));
             } else if (unknown(id)) {
-                answer.accept(ServerResponse.error(404, "no such job").only(() -> unknown(id)));
+                answer.accept(ServerResponse.error(404, "no such job").onlyWhile(() -> unknown(id)));
             } else if (over != null) {
                 answer.accept(over);
             } else {
-                answer.accept(ServerResponse.of(200, body(id, "pending", 0, 0)).only(() -> over(id) == null));
+                answer.accept(ServerResponse.of(200, body(id, "pending", 0, 0)).onlyWhile(() -> over(id) == null));
             }
         });
     }
@@ -322,7 +322,8 @@
     private static ServerResponse live(Job job) {
         int running = job.running;
         return ServerResponse.of(
-                200, body(job.spec.id(), running > 0 ? "running" : "pending", job.done.cardinality(), running));
+                200,
+                body(job.spec.id(), running > 0 ? "running" : "pending", job.completedTasks.cardinality(), running));
     }
 
     private static ObjectNode body(String id, String status, int done, int running) {
@@ -337,13 +338,13 @@
 
     /** When a job is likely to be done; worked out by its leader, where operators switched that on. */
     public void estimate(String id, Consumer<ServerResponse> answer) {
-        if (term.get() != null && term.get().acting()) {
+        if (term.get() != null && term.get().holdsLeaderLease()) {
             answer.accept(estimated(id));
             return;
         }
         String leaderAddress = JobCodec.isId(id) ? leaderToAsk() : null;
         if (leaderAddress == null) {
-            answer.accept(ServerResponse.later("no leader"));
+            answer.accept(ServerResponse.retryLater("no leader"));
             return;
         }
         ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
@@ -358,9 +359,9 @@
                     } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
                         view.answeredFrom(revision);
                         answer.accept(
-                                ServerResponse.of(status, r.body().path("body")).only(() -> over(id) == null));
+                                ServerResponse.of(status, r.body().path("body")).onlyWhile(() -> over(id) == null));
                     } else {
-                        answer.accept(ServerResponse.later("leader"));
+                        answer.accept(ServerResponse.retryLater("leader"));
                     }
                 });
     }
@@ -368,9 +369,9 @@
     /** Another controller asks for one of its users. */
     public ServerResponse meshEstimate(JsonNode body) {
         learn(body);
-        ServerResponse a = body != null && term.get() != null && term.get().acting()
+        ServerResponse a = body != null && term.get() != null && term.get().holdsLeaderLease()
                 ? estimated(body.path("job").asText())
-                : ServerResponse.later("not the leader");
+                : ServerResponse.retryLater("not the leader");
         ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
         return ServerResponse.of(200, told.set("body", a.body()));
     }
@@ -383,7 +384,7 @@
         Job job = term.get().scheduler.jobs.get(id);
         if (job == null || !certainlyLive(job)) {
             // Its end may be durable, and told by another node; GET /submissions/ID finds out, by a fresh view.
-            return ServerResponse.later("not known here yet");
+            return ServerResponse.retryLater("not known here yet");
         }
         ObjectNode b = Codec.object().put("name_id", id).put("status", job.running > 0 ? "running" : "pending");
         if (job.spec.service()) {
@@ -425,8 +426,9 @@
             JobTermination jobTermination = term.get().jobTermination;
             jobTermination.cancel(job, done -> {
                 view.answeredFrom(jobTermination.cancelledAt());
-                ServerResponse aborted = ServerResponse.of(200, body(id, Records.ABORTED, job.done.cardinality(), 0));
-                answer.accept(done ? aborted : ServerResponse.later("state service"));
+                ServerResponse aborted =
+                        ServerResponse.of(200, body(id, Records.ABORTED, job.completedTasks.cardinality(), 0));
+                answer.accept(done ? aborted : ServerResponse.retryLater("state service"));
             });
             return;
         }
@@ -460,11 +462,11 @@
         view.fresh(fresh -> {
             ServerResponse over = over(id);
             if (fresh && unknown(id)) {
-                answer.accept(ServerResponse.error(404, "no such job").only(() -> unknown(id)));
+                answer.accept(ServerResponse.error(404, "no such job").onlyWhile(() -> unknown(id)));
             } else if (fresh && over != null) {
                 answer.accept(over);
             } else {
-                answer.accept(ServerResponse.later("no leader"));
+                answer.accept(ServerResponse.retryLater("no leader"));
             }
         });
     }
@@ -499,7 +501,7 @@
     private ServerResponse revised(ServerResponse a) {
         ObjectNode body = a.body().deepCopy();
         return ServerResponse.of(a.status(), body.put(REVISION, view.revision()))
-                .only(a.still());
+                .onlyWhile(a.validWhile());
     }
 
     /** Another node tells the newest revision that an answer of its was built on. */
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -86,7 +86,7 @@
                 .put("number", count);
         send(
                 Request.of(address, "POST", "/hosts", body, NetworkConstants.CLOUD_TIMEOUT_MS)
-                        .only(still),
+                        .onlyWhile(still),
                 reply);
     }
 
@@ -96,7 +96,7 @@
         machines.forEach(names::add);
         send(
                 Request.of(address, "POST", "/hosts/return", body, NetworkConstants.CLOUD_TIMEOUT_MS)
-                        .only(still),
+                        .onlyWhile(still),
                 reply);
     }
 
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -35,35 +35,35 @@
     private final StoreReplica view;
     private final CandidacyEvaluation candidate;
     private final Runnable changed;
-    private final int rank;
+    private final int candidacyOrder;
     private final String limits;
 
     private long stateSession;
     private boolean held;
     private long stateSessionUntil;
     /** The stamp of this incarnation's member key; 0 while there is none. */
-    private long memberStamp;
+    private long memberRevision;
 
     private long renewedAt;
     /** Until when, and for which token, all other controllers have promised not to claim. */
-    private long promisedUntil;
+    private long leaseGrantedUntil;
 
-    private long promisedToken;
+    private long leaseGrantedToken;
     /** Until when this node has promised not to claim. */
-    private long silentUntil;
+    private long noCandidacyUntil;
 
-    private long aloneUntil;
+    private long isolatedUntil;
     /** When another controller last answered a question. */
-    private long peerAt;
+    private long lastPeerResponseAt;
 
     private boolean claiming;
     private long claimNotBefore;
     /** What an earlier self let others answer for it is over. */
-    private final long rightsOver;
+    private final long earlierGrantsExpireAt;
 
     private int incarnation;
     /** The newest leader record that another controller told of. */
-    private Leader told;
+    private Leader leaderToldByPeer;
     /** When this node gave up its lead, by the time of day; told with its member key, so that all know. */
     private final LongArrayList resigned = new LongArrayList();
 
@@ -78,10 +78,10 @@
         this.changed = changed;
         TreeSet<String> names = new TreeSet<>(List.of(settings.node()));
         settings.siblings().forEach(s -> names.add(s.node()));
-        this.rank = names.headSet(settings.node()).size();
+        this.candidacyOrder = names.headSet(settings.node()).size();
         // An earlier self may have promised just before it ended.
-        this.silentUntil = runtime.now() + possibly(ElectionConstants.LEASE_GRANT_MS);
-        this.rightsOver = runtime.now() + possibly(RelayConstants.RELAY_VALIDITY_MS);
+        this.noCandidacyUntil = runtime.now() + atMost(ElectionConstants.LEASE_GRANT_MS);
+        this.earlierGrantsExpireAt = runtime.now() + atMost(RelayConstants.RELAY_VALIDITY_MS);
         askOthers();
     }
 
@@ -107,7 +107,7 @@
     private void endEarlier(long old, long member) {
         released(
                 member,
-                rightsOver - runtime.now(),
+                earlierGrantsExpireAt - runtime.now(),
                 () -> state.end(old, e -> {
                     LOG.info(
                             "ended the state session of the earlier self state_session={} status={}",
@@ -155,7 +155,7 @@
     private void join() {
         int self = ++incarnation;
         held = false;
-        memberStamp = 0;
+        memberRevision = 0;
         long sent = runtime.now();
         state.grant(ElectionConstants.SESSION_TTL_MS, r -> {
             if (!r.ok()) {
@@ -171,18 +171,18 @@
     }
 
     /** How long a time that runs on another clock certainly lasts here. */
-    public static long certainly(long ms) {
+    public static long atLeast(long ms) {
         return (long) (ms * (1 - ClockConstants.CLOCK_DRIFT_RATIO)) - ClockConstants.CLOCK_MARGIN_MS;
     }
 
     /** How long a time on another clock may last here. */
-    private static long possibly(long ms) {
+    private static long atMost(long ms) {
         return (long) (ms * (1 + ClockConstants.CLOCK_DRIFT_RATIO)) + ClockConstants.CLOCK_MARGIN_MS;
     }
 
     private void heldFrom(long sent) {
         renewedAt = runtime.now();
-        stateSessionUntil = sent + certainly(ElectionConstants.SESSION_TTL_MS);
+        stateSessionUntil = sent + atLeast(ElectionConstants.SESSION_TTL_MS);
     }
 
     private void enter(int self) {
@@ -221,7 +221,7 @@
     }
 
     private void entered(long stamp) {
-        memberStamp = stamp;
+        memberRevision = stamp;
         LOG.info(
                 "joined state_session={} member={}", Long.toUnsignedString(stateSession), Long.toUnsignedString(stamp));
         changed.run();
@@ -278,18 +278,18 @@
                                 true),
                         r -> {
                             if (r.ok()) {
-                                peerAt = runtime.now();
-                                learn(r.body().path(WireNames.LEADER_RECORD));
+                                lastPeerResponseAt = runtime.now();
+                                learnLeader(r.body().path(WireNames.LEADER_RECORD));
                             }
                             if (r.ok() && r.body().path("reaches_state").asBoolean()) {
-                                aloneUntil = runtime.now() + ElectionConstants.ISOLATION_MS;
+                                isolatedUntil = runtime.now() + ElectionConstants.ISOLATION_MS;
                             }
                             if (r.ok()
                                     && r.body().path("promised").asBoolean()
                                     && --missing[0] == 0
                                     && token == token()) {
-                                promisedToken = token;
-                                promisedUntil = sent + certainly(ElectionConstants.LEASE_GRANT_MS);
+                                leaseGrantedToken = token;
+                                leaseGrantedUntil = sent + atLeast(ElectionConstants.LEASE_GRANT_MS);
                             }
                         });
             }
@@ -301,11 +301,11 @@
      * This node can't reach the state service though another can, or reaches neither it nor any other controller: users
      * are better served elsewhere.
      */
-    public boolean alone() {
+    public boolean isolated() {
         long now = runtime.now();
-        boolean cutOff =
-                !settings.siblings().isEmpty() && now - Math.max(peerAt, renewedAt) > ElectionConstants.SESSION_TTL_MS;
-        return !reachesState() && (now < aloneUntil || cutOff);
+        boolean cutOff = !settings.siblings().isEmpty()
+                && now - Math.max(lastPeerResponseAt, renewedAt) > ElectionConstants.SESSION_TTL_MS;
+        return !reachesState() && (now < isolatedUntil || cutOff);
     }
 
     /** Whether the state service answered lately. */
@@ -318,14 +318,14 @@
      * in place: then this node can't have a claim under way against that leader record.
      */
     private boolean promise(long token) {
-        if (!view.loaded() || token == 0 || leaderRecordRevision() != token || free()) {
+        if (!view.loaded() || token == 0 || leaderRecordRevision() != token || leaderRecordVacant()) {
             return false;
         }
         if (reachesState()) {
             // the state service is there: the asker alone is cut off from it, and its work is better taken over
             return false;
         }
-        silentUntil = Math.max(silentUntil, runtime.now() + possibly(ElectionConstants.LEASE_GRANT_MS));
+        noCandidacyUntil = Math.max(noCandidacyUntil, runtime.now() + atMost(ElectionConstants.LEASE_GRANT_MS));
         return true;
     }
 
@@ -334,18 +334,18 @@
      * binds nobody.
      */
     private boolean promised() {
-        return runtime.now() < silentUntil && !settings.node().equals(leader()) && leader() != null;
+        return runtime.now() < noCandidacyUntil && !settings.node().equals(leader()) && leader() != null;
     }
 
     /** Whether this node may act as leader under this token right now. */
-    public boolean entitled(long token) {
-        boolean entitled = valid() || (held && promisedToken == token && runtime.now() < promisedUntil);
-        return entitled && token != 0 && token == token();
+    public boolean holdsLeaderLease(long token) {
+        boolean holdsLeaderLease = valid() || (held && leaseGrantedToken == token && runtime.now() < leaseGrantedUntil);
+        return holdsLeaderLease && token != 0 && token == token();
     }
 
     /** By what this node may act, and renew leases, under this token right now, for the log. */
     public String right(long token) {
-        return !entitled(token) ? "none" : valid() ? "session" : "promises";
+        return !holdsLeaderLease(token) ? "none" : valid() ? "session" : "promises";
     }
 
     /** The state session that this node's keys are attached to; null while there is none that is certainly valid. */
@@ -354,20 +354,20 @@
     }
 
     /** Until when this node may, or might, act as leader under this token. */
-    public long entitledUntil(long token) {
+    public long leaderLeaseUntil(long token) {
         return Math.max(
                 held ? stateSessionUntil : WorkerLeases.NEVER,
-                promisedToken == token ? promisedUntil : WorkerLeases.NEVER);
+                leaseGrantedToken == token ? leaseGrantedUntil : WorkerLeases.NEVER);
     }
 
     /** The leader record's revision if the leader record names this very incarnation, else 0. */
     public long token() {
         StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord != null
-                        && memberStamp != 0
+                        && memberRevision != 0
                         && leaderRecord.data().path("leader").asText().equals(settings.node())
-                        && Codec.u64(leaderRecord.data().path("member")) == memberStamp
-                ? leaderRecord.stamp()
+                        && Codec.u64(leaderRecord.data().path("member")) == memberRevision
+                ? leaderRecord.revision()
                 : 0;
     }
 
@@ -379,7 +379,7 @@
 
     /** The stamp of this incarnation's member key, which no other ever has; 0 while there is none. */
     public long member() {
-        return memberStamp;
+        return memberRevision;
     }
 
     /** How many terms there have been, the present one included. */
@@ -389,8 +389,8 @@
     }
 
     /** The leader that the leader record names still has its member key. */
-    public boolean leaderIsThere() {
-        return !free();
+    public boolean leaderRegistered() {
+        return !leaderRecordVacant();
     }
 
     /** Who leads by a leader record: the node, the stamp of its member key, and the token. */
@@ -401,10 +401,10 @@
      * while this one's view stands still. Null if nobody does.
      */
     public Leader currentLeader() {
-        if (toldNewer()) {
-            return told;
+        if (peerKnowsNewerLeader()) {
+            return leaderToldByPeer;
         }
-        return free()
+        return leaderRecordVacant()
                 ? null
                 : new Leader(
                         leader(),
@@ -416,14 +416,15 @@
      * Another controller told of a newer leader record than this node's view shows. Reports go there; everything else
      * waits for the view.
      */
-    public boolean toldNewer() {
-        return told != null && Long.compareUnsigned(told.token, leaderRecordRevision()) > 0;
+    public boolean peerKnowsNewerLeader() {
+        return leaderToldByPeer != null && Long.compareUnsigned(leaderToldByPeer.token, leaderRecordRevision()) > 0;
     }
 
-    private void learn(JsonNode leaderRecord) {
+    private void learnLeader(JsonNode leaderRecord) {
         long token = Codec.u64(leaderRecord.path(WireNames.FENCING_TOKEN));
-        if (token != 0 && (told == null || Long.compareUnsigned(token, told.token) > 0)) {
-            told = new Leader(leaderRecord.path("leader").asText(), Codec.u64(leaderRecord.path("member")), token);
+        if (token != 0 && (leaderToldByPeer == null || Long.compareUnsigned(token, leaderToldByPeer.token) > 0)) {
+            leaderToldByPeer =
+                    new Leader(leaderRecord.path("leader").asText(), Codec.u64(leaderRecord.path("member")), token);
         }
     }
 
@@ -444,14 +445,14 @@
     }
 
     public long leaderRecordRevision() {
-        return view.stamp(StoreKeys.LEADER_RECORD);
+        return view.revision(StoreKeys.LEADER_RECORD);
     }
 
     /**
      * Whether the last time that any controller gave up its lead is long enough ago, the longer the more of them did
      * lately: if that didn't help, it hardly will now, and each takeover is work for those that remain.
      */
-    public boolean mayResign() {
+    public boolean resignationAllowed() {
         long now = runtime.timeOfDay();
         LongArrayList lately = new LongArrayList(resigned);
         for (Settings.Sibling s : settings.siblings()) {
@@ -473,7 +474,7 @@
     /** Gives up the lead, and this incarnation with it, so that another controller takes over. */
     public void resign() {
         long old = stateSession;
-        long member = memberStamp;
+        long member = memberRevision;
         resigned.add(runtime.timeOfDay());
         if (resigned.size() > ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS) {
             resigned.removeLong(0);
@@ -483,7 +484,7 @@
         // Others may still pass answers of this leader on, for as long as it told them.
         released(
                 member,
-                possibly(RelayConstants.RELAY_VALIDITY_MS),
+                atMost(RelayConstants.RELAY_VALIDITY_MS),
                 () -> state.end(
                         old,
                         r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
@@ -491,20 +492,20 @@
     }
 
     /** Claims the lead when nobody can hold it: the named leader's member key is gone or another incarnation's. */
-    public void claimIfFree() {
-        if (claiming || !view.loaded() || memberStamp == 0 || !valid() || !free()) {
+    public void campaignIfVacant() {
+        if (claiming || !view.loaded() || memberRevision == 0 || !valid() || !leaderRecordVacant()) {
             return;
         }
         claiming = true;
         if (promised() || runtime.now() < claimNotBefore) {
             runtime.after(ElectionConstants.CANDIDACY_STEP_MS, () -> {
                 claiming = false;
-                claimIfFree();
+                campaignIfVacant();
             });
             return;
         }
         runtime.after(
-                rank * ElectionConstants.CANDIDACY_STEP_MS,
+                candidacyOrder * ElectionConstants.CANDIDACY_STEP_MS,
                 () -> candidate.measure(false, m -> {
                     long ms = m.waitMs();
                     if (ms > 0) {
@@ -520,15 +521,15 @@
     }
 
     private void claim() {
-        if (memberStamp == 0 || !valid() || !free() || promised()) {
+        if (memberRevision == 0 || !valid() || !leaderRecordVacant() || promised()) {
             claiming = false;
         } else {
             String leader = leader();
             KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
                     .when(StoreKeys.LEADER_RECORD, leaderRecordRevision())
-                    .when(StoreKeys.member(settings.node()), memberStamp);
+                    .when(StoreKeys.member(settings.node()), memberRevision);
             if (leader != null && !leader.equals(settings.node())) {
-                txn.when(StoreKeys.member(leader), view.stamp(StoreKeys.member(leader)));
+                txn.when(StoreKeys.member(leader), view.revision(StoreKeys.member(leader)));
             }
             write(txn, limitsKept(), leader == null ? "first" : "after " + leader);
         }
@@ -552,17 +553,17 @@
     }
 
     /** The same, and tells that from now on the limits are kept that this leader keeps, whatever was before. */
-    public void limitsKeptFromNow(long token) {
+    public void recordLimitsKept(long token) {
         fence(token, true);
     }
 
     private void fence(long token, boolean limitsKept) {
-        if (!claiming && valid() && entitled(token)) {
+        if (!claiming && valid() && holdsLeaderLease(token)) {
             claiming = true;
             write(
                     new KeyValueStoreClient.Txn()
                             .when(StoreKeys.LEADER_RECORD, token)
-                            .when(StoreKeys.member(settings.node()), memberStamp),
+                            .when(StoreKeys.member(settings.node()), memberRevision),
                     limitsKept,
                     "a fence");
         }
@@ -571,7 +572,7 @@
     private void write(KeyValueStoreClient.Txn txn, boolean limitsKept, String why) {
         ObjectNode leaderRecord = Codec.object()
                 .put("leader", settings.node())
-                .put("member", memberStamp)
+                .put("member", memberRevision)
                 .put("terms", terms() + 1);
         if (limitsKept) {
             leaderRecord.put(LIMITS, limits);
@@ -581,15 +582,15 @@
             // The watch brings the outcome, whatever the answer was.
             runtime.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
                 claiming = false;
-                claimIfFree();
+                campaignIfVacant();
             });
         });
     }
 
-    private boolean free() {
+    private boolean leaderRecordVacant() {
         StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null
-                || view.stamp(StoreKeys.member(
+                || view.revision(StoreKeys.member(
                                 leaderRecord.data().path("leader").asText()))
                         != Codec.u64(leaderRecord.data().path("member"));
     }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -99,7 +99,7 @@
             ObjectNode body = Codec.object()
                     .put("node", settings.node())
                     .put(WireNames.FENCING_TOKEN, token)
-                    .put("epoch", view.epoch())
+                    .put("epoch", view.appliedRevision())
                     .put("echo", echoToken == token ? echo : WorkerLeases.NO_ECHO)
                     .put("kept", telling > told);
             runtime.call(
@@ -119,7 +119,7 @@
         told = Math.max(told, telling);
         if (r.body().path("granted").asBoolean()) {
             grantedToken = token;
-            grantedUntil = sent + Membership.certainly(windowMs);
+            grantedUntil = sent + Membership.atLeast(windowMs);
         }
     }
 
@@ -132,7 +132,7 @@
         if (own != 0) {
             // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
             return othersCount.getAsBoolean()
-                    ? membership.entitledUntil(own) + Membership.certainly(windowMs)
+                    ? membership.leaderLeaseUntil(own) + Membership.atLeast(windowMs)
                     : WorkerLeases.NEVER;
         }
         return grantedToken == membership.leaderRecordRevision() ? grantedUntil : WorkerLeases.NEVER;
@@ -177,10 +177,10 @@
                     && slash > 0
                     && cancelled.test(t.task().substring(0, slash))
                     && orders.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
-                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), 0));
+                orders.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), 0));
             }
         }
-        return ServerResponse.of(200, AgentCodec.orders(token, orders)).only(this::mayKeep);
+        return ServerResponse.of(200, AgentCodec.orders(token, orders)).onlyWhile(this::mayKeep);
     }
 
     /** The leader's answer to another controller that asks. */
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -72,7 +72,7 @@
             workers.inspect(m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
                 if (r.ok()) {
                     reached.add(m.getKey());
-                } else if (r.status() != Response.LACK) {
+                } else if (r.status() != Response.NO_CAPACITY) {
                     failed.add(m.getKey());
                 }
                 if (--open[0] == 0) {
--- a/src/main/java/org/hollypick/cluster/StoreReplica.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -22,14 +22,14 @@
     private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
 
     /** A record and the stamp of its last change. */
-    public record Entry(JsonNode data, long stamp) {}
+    public record Entry(JsonNode data, long revision) {}
 
     private final EventLoop runtime;
     private final KeyValueStoreClient state;
     private final String prefix;
     private final Consumer<List<String>> changed;
     private Map<String, Entry> entries = new HashMap<>();
-    private long epoch;
+    private long appliedRevision;
     /** The newest revision that an answer of this node to its users was built on, as far as this node knows. */
     private long answered;
 
@@ -45,7 +45,7 @@
     private final List<CatchUp> catchingUp = new ArrayList<>();
 
     /** Waits until this copy has reached an epoch; given up after a while. */
-    private record CatchUp(long epoch, long until, List<Consumer<Boolean>> then) {}
+    private record CatchUp(long appliedRevision, long until, List<Consumer<Boolean>> then) {}
 
     public StoreReplica(EventLoop runtime, KeyValueStoreClient state, String prefix, Consumer<List<String>> changed) {
         this.runtime = runtime;
@@ -59,13 +59,13 @@
     }
 
     /** Every change up to this one is in. */
-    public long epoch() {
-        return epoch;
+    public long appliedRevision() {
+        return appliedRevision;
     }
 
     /** The newest revision that this node knows of: of its copy, or of what {@link #answeredFrom} was told. */
     public long revision() {
-        return newer(epoch, answered);
+        return newer(appliedRevision, answered);
     }
 
     /**
@@ -89,9 +89,9 @@
         return entries.get(key);
     }
 
-    public long stamp(String key) {
+    public long revision(String key) {
         Entry e = entries.get(key);
-        return e == null ? 0 : e.stamp;
+        return e == null ? 0 : e.revision;
     }
 
     public Map<String, Entry> entries() {
@@ -134,7 +134,8 @@
 
     private void caughtUp() {
         for (CatchUp c : new ArrayList<>(catchingUp)) {
-            boolean reached = Long.compareUnsigned(epoch, c.epoch) >= 0 && mayAnswerFrom(epoch);
+            boolean reached =
+                    Long.compareUnsigned(appliedRevision, c.appliedRevision) >= 0 && mayAnswerFrom(appliedRevision);
             if (reached || runtime.now() >= c.until) {
                 catchingUp.remove(c);
                 c.then.forEach(t -> t.accept(reached));
@@ -163,7 +164,7 @@
                 return;
             }
             entries = into;
-            epoch = at;
+            appliedRevision = at;
             loaded = true;
             changed.accept(new ArrayList<>(into.keySet()));
             caughtUp();
@@ -173,12 +174,12 @@
 
     private void watch() {
         watchedAt = runtime.now();
-        state.watch(prefix, epoch, this::watched);
+        state.watch(prefix, appliedRevision, this::watched);
     }
 
     private void watched(Response r) {
         if (r.status() == 410) {
-            LOG.info("watch too old, reading all again epoch={}", epoch);
+            LOG.info("watch too old, reading all again epoch={}", appliedRevision);
             load();
             return;
         }
@@ -188,21 +189,21 @@
         }
         List<String> keys = new ArrayList<>();
         for (JsonNode e : r.body().path("events")) {
-            long stamp = Codec.u64(e.path(WireNames.REVISION));
+            long revision = Codec.u64(e.path(WireNames.REVISION));
             String key = e.has("put") ? e.path("put").asText() : e.path("drop").asText();
-            if (Long.compareUnsigned(stamp, stamp(key)) <= 0) {
+            if (Long.compareUnsigned(revision, revision(key)) <= 0) {
                 continue;
             }
             if (e.has("put")) {
-                entries.put(key, new Entry(e.path("data"), stamp));
+                entries.put(key, new Entry(e.path("data"), revision));
             } else {
                 entries.remove(key);
             }
             keys.add(key);
         }
         long at = Codec.u64(r.body().path("epoch"));
-        if (Long.compareUnsigned(at, epoch) > 0) {
-            epoch = at;
+        if (Long.compareUnsigned(at, appliedRevision) > 0) {
+            appliedRevision = at;
         }
         if (!keys.isEmpty()) {
             changed.accept(keys);
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -34,15 +34,15 @@
         int fetching = 0;
         double serviceCores = 0;
         for (Machine m : scheduler.machines.values()) {
-            cores[!m.up ? 2 : m.spot ? 1 : 0] += m.type.cpus();
+            cores[!m.heartbeatReceived ? 2 : m.spot ? 1 : 0] += m.type.cpus();
             cores[3] += m.usedCpus;
-            idle += m.up && m.idle() ? 1 : 0;
+            idle += m.heartbeatReceived && m.idle() ? 1 : 0;
             fetching += m.startingTasks();
             serviceCores += m.serviceCpus();
         }
         double[] waiting = new double[2]; // arrays, services
         for (Job job : scheduler.jobs.values()) {
-            if (job.waits()) {
+            if (job.hasPendingTasks()) {
                 int at = job.spec.service() ? 1 : 0;
                 job.forEachWaiting((spec, count) -> waiting[at] += count * spec.cpus());
             }
@@ -50,7 +50,7 @@
         LOG.info(
                 "fleet token={} settled={} machines={} idle={} cores ordinary={} spot={} booting={} used={} services={} waiting={} waiting_services={} load={} fetching={} late_p99={} late_max={}",
                 scheduler.token,
-                scheduler.settled(),
+                scheduler.reconciliationComplete(),
                 scheduler.machines.size(),
                 idle,
                 cores[0],
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -125,9 +125,10 @@
                         nobodyBefore),
                 operator.estimates());
         if (membership.limitsKept()) {
-            scheduler.olderKeptLimits();
+            scheduler.earlierLeadersKeptLimits();
         }
-        this.workers = new AgentManager(runtime, settings, scheduler, client, types, this::acting, own, this::pump);
+        this.workers =
+                new AgentManager(runtime, settings, scheduler, client, types, this::holdsLeaderLease, own, this::pump);
         this.rentals = new InstanceProvisioner(
                 runtime,
                 settings,
@@ -135,11 +136,12 @@
                 scheduler,
                 cloud,
                 types,
-                this::acting,
+                this::holdsLeaderLease,
                 membership::reachesState,
                 this::pump,
                 nobodyBefore);
-        this.registry = new MachineRegistry(runtime, view, state, settings, token, scheduler.gone::contains);
+        this.registry =
+                new MachineRegistry(runtime, view, state, settings, token, scheduler.terminatedMachines::contains);
         this.progress = new CompletionStore(runtime, view, state, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
         this.attainedService = new AttainedServiceStore(view, settings, state, scheduler);
@@ -184,9 +186,9 @@
             runtimeStatistics.load();
         }
         for (Job job : new ArrayList<>(scheduler.jobs.values())) {
-            scheduler.restored(job);
+            scheduler.completionsRestored(job);
             if (job.finished()) {
-                scheduler.progressDirty.add(job);
+                scheduler.jobsWithNewCompletions.add(job);
             }
         }
         LOG.info("term starts token={} jobs={} machines={}", token, scheduler.jobs.size(), scheduler.machines.size());
@@ -205,31 +207,31 @@
         }
         Machine m = scheduler.addMachine(
                 id, type, r.path("zone").asText(), r.path("spot").asBoolean(), true, runtime.now());
-        m.addr = r.path("addr").asText("");
-        m.lastReportAt = runtime.now();
+        m.address = r.path("addr").asText("");
+        m.lastHeartbeatAt = runtime.now();
     }
 
     /** A worker's report, through that controller, while this node may act. */
-    public ServerResponse hello(Heartbeat r, String via) {
-        return workers.hello(r, via);
+    public ServerResponse heartbeatReceived(Heartbeat r, String via) {
+        return workers.heartbeatReceived(r, via);
     }
 
     /** Whether this node may act for this term now. */
-    public boolean acting() {
-        return !ended && membership.entitled(token);
+    public boolean holdsLeaderLease() {
+        return !ended && membership.holdsLeaderLease(token);
     }
 
     /**
      * Another controller asks whether it may keep leases when it is cut off; its view holds every change up to
      * {@code epoch}.
      */
-    public ServerResponse keep(String node, long epoch, long echo, boolean kept) {
+    public ServerResponse grantPartitionedRenewal(String node, long epoch, long echo, boolean kept) {
         long now = runtime.now();
         WorkerLeases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
-        boolean granted = leases.allAsked() && jobTermination.allCancelledKnown(epoch);
+        boolean granted = leases.allAsked() && jobTermination.replicaShowsAllCancellations(epoch);
         return PartitionedLeaseRenewal.told(token, leases.answer(node, granted, now), granted)
-                .only(this::acting);
+                .onlyWhile(this::holdsLeaderLease);
     }
 
     // ---- records ----
@@ -241,7 +243,7 @@
         keys.stream()
                 .filter(k -> k.startsWith(StoreKeys.LEADER_COMPLAINT) && view.get(k) != null)
                 .forEach(k -> workers.failureDetector()
-                        .complained(LeaderComplaint.machines(view.get(k).data(), token)));
+                        .complaintReceived(LeaderComplaint.machines(view.get(k).data(), token)));
         for (String key : keys) {
             if (!key.startsWith(StoreKeys.JOB)) {
                 continue;
@@ -253,14 +255,14 @@
                 continue;
             }
             if (!Records.isOver(e.data())) {
-                if (jobTermination.knownOver(id)) {
+                if (jobTermination.isTerminal(id)) {
                     continue;
                 }
                 if (dependencies.isCancelled(id)) {
-                    dependentCancellation.add(id, e.stamp());
+                    dependentCancellation.add(id, e.revision());
                 } else if (job == null && GraphRecords.isGraph(e.data())) {
                     if (graphs != null) {
-                        graphs.appear(id, e.data(), e.stamp());
+                        graphs.appear(id, e.data(), e.revision());
                     }
                 } else if (job == null) {
                     try {
@@ -268,20 +270,20 @@
                         LOG.info("job job={} class={} tasks={} token={}", id, spec.jobClass(), spec.tasks(), token);
                         scheduler.addJob(
                                 spec,
-                                e.stamp(),
+                                e.revision(),
                                 Codec.u64(e.data().path("under")),
                                 dependencies.ready(id),
-                                dependencies.rank(id));
+                                dependencies.priority(id));
                     } catch (JobCodec.Invalid x) {
                         LOG.error("job record can't be read job={} field={}", id, x.getMessage());
                     }
                 }
                 continue;
             }
-            jobTermination.shownOver(id);
+            jobTermination.recordShowsTerminal(id);
             if (job != null) {
                 if (Records.status(e.data()).equals(Records.ABORTED)) {
-                    jobTermination.cancelled(job, e.stamp());
+                    jobTermination.cancelled(job, e.revision());
                 } else {
                     jobTermination.over(job, Records.DONE);
                 }
@@ -296,9 +298,9 @@
             Job job = scheduler.jobs.get(id);
             if (job != null && dependencies.isCancelled(id)) {
                 jobTermination.over(job, Records.ABORTED);
-                dependentCancellation.add(id, job.order);
+                dependentCancellation.add(id, job.arrivalRevision);
             } else if (job != null) {
-                scheduler.follow(job, dependencies.ready(id), dependencies.rank(id));
+                scheduler.updateDependencies(job, dependencies.ready(id), dependencies.priority(id));
             }
         }
         pump();
@@ -306,7 +308,7 @@
 
     private ObjectNode endOf(Job job, String status) {
         ObjectNode graph = graphs == null ? null : graphs.endOf(job, status);
-        return graph != null ? graph : Records.over(status, job.done.cardinality());
+        return graph != null ? graph : Records.over(status, job.completedTasks.cardinality());
     }
 
     private void ended(String id) {
@@ -316,10 +318,10 @@
     }
 
     private void register() {
-        scheduler.toRegister.forEach(registry::add);
-        scheduler.toRegister.clear();
-        scheduler.toForget.forEach(registry::drop);
-        scheduler.toForget.clear();
+        scheduler.machinesToRegister.forEach(registry::add);
+        scheduler.machinesToRegister.clear();
+        scheduler.machinesToUnregister.forEach(registry::drop);
+        scheduler.machinesToUnregister.clear();
         registry.flush(machines -> {
             machines.forEach(scheduler::registered);
             pump();
@@ -339,12 +341,13 @@
         }
         lastTick = now;
         logRight(now);
-        if (acting()) {
-            scheduler.tick(now);
-            scheduler.passWanted |= now >= nextPass;
-            rentals.giveBack(workers.failureDetector().look(now), "silent");
-            if (workers.failureDetector().cutOff(now)
-                    && (membership.mayResign() || workers.failureDetector().leasesAtStake(now))) {
+        if (holdsLeaderLease()) {
+            scheduler.expireLeases(now);
+            scheduler.cycleRequested |= now >= nextPass;
+            rentals.terminate(workers.failureDetector().detectUnresponsive(now), "silent");
+            if (workers.failureDetector().isolated(now)
+                    && (membership.resignationAllowed()
+                            || workers.failureDetector().leasesAboutToExpire(now))) {
                 resignIfBetter();
             }
             workers.contactUnheard();
@@ -354,11 +357,11 @@
             }
             if (now >= nextFleet) {
                 nextFleet = now + ReconcileConstants.AUTOSCALING_INTERVAL_MS;
-                rentals.rentAndReturn(workers.failureDetector().partitioned(), now);
-                if (jobTermination.fenceDue(now) || scheduler.ledger.attemptsShort()) {
+                rentals.scale(workers.failureDetector().partitioned(), now);
+                if (jobTermination.fencingDue(now) || scheduler.assignments.attemptNumbersNearlyExhausted()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
-                    membership.limitsKeptFromNow(token); // once, after leaders of an older version or with other limits
+                    membership.recordLimitsKept(token); // once, after leaders of an older version or with other limits
                 }
             }
             if (now >= nextSummary) {
@@ -380,7 +383,7 @@
         String is = membership.right(token);
         if (!is.equals(right)) {
             right = is;
-            long ms = membership.entitledUntil(token) - now;
+            long ms = membership.leaderLeaseUntil(token) - now;
             LOG.info("right to act and to renew leases by={} ms={} token={}", right, ms, token);
         }
     }
@@ -396,8 +399,8 @@
         measuring = true;
         membership.measure(m -> {
             measuring = false;
-            boolean unknown = workers.failureDetector().nobodyTells(runtime.now()) && !m.reachesNearlyAll();
-            if (acting() && (unknown || m.betterElsewhere())) {
+            boolean unknown = workers.failureDetector().noPeerAnswers(runtime.now()) && !m.reachesNearlyAll();
+            if (holdsLeaderLease() && (unknown || m.betterElsewhere())) {
                 LOG.info(
                         "cut off from the machines, resigning token={} {} {}",
                         token,
@@ -416,18 +419,18 @@
         pumping = true;
         runtime.after(ReconcileConstants.SCHEDULING_CYCLE_GAP_MS, () -> {
             pumping = false;
-            if (!acting()) {
+            if (!holdsLeaderLease()) {
                 return;
             }
             long now = runtime.now();
-            if (scheduler.passWanted) {
-                scheduler.freed.clear();
+            if (scheduler.cycleRequested) {
+                scheduler.machinesWithFreedRoom.clear();
                 nextPass = now + ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
-                scheduler.pass(now);
+                scheduler.runSchedulingCycle(now);
             }
-            List<Machine> freed = new ArrayList<>(scheduler.freed);
-            scheduler.freed.clear();
-            freed.forEach(m -> scheduler.fill(m, now));
+            List<Machine> freed = new ArrayList<>(scheduler.machinesWithFreedRoom);
+            scheduler.machinesWithFreedRoom.clear();
+            freed.forEach(m -> scheduler.scheduleOn(m, now));
             workers.send();
             if (graphs != null) {
                 graphs.flush();
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -162,7 +162,7 @@
         private void end(int node, Graph.State as, String why, Runnable durable) {
             Graph.Ended ended = graph.end(node, as, why);
             for (int i : ended.all()) {
-                scheduler.withdraw(job, i);
+                scheduler.cancelTask(job, i);
             }
             record(GraphRecords.ended(ended.roots(), as, why), durable);
         }
@@ -250,8 +250,8 @@
                 keys.add(key);
             }
         });
-        keys.sort((a, b) -> view.stamp(a) != view.stamp(b)
-                ? Long.compareUnsigned(view.stamp(a), view.stamp(b))
+        keys.sort((a, b) -> view.revision(a) != view.revision(b)
+                ? Long.compareUnsigned(view.revision(a), view.revision(b))
                 : Long.compare(StoreKeys.graphLogNumber(a), StoreKeys.graphLogNumber(b)));
         return keys;
     }
@@ -325,7 +325,7 @@
                 graphs.remove(id, made);
                 StoreReplica.Entry e = view.get(StoreKeys.job(id));
                 if (e != null && !Records.isOver(e.data()) && GraphRecords.isGraph(e.data())) {
-                    appear(id, e.data(), e.stamp());
+                    appear(id, e.data(), e.revision());
                 }
                 answer.accept(Outcome.refused(503, "state service"));
                 return;
@@ -384,8 +384,8 @@
         int before = g.graph.count();
         boolean names = next != null && g.graph.then(g.graph.find(parent)) < 0;
         g.graph.add(nodes, parent, next);
-        if (!g.graph.wanted(g.graph.find(parent))) {
-            scheduler.withdraw(g.job, g.graph.find(parent)); // it handed on to what can't be done
+        if (!g.graph.mayStart(g.graph.find(parent))) {
+            scheduler.cancelTask(g.job, g.graph.find(parent)); // it handed on to what can't be done
         }
         g.logNodes(parent, names ? next : null);
         tell(g, g.graph.count() > before || names ? 201 : 200, nodes, answer);
@@ -433,13 +433,16 @@
             answer.accept(Outcome.refused(422, "unknown node " + node));
             return null;
         }
-        Assignment p = g.job.live.get(i);
-        boolean runs =
-                p != null && p.attempt == attempt && p.there() && !p.stop && g.graph.state(i) == Graph.State.READY;
+        Assignment p = g.job.assignments.get(i);
+        boolean runs = p != null
+                && p.attempt == attempt
+                && p.mayExist()
+                && !p.stopRequested
+                && g.graph.state(i) == Graph.State.READY;
         if (!runs) {
             // After a takeover the machine that runs it may not have reported yet.
             answer.accept(
-                    p == null && !scheduler.settled() && g.graph.state(i) == Graph.State.READY
+                    p == null && !scheduler.reconciliationComplete() && g.graph.state(i) == Graph.State.READY
                             ? Outcome.refused(503, "not every machine has reported yet")
                             : Outcome.refused(
                                     409, "attempt " + Long.toUnsignedString(attempt) + " of " + node + " is over"));
@@ -557,9 +560,9 @@
                 jobTermination.cancel(g.job, durable -> {});
             }
             if (g.job.finished() && g.log.isEmpty()) {
-                scheduler.progressDirty.add(g.job);
+                scheduler.jobsWithNewCompletions.add(g.job);
             }
-            g.log.flush(g.job.order, pump);
+            g.log.flush(g.job.arrivalRevision, pump);
         }
         forget(now);
     }
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -39,7 +39,7 @@
         });
         scheduler.jobs.forEach((id, job) -> {
             if (sizes.containsKey(id)) {
-                scheduler.restoreSize(job, sizes.get(id));
+                scheduler.restoreAttainedService(job, sizes.get(id));
             }
         });
     }
@@ -49,7 +49,7 @@
         ObjectNode sizes = record.putObject("sizes");
         // The value limit bounds it, the largest first; a size that is left out restarts at zero after a takeover.
         int left = Records.room(settings) - Records.bytes(record);
-        for (Map.Entry<String, Double> e : scheduler.sizes().entrySet().stream()
+        for (Map.Entry<String, Double> e : scheduler.attainedService().entrySet().stream()
                 .sorted((x, y) -> Double.compare(Math.abs(y.getValue()), Math.abs(x.getValue())))
                 .toList()) {
             double size = Math.round(e.getValue() * 10) / 10.0;
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -98,7 +98,7 @@
      */
     private Part part(Job job, int from) {
         String id = job.spec.id();
-        boolean even = !job.grows() && (chunk == JobConstants.COMPLETION_CHUNK_TASKS || job.spec.tasks() <= chunk);
+        boolean even = !job.mayGrow() && (chunk == JobConstants.COMPLETION_CHUNK_TASKS || job.spec.tasks() <= chunk);
         return new Part(
                 job,
                 even ? id + "/" + from / JobConstants.COMPLETION_CHUNK_TASKS : id + "@" + from + "/0",
@@ -122,7 +122,7 @@
 
     /** A part of a job that grows keeps its full length from the start. */
     private static int to(Job job, int end) {
-        return job.grows() ? end : Math.min(job.spec.tasks(), end);
+        return job.mayGrow() ? end : Math.min(job.spec.tasks(), end);
     }
 
     /** What earlier leaders recorded about the jobs that are live. */
@@ -131,7 +131,7 @@
             if (!key.startsWith(StoreKeys.PROGRESS)) {
                 return;
             }
-            Slot slot = new Slot(key, e.stamp());
+            Slot slot = new Slot(key, e.revision());
             slots.add(slot);
             e.data().fields().forEachRemaining(f -> {
                 Part part = part(f.getKey());
@@ -146,9 +146,9 @@
 
     private static void restore(Part part, JsonNode bits) {
         Job job = part.job;
-        Records.bits(bits).stream().forEach(i -> job.done.set(part.from + i));
-        job.committed = (BitSet) job.done.clone();
-        job.pending.andNot(job.done);
+        Records.bits(bits).stream().forEach(i -> job.completedTasks.set(part.from + i));
+        job.durablyCompleted = (BitSet) job.completedTasks.clone();
+        job.pendingTasks.andNot(job.completedTasks);
     }
 
     /**
@@ -156,17 +156,17 @@
      * for.
      */
     public void flush() {
-        if (writing || scheduler.progressDirty.isEmpty() || runtime.now() < notBefore || !state.spare()) {
+        if (writing || scheduler.jobsWithNewCompletions.isEmpty() || runtime.now() < notBefore || !state.spare()) {
             return;
         }
         Set<Slot> dirty = new LinkedHashSet<>();
         List<Written> included = new ArrayList<>();
-        for (Job job : new ArrayList<>(scheduler.progressDirty)) {
+        for (Job job : new ArrayList<>(scheduler.jobsWithNewCompletions)) {
             if (job.status != Job.Status.LIVE) {
-                scheduler.progressDirty.remove(job);
+                scheduler.jobsWithNewCompletions.remove(job);
                 continue;
             }
-            if (job.closing || job.finished()) {
+            if (job.terminalWriteInFlight || job.finished()) {
                 continue; // its end is written instead
             }
             boolean all = true;
@@ -179,12 +179,12 @@
                                         <= NetworkConstants.MAX_BODY_BYTES * 3 / 4);
                 if (fits) {
                     dirty.add(slot);
-                    included.add(new Written(part, part.of(job.done)));
+                    included.add(new Written(part, part.of(job.completedTasks)));
                 }
                 all &= fits;
             }
             if (all) {
-                scheduler.progressDirty.remove(job);
+                scheduler.jobsWithNewCompletions.remove(job);
             }
         }
         lookUpDoubtful();
@@ -208,7 +208,9 @@
                 return over;
             });
             ObjectNode record = Codec.object();
-            slot.parts.values().forEach(part -> record.put(part.name(), Records.text(part.of(part.job.done))));
+            slot.parts
+                    .values()
+                    .forEach(part -> record.put(part.name(), Records.text(part.of(part.job.completedTasks))));
             txn.when(slot.key, slot.stamp).put(slot.key, record);
         }
         writing = true;
@@ -222,12 +224,12 @@
                     slot.parts.keySet().forEach(name -> leave(name, slot));
                 });
                 included.forEach(w -> {
-                    w.done.stream().forEach(i -> w.part.job.committed.set(w.part.from + i));
-                    scheduler.ledger.progressCommitted(w.part.job);
+                    w.done.stream().forEach(i -> w.part.job.durablyCompleted.set(w.part.from + i));
+                    scheduler.assignments.completionsCommitted(w.part.job);
                 });
             } else {
                 dirty.forEach(slot -> slot.doubtful |= !r.neverSent());
-                included.forEach(w -> scheduler.progressDirty.add(w.part.job));
+                included.forEach(w -> scheduler.jobsWithNewCompletions.add(w.part.job));
             }
         });
     }
@@ -247,7 +249,7 @@
         List<Part> changed = new ArrayList<>();
         for (int from = 0; from < job.tasks(); from += chunk) {
             Part part = part(job, from);
-            if (!part.of(job.done).equals(part.of(job.committed))) {
+            if (!part.of(job.completedTasks).equals(part.of(job.durablyCompleted))) {
                 changed.add(part);
             }
         }
@@ -266,7 +268,7 @@
             }
             if (slot == null) {
                 String key = StoreKeys.progress(slots.size());
-                slot = new Slot(key, view.stamp(key));
+                slot = new Slot(key, view.revision(key));
                 slots.add(slot);
             }
             slot.parts.put(part.name(), part);
@@ -284,7 +286,7 @@
                 writing = false;
                 if (fresh) {
                     doubtful.forEach(s -> {
-                        s.stamp = view.stamp(s.key);
+                        s.stamp = view.revision(s.key);
                         s.doubtful = false;
                     });
                 }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -17,7 +17,7 @@
 import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.core.JobSpec.Priority;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.JobCodec;
@@ -71,7 +71,7 @@
             String id = key.substring(StoreKeys.JOB.length());
             durable.remove(id);
             if (!Records.isOver(e.data())) {
-                dependencies.live(id, rank(e.data()), Records.awaits(e.data(), view));
+                dependencies.addLive(id, rank(e.data()), Records.awaits(e.data(), view));
             } else if (Records.status(e.data()).equals(Records.DONE)) {
                 dependencies.done(id);
             } else {
@@ -93,11 +93,11 @@
         }
     }
 
-    private static Rank rank(JsonNode record) {
+    private static Priority rank(JsonNode record) {
         try {
             return Records.rank(record);
         } catch (JobCodec.Invalid e) {
-            return Rank.LOW;
+            return Priority.LOW;
         }
     }
 
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -97,12 +97,12 @@
      * Whether this term has ended the job, though the view's record is still the one before. It mustn't be taken up
      * again from that: users would be told that it is live, and its tasks would start once more.
      */
-    public boolean knownOver(String id) {
+    public boolean isTerminal(String id) {
         return overBeforeView.contains(id);
     }
 
     /** The view shows that the job is over. */
-    public void shownOver(String id) {
+    public void recordShowsTerminal(String id) {
         overBeforeView.remove(id);
     }
 
@@ -122,10 +122,10 @@
         abortsInDoubt.remove(id);
         writtenAlone.remove(id);
         if (status.equals(Records.ABORTED)) {
-            scheduler.abort(job);
+            scheduler.markCancelled(job);
             dependencies.cancelled(id);
         } else {
-            scheduler.close(job);
+            scheduler.markDone(job);
             dependencies.done(id);
         }
         Cancellation c = cancelling.remove(id);
@@ -142,7 +142,7 @@
      */
     public void cancel(Job job, Consumer<Boolean> told) {
         Cancellation c = cancelling.computeIfAbsent(job.spec.id(), id -> {
-            LOG.info("cancelling job={} token={} launch_may_come={}", id, token, scheduler.launchMayCome(job));
+            LOG.info("cancelling job={} token={} launch_may_come={}", id, token, scheduler.launchMayStillExecute(job));
             return new Cancellation(job, runtime.now());
         });
         c.waiting.add(told);
@@ -165,7 +165,7 @@
         long now = runtime.now();
         for (Cancellation c : new ArrayList<>(cancelling.values())) {
             boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && state.spare();
-            if (!c.writing && (again || !c.waiting.isEmpty()) && !scheduler.launchMayCome(c.job)) {
+            if (!c.writing && (again || !c.waiting.isEmpty()) && !scheduler.launchMayStillExecute(c.job)) {
                 write(c);
             }
         }
@@ -189,10 +189,10 @@
      * A launch has kept a cancellation waiting for so long, on a machine whose lease is still renewed, that a new token
      * has to end it: workers refuse what was sent under the older one.
      */
-    public boolean fenceDue(long now) {
+    public boolean fencingDue(long now) {
         long since = now - JobConstants.FENCING_DELAY_MS;
         return cancelling.values().stream()
-                .anyMatch(c -> c.since < since && scheduler.ledger.launchUnderWay(c.job, since));
+                .anyMatch(c -> c.since < since && scheduler.assignments.directLaunchPending(c.job, since));
     }
 
     /** The end of one job as it is to be written. */
@@ -207,15 +207,15 @@
         KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
         for (Ending e : endings) {
             String id = e.job.spec.id();
-            e.job.endsInDoubt++;
+            e.job.unresolvedTerminalWrites++;
             if (e.status.equals(Records.ABORTED)) {
                 abortsInDoubt.add(id);
             }
-            txn.when(StoreKeys.job(id), e.job.order).put(StoreKeys.job(id), e.record);
+            txn.when(StoreKeys.job(id), e.job.arrivalRevision).put(StoreKeys.job(id), e.record);
         }
         state.commit(txn, r -> {
             for (Ending e : endings) {
-                if (r.status() != Response.NO_ANSWER && --e.job.endsInDoubt == 0) {
+                if (r.status() != Response.NO_ANSWER && --e.job.unresolvedTerminalWrites == 0) {
                     abortsInDoubt.remove(e.job.spec.id());
                 }
             }
@@ -241,7 +241,7 @@
     /**
      * Whether whoever has followed the records up to there knows every cancellation that may have been told to anyone.
      */
-    public boolean allCancelledKnown(long epoch) {
+    public boolean replicaShowsAllCancellations(long epoch) {
         return abortsInDoubt.isEmpty() && Long.compareUnsigned(epoch, cancelledAt) >= 0;
     }
 
@@ -252,7 +252,8 @@
 
     /** Whether another node may already tell an end of the job: its own, or the cancellation of one that it needs. */
     public boolean inDoubt(Job job) {
-        return job.endsInDoubt > 0 || (!abortsInDoubt.isEmpty() && dependencies.needsAny(job.spec.id(), abortsInDoubt));
+        return job.unresolvedTerminalWrites > 0
+                || (!abortsInDoubt.isEmpty() && dependencies.needsAny(job.spec.id(), abortsInDoubt));
     }
 
     /**
@@ -262,8 +263,8 @@
      */
     public void closeFinished() {
         List<Job> finished = new ArrayList<>();
-        for (Job job : scheduler.progressDirty) {
-            if (job.finished() && !job.closing) {
+        for (Job job : scheduler.jobsWithNewCompletions) {
+            if (job.finished() && !job.terminalWriteInFlight) {
                 finished.add(job);
             }
         }
@@ -305,8 +306,8 @@
     private void close(List<Ending> batch) {
         closings++;
         for (Ending e : batch) {
-            scheduler.progressDirty.remove(e.job);
-            e.job.closing = true;
+            scheduler.jobsWithNewCompletions.remove(e.job);
+            e.job.terminalWriteInFlight = true;
         }
         commit(batch, r -> {
             closings--;
@@ -323,12 +324,12 @@
 
     private void closed(Ending e, boolean durable) {
         Job job = e.job;
-        job.closing = false;
+        job.terminalWriteInFlight = false;
         if (durable) {
             LOG.info("job {} job={} token={}", e.status, job.spec.id(), token);
             overByAnswer(job, e.status);
         } else if (job.status == Job.Status.LIVE) {
-            scheduler.progressDirty.add(job);
+            scheduler.jobsWithNewCompletions.add(job);
         }
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -115,7 +115,7 @@
             if (!newer && slots.get(at).containsValue(true)) {
                 nextSlot = at + 1;
                 nextWrite = runtime.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
-                write(at, key, e == null ? 0 : e.stamp());
+                write(at, key, e == null ? 0 : e.revision());
                 return;
             }
         }
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -69,66 +69,67 @@
     }
 
     /** A worker's report, which came through that controller, while this node may act. */
-    public ServerResponse hello(Heartbeat r, String via) {
+    public ServerResponse heartbeatReceived(Heartbeat r, String via) {
         long now = runtime.now();
-        if (Long.compareUnsigned(r.token(), scheduler.token) > 0 || scheduler.gone.contains(r.machine())) {
-            return ServerResponse.later("not for this node");
+        if (Long.compareUnsigned(r.token(), scheduler.token) > 0
+                || scheduler.terminatedMachines.contains(r.machine())) {
+            return ServerResponse.retryLater("not for this node");
         }
         Machine m = scheduler.machines.get(r.machine());
         if (m == null) {
             MachineType type = types.get(r.type());
             if (type == null) {
-                return ServerResponse.later("machine type not known yet");
+                return ServerResponse.retryLater("machine type not known yet");
             }
             LOG.info("machine machine={} type={} zone={} spot={}", r.machine(), r.type(), r.zone(), r.spot());
             m = scheduler.addMachine(r.machine(), type, r.zone(), r.spot(), false, now);
         }
         if (AssignmentTable.outdated(m, r)) {
-            return ServerResponse.later("a report of an earlier session");
+            return ServerResponse.retryLater("a report of an earlier session");
         }
         HeartbeatValidity.Freshness freshness = m.validity.freshness(r, now);
         if (freshness == HeartbeatValidity.Freshness.COPY) {
-            return ServerResponse.later("an older report");
+            return ServerResponse.retryLater("an older report");
         }
-        boolean was = m.up;
-        long before = m.session;
+        boolean was = m.heartbeatReceived;
+        long before = m.incarnation;
         boolean accepted = accept(m, r, true, now);
-        if (!accepted && (!m.up || r.session() != m.session)) {
-            return ServerResponse.later("a report of an earlier session");
+        if (!accepted && (!m.heartbeatReceived || r.incarnation() != m.incarnation)) {
+            return ServerResponse.retryLater("a report of an earlier session");
         }
         if (!was) {
             LOG.info(
                     "machine up machine={} session={} tasks={}",
                     m.id,
-                    r.session(),
+                    r.incarnation(),
                     r.tasks().size());
-            if (!m.proved) {
+            if (!m.confirmedLive) {
                 probe(m);
             }
         }
-        scheduler.reportBalancer.reported(m.id, via, now);
-        if (scheduler.freed.remove(m)) {
-            scheduler.fill(m, now);
+        scheduler.heartbeatBalancer.reported(m.id, via, now);
+        if (scheduler.machinesWithFreedRoom.remove(m)) {
+            scheduler.scheduleOn(m, now);
         }
-        List<Command> orders = limited(scheduler.ledger.orders(m));
+        List<Command> orders = limited(scheduler.assignments.pendingCommands(m));
         if (freshness == HeartbeatValidity.Freshness.NEW
-                && !acknowledges(m, r, was && r.session() != before, orders, now)) {
-            return ServerResponse.later("answers don't reach the machine");
+                && !acknowledges(m, r, was && r.incarnation() != before, orders, now)) {
+            return ServerResponse.retryLater("answers don't reach the machine");
         }
-        String elsewhere = orders.isEmpty() && m.heard ? scheduler.reportBalancer.elsewhere(via, now) : null;
+        String elsewhere = orders.isEmpty() && m.reconciled ? scheduler.heartbeatBalancer.elsewhere(via, now) : null;
         if (elsewhere != null) {
             return HeartbeatRelayCodec.elsewhere(elsewhere);
         }
-        m.answeredAt = m.validity.takenAt();
+        m.heartbeatAcknowledgedAt = m.validity.takenAt();
         m.validity.told(orders);
-        scheduler.ledger.sentInAnswer(m, orders);
-        if (m.heard) {
-            scheduler.ordersDirty.remove(m);
-            scheduler.ordersUrgent.remove(m);
+        scheduler.assignments.sentInHeartbeatResponse(m, orders);
+        if (m.reconciled) {
+            scheduler.machinesWithPendingCommands.remove(m);
+            scheduler.machinesWithUrgentCommands.remove(m);
         }
         pump.run();
         return ServerResponse.of(200, AgentCodec.orders(scheduler.token, orders))
-                .only(acting);
+                .onlyWhile(acting);
     }
 
     /**
@@ -138,32 +139,32 @@
     private boolean acknowledges(Machine m, Heartbeat r, boolean newSession, List<Command> orders, long now) {
         boolean unreachableInbound = m.validity.unreachableInbound();
         boolean knows = r.token() == scheduler.token;
-        if (newSession && m.answeredAt > 0 && scheduler.leases.fresh(m.answeredAt, now)) {
+        if (newSession && m.heartbeatAcknowledgedAt > 0 && scheduler.leases.fresh(m.heartbeatAcknowledgedAt, now)) {
             m.validity.lapsed(now);
         }
         m.validity.reported(r, knows, orders, now);
-        if (m.validity.unreachableInbound() && !newSession && scheduler.leases.over(m.sessionSince, now)) {
+        if (m.validity.unreachableInbound() && !newSession && scheduler.leases.over(m.incarnationSeenAt, now)) {
             m.validity.acknowledged(); // without an answer taken its session would be over
         }
         if (!knows) {
-            m.answeredAt = 0; // it has taken no answer of this term
+            m.heartbeatAcknowledgedAt = 0; // it has taken no answer of this term
         }
         if (m.validity.unreachableInbound() != unreachableInbound) {
             LOG.info(
                     "{} machine={} session={} token={}",
                     unreachableInbound ? "answers reach the machine again" : "answers don't reach the machine",
                     m.id,
-                    r.session(),
+                    r.incarnation(),
                     r.token());
-            scheduler.passWanted = true;
+            scheduler.cycleRequested = true;
         }
-        return !m.validity.unreachableInbound() || (m.heard && m.idle());
+        return !m.validity.unreachableInbound() || (m.reconciled && m.idle());
     }
 
-    private boolean accept(Machine m, Heartbeat r, boolean hello, long now) {
-        m.lastReportAt = now;
-        m.unanswered = 0;
-        return scheduler.ledger.report(m, r, hello, now);
+    private boolean accept(Machine m, Heartbeat r, boolean heartbeatReceived, long now) {
+        m.lastHeartbeatAt = now;
+        m.unacknowledgedCalls = 0;
+        return scheduler.assignments.applyHeartbeat(m, r, heartbeatReceived, now);
     }
 
     /** An answer holds 64 KiB at most; what is left out follows with the next. */
@@ -175,8 +176,8 @@
 
     /** Sends the orders that wait, those for services first, as many at once as the sockets allow. */
     public void send() {
-        send(scheduler.ordersUrgent);
-        send(scheduler.ordersDirty);
+        send(scheduler.machinesWithUrgentCommands);
+        send(scheduler.machinesWithPendingCommands);
     }
 
     private void send(Set<Machine> dirty) {
@@ -192,33 +193,35 @@
     /** Sends what the machine should do at once; {@code probe}: even if that is nothing, to hear from it. */
     private void direct(Machine m, boolean probe) {
         if (!acting.getAsBoolean()
-                || m.directBusy
-                || m.addr.isEmpty()
-                || m.directAfter > runtime.now()
-                || m.returning) {
+                || m.directCallInFlight
+                || m.address.isEmpty()
+                || m.directCallNotBefore > runtime.now()
+                || m.scalingIn) {
             return;
         }
-        List<Command> orders = m.up && !m.lapsed() ? limited(scheduler.ledger.orders(m)) : List.of();
+        List<Command> orders = m.heartbeatReceived && !m.incarnationExpired()
+                ? limited(scheduler.assignments.pendingCommands(m))
+                : List.of();
         // What may be cleared can wait for the machine's next report.
-        if (m.heard && !probe && orders.stream().allMatch(o -> o.verb() == Command.Verb.FORGET)) {
+        if (m.reconciled && !probe && orders.stream().allMatch(o -> o.verb() == Command.Verb.CLEAR)) {
             return;
         }
-        boolean doubtful = m.unanswered > 0 || m.validity.doubted();
+        boolean doubtful = m.unacknowledgedCalls > 0 || m.validity.doubted();
         if (doubtful && openDoubtful >= FailureDetectionConstants.MAX_DIRECT_CALLS_UNRESPONSIVE) {
             return; // a zone that is cut off may not take every call from those that answer
         }
-        boolean known = m.up;
-        long session = known ? m.session : 1;
-        long tick = m.tick;
-        scheduler.ledger.sentDirect(m, orders);
+        boolean known = m.heartbeatReceived;
+        long session = known ? m.incarnation : 1;
+        long tick = m.heartbeatSequence;
+        scheduler.assignments.sentDirectly(m, orders);
         open++;
         long asked = runtime.now();
         openDoubtful += doubtful ? 1 : 0;
-        client.command(m.addr, scheduler.token, session, orders, acting, r -> {
+        client.command(m.address, scheduler.token, session, orders, acting, r -> {
             open--;
             openDoubtful -= doubtful ? 1 : 0;
             long now = runtime.now();
-            if (r.status() == Response.LACK) {
+            if (r.status() == Response.NO_CAPACITY) {
                 own.lacked(now);
                 probeWindow.lacked(now);
             } else if (r.status() > 0 && !doubtful) {
@@ -227,7 +230,9 @@
             }
             answered(m, orders, session, known ? tick : -1, r);
             contactUnheard();
-            if (!scheduler.ordersUrgent.isEmpty() || !scheduler.ordersDirty.isEmpty() || !scheduler.freed.isEmpty()) {
+            if (!scheduler.machinesWithUrgentCommands.isEmpty()
+                    || !scheduler.machinesWithPendingCommands.isEmpty()
+                    || !scheduler.machinesWithFreedRoom.isEmpty()) {
                 pump.run();
             }
         });
@@ -236,15 +241,15 @@
     /** {@code tick}: the newest count of the machine that was known when it was asked; -1 for none. */
     private void answered(Machine m, List<Command> orders, long session, long tick, Response r) {
         boolean settled = r.status() == 200 || r.status() == 409 || r.status() == 400 || r.neverSent();
-        scheduler.ledger.directEnded(m, orders, session, settled);
+        scheduler.assignments.directCallCompleted(m, orders, session, settled);
         if (r.status() != 200 && r.status() != 409) {
-            if (r.status() != Response.LACK) {
-                m.unanswered++;
+            if (r.status() != Response.NO_CAPACITY) {
+                m.unacknowledgedCalls++;
                 if (own.sound(runtime.now())) {
                     m.validity.unanswered(); // while this node is overloaded it proves nothing
                 }
             }
-            m.directAfter = runtime.now() + FailureDetectionConstants.DIRECT_RETRY_MS;
+            m.directCallNotBefore = runtime.now() + FailureDetectionConstants.DIRECT_RETRY_MS;
             LOG.debug("order unanswered machine={} status={}", m.id, r.status());
             return;
         }
@@ -252,21 +257,21 @@
         if (report != null
                 && scheduler.machines.get(m.id) == m
                 && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
-            boolean again = !m.heard;
+            boolean again = !m.reconciled;
             m.validity.acknowledged();
-            scheduler.ledger.proved(m);
+            scheduler.assignments.confirmLive(m);
             accept(m, report, false, runtime.now());
-            if (tick >= 0 && !report.newerThan(session, tick) && !m.lapsed()) {
+            if (tick >= 0 && !report.newerThan(session, tick) && !m.incarnationExpired()) {
                 LOG.info(
                         "worker has begun again machine={} session={} tick={} known={}/{}",
                         m.id,
-                        report.session(),
-                        report.tick(),
+                        report.incarnation(),
+                        report.sequence(),
                         session,
                         tick);
-                scheduler.ledger.begunAgain(m, report, runtime.now());
+                scheduler.assignments.incarnationRestarted(m, report, runtime.now());
             }
-            if (again && !m.heard) {
+            if (again && !m.reconciled) {
                 direct(m, true);
             }
         }
@@ -283,12 +288,14 @@
      * but one that was just answered reports again by itself, since it saw a new token.
      */
     public void contactUnheard() {
-        if (scheduler.settled()) {
+        if (scheduler.reconciliationComplete()) {
             return;
         }
         long now = runtime.now();
         for (Machine m : scheduler.machines.values()) {
-            if (!m.heard && !(m.up && now - m.answeredAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS)) {
+            if (!m.reconciled
+                    && !(m.heartbeatReceived
+                            && now - m.heartbeatAcknowledgedAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS)) {
                 probe(m);
             }
         }
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -56,7 +56,7 @@
     }
 
     /** Asks machines that are quieter than their reports allow, and tells which are lost. */
-    public List<Machine> look(long now) {
+    public List<Machine> detectUnresponsive(long now) {
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
@@ -71,44 +71,47 @@
         int doubtful = 0;
         Map<String, int[]> byZone = new HashMap<>();
         for (Machine m : scheduler.machines.values()) {
-            if (m.returning || (!m.up && !m.registered)) {
+            if (m.scalingIn || (!m.heartbeatReceived && !m.registered)) {
                 continue;
             }
-            long quiet = now - m.lastReportAt;
+            long quiet = now - m.lastHeartbeatAt;
             int[] zone = byZone.computeIfAbsent(m.zone, z -> new int[2]);
             boolean doubted = m.validity.doubted();
             if (quiet < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
                 talking++;
                 zone[0]++;
             }
-            if (m.unanswered > 0 || doubted) {
+            if (m.unacknowledgedCalls > 0 || doubted) {
                 doubtful++;
                 zone[1]++;
             }
-            if (m.unanswered > 0 && !m.addr.isEmpty()) {
+            if (m.unacknowledgedCalls > 0 && !m.address.isEmpty()) {
                 unsure.add(m);
             }
-            if (m.useless()
-                    && m.heard
+            if (m.unreachable()
+                    && m.reconciled
                     && m.idle()
-                    && now - Math.max(m.idleSince, Math.max(m.lapsedAt, m.validity.unreachableInboundSince()))
+                    && now
+                                    - Math.max(
+                                            m.idleSince,
+                                            Math.max(m.incarnationExpiredAt, m.validity.unreachableInboundSince()))
                             > ReachabilityConstants.UNREACHABLE_RETURN_MS) {
                 silent.add(m);
             } else if (quiet
                             > (doubted
                                     ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                                     : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS)
-                    && m.unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
+                    && m.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
                     && !reachability.spared(m, now)) {
                 if (reachability.nobodyReaches(m, now)) {
                     silent.add(m);
                 }
-            } else if (doubted || quiet > (m.unanswered > 0 || m.serviceCpus() > 0 ? early : usual)) {
+            } else if (doubted || quiet > (m.unacknowledgedCalls > 0 || m.serviceCpus() > 0 ? early : usual)) {
                 quietest.add(m);
             }
         }
         // Not all may be asked at once: in any fixed order the last ones would never be.
-        quietest.sort((a, b) -> Long.compare(a.lastReportAt, b.lastReportAt));
+        quietest.sort((a, b) -> Long.compare(a.lastHeartbeatAt, b.lastHeartbeatAt));
         quietest.forEach(probe);
         reachability.ask(unsure);
         int beyond = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
@@ -165,19 +168,19 @@
     }
 
     /** Machines have been out of reach for so long that what runs there won't outlast another pause. */
-    public boolean leasesAtStake(long now) {
+    public boolean leasesAboutToExpire(long now) {
         long since = Math.min(cutOffSince > 0 ? cutOffSince : now, beyondSince > 0 ? beyondSince : now);
         return now - since > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
 
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
-    public void complained(List<String> machines) {
+    public void complaintReceived(List<String> machines) {
         complainedAt = machines.isEmpty() ? complainedAt : runtime.now();
         machines.forEach(reachability::reached);
     }
 
     /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
-    public boolean nobodyTells(long now) {
+    public boolean noPeerAnswers(long now) {
         return !reachability.othersTell(now) || now - complainedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
@@ -185,7 +188,7 @@
      * Another controller should lead: it reaches machines that this one doesn't, and not since this one is overloaded
      * or has only begun. If the others see the same, nobody would fare better.
      */
-    public boolean cutOff(long now) {
+    public boolean isolated(long now) {
         if (!own.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -226,7 +226,7 @@
                 }
                 bytes += size;
                 touched.add(key);
-                txn.when(key, e.stamp());
+                txn.when(key, e.revision());
                 if (left.isEmpty() || tooLarge) {
                     txn.drop(key);
                 } else {
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -40,11 +40,11 @@
             return;
         }
         List<Machine> some = new ArrayList<>(doubtful);
-        some.sort((a, b) -> Long.compare(a.elsewhereAskedAt, b.elsewhereAskedAt));
+        some.sort((a, b) -> Long.compare(a.peerCheckRequestedAt, b.peerCheckRequestedAt));
         Map<String, String> addresses = new HashMap<>();
         for (Machine m : some.subList(0, Math.min(some.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES))) {
-            m.elsewhereAskedAt = now;
-            addresses.put(m.id, m.addr);
+            m.peerCheckRequestedAt = now;
+            addresses.put(m.id, m.address);
         }
         asking = true;
         askedAt = now;
@@ -68,16 +68,16 @@
     /** Another controller hears of that machine. */
     void reached(String id) {
         Machine m = machines.get(id);
-        if (m != null && m.unanswered > 0) {
-            m.elsewhereSince = elsewhere(m, runtime.now()) ? m.elsewhereSince : runtime.now();
-            m.elsewhereAt = runtime.now();
+        if (m != null && m.unacknowledgedCalls > 0) {
+            m.reachedByPeerSince = elsewhere(m, runtime.now()) ? m.reachedByPeerSince : runtime.now();
+            m.reachedByPeerAt = runtime.now();
         }
     }
 
     private void failed(String id) {
         Machine m = machines.get(id);
         if (m != null) {
-            m.elsewhereFailedAt = runtime.now();
+            m.peerCheckFailedAt = runtime.now();
         }
     }
 
@@ -91,30 +91,34 @@
         if (settings.siblings().isEmpty()) {
             return true;
         }
-        if (m.elsewhereAskedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
+        if (m.peerCheckRequestedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
         return !othersTell(now)
-                || (m.elsewhereFailedAt > 0 && now - m.elsewhereFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
+                || (m.peerCheckFailedAt > 0 && now - m.peerCheckFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
     /** Another controller reached the machine a moment ago, and this one doesn't. */
     static boolean elsewhere(Machine m, long now) {
-        return m.unanswered > 0 && m.elsewhereAt > 0 && now - m.elsewhereAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+        return m.unacknowledgedCalls > 0
+                && m.reachedByPeerAt > 0
+                && now - m.reachedByPeerAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Not to be returned, though silent: its reports come by way of another, or may yet. */
     boolean spared(Machine m, long now) {
         return elsewhere(m, now)
-                && (now - m.elsewhereSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
-                        || now - m.lastReportAt < settings.leaseS() * 1_000 / 2);
+                && (now - m.reachedByPeerSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
+                        || now - m.lastHeartbeatAt < settings.leaseS() * 1_000 / 2);
     }
 
     /** Machines that are only out of this leader's reach. */
     static int beyond(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine m : machines) {
-            count += elsewhere(m, now) && m.unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS ? 1 : 0;
+            count += elsewhere(m, now) && m.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
+                    ? 1
+                    : 0;
         }
         return count;
     }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -73,11 +73,11 @@
         this.startedAt = runtime.now();
     }
 
-    public void giveBack(List<Machine> list, String why) {
+    public void terminate(List<Machine> list, String why) {
         List<String> names = new ArrayList<>();
         for (Machine m : list.subList(0, Math.min(list.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST))) {
             if (returning.add(m.id)) {
-                m.returning = true;
+                m.scalingIn = true;
                 names.add(m.id);
             }
         }
@@ -89,7 +89,7 @@
             names.forEach(returning::remove);
             for (String id : names) {
                 if (r.ok()) {
-                    scheduler.machineGone(id);
+                    scheduler.markTerminated(id);
                 }
             }
             pump.run();
@@ -102,11 +102,11 @@
     }
 
     /** {@code partitioned}: zones in which nothing is rented now. */
-    public void rentAndReturn(Set<String> partitioned, long now) {
+    public void scale(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
-        giveBack(
+        terminate(
                 scheduler.machines.values().stream()
-                        .filter(m -> m.returning && !returning.contains(m.id))
+                        .filter(m -> m.scalingIn && !returning.contains(m.id))
                         .toList(),
                 "again");
         if (!nobodyBefore
@@ -123,10 +123,10 @@
                 hire(rent.kind(), settings.node() + "-" + scheduler.token + "-" + hires++, rent.count());
             }
         }
-        giveBack(plan.returns(), "idle");
+        terminate(plan.returns(), "idle");
         plan.moves().forEach(p -> {
             LOG.info("move task={} from={}", p.taskId, p.machine.id);
-            scheduler.ledger.stop(p, 0);
+            scheduler.assignments.stop(p, 0);
         });
         pump.run();
     }
@@ -152,7 +152,7 @@
                 for (JsonNode id : r.body().path("bothies")) {
                     got++;
                     if (!scheduler.machines.containsKey(id.asText())
-                            && !scheduler.gone.contains(id.asText())
+                            && !scheduler.terminatedMachines.contains(id.asText())
                             && types.containsKey(kind.type())) {
                         scheduler.addMachine(id.asText(), types.get(kind.type()), kind.zone(), kind.spot(), false, now);
                     }
@@ -204,7 +204,7 @@
         long now = runtime.now();
         List<Machine> bad = new ArrayList<>();
         list.forEach((id, l) -> {
-            if (scheduler.gone.contains(id)) {
+            if (scheduler.terminatedMachines.contains(id)) {
                 return;
             }
             listedAt.putIfAbsent(id, now);
@@ -223,20 +223,20 @@
                         false,
                         now - (long) (l.path("age_s").asDouble() * 1000));
             }
-            if (m.addr.isEmpty()) {
-                m.addr = l.path("addr").asText("");
+            if (m.address.isEmpty()) {
+                m.address = l.path("addr").asText("");
             }
-            boolean slowBoot = !m.up
+            boolean slowBoot = !m.heartbeatReceived
                     && !m.registered
                     && (status.equals("running")
                             ? now - listedAt.get(id) > FailureDetectionConstants.FIRST_HEARTBEAT_MS
                             : now - m.createdAt
                                     > FailureDetectionConstants.BOOT_TIMEOUT_MULTIPLE * m.type.bootS() * 1000);
-            if (!m.returning && (status.equals("failed") || slowBoot)) {
+            if (!m.scalingIn && (status.equals("failed") || slowBoot)) {
                 bad.add(m);
             }
         });
-        giveBack(bad, "failed or never up");
+        terminate(bad, "failed or never up");
         // Once listed, a machine stays listed until it is gone; a list is at most twice the lag old.
         Set<String> missing = new LinkedHashSet<>();
         for (Machine m : scheduler.machines.values()) {
@@ -249,7 +249,7 @@
         }
         for (String id : missing) {
             LOG.info("machine gone from the list machine={}", id);
-            scheduler.machineGone(id);
+            scheduler.markTerminated(id);
         }
         if (!missing.isEmpty()) {
             pump.run();
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -19,14 +19,14 @@
 public final class AssignmentTable {
     private final Scheduler scheduler;
     private final long token;
-    private final TeamUsage teamUse;
+    private final TeamUsage teamUsage;
     private final FaultAttribution faultAttribution;
     private long attempts;
 
-    AssignmentTable(Scheduler scheduler, TeamUsage teamUse) {
+    AssignmentTable(Scheduler scheduler, TeamUsage teamUsage) {
         this.scheduler = scheduler;
         this.token = scheduler.token;
-        this.teamUse = teamUse;
+        this.teamUsage = teamUsage;
         this.faultAttribution = new FaultAttribution(scheduler.jobs, scheduler.machines);
     }
 
@@ -36,45 +36,45 @@
      * Takes in a worker's report. False if it is older than what is known or from a session that is over: it says
      * nothing. {@code hello}: it came as a report, which no earlier answer to a report can still follow.
      */
-    public boolean report(Machine m, Heartbeat r, boolean hello, long now) {
+    public boolean applyHeartbeat(Machine m, Heartbeat r, boolean hello, long now) {
         scheduler.lastNow = now;
-        if ((m.up && !r.newerThan(m.session, m.tick)) || outdated(m, r)) {
+        if ((m.heartbeatReceived && !r.newerThan(m.incarnation, m.heartbeatSequence)) || outdated(m, r)) {
             return false;
         }
         m.seenToken = r.token();
-        if (m.up && r.session() != m.session) {
-            loseAll(m); // a new session: all that was there is gone, and late orders of the old one are refused
-            m.needsReport = !m.reportedInSession;
-            m.reportedInSession = false;
+        if (m.heartbeatReceived && r.incarnation() != m.incarnation) {
+            removeAll(m); // a new session: all that was there is gone, and late orders of the old one are refused
+            m.awaitsHeartbeat = !m.heartbeatInIncarnation;
+            m.heartbeatInIncarnation = false;
         }
-        if (!m.up || r.session() != m.session) {
-            m.sessionSince = now;
-            m.lapsedAt = 0;
+        if (!m.heartbeatReceived || r.incarnation() != m.incarnation) {
+            m.incarnationSeenAt = now;
+            m.incarnationExpiredAt = 0;
         }
-        if (!m.up) {
-            m.up = true;
+        if (!m.heartbeatReceived) {
+            m.heartbeatReceived = true;
             m.idleSince = now;
             if (!m.registered) {
-                scheduler.toRegister.add(m);
+                scheduler.machinesToRegister.add(m);
             }
         }
-        m.session = r.session();
-        m.tick = r.tick();
-        if (!r.addr().isEmpty()) {
-            m.addr = r.addr();
+        m.incarnation = r.incarnation();
+        m.heartbeatSequence = r.sequence();
+        if (!r.address().isEmpty()) {
+            m.address = r.address();
         }
-        m.reported = r.tasks();
+        m.reportedTasks = r.tasks();
         if (hello) {
             // A worker has one report in flight: the answer to the one before was taken or dropped by now.
-            m.placements.values().forEach(p -> p.viaHello = false);
-            scheduler.passWanted |= m.needsReport;
-            m.needsReport = false;
-            m.reportedInSession = true;
+            m.assignments.values().forEach(p -> p.launchInHeartbeatResponse = false);
+            scheduler.cycleRequested |= m.awaitsHeartbeat;
+            m.awaitsHeartbeat = false;
+            m.heartbeatInIncarnation = true;
         }
-        m.beginReport();
+        m.beginHeartbeat();
         boolean strays = false;
         for (TaskStatus t : r.tasks()) {
-            Assignment p = m.at(t.task(), t.attempt());
+            Assignment p = m.assignmentOf(t.task(), t.attempt());
             if (p == null) {
                 p = adopt(m, t, now);
             }
@@ -82,31 +82,31 @@
                 m.listed(p, now);
                 update(p, t, now);
                 if (r.token() == token
-                        && p.there()
+                        && p.mayExist()
                         && p.attempt >>> JobConstants.ATTEMPT_BITS != token
-                        && !scheduler.settledBefore()) {
-                    teamUse.found(p.spec, p.attempt);
+                        && !scheduler.reconciliationWasComplete()) {
+                    teamUsage.found(p.spec, p.attempt);
                 }
             } else if (t.state() != State.EXITED) {
                 strays = true;
             }
         }
-        scheduler.passWanted |= m.strays && !strays;
-        m.strays = strays;
-        for (Assignment p : m.unlisted()) {
-            if (p.state() != State.SENT || (p.stop && !p.launchMayFollow())) {
+        scheduler.cycleRequested |= m.hasOrphanedTasks && !strays;
+        m.hasOrphanedTasks = strays;
+        for (Assignment p : m.unlistedAssignments()) {
+            if (p.state() != State.LAUNCHING || (p.stopRequested && !p.launchMayStillExecute())) {
                 remove(p);
             }
         }
         // Only a report made under this token is final: older direct orders are refused from then on.
-        if (r.token() == token && !(m.heard && m.proved)) {
-            m.heard = true;
-            proved(m);
+        if (r.token() == token && !(m.reconciled && m.confirmedLive)) {
+            m.reconciled = true;
+            confirmLive(m);
         }
         if (!Double.isNaN(r.noticeS()) && !m.draining) {
             drain(m, r.noticeS());
         }
-        scheduler.ordersDirty.add(m);
+        scheduler.machinesWithPendingCommands.add(m);
         return true;
     }
 
@@ -115,43 +115,45 @@
      * token than the machine has shown. A worker's token never falls, so that was written in an earlier life.
      */
     public static boolean outdated(Machine m, Heartbeat r) {
-        return Long.compareUnsigned(r.session(), m.minSession) < 0
-                || (m.lapsed() && Long.compareUnsigned(r.session(), m.session) <= 0)
-                || (m.up && r.newerThan(m.session, m.tick) && Long.compareUnsigned(r.token(), m.seenToken) < 0);
+        return Long.compareUnsigned(r.incarnation(), m.minIncarnation) < 0
+                || (m.incarnationExpired() && Long.compareUnsigned(r.incarnation(), m.incarnation) <= 0)
+                || (m.heartbeatReceived
+                        && r.newerThan(m.incarnation, m.heartbeatSequence)
+                        && Long.compareUnsigned(r.token(), m.seenToken) < 0);
     }
 
     /** It is there, and not only an old report of it. */
-    public void proved(Machine m) {
-        scheduler.passWanted |= !m.proved;
-        m.proved = true;
+    public void confirmLive(Machine m) {
+        scheduler.cycleRequested |= !m.confirmedLive;
+        m.confirmedLive = true;
     }
 
     /**
      * An answer to a question that was put after larger counts were known: the worker has begun again, with nothing.
      * Only what an order still under way may bring is there yet, for a lease from now on at most.
      */
-    public void begunAgain(Machine m, Heartbeat r, long now) {
+    public void incarnationRestarted(Machine m, Heartbeat r, long now) {
         scheduler.lastNow = now;
-        m.lapsedAt = now;
-        m.sessionSince = now;
-        m.beginReport();
+        m.incarnationExpiredAt = now;
+        m.incarnationSeenAt = now;
+        m.beginHeartbeat();
         for (TaskStatus t : r.tasks()) {
-            Assignment p = m.at(t.task(), t.attempt());
+            Assignment p = m.assignmentOf(t.task(), t.attempt());
             if (p != null) {
                 m.listed(p, now);
             }
         }
-        for (Assignment p : m.unlisted()) {
-            if (!p.launchMayFollow()) {
+        for (Assignment p : m.unlistedAssignments()) {
+            if (!p.launchMayStillExecute()) {
                 remove(p);
             }
         }
-        m.reported = List.of();
+        m.reportedTasks = List.of();
     }
 
     private void drain(Machine m, double noticeS) {
         m.draining = true;
-        for (Assignment p : m.there()) {
+        for (Assignment p : m.liveAssignments()) {
             JobSpec s = p.spec;
             if (s.checkpointS() > 0 && !s.service()) {
                 stop(p, noticeS > s.saveS() ? Math.ceil(s.saveS()) : 0);
@@ -159,7 +161,7 @@
                 stop(p, 0);
             }
         }
-        scheduler.passWanted = true;
+        scheduler.cycleRequested = true;
     }
 
     /** A reported attempt that this term didn't launch: from an earlier leader, if its task isn't elsewhere. */
@@ -175,13 +177,16 @@
         } catch (NumberFormatException e) {
             return null;
         }
-        if (index < 0 || index >= job.tasks() || job.done.get(index) || m.placements.containsKey(t.attempt())) {
+        if (index < 0
+                || index >= job.tasks()
+                || job.completedTasks.get(index)
+                || m.assignments.containsKey(t.attempt())) {
             return null;
         }
         if (t.state() == State.EXITED && (!"done".equals(t.why()) || job.spec.service())) {
             return null;
         }
-        Assignment other = t.state() == State.EXITED ? null : job.live.get(index);
+        Assignment other = t.state() == State.EXITED ? null : job.assignments.get(index);
         if (other != null) {
             if (Long.compareUnsigned(other.attempt, t.attempt()) > 0) {
                 return null;
@@ -192,9 +197,9 @@
         Assignment p = new Assignment(job, index, t.attempt(), m, now);
         m.add(p);
         if (t.state() != State.EXITED) {
-            job.placed(p);
-            teamUse.add(p.spec, 1);
-            if (job.withdrawn) {
+            job.assign(p);
+            teamUsage.add(p.spec, 1);
+            if (job.cancellationRequested) {
                 stop(p, 0);
             }
         }
@@ -202,16 +207,16 @@
     }
 
     private void update(Assignment p, TaskStatus t, long now) {
-        if (!p.there()) {
+        if (!p.mayExist()) {
             return;
         }
         if (t.state() == State.RUNNING && p.state() != State.RUNNING) {
             p.runningAt = now;
         }
-        if (t.state() == State.RUNNING || t.state() == State.SAVING) {
+        if (t.state() == State.RUNNING || t.state() == State.CHECKPOINTING) {
             p.machine.images.put(p.spec.image(), now);
         }
-        p.become(t.state());
+        p.transitionTo(t.state());
         if (t.state() == State.EXITED) {
             exited(p, t.why(), now);
         }
@@ -223,60 +228,60 @@
         m.release(p);
         boolean done = "done".equals(why) && !job.spec.service();
         if (done) {
-            boolean first = !job.done.get(p.index);
-            job.done.set(p.index);
-            job.pending.clear(p.index);
-            Assignment other = job.live.get(p.index);
+            boolean first = !job.completedTasks.get(p.index);
+            job.completedTasks.set(p.index);
+            job.pendingTasks.clear(p.index);
+            Assignment other = job.assignments.get(p.index);
             if (other != null && other != p) {
                 stop(other, 0);
             }
-            if (job.committed.get(p.index)) {
-                p.clearable = true;
+            if (job.durablyCompleted.get(p.index)) {
+                p.removable = true;
             } else {
-                job.uncommitted.add(p);
+                job.uncommittedAssignments.add(p);
             }
             if (first) {
-                scheduler.progressDirty.add(job);
+                scheduler.jobsWithNewCompletions.add(job);
                 double ran = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : p.spec.estimateS();
-                job.partialSize += ran;
+                job.attainedServiceS += ran;
                 if (p.runningAt > 0) {
                     scheduler.estimates.observe(p.spec, m.id, ran, false);
                 }
                 for (Job mover : Tyrex.movers(scheduler.jobs.values())) {
-                    mover.moved = true;
-                    mover.partialSize = 0;
+                    mover.inSecondPartitionByTyrex = true;
+                    mover.attainedServiceS = 0;
                 }
             }
             FaultAttribution.cleared(m, job, p.startedAt);
         } else {
-            p.clearable = true;
+            p.removable = true;
             cutShort(p, now);
             faultAttribution.ended(m, job, p.index, why, now);
             if ("error".equals(why)) {
-                job.errored(p.index);
+                job.taskFailed(p.index);
             }
         }
         freeTask(p);
     }
 
-    void loseAll(Machine m) {
-        for (Assignment p : new ArrayList<>(m.placements.values())) {
+    void removeAll(Machine m) {
+        for (Assignment p : new ArrayList<>(m.assignments.values())) {
             remove(p);
         }
-        m.reported = List.of();
-        m.strays = false;
+        m.reportedTasks = List.of();
+        m.hasOrphanedTasks = false;
     }
 
     /** Nothing of it can be on its machine any more. */
     private void remove(Assignment p) {
-        if (p.there()) {
+        if (p.mayExist()) {
             cutShort(p, scheduler.lastNow);
         }
-        p.machine.placements.remove(p.attempt);
+        p.machine.assignments.remove(p.attempt);
         p.machine.release(p);
-        p.job.uncommitted.remove(p);
-        if (p.there()) {
-            p.become(State.EXITED);
+        p.job.uncommittedAssignments.remove(p);
+        if (p.mayExist()) {
+            p.transitionTo(State.EXITED);
             freeTask(p);
         }
     }
@@ -290,29 +295,29 @@
 
     private void freeTask(Assignment p) {
         Job job = p.job;
-        if (job.unplaced(p)) {
-            teamUse.add(p.spec, -1);
-            if (job.wanted(p.index)) {
-                job.pending.set(p.index);
-                scheduler.passWanted = true;
+        if (job.unassign(p)) {
+            teamUsage.add(p.spec, -1);
+            if (job.mayStart(p.index)) {
+                job.pendingTasks.set(p.index);
+                scheduler.cycleRequested = true;
             }
         }
         if (p.machine.idle()) {
             p.machine.idleSince = Math.max(p.machine.idleSince, scheduler.lastNow);
         }
-        scheduler.freed.add(p.machine);
+        scheduler.machinesWithFreedRoom.add(p.machine);
     }
 
     /** Everything in {@code job.committed} is durable; its exited attempts may be cleared. */
-    public void progressCommitted(Job job) {
-        for (Iterator<Assignment> i = job.uncommitted.iterator(); i.hasNext(); ) {
+    public void completionsCommitted(Job job) {
+        for (Iterator<Assignment> i = job.uncommittedAssignments.iterator(); i.hasNext(); ) {
             Assignment p = i.next();
-            if (job.committed.get(p.index)) {
-                p.clearable = true; // the order goes with the answer to the machine's next report
+            if (job.durablyCompleted.get(p.index)) {
+                p.removable = true; // the order goes with the answer to the machine's next report
                 i.remove();
             }
         }
-        job.committedMore();
+        job.completionsCommitted();
     }
 
     // ---- starts and stops ----
@@ -324,75 +329,76 @@
         long attempt = (token << JobConstants.ATTEMPT_BITS) + attempts++;
         Assignment p = new Assignment(job, index, attempt, m, now);
         m.add(p);
-        job.placed(p);
-        teamUse.add(p.spec, 1);
-        wantOrders(p);
+        job.assign(p);
+        teamUsage.add(p.spec, 1);
+        requestCommands(p);
     }
 
     /** Orders for services go out first. */
-    private void wantOrders(Assignment p) {
-        (p.job.spec.service() ? scheduler.ordersUrgent : scheduler.ordersDirty).add(p.machine);
+    private void requestCommands(Assignment p) {
+        (p.job.spec.service() ? scheduler.machinesWithUrgentCommands : scheduler.machinesWithPendingCommands)
+                .add(p.machine);
     }
 
     public void stop(Assignment p, double graceS) {
-        if (!p.stop || graceS < p.graceS) {
-            p.stop = true;
+        if (!p.stopRequested || graceS < p.graceS) {
+            p.stopRequested = true;
             p.graceS = graceS;
             if (graceS == 0) {
                 p.machine.release(p);
-                scheduler.freed.add(p.machine);
+                scheduler.machinesWithFreedRoom.add(p.machine);
             }
-            wantOrders(p);
+            requestCommands(p);
         }
     }
 
     // ---- orders ----
 
     /** The difference between what the machine reported and what is wanted, as orders. */
-    public List<Command> orders(Machine m) {
-        List<Command> orders = new ArrayList<>();
+    public List<Command> pendingCommands(Machine m) {
+        List<Command> pendingCommands = new ArrayList<>();
         List<Command> clears = new ArrayList<>();
-        for (TaskStatus t : m.reported) {
-            Assignment p = m.at(t.task(), t.attempt());
+        for (TaskStatus t : m.reportedTasks) {
+            Assignment p = m.assignmentOf(t.task(), t.attempt());
             if (t.state() == State.EXITED) {
-                if (p == null || (p.clearable && !p.launchMayFollow())) {
-                    clears.add(new Command(Command.Verb.FORGET, t.task(), t.attempt(), 0));
+                if (p == null || (p.removable && !p.launchMayStillExecute())) {
+                    clears.add(new Command(Command.Verb.CLEAR, t.task(), t.attempt(), 0));
                 }
             } else if (p == null) {
                 // Of no live job, or a second attempt: it goes. Unheard machines too; their tasks belong to no one
                 // else.
-                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), 0));
-            } else if (p.stop && (t.state() != State.SAVING || p.graceS == 0)) {
-                orders.add(new Command(Command.Verb.STOP, t.task(), t.attempt(), p.graceS));
+                pendingCommands.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), 0));
+            } else if (p.stopRequested && (t.state() != State.CHECKPOINTING || p.graceS == 0)) {
+                pendingCommands.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), p.graceS));
             }
         }
-        orders.addAll(clears);
+        pendingCommands.addAll(clears);
         if (m.registered) {
-            for (Assignment p : m.placements.values()) {
-                if (p.state() == State.SENT && !p.stop) {
-                    orders.add(new Command(Command.Verb.START, p.taskId, p.attempt, 0));
+            for (Assignment p : m.assignments.values()) {
+                if (p.state() == State.LAUNCHING && !p.stopRequested) {
+                    pendingCommands.add(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0));
                 }
             }
         }
-        return orders;
+        return pendingCommands;
     }
 
     /** The orders go out as the answer to a report. */
-    public void sentInAnswer(Machine m, List<Command> orders) {
-        for (Command o : orders) {
-            Assignment p = m.at(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.START && p != null) {
-                p.viaHello = true;
+    public void sentInHeartbeatResponse(Machine m, List<Command> pendingCommands) {
+        for (Command o : pendingCommands) {
+            Assignment p = m.assignmentOf(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+                p.launchInHeartbeatResponse = true;
             }
         }
     }
 
-    public void sentDirect(Machine m, List<Command> orders) {
-        m.directBusy = true;
-        for (Command o : orders) {
-            Assignment p = m.at(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.START && p != null) {
-                p.directInFlight = true;
+    public void sentDirectly(Machine m, List<Command> pendingCommands) {
+        m.directCallInFlight = true;
+        for (Command o : pendingCommands) {
+            Assignment p = m.assignmentOf(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+                p.directLaunchInFlight = true;
             }
         }
     }
@@ -400,14 +406,14 @@
     /**
      * A direct call ended. {@code settled}: it was executed, refused or never sent; otherwise it may be executed late.
      */
-    public void directEnded(Machine m, List<Command> orders, long session, boolean settled) {
-        m.directBusy = false;
-        for (Command o : orders) {
-            Assignment p = m.at(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.START && p != null) {
-                p.directInFlight = false;
-                if (!settled && m.session == session) {
-                    p.directDoubt = true;
+    public void directCallCompleted(Machine m, List<Command> pendingCommands, long session, boolean settled) {
+        m.directCallInFlight = false;
+        for (Command o : pendingCommands) {
+            Assignment p = m.assignmentOf(o.task(), o.attempt());
+            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+                p.directLaunchInFlight = false;
+                if (!settled && m.incarnation == session) {
+                    p.directLaunchUnacknowledged = true;
                 }
             }
         }
@@ -418,9 +424,9 @@
      * out, or the machine waits for the image. A machine that can't be reached starts the task once the image is there,
      * as long as its lease lasts.
      */
-    public boolean startMayCome(Job job) {
-        for (Assignment p : job.live.values()) {
-            if (p.state() == State.FETCHING || (p.state() == State.SENT && p.launchMayFollow())) {
+    public boolean launchMayStillExecute(Job job) {
+        for (Assignment p : job.assignments.values()) {
+            if (p.state() == State.PULLING_IMAGE || (p.state() == State.LAUNCHING && p.launchMayStillExecute())) {
                 return true;
             }
         }
@@ -431,16 +437,18 @@
      * Whether a launch of this job that went out directly may yet be carried out, at any time while the machine's
      * session and token last.
      */
-    public boolean launchUnderWay(Job job) {
-        return launchUnderWay(job, Long.MIN_VALUE);
+    public boolean directLaunchPending(Job job) {
+        return directLaunchPending(job, Long.MIN_VALUE);
     }
 
     /**
      * The same on a machine whose lease was renewed since: others' leases end by themselves, and the launch with them.
      */
-    public boolean launchUnderWay(Job job, long renewedSince) {
-        for (Assignment p : job.live.values()) {
-            if (p.state() == State.SENT && (p.directInFlight || p.directDoubt) && p.machine.answeredAt > renewedSince) {
+    public boolean directLaunchPending(Job job, long renewedSince) {
+        for (Assignment p : job.assignments.values()) {
+            if (p.state() == State.LAUNCHING
+                    && (p.directLaunchInFlight || p.directLaunchUnacknowledged)
+                    && p.machine.heartbeatAcknowledgedAt > renewedSince) {
                 return true;
             }
         }
@@ -448,7 +456,7 @@
     }
 
     /** Attempt numbers are nearly used up: a new token brings new ones. */
-    public boolean attemptsShort() {
+    public boolean attemptNumbersNearlyExhausted() {
         return attempts > (1L << JobConstants.ATTEMPT_BITS) - 10_000;
     }
 }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -34,7 +34,7 @@
             m.failedJobs.clear();
         }
         job.failures = 0;
-        job.failedOn.clear();
+        job.failedMachines.clear();
     }
 
     /** Whether the machine's quarantine ends now. */
@@ -52,7 +52,7 @@
         int own = 0;
         for (String id : m.failedJobs) {
             Job other = jobs.get(id);
-            own += other != null && (!other.done.isEmpty() || other.failedOn.size() == 1) ? 1 : 0;
+            own += other != null && (!other.completedTasks.isEmpty() || other.failedMachines.size() == 1) ? 1 : 0;
         }
         return own;
     }
@@ -60,7 +60,7 @@
     private static void back(Job job, int index, long now) {
         long wait = Math.min(
                 FaultConstants.TASK_BACKOFF_MAX_MS, FaultConstants.TASK_BACKOFF_MS << Math.min(job.failures, 5));
-        job.notBefore.put(index, now + (job.failures <= 1 ? 0 : wait));
+        job.retryNotBefore.put(index, now + (job.failures <= 1 ? 0 : wait));
     }
 
     /**
@@ -72,8 +72,8 @@
     private void charge(Machine m, Job job, long now) {
         m.failedAt = now;
         m.failedJobs.add(job.spec.id());
-        if (job.failedOn.add(m.id) && job.failedOn.size() == 2) {
-            job.failedOn.forEach(id -> acquit(machines.get(id)));
+        if (job.failedMachines.add(m.id) && job.failedMachines.size() == 2) {
+            job.failedMachines.forEach(id -> acquit(machines.get(id)));
         }
         if (own(m) >= FaultConstants.MACHINE_ERRORS) {
             m.faulty = true;
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -19,66 +19,72 @@
     public enum Status {
         LIVE,
         DONE,
-        ABORTED
+        CANCELLED
     }
 
     public final JobSpec spec;
     /** Arrival order: the stamp of the job's record. */
-    public final long order;
+    public final long arrivalRevision;
     /** The leader record stamp that the record's creation was conditional on. */
-    public final long under;
+    public final long createdUnderToken;
 
     public Status status = Status.LIVE;
     /** All that it awaits is durably done; before that nothing of it starts, and it counts for nothing. */
     public boolean ready;
     /** Its own rank, or a higher one of a job that needs it. */
-    public JobSpec.Rank rank;
+    public JobSpec.Priority priority;
     /** Its user asked to cancel it: nothing of it starts any more, whether that is durable yet or not. */
-    public boolean withdrawn;
+    public boolean cancellationRequested;
 
-    public final BitSet done = new BitSet();
+    public final BitSet completedTasks = new BitSet();
     /** Progress that is durable already. */
-    public BitSet committed = new BitSet();
+    public BitSet durablyCompleted = new BitSet();
     /** Tasks with nothing anywhere. */
-    public final BitSet pending = new BitSet();
+    public final BitSet pendingTasks = new BitSet();
     /** Tasks that may be somewhere. */
-    public final Int2ObjectOpenHashMap<Assignment> live = new Int2ObjectOpenHashMap<>();
+    public final Int2ObjectOpenHashMap<Assignment> assignments = new Int2ObjectOpenHashMap<>();
 
     private final Object2IntOpenHashMap<String> inZone = new Object2IntOpenHashMap<>();
     /** Tasks that were last reported as running or saving. */
     public int running;
     /** Attempts that ended with done and whose progress isn't durable yet. */
-    public final List<Assignment> uncommitted = new ArrayList<>();
+    public final List<Assignment> uncommittedAssignments = new ArrayList<>();
 
-    public final Int2LongOpenHashMap notBefore = new Int2LongOpenHashMap();
+    public final Int2LongOpenHashMap retryNotBefore = new Int2LongOpenHashMap();
     public int failures;
     /** Machines on which its tasks failed since one last succeeded; more than one speaks against the job. */
-    public final Set<String> failedOn = new HashSet<>();
+    public final Set<String> failedMachines = new HashSet<>();
     /** Tyrex: moved on to the second partition. */
-    public boolean moved;
+    public boolean inSecondPartitionByTyrex;
     /** Tyrex: run time, in seconds, of tasks finished in the present partition. */
-    public double partialSize;
+    public double attainedServiceS;
     /** A write of the done state is on its way. */
-    public boolean closing;
+    public boolean terminalWriteInFlight;
     /** Writes of an end that went out and may be, or become, true: another node may tell it before this one knows. */
-    public int endsInDoubt;
+    public int unresolvedTerminalWrites;
 
     /** Null: all tasks are as {@code spec} says. */
     private final TaskSet set;
 
-    public Job(JobSpec spec, long order, long under, boolean ready, JobSpec.Rank rank) {
-        this(spec, null, order, under, ready, rank);
-        pending.set(0, spec.tasks());
+    public Job(JobSpec spec, long arrivalRevision, long createdUnderToken, boolean ready, JobSpec.Priority priority) {
+        this(spec, null, arrivalRevision, createdUnderToken, ready, priority);
+        pendingTasks.set(0, spec.tasks());
     }
 
     /** A job whose tasks aren't all alike: what of it waits is told by and by ({@link Scheduler#release}). */
-    public Job(JobSpec spec, TaskSet set, long order, long under, boolean ready, JobSpec.Rank rank) {
+    public Job(
+            JobSpec spec,
+            TaskSet set,
+            long arrivalRevision,
+            long createdUnderToken,
+            boolean ready,
+            JobSpec.Priority priority) {
         this.spec = spec;
         this.set = set;
         this.ready = ready;
-        this.rank = rank;
-        this.order = order;
-        this.under = under;
+        this.priority = priority;
+        this.arrivalRevision = arrivalRevision;
+        this.createdUnderToken = createdUnderToken;
     }
 
     /** What that task takes and where it may go. */
@@ -91,29 +97,32 @@
     }
 
     /** Tasks that wait for others of the same job. */
-    public int unreleased() {
-        return set == null ? 0 : set.unreleased();
+    public int unreleasedTasks() {
+        return set == null ? 0 : set.unreleasedTasks();
     }
 
     /** Whether its tasks may become more. */
-    public boolean grows() {
+    public boolean mayGrow() {
         return set != null;
     }
 
     /** Whether its tasks differ in what they take. */
-    public boolean mixed() {
-        return set != null && set.mixed();
+    public boolean heterogeneous() {
+        return set != null && set.heterogeneous();
     }
 
     /** Whether that task may still start. */
-    boolean wanted(int index) {
-        return status == Status.LIVE && !withdrawn && !done.get(index) && (set == null || set.wanted(index));
+    boolean mayStart(int index) {
+        return status == Status.LIVE
+                && !cancellationRequested
+                && !completedTasks.get(index)
+                && (set == null || set.mayStart(index));
     }
 
-    /** {@code committed} holds more than before. */
-    void committedMore() {
+    /** {@code durablyCompleted} holds more than before. */
+    void completionsCommitted() {
         if (set != null) {
-            set.committed(committed);
+            set.completionsCommitted(durablyCompleted);
         }
     }
 
@@ -122,38 +131,38 @@
         return set == null || set.successful();
     }
 
-    void errored(int index) {
+    void taskFailed(int index) {
         if (set != null) {
-            set.errored(index);
+            set.taskFailed(index);
         }
     }
 
     /** How many tasks of each description wait. */
     public void forEachWaiting(ObjIntConsumer<JobSpec> each) {
-        if (!mixed()) {
-            if (!pending.isEmpty()) {
-                each.accept(spec(pending.nextSetBit(0)), pending.cardinality());
+        if (!heterogeneous()) {
+            if (!pendingTasks.isEmpty()) {
+                each.accept(spec(pendingTasks.nextSetBit(0)), pendingTasks.cardinality());
             }
             return;
         }
         Map<JobSpec, int[]> counts = new IdentityHashMap<>();
-        pending.stream().forEach(i -> counts.computeIfAbsent(set.spec(i), k -> new int[1])[0]++);
+        pendingTasks.stream().forEach(i -> counts.computeIfAbsent(set.spec(i), k -> new int[1])[0]++);
         counts.forEach((spec, count) -> each.accept(spec, count[0]));
     }
 
     /** It starts now, or was found, on that machine. */
-    public void placed(Assignment p) {
-        live.put(p.index, p);
-        pending.clear(p.index);
+    public void assign(Assignment p) {
+        assignments.put(p.index, p);
+        pendingTasks.clear(p.index);
         inZone.addTo(p.machine.zone, 1);
     }
 
     /** That attempt can't be anywhere any more; whether the task waits again is up to the caller. */
-    public boolean unplaced(Assignment p) {
-        if (live.get(p.index) != p) {
+    public boolean unassign(Assignment p) {
+        if (assignments.get(p.index) != p) {
             return false;
         }
-        live.remove(p.index);
+        assignments.remove(p.index);
         inZone.addTo(p.machine.zone, -1);
         return true;
     }
@@ -163,11 +172,11 @@
      * over.
      */
     public boolean failsEverywhere() {
-        return failedOn.size() >= FaultConstants.JOB_ERRORS;
+        return failedMachines.size() >= FaultConstants.JOB_ERRORS;
     }
 
-    public boolean second() {
-        return spec.service() || moved;
+    public boolean inSecondPartition() {
+        return spec.service() || inSecondPartitionByTyrex;
     }
 
     public int inZone(String zone) {
@@ -175,11 +184,12 @@
     }
 
     /** Something of it waits to be started, and may. */
-    public boolean waits() {
-        return status == Status.LIVE && ready && !pending.isEmpty();
+    public boolean hasPendingTasks() {
+        return status == Status.LIVE && ready && !pendingTasks.isEmpty();
     }
 
     public boolean finished() {
-        return !spec.service() && (set == null ? done.cardinality() == spec.tasks() : set.finished(done));
+        return !spec.service()
+                && (set == null ? completedTasks.cardinality() == spec.tasks() : set.finished(completedTasks));
     }
 }
--- a/src/main/java/org/hollypick/core/JobDependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.core.JobSpec.Priority;
 
 /**
  * Which job needs which, as far as it is durable: what may start, what never can, and how urgent each is for those that
@@ -34,7 +34,7 @@
         private List<Vertex> awaited = List.of();
         private final List<Vertex> neededBy = new ArrayList<>(0);
         /** The highest of its own and of those that need it. */
-        private Rank rank = Rank.LOW;
+        private Priority priority = Priority.LOW;
 
         private Vertex(String id) {
             this.id = id;
@@ -58,7 +58,7 @@
     }
 
     /** The job's record is there and it isn't over. */
-    public void live(String id, Rank rank, Collection<String> awaits) {
+    public void addLive(String id, Priority priority, Collection<String> awaits) {
         Vertex job = vertex(id);
         if (job.known || job.fate != Fate.LIVE) {
             return;
@@ -78,7 +78,7 @@
         if (cancelled) {
             cancelled(id);
         } else {
-            raise(job, rank);
+            raise(job, priority);
             raiseAwaited(job);
             changed.add(id);
         }
@@ -117,9 +117,9 @@
         vertices.put(job.id, as);
     }
 
-    private void raise(Vertex job, Rank rank) {
-        if (rank.compareTo(job.rank) < 0) {
-            job.rank = rank;
+    private void raise(Vertex job, Priority priority) {
+        if (priority.compareTo(job.priority) < 0) {
+            job.priority = priority;
             changed.add(job.id);
         }
     }
@@ -131,8 +131,8 @@
         while (!todo.isEmpty()) {
             Vertex job = todo.poll();
             for (Vertex awaited : job.awaited) {
-                if (awaited.fate == Fate.LIVE && job.rank.compareTo(awaited.rank) < 0) {
-                    raise(awaited, job.rank);
+                if (awaited.fate == Fate.LIVE && job.priority.compareTo(awaited.priority) < 0) {
+                    raise(awaited, job.priority);
                     todo.add(awaited);
                 }
             }
@@ -180,9 +180,9 @@
     }
 
     /** The highest rank of the job and of the known jobs that need it. */
-    public Rank rank(String id) {
+    public Priority priority(String id) {
         Vertex job = vertices.get(id);
-        return job == null ? Rank.LOW : job.rank;
+        return job == null ? Priority.LOW : job.priority;
     }
 
     /** Whether the job needs one of those, directly or through others. */
--- a/src/main/java/org/hollypick/core/JobSpec.java
+++ b/src/main/java/org/hollypick/core/JobSpec.java
@@ -11,7 +11,7 @@
         String jobClass,
         String team,
         boolean service,
-        Rank rank,
+        Priority priority,
         int tasks,
         double cpus,
         double gpus,
@@ -29,7 +29,7 @@
         double dueS) {
 
     /** Priorities, the highest first. */
-    public enum Rank {
+    public enum Priority {
         PRODUCTION,
         HIGH,
         NORMAL,
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -22,20 +22,20 @@
     public final long token;
     private final Settings settings;
     public final WorkerLeases leases;
-    private final SchedulingCycle planner;
-    final TeamUsage teamUse = new TeamUsage();
+    private final SchedulingCycle cycle;
+    final TeamUsage teamUsage = new TeamUsage();
     public final Estimates estimates;
     /** Which controller each machine reports to. */
-    public final HeartbeatBalancer reportBalancer;
+    public final HeartbeatBalancer heartbeatBalancer;
 
-    public final AssignmentTable ledger;
-    private boolean settled;
+    public final AssignmentTable assignments;
+    private boolean reconciliationComplete;
     /** Earlier leaders kept the same limits of teams. */
-    private boolean olderKeptLimits;
+    private boolean earlierLeadersKeptLimits;
 
-    private long unheardAt = -1;
-    private boolean allHeard;
-    private long heardAskedAt = -1;
+    private long unreconciledCountedAt = -1;
+    private boolean allReconciled;
+    private long allReconciledCheckedAt = -1;
     long lastNow;
     private Arrived arrived = new Arrived(0, 0, 0);
     /** Work of tasks that were released since that was last taken: there may be thousands at once. */
@@ -44,22 +44,22 @@
     public final Map<String, Job> jobs = new LinkedHashMap<>();
     public final Map<String, Machine> machines = new LinkedHashMap<>();
     /** Machines certainly gone in this term; late reports of theirs mean nothing. */
-    public final Set<String> gone = new HashSet<>();
+    public final Set<String> terminatedMachines = new HashSet<>();
 
     // effects, drained by the loops
-    public final Set<Machine> ordersDirty = new LinkedHashSet<>();
+    public final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
     /** The same for machines whose orders concern services. */
-    public final Set<Machine> ordersUrgent = new LinkedHashSet<>();
+    public final Set<Machine> machinesWithUrgentCommands = new LinkedHashSet<>();
     /** Machines on which room came free since this was last emptied. */
-    public final Set<Machine> freed = new LinkedHashSet<>();
+    public final Set<Machine> machinesWithFreedRoom = new LinkedHashSet<>();
 
-    public final Set<Job> progressDirty = new LinkedHashSet<>();
+    public final Set<Job> jobsWithNewCompletions = new LinkedHashSet<>();
     /** Machines that came up and aren't registered yet. */
-    public final Set<Machine> toRegister = new LinkedHashSet<>();
+    public final Set<Machine> machinesToRegister = new LinkedHashSet<>();
     /** Machines that are gone; their durable records have to follow. */
-    public final Set<String> toForget = new LinkedHashSet<>();
+    public final Set<String> machinesToUnregister = new LinkedHashSet<>();
 
-    public boolean passWanted;
+    public boolean cycleRequested;
 
     /** {@code leases}: when a worker's lease is certainly over. */
     public Scheduler(long token, Settings settings, double firstShare, WorkerLeases leases) {
@@ -71,25 +71,25 @@
         this.estimates = new Estimates(learns);
         this.token = token;
         this.settings = settings;
-        this.reportBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
+        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
         this.leases = leases;
-        this.ledger = new AssignmentTable(this, teamUse);
-        this.planner = new SchedulingCycle(this, firstShare);
+        this.assignments = new AssignmentTable(this, teamUsage);
+        this.cycle = new SchedulingCycle(this, firstShare);
     }
 
     /** The leader before kept the same limits of teams, and all before it did. */
-    public void olderKeptLimits() {
-        olderKeptLimits = true;
+    public void earlierLeadersKeptLimits() {
+        earlierLeadersKeptLimits = true;
     }
 
     // ---- jobs ----
 
     /** A job that awaits nothing. */
     public Job addJob(JobSpec spec, long order, long under) {
-        return addJob(spec, order, under, true, spec.rank());
+        return addJob(spec, order, under, true, spec.priority());
     }
 
-    public Job addJob(JobSpec spec, long order, long under, boolean ready, JobSpec.Rank rank) {
+    public Job addJob(JobSpec spec, long order, long under, boolean ready, JobSpec.Priority rank) {
         Job job = jobs.get(spec.id());
         if (job == null) {
             job = new Job(spec, order, under, ready, rank);
@@ -102,8 +102,8 @@
     }
 
     /** Its ancestors or those that need it have changed: it may start from now on, or became more urgent. */
-    public void follow(Job job, boolean ready, JobSpec.Rank rank) {
-        job.rank = rank;
+    public void updateDependencies(Job job, boolean ready, JobSpec.Priority rank) {
+        job.priority = rank;
         if (ready && !job.ready) {
             job.ready = true;
             arrived(job);
@@ -116,40 +116,40 @@
         arrived = spec.service()
                 ? new Arrived(arrived.arrays, arrived.arrayWork, arrived.serviceCores + cores)
                 : new Arrived(arrived.arrays + 1, arrived.arrayWork + cores * expectedRunS(spec), arrived.serviceCores);
-        passWanted = true;
+        cycleRequested = true;
     }
 
     /** A job whose tasks aren't all alike; none of them waits yet. */
     public Job addJob(JobSpec spec, TaskSet set, long order, long under) {
-        Job job = new Job(spec, set, order, under, true, spec.rank());
+        Job job = new Job(spec, set, order, under, true, spec.priority());
         jobs.put(spec.id(), job);
         arrived = new Arrived(arrived.arrays + 1, arrived.arrayWork, arrived.serviceCores);
         return job;
     }
 
     /** What the records say that is done of such a job was read. */
-    public void restored(Job job) {
-        job.committedMore();
+    public void completionsRestored(Job job) {
+        job.completionsCommitted();
     }
 
     /** From now on that task of such a job waits. */
     public void release(Job job, int index) {
-        if (job.wanted(index) && !job.live.containsKey(index)) {
+        if (job.mayStart(index) && !job.assignments.containsKey(index)) {
             JobSpec spec = job.spec(index);
-            job.pending.set(index);
+            job.pendingTasks.set(index);
             releasedWork += spec.cpus() * expectedRunS(spec);
-            passWanted = true;
+            cycleRequested = true;
         }
     }
 
     /** That task of such a job isn't to run any more: it doesn't wait, and where it may be it is stopped. */
-    public void withdraw(Job job, int index) {
-        job.pending.clear(index);
-        Assignment p = job.live.get(index);
+    public void cancelTask(Job job, int index) {
+        job.pendingTasks.clear(index);
+        Assignment p = job.assignments.get(index);
         if (p != null) {
-            ledger.stop(p, 0);
+            assignments.stop(p, 0);
         }
-        passWanted = true;
+        cycleRequested = true;
     }
 
     /** What arrived in a while: array jobs, their work in core-seconds, and the cores of services. */
@@ -171,27 +171,27 @@
      * first. Nothing of the job starts from here on, and all of it goes; what it would do yet is of use to nobody.
      */
     public void cancel(Job job) {
-        job.withdrawn = true;
-        job.pending.clear();
-        for (Assignment p : new ArrayList<>(job.live.values())) {
-            ledger.stop(p, 0);
+        job.cancellationRequested = true;
+        job.pendingTasks.clear();
+        for (Assignment p : new ArrayList<>(job.assignments.values())) {
+            assignments.stop(p, 0);
         }
-        passWanted = true;
+        cycleRequested = true;
     }
 
     /** The cancellation is durable. */
-    public void abort(Job job) {
+    public void markCancelled(Job job) {
         cancel(job);
-        job.status = Job.Status.ABORTED;
+        job.status = Job.Status.CANCELLED;
     }
 
-    public void close(Job job) {
+    public void markDone(Job job) {
         job.status = Job.Status.DONE;
-        job.committed = job.done;
-        for (Assignment p : new ArrayList<>(job.live.values())) {
-            ledger.stop(p, 0);
+        job.durablyCompleted = job.completedTasks;
+        for (Assignment p : new ArrayList<>(job.assignments.values())) {
+            assignments.stop(p, 0);
         }
-        ledger.progressCommitted(job);
+        assignments.completionsCommitted(job);
     }
 
     // ---- machines ----
@@ -200,46 +200,47 @@
         Machine m = new Machine(id, type, zone, spot, now);
         m.registered = registered;
         // A machine without a durable record can't have been given a task by an earlier leader.
-        m.heard = !registered;
+        m.reconciled = !registered;
         machines.put(id, m);
-        settled &= m.known();
+        reconciliationComplete &= m.accountedFor();
         return m;
     }
 
     /** The machine and everything on it are certainly gone. */
-    public void machineGone(String id) {
+    public void markTerminated(String id) {
         Machine m = machines.remove(id);
-        gone.add(id);
-        reportBalancer.gone(id);
+        terminatedMachines.add(id);
+        heartbeatBalancer.terminated(id);
         if (m != null) {
-            ledger.loseAll(m);
-            ordersDirty.remove(m);
-            ordersUrgent.remove(m);
-            toRegister.remove(m);
-            freed.remove(m);
+            assignments.removeAll(m);
+            machinesWithPendingCommands.remove(m);
+            machinesWithUrgentCommands.remove(m);
+            machinesToRegister.remove(m);
+            machinesWithFreedRoom.remove(m);
         }
-        toForget.add(id);
-        passWanted = true;
+        machinesToUnregister.add(id);
+        cycleRequested = true;
     }
 
     /** Leases that ran out, and machines from earlier terms that can't hold anything any more. */
-    public void tick(long now) {
+    public void expireLeases(long now) {
         lastNow = now;
         for (Machine m : machines.values()) {
-            passWanted |= FaultAttribution.pardon(m, now);
+            cycleRequested |= FaultAttribution.pardon(m, now);
             // What older leaders launched needs a session that began before this term: all of those have ended,
             // whatever has begun since.
-            boolean olderOver = !m.heard && leases.over(m.answeredAt, now);
+            boolean olderOver = !m.reconciled && leases.over(m.heartbeatAcknowledgedAt, now);
             // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
-            boolean over = ((m.up && !m.lapsed()) || !m.placements.isEmpty()) && leases.over(m.leaseFrom(), now);
+            boolean over = ((m.heartbeatReceived && !m.incarnationExpired()) || !m.assignments.isEmpty())
+                    && leases.over(m.leaseStartedAt(), now);
             if (olderOver || over) {
-                ledger.loseAll(m);
-                m.heard = true;
-                passWanted = true;
+                assignments.removeAll(m);
+                m.reconciled = true;
+                cycleRequested = true;
             }
-            if (over && m.up) {
-                m.lapsedAt = now;
-                m.minSession = m.session + 1;
+            if (over && m.heartbeatReceived) {
+                m.incarnationExpiredAt = now;
+                m.minIncarnation = m.incarnation + 1;
             }
         }
     }
@@ -248,58 +249,58 @@
      * Whether a task of the job may yet start by a launch that was sent: this leader's, or an older one's on a machine
      * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
      */
-    public boolean launchMayCome(Job job) {
-        return ledger.startMayCome(job) || (job.under != token && !allHeard());
+    public boolean launchMayStillExecute(Job job) {
+        return assignments.launchMayStillExecute(job) || (job.createdUnderToken != token && !allReconciled());
     }
 
     /** Once so, it stays so; asked for many jobs in one moment. */
-    private boolean allHeard() {
-        if (!allHeard && heardAskedAt != lastNow) {
-            heardAskedAt = lastNow;
-            allHeard = machines.values().stream().allMatch(m -> m.heard);
+    private boolean allReconciled() {
+        if (!allReconciled && allReconciledCheckedAt != lastNow) {
+            allReconciledCheckedAt = lastNow;
+            allReconciled = machines.values().stream().allMatch(m -> m.reconciled);
         }
-        return allHeard;
+        return allReconciled;
     }
 
     /**
      * Whether no machine of an earlier term can still hold tasks that this one doesn't know of. Once so, it stays so.
      */
-    public boolean settled() {
-        if (!settled) {
-            settled = machines.values().stream().allMatch(Machine::known);
-            if (settled) {
-                teamUse.settled();
+    public boolean reconciliationComplete() {
+        if (!reconciliationComplete) {
+            reconciliationComplete = machines.values().stream().allMatch(Machine::accountedFor);
+            if (reconciliationComplete) {
+                teamUsage.reconciliationComplete();
             }
         }
-        return settled;
+        return reconciliationComplete;
     }
 
     /** Whether that was so when it was last asked: without a look at all machines, for each task of each report. */
-    boolean settledBefore() {
-        return settled;
+    boolean reconciliationWasComplete() {
+        return reconciliationComplete;
     }
 
     /** It is durable that the machine may hold tasks: from now on it may, unless it went while that was written. */
     public void registered(Machine m) {
         m.registered = true;
         if (machines.get(m.id) == m) {
-            freed.add(m);
+            machinesWithFreedRoom.add(m);
         }
     }
 
     // ---- placing ----
 
     /** One pass over everything that waits. */
-    public void pass(long now) {
+    public void runSchedulingCycle(long now) {
         lastNow = now;
-        passWanted = false;
-        planner.pass(now);
+        cycleRequested = false;
+        cycle.run(now);
     }
 
     /** What waits is looked through for this one machine, where room may have come free. */
-    public void fill(Machine m, long now) {
+    public void scheduleOn(Machine m, long now) {
         lastNow = now;
-        planner.fill(m, now);
+        cycle.scheduleOn(m, now);
     }
 
     boolean severalTeams() {
@@ -314,14 +315,14 @@
         if (team == null || (team.cpusMax() <= 0 && team.gpusMax() <= 0)) {
             return true;
         }
-        if (settled()) {
-            return teamUse.allows(team, spec);
+        if (reconciliationComplete()) {
+            return teamUsage.allows(team, spec);
         }
-        if (unheardAt != lastNow) {
-            unheardAt = lastNow; // within one moment they only become fewer
-            teamUse.unheard(machines.values());
+        if (unreconciledCountedAt != lastNow) {
+            unreconciledCountedAt = lastNow; // within one moment they only become fewer
+            teamUsage.unheard(machines.values());
         }
-        return teamUse.allowsUnheard(team, spec, olderKeptLimits);
+        return teamUsage.allowsUnheard(team, spec, earlierLeadersKeptLimits);
     }
 
     /**
@@ -342,25 +343,26 @@
 
     /** Everything is known, and no team takes more than its limit. */
     public boolean limitsKept() {
-        return settled() && teamUse.within(settings.teams().values());
+        return reconciliationComplete() && teamUsage.within(settings.teams().values());
     }
 
     /** Partial sizes by job, for the controller's one value. */
-    public Map<String, Double> sizes() {
-        Map<String, Double> sizes = new HashMap<>();
+    public Map<String, Double> attainedService() {
+        Map<String, Double> attainedService = new HashMap<>();
         for (Job job : jobs.values()) {
             if (job.status == Job.Status.LIVE
                     && job.ready
                     && !job.spec.service()
-                    && (job.partialSize > 0 || job.moved)) {
-                sizes.put(job.spec.id(), job.moved ? -1 - job.partialSize : job.partialSize);
+                    && (job.attainedServiceS > 0 || job.inSecondPartitionByTyrex)) {
+                attainedService.put(
+                        job.spec.id(), job.inSecondPartitionByTyrex ? -1 - job.attainedServiceS : job.attainedServiceS);
             }
         }
-        return sizes;
+        return attainedService;
     }
 
-    public void restoreSize(Job job, double size) {
-        job.moved = size < 0;
-        job.partialSize = size < 0 ? -1 - size : size;
+    public void restoreAttainedService(Job job, double size) {
+        job.inSecondPartitionByTyrex = size < 0;
+        job.attainedServiceS = size < 0 ? -1 - size : size;
     }
 }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -20,8 +20,8 @@
      * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
      * holds among jobs of one rank.
      */
-    private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Rank>comparing(j -> j.rank)
-            .thenComparing((a, b) -> Long.compareUnsigned(a.order, b.order));
+    private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority)
+            .thenComparing((a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision));
 
     private final Scheduler scheduler;
     private final double firstShare;
@@ -48,18 +48,18 @@
     }
 
     /** Everything that waits, over all machines. */
-    void pass(long now) {
+    void run(long now) {
         partition();
         firstJobs = new ArrayList<>();
         secondJobs = new ArrayList<>();
-        boolean settled = scheduler.settled();
+        boolean settled = scheduler.reconciliationComplete();
         for (Job job : scheduler.jobs.values()) {
-            if (job.waits() && (settled || job.under == scheduler.token)) {
-                (job.second() ? secondJobs : firstJobs).add(job);
+            if (job.hasPendingTasks() && (settled || job.createdUnderToken == scheduler.token)) {
+                (job.inSecondPartition() ? secondJobs : firstJobs).add(job);
             }
         }
         if (firstJobs.isEmpty() && secondJobs.isEmpty()) {
-            scheduler.teamUse.owesNothing();
+            scheduler.teamUsage.owesNothing();
             return;
         }
         firstJobs.sort(ORDER);
@@ -73,7 +73,7 @@
             allServices += m.serviceCpus();
             if (MachineSelector.takesTasks(m, now)) {
                 usable.add(m);
-                (m.first ? firstMachines : secondMachines).add(m);
+                (m.inFirstPartition ? firstMachines : secondMachines).add(m);
             }
         }
         reserve(usable, now);
@@ -93,7 +93,7 @@
      * The same for a single machine on which room came free: services, its own partition's jobs, then those it lends
      * to.
      */
-    void fill(Machine m, long now) {
+    void scheduleOn(Machine m, long now) {
         if (!MachineSelector.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
             return;
         }
@@ -102,11 +102,11 @@
         List<Job> first = byArrival ? byArrival(firstJobs) : firstJobs;
         List<Job> second = byArrival ? byArrival(secondJobs) : secondJobs;
         for (Job job : secondJobs) {
-            if (job.waits() && job.spec.service()) {
+            if (job.hasPendingTasks() && job.spec.service()) {
                 placeService(job, one, now);
             }
         }
-        if (m.first) {
+        if (m.inFirstPartition) {
             countIdleFirst();
             first.forEach(job -> place(job, one, List.of(), false, now));
             second.forEach(job -> place(job, List.of(), one, true, now));
@@ -119,7 +119,7 @@
     /** The order of the paper, which knows no ranks. */
     private static List<Job> byArrival(List<Job> jobs) {
         List<Job> list = new ArrayList<>(jobs);
-        list.sort((a, b) -> Long.compareUnsigned(a.order, b.order));
+        list.sort((a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision));
         return list;
     }
 
@@ -133,9 +133,9 @@
             if (choice == null) {
                 return;
             }
-            choice.victims().forEach(v -> scheduler.ledger.stop(v, 0));
+            choice.victims().forEach(v -> scheduler.assignments.stop(v, 0));
             start(job, i, choice.machine(), now);
-            scheduler.teamUse.owe(job.spec, -1);
+            scheduler.teamUsage.owe(job.spec, -1);
         }
     }
 
@@ -149,7 +149,7 @@
             return;
         }
         reservedAt = now;
-        scheduler.teamUse.owesNothing();
+        scheduler.teamUsage.owesNothing();
         Map<String, Boolean> room = new HashMap<>();
         for (Job job : secondJobs) {
             JobSpec spec = job.spec;
@@ -158,7 +158,7 @@
                     && useChangedLately(spec.team(), now)
                     && room.computeIfAbsent(
                             spec.team(), t -> MachineSelector.preempt(job, usable, allServices, now) != null)) {
-                scheduler.teamUse.owe(spec, job.pending.cardinality());
+                scheduler.teamUsage.owe(spec, job.pendingTasks.cardinality());
             }
         }
     }
@@ -169,7 +169,7 @@
      * arrays that fit into it waited for ever beside room.
      */
     private boolean useChangedLately(String team, long now) {
-        long changes = scheduler.teamUse.changes(team);
+        long changes = scheduler.teamUsage.changes(team);
         UseSeen seen = usesSeen.get(team);
         if (seen == null || seen.changes != changes) {
             seen = new UseSeen(changes, now);
@@ -191,7 +191,7 @@
                 m = MachineSelector.choose(job, spec, keepOneFree ? lendable(others) : others, now);
             }
             if (m == null) {
-                if (!job.mixed()) {
+                if (!job.heterogeneous()) {
                     return;
                 }
                 // Tasks of another description may fit.
@@ -214,29 +214,29 @@
     }
 
     private void start(Job job, int index, Machine m, long now) {
-        idleFirst -= m.first && m.idle() ? 1 : 0;
-        scheduler.ledger.start(job, index, m, now);
+        idleFirst -= m.inFirstPartition && m.idle() ? 1 : 0;
+        scheduler.assignments.start(job, index, m, now);
     }
 
     /** The next task that may start now, or -1. */
     private int next(Job job, int from, long now) {
-        if (!job.waits() || (job.failsEverywhere() && !job.live.isEmpty())) {
+        if (!job.hasPendingTasks() || (job.failsEverywhere() && !job.assignments.isEmpty())) {
             return -1;
         }
         JobSpec beyond = null;
         JobSpec within = null;
-        for (int i = job.pending.nextSetBit(from); i >= 0; i = job.pending.nextSetBit(i + 1)) {
+        for (int i = job.pendingTasks.nextSetBit(from); i >= 0; i = job.pendingTasks.nextSetBit(i + 1)) {
             JobSpec spec = job.spec(i);
             if (spec != within && spec != beyond) {
                 if (scheduler.withinLimit(spec)) {
                     within = spec;
-                } else if (job.mixed()) {
+                } else if (job.heterogeneous()) {
                     beyond = spec;
                 } else {
                     return -1;
                 }
             }
-            if (spec == within && job.notBefore.get(i) <= now) {
+            if (spec == within && job.retryNotBefore.get(i) <= now) {
                 return i;
             }
         }
@@ -257,7 +257,7 @@
     private void countIdleFirst() {
         idleFirst = 0;
         for (Machine m : scheduler.machines.values()) {
-            idleFirst += m.first && m.usable() && m.idle() ? 1 : 0;
+            idleFirst += m.inFirstPartition && m.schedulable() && m.idle() ? 1 : 0;
         }
     }
 
@@ -267,11 +267,11 @@
         int have = 0;
         int usable = 0;
         for (Machine m : all) {
-            if (m.usable()) {
+            if (m.schedulable()) {
                 usable++;
-                have += m.first ? 1 : 0;
+                have += m.inFirstPartition ? 1 : 0;
             } else {
-                m.first = false;
+                m.inFirstPartition = false;
             }
         }
         int want = (int) Math.round(usable * firstShare);
@@ -281,7 +281,7 @@
         boolean join = have < want;
         List<Machine> candidates = new ArrayList<>();
         for (Machine m : all) {
-            if (m.usable() && m.first != join) {
+            if (m.schedulable() && m.inFirstPartition != join) {
                 candidates.add(m);
             }
         }
@@ -289,7 +289,7 @@
                 Comparator.comparing((Machine m) -> m.spot == join ? 0 : 1).thenComparing(m -> m.id);
         candidates.sort(order);
         for (Machine m : candidates.subList(0, Math.min(candidates.size(), Math.abs(want - have)))) {
-            m.first = join;
+            m.inFirstPartition = join;
         }
     }
 }
--- a/src/main/java/org/hollypick/core/TaskSet.java
+++ b/src/main/java/org/hollypick/core/TaskSet.java
@@ -11,23 +11,23 @@
     JobSpec spec(int index);
 
     /** Whether there is more than one description. */
-    boolean mixed();
+    boolean heterogeneous();
 
     /** Tasks that wait for others of the set. */
-    int unreleased();
+    int unreleasedTasks();
 
     /** Whether the task may still start. */
-    boolean wanted(int index);
+    boolean mayStart(int index);
 
     /** Nothing will become of any task any more, given those that are done. */
     boolean finished(BitSet done);
 
     /** It is durable that those tasks are done. */
-    void committed(BitSet done);
+    void completionsCommitted(BitSet done);
 
     /** Whether all tasks were done. */
     boolean successful();
 
     /** The task failed once more. */
-    void errored(int index);
+    void taskFailed(int index);
 }
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -68,7 +68,7 @@
     }
 
     /** Everything is known: what was found needn't be remembered. */
-    void settled() {
+    void reconciliationComplete() {
         foundAttempts.clear();
     }
 
@@ -76,7 +76,7 @@
         unheardCpus = 0;
         unheardGpus = 0;
         for (Machine m : machines) {
-            if (!m.known()) {
+            if (!m.accountedFor()) {
                 // A type that the cloud no longer names may hold anything.
                 unheardCpus += m.type.cpus() > 0 ? m.type.cpus() : Double.POSITIVE_INFINITY;
                 unheardGpus += m.type.cpus() > 0 ? m.type.gpus() : Double.POSITIVE_INFINITY;
--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -6,10 +6,10 @@
 /** One attempt of a task that is, or may be, on a machine. */
 public final class Assignment {
     public enum State {
-        SENT,
-        FETCHING,
+        LAUNCHING,
+        PULLING_IMAGE,
         RUNNING,
-        SAVING,
+        CHECKPOINTING,
         EXITED
     }
 
@@ -21,23 +21,23 @@
     public final long attempt;
     public final Machine machine;
     public final String taskId;
-    private State state = State.SENT;
+    private State state = State.LAUNCHING;
     /** Wanted gone: a kill goes out until the worker reports it exited. */
-    public boolean stop;
+    public boolean stopRequested;
 
     public double graceS;
     /** An exited attempt may be cleared once what it achieved is durable. */
-    public boolean clearable;
+    public boolean removable;
     /** A direct launch went out and its outcome is unknown: it may be executed late, while the session lasts. */
-    public boolean directDoubt;
+    public boolean directLaunchUnacknowledged;
     /** A direct launch is on its way right now. */
-    public boolean directInFlight;
+    public boolean directLaunchInFlight;
     /** The answer to the machine's latest report carried the launch. */
-    public boolean viaHello;
+    public boolean launchInHeartbeatResponse;
     /** The report that listed it last, by the machine's own count. */
     long listedIn;
     /** Its room on the machine is still taken. */
-    boolean usesRoom;
+    boolean holdsResources;
 
     public final long startedAt;
     public long runningAt;
@@ -57,7 +57,7 @@
     }
 
     /** Keeps the running totals of its machine and its job in step. */
-    public void become(State next) {
+    public void transitionTo(State next) {
         if (state == next) {
             return;
         }
@@ -69,22 +69,22 @@
     }
 
     /** Whether the task may be on the machine. */
-    public boolean there() {
+    public boolean mayExist() {
         return state != State.EXITED;
     }
 
     /** Whether it has its image, as last reported. */
     private boolean onMachine() {
-        return state == State.RUNNING || state == State.SAVING;
+        return state == State.RUNNING || state == State.CHECKPOINTING;
     }
 
     /** Sent or fetching: it still waits for its image. */
     public boolean starting() {
-        return state == State.SENT || state == State.FETCHING;
+        return state == State.LAUNCHING || state == State.PULLING_IMAGE;
     }
 
     /** Whether a copy of the launch may still be executed: clearing the attempt now could start it once more. */
-    public boolean launchMayFollow() {
-        return directDoubt || directInFlight || viaHello;
+    public boolean launchMayStillExecute() {
+        return directLaunchUnacknowledged || directLaunchInFlight || launchInHeartbeatResponse;
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Command.java
+++ b/src/main/java/org/hollypick/core/assignment/Command.java
@@ -3,8 +3,8 @@
 /** A command to a worker. */
 public record Command(Verb verb, String task, long attempt, double graceS) {
     public enum Verb {
-        START,
-        STOP,
-        FORGET
+        LAUNCH,
+        KILL,
+        CLEAR
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -13,7 +13,7 @@
 /** A machine and everything that may be on it. */
 public final class Machine {
     public final String id;
-    public String addr = "";
+    public String address = "";
     public final MachineType type;
     public final String zone;
     public final boolean spot;
@@ -21,54 +21,54 @@
     /** Durably recorded; before that nothing may be launched here. */
     public boolean registered;
     /** It has reported under the current token, or nothing older can be on it. */
-    public boolean heard;
+    public boolean reconciled;
     /**
      * It reported a task that isn't accounted for: of a job that is over, or a second attempt. It is told to end that.
      */
-    public boolean strays;
+    public boolean hasOrphanedTasks;
     /** Its worker has reported at least once in this term. */
-    public boolean up;
+    public boolean heartbeatReceived;
     /**
      * It has seen this term's token, or answered a question: a report alone may be a late copy of a machine that is
      * gone.
      */
-    public boolean proved;
+    public boolean confirmedLive;
     /**
      * Since when the session that is known of is over; nothing may be told to it until the next one is heard of. 0: it
      * isn't.
      */
-    public long lapsedAt;
+    public long incarnationExpiredAt;
     /** Whether a report, not only answers to direct commands, came in the session that is known. */
-    public boolean reportedInSession;
+    public boolean heartbeatInIncarnation;
     /**
      * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may
      * reach it, but don't renew its lease: what it is given would end with that.
      */
-    public boolean needsReport;
+    public boolean awaitsHeartbeat;
     /** Whether what it is told reaches it. */
     public final HeartbeatValidity validity = new HeartbeatValidity();
 
-    public long session;
-    public long tick;
+    public long incarnation;
+    public long heartbeatSequence;
     /** The highest token that it has shown: larger counts beside a lower one are an earlier life's. */
     public long seenToken;
     /** Reports of older sessions tell nothing any more. */
-    public long minSession;
+    public long minIncarnation;
     /** When this session was first heard of; it began before that. */
-    public long sessionSince;
+    public long incarnationSeenAt;
     /** When the last report was answered with 200; its lease can't have been renewed later. */
-    public long answeredAt;
+    public long heartbeatAcknowledgedAt;
     /**
      * When a placement was last listed for the first time. A worker that begins again within its lease, its counts
      * going on, has a lease from that beginning, which no report tells apart from an empty machine; but whatever it
      * lists began there.
      */
-    private long newPlacementListedAt;
+    private long newAssignmentListedAt;
 
-    public long lastReportAt;
+    public long lastHeartbeatAt;
     public long createdAt;
     public long idleSince;
-    public boolean returning;
+    public boolean scalingIn;
     /** Gets no new tasks: on notice, faulty, or chosen to be returned. */
     public boolean draining;
 
@@ -76,33 +76,33 @@
     public long faultyUntil;
     public long noRoomUntil;
     /** Direct calls left unanswered since its last word. */
-    public int unanswered;
+    public int unacknowledgedCalls;
     /**
      * When another controller last reached it while this one didn't, since when without a break, and when that was last
      * asked.
      */
-    public long elsewhereAt;
+    public long reachedByPeerAt;
 
-    public long elsewhereSince;
-    public long elsewhereAskedAt;
+    public long reachedByPeerSince;
+    public long peerCheckRequestedAt;
     /** When another controller last tried it in vain. */
-    public long elsewhereFailedAt;
+    public long peerCheckFailedAt;
     /** More than is needed: arrays go elsewhere while they can. */
     public boolean surplus;
     /** Its replicas move elsewhere, so that it can be returned; it gets nothing new. */
-    public boolean emptying;
+    public boolean evicting;
     /** Its replicas will move after those of the machines that are emptied now. */
-    public boolean emptiedNext;
+    public boolean evictedNext;
     /** In the first Tyrex partition. */
-    public boolean first;
+    public boolean inFirstPartition;
 
-    public boolean directBusy;
+    public boolean directCallInFlight;
     /** No direct call before this time; the last one was left unanswered. */
-    public long directAfter;
+    public long directCallNotBefore;
     /** By attempt: those never repeat, whatever the task. */
-    public final Long2ObjectLinkedOpenHashMap<Assignment> placements = new Long2ObjectLinkedOpenHashMap<>();
+    public final Long2ObjectLinkedOpenHashMap<Assignment> assignments = new Long2ObjectLinkedOpenHashMap<>();
 
-    public List<TaskStatus> reported = List.of();
+    public List<TaskStatus> reportedTasks = List.of();
     public final Object2LongOpenHashMap<String> images = new Object2LongOpenHashMap<>();
     public final Set<String> failedJobs = new HashSet<>();
     /** When a task last failed on it. */
@@ -112,7 +112,7 @@
     public double usedGpus;
     public double usedMemory;
     /** Running totals over what may be there: tasks, those still without image, cores of services. */
-    private int there;
+    private int liveAssignments;
 
     private int starting;
     private double serviceCpus;
@@ -128,40 +128,40 @@
     }
 
     public void add(Assignment p) {
-        placements.put(p.attempt, p);
+        assignments.put(p.attempt, p);
         count(p, 1);
-        p.usesRoom = true;
+        p.holdsResources = true;
         use(p, 1);
     }
 
     /** The placement that an order or a report names; null if there is none. */
-    public Assignment at(String task, long attempt) {
-        Assignment p = placements.get(attempt);
+    public Assignment assignmentOf(String task, long attempt) {
+        Assignment p = assignments.get(attempt);
         return p != null && p.taskId.equals(task) ? p : null;
     }
 
     void count(Assignment p, int sign) {
-        if (p.there()) {
-            there += sign;
+        if (p.mayExist()) {
+            liveAssignments += sign;
             starting += p.starting() ? sign : 0;
             serviceCpus += p.spec.service() ? sign * p.spec.cpus() : 0;
         }
     }
 
     /** Nothing can be on it that isn't accounted for. */
-    public boolean known() {
-        return heard && !strays;
+    public boolean accountedFor() {
+        return reconciled && !hasOrphanedTasks;
     }
 
-    /** A new report begins: what it doesn't list is told by {@link #unlisted}. */
-    public void beginReport() {
+    /** A new report begins: what it doesn't list is told by {@link #unlistedAssignments}. */
+    public void beginHeartbeat() {
         reports++;
     }
 
     /** The present report lists the placement. */
     public void listed(Assignment p, long now) {
         if (p.listedIn == 0) {
-            newPlacementListedAt = now;
+            newAssignmentListedAt = now;
         }
         p.listedIn = reports;
     }
@@ -170,13 +170,13 @@
      * From when the lease of the worker's present life counts at the latest: whatever is known to be there was renewed,
      * first heard of or begun by then.
      */
-    public long leaseFrom() {
-        return Math.max(Math.max(answeredAt, sessionSince), newPlacementListedAt);
+    public long leaseStartedAt() {
+        return Math.max(Math.max(heartbeatAcknowledgedAt, incarnationSeenAt), newAssignmentListedAt);
     }
 
-    public List<Assignment> unlisted() {
+    public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
-        for (Assignment p : placements.values()) {
+        for (Assignment p : assignments.values()) {
             if (p.listedIn != reports) {
                 list.add(p);
             }
@@ -186,8 +186,8 @@
 
     /** Its room may be used by others: it exited, or is killed at once by an order ahead of theirs. */
     public void release(Assignment p) {
-        if (p.usesRoom) {
-            p.usesRoom = false;
+        if (p.holdsResources) {
+            p.holdsResources = false;
             use(p, -1);
         }
     }
@@ -205,31 +205,31 @@
                 && usedMemory + job.memory() <= type.memory() + slack;
     }
 
-    public boolean usable() {
+    public boolean schedulable() {
         return registered
-                && heard
-                && up
-                && proved
-                && !lapsed()
-                && !needsReport
+                && reconciled
+                && heartbeatReceived
+                && confirmedLive
+                && !incarnationExpired()
+                && !awaitsHeartbeat
                 && !validity.unreachableInbound()
                 && !draining
-                && !returning
+                && !scalingIn
                 && !faulty
-                && !emptying;
+                && !evicting;
     }
 
     public boolean idle() {
-        return there == 0;
+        return liveAssignments == 0;
     }
 
     /** It can't be given anything, and may never be again: deaf, or begun again under a session that is over. */
-    public boolean useless() {
-        return validity.unreachableInbound() || lapsed();
+    public boolean unreachable() {
+        return validity.unreachableInbound() || incarnationExpired();
     }
 
-    public boolean lapsed() {
-        return lapsedAt > 0;
+    public boolean incarnationExpired() {
+        return incarnationExpiredAt > 0;
     }
 
     /** Tasks that may be there but wait for their image. */
@@ -241,10 +241,10 @@
         return serviceCpus;
     }
 
-    public List<Assignment> there() {
+    public List<Assignment> liveAssignments() {
         List<Assignment> list = new ArrayList<>();
-        for (Assignment p : placements.values()) {
-            if (p.there()) {
+        for (Assignment p : assignments.values()) {
+            if (p.mayExist()) {
                 list.add(p);
             }
         }
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -96,8 +96,9 @@
         Map<String, Double> ordinary = new HashMap<>();
         have.clear();
         for (Machine m : scheduler.machines.values()) {
-            boolean slow = !m.up && now - m.createdAt > AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * m.type.bootS();
-            if (m.returning || m.draining || m.faulty || slow || (m.useless() && !partitioned.contains(m.zone))) {
+            boolean slow = !m.heartbeatReceived
+                    && now - m.createdAt > AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * m.type.bootS();
+            if (m.scalingIn || m.draining || m.faulty || slow || (m.unreachable() && !partitioned.contains(m.zone))) {
                 continue;
             }
             have.addTo(new Kind(m.type.name(), m.zone, m.spot), 1);
@@ -144,7 +145,7 @@
         Collection<Machine> machines = scheduler.machines.values();
         double surplus =
                 cordon(machines, spare, supply - Math.max(base, demand.arrayCores * AutoscalingConstants.BUSY_MARGIN));
-        List<Assignment> moves = scheduler.settled() ? moves(machines, spare, surplus, now) : List.of();
+        List<Assignment> moves = scheduler.reconciliationComplete() ? moves(machines, spare, surplus, now) : List.of();
         return new Plan(rents, returns(machines, spare, supply - base, now), moves);
     }
 
@@ -227,8 +228,10 @@
         emptiest.sort(Comparator.comparingDouble(m -> m.usedCpus / m.type.cpus()));
         for (Machine m : emptiest) {
             double zone = zoneLeft.getOrDefault(m.zone, 0.0);
-            m.surplus =
-                    m.usable() && m.serviceCpus() <= 0 && left >= m.type.cpus() && (m.spot || zone >= m.type.cpus());
+            m.surplus = m.schedulable()
+                    && m.serviceCpus() <= 0
+                    && left >= m.type.cpus()
+                    && (m.spot || zone >= m.type.cpus());
             if (m.surplus) {
                 left -= m.type.cpus();
                 if (!m.spot) {
@@ -253,20 +256,20 @@
             double left = excess / AutoscalingConstants.MOVE_MARGIN;
             List<Machine> emptiest = new ArrayList<>();
             for (Machine m : machines) {
-                if (!m.spot && m.zone.equals(zone.getKey()) && (m.emptying || m.usable())) {
+                if (!m.spot && m.zone.equals(zone.getKey()) && (m.evicting || m.schedulable())) {
                     emptiest.add(m);
                 }
             }
-            emptiest.sort(Comparator.comparingDouble((Machine m) -> m.emptying ? 0 : 1)
+            emptiest.sort(Comparator.comparingDouble((Machine m) -> m.evicting ? 0 : 1)
                     .thenComparingDouble(Machine::serviceCpus));
             for (Machine m : emptiest) {
                 left -= m.type.cpus(); // those that are empty already are on their way out
                 excess -= m.type.cpus();
-                m.emptying = left >= 0 && m.serviceCpus() > 0;
-                m.emptiedNext = !m.emptying
+                m.evicting = left >= 0 && m.serviceCpus() > 0;
+                m.evictedNext = !m.evicting
                         && excess >= 0
                         && m.type.cpus() <= allServices * AutoscalingConstants.DRAINED_NEXT_SHARE;
-                if (m.emptying) {
+                if (m.evicting) {
                     move(m, machines, moves, now);
                 }
             }
@@ -275,10 +278,10 @@
     }
 
     private static void move(Machine from, Collection<Machine> machines, List<Assignment> moves, long now) {
-        for (Assignment p : from.there()) {
+        for (Assignment p : from.liveAssignments()) {
             if (moves.size() < AutoscalingConstants.MAX_MOVES
                     && p.job.spec.service()
-                    && !p.stop
+                    && !p.stopRequested
                     && p.state() == Assignment.State.RUNNING
                     && now - p.runningAt > AutoscalingConstants.MOVE_AFTER_MS
                     && MachineSelector.canMove(p, machines, now)) {
@@ -305,11 +308,12 @@
             if (!job.ready) {
                 continue;
             }
-            int pending = job.failures > 2 ? 0 : job.pending.cardinality(); // a job that fails everywhere rents nothing
+            int pending =
+                    job.failures > 2 ? 0 : job.pendingTasks.cardinality(); // a job that fails everywhere rents nothing
             if (s.service() || !s.spot()) {
                 d.service = job;
-                d.teamServices.addTo(s.team(), (pending + job.live.size()) * s.cpus());
-                for (Assignment p : job.live.values()) {
+                d.teamServices.addTo(s.team(), (pending + job.assignments.size()) * s.cpus());
+                for (Assignment p : job.assignments.values()) {
                     d.serviceCores.merge(p.machine.zone, s.cpus(), Double::sum);
                 }
                 shares(job, zones)
@@ -323,7 +327,7 @@
                     d.teamArrays.addTo(s.team(), count * spec.cpus());
                 });
             }
-            for (Assignment p : job.live.values()) {
+            for (Assignment p : job.assignments.values()) {
                 double runs = scheduler.expectedRunS(p.spec);
                 double ran = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
                 d.arrayWork += p.spec.cpus() * Math.max(runs - ran, runs * 0.1);
@@ -332,7 +336,7 @@
             }
             d.arraysWait |= pending > 0;
             if (pending > 0) {
-                d.array = job.spec(job.pending.nextSetBit(0));
+                d.array = job.spec(job.pendingTasks.nextSetBit(0));
             } else if (d.array == null && job.tasks() > 0) {
                 d.array = job.spec(0);
             }
@@ -395,14 +399,14 @@
         List<Machine> idle = new ArrayList<>();
         List<Machine> out = new ArrayList<>();
         for (Machine m : machines) {
-            if (m.returning || !m.heard) {
+            if (m.scalingIn || !m.reconciled) {
                 continue;
             }
             if (m.faulty) {
                 if (m.idle()) {
                     out.add(m);
                 }
-            } else if (m.up
+            } else if (m.heartbeatReceived
                     && m.idle()
                     && !m.draining
                     && now - m.idleSince
--- a/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -43,7 +43,7 @@
         }
     }
 
-    public void gone(String machine) {
+    public void terminated(String machine) {
         String before = via.remove(machine);
         if (before != null) {
             counts.merge(before, -1, Integer::sum);
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -51,10 +51,10 @@
         this.awaited = awaited;
         this.now = now;
         for (Machine m : scheduler.machines.values()) {
-            if (m.usable()) {
+            if (m.schedulable()) {
                 cores += m.type.cpus() - m.serviceCpus();
                 free += m.type.cpus() - m.usedCpus;
-            } else if (!m.up && !m.returning) {
+            } else if (!m.heartbeatReceived && !m.scalingIn) {
                 booting += m.type.cpus();
                 bootS = Math.max(bootS, Math.max(1, m.type.bootS() - (now - m.createdAt) / 1000.0));
             }
@@ -106,12 +106,13 @@
     private double ahead(Job job) {
         double[] work = {0};
         for (Job other : scheduler.jobs.values()) {
-            int rank = other.rank.compareTo(job.rank);
+            int rank = other.priority.compareTo(job.priority);
             if (other != job
-                    && other.waits()
+                    && other.hasPendingTasks()
                     && !other.spec.service()
-                    && other.second() == job.second()
-                    && (rank < 0 || (rank == 0 && Long.compareUnsigned(other.order, job.order) < 0))) {
+                    && other.inSecondPartition() == job.inSecondPartition()
+                    && (rank < 0
+                            || (rank == 0 && Long.compareUnsigned(other.arrivalRevision, job.arrivalRevision) < 0))) {
                 other.forEachWaiting((spec, count) -> work[0] += count * spec.cpus() * scheduler.expectedRunS(spec));
             }
         }
@@ -120,7 +121,7 @@
 
     /** Draws when the job is done; returns what takes the largest part. */
     private String draw(Job job) {
-        UniformRandomProvider random = new SplitMix64(job.order * 31 + job.done.cardinality());
+        UniformRandomProvider random = new SplitMix64(job.arrivalRevision * 31 + job.completedTasks.cardinality());
         Map<JobSpec, Estimates.Sampler> samplers = new HashMap<>();
         List<Estimates.Sampler> waiting = new ArrayList<>();
         double[] waitingWork = {0};
@@ -134,13 +135,13 @@
             waitingWork[0] +=
                     Math.max(0, count - TASKS) * spec.cpus() * s.interval().p50();
         });
-        JobSpec spec = job.tasks() > 0 ? job.spec(Math.max(0, job.pending.nextSetBit(0))) : job.spec;
-        waitingWork[0] += job.unreleased()
+        JobSpec spec = job.tasks() > 0 ? job.spec(Math.max(0, job.pendingTasks.nextSetBit(0))) : job.spec;
+        waitingWork[0] += job.unreleasedTasks()
                 * spec.cpus()
                 * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
         List<Assignment> running = new ArrayList<>();
-        for (Assignment p : job.live.values()) {
-            if (p.there()) {
+        for (Assignment p : job.assignments.values()) {
+            if (p.mayExist()) {
                 running.add(p);
             }
         }
@@ -192,12 +193,12 @@
 
     private boolean cached(JobSpec spec) {
         return scheduler.machines.values().stream()
-                .anyMatch(m -> m.usable() && m.images.containsKey(spec.image()) && m.hasRoom(spec));
+                .anyMatch(m -> m.schedulable() && m.images.containsKey(spec.image()) && m.hasRoom(spec));
     }
 
     private double fetchRate() {
         return scheduler.machines.values().stream()
-                .filter(Machine::usable)
+                .filter(Machine::schedulable)
                 .mapToDouble(m -> m.type.fetchGbPerS())
                 .average()
                 .orElse(1);
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -320,7 +320,7 @@
     // ---- ends ----
 
     @Override
-    public void committed(BitSet done) {
+    public void completionsCommitted(BitSet done) {
         BitSet news = (BitSet) done.clone();
         news.andNot(committed);
         committed.or(done);
@@ -414,7 +414,7 @@
     }
 
     @Override
-    public void errored(int i) {
+    public void taskFailed(int i) {
         if (states[i] == State.READY && errors.merge(i, 1, Integer::sum) > retries) {
             failing.add(i);
         }
@@ -445,17 +445,17 @@
     }
 
     @Override
-    public boolean mixed() {
+    public boolean heterogeneous() {
         return specs.size() > 1;
     }
 
     @Override
-    public int unreleased() {
+    public int unreleasedTasks() {
         return counts[State.WAITING.ordinal()];
     }
 
     @Override
-    public boolean wanted(int i) {
+    public boolean mayStart(int i) {
         return states[i] == State.READY && !failing.contains(i);
     }
 
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -44,12 +44,12 @@
     public Freshness freshness(Heartbeat r, long now) {
         if (!reported || r.newerThan(session, tick)) {
             reported = true;
-            session = r.session();
-            tick = r.tick();
+            session = r.incarnation();
+            tick = r.sequence();
             takenAt = now;
             return Freshness.NEW;
         }
-        boolean same = r.session() == session && r.tick() == tick;
+        boolean same = r.incarnation() == session && r.sequence() == tick;
         return same && now - takenAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
                 ? Freshness.AGAIN
                 : Freshness.COPY;
@@ -70,7 +70,7 @@
                 if (++unacknowledged >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
                     lapsed(now);
                 }
-            } else if (!knewToken || (r.session() == toldSession && anyShown(r))) {
+            } else if (!knewToken || (r.incarnation() == toldSession && anyShown(r))) {
                 acknowledged();
             }
         }
@@ -110,9 +110,9 @@
             state = t.attempt() == o.attempt() && t.task().equals(o.task()) ? t.state() : state;
         }
         return switch (o.verb()) {
-            case START -> state != null;
-            case STOP -> state == Assignment.State.SAVING || state == Assignment.State.EXITED;
-            case FORGET -> state == null;
+            case LAUNCH -> state != null;
+            case KILL -> state == Assignment.State.CHECKPOINTING || state == Assignment.State.EXITED;
+            case CLEAR -> state == null;
         };
     }
 
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -27,12 +27,12 @@
         if (s.spread() && job.inZone(m.zone) + 1 > (s.tasks() + 1) / 2) {
             return false;
         }
-        return !s.oneZone() || job.inZone(m.zone) == job.live.size();
+        return !s.oneZone() || job.inZone(m.zone) == job.assignments.size();
     }
 
     /** Whether the machine gets new tasks at all now. */
     public static boolean takesTasks(Machine m, long now) {
-        return m.usable() && now >= m.noRoomUntil && !(m.validity.onTrial() && m.startingTasks() > 0);
+        return m.schedulable() && now >= m.noRoomUntil && !(m.validity.onTrial() && m.startingTasks() > 0);
     }
 
     private static boolean possible(Job job, JobSpec s, Machine m, long now) {
@@ -79,7 +79,7 @@
     /** How many replicas of a service may be on each machine. */
     private static Object2IntOpenHashMap<Machine> replicas(Job job) {
         Object2IntOpenHashMap<Machine> on = new Object2IntOpenHashMap<>();
-        job.live.values().forEach(p -> on.addTo(p.machine, 1));
+        job.assignments.values().forEach(p -> on.addTo(p.machine, 1));
         return on;
     }
 
@@ -101,7 +101,7 @@
         return -fetchS(job.spec, m)
                 - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
                 - share * SchedulingConstants.SERVICE_SPREAD_S
-                - (m.emptiedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
+                - (m.evictedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
     /** Seconds until the image is there, more if others are being fetched. */
@@ -113,7 +113,7 @@
 
     private static boolean fetching(Machine m, String image) {
         if (m.startingTasks() > 0) {
-            for (Assignment p : m.placements.values()) {
+            for (Assignment p : m.assignments.values()) {
                 if (p.starting() && p.spec.image().equals(image)) {
                     return true;
                 }
@@ -163,15 +163,17 @@
 
     private static List<Assignment> victims(Job job, Machine m) {
         List<Assignment> lower = new ArrayList<>();
-        for (Assignment p : m.placements.values()) {
-            if (p.there()
-                    && !p.stop
-                    && !(p.state() == Assignment.State.SENT && p.launchMayFollow())
-                    && p.job.rank.compareTo(job.rank) > 0) {
+        for (Assignment p : m.assignments.values()) {
+            if (p.mayExist()
+                    && !p.stopRequested
+                    && !(p.state() == Assignment.State.LAUNCHING && p.launchMayStillExecute())
+                    && p.job.priority.compareTo(job.priority) > 0) {
                 lower.add(p);
             }
         }
-        lower.sort(Comparator.comparing((Assignment p) -> p.job.rank).reversed().thenComparingLong(p -> -p.startedAt));
+        lower.sort(Comparator.comparing((Assignment p) -> p.job.priority)
+                .reversed()
+                .thenComparingLong(p -> -p.startedAt));
         double cpus = m.type.cpus() - m.usedCpus;
         double gpus = m.type.gpus() - m.usedGpus;
         double memory = m.type.memory() - m.usedMemory;
