--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -95,7 +95,7 @@
             service.handle(x.getRequestMethod().toString(), target, body, a -> send(x, a, sockets, json));
         } catch (RuntimeException e) {
             LOG.error("request failed path=" + x.getRequestPath(), e);
-            send(x, ServerResponse.later("internal"), sockets, json);
+            send(x, ServerResponse.retryLater("internal"), sockets, json);
         }
     }
 
@@ -106,7 +106,7 @@
         if (sockets.crowded(x.getConnection().getAttachment(KIND))) {
             x.setPersistent(false); // the other side connects again when it has something to say
         }
-        ServerResponse a = decided.now();
+        ServerResponse a = decided.atSending();
         x.setStatusCode(a.status());
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, json ? "application/json" : "application/cbor");
         if (a.retryAfterS() > 0) {
--- a/src/main/java/org/hollypick/io/Request.java
+++ b/src/main/java/org/hollypick/io/Request.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * An HTTP request to another system. A mesh call carries JSON, every other one CBOR. {@code still} is asked in the
+ * An HTTP request to another system. A mesh call carries JSON, every other one CBOR. {@code validWhile} is asked in the
  * moment of sending: a call may have waited for a connection, or the whole process may have stood still, since it was
  * decided on; without the right it isn't sent.
  */
@@ -14,10 +14,10 @@
         String path,
         JsonNode body,
         long timeoutMs,
-        boolean mesh,
-        BooleanSupplier still) {
-    public Request(String address, String method, String path, JsonNode body, long timeoutMs, boolean mesh) {
-        this(address, method, path, body, timeoutMs, mesh, () -> true);
+        boolean toPeer,
+        BooleanSupplier validWhile) {
+    public Request(String address, String method, String path, JsonNode body, long timeoutMs, boolean toPeer) {
+        this(address, method, path, body, timeoutMs, toPeer, () -> true);
     }
 
     public static Request of(String address, String method, String path, JsonNode body, long timeoutMs) {
@@ -25,7 +25,7 @@
     }
 
     /** The same call, only sent while that holds. */
-    public Request only(BooleanSupplier still) {
-        return new Request(address, method, path, body, timeoutMs, mesh, still);
+    public Request onlyWhile(BooleanSupplier validWhile) {
+        return new Request(address, method, path, body, timeoutMs, toPeer, validWhile);
     }
 }
--- a/src/main/java/org/hollypick/io/Response.java
+++ b/src/main/java/org/hollypick/io/Response.java
@@ -13,10 +13,10 @@
      * Never sent, and for a reason of this node's own: no socket left, or its turn didn't come. It says nothing about
      * the other side.
      */
-    public static final int LACK = -2;
+    public static final int NO_CAPACITY = -2;
 
-    public static Response lack() {
-        return new Response(LACK, MissingNode.getInstance());
+    public static Response noCapacity() {
+        return new Response(NO_CAPACITY, MissingNode.getInstance());
     }
 
     public static Response notSent() {
--- a/src/main/java/org/hollypick/io/ServerResponse.java
+++ b/src/main/java/org/hollypick/io/ServerResponse.java
@@ -6,22 +6,22 @@
 import org.hollypick.config.constants.NetworkConstants;
 
 /**
- * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code still} is asked in the moment of
- * sending: an answer that rests on a right which has ended since it was decided on isn't given.
+ * A node's answer to a request; {@code retryAfterS} of 0 sends no such header. {@code validWhile} is asked in the
+ * moment of sending: an answer that rests on a right which has ended since it was decided on isn't given.
  */
-public record ServerResponse(int status, JsonNode body, int retryAfterS, BooleanSupplier still) {
+public record ServerResponse(int status, JsonNode body, int retryAfterS, BooleanSupplier validWhile) {
     public ServerResponse(int status, JsonNode body, int retryAfterS) {
         this(status, body, retryAfterS, () -> true);
     }
 
     /** The same answer, only given while that holds. */
-    public ServerResponse only(BooleanSupplier still) {
-        return new ServerResponse(status, body, retryAfterS, still);
+    public ServerResponse onlyWhile(BooleanSupplier validWhile) {
+        return new ServerResponse(status, body, retryAfterS, validWhile);
     }
 
     /** What is to be sent now. */
-    public ServerResponse now() {
-        return still.getAsBoolean() ? this : later("no longer entitled to act");
+    public ServerResponse atSending() {
+        return validWhile.getAsBoolean() ? this : retryLater("no longer entitled to act");
     }
 
     public static ServerResponse of(int status, JsonNode body) {
@@ -36,7 +36,7 @@
     /**
      * Refused since many come at once: told at once, and the {@code turn}th is told another time than the one before.
      */
-    public static ServerResponse crowded(int turn) {
+    public static ServerResponse shedLoad(int turn) {
         return new ServerResponse(
                 503,
                 Codec.object().put("error", "busy"),
@@ -44,7 +44,7 @@
     }
 
     /** Refused for now, told at once and with a time to come back. */
-    public static ServerResponse later(String message) {
+    public static ServerResponse retryLater(String message) {
         return new ServerResponse(503, Codec.object().put("error", message), NetworkConstants.RETRY_AFTER_S);
     }
 }
--- a/src/main/java/org/hollypick/io/XnioEventLoop.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -163,7 +163,7 @@
             busy++;
             x.running = true;
             ClientConnection c;
-            x.kind = x.call.mesh() || control.contains(x.call.address())
+            x.kind = x.call.toPeer() || control.contains(x.call.address())
                     ? ConnectionBudget.Kind.CONTROL
                     : ConnectionBudget.Kind.ORDERS;
             while ((c = free.pollLast()) != null) {
@@ -264,7 +264,7 @@
                 told = true;
                 LOG.info("calls not sent first={} sockets={}", what, sockets);
             }
-            end(Response.lack(), false);
+            end(Response.noCapacity(), false);
         }
 
         void finish(Response r) {
@@ -344,18 +344,18 @@
 
         void send(ClientConnection c) {
             connection = c;
-            if (!call.still().getAsBoolean()) {
+            if (!call.validWhile().getAsBoolean()) {
                 finish(Response.notSent()); // the right that it was decided on has ended meanwhile
                 return;
             }
             sent = true;
-            byte[] bytes = call.body() == null ? null : Codec.write(call.body(), call.mesh());
+            byte[] bytes = call.body() == null ? null : Codec.write(call.body(), call.toPeer());
             ClientRequest request =
                     new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.path());
             request.getRequestHeaders().put(Headers.HOST, call.address());
             if (bytes != null) {
                 request.getRequestHeaders()
-                        .put(Headers.CONTENT_TYPE, call.mesh() ? "application/json" : "application/cbor");
+                        .put(Headers.CONTENT_TYPE, call.toPeer() ? "application/json" : "application/cbor");
                 request.getRequestHeaders().put(Headers.CONTENT_LENGTH, bytes.length);
             }
             c.sendRequest(request, new ClientCallback<ClientExchange>() {
@@ -422,7 +422,7 @@
                         return;
                     }
                     if (n < 0) {
-                        JsonNode tree = Codec.read(body.toByteArray(), call.mesh());
+                        JsonNode tree = Codec.read(body.toByteArray(), call.toPeer());
                         end(new Response(status, tree == null ? MissingNode.getInstance() : tree), true);
                         return;
                     }
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -128,7 +128,7 @@
                 LOG.info("the state service is reached directly again");
             }
             route.answered(runtime.now());
-        } else if (r.status() != Response.LACK) {
+        } else if (r.status() != Response.NO_CAPACITY) {
             bad(sent);
         }
     }
@@ -229,7 +229,7 @@
      */
     public void pass(JsonNode body, Consumer<ServerResponse> answer) {
         if (body == null || !route.direct() || passing >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
-            answer.accept(ServerResponse.later("no way from here"));
+            answer.accept(ServerResponse.retryLater("no way from here"));
             return;
         }
         passing++;
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.core.JobSpec.Priority;
 import org.hollypick.io.Codec;
 
 /** The users' wire names, and the job's record, which uses them too. */
@@ -45,7 +45,7 @@
             case "standing" -> true;
             default -> throw new Invalid("shape");
         };
-        Rank rank = rank(b);
+        Priority rank = rank(b);
         JsonNode tasks = b.path("shards");
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
@@ -113,12 +113,12 @@
         return ids;
     }
 
-    public static Rank rank(JsonNode b) throws Invalid {
+    public static Priority rank(JsonNode b) throws Invalid {
         return switch (text(b, "rank")) {
-            case "prod" -> Rank.PRODUCTION;
-            case "urgent" -> Rank.HIGH;
-            case "standard" -> Rank.NORMAL;
-            case "low" -> Rank.LOW;
+            case "prod" -> Priority.PRODUCTION;
+            case "urgent" -> Priority.HIGH;
+            case "standard" -> Priority.NORMAL;
+            case "low" -> Priority.LOW;
             default -> throw new Invalid("rank");
         };
     }
@@ -131,7 +131,7 @@
                 .put("shape", s.service() ? "standing" : "batch")
                 .put(
                         "rank",
-                        switch (s.rank()) {
+                        switch (s.priority()) {
                             case PRODUCTION -> "prod";
                             case HIGH -> "urgent";
                             case NORMAL -> "standard";
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -105,7 +105,7 @@
         return record.path("status").asText();
     }
 
-    public static JobSpec.Rank rank(JsonNode record) throws JobCodec.Invalid {
+    public static JobSpec.Priority rank(JsonNode record) throws JobCodec.Invalid {
         return JobCodec.rank(GraphRecords.isGraph(record) ? GraphRecords.base(record) : record.path("spec"));
     }
 
@@ -120,7 +120,7 @@
                 .put("type", m.type.name())
                 .put("zone", m.zone)
                 .put("spot", m.spot)
-                .put("addr", m.addr);
+                .put("addr", m.address);
     }
 
     public static String text(BitSet bits) {
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -76,7 +76,7 @@
             answer.accept(toLeader());
         } else if (held.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
                 || heldBytes + report.length > RelayConstants.RELAY_QUEUE_BYTES) {
-            answer.accept(ServerResponse.later("too many reports wait"));
+            answer.accept(ServerResponse.retryLater("too many reports wait"));
         } else {
             hold(new Held(report, runtime.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS, answer));
             flushSoon(RelayConstants.RELAY_BATCH_MS);
@@ -86,7 +86,7 @@
     /** The answer that this node can give by itself, as leader or since it keeps leases; null if there is none. */
     private ServerResponse here(byte[] report) {
         ServerResponse now = own.apply(report);
-        if (now == null && !membership.toldNewer() && leaseRenewal.keeping()) {
+        if (now == null && !membership.peerKnowsNewerLeader() && leaseRenewal.keeping()) {
             Heartbeat read = AgentCodec.report(report);
             now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.answer(read);
         }
@@ -123,7 +123,7 @@
             if (a != null) {
                 h.answer.accept(a);
             } else if (now >= h.until) {
-                h.answer.accept(ServerResponse.later("no leader"));
+                h.answer.accept(ServerResponse.retryLater("no leader"));
             } else {
                 hold(h);
             }
@@ -184,12 +184,12 @@
             failures = 0;
             leaderComplaint.handedOn();
             // the leader counted it from later on
-            long until = sent + Membership.certainly(HeartbeatRelayCodec.rightMs(r.body()));
+            long until = sent + Membership.atLeast(HeartbeatRelayCodec.rightMs(r.body()));
             for (int i = 0; i < answers.size(); i++) {
                 bundle.get(i)
                         .answer
                         .accept(answers.get(i)
-                                .only(() ->
+                                .onlyWhile(() ->
                                         runtime.now() < until && token() == token && !released.contains(by.member())));
             }
         } else if (r.status() == 404) {
@@ -231,7 +231,7 @@
         Membership.Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.leader() : currentLeader.node();
         return leader == null || leader.equals(settings.node())
-                ? ServerResponse.later("not entitled to act")
+                ? ServerResponse.retryLater("not entitled to act")
                 : HeartbeatRelayCodec.elsewhere(leader);
     }
 }
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -34,14 +34,14 @@
     public static ServerResponse take(
             JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, ServerResponse> hello) {
         if (body == null || Codec.u64(body.path(WireNames.FENCING_TOKEN)) != token) {
-            return ServerResponse.later("not the leader under that token");
+            return ServerResponse.retryLater("not the leader under that token");
         }
         ArrayNode answers = Codec.array();
         for (JsonNode report : body.path("reports")) {
             try {
                 ServerResponse a = hello.apply(
                                 report.binaryValue(), body.path("node").asText())
-                        .now();
+                        .atSending();
                 answers.addObject()
                         .put("status", a.status())
                         .put("retry", a.retryAfterS())
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -69,7 +69,7 @@
         if (now - since < ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
                 || now - saidAt < ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS
                 || stateSession == null
-                || !membership.leaderIsThere()
+                || !membership.leaderRegistered()
                 || heard.isEmpty()) {
             return;
         }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -56,7 +56,7 @@
                 "k",
                 "team",
                 service,
-                service ? JobSpec.Rank.PRODUCTION : JobSpec.Rank.LOW,
+                service ? JobSpec.Priority.PRODUCTION : JobSpec.Priority.LOW,
                 tasks,
                 2,
                 0,
@@ -82,7 +82,7 @@
     private Machine reporting() {
         Machine m = machine("n-1", false);
         m.registered = true;
-        scheduler.ledger.report(m, report("n-1", 1, 1, 5), true, 0);
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 1, 5), true, 0);
         return m;
     }
 
@@ -91,15 +91,15 @@
     }
 
     private Assignment launched(Job job, Machine m, long now) {
-        scheduler.pass(now);
-        Assignment p = job.live.get(0);
+        scheduler.runSchedulingCycle(now);
+        Assignment p = job.assignments.get(0);
         assertNotNull(p);
         assertEquals(m, p.machine);
         return p;
     }
 
     private static long clears(List<Command> orders) {
-        return orders.stream().filter(o -> o.verb() == Command.Verb.FORGET).count();
+        return orders.stream().filter(o -> o.verb() == Command.Verb.CLEAR).count();
     }
 
     /**
@@ -109,14 +109,14 @@
     @Test
     void aSessionKnownFromADirectAnswerHasItsFullLease() {
         Machine m = reporting();
-        m.answeredAt = 0;
-        scheduler.ledger.report(m, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
+        m.heartbeatAcknowledgedAt = 0;
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, m, LEASE_MS + 10_000);
-        scheduler.tick(LEASE_MS + 11_000);
-        assertNotNull(job.live.get(0));
-        scheduler.tick(2 * LEASE_MS + 12_000);
-        assertNull(job.live.get(0));
+        scheduler.expireLeases(LEASE_MS + 11_000);
+        assertNotNull(job.assignments.get(0));
+        scheduler.expireLeases(2 * LEASE_MS + 12_000);
+        assertNull(job.assignments.get(0));
     }
 
     @Test
@@ -124,13 +124,13 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, m, 0);
-        List<Command> orders = scheduler.ledger.orders(m);
-        scheduler.ledger.sentDirect(m, orders);
-        scheduler.ledger.directEnded(m, orders, 1, false);
+        List<Command> orders = scheduler.assignments.pendingCommands(m);
+        scheduler.assignments.sentDirectly(m, orders);
+        scheduler.assignments.directCallCompleted(m, orders, 1, false);
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.ledger.report(m, report("n-1", 1, 2, 5, failed), true, 1_000);
-        assertEquals(0, clears(scheduler.ledger.orders(m)));
-        assertTrue(job.pending.get(0), "an exited attempt can't start again, so the task is free");
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 2, 5, failed), true, 1_000);
+        assertEquals(0, clears(scheduler.assignments.pendingCommands(m)));
+        assertTrue(job.pendingTasks.get(0), "an exited attempt can't start again, so the task is free");
     }
 
     /** The answer to a report may still be under way when a direct order has run and ended the same attempt. */
@@ -139,12 +139,12 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, m, 0);
-        scheduler.ledger.sentInAnswer(m, scheduler.ledger.orders(m));
+        scheduler.assignments.sentInHeartbeatResponse(m, scheduler.assignments.pendingCommands(m));
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.ledger.report(m, report("n-1", 1, 2, 5, failed), false, 100);
-        assertEquals(0, clears(scheduler.ledger.orders(m)));
-        scheduler.ledger.report(m, report("n-1", 1, 3, 5, failed), true, 3_000);
-        assertEquals(1, clears(scheduler.ledger.orders(m)));
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 2, 5, failed), false, 100);
+        assertEquals(0, clears(scheduler.assignments.pendingCommands(m)));
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 3, 5, failed), true, 3_000);
+        assertEquals(1, clears(scheduler.assignments.pendingCommands(m)));
     }
 
     @Test
@@ -152,40 +152,40 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, m, 0);
-        scheduler.ledger.report(
+        scheduler.assignments.applyHeartbeat(
                 m, report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
         assertTrue(job.finished());
-        assertEquals(0, clears(scheduler.ledger.orders(m)));
-        scheduler.close(job);
-        assertEquals(1, clears(scheduler.ledger.orders(m)));
+        assertEquals(0, clears(scheduler.assignments.pendingCommands(m)));
+        scheduler.markDone(job);
+        assertEquals(1, clears(scheduler.assignments.pendingCommands(m)));
     }
 
     @Test
     void afterATakeoverOlderJobsWaitForEveryRegisteredMachine() {
         Machine heard = machine("n-1", true);
         Machine silent = machine("n-2", true);
-        scheduler.ledger.report(heard, report("n-1", 1, 1, 5), true, 0);
+        scheduler.assignments.applyHeartbeat(heard, report("n-1", 1, 1, 5), true, 0);
         Job older = scheduler.addJob(spec("req-1", 1, false), 1, 4);
         Job younger = scheduler.addJob(spec("req-2", 1, false), 6, 5);
-        scheduler.pass(0);
-        assertNull(older.live.get(0));
-        assertNotNull(younger.live.get(0));
+        scheduler.runSchedulingCycle(0);
+        assertNull(older.assignments.get(0));
+        assertNotNull(younger.assignments.get(0));
         // a report made before the new token was seen proves nothing: an older order may still be executed
-        scheduler.ledger.report(silent, report("n-2", 1, 1, 4), true, 1_000);
-        scheduler.pass(1_000);
-        assertNull(older.live.get(0));
-        scheduler.ledger.report(silent, report("n-2", 1, 2, 5), true, 2_000);
-        scheduler.pass(2_000);
-        assertNotNull(older.live.get(0));
+        scheduler.assignments.applyHeartbeat(silent, report("n-2", 1, 1, 4), true, 1_000);
+        scheduler.runSchedulingCycle(1_000);
+        assertNull(older.assignments.get(0));
+        scheduler.assignments.applyHeartbeat(silent, report("n-2", 1, 2, 5), true, 2_000);
+        scheduler.runSchedulingCycle(2_000);
+        assertNotNull(older.assignments.get(0));
     }
 
     @Test
     void aMachineThatNeverReportsIsEmptyWhenItsLeaseMustBeOver() {
         machine("n-1", true);
-        scheduler.tick(LEASE_MS);
-        assertFalse(scheduler.settled());
-        scheduler.tick(LEASE_MS + 2_000);
-        assertTrue(scheduler.settled());
+        scheduler.expireLeases(LEASE_MS);
+        assertFalse(scheduler.reconciliationComplete());
+        scheduler.expireLeases(LEASE_MS + 2_000);
+        assertTrue(scheduler.reconciliationComplete());
     }
 
     @Test
@@ -193,13 +193,13 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, m, 0);
-        scheduler.tick(LEASE_MS + 2_000);
-        assertFalse(scheduler.ledger.report(
+        scheduler.expireLeases(LEASE_MS + 2_000);
+        assertFalse(scheduler.assignments.applyHeartbeat(
                 m,
                 report("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
                 true,
                 LEASE_MS + 3_000));
-        assertTrue(job.pending.get(0));
+        assertTrue(job.pendingTasks.get(0));
     }
 
     @Test
@@ -218,14 +218,14 @@
                 new WorkerLeases(settings(Map.of()), List.of(), 0, true));
         Machine m = limited.addMachine("n-1", TYPE, "a", true, false, 0);
         m.registered = true;
-        limited.ledger.report(m, report("n-1", 1, 1, 5), true, 0);
+        limited.assignments.applyHeartbeat(m, report("n-1", 1, 1, 5), true, 0);
         Job job = limited.addJob(spec("req-1", 4, false), 1, 5);
-        limited.pass(0);
-        assertEquals(2, job.live.size());
-        limited.abort(job);
+        limited.runSchedulingCycle(0);
+        assertEquals(2, job.assignments.size());
+        limited.markCancelled(job);
         Job next = limited.addJob(spec("req-2", 4, false), 2, 5);
-        limited.pass(0);
-        assertEquals(0, next.live.size(), "launches in flight still count");
+        limited.runSchedulingCycle(0);
+        assertEquals(0, next.assignments.size(), "launches in flight still count");
     }
 
     /**
@@ -237,19 +237,21 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, m, 0);
-        List<Command> orders = scheduler.ledger.orders(m);
-        scheduler.ledger.sentDirect(m, orders);
+        List<Command> orders = scheduler.assignments.pendingCommands(m);
+        scheduler.assignments.sentDirectly(m, orders);
         scheduler.cancel(job);
-        assertTrue(scheduler.ledger.launchUnderWay(job));
-        scheduler.ledger.directEnded(m, orders, 1, false);
-        assertTrue(scheduler.ledger.launchUnderWay(job));
-        scheduler.ledger.report(m, report("n-1", 1, 20, 5), true, 20_000);
-        assertTrue(scheduler.ledger.launchUnderWay(job), "a report that doesn't show it proves nothing");
-        Assignment p = job.live.get(0);
-        scheduler.ledger.report(
-                m, report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.FETCHING, "")), true, 21_000);
-        assertFalse(scheduler.ledger.launchUnderWay(job));
-        assertEquals(List.of(new Command(Command.Verb.STOP, p.taskId, p.attempt, 0)), scheduler.ledger.orders(m));
+        assertTrue(scheduler.assignments.directLaunchPending(job));
+        scheduler.assignments.directCallCompleted(m, orders, 1, false);
+        assertTrue(scheduler.assignments.directLaunchPending(job));
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 20, 5), true, 20_000);
+        assertTrue(scheduler.assignments.directLaunchPending(job), "a report that doesn't show it proves nothing");
+        Assignment p = job.assignments.get(0);
+        scheduler.assignments.applyHeartbeat(
+                m, report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")), true, 21_000);
+        assertFalse(scheduler.assignments.directLaunchPending(job));
+        assertEquals(
+                List.of(new Command(Command.Verb.KILL, p.taskId, p.attempt, 0)),
+                scheduler.assignments.pendingCommands(m));
     }
 
     /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
@@ -259,15 +261,16 @@
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, m, 0);
         scheduler.cancel(job);
-        assertFalse(scheduler.launchMayCome(job), "it was never sent");
-        scheduler.ledger.sentInAnswer(m, List.of(new Command(Command.Verb.START, p.taskId, p.attempt, 0)));
-        assertTrue(scheduler.launchMayCome(job), "the answer may be on its way");
-        TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.FETCHING, "");
-        scheduler.ledger.report(m, report("n-1", 1, 20, 5, fetching), true, 2_000);
-        assertTrue(scheduler.launchMayCome(job), "it starts once the image is there");
+        assertFalse(scheduler.launchMayStillExecute(job), "it was never sent");
+        scheduler.assignments.sentInHeartbeatResponse(
+                m, List.of(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0)));
+        assertTrue(scheduler.launchMayStillExecute(job), "the answer may be on its way");
+        TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "");
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 20, 5, fetching), true, 2_000);
+        assertTrue(scheduler.launchMayStillExecute(job), "it starts once the image is there");
         TaskStatus stopped = new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped");
-        scheduler.ledger.report(m, report("n-1", 1, 21, 5, stopped), true, 3_000);
-        assertFalse(scheduler.launchMayCome(job));
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 21, 5, stopped), true, 3_000);
+        assertFalse(scheduler.launchMayStillExecute(job));
     }
 
     /** Its session has ended, and the launch with it. */
@@ -276,36 +279,36 @@
         Machine m = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, m, 0);
-        List<Command> orders = scheduler.ledger.orders(m);
-        scheduler.ledger.sentDirect(m, orders);
-        scheduler.ledger.directEnded(m, orders, 1, false);
+        List<Command> orders = scheduler.assignments.pendingCommands(m);
+        scheduler.assignments.sentDirectly(m, orders);
+        scheduler.assignments.directCallCompleted(m, orders, 1, false);
         scheduler.cancel(job);
-        scheduler.ledger.report(m, report("n-1", 2, 2, 5), true, 21_000);
-        assertFalse(scheduler.ledger.launchUnderWay(job));
-        assertFalse(job.waits(), "it isn't started again");
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 2, 2, 5), true, 21_000);
+        assertFalse(scheduler.assignments.directLaunchPending(job));
+        assertFalse(job.hasPendingTasks(), "it isn't started again");
     }
 
     @Test
     void servicesStopLowerWorkAndStartBehindTheKill() {
         Machine m = reporting();
         Job low = scheduler.addJob(spec("req-1", 4, false), 1, 5);
-        scheduler.pass(0);
-        TaskStatus[] running = low.live.values().stream()
+        scheduler.runSchedulingCycle(0);
+        TaskStatus[] running = low.assignments.values().stream()
                 .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
-        scheduler.ledger.report(m, report("n-1", 1, 2, 5, running), true, 100);
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
-        scheduler.pass(100);
-        List<Command> orders = scheduler.ledger.orders(m);
-        assertEquals(Command.Verb.STOP, orders.get(0).verb());
-        assertEquals(Command.Verb.START, orders.get(orders.size() - 1).verb());
+        scheduler.runSchedulingCycle(100);
+        List<Command> orders = scheduler.assignments.pendingCommands(m);
+        assertEquals(Command.Verb.KILL, orders.get(0).verb());
+        assertEquals(Command.Verb.LAUNCH, orders.get(orders.size() - 1).verb());
         assertTrue(orders.get(orders.size() - 1).task().startsWith("req-2/"));
     }
 
     private void fail(Machine m, Job job, long tick, long now) {
-        Assignment p = job.live.values().iterator().next();
+        Assignment p = job.assignments.values().iterator().next();
         assertEquals(m, p.machine);
-        scheduler.ledger.report(
+        scheduler.assignments.applyHeartbeat(
                 m, report(m.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")), true, now);
     }
 
@@ -316,11 +319,11 @@
         Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         Job good = scheduler.addJob(spec("req-3", 1, true), 3, 5);
-        scheduler.pass(0);
-        Assignment running = good.live.get(0);
-        Assignment a = one.live.get(0);
-        Assignment b = two.live.get(0);
-        scheduler.ledger.report(
+        scheduler.runSchedulingCycle(0);
+        Assignment running = good.assignments.get(0);
+        Assignment a = one.assignments.get(0);
+        Assignment b = two.assignments.get(0);
+        scheduler.assignments.applyHeartbeat(
                 m,
                 report(
                         "n-1",
@@ -333,8 +336,8 @@
                 true,
                 100);
         assertTrue(m.faulty);
-        assertFalse(running.stop);
-        scheduler.tick(200_000);
+        assertFalse(running.stopRequested);
+        scheduler.expireLeases(200_000);
         assertFalse(m.faulty);
     }
 
@@ -344,15 +347,15 @@
         Machine m = reporting();
         Machine n = machine("n-2", false);
         Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        scheduler.pass(0);
+        scheduler.runSchedulingCycle(0);
         fail(m, one, 2, 100);
         n.registered = true;
-        scheduler.ledger.report(n, report("n-2", 1, 1, 5), true, 200);
-        scheduler.pass(10_000);
+        scheduler.assignments.applyHeartbeat(n, report("n-2", 1, 1, 5), true, 200);
+        scheduler.runSchedulingCycle(10_000);
         fail(n, one, 2, 10_100);
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
-        scheduler.pass(10_200);
-        fail(two.live.get(0).machine, two, 3, 10_300);
+        scheduler.runSchedulingCycle(10_200);
+        fail(two.assignments.get(0).machine, two, 3, 10_300);
         assertFalse(m.faulty);
         assertFalse(n.faulty);
     }
@@ -361,13 +364,13 @@
     @Test
     void aMachineThatWentWhileItWasRegisteredGetsNothing() {
         Machine m = machine("n-1", false);
-        scheduler.ledger.report(m, report("n-1", 1, 1, 5), true, 0);
-        scheduler.machineGone("n-1");
+        scheduler.assignments.applyHeartbeat(m, report("n-1", 1, 1, 5), true, 0);
+        scheduler.markTerminated("n-1");
         scheduler.registered(m);
-        assertFalse(scheduler.freed.contains(m));
+        assertFalse(scheduler.machinesWithFreedRoom.contains(m));
         Machine other = reporting();
         scheduler.registered(other);
-        assertTrue(scheduler.freed.contains(other));
+        assertTrue(scheduler.machinesWithFreedRoom.contains(other));
     }
 
     // ---- limits while machines of earlier terms are unheard ----
@@ -385,15 +388,15 @@
     private static Scheduler halfHeard(boolean olderKept, long token) {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         if (olderKept) {
-            s.olderKeptLimits();
+            s.earlierLeadersKeptLimits();
         }
         s.addJob(spec("req-000001", 3, false), 1, 2);
         Machine m = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-2", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, true, 0);
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.ledger.report(
+        s.assignments.applyHeartbeat(
                 m, report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)), true, 100);
-        s.pass(100);
+        s.runSchedulingCycle(100);
         return s;
     }
 
@@ -405,9 +408,9 @@
     void aTeamsEndedTasksMakeRoomBeforeAllIsHeard() {
         Scheduler s = halfHeard(true, 5);
         Job waiting = s.jobs.get("req-000002");
-        assertEquals(0, waiting.live.size(), "up to the limit of 10 cores may be anywhere");
+        assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
         Machine m = s.machines.get("n-1");
-        s.ledger.report(
+        s.assignments.applyHeartbeat(
                 m,
                 report(
                         "n-1",
@@ -418,15 +421,16 @@
                         new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                 true,
                 200);
-        s.pass(200);
-        assertEquals(1, waiting.live.size(), "the room of the one that ended");
-        s.pass(300);
-        assertEquals(1, waiting.live.size());
-        s.machineGone("n-2");
-        s.pass(400);
+        s.runSchedulingCycle(200);
+        assertEquals(1, waiting.assignments.size(), "the room of the one that ended");
+        s.runSchedulingCycle(300);
+        assertEquals(1, waiting.assignments.size());
+        s.markTerminated("n-2");
+        s.runSchedulingCycle(400);
         assertEquals(
                 4,
-                waiting.live.size() + s.jobs.get("req-000001").live.size(),
+                waiting.assignments.size()
+                        + s.jobs.get("req-000001").assignments.size(),
                 "all is known: the whole machine is used");
     }
 
@@ -434,13 +438,13 @@
     @Test
     void endedTasksMakeNoRoomAfterLeadersWithOtherLimits() {
         Scheduler s = halfHeard(false, 5);
-        s.ledger.report(
+        s.assignments.applyHeartbeat(
                 s.machines.get("n-1"),
                 report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                 true,
                 200);
-        s.pass(200);
-        assertEquals(0, s.jobs.get("req-000002").live.size());
+        s.runSchedulingCycle(200);
+        assertEquals(0, s.jobs.get("req-000002").assignments.size());
     }
 
     /**
@@ -451,9 +455,9 @@
     void whatAnOlderReportListsMakesNoRoom() {
         Scheduler s = halfHeard(true, 4);
         Machine m = s.machines.get("n-1");
-        s.ledger.report(m, report("n-1", 1, 2, 5), true, 200);
-        s.pass(200);
-        assertEquals(0, s.jobs.get("req-000002").live.size());
+        s.assignments.applyHeartbeat(m, report("n-1", 1, 2, 5), true, 200);
+        s.runSchedulingCycle(200);
+        assertEquals(0, s.jobs.get("req-000002").assignments.size());
     }
 
     /**
@@ -466,16 +470,17 @@
         Machine m = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-3", TYPE, "a", true, false, 0).registered = true;
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.ledger.report(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
-        s.ledger.report(m, report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)), true, 100);
-        s.pass(100);
+        s.assignments.applyHeartbeat(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
+        s.assignments.applyHeartbeat(
+                m, report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)), true, 100);
+        s.runSchedulingCycle(100);
         assertEquals(
                 1,
-                s.jobs.get("req-000002").live.size(),
+                s.jobs.get("req-000002").assignments.size(),
                 "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
-        s.ledger.report(m, report("n-1", 1, 2, 5), true, 200);
-        s.pass(200);
-        assertEquals(4, s.jobs.get("req-000002").live.size());
+        s.assignments.applyHeartbeat(m, report("n-1", 1, 2, 5), true, 200);
+        s.runSchedulingCycle(200);
+        assertEquals(4, s.jobs.get("req-000002").assignments.size());
     }
 
     /**
@@ -488,20 +493,20 @@
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.registered = true;
-        s.ledger.report(spot, report("n-1", 1, 1, 5), true, 0);
+        s.assignments.applyHeartbeat(spot, report("n-1", 1, 1, 5), true, 0);
         Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
-        s.pass(0);
-        assertEquals(5, array.live.size(), "the whole limit");
+        s.runSchedulingCycle(0);
+        assertEquals(5, array.assignments.size(), "the whole limit");
         Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
         ordinary.registered = true;
-        s.ledger.report(ordinary, report("n-2", 1, 1, 5), true, 0);
+        s.assignments.applyHeartbeat(ordinary, report("n-2", 1, 1, 5), true, 0);
         Job service = s.addJob(
                 new JobSpec(
                         "req-000002",
                         "k",
                         "team",
                         true,
-                        JobSpec.Rank.PRODUCTION,
+                        JobSpec.Priority.PRODUCTION,
                         2,
                         2,
                         0,
@@ -519,18 +524,18 @@
                         Double.NaN),
                 2,
                 5);
-        s.pass(2_000);
-        assertEquals(0, service.live.size());
-        Assignment[] there = array.live.values().toArray(new Assignment[0]);
+        s.runSchedulingCycle(2_000);
+        assertEquals(0, service.assignments.size());
+        Assignment[] there = array.assignments.values().toArray(new Assignment[0]);
         TaskStatus[] one = new TaskStatus[there.length];
         for (int i = 0; i < there.length; i++) {
             one[i] = new TaskStatus(
                     there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
         }
-        s.ledger.report(spot, report("n-1", 1, 2, 5, one), true, 2_500);
-        s.fill(spot, 2_500);
-        assertEquals(4, array.live.size(), "what its task left isn't the array's");
-        s.pass(3_000);
-        assertEquals(1, service.live.size());
+        s.assignments.applyHeartbeat(spot, report("n-1", 1, 2, 5, one), true, 2_500);
+        s.scheduleOn(spot, 2_500);
+        assertEquals(4, array.assignments.size(), "what its task left isn't the array's");
+        s.runSchedulingCycle(3_000);
+        assertEquals(1, service.assignments.size());
     }
 }
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -88,7 +88,7 @@
                                     "k",
                                     "",
                                     false,
-                                    JobSpec.Rank.LOW,
+                                    JobSpec.Priority.LOW,
                                     1 + random.nextInt(30),
                                     2,
                                     0,
@@ -121,9 +121,9 @@
 
         private void second() {
             now += 1_000;
-            scheduler.pass(now);
+            scheduler.runSchedulingCycle(now);
             for (Machine m : scheduler.machines.values()) {
-                m.answeredAt = now;
+                m.heartbeatAcknowledgedAt = now;
                 report(m);
                 if (m.faulty && sick.contains(m.id)) {
                     found.add(m.id);
@@ -132,13 +132,13 @@
                     wrongedS++;
                 }
             }
-            scheduler.tick(now);
+            scheduler.expireLeases(now);
             if (now > 60_000) {
                 mostBroken = Math.max(
                         mostBroken,
                         broken.stream()
                                 .mapToInt(id -> scheduler.jobs.get(id).failsEverywhere()
-                                        ? scheduler.jobs.get(id).live.size()
+                                        ? scheduler.jobs.get(id).assignments.size()
                                         : 0)
                                 .max()
                                 .orElse(0));
@@ -148,7 +148,7 @@
         /** Each task runs for some ten seconds, or fails at once. */
         private void report(Machine m) {
             List<TaskStatus> tasks = new ArrayList<>();
-            for (Assignment p : m.placements.values()) {
+            for (Assignment p : m.assignments.values()) {
                 boolean fails = (sick.contains(m.id) && p.startedAt > 41_000) || broken.contains(p.job.spec.id());
                 boolean ends = now - p.startedAt > 6_000 + random.nextInt(8_000);
                 if (p.state() != State.EXITED) {
@@ -160,7 +160,7 @@
                             fails ? "error" : ends ? "done" : ""));
                 }
             }
-            scheduler.ledger.report(
+            scheduler.assignments.applyHeartbeat(
                     m, new Heartbeat(m.id, "addr:1", "t", m.zone, true, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
     }
@@ -201,7 +201,7 @@
                             "k",
                             "",
                             false,
-                            JobSpec.Rank.LOW,
+                            JobSpec.Priority.LOW,
                             4,
                             2,
                             0,
@@ -219,12 +219,12 @@
                             Double.NaN),
                     900 + i,
                     5);
-            job.partialSize = ran[i];
+            job.attainedServiceS = ran[i];
             jobs.add(job);
         }
         assertEquals(6.2, Cutoff.balanced(ran).orElse(0), 0.1);
         assertEquals(3, Tyrex.movers(jobs).size(), "with them all three that ran are moved");
-        jobs.subList(3, 7).forEach(j -> j.failedOn.addAll(List.of("n-1", "n-2", "n-3")));
+        jobs.subList(3, 7).forEach(j -> j.failedMachines.addAll(List.of("n-1", "n-2", "n-3")));
         assertEquals(List.of(), Tyrex.movers(jobs));
     }
 }
--- a/src/test/java/org/hollypick/core/JobDependenciesTest.java
+++ b/src/test/java/org/hollypick/core/JobDependenciesTest.java
@@ -13,14 +13,14 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.core.JobSpec.Priority;
 import org.junit.jupiter.api.Test;
 
 /** A slow plain model that looks through everything for each question, compared with the real graph. */
 class JobDependenciesTest {
     private static final class Plain {
         final Map<String, List<String>> awaits = new TreeMap<>();
-        final Map<String, Rank> ranks = new HashMap<>();
+        final Map<String, Priority> ranks = new HashMap<>();
         final Set<String> done = new HashSet<>();
         final Set<String> cancelled = new HashSet<>();
 
@@ -34,8 +34,8 @@
             return awaits.containsKey(id) && !done.contains(id) && !cancelled(id) && done.containsAll(awaits.get(id));
         }
 
-        Rank rank(String id) {
-            Rank rank = ranks.getOrDefault(id, Rank.LOW);
+        Priority rank(String id) {
+            Priority rank = ranks.getOrDefault(id, Priority.LOW);
             for (String other : awaits.keySet()) {
                 if (awaits.get(other).contains(id) && rank(other).compareTo(rank) < 0) {
                     rank = rank(other);
@@ -92,7 +92,7 @@
                             (!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id),
                             "nobody was told of " + id);
                     if (!plain.done.contains(id) && !plain.cancelled(id)) {
-                        assertTrue(real.rank(id).compareTo(plain.ranks.get(id)) <= 0);
+                        assertTrue(real.priority(id).compareTo(plain.ranks.get(id)) <= 0);
                         Set<String> those = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
                         assertEquals(plain.needs(id, those), real.needsAny(id, those), id + " seed " + seed);
                     }
@@ -112,11 +112,11 @@
             ids.add(id);
             batch.add(id);
             plain.awaits.put(id, new ArrayList<>(awaits));
-            plain.ranks.put(id, Rank.values()[random.nextInt(4)]);
+            plain.ranks.put(id, Priority.values()[random.nextInt(4)]);
         }
         Collections.shuffle(batch, random); // a later job's record may be read first
-        batch.forEach(id -> real.live(id, plain.ranks.get(id), plain.awaits.get(id)));
-        batch.forEach(id -> real.live(id, Rank.PRODUCTION, List.of())); // a record read again says nothing new
+        batch.forEach(id -> real.addLive(id, plain.ranks.get(id), plain.awaits.get(id)));
+        batch.forEach(id -> real.addLive(id, Priority.PRODUCTION, List.of())); // a record read again says nothing new
     }
 
     @Test
@@ -129,7 +129,7 @@
             for (int i = 0; i < 12; i++) {
                 arrive(random, real, plain, ids);
             }
-            ids.forEach(id -> assertEquals(plain.rank(id), real.rank(id), id));
+            ids.forEach(id -> assertEquals(plain.rank(id), real.priority(id), id));
         }
     }
 
@@ -138,15 +138,15 @@
     void longChainsAndWideFansArePossible() {
         JobDependencies real = new JobDependencies();
         int many = 50_000;
-        real.live("req-0", Rank.LOW, List.of());
+        real.addLive("req-0", Priority.LOW, List.of());
         for (int i = 1; i < many; i++) {
-            real.live("req-" + i, Rank.LOW, List.of("req-" + (i - 1)));
+            real.addLive("req-" + i, Priority.LOW, List.of("req-" + (i - 1)));
         }
         for (int i = 0; i < many; i++) {
-            real.live("req-9" + many + i, Rank.LOW, List.of("req-0"));
+            real.addLive("req-9" + many + i, Priority.LOW, List.of("req-0"));
         }
-        real.live("req-last", Rank.HIGH, List.of("req-" + (many - 1)));
-        assertEquals(Rank.HIGH, real.rank("req-0"));
+        real.addLive("req-last", Priority.HIGH, List.of("req-" + (many - 1)));
+        assertEquals(Priority.HIGH, real.priority("req-0"));
         assertTrue(real.needsAny("req-last", Set.of("req-0")));
         assertFalse(real.ready("req-1"));
         real.cancelled("req-0");
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -58,7 +58,7 @@
                     false,
                     0);
             m.registered = random.nextInt(10) > 0;
-            scheduler.ledger.report(m, report(m, 1), true, 0);
+            scheduler.assignments.applyHeartbeat(m, report(m, 1), true, 0);
             for (int k = 0; k < 3; k++) {
                 if (random.nextBoolean()) {
                     m.images.put("img-" + k, 0);
@@ -75,8 +75,8 @@
                         "team",
                         service,
                         service
-                                ? JobSpec.Rank.PRODUCTION
-                                : random.nextBoolean() ? JobSpec.Rank.NORMAL : JobSpec.Rank.LOW,
+                                ? JobSpec.Priority.PRODUCTION
+                                : random.nextBoolean() ? JobSpec.Priority.NORMAL : JobSpec.Priority.LOW,
                         1 + random.nextInt(12),
                         1 + random.nextInt(3),
                         0,
@@ -93,12 +93,12 @@
                         0,
                         Double.NaN);
                 Job job = scheduler.addJob(spec, round * 100 + i, 5);
-                job.moved = !service && random.nextInt(3) == 0;
+                job.inSecondPartitionByTyrex = !service && random.nextInt(3) == 0;
             }
             if (round == 0) {
-                scheduler.pass(10);
+                scheduler.runSchedulingCycle(10);
                 for (Machine m : scheduler.machines.values()) {
-                    scheduler.ledger.report(m, report(m, 2), true, 1_000 + random.nextInt(5_000));
+                    scheduler.assignments.applyHeartbeat(m, report(m, 2), true, 1_000 + random.nextInt(5_000));
                 }
             }
         }
@@ -106,7 +106,7 @@
     }
 
     private static Heartbeat report(Machine m, long tick) {
-        TaskStatus[] tasks = m.placements.values().stream()
+        TaskStatus[] tasks = m.assignments.values().stream()
                 .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
         return new Heartbeat(m.id, "w:1", m.type.name(), m.zone, m.spot, 1, tick, 5, Double.NaN, List.of(tasks));
@@ -118,9 +118,9 @@
         for (long seed = 0; seed < 3_000; seed++) {
             Scheduler real = world(seed);
             Scheduler plain = world(seed);
-            real.pass(9_000);
+            real.runSchedulingCycle(9_000);
             // The partitions are the real pass's, or the model would have to repeat them.
-            real.machines.forEach((id, m) -> plain.machines.get(id).first = m.first);
+            real.machines.forEach((id, m) -> plain.machines.get(id).inFirstPartition = m.inFirstPartition);
             plainPass(plain, 9_000);
             Map<String, String> where = where(real);
             assertEquals(where(plain), where, "seed " + seed);
@@ -160,19 +160,19 @@
                 4,
                 1000);
         Scheduler s = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
-        Job lower = s.addJob(batch("req-0", JobSpec.Rank.LOW), 0, 5);
-        s.addJob(batch("req-1", JobSpec.Rank.HIGH), 1, 5);
-        s.pass(10);
+        Job lower = s.addJob(batch("req-0", JobSpec.Priority.LOW), 0, 5);
+        s.addJob(batch("req-1", JobSpec.Priority.HIGH), 1, 5);
+        s.runSchedulingCycle(10);
         for (int i = 0; i < 120; i++) {
             Machine m = s.addMachine("n-" + i, SMALL, "a", false, false, 10);
             m.registered = true;
-            s.ledger.report(m, report(m, 1), true, 10);
-            s.fill(m, 10);
+            s.assignments.applyHeartbeat(m, report(m, 1), true, 10);
+            s.scheduleOn(m, 10);
         }
-        return lower.live.size() / 8;
+        return lower.assignments.size() / 8;
     }
 
-    private static JobSpec batch(String id, JobSpec.Rank rank) {
+    private static JobSpec batch(String id, JobSpec.Priority rank) {
         return new JobSpec(
                 id,
                 "batch",
@@ -207,21 +207,23 @@
         Map<String, String> where = new TreeMap<>();
         s.machines
                 .values()
-                .forEach(m ->
-                        m.placements.values().forEach(p -> where.put(p.taskId, m.id + (p.stop ? " stopped" : ""))));
+                .forEach(m -> m.assignments
+                        .values()
+                        .forEach(p -> where.put(p.taskId, m.id + (p.stopRequested ? " stopped" : ""))));
         return where;
     }
 
     private static void plainPass(Scheduler s, long now) {
-        Comparator<Job> order =
-                Comparator.<Job, Integer>comparing(j -> j.spec.rank().ordinal()).thenComparing(j -> j.order);
+        Comparator<Job> order = Comparator.<Job, Integer>comparing(
+                        j -> j.spec.priority().ordinal())
+                .thenComparing(j -> j.arrivalRevision);
         for (boolean second : new boolean[] {true, false}) {
             for (Job job : s.jobs.values().stream()
-                    .filter(j -> j.second() == second)
+                    .filter(j -> j.inSecondPartition() == second)
                     .sorted(order)
                     .toList()) {
                 for (int i = 0; i < job.spec.tasks(); i++) {
-                    if (job.pending.get(i)
+                    if (job.pendingTasks.get(i)
                             && !(job.spec.service() ? service(s, job, i, now) : array(s, job, i, second, now))) {
                         break;
                     }
@@ -236,25 +238,26 @@
         }
         return s.machines.values().stream()
                 .filter(m -> {
-                    long inZone = job.live.values().stream()
+                    long inZone = job.assignments.values().stream()
                             .filter(p -> p.machine.zone.equals(m.zone))
                             .count();
-                    return m.usable()
+                    return m.schedulable()
                             && m.type.fits(job.spec)
                             && (job.spec.zone() == null || job.spec.zone().equals(m.zone))
                             && (!m.spot || job.spec.spot())
                             && (!job.spec.spread() || inZone + 1 <= (job.spec.tasks() + 1) / 2)
-                            && (!job.spec.oneZone() || inZone == job.live.size());
+                            && (!job.spec.oneZone() || inZone == job.assignments.size());
                 })
                 .toList();
     }
 
     private static double fetch(JobSpec spec, Machine m) {
-        long starting = m.there().stream()
-                .filter(p -> p.state() == State.SENT || p.state() == State.FETCHING)
+        long starting = m.liveAssignments().stream()
+                .filter(p -> p.state() == State.LAUNCHING || p.state() == State.PULLING_IMAGE)
                 .count();
-        boolean same = m.there().stream()
-                .anyMatch(p -> p.state() == State.SENT && p.job.spec.image().equals(spec.image()));
+        boolean same = m.liveAssignments().stream()
+                .anyMatch(
+                        p -> p.state() == State.LAUNCHING && p.job.spec.image().equals(spec.image()));
         return m.images.containsKey(spec.image())
                 ? 0
                 : spec.imageGb() / m.type.fetchGbPerS() * (same ? 0.6 : 1 + 0.5 * Math.min(4, starting));
@@ -262,7 +265,7 @@
 
     private static boolean array(Scheduler s, Job job, int index, boolean second, long now) {
         long idleFirst = s.machines.values().stream()
-                .filter(m -> m.first && m.usable() && m.idle())
+                .filter(m -> m.inFirstPartition && m.schedulable() && m.idle())
                 .count();
         for (boolean own : new boolean[] {true, false}) {
             Machine best = null;
@@ -270,7 +273,7 @@
             for (Machine m : possible(s, job)) {
                 boolean lent =
                         !second || idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
-                if (m.first == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
+                if (m.inFirstPartition == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
                 double score = -fetch(job.spec, m) + 2 * m.usedCpus / m.type.cpus() + (m.spot ? 3 : 0);
@@ -280,7 +283,7 @@
                 }
             }
             if (best != null) {
-                s.ledger.start(job, index, best, now);
+                s.assignments.start(job, index, best, now);
                 return true;
             }
         }
@@ -294,19 +297,20 @@
         double all = 0;
         for (Machine m : s.machines.values()) {
             // As of the pass's start: what this pass places itself doesn't count.
-            all += m.there().stream()
+            all += m.liveAssignments().stream()
                     .filter(p -> p.job.spec.service() && p.startedAt < now)
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
         }
         for (Machine m : possible(s, job)) {
-            List<Assignment> lower = new ArrayList<>(m.there().stream()
-                    .filter(p -> !p.stop
-                            && !(p.state() == State.SENT && p.launchMayFollow())
-                            && p.job.spec.rank().ordinal() > job.spec.rank().ordinal())
+            List<Assignment> lower = new ArrayList<>(m.liveAssignments().stream()
+                    .filter(p -> !p.stopRequested
+                            && !(p.state() == State.LAUNCHING && p.launchMayStillExecute())
+                            && p.job.spec.priority().ordinal()
+                                    > job.spec.priority().ordinal())
                     .toList());
             lower.sort(Comparator.<Assignment, Integer>comparing(
-                            p -> -p.job.spec.rank().ordinal())
+                            p -> -p.job.spec.priority().ordinal())
                     .thenComparing(p -> -p.startedAt));
             double room = m.type.cpus() - m.usedCpus;
             double lost = 0;
@@ -321,8 +325,8 @@
             if (room + 1e-6 < job.spec.cpus()) {
                 continue;
             }
-            long mine = m.there().stream().filter(p -> p.job == job).count();
-            double others = m.there().stream()
+            long mine = m.liveAssignments().stream().filter(p -> p.job == job).count();
+            double others = m.liveAssignments().stream()
                     .filter(p -> p.job != job && p.job.spec.service())
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
@@ -339,8 +343,8 @@
         if (best == null) {
             return false;
         }
-        bestVictims.forEach(p -> s.ledger.stop(p, 0));
-        s.ledger.start(job, index, best, now);
+        bestVictims.forEach(p -> s.assignments.stop(p, 0));
+        s.assignments.start(job, index, best, now);
         return true;
     }
 }
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -39,7 +39,7 @@
         Machine m = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
         m.registered = true;
         m.images.put("img", now);
-        scheduler.ledger.report(
+        scheduler.assignments.applyHeartbeat(
                 m, new Heartbeat(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
         return m;
     }
@@ -51,7 +51,7 @@
                         "web",
                         "team",
                         true,
-                        JobSpec.Rank.PRODUCTION,
+                        JobSpec.Priority.PRODUCTION,
                         tasks,
                         1,
                         0,
@@ -78,7 +78,7 @@
                         "batch",
                         "team",
                         false,
-                        JobSpec.Rank.NORMAL,
+                        JobSpec.Priority.NORMAL,
                         tasks,
                         2,
                         0,
@@ -107,10 +107,10 @@
 
     private void allRun(long now) {
         for (Machine m : scheduler.machines.values()) {
-            TaskStatus[] tasks = m.placements.values().stream()
+            TaskStatus[] tasks = m.assignments.values().stream()
                     .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                     .toArray(TaskStatus[]::new);
-            scheduler.ledger.report(
+            scheduler.assignments.applyHeartbeat(
                     m,
                     new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)),
                     true,
@@ -126,8 +126,8 @@
     void whatWaitsOfASpreadServiceIsNeededWhereItMayStillGo() {
         machine("a", false, 0);
         Job job = service("req-1", 32);
-        scheduler.pass(0);
-        assertEquals(16, job.live.size());
+        scheduler.runSchedulingCycle(0);
+        assertEquals(16, job.assignments.size());
         Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertEquals(1, rented(plan, "a", false), "only room for services to come");
         assertEquals(2, rented(plan, "b", false), "all sixteen that wait, and room for services to come");
@@ -209,15 +209,15 @@
             machine(i % 2 == 0 ? "a" : "b", false, 0);
             service("req-" + i, 2);
         }
-        scheduler.pass(0);
+        scheduler.runSchedulingCycle(0);
         // Spread by hand: one replica a machine and more, as ends leave them.
         allRun(1_000);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(), "they have only just started");
         Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 100_000);
         assertFalse(plan.moves().isEmpty());
         plan.moves().forEach(p -> {
-            assertTrue(p.machine.emptying);
-            assertFalse(p.machine.usable(), "nothing new goes to a machine that is emptied");
+            assertTrue(p.machine.evicting);
+            assertFalse(p.machine.schedulable(), "nothing new goes to a machine that is emptied");
         });
         // Without the image elsewhere a move would cost a fetch.
         scheduler.machines.values().forEach(m -> m.images.clear());
@@ -234,15 +234,15 @@
             machine(i % 2 == 0 ? "a" : "b", false, 0);
             service("req-" + i, 8);
         }
-        scheduler.pass(0);
+        scheduler.runSchedulingCycle(0);
         allRun(1_000);
         fleet.plan(scheduler, TYPES, ZONES, 10_000);
-        fleet.plan(scheduler, TYPES, ZONES, 100_000).moves().forEach(p -> scheduler.ledger.stop(p, 0));
-        assertTrue(scheduler.machines.values().stream().anyMatch(m -> m.emptiedNext && m.usable()));
+        fleet.plan(scheduler, TYPES, ZONES, 100_000).moves().forEach(p -> scheduler.assignments.stop(p, 0));
+        assertTrue(scheduler.machines.values().stream().anyMatch(m -> m.evictedNext && m.schedulable()));
         Job late = service("req-late", 2);
-        scheduler.pass(101_000);
-        late.live.values().forEach(p -> assertFalse(p.machine.emptiedNext));
-        assertEquals(2, late.live.size());
+        scheduler.runSchedulingCycle(101_000);
+        late.assignments.values().forEach(p -> assertFalse(p.machine.evictedNext));
+        assertEquals(2, late.assignments.size());
     }
 
     /**
@@ -277,7 +277,7 @@
                 "batch",
                 "team",
                 false,
-                JobSpec.Rank.NORMAL,
+                JobSpec.Priority.NORMAL,
                 900,
                 2,
                 0,
@@ -334,7 +334,7 @@
                         "web",
                         "team",
                         true,
-                        JobSpec.Rank.PRODUCTION,
+                        JobSpec.Priority.PRODUCTION,
                         tasks,
                         1,
                         0,
@@ -361,7 +361,7 @@
                         "batch",
                         "team",
                         false,
-                        JobSpec.Rank.NORMAL,
+                        JobSpec.Priority.NORMAL,
                         tasks,
                         2,
                         0,
--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -67,7 +67,7 @@
         for (int i = 0; i < 1_000; i++) {
             Machine m = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
             m.registered = true;
-            scheduler.ledger.report(
+            scheduler.assignments.applyHeartbeat(
                     m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()), true, 0);
         }
         for (int i = 0; i < 500; i++) {
@@ -76,7 +76,7 @@
                     "kind-" + i % 20,
                     "team",
                     false,
-                    JobSpec.Rank.NORMAL,
+                    JobSpec.Priority.NORMAL,
                     60,
                     2,
                     0,
@@ -95,7 +95,7 @@
             last = scheduler.addJob(spec, i, 5);
             observe();
         }
-        scheduler.pass(1_000);
+        scheduler.runSchedulingCycle(1_000);
     }
 
     /** A task's end. */
--- a/src/test/java/org/hollypick/core/estimate/RecordedRuns.java
+++ b/src/test/java/org/hollypick/core/estimate/RecordedRuns.java
@@ -23,7 +23,7 @@
                 kind,
                 "team",
                 false,
-                JobSpec.Rank.NORMAL,
+                JobSpec.Priority.NORMAL,
                 1,
                 2,
                 0,
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -79,7 +79,7 @@
                 "c",
                 "",
                 false,
-                JobSpec.Rank.NORMAL,
+                JobSpec.Priority.NORMAL,
                 tasks,
                 1,
                 0,
@@ -139,7 +139,8 @@
         for (int i = 0; i < 4; i++) {
             Machine m = s.addMachine("m-" + i, TYPE, "a", true, false, 0);
             m.registered = true;
-            s.ledger.report(m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()), true, 0);
+            s.assignments.applyHeartbeat(
+                    m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()), true, 0);
         }
         return s;
     }
@@ -172,7 +173,7 @@
             for (int i = level; i < nodes; i += 50) {
                 done.set(i);
             }
-            grown.committed(done);
+            grown.completionsCommitted(done);
         }
         return grown.count(Graph.State.DONE);
     }
@@ -203,21 +204,21 @@
         while (!job.finished()) {
             now += 1_000;
             passes++;
-            s.pass(now);
+            s.runSchedulingCycle(now);
             for (Machine m : s.machines.values()) {
                 for (State state : List.of(State.RUNNING, State.EXITED)) {
                     List<TaskStatus> tasks = new ArrayList<>();
-                    for (Assignment p : m.placements.values()) {
+                    for (Assignment p : m.assignments.values()) {
                         tasks.add(new TaskStatus(p.taskId, p.attempt, state, "done"));
                     }
-                    s.ledger.report(
+                    s.assignments.applyHeartbeat(
                             m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks), true, now);
                 }
-                s.ledger.report(
+                s.assignments.applyHeartbeat(
                         m, new Heartbeat(m.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()), true, now);
             }
-            job.committed = (BitSet) job.done.clone();
-            s.ledger.progressCommitted(job);
+            job.durablyCompleted = (BitSet) job.completedTasks.clone();
+            s.assignments.completionsCommitted(job);
         }
         return passes;
     }
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -70,7 +70,7 @@
         private void arrive(int number) {
             int tasks = 1 + random.nextInt(12);
             boolean drawnAsGraph = random.nextInt(2) == 0;
-            JobSpec.Rank rank = JobSpec.Rank.values()[1 + random.nextInt(3)];
+            JobSpec.Priority rank = JobSpec.Priority.values()[1 + random.nextInt(3)];
             JobSpec one = new JobSpec(
                     "req-" + number,
                     "c",
@@ -139,7 +139,7 @@
         }
 
         private void report(Machine m, List<TaskStatus> tasks) {
-            scheduler.ledger.report(
+            scheduler.assignments.applyHeartbeat(
                     m, new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, ++ticks, 5, Double.NaN, tasks), true, now);
         }
 
@@ -147,21 +147,21 @@
         private void reports() {
             for (Machine m : List.copyOf(scheduler.machines.values())) {
                 List<TaskStatus> tasks = new ArrayList<>();
-                for (Assignment p : List.copyOf(m.placements.values())) {
+                for (Assignment p : List.copyOf(m.assignments.values())) {
                     int what = random.nextInt(10);
-                    if (p.stop && p.there()) {
+                    if (p.stopRequested && p.mayExist()) {
                         tasks.add(new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped"));
                     } else if (p.state() == State.RUNNING && what < 4) {
                         tasks.add(new TaskStatus(p.taskId, p.attempt, State.EXITED, what == 0 ? "error" : "done"));
-                    } else if (p.there()) {
+                    } else if (p.mayExist()) {
                         tasks.add(new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""));
                     }
                 }
                 report(m, tasks);
             }
             for (Job job : jobs) { // what is done becomes durable
-                job.committed = (BitSet) job.done.clone();
-                scheduler.ledger.progressCommitted(job);
+                job.durablyCompleted = (BitSet) job.completedTasks.clone();
+                scheduler.assignments.completionsCommitted(job);
             }
         }
 
@@ -177,24 +177,25 @@
                 if (random.nextInt(12) == 0) {
                     machine(100 + step);
                 } else if (random.nextInt(20) == 0 && scheduler.machines.size() > 2) {
-                    scheduler.machineGone(scheduler.machines.keySet().iterator().next());
+                    scheduler.markTerminated(
+                            scheduler.machines.keySet().iterator().next());
                 }
                 if (random.nextInt(25) == 0 && !jobs.isEmpty()) {
                     Job job = jobs.get(random.nextInt(jobs.size()));
                     scheduler.jobs.remove(job.spec.id());
-                    scheduler.abort(job);
+                    scheduler.markCancelled(job);
                 }
-                scheduler.tick(now);
-                scheduler.pass(now);
+                scheduler.expireLeases(now);
+                scheduler.runSchedulingCycle(now);
                 for (Machine m : scheduler.machines.values()) {
-                    for (Assignment p : m.placements.values()) {
+                    for (Assignment p : m.assignments.values()) {
                         if (p.startedAt == now) {
                             trace.add(step + " " + p.taskId + " on " + m.id + " attempt " + p.attempt);
                         }
                     }
                     trace.add(step + " " + m.id + " uses " + m.usedCpus);
                 }
-                trace.add(step + " sizes " + new TreeMap<>(scheduler.sizes()));
+                trace.add(step + " sizes " + new TreeMap<>(scheduler.attainedService()));
                 reports();
             }
             return trace;
--- a/src/test/java/org/hollypick/core/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -37,7 +37,7 @@
                 "c",
                 "",
                 false,
-                JobSpec.Rank.NORMAL,
+                JobSpec.Priority.NORMAL,
                 1,
                 cpus,
                 0,
@@ -157,7 +157,7 @@
                         int i = running.get(r.nextInt(running.size()));
                         done.set(i);
                         plain.taskDone.add(g.id(i));
-                        g.committed(done);
+                        g.completionsCommitted(done);
                     }
                 }
                 default -> {
@@ -181,7 +181,7 @@
         for (JsonNode op : GraphRecords.unpack(GraphRecords.record("req-1", log))) {
             GraphRecords.replay(op, read, (n, v) -> {});
         }
-        read.committed(done);
+        read.completionsCommitted(done);
         compare(plain, read, again, "seed " + seed + " read again");
     }
 
@@ -221,7 +221,7 @@
             State s = g.state(i);
             assertEquals(plain.dead(n), s == State.CANCELLED || s == State.FAILED, where + " dead " + n + " " + s);
             assertEquals(plain.done(n), s == State.DONE, where + " done " + n + " " + s);
-            assertEquals(plain.ready(n), g.wanted(i), where + " ready " + n + " " + s);
+            assertEquals(plain.ready(n), g.mayStart(i), where + " ready " + n + " " + s);
             assertTrue(!plain.ready(n) || released.contains(i), where + " released " + n);
         }
     }
@@ -252,7 +252,7 @@
         wide.seal();
         BitSet done = new BitSet();
         done.set(0);
-        wide.committed(done);
+        wide.completionsCommitted(done);
         assertEquals(10_001, children[0]);
     }
 
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -74,7 +74,7 @@
                     missed >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
                     validity.unreachableInbound(),
                     "after " + missed + " lost answers");
-            wanted.add(new Command(Command.Verb.START, "req-1/" + attempt, ++attempt, 0));
+            wanted.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
             validity.told(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
                 token = TOKEN;
@@ -125,7 +125,7 @@
                         "k",
                         "",
                         false,
-                        JobSpec.Rank.LOW,
+                        JobSpec.Priority.LOW,
                         1,
                         2,
                         0,
@@ -153,9 +153,9 @@
     void whatBeganAfterTheTermHoldsNothingOfOlderOnes() {
         Machine m = machine("n-1", true);
         for (int session = 1; session < 4; session++) {
-            scheduler.ledger.report(m, report(session, session, 3), true, 15_000L * session);
-            scheduler.tick(15_000L * session);
-            assertEquals(session > 1, scheduler.settled(), "in session " + session);
+            scheduler.assignments.applyHeartbeat(m, report(session, session, 3), true, 15_000L * session);
+            scheduler.expireLeases(15_000L * session);
+            assertEquals(session > 1, scheduler.reconciliationComplete(), "in session " + session);
         }
     }
 
@@ -165,15 +165,15 @@
         Job job = job(5);
         Machine old = machine("n-1", true);
         Machine now = machine("n-2", true);
-        scheduler.ledger.report(
+        scheduler.assignments.applyHeartbeat(
                 old, report(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 0);
-        scheduler.ledger.report(
+        scheduler.assignments.applyHeartbeat(
                 now, report(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")), true, 0);
-        assertEquals(now, job.live.get(0).machine);
-        assertTrue(scheduler.ledger.orders(now).isEmpty());
-        scheduler.ledger.report(
+        assertEquals(now, job.assignments.get(0).machine);
+        assertTrue(scheduler.assignments.pendingCommands(now).isEmpty());
+        scheduler.assignments.applyHeartbeat(
                 old, report(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 100);
-        assertEquals(now, job.live.get(0).machine);
+        assertEquals(now, job.assignments.get(0).machine);
     }
 
     /**
@@ -183,14 +183,14 @@
     @Test
     void largerCountsBesideALowerTokenAreAnEarlierLifes() {
         Machine m = machine("n-1", true);
-        scheduler.ledger.report(m, report(1, 5, TOKEN), true, 0);
+        scheduler.assignments.applyHeartbeat(m, report(1, 5, TOKEN), true, 0);
         Job job = job(TOKEN);
-        scheduler.pass(0);
-        Assignment p = job.live.get(0);
-        scheduler.ledger.report(
+        scheduler.runSchedulingCycle(0);
+        Assignment p = job.assignments.get(0);
+        scheduler.assignments.applyHeartbeat(
                 m, report(1, 6, TOKEN, new TaskStatus(p.taskId, p.attempt, Assignment.State.RUNNING, "")), true, 1_000);
-        assertFalse(scheduler.ledger.report(m, report(1, 99, 3), true, 2_000));
-        assertEquals(p, job.live.get(0));
+        assertFalse(scheduler.assignments.applyHeartbeat(m, report(1, 99, 3), true, 2_000));
+        assertEquals(p, job.assignments.get(0));
     }
 
     /**
@@ -200,12 +200,12 @@
     @Test
     void nothingIsToldUnderASessionThatIsOver() {
         Machine m = machine("n-1", true);
-        scheduler.ledger.report(m, report(1, 5, TOKEN), true, 0);
-        scheduler.tick(LEASE_MS + 2_000);
-        assertTrue(m.lapsed() && !m.usable());
-        assertFalse(scheduler.ledger.report(m, report(1, 6, TOKEN), true, LEASE_MS + 3_000));
-        scheduler.ledger.report(m, report(2, 1, TOKEN), true, LEASE_MS + 4_000);
-        assertTrue(m.usable());
+        scheduler.assignments.applyHeartbeat(m, report(1, 5, TOKEN), true, 0);
+        scheduler.expireLeases(LEASE_MS + 2_000);
+        assertTrue(m.incarnationExpired() && !m.schedulable());
+        assertFalse(scheduler.assignments.applyHeartbeat(m, report(1, 6, TOKEN), true, LEASE_MS + 3_000));
+        scheduler.assignments.applyHeartbeat(m, report(2, 1, TOKEN), true, LEASE_MS + 4_000);
+        assertTrue(m.schedulable());
     }
 
     /**
@@ -214,15 +214,15 @@
     @Test
     void whatHasBegunAgainHasNothing() {
         Machine m = machine("n-1", true);
-        scheduler.ledger.report(m, report(1, 50, TOKEN), true, 0);
+        scheduler.assignments.applyHeartbeat(m, report(1, 50, TOKEN), true, 0);
         Job job = job(TOKEN);
-        scheduler.pass(0);
-        Assignment p = job.live.get(0);
-        scheduler.ledger.report(
+        scheduler.runSchedulingCycle(0);
+        Assignment p = job.assignments.get(0);
+        scheduler.assignments.applyHeartbeat(
                 m, report(1, 51, TOKEN, new TaskStatus(p.taskId, p.attempt, Assignment.State.RUNNING, "")), true, 500);
-        scheduler.ledger.begunAgain(m, report(1, 1, TOKEN), 1_000);
-        assertTrue(job.pending.get(0));
-        assertFalse(m.usable());
+        scheduler.assignments.incarnationRestarted(m, report(1, 1, TOKEN), 1_000);
+        assertTrue(job.pendingTasks.get(0));
+        assertFalse(m.schedulable());
     }
 
     /** A machine that nobody knows of, by a late copy of a report: it isn't there, and took tasks. */
@@ -230,9 +230,9 @@
     void aReportAloneProvesNoMachine() {
         Machine m = machine("n-1", false);
         m.registered = true;
-        scheduler.ledger.report(m, report(1, 5, 0), true, 0);
-        assertFalse(m.usable());
-        scheduler.ledger.report(m, report(1, 6, TOKEN), true, 500);
-        assertTrue(m.usable());
+        scheduler.assignments.applyHeartbeat(m, report(1, 5, 0), true, 0);
+        assertFalse(m.schedulable());
+        scheduler.assignments.applyHeartbeat(m, report(1, 6, TOKEN), true, 500);
+        assertTrue(m.schedulable());
     }
 }
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -59,7 +59,7 @@
             }
             answer.accept(
                     path.equals("/later")
-                            ? ServerResponse.later("busy")
+                            ? ServerResponse.retryLater("busy")
                             : ServerResponse.of(
                                     200,
                                     Codec.object()
@@ -163,7 +163,7 @@
             sockets.opened(ConnectionBudget.Kind.ORDERS);
         }
         assertEquals(
-                Response.LACK,
+                Response.NO_CAPACITY,
                 call(Request.of(addr, "GET", "/echo", null, 2_000)).status());
         assertEquals(
                 404, call(new Request(addr, "GET", "/none", null, 2_000, true)).status());
--- a/src/test/java/org/hollypick/records/CodecTest.java
+++ b/src/test/java/org/hollypick/records/CodecTest.java
@@ -82,7 +82,7 @@
                 "c",
                 "",
                 false,
-                JobSpec.Rank.LOW,
+                JobSpec.Priority.LOW,
                 3,
                 1,
                 0,
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -144,7 +144,9 @@
                         if (call.path().equals("/reach")) {
                             r.after(1, () -> reply.accept(new Response(404, null)));
                         } else {
-                            super.call(call, a -> reply.accept(a.status() == Response.LACK ? Response.noAnswer() : a));
+                            super.call(
+                                    call,
+                                    a -> reply.accept(a.status() == Response.NO_CAPACITY ? Response.noAnswer() : a));
                         }
                     }
                 },
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -142,7 +142,7 @@
                         for (int i : roots) {
                             pretended.set(i); // what awaits it runs as if it were done
                         }
-                        committed(pretended);
+                        completionsCommitted(pretended);
                         return new int[0];
                     }
                 }),
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -156,7 +156,7 @@
                                         ? "cloud"
                                         : path.startsWith("/holds")
                                                 ? "renewal"
-                                                : path.equals("/commit") ? "commits" : c.mesh() ? "mesh" : "reads";
+                                                : path.equals("/commit") ? "commits" : c.toPeer() ? "mesh" : "reads";
                 r.call(c, a -> meter.run(name, () -> reply.accept(a)));
             }
         };
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -19,7 +19,7 @@
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.core.JobDependencies;
-import org.hollypick.core.JobSpec.Rank;
+import org.hollypick.core.JobSpec.Priority;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.junit.jupiter.api.Test;
@@ -114,9 +114,9 @@
                     private final Map<String, Collection<String>> awaits = new HashMap<>();
 
                     @Override
-                    public void live(String id, Rank rank, Collection<String> awaited) {
+                    public void addLive(String id, Priority rank, Collection<String> awaited) {
                         awaits.put(id, awaited);
-                        super.live(id, rank, awaited);
+                        super.addLive(id, rank, awaited);
                     }
 
                     @Override
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -73,7 +73,7 @@
                                                         c.path(),
                                                         c.body(),
                                                         c.timeoutMs(),
-                                                        c.mesh()),
+                                                        c.toPeer()),
                                                 reply);
                                     }
                                 },
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -428,12 +428,12 @@
                 trap = c -> false;
                 freeze(trapMs);
             }
-            ConnectionBudget.Kind kind = call.mesh() || call.address().endsWith(":1")
+            ConnectionBudget.Kind kind = call.toPeer() || call.address().endsWith(":1")
                     ? ConnectionBudget.Kind.CONTROL
                     : ConnectionBudget.Kind.ORDERS;
             if (sockets != null) {
                 if (kind == ConnectionBudget.Kind.ORDERS && !sockets.room(kind)) {
-                    at(0, () -> awake(() -> reply.accept(Response.lack())));
+                    at(0, () -> awake(() -> reply.accept(Response.noCapacity())));
                     return;
                 }
                 sockets.opened(kind);
@@ -445,7 +445,7 @@
                 awake(() -> reply.accept(r));
             };
             out(() -> {
-                if (call.still().getAsBoolean()) {
+                if (call.validWhile().getAsBoolean()) {
                     sending.accept(host, call);
                     send(host, call, in);
                 } else {
