--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -48,14 +48,14 @@
     private final OperatorSettings operator;
     private final KeyValueStoreClient state;
     private final CloudClient cloud;
-    private final AgentClient workers;
+    private final AgentClient agentClient;
     private final StoreReplica view;
     private final Membership membership;
     private final JobDependencies dependencies;
     private final JobStore jobs;
     private final UserApi users;
     private final PartitionedLeaseRenewal leaseRenewal;
-    private final HeartbeatRelay relay;
+    private final HeartbeatRelay heartbeatRelay;
     private final PeerRequestDispatcher mesh = new PeerRequestDispatcher();
     /** Null unless the operators switched graphs on. */
     private final GraphApi graphs;
@@ -86,7 +86,7 @@
         this.operator = operator;
         this.state = new KeyValueStoreClient(runtime, settings);
         this.cloud = new CloudClient(runtime, settings);
-        this.workers = new AgentClient(runtime);
+        this.agentClient = new AgentClient(runtime);
         this.view = new StoreReplica(runtime, state, StoreKeys.PREFIX, this::recordsChanged);
         this.membership = new Membership(runtime, state, settings, view, this::leadership);
         this.dependencies = dependencies;
@@ -112,7 +112,7 @@
                 this::cancelled,
                 () -> term != null && term.scheduler.leases.allAsked(),
                 this::kept);
-        this.relay = new HeartbeatRelay(
+        this.heartbeatRelay = new HeartbeatRelay(
                 runtime,
                 settings,
                 membership,
@@ -178,7 +178,7 @@
                     dependencies,
                     state,
                     cloud,
-                    workers,
+                    agentClient,
                     types,
                     membership,
                     maker);
@@ -195,7 +195,7 @@
         String path = query < 0 ? target : target.substring(0, query);
         if (path.equals("/hello")) {
             if (method.equals("POST")) {
-                relay.hello(bytes, answer);
+                heartbeatRelay.hello(bytes, answer);
             } else {
                 answer.accept(notAllowed());
             }
@@ -246,7 +246,8 @@
         mesh.on("/keep", (body, answer) -> answer.accept(mayKeep(body)));
         mesh.on(
                 "/release",
-                (body, answer) -> answer.accept(relay.release(body == null ? 0 : Codec.u64(body.path("member")))));
+                (body, answer) ->
+                        answer.accept(heartbeatRelay.release(body == null ? 0 : Codec.u64(body.path("member")))));
         mesh.on(
                 HeartbeatRelayCodec.PATH,
                 (body, answer) -> answer.accept(
@@ -258,7 +259,7 @@
         mesh.on(RequestRouter.WATCH_PATH, state.routes()::pass);
         mesh.on(
                 PeerReachability.PATH,
-                (body, answer) -> PeerReachability.answer(workers, body, membership.reachesState(), answer));
+                (body, answer) -> PeerReachability.answer(agentClient, body, membership.reachesState(), answer));
         mesh.on("/jobs", (body, answer) -> answer.accept(users.meshStatus(body)));
         if (graphs != null) {
             mesh.on("/graph", graphs::passed);
@@ -284,12 +285,12 @@
 
     /** The user of the job was told, or may have been told, that it is cancelled; or will be soon. */
     private boolean cancelled(String id) {
-        StoreReplica.Entry e = view.get(StoreKeys.job(id));
+        StoreReplica.Entry entry = view.get(StoreKeys.job(id));
         return dependencies.isCancelled(id)
                 || (term != null && term.jobTermination.cancelling(id))
-                || (e != null
-                        && Records.isOver(e.data())
-                        && Records.status(e.data()).equals(Records.ABORTED));
+                || (entry != null
+                        && Records.isOver(entry.data())
+                        && Records.status(entry.data()).equals(Records.ABORTED));
     }
 
     private void kept(long now) {
--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -13,10 +13,10 @@
 
 /** Orders and questions straight to a worker's address. */
 public final class AgentClient {
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
 
-    public AgentClient(EventLoop runtime) {
-        this.runtime = runtime;
+    public AgentClient(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     /** {@code still}: whether this node may order anything, asked when the order is sent. */
@@ -24,11 +24,11 @@
             String addr,
             long token,
             long session,
-            List<Command> orders,
+            List<Command> commands,
             BooleanSupplier still,
             Consumer<Response> reply) {
-        ObjectNode body = AgentCodec.orders(token, orders).put(WireNames.WORKER_SESSION, session);
-        runtime.call(
+        ObjectNode body = AgentCodec.orders(token, commands).put(WireNames.WORKER_SESSION, session);
+        eventLoop.call(
                 Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
                         .onlyWhile(still),
                 reply);
@@ -36,7 +36,7 @@
 
     /** Whether that machine answers: its report. */
     public void inspect(String machine, String addr, long timeoutMs, Consumer<Response> reply) {
-        runtime.call(
+        eventLoop.call(
                 Request.of(addr, "GET", "/inspect", null, timeoutMs),
                 r -> reply.accept(
                         r.ok() && !r.body().path("bothy").asText().equals(machine) ? Response.noAnswer() : r));
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -152,17 +152,17 @@
                 tasks);
     }
 
-    public static ObjectNode orders(long token, List<Command> orders) {
+    public static ObjectNode orders(long token, List<Command> commands) {
         ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray("orders");
-        for (Command o : orders) {
+        for (Command command : commands) {
             ObjectNode n = list.addObject();
-            switch (o.verb()) {
+            switch (command.verb()) {
                 case LAUNCH -> n.put("verb", "launch");
-                case KILL -> n.put("verb", "kill").put("leeway_s", o.graceS());
+                case KILL -> n.put("verb", "kill").put("leeway_s", command.graceS());
                 case CLEAR -> n.put("verb", "clear");
             }
-            n.put("shard", o.task()).put("try", o.attempt());
+            n.put("shard", command.task()).put("try", command.attempt());
         }
         return body;
     }
--- a/src/main/java/org/hollypick/api/Admission.java
+++ b/src/main/java/org/hollypick/api/Admission.java
@@ -10,22 +10,22 @@
     private Admission() {}
 
     /** The reason, or null. A service needs all of its tasks at once, an array or a node one. */
-    static String neverRuns(JobSpec s, Settings settings, Map<String, MachineType> types) {
-        Settings.Team team = settings.teams().get(s.team());
-        if (team == null && !s.team().isEmpty()) {
+    static String neverRuns(JobSpec spec, Settings settings, Map<String, MachineType> types) {
+        Settings.Team team = settings.teams().get(spec.team());
+        if (team == null && !spec.team().isEmpty()) {
             return "unknown team";
         }
         boolean fits = false;
         for (MachineType t : types.values()) {
-            fits |= t.fits(s);
+            fits |= t.fits(spec);
         }
         if (!fits) {
             return "a task fits no allowed machine type";
         }
-        int at = s.service() ? s.tasks() : 1;
+        int at = spec.service() ? spec.tasks() : 1;
         if (team != null
-                && ((team.cpusMax() > 0 && at * s.cpus() > team.cpusMax())
-                        || (team.gpusMax() > 0 && at * s.gpus() > team.gpusMax()))) {
+                && ((team.cpusMax() > 0 && at * spec.cpus() > team.cpusMax())
+                        || (team.gpusMax() > 0 && at * spec.gpus() > team.gpusMax()))) {
             return "more than the team's limit";
         }
         return null;
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -30,25 +30,25 @@
  * once.
  */
 public final class GraphApi {
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final StoreReplica view;
+    private final StoreReplica replica;
     private final Membership membership;
     private final UserApi jobs;
     private final Supplier<LeaderTerm> term;
     private final Supplier<Map<String, MachineType>> types;
 
     public GraphApi(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
-            StoreReplica view,
+            StoreReplica replica,
             Membership membership,
             UserApi jobs,
             Supplier<LeaderTerm> term,
             Supplier<Map<String, MachineType>> types) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.membership = membership;
         this.jobs = jobs;
         this.term = term;
@@ -72,10 +72,10 @@
             return;
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
-        passed.put(UserApi.REVISION, view.revision()).set("body", body);
+        passed.put(UserApi.REVISION, replica.revision()).set("body", body);
         Request call =
                 new Request(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
-        runtime.call(call, r -> answer.accept(told(method, r)));
+        eventLoop.call(call, r -> answer.accept(told(method, r)));
     }
 
     /**
@@ -85,11 +85,11 @@
     private ServerResponse told(String method, Response r) {
         int status = r.ok() ? r.body().path("status").asInt() : 503;
         JsonNode revision = r.body().path(UserApi.REVISION);
-        boolean older = revision.isNumber() && !view.mayAnswerFrom(Codec.u64(revision));
+        boolean older = revision.isNumber() && !replica.mayAnswerFrom(Codec.u64(revision));
         if (status == 0 || status == 503 || (older && method.equals("GET"))) {
             return ServerResponse.retryLater("leader");
         }
-        view.answeredFrom(Codec.u64(revision));
+        replica.answeredFrom(Codec.u64(revision));
         return ServerResponse.of(status, r.body().path("body"));
     }
 
@@ -99,7 +99,7 @@
             answer.accept(ServerResponse.retryLater("not the leader"));
             return;
         }
-        view.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
+        replica.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
         owned(
                 call.path("method").asText(),
                 call.path("path").asText(),
@@ -108,7 +108,8 @@
     }
 
     private ServerResponse passedBack(ServerResponse a) {
-        ObjectNode body = Codec.object().put(UserApi.REVISION, view.revision()).put("status", a.status());
+        ObjectNode body =
+                Codec.object().put(UserApi.REVISION, replica.revision()).put("status", a.status());
         return ServerResponse.of(200, body.set("body", a.body()));
     }
 
@@ -157,12 +158,12 @@
             answer.accept(ServerResponse.error(405, "method not allowed"));
             return;
         }
-        StoreReplica.Entry e = view.get(StoreKeys.job(id));
-        if (e != null && GraphRecords.isEnded(e.data())) {
+        StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
+        if (entry != null && GraphRecords.isEnded(entry.data())) {
             show(false, id, 0, answer); // a late retry
             return;
         }
-        if (e != null && !GraphRecords.isGraph(e.data())) {
+        if (entry != null && !GraphRecords.isGraph(entry.data())) {
             answer.accept(ServerResponse.error(409, "the id is a job's"));
             return;
         }
@@ -209,8 +210,11 @@
             return;
         }
         jobs.status(id, a -> {
-            StoreReplica.Entry e = view.get(StoreKeys.job(id));
-            if (a.status() == 200 && e != null && !GraphRecords.isGraph(e.data()) && !GraphRecords.isEnded(e.data())) {
+            StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
+            if (a.status() == 200
+                    && entry != null
+                    && !GraphRecords.isGraph(entry.data())
+                    && !GraphRecords.isEnded(entry.data())) {
                 answer.accept(ServerResponse.error(404, "no graph, but a job"));
                 return;
             }
@@ -236,11 +240,11 @@
 
     /** What a graph's own record says once it is over. */
     private void ended(String id, ObjectNode b) {
-        StoreReplica.Entry e = view.get(StoreKeys.job(id));
-        if (e != null && GraphRecords.isEnded(e.data())) {
+        StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
+        if (entry != null && GraphRecords.isEnded(entry.data())) {
             for (String field : List.of("nodes", "failed", "cancelled", "why")) {
                 if (!b.has(field)) {
-                    b.set(field, e.data().path(field));
+                    b.set(field, entry.data().path(field));
                 }
             }
         }
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -39,9 +39,9 @@
     /** Between nodes: the newest revision that answers of the sender were built on (docs/safety.md, "went_back"). */
     static final String REVISION = "epoch";
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final StoreReplica view;
+    private final StoreReplica replica;
     private final Membership membership;
     private final JobStore records;
     private final JobDependencies dependencies;
@@ -57,17 +57,17 @@
     private int refused;
 
     public UserApi(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
-            StoreReplica view,
+            StoreReplica replica,
             Membership membership,
             JobStore records,
             JobDependencies dependencies,
             Supplier<LeaderTerm> term,
             Supplier<Map<String, MachineType>> types) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.membership = membership;
         this.records = records;
         this.dependencies = dependencies;
@@ -100,7 +100,7 @@
             unlessKnown(id, ServerResponse.error(400, "missing or invalid: " + e.getMessage()), answer);
             return;
         }
-        if (types.get() == null || !view.loaded()) {
+        if (types.get() == null || !replica.loaded()) {
             answer.accept(ServerResponse.retryLater("starting"));
             return;
         }
@@ -114,10 +114,10 @@
             return;
         }
         // A job that another node has just accepted may not be in this node's view yet.
-        view.fresh(fresh -> {
+        replica.fresh(fresh -> {
             if (!fresh) {
                 answer.accept(ServerResponse.retryLater("state service"));
-            } else if (view.get(StoreKeys.job(id)) != null) {
+            } else if (replica.get(StoreKeys.job(id)) != null) {
                 status(id, answer);
             } else if (known(awaits)) {
                 create(spec, awaits, answer);
@@ -129,7 +129,7 @@
 
     private boolean known(Set<String> ids) {
         for (String id : ids) {
-            if (view.get(StoreKeys.job(id)) == null) {
+            if (replica.get(StoreKeys.job(id)) == null) {
                 return false;
             }
         }
@@ -138,7 +138,7 @@
 
     private void create(JobSpec spec, Set<String> awaits, Consumer<ServerResponse> answer) {
         for (String id : awaits) {
-            if (Records.isService(view.get(StoreKeys.job(id)).data())) {
+            if (Records.isService(replica.get(StoreKeys.job(id)).data())) {
                 unlessKnown(spec.id(), ServerResponse.error(422, "awaits a service, which is never done"), answer);
                 return;
             }
@@ -169,7 +169,7 @@
 
     /** A refusal that is final is only given after a fresh read: a job that was accepted stays accepted. */
     private void unlessKnown(String id, ServerResponse refusal, Consumer<ServerResponse> answer) {
-        view.fresh(fresh -> {
+        replica.fresh(fresh -> {
             if (!fresh) {
                 answer.accept(ServerResponse.retryLater("state service"));
             } else if (unknown(id)) {
@@ -199,7 +199,7 @@
         polls.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
         if (!gathering) {
             gathering = true;
-            runtime.after(ApiConstants.STATUS_BATCH_MS, this::askLeader);
+            eventLoop.after(ApiConstants.STATUS_BATCH_MS, this::askLeader);
         }
     }
 
@@ -216,12 +216,12 @@
             asked.forEach((id, answers) -> answers.forEach(a -> fromRecord(id, a)));
             return;
         }
-        ObjectNode body = Codec.object().put(REVISION, view.revision());
+        ObjectNode body = Codec.object().put(REVISION, replica.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
-        runtime.call(new Request(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
+        eventLoop.call(new Request(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
             if (r.status() <= 0) {
-                leaderSilentUntil = runtime.now() + ApiConstants.SILENT_LEADER_MS;
+                leaderSilentUntil = eventLoop.now() + ApiConstants.SILENT_LEADER_MS;
             }
             long revision = Codec.u64(r.body().path(REVISION));
             asked.forEach((id, answers) -> {
@@ -239,8 +239,8 @@
         ServerResponse over = over(id);
         if (over != null) {
             answer.accept(over);
-        } else if (told.isObject() && (ended(told) || view.mayAnswerFrom(revision))) {
-            view.answeredFrom(revision);
+        } else if (told.isObject() && (ended(told) || replica.mayAnswerFrom(revision))) {
+            replica.answeredFrom(revision);
             answer.accept(ServerResponse.of(200, told).onlyWhile(() -> ended(told) || over(id) == null));
         } else {
             fromRecord(id, answer);
@@ -269,7 +269,7 @@
     }
 
     private boolean unknown(String id) {
-        return view.get(StoreKeys.job(id)) == null;
+        return replica.get(StoreKeys.job(id)) == null;
     }
 
     /**
@@ -277,15 +277,15 @@
      * it needs.
      */
     private ServerResponse over(String id) {
-        StoreReplica.Entry e = view.get(StoreKeys.job(id));
+        StoreReplica.Entry e = replica.get(StoreKeys.job(id));
         if (e != null && Records.isOver(e.data())) {
-            view.answeredFrom(e.revision());
+            replica.answeredFrom(e.revision());
             return ServerResponse.of(
                     200,
                     body(id, Records.status(e.data()), e.data().path("done").asInt(), 0));
         }
         if (e != null && dependencies.isCancelled(id)) {
-            view.answeredFrom(view.appliedRevision());
+            replica.answeredFrom(replica.appliedRevision());
             return ServerResponse.of(200, body(id, Records.ABORTED, 0, 0));
         }
         return null;
@@ -298,14 +298,14 @@
 
     private String leaderToAsk() {
         LeaderTerm t = term.get();
-        return (t != null && t.holdsLeaderLease()) || runtime.now() < leaderSilentUntil
+        return (t != null && t.holdsLeaderLease()) || eventLoop.now() < leaderSilentUntil
                 ? null
                 : settings.meshAddr(membership.leader());
     }
 
     /** From this node's own copy of the records, once that is known to be fresh. */
     private void fromRecord(String id, Consumer<ServerResponse> answer) {
-        view.fresh(fresh -> {
+        replica.fresh(fresh -> {
             ServerResponse over = over(id);
             if (!fresh) {
                 answer.accept(ServerResponse.retryLater("state service"));
@@ -347,8 +347,8 @@
             answer.accept(ServerResponse.retryLater("no leader"));
             return;
         }
-        ObjectNode question = Codec.object().put("job", id).put(REVISION, view.revision());
-        runtime.call(
+        ObjectNode question = Codec.object().put("job", id).put(REVISION, replica.revision());
+        eventLoop.call(
                 new Request(leaderAddress, "POST", "/estimate", question, NetworkConstants.PEER_TIMEOUT_MS, true),
                 r -> {
                     int status = r.body().path("status").asInt();
@@ -356,8 +356,8 @@
                     ServerResponse over = over(id);
                     if (over != null) {
                         answer.accept(over);
-                    } else if (r.ok() && status != 503 && view.mayAnswerFrom(revision)) {
-                        view.answeredFrom(revision);
+                    } else if (r.ok() && status != 503 && replica.mayAnswerFrom(revision)) {
+                        replica.answeredFrom(revision);
                         answer.accept(
                                 ServerResponse.of(status, r.body().path("body")).onlyWhile(() -> over(id) == null));
                     } else {
@@ -372,7 +372,7 @@
         ServerResponse a = body != null && term.get() != null && term.get().holdsLeaderLease()
                 ? estimated(body.path("job").asText())
                 : ServerResponse.retryLater("not the leader");
-        ObjectNode told = Codec.object().put(REVISION, view.revision()).put("status", a.status());
+        ObjectNode told = Codec.object().put(REVISION, replica.revision()).put("status", a.status());
         return ServerResponse.of(200, told.set("body", a.body()));
     }
 
@@ -391,7 +391,7 @@
             return ServerResponse.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
         CompletionEstimate.Answer finish = new CompletionEstimate(
-                        term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, runtime.now())
+                        term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, eventLoop.now())
                 .of(job);
         PredictionInterval interval = finish.interval();
         b.putObject("done_in_s")
@@ -425,7 +425,7 @@
         if (job != null) {
             JobTermination jobTermination = term.get().jobTermination;
             jobTermination.cancel(job, done -> {
-                view.answeredFrom(jobTermination.cancelledAt());
+                replica.answeredFrom(jobTermination.cancelledAt());
                 ServerResponse aborted =
                         ServerResponse.of(200, body(id, Records.ABORTED, job.completedTasks.cardinality(), 0));
                 answer.accept(done ? aborted : ServerResponse.retryLater("state service"));
@@ -434,7 +434,7 @@
         }
         String leaderAddress = leaderToAsk();
         if (leaderAddress != null) {
-            runtime.call(
+            eventLoop.call(
                     new Request(
                             leaderAddress,
                             "POST",
@@ -444,7 +444,7 @@
                             true),
                     r -> {
                         if (r.ok()) {
-                            view.answeredFrom(Codec.u64(r.body().path(REVISION)));
+                            replica.answeredFrom(Codec.u64(r.body().path(REVISION)));
                             ObjectNode told = r.body().deepCopy();
                             told.remove(REVISION);
                             answer.accept(ServerResponse.of(200, told));
@@ -459,7 +459,7 @@
 
     /** Only the leader aborts a live job; without it only what is over already, or never was, can be told. */
     private void withdrawn(String id, Consumer<ServerResponse> answer) {
-        view.fresh(fresh -> {
+        replica.fresh(fresh -> {
             ServerResponse over = over(id);
             if (fresh && unknown(id)) {
                 answer.accept(ServerResponse.error(404, "no such job").onlyWhile(() -> unknown(id)));
@@ -478,7 +478,7 @@
      */
     public ServerResponse meshStatus(JsonNode body) {
         learn(body);
-        ObjectNode told = Codec.object().put(REVISION, view.revision());
+        ObjectNode told = Codec.object().put(REVISION, replica.revision());
         for (JsonNode n : body == null ? Codec.array() : body.path("jobs")) {
             ServerResponse a = certain(n.asText());
             if (a != null) {
@@ -500,14 +500,14 @@
     /** The answer, and the revision that it is built on. */
     private ServerResponse revised(ServerResponse a) {
         ObjectNode body = a.body().deepCopy();
-        return ServerResponse.of(a.status(), body.put(REVISION, view.revision()))
+        return ServerResponse.of(a.status(), body.put(REVISION, replica.revision()))
                 .onlyWhile(a.validWhile());
     }
 
     /** Another node tells the newest revision that an answer of its was built on. */
     private void learn(JsonNode body) {
         if (body != null) {
-            view.answeredFrom(Codec.u64(body.path(REVISION)));
+            replica.answeredFrom(Codec.u64(body.path(REVISION)));
         }
     }
 }
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -119,7 +119,7 @@
         private final CompletableFuture<Undertow> started;
         private XnioWorker worker;
         private DefaultByteBufferPool buffers;
-        private ConnectionBudget sockets;
+        private ConnectionBudget connections;
         private XnioEventLoop network;
         private Controller node;
         private int tries;
@@ -134,11 +134,11 @@
         public void run() {
             try {
                 buffers = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
-                sockets = new ConnectionBudget(settings.sockets());
+                connections = new ConnectionBudget(settings.sockets());
                 network = new XnioEventLoop(
                         worker.getIoThread(),
                         buffers,
-                        sockets,
+                        connections,
                         Set.copyOf(List.of(settings.state(), settings.cloud())),
                         (int) (settings.sockets() * NetworkConstants.IDLE_SOCKET_SHARE));
                 node = new Controller(network, settings, operator);
@@ -157,7 +157,7 @@
                 Undertow server = HttpServer.start(
                         worker,
                         buffers,
-                        sockets,
+                        connections,
                         settings.publicAddr(),
                         node::handle,
                         settings.meshAddr(),
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -68,7 +68,7 @@
                 Set.of(),
                 10);
         boolean ok = true;
-        for (Request call : List.of(
+        for (Request request : List.of(
                 Request.of(users, "GET", "/ready", null, 5_000),
                 Request.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
                 Request.of(users, "GET", "/submissions/req-1", null, 5_000),
@@ -83,9 +83,9 @@
                         5_000),
                 new Request(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
             BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
-            client.after(0, () -> client.call(call, got::add));
-            Response reply = got.poll(10, TimeUnit.SECONDS);
-            ok &= reply != null && reply.status() >= 400;
+            client.after(0, () -> client.call(request, got::add));
+            Response response = got.poll(10, TimeUnit.SECONDS);
+            ok &= response != null && response.status() >= 400;
         }
         server.stop();
         System.out.println(ok ? "self-test passed" : "self-test failed");
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -24,23 +24,23 @@
  * asked when it is sent.
  */
 public final class CloudClient {
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final String address;
     private final TokenBucket budget;
 
-    public CloudClient(EventLoop runtime, Settings settings) {
-        this.runtime = runtime;
+    public CloudClient(EventLoop eventLoop, Settings settings) {
+        this.eventLoop = eventLoop;
         this.address = settings.cloud();
-        this.budget = new TokenBucket(settings.cloudRps() * 0.8, runtime.now());
+        this.budget = new TokenBucket(settings.cloudRps() * 0.8, eventLoop.now());
     }
 
     private void send(Request call, Consumer<Response> reply) {
-        if (!budget.has(1, runtime.now())) {
+        if (!budget.has(1, eventLoop.now())) {
             reply.accept(Response.notSent());
             return;
         }
-        budget.take(1, runtime.now());
-        runtime.call(call, reply);
+        budget.take(1, eventLoop.now());
+        eventLoop.call(call, reply);
     }
 
     public void types(Consumer<Map<String, MachineType>> reply) {
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -48,14 +48,14 @@
 
     private final EventLoop runtime;
     private final Settings settings;
-    private final StoreReplica view;
-    private final AgentClient workers;
+    private final StoreReplica replica;
+    private final AgentClient agentClient;
 
-    CandidacyEvaluation(EventLoop runtime, Settings settings, StoreReplica view) {
+    CandidacyEvaluation(EventLoop runtime, Settings settings, StoreReplica replica) {
         this.runtime = runtime;
         this.settings = settings;
-        this.view = view;
-        this.workers = new AgentClient(runtime);
+        this.replica = replica;
+        this.agentClient = new AgentClient(runtime);
     }
 
     /** One round of questions; {@code whole}: the others are asked too, even if most machines answer at once. */
@@ -90,7 +90,7 @@
             open = asked.size();
             new HashMap<>(asked)
                     .forEach((id, addr) ->
-                            workers.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
+                            agentClient.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
                                 if (r.ok()) {
                                     direct.add(id);
                                 } else if (r.status() == Response.NO_CAPACITY) {
@@ -106,9 +106,9 @@
                 return;
             }
             peersAsked = true;
-            for (Settings.Sibling s : settings.siblings()) {
+            for (Settings.Sibling sibling : settings.siblings()) {
                 open++;
-                PeerReachability.ask(runtime, s.addr(), asked, answered -> {
+                PeerReachability.ask(runtime, sibling.addr(), asked, answered -> {
                     if (answered != null) {
                         byPeers.addAll(answered.reached());
                         // One without a way to the state service can't lead, whatever it reaches.
@@ -143,7 +143,7 @@
     /** As many of each zone, not always the same: their addresses. */
     private Map<String, String> some() {
         Map<String, List<Map.Entry<String, JsonNode>>> byZone = new LinkedHashMap<>();
-        view.entries().forEach((key, e) -> {
+        replica.entries().forEach((key, e) -> {
             if (key.startsWith(StoreKeys.MACHINES)) {
                 e.data().fields().forEachRemaining(m -> {
                     if (!m.getValue().path("addr").asText().isEmpty()) {
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -29,11 +29,11 @@
     private static final String LIMITS = "limits";
     private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
 
-    private final EventLoop runtime;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final KeyValueStoreClient store;
     private final Settings settings;
-    private final StoreReplica view;
-    private final CandidacyEvaluation candidate;
+    private final StoreReplica replica;
+    private final CandidacyEvaluation evaluation;
     private final Runnable changed;
     private final int candidacyOrder;
     private final String limits;
@@ -68,20 +68,20 @@
     private final LongArrayList resigned = new LongArrayList();
 
     public Membership(
-            EventLoop runtime, KeyValueStoreClient state, Settings settings, StoreReplica view, Runnable changed) {
-        this.runtime = runtime;
-        this.state = state;
+            EventLoop eventLoop, KeyValueStoreClient store, Settings settings, StoreReplica replica, Runnable changed) {
+        this.eventLoop = eventLoop;
+        this.store = store;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.limits = settings.limitsMark();
-        this.candidate = new CandidacyEvaluation(runtime, settings, view);
+        this.evaluation = new CandidacyEvaluation(eventLoop, settings, replica);
         this.changed = changed;
         TreeSet<String> names = new TreeSet<>(List.of(settings.node()));
         settings.siblings().forEach(s -> names.add(s.node()));
         this.candidacyOrder = names.headSet(settings.node()).size();
         // An earlier self may have promised just before it ended.
-        this.noCandidacyUntil = runtime.now() + atMost(ElectionConstants.LEASE_GRANT_MS);
-        this.earlierGrantsExpireAt = runtime.now() + atMost(RelayConstants.RELAY_VALIDITY_MS);
+        this.noCandidacyUntil = eventLoop.now() + atMost(ElectionConstants.LEASE_GRANT_MS);
+        this.earlierGrantsExpireAt = eventLoop.now() + atMost(RelayConstants.RELAY_VALIDITY_MS);
         askOthers();
     }
 
@@ -90,7 +90,7 @@
      * session is ended.
      */
     public void start() {
-        state.get(StoreKeys.member(settings.node()), r -> {
+        store.get(StoreKeys.member(settings.node()), r -> {
             if (r.ok() && r.body().path(WireNames.STATE_SESSION).isNumber()) {
                 endEarlier(
                         Codec.u64(r.body().path(WireNames.STATE_SESSION)),
@@ -98,7 +98,7 @@
             } else if (r.ok() || r.status() == 404) {
                 join();
             } else {
-                runtime.after(300, this::start);
+                eventLoop.after(300, this::start);
             }
         });
     }
@@ -107,8 +107,8 @@
     private void endEarlier(long old, long member) {
         released(
                 member,
-                earlierGrantsExpireAt - runtime.now(),
-                () -> state.end(old, e -> {
+                earlierGrantsExpireAt - eventLoop.now(),
+                () -> store.end(old, e -> {
                     LOG.info(
                             "ended the state session of the earlier self state_session={} status={}",
                             Long.toUnsignedString(old),
@@ -116,7 +116,7 @@
                     if (e.status() == 200 || e.status() == 204 || e.status() == 404) {
                         join();
                     } else {
-                        runtime.after(300, this::start);
+                        eventLoop.after(300, this::start);
                     }
                 }));
     }
@@ -133,10 +133,10 @@
                 then.run();
             }
         };
-        runtime.after(Math.max(0, withinMs), once);
+        eventLoop.after(Math.max(0, withinMs), once);
         int[] missing = {settings.siblings().size()};
         for (Settings.Sibling s : settings.siblings()) {
-            runtime.call(
+            eventLoop.call(
                     new Request(
                             s.addr(),
                             "POST",
@@ -156,17 +156,17 @@
         int self = ++incarnation;
         held = false;
         memberRevision = 0;
-        long sent = runtime.now();
-        state.grant(ElectionConstants.SESSION_TTL_MS, r -> {
+        long sent = eventLoop.now();
+        store.grant(ElectionConstants.SESSION_TTL_MS, r -> {
             if (!r.ok()) {
-                runtime.after(ElectionConstants.SESSION_RETRY_MS, this::join);
+                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, this::join);
                 return;
             }
             stateSession = Codec.u64(r.body().path(WireNames.STATE_SESSION));
             held = true;
             heldFrom(sent);
             enter(self);
-            runtime.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
+            eventLoop.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
         });
     }
 
@@ -181,7 +181,7 @@
     }
 
     private void heldFrom(long sent) {
-        renewedAt = runtime.now();
+        renewedAt = eventLoop.now();
         stateSessionUntil = sent + atLeast(ElectionConstants.SESSION_TTL_MS);
     }
 
@@ -195,27 +195,27 @@
         // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the
         // others would take for a new incarnation while this one still acts.
         String key = StoreKeys.member(settings.node());
-        state.commitNow(new KeyValueStoreClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
+        store.commitNow(new KeyValueStoreClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
             if (self != incarnation) {
                 return;
             }
             if (r.ok()) {
                 entered(Codec.u64(r.body().path("epoch")));
             } else if (r.status() == 409) {
-                state.get(key, g -> {
+                store.get(key, g -> {
                     if (self != incarnation) {
                         return;
                     }
                     if (g.ok() && Codec.u64(g.body().path(WireNames.STATE_SESSION)) == stateSession) {
                         entered(Codec.u64(g.body().path(WireNames.REVISION))); // an earlier try was applied after all
                     } else {
-                        runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
+                        eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
                     }
                 });
             } else if (r.status() == 400) {
                 join();
             } else {
-                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
+                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
             }
         });
     }
@@ -231,29 +231,29 @@
         if (self != incarnation) {
             return;
         }
-        long sent = runtime.now();
-        state.extend(stateSession, r -> {
+        long sent = eventLoop.now();
+        store.extend(stateSession, r -> {
             if (self != incarnation) {
                 return;
             }
             if (r.ok()) {
                 // A state session that could be renewed never ended, so whatever rests on it still stands.
                 heldFrom(sent);
-                runtime.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
+                eventLoop.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(self));
                 changed.run();
             } else if (r.status() == 404) {
                 LOG.info("state session lost state_session={}", Long.toUnsignedString(stateSession));
                 join();
                 changed.run();
             } else {
-                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> renew(self));
+                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> renew(self));
             }
         });
     }
 
     /** Whether this node's own state session is certainly valid now. */
     public boolean valid() {
-        return held && runtime.now() < stateSessionUntil;
+        return held && eventLoop.now() < stateSessionUntil;
     }
 
     // ---- promises: how a leader goes on while the state service is away ----
@@ -263,12 +263,12 @@
      * to claim for a while: only if all of them promise does it count.
      */
     private void askOthers() {
-        if (!settings.siblings().isEmpty() && runtime.now() - renewedAt > ElectionConstants.LEASE_GRANT_AFTER_MS) {
+        if (!settings.siblings().isEmpty() && eventLoop.now() - renewedAt > ElectionConstants.LEASE_GRANT_AFTER_MS) {
             long token = token();
-            long sent = runtime.now();
+            long sent = eventLoop.now();
             int[] missing = {settings.siblings().size()};
             for (Settings.Sibling s : settings.siblings()) {
-                runtime.call(
+                eventLoop.call(
                         new Request(
                                 s.addr(),
                                 "POST",
@@ -278,11 +278,11 @@
                                 true),
                         r -> {
                             if (r.ok()) {
-                                lastPeerResponseAt = runtime.now();
+                                lastPeerResponseAt = eventLoop.now();
                                 learnLeader(r.body().path(WireNames.LEADER_RECORD));
                             }
                             if (r.ok() && r.body().path("reaches_state").asBoolean()) {
-                                isolatedUntil = runtime.now() + ElectionConstants.ISOLATION_MS;
+                                isolatedUntil = eventLoop.now() + ElectionConstants.ISOLATION_MS;
                             }
                             if (r.ok()
                                     && r.body().path("promised").asBoolean()
@@ -294,7 +294,7 @@
                         });
             }
         }
-        runtime.after(ElectionConstants.LEASE_GRANT_INTERVAL_MS, this::askOthers);
+        eventLoop.after(ElectionConstants.LEASE_GRANT_INTERVAL_MS, this::askOthers);
     }
 
     /**
@@ -302,7 +302,7 @@
      * are better served elsewhere.
      */
     public boolean isolated() {
-        long now = runtime.now();
+        long now = eventLoop.now();
         boolean cutOff = !settings.siblings().isEmpty()
                 && now - Math.max(lastPeerResponseAt, renewedAt) > ElectionConstants.SESSION_TTL_MS;
         return !reachesState() && (now < isolatedUntil || cutOff);
@@ -310,7 +310,7 @@
 
     /** Whether the state service answered lately. */
     public boolean reachesState() {
-        return held && runtime.now() - renewedAt < ElectionConstants.LEASE_GRANT_AFTER_MS;
+        return held && eventLoop.now() - renewedAt < ElectionConstants.LEASE_GRANT_AFTER_MS;
     }
 
     /**
@@ -318,14 +318,14 @@
      * in place: then this node can't have a claim under way against that leader record.
      */
     private boolean promise(long token) {
-        if (!view.loaded() || token == 0 || leaderRecordRevision() != token || leaderRecordVacant()) {
+        if (!replica.loaded() || token == 0 || leaderRecordRevision() != token || leaderRecordVacant()) {
             return false;
         }
         if (reachesState()) {
             // the state service is there: the asker alone is cut off from it, and its work is better taken over
             return false;
         }
-        noCandidacyUntil = Math.max(noCandidacyUntil, runtime.now() + atMost(ElectionConstants.LEASE_GRANT_MS));
+        noCandidacyUntil = Math.max(noCandidacyUntil, eventLoop.now() + atMost(ElectionConstants.LEASE_GRANT_MS));
         return true;
     }
 
@@ -334,12 +334,13 @@
      * binds nobody.
      */
     private boolean promised() {
-        return runtime.now() < noCandidacyUntil && !settings.node().equals(leader()) && leader() != null;
+        return eventLoop.now() < noCandidacyUntil && !settings.node().equals(leader()) && leader() != null;
     }
 
     /** Whether this node may act as leader under this token right now. */
     public boolean holdsLeaderLease(long token) {
-        boolean holdsLeaderLease = valid() || (held && leaseGrantedToken == token && runtime.now() < leaseGrantedUntil);
+        boolean holdsLeaderLease =
+                valid() || (held && leaseGrantedToken == token && eventLoop.now() < leaseGrantedUntil);
         return holdsLeaderLease && token != 0 && token == token();
     }
 
@@ -362,7 +363,7 @@
 
     /** The leader record's revision if the leader record names this very incarnation, else 0. */
     public long token() {
-        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = replica.get(StoreKeys.LEADER_RECORD);
         return leaderRecord != null
                         && memberRevision != 0
                         && leaderRecord.data().path("leader").asText().equals(settings.node())
@@ -373,7 +374,7 @@
 
     /** The leader that the leader record names, which may be dead; null without a leader record. */
     public String leader() {
-        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = replica.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null ? null : leaderRecord.data().path("leader").asText();
     }
 
@@ -384,7 +385,7 @@
 
     /** How many terms there have been, the present one included. */
     public long terms() {
-        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = replica.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null ? 0 : leaderRecord.data().path("terms").asLong();
     }
 
@@ -408,7 +409,7 @@
                 ? null
                 : new Leader(
                         leader(),
-                        Codec.u64(view.get(StoreKeys.LEADER_RECORD).data().path("member")),
+                        Codec.u64(replica.get(StoreKeys.LEADER_RECORD).data().path("member")),
                         leaderRecordRevision());
     }
 
@@ -445,7 +446,7 @@
     }
 
     public long leaderRecordRevision() {
-        return view.revision(StoreKeys.LEADER_RECORD);
+        return replica.revision(StoreKeys.LEADER_RECORD);
     }
 
     /**
@@ -453,10 +454,10 @@
      * lately: if that didn't help, it hardly will now, and each takeover is work for those that remain.
      */
     public boolean resignationAllowed() {
-        long now = runtime.timeOfDay();
+        long now = eventLoop.timeOfDay();
         LongArrayList lately = new LongArrayList(resigned);
         for (Settings.Sibling s : settings.siblings()) {
-            StoreReplica.Entry member = view.get(StoreKeys.member(s.node()));
+            StoreReplica.Entry member = replica.get(StoreKeys.member(s.node()));
             if (member != null) {
                 member.data().path("resigned").forEach(t -> lately.add(t.asLong()));
             }
@@ -475,17 +476,17 @@
     public void resign() {
         long old = stateSession;
         long member = memberRevision;
-        resigned.add(runtime.timeOfDay());
+        resigned.add(eventLoop.timeOfDay());
         if (resigned.size() > ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS) {
             resigned.removeLong(0);
         }
-        claimNotBefore = runtime.now() + ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS;
+        claimNotBefore = eventLoop.now() + ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS;
         join();
         // Others may still pass answers of this leader on, for as long as it told them.
         released(
                 member,
                 atMost(RelayConstants.RELAY_VALIDITY_MS),
-                () -> state.end(
+                () -> store.end(
                         old,
                         r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
         changed.run();
@@ -493,31 +494,31 @@
 
     /** Claims the lead when nobody can hold it: the named leader's member key is gone or another incarnation's. */
     public void campaignIfVacant() {
-        if (claiming || !view.loaded() || memberRevision == 0 || !valid() || !leaderRecordVacant()) {
+        if (claiming || !replica.loaded() || memberRevision == 0 || !valid() || !leaderRecordVacant()) {
             return;
         }
         claiming = true;
-        if (promised() || runtime.now() < claimNotBefore) {
-            runtime.after(ElectionConstants.CANDIDACY_STEP_MS, () -> {
+        if (promised() || eventLoop.now() < claimNotBefore) {
+            eventLoop.after(ElectionConstants.CANDIDACY_STEP_MS, () -> {
                 claiming = false;
                 campaignIfVacant();
             });
             return;
         }
-        runtime.after(
+        eventLoop.after(
                 candidacyOrder * ElectionConstants.CANDIDACY_STEP_MS,
-                () -> candidate.measure(false, m -> {
+                () -> evaluation.measure(false, m -> {
                     long ms = m.waitMs();
                     if (ms > 0) {
                         LOG.info("few machines answer, leaving the lead to others for ms={} measured={}", ms, m);
                     }
-                    runtime.after(ms, this::claim);
+                    eventLoop.after(ms, this::claim);
                 }));
     }
 
     /** Asks some machines, and the others about them: who would lead best? */
     public void measure(Consumer<CandidacyEvaluation.Measured> then) {
-        candidate.measure(true, then);
+        evaluation.measure(true, then);
     }
 
     private void claim() {
@@ -525,13 +526,13 @@
             claiming = false;
         } else {
             String leader = leader();
-            KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
+            KeyValueStoreClient.Txn transaction = new KeyValueStoreClient.Txn()
                     .when(StoreKeys.LEADER_RECORD, leaderRecordRevision())
                     .when(StoreKeys.member(settings.node()), memberRevision);
             if (leader != null && !leader.equals(settings.node())) {
-                txn.when(StoreKeys.member(leader), view.revision(StoreKeys.member(leader)));
+                transaction.when(StoreKeys.member(leader), replica.revision(StoreKeys.member(leader)));
             }
-            write(txn, limitsKept(), leader == null ? "first" : "after " + leader);
+            write(transaction, limitsKept(), leader == null ? "first" : "after " + leader);
         }
     }
 
@@ -540,7 +541,7 @@
      * if that holds for those before it.
      */
     public boolean limitsKept() {
-        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = replica.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null || leaderRecord.data().path(LIMITS).asText().equals(limits);
     }
 
@@ -569,7 +570,7 @@
         }
     }
 
-    private void write(KeyValueStoreClient.Txn txn, boolean limitsKept, String why) {
+    private void write(KeyValueStoreClient.Txn transaction, boolean limitsKept, String why) {
         ObjectNode leaderRecord = Codec.object()
                 .put("leader", settings.node())
                 .put("member", memberRevision)
@@ -577,10 +578,10 @@
         if (limitsKept) {
             leaderRecord.put(LIMITS, limits);
         }
-        state.commitNow(txn.put(StoreKeys.LEADER_RECORD, leaderRecord), r -> {
+        store.commitNow(transaction.put(StoreKeys.LEADER_RECORD, leaderRecord), r -> {
             LOG.info("leader record written status={} why={}", r.status(), why);
             // The watch brings the outcome, whatever the answer was.
-            runtime.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
+            eventLoop.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
                 claiming = false;
                 campaignIfVacant();
             });
@@ -588,9 +589,9 @@
     }
 
     private boolean leaderRecordVacant() {
-        StoreReplica.Entry leaderRecord = view.get(StoreKeys.LEADER_RECORD);
+        StoreReplica.Entry leaderRecord = replica.get(StoreKeys.LEADER_RECORD);
         return leaderRecord == null
-                || view.revision(StoreKeys.member(
+                || replica.revision(StoreKeys.member(
                                 leaderRecord.data().path("leader").asText()))
                         != Codec.u64(leaderRecord.data().path("member"));
     }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -34,9 +34,9 @@
 public final class PartitionedLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionedLeaseRenewal.class);
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final StoreReplica view;
+    private final StoreReplica replica;
     private final Membership membership;
     private final Predicate<String> cancelled;
     private final BooleanSupplier othersCount;
@@ -66,22 +66,22 @@
      * renewed without being entitled.
      */
     public PartitionedLeaseRenewal(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
-            StoreReplica view,
+            StoreReplica replica,
             Membership membership,
             Predicate<String> cancelled,
             BooleanSupplier othersCount,
             LongConsumer keptByLeader) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.membership = membership;
         this.cancelled = cancelled;
         this.othersCount = othersCount;
         this.keptByLeader = keptByLeader;
         this.windowMs = WorkerLeases.windowMs(settings);
-        this.contactAt = runtime.now();
+        this.contactAt = eventLoop.now();
     }
 
     public void start() {
@@ -93,27 +93,27 @@
     private void ask() {
         long token = membership.leaderRecordRevision();
         String leaderAddress = settings.meshAddr(membership.leader());
-        if (leaderAddress != null && view.loaded()) {
-            long sent = runtime.now();
+        if (leaderAddress != null && replica.loaded()) {
+            long sent = eventLoop.now();
             long telling = kept;
             ObjectNode body = Codec.object()
                     .put("node", settings.node())
                     .put(WireNames.FENCING_TOKEN, token)
-                    .put("epoch", view.appliedRevision())
+                    .put("epoch", replica.appliedRevision())
                     .put("echo", echoToken == token ? echo : WorkerLeases.NO_ECHO)
                     .put("kept", telling > told);
-            runtime.call(
+            eventLoop.call(
                     new Request(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
                     r -> answered(r, token, sent, telling));
         }
-        runtime.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::ask);
+        eventLoop.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::ask);
     }
 
     private void answered(Response r, long token, long sent, long telling) {
         if (!r.ok() || Codec.u64(r.body().path(WireNames.FENCING_TOKEN)) != token) {
             return;
         }
-        contactAt = runtime.now();
+        contactAt = eventLoop.now();
         echo = Codec.u64(r.body().path("number"));
         echoToken = token;
         told = Math.max(told, telling);
@@ -139,7 +139,7 @@
     }
 
     private boolean mayKeep() {
-        return runtime.now() < until();
+        return eventLoop.now() < until();
     }
 
     /**
@@ -147,7 +147,7 @@
      * there.
      */
     public boolean keeping() {
-        boolean lost = membership.token() != 0 || runtime.now() - contactAt > LeaseConstants.LEADER_LOST_MS;
+        boolean lost = membership.token() != 0 || eventLoop.now() - contactAt > LeaseConstants.LEADER_LOST_MS;
         boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
         if (keeping != announced) {
             announced = keeping;
@@ -161,26 +161,26 @@
      * The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the
      * answer.
      */
-    public ServerResponse answer(Heartbeat report) {
+    public ServerResponse answer(Heartbeat heartbeat) {
         long token = membership.leaderRecordRevision();
-        if (Long.compareUnsigned(report.token(), token) > 0) {
+        if (Long.compareUnsigned(heartbeat.token(), token) > 0) {
             return null;
         }
         kept++;
         if (membership.token() != 0) {
-            keptByLeader.accept(runtime.now());
+            keptByLeader.accept(eventLoop.now());
         }
-        List<Command> orders = new ArrayList<>();
-        for (TaskStatus t : report.tasks()) {
-            int slash = t.task().lastIndexOf('/');
-            if (t.state() != Assignment.State.EXITED
+        List<Command> commands = new ArrayList<>();
+        for (TaskStatus status : heartbeat.tasks()) {
+            int slash = status.task().lastIndexOf('/');
+            if (status.state() != Assignment.State.EXITED
                     && slash > 0
-                    && cancelled.test(t.task().substring(0, slash))
-                    && orders.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
-                orders.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), 0));
+                    && cancelled.test(status.task().substring(0, slash))
+                    && commands.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
+                commands.add(new Command(Command.Verb.KILL, status.task(), status.attempt(), 0));
             }
         }
-        return ServerResponse.of(200, AgentCodec.orders(token, orders)).onlyWhile(this::mayKeep);
+        return ServerResponse.of(200, AgentCodec.orders(token, commands)).onlyWhile(this::mayKeep);
     }
 
     /** The leader's answer to another controller that asks. */
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -26,11 +26,11 @@
 
     /** Asks one peer about machines, by their addresses; null if it didn't answer. */
     public static void ask(
-            EventLoop runtime, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
+            EventLoop eventLoop, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
         ObjectNode body = Codec.object();
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
-        runtime.call(
+        eventLoop.call(
                 new Request(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
                 r -> then.accept(
                         !r.ok()
@@ -50,7 +50,7 @@
 
     /** The asked one's side: it tries them all at once. */
     public static void answer(
-            AgentClient workers, JsonNode body, boolean reachesState, Consumer<ServerResponse> answer) {
+            AgentClient agentClient, JsonNode body, boolean reachesState, Consumer<ServerResponse> responder) {
         ObjectNode told = Codec.object().put("reaches_state", reachesState);
         ArrayNode reached = told.putArray("reached");
         ArrayNode failed = told.putArray("failed");
@@ -66,19 +66,20 @@
         }
         int[] open = {asked.size()};
         if (open[0] == 0) {
-            answer.accept(ServerResponse.of(200, told));
+            responder.accept(ServerResponse.of(200, told));
         }
         for (Map.Entry<String, JsonNode> m : asked) {
-            workers.inspect(m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
-                if (r.ok()) {
-                    reached.add(m.getKey());
-                } else if (r.status() != Response.NO_CAPACITY) {
-                    failed.add(m.getKey());
-                }
-                if (--open[0] == 0) {
-                    answer.accept(ServerResponse.of(200, told));
-                }
-            });
+            agentClient.inspect(
+                    m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
+                        if (r.ok()) {
+                            reached.add(m.getKey());
+                        } else if (r.status() != Response.NO_CAPACITY) {
+                            failed.add(m.getKey());
+                        }
+                        if (--open[0] == 0) {
+                            responder.accept(ServerResponse.of(200, told));
+                        }
+                    });
         }
     }
 }
--- a/src/main/java/org/hollypick/cluster/StoreReplica.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -24,8 +24,8 @@
     /** A record and the stamp of its last change. */
     public record Entry(JsonNode data, long revision) {}
 
-    private final EventLoop runtime;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final KeyValueStoreClient store;
     private final String prefix;
     private final Consumer<List<String>> changed;
     private Map<String, Entry> entries = new HashMap<>();
@@ -47,9 +47,9 @@
     /** Waits until this copy has reached an epoch; given up after a while. */
     private record CatchUp(long appliedRevision, long until, List<Consumer<Boolean>> then) {}
 
-    public StoreReplica(EventLoop runtime, KeyValueStoreClient state, String prefix, Consumer<List<String>> changed) {
-        this.runtime = runtime;
-        this.state = state;
+    public StoreReplica(EventLoop eventLoop, KeyValueStoreClient store, String prefix, Consumer<List<String>> changed) {
+        this.eventLoop = eventLoop;
+        this.store = store;
         this.prefix = prefix;
         this.changed = changed;
     }
@@ -114,16 +114,16 @@
         reading = true;
         List<Consumer<Boolean>> batch = asking;
         asking = new ArrayList<>();
-        state.epoch(r -> {
+        store.epoch(r -> {
             if (r.status() == 404 && loaded) {
                 catchingUp.add(new CatchUp(
-                        Codec.u64(r.body().path("epoch")), runtime.now() + StoreConstants.WATCH_CATCH_UP_MS, batch));
-                runtime.after(StoreConstants.WATCH_CATCH_UP_MS, this::caughtUp);
+                        Codec.u64(r.body().path("epoch")), eventLoop.now() + StoreConstants.WATCH_CATCH_UP_MS, batch));
+                eventLoop.after(StoreConstants.WATCH_CATCH_UP_MS, this::caughtUp);
                 caughtUp();
             } else {
                 batch.forEach(c -> c.accept(false));
             }
-            runtime.after(StoreConstants.WATCH_GAP_MS, () -> {
+            eventLoop.after(StoreConstants.WATCH_GAP_MS, () -> {
                 reading = false;
                 if (!asking.isEmpty()) {
                     readEpoch();
@@ -136,7 +136,7 @@
         for (CatchUp c : new ArrayList<>(catchingUp)) {
             boolean reached =
                     Long.compareUnsigned(appliedRevision, c.appliedRevision) >= 0 && mayAnswerFrom(appliedRevision);
-            if (reached || runtime.now() >= c.until) {
+            if (reached || eventLoop.now() >= c.until) {
                 catchingUp.remove(c);
                 c.then.forEach(t -> t.accept(reached));
             }
@@ -148,9 +148,9 @@
     }
 
     private void page(String from, Map<String, Entry> into, long firstEpoch) {
-        state.list(prefix, from, r -> {
+        store.list(prefix, from, r -> {
             if (!r.ok()) {
-                runtime.after(300, this::load);
+                eventLoop.after(300, this::load);
                 return;
             }
             String last = from;
@@ -173,8 +173,8 @@
     }
 
     private void watch() {
-        watchedAt = runtime.now();
-        state.watch(prefix, appliedRevision, this::watched);
+        watchedAt = eventLoop.now();
+        store.watch(prefix, appliedRevision, this::watched);
     }
 
     private void watched(Response r) {
@@ -184,7 +184,7 @@
             return;
         }
         if (!r.ok()) {
-            runtime.after(300, this::watch);
+            eventLoop.after(300, this::watch);
             return;
         }
         List<String> keys = new ArrayList<>();
@@ -209,9 +209,9 @@
             changed.accept(keys);
         }
         caughtUp();
-        long gap = StoreConstants.WATCH_GAP_MS - (runtime.now() - watchedAt);
+        long gap = StoreConstants.WATCH_GAP_MS - (eventLoop.now() - watchedAt);
         if (gap > 0) {
-            runtime.after(gap, this::watch);
+            eventLoop.after(gap, this::watch);
         } else {
             watch();
         }
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -14,13 +14,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
 
     private final Scheduler scheduler;
-    private final InstanceProvisioner rentals;
+    private final InstanceProvisioner provisioner;
     /** How late the leader's loop runs, in milliseconds: what the node's processor share does to it. */
     private final Histogram lateness = new Histogram(2);
 
-    LeaderMetrics(Scheduler scheduler, InstanceProvisioner rentals) {
+    LeaderMetrics(Scheduler scheduler, InstanceProvisioner provisioner) {
         this.scheduler = scheduler;
-        this.rentals = rentals;
+        this.provisioner = provisioner;
     }
 
     /** The loop ran so long after the time before. */
@@ -33,12 +33,12 @@
         int idle = 0;
         int fetching = 0;
         double serviceCores = 0;
-        for (Machine m : scheduler.machines.values()) {
-            cores[!m.heartbeatReceived ? 2 : m.spot ? 1 : 0] += m.type.cpus();
-            cores[3] += m.usedCpus;
-            idle += m.heartbeatReceived && m.idle() ? 1 : 0;
-            fetching += m.startingTasks();
-            serviceCores += m.serviceCpus();
+        for (Machine machine : scheduler.machines.values()) {
+            cores[!machine.heartbeatReceived ? 2 : machine.spot ? 1 : 0] += machine.type.cpus();
+            cores[3] += machine.usedCpus;
+            idle += machine.heartbeatReceived && machine.idle() ? 1 : 0;
+            fetching += machine.startingTasks();
+            serviceCores += machine.serviceCpus();
         }
         double[] waiting = new double[2]; // arrays, services
         for (Job job : scheduler.jobs.values()) {
@@ -60,7 +60,7 @@
                 serviceCores,
                 waiting[0],
                 waiting[1],
-                Math.round(rentals.load()),
+                Math.round(provisioner.load()),
                 fetching,
                 lateness.getValueAtPercentile(99),
                 lateness.getMaxValue());
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -56,21 +56,21 @@
 
     public final long token;
     public final Scheduler scheduler;
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final StoreReplica view;
+    private final StoreReplica replica;
 
-    private final AgentManager workers;
-    private final InstanceProvisioner rentals;
+    private final AgentManager agentManager;
+    private final InstanceProvisioner provisioner;
     private final MachineRegistry registry;
-    private final CompletionStore progress;
+    private final CompletionStore completionStore;
     private final DependentCancellation dependentCancellation;
     private final JobDependencies dependencies;
     private final Map<String, MachineType> types;
     private final Membership membership;
     private boolean measuring;
     private final AttainedServiceStore attainedService;
-    private final LeaderMetrics summary;
+    private final LeaderMetrics metrics;
     public final JobTermination jobTermination;
     /** Null unless the operators switched them on. */
     public final GraphService graphs;
@@ -92,28 +92,28 @@
 
     public LeaderTerm(
             long token,
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
             OperatorSettings operator,
-            StoreReplica view,
+            StoreReplica replica,
             JobDependencies dependencies,
-            KeyValueStoreClient state,
+            KeyValueStoreClient store,
             CloudClient cloud,
-            AgentClient client,
+            AgentClient agentClient,
             Map<String, MachineType> types,
             Membership membership,
             GraphService.Maker maker) {
         this.token = token;
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.dependencies = dependencies;
 
         this.types = types;
         this.membership = membership;
-        this.lastTick = runtime.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
+        this.lastTick = eventLoop.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
         boolean nobodyBefore = membership.terms() == 1;
-        this.own = new LocalHealth(runtime.now());
+        this.own = new LocalHealth(eventLoop.now());
         this.scheduler = new Scheduler(
                 token,
                 settings,
@@ -121,16 +121,16 @@
                 new WorkerLeases(
                         settings,
                         settings.siblings().stream().map(Settings.Sibling::node).toList(),
-                        runtime.now(),
+                        eventLoop.now(),
                         nobodyBefore),
                 operator.estimates());
         if (membership.limitsKept()) {
             scheduler.earlierLeadersKeptLimits();
         }
-        this.workers =
-                new AgentManager(runtime, settings, scheduler, client, types, this::holdsLeaderLease, own, this::pump);
-        this.rentals = new InstanceProvisioner(
-                runtime,
+        this.agentManager = new AgentManager(
+                eventLoop, settings, scheduler, agentClient, types, this::holdsLeaderLease, own, this::pump);
+        this.provisioner = new InstanceProvisioner(
+                eventLoop,
                 settings,
                 operator,
                 scheduler,
@@ -141,21 +141,22 @@
                 this::pump,
                 nobodyBefore);
         this.registry =
-                new MachineRegistry(runtime, view, state, settings, token, scheduler.terminatedMachines::contains);
-        this.progress = new CompletionStore(runtime, view, state, settings, scheduler);
-        this.dependentCancellation = new DependentCancellation(runtime, view, state, settings, token);
-        this.attainedService = new AttainedServiceStore(view, settings, state, scheduler);
-        this.summary = new LeaderMetrics(scheduler, rentals);
+                new MachineRegistry(eventLoop, replica, store, settings, token, scheduler.terminatedMachines::contains);
+        this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
+        this.dependentCancellation = new DependentCancellation(eventLoop, replica, store, settings, token);
+        this.attainedService = new AttainedServiceStore(replica, settings, store, scheduler);
+        this.metrics = new LeaderMetrics(scheduler, provisioner);
         this.jobTermination = new JobTermination(
-                runtime, scheduler, dependencies, state, this::followDependencies, this::endOf, this::ended);
-        this.runtimeStatistics =
-                operator.estimates() ? new RuntimeStatisticsStore(runtime, view, state, settings, scheduler) : null;
+                eventLoop, scheduler, dependencies, store, this::followDependencies, this::endOf, this::ended);
+        this.runtimeStatistics = operator.estimates()
+                ? new RuntimeStatisticsStore(eventLoop, replica, store, settings, scheduler)
+                : null;
         this.graphs = operator.graphs()
                 ? new GraphService(
-                        runtime,
+                        eventLoop,
                         settings,
-                        view,
-                        state,
+                        replica,
+                        store,
                         scheduler,
                         jobTermination,
                         this::pump,
@@ -170,14 +171,14 @@
      */
     public void start() {
         List<String> keys = new ArrayList<>();
-        view.entries().keySet().forEach(key -> {
+        replica.entries().keySet().forEach(key -> {
             if (!key.startsWith(StoreKeys.MACHINES)) {
                 keys.add(key);
             }
         });
         registry.load(this::loadMachine);
         recordsChanged(keys);
-        progress.load();
+        completionStore.load();
         attainedService.load();
         if (graphs != null) {
             graphs.loadEnded();
@@ -206,14 +207,14 @@
             type = new MachineType(r.path("type").asText(), 0, 0, 0, 0, 1, 1, 1, 60, Set.of());
         }
         Machine m = scheduler.addMachine(
-                id, type, r.path("zone").asText(), r.path("spot").asBoolean(), true, runtime.now());
+                id, type, r.path("zone").asText(), r.path("spot").asBoolean(), true, eventLoop.now());
         m.address = r.path("addr").asText("");
-        m.lastHeartbeatAt = runtime.now();
+        m.lastHeartbeatAt = eventLoop.now();
     }
 
     /** A worker's report, through that controller, while this node may act. */
     public ServerResponse heartbeatReceived(Heartbeat r, String via) {
-        return workers.heartbeatReceived(r, via);
+        return agentManager.heartbeatReceived(r, via);
     }
 
     /** Whether this node may act for this term now. */
@@ -226,7 +227,7 @@
      * {@code epoch}.
      */
     public ServerResponse grantPartitionedRenewal(String node, long epoch, long echo, boolean kept) {
-        long now = runtime.now();
+        long now = eventLoop.now();
         WorkerLeases leases = scheduler.leases;
         leases.asked(node, echo, kept, now);
         boolean granted = leases.allAsked() && jobTermination.replicaShowsAllCancellations(epoch);
@@ -241,37 +242,39 @@
 
         registry.changed(keys);
         keys.stream()
-                .filter(k -> k.startsWith(StoreKeys.LEADER_COMPLAINT) && view.get(k) != null)
-                .forEach(k -> workers.failureDetector()
-                        .complaintReceived(LeaderComplaint.machines(view.get(k).data(), token)));
+                .filter(k -> k.startsWith(StoreKeys.LEADER_COMPLAINT) && replica.get(k) != null)
+                .forEach(k -> agentManager
+                        .failureDetector()
+                        .complaintReceived(
+                                LeaderComplaint.machines(replica.get(k).data(), token)));
         for (String key : keys) {
             if (!key.startsWith(StoreKeys.JOB)) {
                 continue;
             }
-            StoreReplica.Entry e = view.get(key);
+            StoreReplica.Entry entry = replica.get(key);
             String id = key.substring(StoreKeys.JOB.length());
             Job job = scheduler.jobs.get(id);
-            if (e == null) {
+            if (entry == null) {
                 continue;
             }
-            if (!Records.isOver(e.data())) {
+            if (!Records.isOver(entry.data())) {
                 if (jobTermination.isTerminal(id)) {
                     continue;
                 }
                 if (dependencies.isCancelled(id)) {
-                    dependentCancellation.add(id, e.revision());
-                } else if (job == null && GraphRecords.isGraph(e.data())) {
+                    dependentCancellation.add(id, entry.revision());
+                } else if (job == null && GraphRecords.isGraph(entry.data())) {
                     if (graphs != null) {
-                        graphs.appear(id, e.data(), e.revision());
+                        graphs.appear(id, entry.data(), entry.revision());
                     }
                 } else if (job == null) {
                     try {
-                        JobSpec spec = JobCodec.read(e.data().path("spec"));
+                        JobSpec spec = JobCodec.read(entry.data().path("spec"));
                         LOG.info("job job={} class={} tasks={} token={}", id, spec.jobClass(), spec.tasks(), token);
                         scheduler.addJob(
                                 spec,
-                                e.revision(),
-                                Codec.u64(e.data().path("under")),
+                                entry.revision(),
+                                Codec.u64(entry.data().path("under")),
                                 dependencies.ready(id),
                                 dependencies.priority(id));
                     } catch (JobCodec.Invalid x) {
@@ -282,8 +285,8 @@
             }
             jobTermination.recordShowsTerminal(id);
             if (job != null) {
-                if (Records.status(e.data()).equals(Records.ABORTED)) {
-                    jobTermination.cancelled(job, e.revision());
+                if (Records.status(entry.data()).equals(Records.ABORTED)) {
+                    jobTermination.cancelled(job, entry.revision());
                 } else {
                     jobTermination.over(job, Records.DONE);
                 }
@@ -334,8 +337,8 @@
         if (ended) {
             return;
         }
-        long now = runtime.now();
-        summary.ran(now - lastTick);
+        long now = eventLoop.now();
+        metrics.ran(now - lastTick);
         if (now - lastTick > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
             own.seen(now); // this node itself was held up, so silence proves nothing yet
         }
@@ -344,20 +347,20 @@
         if (holdsLeaderLease()) {
             scheduler.expireLeases(now);
             scheduler.cycleRequested |= now >= nextPass;
-            rentals.terminate(workers.failureDetector().detectUnresponsive(now), "silent");
-            if (workers.failureDetector().isolated(now)
+            provisioner.terminate(agentManager.failureDetector().detectUnresponsive(now), "silent");
+            if (agentManager.failureDetector().isolated(now)
                     && (membership.resignationAllowed()
-                            || workers.failureDetector().leasesAboutToExpire(now))) {
+                            || agentManager.failureDetector().leasesAboutToExpire(now))) {
                 resignIfBetter();
             }
-            workers.contactUnheard();
+            agentManager.contactUnheard();
             if (now >= nextList) {
                 nextList = now + ReconcileConstants.INSTANCE_LIST_INTERVAL_MS;
-                rentals.list();
+                provisioner.list();
             }
             if (now >= nextFleet) {
                 nextFleet = now + ReconcileConstants.AUTOSCALING_INTERVAL_MS;
-                rentals.scale(workers.failureDetector().partitioned(), now);
+                provisioner.scale(agentManager.failureDetector().partitioned(), now);
                 if (jobTermination.fencingDue(now) || scheduler.assignments.attemptNumbersNearlyExhausted()) {
                     membership.fence(token);
                 } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
@@ -366,7 +369,7 @@
             }
             if (now >= nextSummary) {
                 nextSummary = now + ReconcileConstants.METRICS_LOG_INTERVAL_MS;
-                summary.log();
+                metrics.log();
             }
             if (now >= nextSizes) {
                 nextSizes = now + ReconcileConstants.ATTAINED_SERVICE_INTERVAL_MS;
@@ -376,7 +379,7 @@
         } else {
             own.seen(now);
         }
-        runtime.after(ReconcileConstants.RECONCILE_INTERVAL_MS, this::loop);
+        eventLoop.after(ReconcileConstants.RECONCILE_INTERVAL_MS, this::loop);
     }
 
     private void logRight(long now) {
@@ -399,12 +402,12 @@
         measuring = true;
         membership.measure(m -> {
             measuring = false;
-            boolean unknown = workers.failureDetector().noPeerAnswers(runtime.now()) && !m.reachesNearlyAll();
+            boolean unknown = agentManager.failureDetector().noPeerAnswers(eventLoop.now()) && !m.reachesNearlyAll();
             if (holdsLeaderLease() && (unknown || m.betterElsewhere())) {
                 LOG.info(
                         "cut off from the machines, resigning token={} {} {}",
                         token,
-                        workers.failureDetector().seen(),
+                        agentManager.failureDetector().seen(),
                         m);
                 membership.resign();
             }
@@ -417,12 +420,12 @@
             return;
         }
         pumping = true;
-        runtime.after(ReconcileConstants.SCHEDULING_CYCLE_GAP_MS, () -> {
+        eventLoop.after(ReconcileConstants.SCHEDULING_CYCLE_GAP_MS, () -> {
             pumping = false;
             if (!holdsLeaderLease()) {
                 return;
             }
-            long now = runtime.now();
+            long now = eventLoop.now();
             if (scheduler.cycleRequested) {
                 scheduler.machinesWithFreedRoom.clear();
                 nextPass = now + ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
@@ -431,14 +434,14 @@
             List<Machine> freed = new ArrayList<>(scheduler.machinesWithFreedRoom);
             scheduler.machinesWithFreedRoom.clear();
             freed.forEach(m -> scheduler.scheduleOn(m, now));
-            workers.send();
+            agentManager.send();
             if (graphs != null) {
                 graphs.flush();
             }
             jobTermination.closeFinished();
             jobTermination.writeCancellations(membership.reachesState());
             register();
-            progress.flush();
+            completionStore.flush();
             dependentCancellation.flush();
             if (runtimeStatistics != null) {
                 runtimeStatistics.flush();
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -26,9 +26,9 @@
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final KeyValueStoreClient state;
+    private final KeyValueStoreClient store;
     private final String id;
     private final long token;
     private final LongSupplier numbers;
@@ -42,15 +42,15 @@
 
     /** {@code numbers}: each number once in this term. */
     GraphLog(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
-            KeyValueStoreClient state,
+            KeyValueStoreClient store,
             String id,
             long token,
             LongSupplier numbers) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.state = state;
+        this.store = store;
         this.id = id;
         this.token = token;
         this.numbers = numbers;
@@ -92,7 +92,7 @@
      * {@code written} hears of each success.
      */
     void flush(long order, Runnable written) {
-        if (writing || unwritten.isEmpty() || runtime.now() < notBefore || state.crowded()) {
+        if (writing || unwritten.isEmpty() || eventLoop.now() < notBefore || store.crowded()) {
             return;
         }
         int most = Math.min(settings.txnOps(), NetworkConstants.MAX_BODY_BYTES * 3 / 4 / settings.valueBytes());
@@ -130,10 +130,10 @@
 
     /** The same keys again until the outcome is known: a second copy of an entry may never stand beside the first. */
     private void commit(KeyValueStoreClient.Txn txn, List<Entry> taken, Runnable written) {
-        state.commit(txn, r -> {
+        store.commit(txn, r -> {
             if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
                 writing = false;
-                notBefore = runtime.now() + GraphConstants.GRAPH_WRITE_GAP_MS;
+                notBefore = eventLoop.now() + GraphConstants.GRAPH_WRITE_GAP_MS;
                 for (Entry e : taken) {
                     unwritten.poll();
                     e.durable.run();
@@ -147,7 +147,7 @@
                 notBefore = Long.MAX_VALUE;
                 writing = false;
             } else {
-                runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> commit(txn, taken, written));
+                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> commit(txn, taken, written));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -170,7 +170,7 @@
 
     private final EventLoop runtime;
     private final Settings settings;
-    private final StoreReplica view;
+    private final StoreReplica replica;
     private final KeyValueStoreClient state;
     private final Scheduler scheduler;
     private final JobTermination jobTermination;
@@ -188,7 +188,7 @@
     public GraphService(
             EventLoop runtime,
             Settings settings,
-            StoreReplica view,
+            StoreReplica replica,
             KeyValueStoreClient state,
             Scheduler scheduler,
             JobTermination jobTermination,
@@ -197,7 +197,7 @@
             long keepMs) {
         this.runtime = runtime;
         this.settings = settings;
-        this.view = view;
+        this.replica = replica;
         this.state = state;
         this.scheduler = scheduler;
         this.jobTermination = jobTermination;
@@ -232,7 +232,7 @@
     private Live replay(String id, GraphRecords.Head head) throws JobCodec.Invalid {
         Live g = new Live(id, head);
         for (String key : logOf(id)) {
-            for (JsonNode op : GraphRecords.unpack(view.get(key).data())) {
+            for (JsonNode op : GraphRecords.unpack(replica.get(key).data())) {
                 GraphRecords.replay(op, g.graph, g);
             }
         }
@@ -245,13 +245,13 @@
     /** The graph's records in the order in which they were written. */
     private List<String> logOf(String id) {
         List<String> keys = new ArrayList<>();
-        view.entries().keySet().forEach(key -> {
+        replica.entries().keySet().forEach(key -> {
             if (key.startsWith(StoreKeys.graphLog(id))) {
                 keys.add(key);
             }
         });
-        keys.sort((a, b) -> view.revision(a) != view.revision(b)
-                ? Long.compareUnsigned(view.revision(a), view.revision(b))
+        keys.sort((a, b) -> replica.revision(a) != replica.revision(b)
+                ? Long.compareUnsigned(replica.revision(a), replica.revision(b))
                 : Long.compare(StoreKeys.graphLogNumber(a), StoreKeys.graphLogNumber(b)));
         return keys;
     }
@@ -270,7 +270,7 @@
     /** Any graph that can still be told about; null if there is none, or its nodes are forgotten. */
     public Live find(String id) {
         Live g = graphs.get(id);
-        StoreReplica.Entry e = view.get(StoreKeys.job(id));
+        StoreReplica.Entry e = replica.get(StoreKeys.job(id));
         if (g == null && e != null && GraphRecords.isEnded(e.data())) {
             return ended(id);
         }
@@ -323,7 +323,7 @@
             if (!r.ok()) {
                 // It may be there, or come: then the view shows it, and a repeated call finds it.
                 graphs.remove(id, made);
-                StoreReplica.Entry e = view.get(StoreKeys.job(id));
+                StoreReplica.Entry e = replica.get(StoreKeys.job(id));
                 if (e != null && !Records.isOver(e.data()) && GraphRecords.isGraph(e.data())) {
                     appear(id, e.data(), e.revision());
                 }
@@ -433,16 +433,16 @@
             answer.accept(Outcome.refused(422, "unknown node " + node));
             return null;
         }
-        Assignment p = g.job.assignments.get(i);
-        boolean runs = p != null
-                && p.attempt == attempt
-                && p.mayExist()
-                && !p.stopRequested
+        Assignment assignment = g.job.assignments.get(i);
+        boolean runs = assignment != null
+                && assignment.attempt == attempt
+                && assignment.mayExist()
+                && !assignment.stopRequested
                 && g.graph.state(i) == Graph.State.READY;
         if (!runs) {
             // After a takeover the machine that runs it may not have reported yet.
             answer.accept(
-                    p == null && !scheduler.reconciliationComplete() && g.graph.state(i) == Graph.State.READY
+                    assignment == null && !scheduler.reconciliationComplete() && g.graph.state(i) == Graph.State.READY
                             ? Outcome.refused(503, "not every machine has reported yet")
                             : Outcome.refused(
                                     409, "attempt " + Long.toUnsignedString(attempt) + " of " + node + " is over"));
@@ -596,10 +596,10 @@
 
     /** What earlier terms left of graphs that are over, when the term starts: it is kept as if they had ended now. */
     public void loadEnded() {
-        view.entries().forEach((key, e) -> {
+        replica.entries().forEach((key, e) -> {
             if (key.startsWith(StoreKeys.GRAPH_LOG)) {
                 String id = GraphRecords.graphOf(e.data());
-                StoreReplica.Entry root = view.get(StoreKeys.job(id));
+                StoreReplica.Entry root = replica.get(StoreKeys.job(id));
                 if (root != null && Records.isOver(root.data())) {
                     endedAt.putIfAbsent(id, runtime.now());
                 }
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -13,22 +13,23 @@
 
 /** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next leader. */
 public final class AttainedServiceStore {
-    private final StoreReplica view;
+    private final StoreReplica replica;
     private final Settings settings;
-    private final KeyValueStoreClient state;
+    private final KeyValueStoreClient store;
     private final Scheduler scheduler;
     private String last = "";
 
-    public AttainedServiceStore(StoreReplica view, Settings settings, KeyValueStoreClient state, Scheduler scheduler) {
-        this.view = view;
+    public AttainedServiceStore(
+            StoreReplica replica, Settings settings, KeyValueStoreClient store, Scheduler scheduler) {
+        this.replica = replica;
         this.settings = settings;
-        this.state = state;
+        this.store = store;
         this.scheduler = scheduler;
     }
 
     public void load() {
         Map<String, Double> sizes = new HashMap<>();
-        view.entries().forEach((key, e) -> {
+        replica.entries().forEach((key, e) -> {
             if (key.startsWith(StoreKeys.SIZES)) {
                 e.data()
                         .path("sizes")
@@ -61,7 +62,7 @@
         }
         String text = record.toString();
         if (!text.equals(last)) {
-            state.commit(
+            store.commit(
                     new KeyValueStoreClient.Txn()
                             .when(StoreKeys.LEADER_RECORD, scheduler.token)
                             .put(StoreKeys.sizes(settings.node()), record),
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -30,9 +30,9 @@
  * record says.
  */
 public final class CompletionStore {
-    private final EventLoop runtime;
-    private final StoreReplica view;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final StoreReplica replica;
+    private final KeyValueStoreClient store;
     private final Settings settings;
     private final Scheduler scheduler;
     private final int room;
@@ -81,10 +81,14 @@
     }
 
     public CompletionStore(
-            EventLoop runtime, StoreReplica view, KeyValueStoreClient state, Settings settings, Scheduler scheduler) {
-        this.runtime = runtime;
-        this.view = view;
-        this.state = state;
+            EventLoop eventLoop,
+            StoreReplica replica,
+            KeyValueStoreClient store,
+            Settings settings,
+            Scheduler scheduler) {
+        this.eventLoop = eventLoop;
+        this.replica = replica;
+        this.store = store;
         this.settings = settings;
         this.scheduler = scheduler;
         this.room = Records.room(settings);
@@ -127,7 +131,7 @@
 
     /** What earlier leaders recorded about the jobs that are live. */
     public void load() {
-        view.entries().forEach((key, e) -> {
+        replica.entries().forEach((key, e) -> {
             if (!key.startsWith(StoreKeys.PROGRESS)) {
                 return;
             }
@@ -156,7 +160,7 @@
      * for.
      */
     public void flush() {
-        if (writing || scheduler.jobsWithNewCompletions.isEmpty() || runtime.now() < notBefore || !state.spare()) {
+        if (writing || scheduler.jobsWithNewCompletions.isEmpty() || eventLoop.now() < notBefore || !store.spare()) {
             return;
         }
         Set<Slot> dirty = new LinkedHashSet<>();
@@ -214,8 +218,8 @@
             txn.when(slot.key, slot.stamp).put(slot.key, record);
         }
         writing = true;
-        notBefore = runtime.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
-        state.commit(txn, r -> {
+        notBefore = eventLoop.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
+        store.commit(txn, r -> {
             writing = false;
             if (r.ok()) {
                 long stamp = Codec.u64(r.body().path("epoch"));
@@ -268,7 +272,7 @@
             }
             if (slot == null) {
                 String key = StoreKeys.progress(slots.size());
-                slot = new Slot(key, view.revision(key));
+                slot = new Slot(key, replica.revision(key));
                 slots.add(slot);
             }
             slot.parts.put(part.name(), part);
@@ -282,11 +286,11 @@
         List<Slot> doubtful = slots.stream().filter(s -> s.doubtful).toList();
         if (!doubtful.isEmpty()) {
             writing = true;
-            view.fresh(fresh -> {
+            replica.fresh(fresh -> {
                 writing = false;
                 if (fresh) {
                     doubtful.forEach(s -> {
-                        s.stamp = view.revision(s.key);
+                        s.stamp = replica.revision(s.key);
                         s.doubtful = false;
                     });
                 }
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -21,9 +21,9 @@
 public final class DependentCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(DependentCancellation.class);
 
-    private final EventLoop runtime;
-    private final StoreReplica view;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final StoreReplica replica;
+    private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
     /** Jobs whose records aren't written yet, and the stamps that they have now. */
@@ -33,10 +33,10 @@
     private long notBefore;
 
     public DependentCancellation(
-            EventLoop runtime, StoreReplica view, KeyValueStoreClient state, Settings settings, long token) {
-        this.runtime = runtime;
-        this.view = view;
-        this.state = state;
+            EventLoop eventLoop, StoreReplica replica, KeyValueStoreClient store, Settings settings, long token) {
+        this.eventLoop = eventLoop;
+        this.replica = replica;
+        this.store = store;
         this.settings = settings;
         this.token = token;
     }
@@ -47,10 +47,10 @@
 
     public void flush() {
         waiting.keySet().removeIf(id -> {
-            StoreReplica.Entry e = view.get(StoreKeys.job(id));
+            StoreReplica.Entry e = replica.get(StoreKeys.job(id));
             return e != null && Records.isOver(e.data());
         });
-        if (writing || waiting.isEmpty() || runtime.now() < notBefore || !state.spare()) {
+        if (writing || waiting.isEmpty() || eventLoop.now() < notBefore || !store.spare()) {
             return;
         }
         KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
@@ -64,14 +64,14 @@
                     .put(StoreKeys.job(e.getKey()), Records.over(Records.ABORTED, 0));
         }
         writing = true;
-        state.commit(txn, r -> {
+        store.commit(txn, r -> {
             writing = false;
             LOG.info("cancelled with what they need jobs={} status={} token={}", ending, r.status(), token);
             if (r.ok()) {
                 waiting.keySet().removeAll(ending);
             } else {
                 // by then the view shows what was written otherwise
-                notBefore = runtime.now() + ElectionConstants.SESSION_RETRY_MS;
+                notBefore = eventLoop.now() + ElectionConstants.SESSION_RETRY_MS;
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -34,10 +34,10 @@
         LATER
     }
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final KeyValueStoreClient state;
-    private final StoreReplica view;
+    private final KeyValueStoreClient store;
+    private final StoreReplica replica;
     private final Membership membership;
     private final JobDependencies dependencies;
     private long written;
@@ -47,16 +47,16 @@
     private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
 
     public JobStore(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
-            KeyValueStoreClient state,
-            StoreReplica view,
+            KeyValueStoreClient store,
+            StoreReplica replica,
             Membership membership,
             JobDependencies dependencies) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.state = state;
-        this.view = view;
+        this.store = store;
+        this.replica = replica;
         this.membership = membership;
         this.dependencies = dependencies;
     }
@@ -64,14 +64,14 @@
     /** Records changed in the view. */
     public void follow(Collection<String> keys) {
         for (String key : keys) {
-            StoreReplica.Entry e = key.startsWith(StoreKeys.JOB) ? view.get(key) : null;
+            StoreReplica.Entry e = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
             if (e == null) {
                 continue;
             }
             String id = key.substring(StoreKeys.JOB.length());
             durable.remove(id);
             if (!Records.isOver(e.data())) {
-                dependencies.addLive(id, rank(e.data()), Records.awaits(e.data(), view));
+                dependencies.addLive(id, rank(e.data()), Records.awaits(e.data(), replica));
             } else if (Records.status(e.data()).equals(Records.DONE)) {
                 dependencies.done(id);
             } else {
@@ -82,13 +82,13 @@
 
     /** Whether the job certainly has a record, in the view or not. */
     public boolean known(String id) {
-        return durable.contains(id) || view.get(StoreKeys.job(id)) != null;
+        return durable.contains(id) || replica.get(StoreKeys.job(id)) != null;
     }
 
     /** The job had a record at this revision. */
     private void known(String id, long revision) {
-        view.answeredFrom(revision);
-        if (view.get(StoreKeys.job(id)) == null) {
+        replica.answeredFrom(revision);
+        if (replica.get(StoreKeys.job(id)) == null) {
             durable.add(id);
         }
     }
@@ -173,7 +173,7 @@
             create(spec, List.of(), more, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
             return;
         }
-        if (state.crowded()) {
+        if (store.crowded()) {
             then.accept(Outcome.LATER);
             return;
         }
@@ -182,7 +182,7 @@
         for (int i = from; i < to; i++) {
             txn.when(more.key(i), 0).put(more.key(i), Records.part(more.parts().get(i)));
         }
-        state.commit(txn, r -> {
+        store.commit(txn, r -> {
             if (r.ok()) {
                 writeParts(spec, more, to, then);
             } else {
@@ -197,7 +197,7 @@
      */
     private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
         long leaderRecord = membership.leaderRecordRevision();
-        if (leaderRecord == 0 || state.crowded()) {
+        if (leaderRecord == 0 || store.crowded()) {
             then.accept(Outcome.LATER);
             return;
         }
@@ -206,7 +206,7 @@
                 .when(key, 0)
                 .when(StoreKeys.LEADER_RECORD, leaderRecord)
                 .put(key, Records.live(spec, leaderRecord, awaits, more));
-        state.commit(txn, r -> {
+        store.commit(txn, r -> {
             if (r.ok()) {
                 known(spec.id(), Codec.u64(r.body().path("epoch")));
                 then.accept(Outcome.CREATED);
@@ -221,7 +221,7 @@
                     }
                 }
                 if (tries > 1) {
-                    runtime.after(2 * StoreConstants.WATCH_GAP_MS, () -> create(spec, awaits, more, tries - 1, then));
+                    eventLoop.after(2 * StoreConstants.WATCH_GAP_MS, () -> create(spec, awaits, more, tries - 1, then));
                     return;
                 }
             }
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -30,10 +30,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobTermination.class);
 
     private final long token;
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Scheduler scheduler;
     private final JobDependencies dependencies;
-    private final KeyValueStoreClient state;
+    private final KeyValueStoreClient store;
     private final Runnable changed;
     /** What a job's record says once it is over, and who hears that it is. */
     private final BiFunction<Job, String, ObjectNode> record;
@@ -76,18 +76,18 @@
     }
 
     public JobTermination(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Scheduler scheduler,
             JobDependencies dependencies,
-            KeyValueStoreClient state,
+            KeyValueStoreClient store,
             Runnable changed,
             BiFunction<Job, String, ObjectNode> record,
             Consumer<String> ended) {
         this.token = scheduler.token;
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.scheduler = scheduler;
         this.dependencies = dependencies;
-        this.state = state;
+        this.store = store;
         this.changed = changed;
         this.record = record;
         this.ended = ended;
@@ -143,10 +143,10 @@
     public void cancel(Job job, Consumer<Boolean> told) {
         Cancellation c = cancelling.computeIfAbsent(job.spec.id(), id -> {
             LOG.info("cancelling job={} token={} launch_may_come={}", id, token, scheduler.launchMayStillExecute(job));
-            return new Cancellation(job, runtime.now());
+            return new Cancellation(job, eventLoop.now());
         });
         c.waiting.add(told);
-        runtime.after(JobConstants.CANCELLATION_RESPONSE_TIMEOUT_MS, () -> {
+        eventLoop.after(JobConstants.CANCELLATION_RESPONSE_TIMEOUT_MS, () -> {
             if (c.waiting.remove(told)) {
                 told.accept(false);
             }
@@ -162,9 +162,9 @@
      * answers; without a user who waits it is written only then, and after everything that users wait for.
      */
     public void writeCancellations(boolean reachable) {
-        long now = runtime.now();
+        long now = eventLoop.now();
         for (Cancellation c : new ArrayList<>(cancelling.values())) {
-            boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && state.spare();
+            boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && store.spare();
             if (!c.writing && (again || !c.waiting.isEmpty()) && !scheduler.launchMayStillExecute(c.job)) {
                 write(c);
             }
@@ -173,7 +173,7 @@
 
     private void write(Cancellation c) {
         c.writing = true;
-        c.writtenAt = runtime.now();
+        c.writtenAt = eventLoop.now();
         commit(List.of(ending(c.job, Records.ABORTED)), r -> {
             c.writing = false;
             LOG.info("abort job={} status={} token={}", c.job.spec.id(), r.status(), token);
@@ -213,7 +213,7 @@
             }
             txn.when(StoreKeys.job(id), e.job.arrivalRevision).put(StoreKeys.job(id), e.record);
         }
-        state.commit(txn, r -> {
+        store.commit(txn, r -> {
             for (Ending e : endings) {
                 if (r.status() != Response.NO_ANSWER && --e.job.unresolvedTerminalWrites == 0) {
                     abortsInDoubt.remove(e.job.spec.id());
@@ -271,7 +271,7 @@
         int next = 0;
         while (next < finished.size()
                 && closings
-                        < (state.nothingWaits()
+                        < (store.nothingWaits()
                                 ? JobConstants.TERMINAL_WRITES_IN_FLIGHT
                                 : JobConstants.TERMINAL_WRITES_WHILE_QUEUED)) {
             List<Ending> batch = batch(finished, next);
@@ -292,7 +292,7 @@
             bytes += Records.bytes(e.record);
             boolean alone = writtenAlone.contains(job.spec.id());
             if (!batch.isEmpty()
-                    && (alone || batch.size() >= state.batch() || bytes > NetworkConstants.MAX_BODY_BYTES / 2)) {
+                    && (alone || batch.size() >= store.batch() || bytes > NetworkConstants.MAX_BODY_BYTES / 2)) {
                 break;
             }
             batch.add(e);
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -32,9 +32,9 @@
 public final class RuntimeStatisticsStore {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatisticsStore.class);
 
-    private final EventLoop runtime;
-    private final StoreReplica view;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final StoreReplica replica;
+    private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
     private final Estimates estimates;
@@ -45,17 +45,21 @@
     private int nextSlot;
 
     public RuntimeStatisticsStore(
-            EventLoop runtime, StoreReplica view, KeyValueStoreClient state, Settings settings, Scheduler scheduler) {
-        this.runtime = runtime;
-        this.view = view;
-        this.state = state;
+            EventLoop eventLoop,
+            StoreReplica replica,
+            KeyValueStoreClient store,
+            Settings settings,
+            Scheduler scheduler) {
+        this.eventLoop = eventLoop;
+        this.replica = replica;
+        this.store = store;
         this.settings = settings;
         this.token = scheduler.token;
         this.estimates = scheduler.estimates;
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             slots.add(new LinkedHashMap<>());
         }
-        this.nextWrite = runtime.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
+        this.nextWrite = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
     }
 
     private static int slot(String kind) {
@@ -67,12 +71,12 @@
     /** What earlier leaders learned. */
     public void load() {
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
-            StoreReplica.Entry e = view.get(StoreKeys.learned(i));
-            if (e == null || e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT) {
+            StoreReplica.Entry entry = replica.get(StoreKeys.learned(i));
+            if (entry == null || entry.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT) {
                 continue;
             }
             try {
-                for (JsonNode k : e.data().path("kinds")) {
+                for (JsonNode k : entry.data().path("kinds")) {
                     estimates.restore(read(k));
                     slots.get(i).put(k.path("k").asText(), false);
                 }
@@ -104,18 +108,18 @@
             kinds.remove(kind);
             kinds.put(kind, true);
         }
-        if (runtime.now() < nextWrite || !state.spare()) {
+        if (eventLoop.now() < nextWrite || !store.spare()) {
             return;
         }
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             int at = (nextSlot + i) % EstimateConstants.STATISTICS_RECORDS;
             String key = StoreKeys.learned(at);
-            StoreReplica.Entry e = view.get(key);
-            boolean newer = e != null && e.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT;
+            StoreReplica.Entry entry = replica.get(key);
+            boolean newer = entry != null && entry.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT;
             if (!newer && slots.get(at).containsValue(true)) {
                 nextSlot = at + 1;
-                nextWrite = runtime.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
-                write(at, key, e == null ? 0 : e.revision());
+                nextWrite = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
+                write(at, key, entry == null ? 0 : entry.revision());
                 return;
             }
         }
@@ -143,7 +147,7 @@
         list.forEach(out::add);
         Map<String, Boolean> written = new LinkedHashMap<>(kinds);
         kinds.replaceAll((k, dirty) -> false);
-        state.commit(
+        store.commit(
                 new KeyValueStoreClient.Txn()
                         .when(StoreKeys.LEADER_RECORD, token)
                         .when(key, stamp)
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -33,10 +33,10 @@
 public final class AgentManager {
     private static final Logger LOG = LoggerFactory.getLogger(AgentManager.class);
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
 
     private final Scheduler scheduler;
-    private final AgentClient client;
+    private final AgentClient agentClient;
     private final Map<String, MachineType> types;
     private final BooleanSupplier acting;
     private final Runnable pump;
@@ -49,28 +49,28 @@
     private int openDoubtful;
 
     public AgentManager(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
             Scheduler scheduler,
-            AgentClient client,
+            AgentClient agentClient,
             Map<String, MachineType> types,
             BooleanSupplier acting,
             LocalHealth own,
             Runnable pump) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
 
         this.scheduler = scheduler;
-        this.client = client;
+        this.agentClient = agentClient;
         this.types = types;
         this.acting = acting;
         this.pump = pump;
         this.own = own;
-        this.failureDetector = new FailureDetector(runtime, settings, scheduler, own, this::probe);
+        this.failureDetector = new FailureDetector(eventLoop, settings, scheduler, own, this::probe);
     }
 
     /** A worker's report, which came through that controller, while this node may act. */
     public ServerResponse heartbeatReceived(Heartbeat r, String via) {
-        long now = runtime.now();
+        long now = eventLoop.now();
         if (Long.compareUnsigned(r.token(), scheduler.token) > 0
                 || scheduler.terminatedMachines.contains(r.machine())) {
             return ServerResponse.retryLater("not for this node");
@@ -195,7 +195,7 @@
         if (!acting.getAsBoolean()
                 || m.directCallInFlight
                 || m.address.isEmpty()
-                || m.directCallNotBefore > runtime.now()
+                || m.directCallNotBefore > eventLoop.now()
                 || m.scalingIn) {
             return;
         }
@@ -215,12 +215,12 @@
         long tick = m.heartbeatSequence;
         scheduler.assignments.sentDirectly(m, orders);
         open++;
-        long asked = runtime.now();
+        long asked = eventLoop.now();
         openDoubtful += doubtful ? 1 : 0;
-        client.command(m.address, scheduler.token, session, orders, acting, r -> {
+        agentClient.command(m.address, scheduler.token, session, orders, acting, r -> {
             open--;
             openDoubtful -= doubtful ? 1 : 0;
-            long now = runtime.now();
+            long now = eventLoop.now();
             if (r.status() == Response.NO_CAPACITY) {
                 own.lacked(now);
                 probeWindow.lacked(now);
@@ -245,31 +245,31 @@
         if (r.status() != 200 && r.status() != 409) {
             if (r.status() != Response.NO_CAPACITY) {
                 m.unacknowledgedCalls++;
-                if (own.sound(runtime.now())) {
+                if (own.sound(eventLoop.now())) {
                     m.validity.unanswered(); // while this node is overloaded it proves nothing
                 }
             }
-            m.directCallNotBefore = runtime.now() + FailureDetectionConstants.DIRECT_RETRY_MS;
+            m.directCallNotBefore = eventLoop.now() + FailureDetectionConstants.DIRECT_RETRY_MS;
             LOG.debug("order unanswered machine={} status={}", m.id, r.status());
             return;
         }
-        Heartbeat report = AgentCodec.report(r.body());
-        if (report != null
+        Heartbeat heartbeat = AgentCodec.report(r.body());
+        if (heartbeat != null
                 && scheduler.machines.get(m.id) == m
-                && Long.compareUnsigned(report.token(), scheduler.token) <= 0) {
+                && Long.compareUnsigned(heartbeat.token(), scheduler.token) <= 0) {
             boolean again = !m.reconciled;
             m.validity.acknowledged();
             scheduler.assignments.confirmLive(m);
-            accept(m, report, false, runtime.now());
-            if (tick >= 0 && !report.newerThan(session, tick) && !m.incarnationExpired()) {
+            accept(m, heartbeat, false, eventLoop.now());
+            if (tick >= 0 && !heartbeat.newerThan(session, tick) && !m.incarnationExpired()) {
                 LOG.info(
                         "worker has begun again machine={} session={} tick={} known={}/{}",
                         m.id,
-                        report.incarnation(),
-                        report.sequence(),
+                        heartbeat.incarnation(),
+                        heartbeat.sequence(),
                         session,
                         tick);
-                scheduler.assignments.incarnationRestarted(m, report, runtime.now());
+                scheduler.assignments.incarnationRestarted(m, heartbeat, eventLoop.now());
             }
             if (again && !m.reconciled) {
                 direct(m, true);
@@ -291,7 +291,7 @@
         if (scheduler.reconciliationComplete()) {
             return;
         }
-        long now = runtime.now();
+        long now = eventLoop.now();
         for (Machine m : scheduler.machines.values()) {
             if (!m.reconciled
                     && !(m.heartbeatReceived
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -22,7 +22,7 @@
  * cut off or overloaded.
  */
 public final class FailureDetector {
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final Scheduler scheduler;
     private final LocalHealth own;
@@ -44,14 +44,14 @@
 
     /** {@code probe}: asks a machine directly. */
     FailureDetector(
-            EventLoop runtime, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
-        this.runtime = runtime;
+            EventLoop eventLoop, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.scheduler = scheduler;
         this.own = own;
-        this.reachability = new PeerReachabilityTracker(runtime, settings, scheduler.machines);
+        this.reachability = new PeerReachabilityTracker(eventLoop, settings, scheduler.machines);
         this.probe = probe;
-        this.startedAt = runtime.now();
+        this.startedAt = eventLoop.now();
         this.returns = new TokenBucket(0, startedAt);
     }
 
@@ -70,44 +70,47 @@
         int talking = 0;
         int doubtful = 0;
         Map<String, int[]> byZone = new HashMap<>();
-        for (Machine m : scheduler.machines.values()) {
-            if (m.scalingIn || (!m.heartbeatReceived && !m.registered)) {
+        for (Machine machine : scheduler.machines.values()) {
+            if (machine.scalingIn || (!machine.heartbeatReceived && !machine.registered)) {
                 continue;
             }
-            long quiet = now - m.lastHeartbeatAt;
-            int[] zone = byZone.computeIfAbsent(m.zone, z -> new int[2]);
-            boolean doubted = m.validity.doubted();
+            long quiet = now - machine.lastHeartbeatAt;
+            int[] zone = byZone.computeIfAbsent(machine.zone, z -> new int[2]);
+            boolean doubted = machine.validity.doubted();
             if (quiet < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
                 talking++;
                 zone[0]++;
             }
-            if (m.unacknowledgedCalls > 0 || doubted) {
+            if (machine.unacknowledgedCalls > 0 || doubted) {
                 doubtful++;
                 zone[1]++;
             }
-            if (m.unacknowledgedCalls > 0 && !m.address.isEmpty()) {
-                unsure.add(m);
+            if (machine.unacknowledgedCalls > 0 && !machine.address.isEmpty()) {
+                unsure.add(machine);
             }
-            if (m.unreachable()
-                    && m.reconciled
-                    && m.idle()
+            if (machine.unreachable()
+                    && machine.reconciled
+                    && machine.idle()
                     && now
                                     - Math.max(
-                                            m.idleSince,
-                                            Math.max(m.incarnationExpiredAt, m.validity.unreachableInboundSince()))
+                                            machine.idleSince,
+                                            Math.max(
+                                                    machine.incarnationExpiredAt,
+                                                    machine.validity.unreachableInboundSince()))
                             > ReachabilityConstants.UNREACHABLE_RETURN_MS) {
-                silent.add(m);
+                silent.add(machine);
             } else if (quiet
                             > (doubted
                                     ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                                     : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS)
-                    && m.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
-                    && !reachability.spared(m, now)) {
-                if (reachability.nobodyReaches(m, now)) {
-                    silent.add(m);
+                    && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
+                    && !reachability.spared(machine, now)) {
+                if (reachability.nobodyReaches(machine, now)) {
+                    silent.add(machine);
                 }
-            } else if (doubted || quiet > (m.unacknowledgedCalls > 0 || m.serviceCpus() > 0 ? early : usual)) {
-                quietest.add(m);
+            } else if (doubted
+                    || quiet > (machine.unacknowledgedCalls > 0 || machine.serviceCpus() > 0 ? early : usual)) {
+                quietest.add(machine);
             }
         }
         // Not all may be asked at once: in any fixed order the last ones would never be.
@@ -142,12 +145,12 @@
                 : FailureDetectionConstants.SCALE_IN_SHARE;
         returns.setRate(Math.max(FailureDetectionConstants.SCALE_IN_MIN_MACHINES, share * scheduler.machines.size()));
         List<Machine> some = new ArrayList<>();
-        for (Machine m : silent) {
+        for (Machine machine : silent) {
             if (!returns.has(1, now)) {
                 break;
             }
             returns.take(1, now);
-            some.add(m);
+            some.add(machine);
         }
         return some;
     }
@@ -175,7 +178,7 @@
 
     /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
     public void complaintReceived(List<String> machines) {
-        complainedAt = machines.isEmpty() ? complainedAt : runtime.now();
+        complainedAt = machines.isEmpty() ? complainedAt : eventLoop.now();
         machines.forEach(reachability::reached);
     }
 
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -37,9 +37,9 @@
 public final class MachineRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-    private final EventLoop runtime;
-    private final StoreReplica view;
-    private final KeyValueStoreClient state;
+    private final EventLoop eventLoop;
+    private final StoreReplica replica;
+    private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
     private final Predicate<String> gone;
@@ -58,15 +58,15 @@
     private long notBefore;
 
     public MachineRegistry(
-            EventLoop runtime,
-            StoreReplica view,
-            KeyValueStoreClient state,
+            EventLoop eventLoop,
+            StoreReplica replica,
+            KeyValueStoreClient store,
             Settings settings,
             long token,
             Predicate<String> gone) {
-        this.runtime = runtime;
-        this.view = view;
-        this.state = state;
+        this.eventLoop = eventLoop;
+        this.replica = replica;
+        this.store = store;
         this.settings = settings;
         this.token = token;
         this.gone = gone;
@@ -75,7 +75,7 @@
     /** Every machine that the records name. */
     public void load(BiConsumer<String, JsonNode> machine) {
         List<String> keys = new ArrayList<>();
-        view.entries().keySet().forEach(key -> {
+        replica.entries().keySet().forEach(key -> {
             if (key.startsWith(StoreKeys.MACHINES)) {
                 keys.add(key);
             }
@@ -83,7 +83,7 @@
         changed(keys);
         Set<String> seen = new HashSet<>();
         for (String key : keys) {
-            view.get(key).data().fields().forEachRemaining(f -> {
+            replica.get(key).data().fields().forEachRemaining(f -> {
                 if (seen.add(f.getKey())) {
                     machine.accept(f.getKey(), f.getValue());
                 }
@@ -97,12 +97,12 @@
             if (!key.startsWith(StoreKeys.MACHINES)) {
                 continue;
             }
-            StoreReplica.Entry e = view.get(key);
-            if (e == null) {
+            StoreReplica.Entry entry = replica.get(key);
+            if (entry == null) {
                 keysOf.values().forEach(set -> set.remove(key));
                 continue;
             }
-            e.data().fieldNames().forEachRemaining(id -> {
+            entry.data().fieldNames().forEachRemaining(id -> {
                 named(id, key);
                 if (gone.test(id)) {
                     unwanted.add(id); // a record whose write was given up, applied after all
@@ -130,7 +130,7 @@
      * Writes what is wanted, one transaction at a time; {@code registered} hears of the machines that are durable now.
      */
     public void flush(Consumer<List<Machine>> registered) {
-        if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || runtime.now() < notBefore) {
+        if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || eventLoop.now() < notBefore) {
             return;
         }
         KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
@@ -149,8 +149,8 @@
             return;
         }
         writing = true;
-        notBefore = runtime.now() + ReconcileConstants.REGISTRATION_GAP_MS;
-        state.commit(txn, r -> {
+        notBefore = eventLoop.now() + ReconcileConstants.REGISTRATION_GAP_MS;
+        store.commit(txn, r -> {
             writing = false;
             if (r.ok()) {
                 added.forEach((id, key) -> {
@@ -201,19 +201,19 @@
         Set<String> touched = new HashSet<>();
         Set<String> leftAlone = new HashSet<>();
         int bytes = txn.ops() * settings.valueBytes();
-        int most = Math.min(settings.txnOps(), txn.ops() + (state.spare() ? StoreConstants.SHRINKING_WRITES : 0));
+        int most = Math.min(settings.txnOps(), txn.ops() + (store.spare() ? StoreConstants.SHRINKING_WRITES : 0));
         for (String id : unwanted) {
             boolean all = true;
             for (String key : keysOf.getOrDefault(id, Set.of())) {
-                StoreReplica.Entry e = view.get(key);
-                if (e == null) {
+                StoreReplica.Entry entry = replica.get(key);
+                if (entry == null) {
                     all = false; // written, but the view doesn't show it yet
                 }
                 all &= !leftAlone.contains(key);
-                if (e == null || !e.data().has(id) || touched.contains(key) || leftAlone.contains(key)) {
+                if (entry == null || !entry.data().has(id) || touched.contains(key) || leftAlone.contains(key)) {
                     continue;
                 }
-                ObjectNode left = e.data().deepCopy();
+                ObjectNode left = entry.data().deepCopy();
                 left.remove(unwanted);
                 int size = Records.bytes(left);
                 boolean tooLarge = size > Records.room(settings);
@@ -226,7 +226,7 @@
                 }
                 bytes += size;
                 touched.add(key);
-                txn.when(key, e.revision());
+                txn.when(key, entry.revision());
                 if (left.isEmpty() || tooLarge) {
                     txn.drop(key);
                 } else {
@@ -250,9 +250,10 @@
             boolean elsewhere = false;
             boolean soon = false;
             for (String key : keysOf.getOrDefault(m.getKey(), Set.of())) {
-                StoreReplica.Entry e = view.get(key);
-                soon |= e == null; // written, but the view doesn't show it yet
-                elsewhere |= !key.equals(tooLarge) && e != null && Records.bytes(e.data()) <= Records.room(settings);
+                StoreReplica.Entry entry = replica.get(key);
+                soon |= entry == null; // written, but the view doesn't show it yet
+                elsewhere |=
+                        !key.equals(tooLarge) && entry != null && Records.bytes(entry.data()) <= Records.room(settings);
             }
             all &= elsewhere;
             if (!elsewhere && !soon) {
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -42,16 +42,16 @@
         List<Machine> some = new ArrayList<>(doubtful);
         some.sort((a, b) -> Long.compare(a.peerCheckRequestedAt, b.peerCheckRequestedAt));
         Map<String, String> addresses = new HashMap<>();
-        for (Machine m : some.subList(0, Math.min(some.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES))) {
-            m.peerCheckRequestedAt = now;
-            addresses.put(m.id, m.address);
+        for (Machine machine : some.subList(0, Math.min(some.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES))) {
+            machine.peerCheckRequestedAt = now;
+            addresses.put(machine.id, machine.address);
         }
         asking = true;
         askedAt = now;
         firstAskedAt = firstAskedAt == 0 ? now : firstAskedAt;
         int[] open = {settings.siblings().size()};
-        for (Settings.Sibling s : settings.siblings()) {
-            PeerReachability.ask(runtime, s.addr(), addresses, told -> {
+        for (Settings.Sibling sibling : settings.siblings()) {
+            PeerReachability.ask(runtime, sibling.addr(), addresses, told -> {
                 asking = --open[0] > 0;
                 if (told != null) {
                     told.reached().forEach(this::reached);
@@ -67,17 +67,17 @@
 
     /** Another controller hears of that machine. */
     void reached(String id) {
-        Machine m = machines.get(id);
-        if (m != null && m.unacknowledgedCalls > 0) {
-            m.reachedByPeerSince = elsewhere(m, runtime.now()) ? m.reachedByPeerSince : runtime.now();
-            m.reachedByPeerAt = runtime.now();
+        Machine machine = machines.get(id);
+        if (machine != null && machine.unacknowledgedCalls > 0) {
+            machine.reachedByPeerSince = elsewhere(machine, runtime.now()) ? machine.reachedByPeerSince : runtime.now();
+            machine.reachedByPeerAt = runtime.now();
         }
     }
 
     private void failed(String id) {
-        Machine m = machines.get(id);
-        if (m != null) {
-            m.peerCheckFailedAt = runtime.now();
+        Machine machine = machines.get(id);
+        if (machine != null) {
+            machine.peerCheckFailedAt = runtime.now();
         }
     }
 
@@ -87,36 +87,38 @@
     }
 
     /** Another controller tried it in vain too, or none answers, which takes a while to know. */
-    boolean nobodyReaches(Machine m, long now) {
+    boolean nobodyReaches(Machine machine, long now) {
         if (settings.siblings().isEmpty()) {
             return true;
         }
-        if (m.peerCheckRequestedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
+        if (machine.peerCheckRequestedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
         return !othersTell(now)
-                || (m.peerCheckFailedAt > 0 && now - m.peerCheckFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
+                || (machine.peerCheckFailedAt > 0
+                        && now - machine.peerCheckFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
     /** Another controller reached the machine a moment ago, and this one doesn't. */
-    static boolean elsewhere(Machine m, long now) {
-        return m.unacknowledgedCalls > 0
-                && m.reachedByPeerAt > 0
-                && now - m.reachedByPeerAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+    static boolean elsewhere(Machine machine, long now) {
+        return machine.unacknowledgedCalls > 0
+                && machine.reachedByPeerAt > 0
+                && now - machine.reachedByPeerAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Not to be returned, though silent: its reports come by way of another, or may yet. */
-    boolean spared(Machine m, long now) {
-        return elsewhere(m, now)
-                && (now - m.reachedByPeerSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
-                        || now - m.lastHeartbeatAt < settings.leaseS() * 1_000 / 2);
+    boolean spared(Machine machine, long now) {
+        return elsewhere(machine, now)
+                && (now - machine.reachedByPeerSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
+                        || now - machine.lastHeartbeatAt < settings.leaseS() * 1_000 / 2);
     }
 
     /** Machines that are only out of this leader's reach. */
     static int beyond(Collection<Machine> machines, long now) {
         int count = 0;
-        for (Machine m : machines) {
-            count += elsewhere(m, now) && m.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
+        for (Machine machine : machines) {
+            count += elsewhere(machine, now)
+                            && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
                     ? 1
                     : 0;
         }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -28,7 +28,7 @@
 public final class InstanceProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceProvisioner.class);
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final Scheduler scheduler;
     private final CloudClient cloud;
@@ -50,7 +50,7 @@
     private long hires;
 
     public InstanceProvisioner(
-            EventLoop runtime,
+            EventLoop eventLoop,
             Settings settings,
             OperatorSettings operator,
             Scheduler scheduler,
@@ -60,7 +60,7 @@
             BooleanSupplier open,
             Runnable pump,
             boolean nobodyBefore) {
-        this.runtime = runtime;
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.scheduler = scheduler;
         this.cloud = cloud;
@@ -70,7 +70,7 @@
         this.pump = pump;
         this.fleet = new Autoscaler(operator, nobodyBefore);
         this.nobodyBefore = nobodyBefore;
-        this.startedAt = runtime.now();
+        this.startedAt = eventLoop.now();
     }
 
     public void terminate(List<Machine> list, String why) {
@@ -145,7 +145,7 @@
                     count,
                     r.status(),
                     r.body().path("bothies").size());
-            long now = runtime.now();
+            long now = eventLoop.now();
             if (r.status() == 200) {
                 hiring--;
                 int got = 0;
@@ -162,7 +162,7 @@
                 }
             } else if (r.status() == Response.NO_ANSWER) {
                 // It may have been carried out: the same name again gives the same machines.
-                runtime.after(1_000, () -> hire(kind, name, count));
+                eventLoop.after(1_000, () -> hire(kind, name, count));
             } else {
                 hiring--;
                 if (r.status() == 503) {
@@ -175,7 +175,7 @@
     public void list() {
         if (!listing) {
             listing = true;
-            page(null, runtime.now(), new HashMap<>());
+            page(null, eventLoop.now(), new HashMap<>());
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     private void listed(Map<String, JsonNode> list, long asked) {
-        long now = runtime.now();
+        long now = eventLoop.now();
         List<Machine> bad = new ArrayList<>();
         list.forEach((id, l) -> {
             if (scheduler.terminatedMachines.contains(id)) {
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -36,77 +36,78 @@
      * Takes in a worker's report. False if it is older than what is known or from a session that is over: it says
      * nothing. {@code hello}: it came as a report, which no earlier answer to a report can still follow.
      */
-    public boolean applyHeartbeat(Machine m, Heartbeat r, boolean hello, long now) {
+    public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, boolean hello, long now) {
         scheduler.lastNow = now;
-        if ((m.heartbeatReceived && !r.newerThan(m.incarnation, m.heartbeatSequence)) || outdated(m, r)) {
+        if ((machine.heartbeatReceived && !heartbeat.newerThan(machine.incarnation, machine.heartbeatSequence))
+                || outdated(machine, heartbeat)) {
             return false;
         }
-        m.seenToken = r.token();
-        if (m.heartbeatReceived && r.incarnation() != m.incarnation) {
-            removeAll(m); // a new session: all that was there is gone, and late orders of the old one are refused
-            m.awaitsHeartbeat = !m.heartbeatInIncarnation;
-            m.heartbeatInIncarnation = false;
-        }
-        if (!m.heartbeatReceived || r.incarnation() != m.incarnation) {
-            m.incarnationSeenAt = now;
-            m.incarnationExpiredAt = 0;
-        }
-        if (!m.heartbeatReceived) {
-            m.heartbeatReceived = true;
-            m.idleSince = now;
-            if (!m.registered) {
-                scheduler.machinesToRegister.add(m);
+        machine.seenToken = heartbeat.token();
+        if (machine.heartbeatReceived && heartbeat.incarnation() != machine.incarnation) {
+            removeAll(machine); // a new session: all that was there is gone, and late orders of the old one are refused
+            machine.awaitsHeartbeat = !machine.heartbeatInIncarnation;
+            machine.heartbeatInIncarnation = false;
+        }
+        if (!machine.heartbeatReceived || heartbeat.incarnation() != machine.incarnation) {
+            machine.incarnationSeenAt = now;
+            machine.incarnationExpiredAt = 0;
+        }
+        if (!machine.heartbeatReceived) {
+            machine.heartbeatReceived = true;
+            machine.idleSince = now;
+            if (!machine.registered) {
+                scheduler.machinesToRegister.add(machine);
             }
         }
-        m.incarnation = r.incarnation();
-        m.heartbeatSequence = r.sequence();
-        if (!r.address().isEmpty()) {
-            m.address = r.address();
+        machine.incarnation = heartbeat.incarnation();
+        machine.heartbeatSequence = heartbeat.sequence();
+        if (!heartbeat.address().isEmpty()) {
+            machine.address = heartbeat.address();
         }
-        m.reportedTasks = r.tasks();
+        machine.reportedTasks = heartbeat.tasks();
         if (hello) {
             // A worker has one report in flight: the answer to the one before was taken or dropped by now.
-            m.assignments.values().forEach(p -> p.launchInHeartbeatResponse = false);
-            scheduler.cycleRequested |= m.awaitsHeartbeat;
-            m.awaitsHeartbeat = false;
-            m.heartbeatInIncarnation = true;
+            machine.assignments.values().forEach(p -> p.launchInHeartbeatResponse = false);
+            scheduler.cycleRequested |= machine.awaitsHeartbeat;
+            machine.awaitsHeartbeat = false;
+            machine.heartbeatInIncarnation = true;
         }
-        m.beginHeartbeat();
+        machine.beginHeartbeat();
         boolean strays = false;
-        for (TaskStatus t : r.tasks()) {
-            Assignment p = m.assignmentOf(t.task(), t.attempt());
+        for (TaskStatus status : heartbeat.tasks()) {
+            Assignment p = machine.assignmentOf(status.task(), status.attempt());
             if (p == null) {
-                p = adopt(m, t, now);
+                p = adopt(machine, status, now);
             }
             if (p != null) {
-                m.listed(p, now);
-                update(p, t, now);
-                if (r.token() == token
+                machine.listed(p, now);
+                update(p, status, now);
+                if (heartbeat.token() == token
                         && p.mayExist()
                         && p.attempt >>> JobConstants.ATTEMPT_BITS != token
                         && !scheduler.reconciliationWasComplete()) {
                     teamUsage.found(p.spec, p.attempt);
                 }
-            } else if (t.state() != State.EXITED) {
+            } else if (status.state() != State.EXITED) {
                 strays = true;
             }
         }
-        scheduler.cycleRequested |= m.hasOrphanedTasks && !strays;
-        m.hasOrphanedTasks = strays;
-        for (Assignment p : m.unlistedAssignments()) {
+        scheduler.cycleRequested |= machine.hasOrphanedTasks && !strays;
+        machine.hasOrphanedTasks = strays;
+        for (Assignment p : machine.unlistedAssignments()) {
             if (p.state() != State.LAUNCHING || (p.stopRequested && !p.launchMayStillExecute())) {
                 remove(p);
             }
         }
         // Only a report made under this token is final: older direct orders are refused from then on.
-        if (r.token() == token && !(m.reconciled && m.confirmedLive)) {
-            m.reconciled = true;
-            confirmLive(m);
+        if (heartbeat.token() == token && !(machine.reconciled && machine.confirmedLive)) {
+            machine.reconciled = true;
+            confirmLive(machine);
         }
-        if (!Double.isNaN(r.noticeS()) && !m.draining) {
-            drain(m, r.noticeS());
+        if (!Double.isNaN(heartbeat.noticeS()) && !machine.draining) {
+            drain(machine, heartbeat.noticeS());
         }
-        scheduler.machinesWithPendingCommands.add(m);
+        scheduler.machinesWithPendingCommands.add(machine);
         return true;
     }
 
@@ -114,50 +115,51 @@
      * Whether a report says nothing whatever its count: of a session that is over, or with larger counts and a lower
      * token than the machine has shown. A worker's token never falls, so that was written in an earlier life.
      */
-    public static boolean outdated(Machine m, Heartbeat r) {
-        return Long.compareUnsigned(r.incarnation(), m.minIncarnation) < 0
-                || (m.incarnationExpired() && Long.compareUnsigned(r.incarnation(), m.incarnation) <= 0)
-                || (m.heartbeatReceived
-                        && r.newerThan(m.incarnation, m.heartbeatSequence)
-                        && Long.compareUnsigned(r.token(), m.seenToken) < 0);
+    public static boolean outdated(Machine machine, Heartbeat heartbeat) {
+        return Long.compareUnsigned(heartbeat.incarnation(), machine.minIncarnation) < 0
+                || (machine.incarnationExpired()
+                        && Long.compareUnsigned(heartbeat.incarnation(), machine.incarnation) <= 0)
+                || (machine.heartbeatReceived
+                        && heartbeat.newerThan(machine.incarnation, machine.heartbeatSequence)
+                        && Long.compareUnsigned(heartbeat.token(), machine.seenToken) < 0);
     }
 
     /** It is there, and not only an old report of it. */
-    public void confirmLive(Machine m) {
-        scheduler.cycleRequested |= !m.confirmedLive;
-        m.confirmedLive = true;
+    public void confirmLive(Machine machine) {
+        scheduler.cycleRequested |= !machine.confirmedLive;
+        machine.confirmedLive = true;
     }
 
     /**
      * An answer to a question that was put after larger counts were known: the worker has begun again, with nothing.
      * Only what an order still under way may bring is there yet, for a lease from now on at most.
      */
-    public void incarnationRestarted(Machine m, Heartbeat r, long now) {
+    public void incarnationRestarted(Machine machine, Heartbeat heartbeat, long now) {
         scheduler.lastNow = now;
-        m.incarnationExpiredAt = now;
-        m.incarnationSeenAt = now;
-        m.beginHeartbeat();
-        for (TaskStatus t : r.tasks()) {
-            Assignment p = m.assignmentOf(t.task(), t.attempt());
+        machine.incarnationExpiredAt = now;
+        machine.incarnationSeenAt = now;
+        machine.beginHeartbeat();
+        for (TaskStatus status : heartbeat.tasks()) {
+            Assignment p = machine.assignmentOf(status.task(), status.attempt());
             if (p != null) {
-                m.listed(p, now);
+                machine.listed(p, now);
             }
         }
-        for (Assignment p : m.unlistedAssignments()) {
+        for (Assignment p : machine.unlistedAssignments()) {
             if (!p.launchMayStillExecute()) {
                 remove(p);
             }
         }
-        m.reportedTasks = List.of();
+        machine.reportedTasks = List.of();
     }
 
-    private void drain(Machine m, double noticeS) {
-        m.draining = true;
-        for (Assignment p : m.liveAssignments()) {
-            JobSpec s = p.spec;
-            if (s.checkpointS() > 0 && !s.service()) {
-                stop(p, noticeS > s.saveS() ? Math.ceil(s.saveS()) : 0);
-            } else if (s.service() || noticeS < s.estimateS() / 4) {
+    private void drain(Machine machine, double noticeS) {
+        machine.draining = true;
+        for (Assignment p : machine.liveAssignments()) {
+            JobSpec spec = p.spec;
+            if (spec.checkpointS() > 0 && !spec.service()) {
+                stop(p, noticeS > spec.saveS() ? Math.ceil(spec.saveS()) : 0);
+            } else if (spec.service() || noticeS < spec.estimateS() / 4) {
                 stop(p, 0);
             }
         }
@@ -165,38 +167,38 @@
     }
 
     /** A reported attempt that this term didn't launch: from an earlier leader, if its task isn't elsewhere. */
-    private Assignment adopt(Machine m, TaskStatus t, long now) {
-        int slash = t.task().lastIndexOf('/');
-        Job job = slash < 0 ? null : scheduler.jobs.get(t.task().substring(0, slash));
+    private Assignment adopt(Machine machine, TaskStatus status, long now) {
+        int slash = status.task().lastIndexOf('/');
+        Job job = slash < 0 ? null : scheduler.jobs.get(status.task().substring(0, slash));
         if (job == null || job.status != Job.Status.LIVE) {
             return null;
         }
         int index;
         try {
-            index = Integer.parseInt(t.task().substring(slash + 1));
+            index = Integer.parseInt(status.task().substring(slash + 1));
         } catch (NumberFormatException e) {
             return null;
         }
         if (index < 0
                 || index >= job.tasks()
                 || job.completedTasks.get(index)
-                || m.assignments.containsKey(t.attempt())) {
+                || machine.assignments.containsKey(status.attempt())) {
             return null;
         }
-        if (t.state() == State.EXITED && (!"done".equals(t.why()) || job.spec.service())) {
+        if (status.state() == State.EXITED && (!"done".equals(status.why()) || job.spec.service())) {
             return null;
         }
-        Assignment other = t.state() == State.EXITED ? null : job.assignments.get(index);
+        Assignment other = status.state() == State.EXITED ? null : job.assignments.get(index);
         if (other != null) {
-            if (Long.compareUnsigned(other.attempt, t.attempt()) > 0) {
+            if (Long.compareUnsigned(other.attempt, status.attempt()) > 0) {
                 return null;
             }
             // a late copy of a report showed it: the newer attempt was only launched when the older was gone
             remove(other);
         }
-        Assignment p = new Assignment(job, index, t.attempt(), m, now);
-        m.add(p);
-        if (t.state() != State.EXITED) {
+        Assignment p = new Assignment(job, index, status.attempt(), machine, now);
+        machine.add(p);
+        if (status.state() != State.EXITED) {
             job.assign(p);
             teamUsage.add(p.spec, 1);
             if (job.cancellationRequested) {
@@ -206,26 +208,26 @@
         return p;
     }
 
-    private void update(Assignment p, TaskStatus t, long now) {
+    private void update(Assignment p, TaskStatus status, long now) {
         if (!p.mayExist()) {
             return;
         }
-        if (t.state() == State.RUNNING && p.state() != State.RUNNING) {
+        if (status.state() == State.RUNNING && p.state() != State.RUNNING) {
             p.runningAt = now;
         }
-        if (t.state() == State.RUNNING || t.state() == State.CHECKPOINTING) {
+        if (status.state() == State.RUNNING || status.state() == State.CHECKPOINTING) {
             p.machine.images.put(p.spec.image(), now);
         }
-        p.transitionTo(t.state());
-        if (t.state() == State.EXITED) {
-            exited(p, t.why(), now);
+        p.transitionTo(status.state());
+        if (status.state() == State.EXITED) {
+            exited(p, status.why(), now);
         }
     }
 
     private void exited(Assignment p, String why, long now) {
-        Machine m = p.machine;
+        Machine machine = p.machine;
         Job job = p.job;
-        m.release(p);
+        machine.release(p);
         boolean done = "done".equals(why) && !job.spec.service();
         if (done) {
             boolean first = !job.completedTasks.get(p.index);
@@ -245,18 +247,18 @@
                 double ran = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : p.spec.estimateS();
                 job.attainedServiceS += ran;
                 if (p.runningAt > 0) {
-                    scheduler.estimates.observe(p.spec, m.id, ran, false);
+                    scheduler.estimates.observe(p.spec, machine.id, ran, false);
                 }
                 for (Job mover : Tyrex.movers(scheduler.jobs.values())) {
                     mover.inSecondPartitionByTyrex = true;
                     mover.attainedServiceS = 0;
                 }
             }
-            FaultAttribution.cleared(m, job, p.startedAt);
+            FaultAttribution.cleared(machine, job, p.startedAt);
         } else {
             p.removable = true;
             cutShort(p, now);
-            faultAttribution.ended(m, job, p.index, why, now);
+            faultAttribution.ended(machine, job, p.index, why, now);
             if ("error".equals(why)) {
                 job.taskFailed(p.index);
             }
@@ -264,12 +266,12 @@
         freeTask(p);
     }
 
-    void removeAll(Machine m) {
-        for (Assignment p : new ArrayList<>(m.assignments.values())) {
+    void removeAll(Machine machine) {
+        for (Assignment p : new ArrayList<>(machine.assignments.values())) {
             remove(p);
         }
-        m.reportedTasks = List.of();
-        m.hasOrphanedTasks = false;
+        machine.reportedTasks = List.of();
+        machine.hasOrphanedTasks = false;
     }
 
     /** Nothing of it can be on its machine any more. */
@@ -322,13 +324,13 @@
 
     // ---- starts and stops ----
 
-    public void start(Job job, int index, Machine m, long now) {
+    public void start(Job job, int index, Machine machine, long now) {
         if (attempts >= 1L << JobConstants.ATTEMPT_BITS) {
             throw new IllegalStateException("out of attempt numbers under this token");
         }
         long attempt = (token << JobConstants.ATTEMPT_BITS) + attempts++;
-        Assignment p = new Assignment(job, index, attempt, m, now);
-        m.add(p);
+        Assignment p = new Assignment(job, index, attempt, machine, now);
+        machine.add(p);
         job.assign(p);
         teamUsage.add(p.spec, 1);
         requestCommands(p);
@@ -355,26 +357,26 @@
     // ---- orders ----
 
     /** The difference between what the machine reported and what is wanted, as orders. */
-    public List<Command> pendingCommands(Machine m) {
+    public List<Command> pendingCommands(Machine machine) {
         List<Command> pendingCommands = new ArrayList<>();
         List<Command> clears = new ArrayList<>();
-        for (TaskStatus t : m.reportedTasks) {
-            Assignment p = m.assignmentOf(t.task(), t.attempt());
-            if (t.state() == State.EXITED) {
+        for (TaskStatus status : machine.reportedTasks) {
+            Assignment p = machine.assignmentOf(status.task(), status.attempt());
+            if (status.state() == State.EXITED) {
                 if (p == null || (p.removable && !p.launchMayStillExecute())) {
-                    clears.add(new Command(Command.Verb.CLEAR, t.task(), t.attempt(), 0));
+                    clears.add(new Command(Command.Verb.CLEAR, status.task(), status.attempt(), 0));
                 }
             } else if (p == null) {
                 // Of no live job, or a second attempt: it goes. Unheard machines too; their tasks belong to no one
                 // else.
-                pendingCommands.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), 0));
-            } else if (p.stopRequested && (t.state() != State.CHECKPOINTING || p.graceS == 0)) {
-                pendingCommands.add(new Command(Command.Verb.KILL, t.task(), t.attempt(), p.graceS));
+                pendingCommands.add(new Command(Command.Verb.KILL, status.task(), status.attempt(), 0));
+            } else if (p.stopRequested && (status.state() != State.CHECKPOINTING || p.graceS == 0)) {
+                pendingCommands.add(new Command(Command.Verb.KILL, status.task(), status.attempt(), p.graceS));
             }
         }
         pendingCommands.addAll(clears);
-        if (m.registered) {
-            for (Assignment p : m.assignments.values()) {
+        if (machine.registered) {
+            for (Assignment p : machine.assignments.values()) {
                 if (p.state() == State.LAUNCHING && !p.stopRequested) {
                     pendingCommands.add(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0));
                 }
@@ -384,20 +386,20 @@
     }
 
     /** The orders go out as the answer to a report. */
-    public void sentInHeartbeatResponse(Machine m, List<Command> pendingCommands) {
-        for (Command o : pendingCommands) {
-            Assignment p = m.assignmentOf(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+    public void sentInHeartbeatResponse(Machine machine, List<Command> pendingCommands) {
+        for (Command command : pendingCommands) {
+            Assignment p = machine.assignmentOf(command.task(), command.attempt());
+            if (command.verb() == Command.Verb.LAUNCH && p != null) {
                 p.launchInHeartbeatResponse = true;
             }
         }
     }
 
-    public void sentDirectly(Machine m, List<Command> pendingCommands) {
-        m.directCallInFlight = true;
-        for (Command o : pendingCommands) {
-            Assignment p = m.assignmentOf(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+    public void sentDirectly(Machine machine, List<Command> pendingCommands) {
+        machine.directCallInFlight = true;
+        for (Command command : pendingCommands) {
+            Assignment p = machine.assignmentOf(command.task(), command.attempt());
+            if (command.verb() == Command.Verb.LAUNCH && p != null) {
                 p.directLaunchInFlight = true;
             }
         }
@@ -406,13 +408,13 @@
     /**
      * A direct call ended. {@code settled}: it was executed, refused or never sent; otherwise it may be executed late.
      */
-    public void directCallCompleted(Machine m, List<Command> pendingCommands, long session, boolean settled) {
-        m.directCallInFlight = false;
-        for (Command o : pendingCommands) {
-            Assignment p = m.assignmentOf(o.task(), o.attempt());
-            if (o.verb() == Command.Verb.LAUNCH && p != null) {
+    public void directCallCompleted(Machine machine, List<Command> pendingCommands, long session, boolean settled) {
+        machine.directCallInFlight = false;
+        for (Command command : pendingCommands) {
+            Assignment p = machine.assignmentOf(command.task(), command.attempt());
+            if (command.verb() == Command.Verb.LAUNCH && p != null) {
                 p.directLaunchInFlight = false;
-                if (!settled && m.incarnation == session) {
+                if (!settled && machine.incarnation == session) {
                     p.directLaunchUnacknowledged = true;
                 }
             }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -15,42 +15,42 @@
     }
 
     /** A task ended without being done. */
-    void ended(Machine m, Job job, int index, String why, long now) {
+    void ended(Machine machine, Job job, int index, String why, long now) {
         switch (why) {
             case "error" -> {
                 job.failures++;
-                charge(m, job, now);
+                charge(machine, job, now);
                 back(job, index, now);
             }
             case "unknown" -> back(job, index, now);
-            case "full", "busy" -> m.noRoomUntil = now + 1_000;
+            case "full", "busy" -> machine.noRoomUntil = now + 1_000;
             default -> {}
         }
     }
 
     /** A task was done there: what was started since the last failure shows that the machine is well. */
-    static void cleared(Machine m, Job job, long startedAt) {
-        if (startedAt > m.failedAt) {
-            m.failedJobs.clear();
+    static void cleared(Machine machine, Job job, long startedAt) {
+        if (startedAt > machine.failedAt) {
+            machine.failedJobs.clear();
         }
         job.failures = 0;
         job.failedMachines.clear();
     }
 
     /** Whether the machine's quarantine ends now. */
-    static boolean pardon(Machine m, long now) {
-        boolean ends = m.faulty && now >= m.faultyUntil;
+    static boolean pardon(Machine machine, long now) {
+        boolean ends = machine.faulty && now >= machine.faultyUntil;
         if (ends) {
-            m.faulty = false;
-            m.failedJobs.clear();
+            machine.faulty = false;
+            machine.failedJobs.clear();
         }
         return ends;
     }
 
     /** Failures that speak against the machine: of jobs that have tasks done, or failed nowhere else. */
-    private int own(Machine m) {
+    private int own(Machine machine) {
         int own = 0;
-        for (String id : m.failedJobs) {
+        for (String id : machine.failedJobs) {
             Job other = jobs.get(id);
             own += other != null && (!other.completedTasks.isEmpty() || other.failedMachines.size() == 1) ? 1 : 0;
         }
@@ -69,21 +69,21 @@
      * that never succeeded fails on a second machine, the first one was blamed for what is the job's: without it, it
      * may be as good as any.
      */
-    private void charge(Machine m, Job job, long now) {
-        m.failedAt = now;
-        m.failedJobs.add(job.spec.id());
-        if (job.failedMachines.add(m.id) && job.failedMachines.size() == 2) {
+    private void charge(Machine machine, Job job, long now) {
+        machine.failedAt = now;
+        machine.failedJobs.add(job.spec.id());
+        if (job.failedMachines.add(machine.id) && job.failedMachines.size() == 2) {
             job.failedMachines.forEach(id -> acquit(machines.get(id)));
         }
-        if (own(m) >= FaultConstants.MACHINE_ERRORS) {
-            m.faulty = true;
-            m.faultyUntil = now + FaultConstants.QUARANTINE_MS;
+        if (own(machine) >= FaultConstants.MACHINE_ERRORS) {
+            machine.faulty = true;
+            machine.faultyUntil = now + FaultConstants.QUARANTINE_MS;
         }
     }
 
-    private void acquit(Machine m) {
-        if (m != null && m.faulty && own(m) < FaultConstants.MACHINE_ERRORS) {
-            m.faulty = false;
+    private void acquit(Machine machine) {
+        if (machine != null && machine.faulty && own(machine) < FaultConstants.MACHINE_ERRORS) {
+            machine.faulty = false;
         }
     }
 }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -151,19 +151,19 @@
     }
 
     /** It starts now, or was found, on that machine. */
-    public void assign(Assignment p) {
-        assignments.put(p.index, p);
-        pendingTasks.clear(p.index);
-        inZone.addTo(p.machine.zone, 1);
+    public void assign(Assignment assignment) {
+        assignments.put(assignment.index, assignment);
+        pendingTasks.clear(assignment.index);
+        inZone.addTo(assignment.machine.zone, 1);
     }
 
     /** That attempt can't be anywhere any more; whether the task waits again is up to the caller. */
-    public boolean unassign(Assignment p) {
-        if (assignments.get(p.index) != p) {
+    public boolean unassign(Assignment assignment) {
+        if (assignments.get(assignment.index) != assignment) {
             return false;
         }
-        assignments.remove(p.index);
-        inZone.addTo(p.machine.zone, -1);
+        assignments.remove(assignment.index);
+        inZone.addTo(assignment.machine.zone, -1);
         return true;
     }
 
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -145,9 +145,9 @@
     /** That task of such a job isn't to run any more: it doesn't wait, and where it may be it is stopped. */
     public void cancelTask(Job job, int index) {
         job.pendingTasks.clear(index);
-        Assignment p = job.assignments.get(index);
-        if (p != null) {
-            assignments.stop(p, 0);
+        Assignment assignment = job.assignments.get(index);
+        if (assignment != null) {
+            assignments.stop(assignment, 0);
         }
         cycleRequested = true;
     }
@@ -173,8 +173,8 @@
     public void cancel(Job job) {
         job.cancellationRequested = true;
         job.pendingTasks.clear();
-        for (Assignment p : new ArrayList<>(job.assignments.values())) {
-            assignments.stop(p, 0);
+        for (Assignment assignment : new ArrayList<>(job.assignments.values())) {
+            assignments.stop(assignment, 0);
         }
         cycleRequested = true;
     }
@@ -188,8 +188,8 @@
     public void markDone(Job job) {
         job.status = Job.Status.DONE;
         job.durablyCompleted = job.completedTasks;
-        for (Assignment p : new ArrayList<>(job.assignments.values())) {
-            assignments.stop(p, 0);
+        for (Assignment assignment : new ArrayList<>(job.assignments.values())) {
+            assignments.stop(assignment, 0);
         }
         assignments.completionsCommitted(job);
     }
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -75,11 +75,11 @@
     void unheard(Iterable<Machine> machines) {
         unheardCpus = 0;
         unheardGpus = 0;
-        for (Machine m : machines) {
-            if (!m.accountedFor()) {
+        for (Machine machine : machines) {
+            if (!machine.accountedFor()) {
                 // A type that the cloud no longer names may hold anything.
-                unheardCpus += m.type.cpus() > 0 ? m.type.cpus() : Double.POSITIVE_INFINITY;
-                unheardGpus += m.type.cpus() > 0 ? m.type.gpus() : Double.POSITIVE_INFINITY;
+                unheardCpus += machine.type.cpus() > 0 ? machine.type.cpus() : Double.POSITIVE_INFINITY;
+                unheardGpus += machine.type.cpus() > 0 ? machine.type.gpus() : Double.POSITIVE_INFINITY;
             }
         }
     }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -127,24 +127,24 @@
         this.idleSince = now;
     }
 
-    public void add(Assignment p) {
-        assignments.put(p.attempt, p);
-        count(p, 1);
-        p.holdsResources = true;
-        use(p, 1);
+    public void add(Assignment assignment) {
+        assignments.put(assignment.attempt, assignment);
+        count(assignment, 1);
+        assignment.holdsResources = true;
+        use(assignment, 1);
     }
 
     /** The placement that an order or a report names; null if there is none. */
     public Assignment assignmentOf(String task, long attempt) {
-        Assignment p = assignments.get(attempt);
-        return p != null && p.taskId.equals(task) ? p : null;
+        Assignment assignment = assignments.get(attempt);
+        return assignment != null && assignment.taskId.equals(task) ? assignment : null;
     }
 
-    void count(Assignment p, int sign) {
-        if (p.mayExist()) {
+    void count(Assignment assignment, int sign) {
+        if (assignment.mayExist()) {
             liveAssignments += sign;
-            starting += p.starting() ? sign : 0;
-            serviceCpus += p.spec.service() ? sign * p.spec.cpus() : 0;
+            starting += assignment.starting() ? sign : 0;
+            serviceCpus += assignment.spec.service() ? sign * assignment.spec.cpus() : 0;
         }
     }
 
@@ -159,11 +159,11 @@
     }
 
     /** The present report lists the placement. */
-    public void listed(Assignment p, long now) {
-        if (p.listedIn == 0) {
+    public void listed(Assignment assignment, long now) {
+        if (assignment.listedIn == 0) {
             newAssignmentListedAt = now;
         }
-        p.listedIn = reports;
+        assignment.listedIn = reports;
     }
 
     /**
@@ -176,26 +176,26 @@
 
     public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
-        for (Assignment p : assignments.values()) {
-            if (p.listedIn != reports) {
-                list.add(p);
+        for (Assignment assignment : assignments.values()) {
+            if (assignment.listedIn != reports) {
+                list.add(assignment);
             }
         }
         return list;
     }
 
     /** Its room may be used by others: it exited, or is killed at once by an order ahead of theirs. */
-    public void release(Assignment p) {
-        if (p.holdsResources) {
-            p.holdsResources = false;
-            use(p, -1);
+    public void release(Assignment assignment) {
+        if (assignment.holdsResources) {
+            assignment.holdsResources = false;
+            use(assignment, -1);
         }
     }
 
-    private void use(Assignment p, int sign) {
-        usedCpus += sign * p.spec.cpus();
-        usedGpus += sign * p.spec.gpus();
-        usedMemory += sign * p.spec.memory();
+    private void use(Assignment assignment, int sign) {
+        usedCpus += sign * assignment.spec.cpus();
+        usedGpus += sign * assignment.spec.gpus();
+        usedMemory += sign * assignment.spec.memory();
     }
 
     public boolean hasRoom(JobSpec job) {
@@ -243,9 +243,9 @@
 
     public List<Assignment> liveAssignments() {
         List<Assignment> list = new ArrayList<>();
-        for (Assignment p : assignments.values()) {
-            if (p.mayExist()) {
-                list.add(p);
+        for (Assignment assignment : assignments.values()) {
+            if (assignment.mayExist()) {
+                list.add(assignment);
             }
         }
         return list;
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -278,14 +278,14 @@
     }
 
     private static void move(Machine from, Collection<Machine> machines, List<Assignment> moves, long now) {
-        for (Assignment p : from.liveAssignments()) {
+        for (Assignment assignment : from.liveAssignments()) {
             if (moves.size() < AutoscalingConstants.MAX_MOVES
-                    && p.job.spec.service()
-                    && !p.stopRequested
-                    && p.state() == Assignment.State.RUNNING
-                    && now - p.runningAt > AutoscalingConstants.MOVE_AFTER_MS
-                    && MachineSelector.canMove(p, machines, now)) {
-                moves.add(p);
+                    && assignment.job.spec.service()
+                    && !assignment.stopRequested
+                    && assignment.state() == Assignment.State.RUNNING
+                    && now - assignment.runningAt > AutoscalingConstants.MOVE_AFTER_MS
+                    && MachineSelector.canMove(assignment, machines, now)) {
+                moves.add(assignment);
             }
         }
     }
@@ -313,8 +313,8 @@
             if (s.service() || !s.spot()) {
                 d.service = job;
                 d.teamServices.addTo(s.team(), (pending + job.assignments.size()) * s.cpus());
-                for (Assignment p : job.assignments.values()) {
-                    d.serviceCores.merge(p.machine.zone, s.cpus(), Double::sum);
+                for (Assignment assignment : job.assignments.values()) {
+                    d.serviceCores.merge(assignment.machine.zone, s.cpus(), Double::sum);
                 }
                 shares(job, zones)
                         .forEach((zone, share) -> d.serviceCores.merge(zone, pending * s.cpus() * share, Double::sum));
@@ -327,12 +327,12 @@
                     d.teamArrays.addTo(s.team(), count * spec.cpus());
                 });
             }
-            for (Assignment p : job.assignments.values()) {
-                double runs = scheduler.expectedRunS(p.spec);
-                double ran = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
-                d.arrayWork += p.spec.cpus() * Math.max(runs - ran, runs * 0.1);
-                d.arrayCores += p.spec.cpus();
-                d.teamArrays.addTo(s.team(), p.spec.cpus());
+            for (Assignment assignment : job.assignments.values()) {
+                double runs = scheduler.expectedRunS(assignment.spec);
+                double ran = assignment.runningAt > 0 ? (now - assignment.runningAt) / 1000.0 : 0;
+                d.arrayWork += assignment.spec.cpus() * Math.max(runs - ran, runs * 0.1);
+                d.arrayCores += assignment.spec.cpus();
+                d.teamArrays.addTo(s.team(), assignment.spec.cpus());
             }
             d.arraysWait |= pending > 0;
             if (pending > 0) {
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -140,9 +140,9 @@
                 * spec.cpus()
                 * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
         List<Assignment> running = new ArrayList<>();
-        for (Assignment p : job.assignments.values()) {
-            if (p.mayExist()) {
-                running.add(p);
+        for (Assignment assignment : job.assignments.values()) {
+            if (assignment.mayExist()) {
+                running.add(assignment);
             }
         }
         double ahead = waiting.isEmpty() ? 0 : ahead(job);
@@ -165,12 +165,13 @@
             }
             PriorityQueue<Double> ends = new PriorityQueue<>();
             double last = start;
-            for (Assignment p : running) {
-                double elapsed = p.runningAt > 0 ? (now - p.runningAt) / 1000.0 : 0;
+            for (Assignment assignment : running) {
+                double elapsed = assignment.runningAt > 0 ? (now - assignment.runningAt) / 1000.0 : 0;
                 double end = start
-                        + samplers.computeIfAbsent(p.spec, estimates::sampler).draw(random, elapsed)
+                        + samplers.computeIfAbsent(assignment.spec, estimates::sampler)
+                                .draw(random, elapsed)
                         - elapsed
-                        + (p.starting() ? image : 0);
+                        + (assignment.starting() ? image : 0);
                 ends.add(end);
                 last = Math.max(last, end);
             }
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -41,15 +41,15 @@
     private long unreachableInboundSince;
 
     /** What this report is, beside those that came before. */
-    public Freshness freshness(Heartbeat r, long now) {
-        if (!reported || r.newerThan(session, tick)) {
+    public Freshness freshness(Heartbeat heartbeat, long now) {
+        if (!reported || heartbeat.newerThan(session, tick)) {
             reported = true;
-            session = r.incarnation();
-            tick = r.sequence();
+            session = heartbeat.incarnation();
+            tick = heartbeat.sequence();
             takenAt = now;
             return Freshness.NEW;
         }
-        boolean same = r.incarnation() == session && r.sequence() == tick;
+        boolean same = heartbeat.incarnation() == session && heartbeat.sequence() == tick;
         return same && now - takenAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
                 ? Freshness.AGAIN
                 : Freshness.COPY;
@@ -64,13 +64,13 @@
      * A new report: what it shows of the answer before. {@code wanted}: what it would be told now; {@code knows}: it
      * has seen this term's token.
      */
-    public void reported(Heartbeat r, boolean knows, List<Command> wanted, long now) {
+    public void reported(Heartbeat heartbeat, boolean knows, List<Command> wanted, long now) {
         if (answered) {
             if (!knows || anyAgain(wanted)) {
                 if (++unacknowledged >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
                     lapsed(now);
                 }
-            } else if (!knewToken || (r.incarnation() == toldSession && anyShown(r))) {
+            } else if (!knewToken || (heartbeat.incarnation() == toldSession && anyShown(heartbeat))) {
                 acknowledged();
             }
         }
@@ -84,9 +84,9 @@
      * before names.
      */
     private boolean anyAgain(List<Command> wanted) {
-        for (Command o : told) {
+        for (Command command : told) {
             for (Command w : wanted) {
-                if (o.attempt() == w.attempt() && o.equals(w)) {
+                if (command.attempt() == w.attempt() && command.equals(w)) {
                     return true;
                 }
             }
@@ -94,9 +94,9 @@
         return false;
     }
 
-    private boolean anyShown(Heartbeat r) {
-        for (Command o : told) {
-            if (shows(r, o)) {
+    private boolean anyShown(Heartbeat heartbeat) {
+        for (Command command : told) {
+            if (shows(heartbeat, command)) {
                 return true;
             }
         }
@@ -104,12 +104,14 @@
     }
 
     /** Whether the report is as it would be after that order. */
-    private static boolean shows(Heartbeat r, Command o) {
+    private static boolean shows(Heartbeat heartbeat, Command command) {
         Assignment.State state = null;
-        for (TaskStatus t : r.tasks()) {
-            state = t.attempt() == o.attempt() && t.task().equals(o.task()) ? t.state() : state;
+        for (TaskStatus status : heartbeat.tasks()) {
+            state = status.attempt() == command.attempt() && status.task().equals(command.task())
+                    ? status.state()
+                    : state;
         }
-        return switch (o.verb()) {
+        return switch (command.verb()) {
             case LAUNCH -> state != null;
             case KILL -> state == Assignment.State.CHECKPOINTING || state == Assignment.State.EXITED;
             case CLEAR -> state == null;
@@ -117,9 +119,9 @@
     }
 
     /** The newest report is answered with that. */
-    public void told(List<Command> orders) {
+    public void told(List<Command> commands) {
         answered = true;
-        told = orders;
+        told = commands;
         toldSession = session;
     }
 
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -20,14 +20,14 @@
     public record Choice(Machine machine, List<Assignment> victims) {}
 
     /** Whether the job's tasks may start here, given where its other tasks may be; room is another question. */
-    public static boolean allowed(Job job, JobSpec s, Machine m) {
-        if (!m.type.fits(s) || (s.zone() != null && !s.zone().equals(m.zone)) || (m.spot && !s.spot())) {
+    public static boolean allowed(Job job, JobSpec spec, Machine m) {
+        if (!m.type.fits(spec) || (spec.zone() != null && !spec.zone().equals(m.zone)) || (m.spot && !spec.spot())) {
             return false;
         }
-        if (s.spread() && job.inZone(m.zone) + 1 > (s.tasks() + 1) / 2) {
+        if (spec.spread() && job.inZone(m.zone) + 1 > (spec.tasks() + 1) / 2) {
             return false;
         }
-        return !s.oneZone() || job.inZone(m.zone) == job.assignments.size();
+        return !spec.oneZone() || job.inZone(m.zone) == job.assignments.size();
     }
 
     /** Whether the machine gets new tasks at all now. */
@@ -35,8 +35,8 @@
         return m.schedulable() && now >= m.noRoomUntil && !(m.validity.onTrial() && m.startingTasks() > 0);
     }
 
-    private static boolean possible(Job job, JobSpec s, Machine m, long now) {
-        return takesTasks(m, now) && !m.failedJobs.contains(job.spec.id()) && allowed(job, s, m);
+    private static boolean possible(Job job, JobSpec spec, Machine m, long now) {
+        return takesTasks(m, now) && !m.failedJobs.contains(job.spec.id()) && allowed(job, spec, m);
     }
 
     /**
@@ -60,13 +60,13 @@
         return false;
     }
 
-    /** The best machine with room for a task of an array, or null; {@code s}: what that task takes. */
-    public static Machine choose(Job job, JobSpec s, Collection<Machine> machines, long now) {
+    /** The best machine with room for a task of an array, or null; {@code spec}: what that task takes. */
+    public static Machine choose(Job job, JobSpec spec, Collection<Machine> machines, long now) {
         Machine best = null;
         double bestScore = 0;
         for (Machine m : machines) {
-            if (m.hasRoom(s) && possible(job, s, m, now)) {
-                double score = arrayScore(s, m);
+            if (m.hasRoom(spec) && possible(job, spec, m, now)) {
+                double score = arrayScore(spec, m);
                 if (best == null || score > bestScore) {
                     best = m;
                     bestScore = score;
@@ -84,8 +84,8 @@
     }
 
     /** Higher is better: the image's fetch time first, then the right kind, tight packing. */
-    private static double arrayScore(JobSpec s, Machine m) {
-        return -fetchS(s, m)
+    private static double arrayScore(JobSpec spec, Machine m) {
+        return -fetchS(spec, m)
                 + 2 * m.usedCpus / m.type.cpus()
                 + (m.spot ? 3 : 0)
                 - (m.surplus ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
@@ -105,10 +105,10 @@
     }
 
     /** Seconds until the image is there, more if others are being fetched. */
-    private static double fetchS(JobSpec s, Machine m) {
-        return m.images.containsKey(s.image())
+    private static double fetchS(JobSpec spec, Machine m) {
+        return m.images.containsKey(spec.image())
                 ? 0
-                : s.imageGb() / m.type.fetchGbPerS() * (fetching(m, s.image()) ? 0.6 : 1 + 0.5 * fetches(m));
+                : spec.imageGb() / m.type.fetchGbPerS() * (fetching(m, spec.image()) ? 0.6 : 1 + 0.5 * fetches(m));
     }
 
     private static boolean fetching(Machine m, String image) {
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -25,7 +25,7 @@
 
     /** What answers a request; it may answer later, but always on the event loop. */
     public interface Service {
-        void handle(String method, String target, byte[] body, Consumer<ServerResponse> answer);
+        void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder);
     }
 
     private HttpServer() {}
--- a/src/main/java/org/hollypick/io/XnioEventLoop.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -44,7 +44,7 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final Map<String, Pool> pools = new HashMap<>();
-    private final ConnectionBudget sockets;
+    private final ConnectionBudget connections;
     private final Set<String> control;
     private final int idleMax;
     private final Connecting connecting;
@@ -57,10 +57,14 @@
      * open for later use.
      */
     public XnioEventLoop(
-            XnioIoThread thread, ByteBufferPool buffers, ConnectionBudget sockets, Set<String> control, int idleMax) {
+            XnioIoThread thread,
+            ByteBufferPool buffers,
+            ConnectionBudget connections,
+            Set<String> control,
+            int idleMax) {
         this.thread = thread;
         this.buffers = buffers;
-        this.sockets = sockets;
+        this.connections = connections;
         this.control = control;
         this.idleMax = idleMax;
         this.connecting = new Connecting(thread);
@@ -129,10 +133,10 @@
     }
 
     @Override
-    public void call(Request call, Consumer<Response> reply) {
+    public void call(Request call, Consumer<Response> callback) {
         // Long watches have connections of their own, so that nothing waits behind them.
         String key = call.path().startsWith("/watch") ? call.address() + "#watch" : call.address();
-        pools.computeIfAbsent(key, Pool::new).submit(new Exchange(call, reply));
+        pools.computeIfAbsent(key, Pool::new).submit(new Exchange(call, callback));
     }
 
     private final class Pool {
@@ -174,10 +178,10 @@
                 }
                 IoUtils.safeClose(c);
             }
-            if (!sockets.room(x.kind)) {
+            if (!connections.room(x.kind)) {
                 dropEldest(idle.size() - 1);
             }
-            if (sockets.room(x.kind) || x.kind == ConnectionBudget.Kind.CONTROL) {
+            if (connections.room(x.kind) || x.kind == ConnectionBudget.Kind.CONTROL) {
                 x.connect();
             } else {
                 x.lack("no socket left");
@@ -225,7 +229,7 @@
     /** One request and its reply; finishes exactly once. */
     private final class Exchange {
         private final Request call;
-        private final Consumer<Response> reply;
+        private final Consumer<Response> callback;
         private Pool pool;
         private XnioExecutor.Key timer;
         private ClientConnection connection;
@@ -236,9 +240,9 @@
         private boolean sent;
         private boolean finished;
 
-        Exchange(Request call, Consumer<Response> reply) {
+        Exchange(Request call, Consumer<Response> callback) {
             this.call = call;
-            this.reply = reply;
+            this.callback = callback;
         }
 
         /** The time is over. If this process was held up, what came in meanwhile is read before that counts. */
@@ -262,16 +266,16 @@
         void lack(String what) {
             if (!told) {
                 told = true;
-                LOG.info("calls not sent first={} sockets={}", what, sockets);
+                LOG.info("calls not sent first={} sockets={}", what, connections);
             }
             end(Response.noCapacity(), false);
         }
 
-        void finish(Response r) {
-            end(r, false);
+        void finish(Response response) {
+            end(response, false);
         }
 
-        private void end(Response r, boolean reusable) {
+        private void end(Response response, boolean reusable) {
             if (finished) {
                 return;
             }
@@ -287,16 +291,16 @@
                 pool.release(reusable ? connection : null);
             }
             // Never inside the caller's own call: replies always come as events of their own.
-            thread.execute(guarded(() -> reply.accept(r)));
+            thread.execute(guarded(() -> callback.accept(response)));
         }
 
         void connect() {
-            sockets.opened(kind);
+            connections.opened(kind);
             boolean[] counted = {true};
             Runnable uncount = () -> {
                 if (counted[0]) {
                     counted[0] = false;
-                    sockets.closed(kind);
+                    connections.closed(kind);
                 }
             };
             connecting.attempt = null;
--- a/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
+++ b/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
@@ -11,7 +11,7 @@
 public final class PeerRequestDispatcher {
     /** {@code body}: null if it isn't JSON. */
     public interface Question {
-        void ask(JsonNode body, Consumer<ServerResponse> answer);
+        void ask(JsonNode body, Consumer<ServerResponse> responder);
     }
 
     private final Map<String, Question> questions = new HashMap<>();
@@ -20,12 +20,12 @@
         questions.put(path, question);
     }
 
-    public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> answer) {
+    public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> responder) {
         Question question = method.equals("POST") ? questions.get(path) : null;
         if (question == null) {
-            answer.accept(ServerResponse.error(404, "no such path"));
+            responder.accept(ServerResponse.error(404, "no such path"));
         } else {
-            question.ask(Codec.read(bytes, true), answer);
+            question.ask(Codec.read(bytes, true), responder);
         }
     }
 }
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -39,7 +39,7 @@
         WATCH
     }
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Request probe;
     private final List<Settings.Sibling> peers;
     private final RouteSelector route;
@@ -49,46 +49,46 @@
     private int passing;
 
     /** {@code probe}: a small call that shows whether the service answers directly. */
-    public RequestRouter(EventLoop runtime, List<Settings.Sibling> peers, Request probe) {
-        this.runtime = runtime;
+    public RequestRouter(EventLoop eventLoop, List<Settings.Sibling> peers, Request probe) {
+        this.eventLoop = eventLoop;
         this.peers = peers;
         this.probe = probe;
-        this.route = new RouteSelector(peers.size(), runtime.now());
+        this.route = new RouteSelector(peers.size(), eventLoop.now());
     }
 
     private final class Pending {
         private final Request call;
         private final Kind kind;
-        private Consumer<Response> reply;
+        private Consumer<Response> callback;
         private int peer = DIRECT;
 
-        Pending(Request call, Kind kind, Consumer<Response> reply) {
+        Pending(Request call, Kind kind, Consumer<Response> callback) {
             this.call = call;
             this.kind = kind;
-            this.reply = reply;
+            this.callback = callback;
         }
 
         /** The first answer counts. */
         void end(Response r) {
             waiting.remove(this);
-            if (reply != null) {
-                Consumer<Response> to = reply;
-                reply = null;
+            if (callback != null) {
+                Consumer<Response> to = callback;
+                callback = null;
                 to.accept(r);
             }
         }
 
         boolean over() {
-            return reply == null;
+            return callback == null;
         }
     }
 
-    public void call(Request call, Kind kind, Consumer<Response> reply) {
-        send(new Pending(call, kind, reply));
+    public void call(Request call, Kind kind, Consumer<Response> callback) {
+        send(new Pending(call, kind, callback));
     }
 
     private void send(Pending p) {
-        int peer = route.peer(runtime.now());
+        int peer = route.peer(eventLoop.now());
         if (peer < 0) {
             direct(p);
         } else if (p.kind == Kind.WATCH && !route.proven(peer)) {
@@ -105,15 +105,15 @@
     }
 
     private void direct(Pending p) {
-        long sent = runtime.now();
+        long sent = eventLoop.now();
         p.peer = DIRECT;
         waiting.add(p);
-        runtime.call(p.call, r -> {
+        eventLoop.call(p.call, r -> {
             heard(r, sent);
             p.end(r);
         });
         if (p.kind != Kind.WATCH) {
-            runtime.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
+            eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
                 if (waiting.contains(p) && p.peer == DIRECT) {
                     bad(sent);
                 }
@@ -127,7 +127,7 @@
             if (!route.direct()) {
                 LOG.info("the state service is reached directly again");
             }
-            route.answered(runtime.now());
+            route.answered(eventLoop.now());
         } else if (r.status() != Response.NO_CAPACITY) {
             bad(sent);
         }
@@ -139,7 +139,7 @@
             probeAgain();
             endWatches(DIRECT);
             for (Pending p : new ArrayList<>(waiting)) {
-                if (p.kind == Kind.REPEATABLE && p.peer == DIRECT && route.peer(runtime.now()) >= 0) {
+                if (p.kind == Kind.REPEATABLE && p.peer == DIRECT && route.peer(eventLoop.now()) >= 0) {
                     send(p);
                 }
             }
@@ -147,10 +147,10 @@
     }
 
     private void probeAgain() {
-        runtime.after(ReachabilityConstants.ROUTE_RETRY_MS, () -> {
+        eventLoop.after(ReachabilityConstants.ROUTE_RETRY_MS, () -> {
             if (!route.direct()) {
-                long sent = runtime.now();
-                runtime.call(probe, r -> heard(r, sent));
+                long sent = eventLoop.now();
+                eventLoop.call(probe, r -> heard(r, sent));
                 probeAgain();
             }
         });
@@ -167,7 +167,7 @@
         if (p.kind == Kind.WATCH) {
             waiting.add(p);
         }
-        runtime.call(
+        eventLoop.call(
                 new Request(
                         peers.get(peer).addr(),
                         "POST",
@@ -198,7 +198,7 @@
                     }
                 });
         if (p.kind != Kind.WATCH) {
-            runtime.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
+            eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
                 if (!answered[0] && !p.over()) {
                     peerFailed(peer);
                     if (p.kind == Kind.REPEATABLE) {
@@ -210,7 +210,7 @@
     }
 
     private void peerFailed(int peer) {
-        route.peerFailed(peer, runtime.now());
+        route.peerFailed(peer, eventLoop.now());
         endWatches(peer);
     }
 
@@ -227,9 +227,9 @@
      * Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in
      * circles.
      */
-    public void pass(JsonNode body, Consumer<ServerResponse> answer) {
+    public void pass(JsonNode body, Consumer<ServerResponse> responder) {
         if (body == null || !route.direct() || passing >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
-            answer.accept(ServerResponse.retryLater("no way from here"));
+            responder.accept(ServerResponse.retryLater("no way from here"));
             return;
         }
         passing++;
@@ -240,13 +240,13 @@
                 body.path("path").asText(),
                 content.isNull() || content.isMissingNode() ? null : content,
                 Math.min(body.path("timeout_ms").asLong(), ReachabilityConstants.FORWARDED_REQUEST_TIMEOUT_MS));
-        long sent = runtime.now();
-        runtime.call(call, r -> {
+        long sent = eventLoop.now();
+        eventLoop.call(call, r -> {
             passing--;
             heard(r, sent);
             ObjectNode told = Codec.object().put("status", r.status());
             told.set("body", r.body().isMissingNode() ? null : r.body());
-            answer.accept(ServerResponse.of(200, told));
+            responder.accept(ServerResponse.of(200, told));
         });
     }
 }
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -123,41 +123,41 @@
         };
     }
 
-    public static ObjectNode write(JobSpec s) {
+    public static ObjectNode write(JobSpec spec) {
         ObjectNode b = Codec.object()
-                .put("name_id", s.id())
-                .put("jobkind", s.jobClass())
-                .put("owner", s.team().isEmpty() ? null : s.team())
-                .put("shape", s.service() ? "standing" : "batch")
+                .put("name_id", spec.id())
+                .put("jobkind", spec.jobClass())
+                .put("owner", spec.team().isEmpty() ? null : spec.team())
+                .put("shape", spec.service() ? "standing" : "batch")
                 .put(
                         "rank",
-                        switch (s.priority()) {
+                        switch (spec.priority()) {
                             case PRODUCTION -> "prod";
                             case HIGH -> "urgent";
                             case NORMAL -> "standard";
                             case LOW -> "low";
                         })
-                .put("shards", s.tasks())
-                .put("cores", s.cpus())
-                .put("gpus", s.gpus())
-                .put("ram_gb", s.memory());
-        if (s.types() != null) {
+                .put("shards", spec.tasks())
+                .put("cores", spec.cpus())
+                .put("gpus", spec.gpus())
+                .put("ram_gb", spec.memory());
+        if (spec.types() != null) {
             ArrayNode types = b.putArray("flavours");
-            s.types().forEach(types::add);
+            spec.types().forEach(types::add);
         }
-        if (s.zone() != null) {
-            b.put("hall", s.zone());
+        if (spec.zone() != null) {
+            b.put("hall", spec.zone());
         }
-        b.put("together", s.oneZone())
-                .put("spread", s.spread())
-                .put("lendable", s.spot())
-                .put("bundle", s.image())
-                .put("pull_gb", s.imageGb())
-                .put("expect_s", s.estimateS())
-                .put("bookmark_s", s.checkpointS())
-                .put("stow_s", s.saveS());
-        if (!Double.isNaN(s.dueS())) {
-            b.put("due_s", s.dueS());
+        b.put("together", spec.oneZone())
+                .put("spread", spec.spread())
+                .put("lendable", spec.spot())
+                .put("bundle", spec.image())
+                .put("pull_gb", spec.imageGb())
+                .put("expect_s", spec.estimateS())
+                .put("bookmark_s", spec.checkpointS())
+                .put("stow_s", spec.saveS());
+        if (!Double.isNaN(spec.dueS())) {
+            b.put("due_s", spec.dueS());
         }
         return b;
     }
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -69,13 +69,13 @@
      * All that a live job awaits. Of a part that isn't there the key stands in: no such job is ever done, so nothing
      * starts.
      */
-    public static List<String> awaits(JsonNode record, StoreReplica view) {
+    public static List<String> awaits(JsonNode record, StoreReplica replica) {
         List<String> ids = new ArrayList<>();
         record.path(AWAITS).forEach(id -> ids.add(id.asText()));
         JsonNode more = record.path(MORE);
         for (int i = 0; i < more.path("parts").asInt(); i++) {
             String key = partKey(more.path("key").asText(), i);
-            StoreReplica.Entry part = view.get(key);
+            StoreReplica.Entry part = replica.get(key);
             if (part == null) {
                 ids.add(key);
             } else {
@@ -115,12 +115,12 @@
 
     // ---- machines and progress ----
 
-    public static JsonNode machine(Machine m) {
+    public static JsonNode machine(Machine machine) {
         return Codec.object()
-                .put("type", m.type.name())
-                .put("zone", m.zone)
-                .put("spot", m.spot)
-                .put("addr", m.address);
+                .put("type", machine.type.name())
+                .put("zone", machine.zone)
+                .put("spot", machine.spot)
+                .put("addr", machine.address);
     }
 
     public static String text(BitSet bits) {
