--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -17,17 +17,17 @@
     private int jobs;
 
     private static ClusterScenario day(long seed) {
-        ClusterScenario day = new ClusterScenario(
+        ClusterScenario scenario = new ClusterScenario(
                 seed,
                 2,
                 null,
                 new ClusterScenario.Limits(2_048, 4, 25),
                 (r, s) -> new Controller(r, s, OperatorSettings.parse("{:estimates true}")));
-        day.play(5_000);
-        return day;
+        scenario.play(5_000);
+        return scenario;
     }
 
-    private String array(ClusterScenario day, int tasks, String... awaits) {
+    private String array(ClusterScenario scenario, int tasks, String... awaits) {
         String id = String.format("req-6%05d", jobs++);
         ObjectNode b = Codec.object()
                 .put("name_id", id)
@@ -50,15 +50,15 @@
         for (String other : awaits) {
             b.withArray("awaits").add(other);
         }
-        assertEquals(201, day.ask("POST", "/submissions", b).status());
+        assertEquals(201, scenario.ask("POST", "/submissions", b).status());
         return id;
     }
 
-    private static JsonNode estimate(ClusterScenario day, String id) {
-        Response r = day.ask("GET", "/submissions/" + id + "/estimate", null);
+    private static JsonNode estimate(ClusterScenario scenario, String id) {
+        Response r = scenario.ask("GET", "/submissions/" + id + "/estimate", null);
         for (int i = 0; i < 200 && r.status() != 200; i++) {
-            day.play(200);
-            r = day.ask("GET", "/submissions/" + id + "/estimate", null);
+            scenario.play(200);
+            r = scenario.ask("GET", "/submissions/" + id + "/estimate", null);
         }
         assertEquals(200, r.status());
         return r.body();
@@ -68,12 +68,12 @@
         return estimate.path("done_in_s").path("p50").asDouble();
     }
 
-    private void learn(ClusterScenario day) {
+    private void learn(ClusterScenario scenario) {
         for (int i = 0; i < 6; i++) {
-            array(day, 12);
-            day.play(25_000);
+            array(scenario, 12);
+            scenario.play(25_000);
         }
-        day.play(40_000);
+        scenario.play(40_000);
     }
 
     @Test
@@ -81,28 +81,28 @@
         int inside = 0;
         int all = 0;
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario day = day(seed);
-            learn(day);
+            ClusterScenario scenario = day(seed);
+            learn(scenario);
             for (int i = 0; i < 4; i++) {
-                String id = array(day, 10);
-                day.play(1_000);
-                JsonNode told = estimate(day, id).path("done_in_s");
-                long from = day.world.now;
-                while (!day.ask("GET", "/submissions/" + id, null)
+                String id = array(scenario, 10);
+                scenario.play(1_000);
+                JsonNode told = estimate(scenario, id).path("done_in_s");
+                long from = scenario.world.now;
+                while (!scenario.ask("GET", "/submissions/" + id, null)
                         .body()
                         .path("status")
                         .asText()
                         .equals("done")) {
-                    day.play(100);
+                    scenario.play(100);
                 }
-                double took = (day.world.now - from) / 1000.0;
+                double took = (scenario.world.now - from) / 1000.0;
                 all++;
                 inside += took >= told.path("p10").asDouble() * 0.8
                                 && took <= told.path("p90").asDouble() * 1.25
                         ? 1
                         : 0;
             }
-            assertEquals(List.of(), day.checker.broken);
+            assertEquals(List.of(), scenario.checker.broken);
         }
         System.out.println("arrays done within a quarter of their band: " + inside + " of " + all);
         assertTrue(inside >= all * 0.6, inside + " of " + all);
@@ -112,41 +112,44 @@
     @Test
     void whatWasLearnedOutlivesEveryController() {
         for (int trouble = 0; trouble < 4; trouble++) {
-            ClusterScenario day = day(20 + trouble);
-            learn(day);
-            int before = estimate(day, array(day, 8)).path("history").path("n").asInt();
+            ClusterScenario scenario = day(20 + trouble);
+            learn(scenario);
+            int before = estimate(scenario, array(scenario, 8))
+                    .path("history")
+                    .path("n")
+                    .asInt();
             assertTrue(before >= 20, "learned " + before);
             switch (trouble) {
-                case 0 -> day.crash(day.leader(), 9_000);
-                case 1 -> day.crashAll();
+                case 0 -> scenario.crash(scenario.leader(), 9_000);
+                case 1 -> scenario.crashAll();
                 case 2 -> {
-                    day.state.outage(12_000);
-                    day.world.at(3_000, day::crashAll);
+                    scenario.state.outage(12_000);
+                    scenario.world.at(3_000, scenario::crashAll);
                 }
                 default -> {
-                    day.tighten();
-                    day.play(30_000);
-                    day.crash(day.leader(), 9_000);
+                    scenario.tighten();
+                    scenario.play(30_000);
+                    scenario.crash(scenario.leader(), 9_000);
                 }
             }
-            day.play(40_000);
-            String after = array(day, 8);
-            JsonNode told = estimate(day, after);
+            scenario.play(40_000);
+            String after = array(scenario, 8);
+            JsonNode told = estimate(scenario, after);
             assertTrue(told.path("history").path("n").asInt() >= 20, "trouble " + trouble + ": " + told);
-            assertEquals(0, day.state.tooLarge);
-            assertEquals(List.of(), day.checker.broken);
+            assertEquals(0, scenario.state.tooLarge);
+            assertEquals(List.of(), scenario.checker.broken);
         }
     }
 
     @Test
     void whatAJobAwaitsIsPartOfItsTime() {
-        ClusterScenario day = day(3);
-        learn(day);
-        String first = array(day, 8);
-        String second = array(day, 8, first);
-        day.play(500);
-        JsonNode one = estimate(day, first);
-        JsonNode both = estimate(day, second);
+        ClusterScenario scenario = day(3);
+        learn(scenario);
+        String first = array(scenario, 8);
+        String second = array(scenario, 8, first);
+        scenario.play(500);
+        JsonNode one = estimate(scenario, first);
+        JsonNode both = estimate(scenario, second);
         assertTrue(p50(both) > p50(one) + 3, one + " and " + both);
         assertEquals("what it awaits", both.path("reason").asText());
     }
@@ -154,21 +157,22 @@
     /** A record that can't be read is set aside, and one of a newer format is left as it is. */
     @Test
     void strangeRecordsAreLeftAlone() {
-        ClusterScenario day = day(4);
-        learn(day);
+        ClusterScenario scenario = day(4);
+        learn(scenario);
         ObjectNode newer = Codec.object().put("v", 99).put("new", "format");
         ObjectNode broken = Codec.object().put("v", 1);
         broken.putArray("kinds").add(7);
         for (int slot = 0; slot < 8; slot++) {
-            day.state.store("h/e/" + slot, slot % 2 == 0 ? newer : broken);
+            scenario.state.store("h/e/" + slot, slot % 2 == 0 ? newer : broken);
         }
-        day.crash(day.leader(), 9_000);
-        day.play(30_000);
-        learn(day);
-        assertTrue(estimate(day, array(day, 4)).path("history").path("n").asInt() > 5);
+        scenario.crash(scenario.leader(), 9_000);
+        scenario.play(30_000);
+        learn(scenario);
+        assertTrue(
+                estimate(scenario, array(scenario, 4)).path("history").path("n").asInt() > 5);
         for (int slot = 0; slot < 8; slot += 2) {
-            assertEquals(newer, day.state.data("h/e/" + slot));
+            assertEquals(newer, scenario.state.data("h/e/" + slot));
         }
-        assertEquals(List.of(), day.checker.broken);
+        assertEquals(List.of(), scenario.checker.broken);
     }
 }
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -30,7 +30,7 @@
 final class SimulatedWorld {
     /** Something with an address. */
     interface Endpoint {
-        void request(String method, String path, JsonNode body, Consumer<Response> reply);
+        void request(String method, String path, JsonNode body, Consumer<Response> callback);
 
         /** False refuses connections. */
         default boolean listens() {
@@ -210,14 +210,14 @@
     }
 
     /** Sends a request from one host to an address; the reply comes exactly once. */
-    void send(String from, Request call, Consumer<Response> reply) {
+    void send(String from, Request call, Consumer<Response> callback) {
         played.putLong(now)
                 .putString(from + call.address() + call.method() + call.path() + call.body(), StandardCharsets.UTF_8);
         boolean[] over = {false};
         Consumer<Response> once = r -> {
             if (!over[0]) {
                 over[0] = true;
-                reply.accept(r);
+                callback.accept(r);
             }
         };
         String link = link(from, call.address());
@@ -423,7 +423,7 @@
         }
 
         @Override
-        public void call(Request call, Consumer<Response> reply) {
+        public void call(Request call, Consumer<Response> callback) {
             if (trap.test(call)) {
                 trap = c -> false;
                 freeze(trapMs);
@@ -433,7 +433,7 @@
                     : ConnectionBudget.Kind.ORDERS;
             if (sockets != null) {
                 if (kind == ConnectionBudget.Kind.ORDERS && !sockets.room(kind)) {
-                    at(0, () -> awake(() -> reply.accept(Response.noCapacity())));
+                    at(0, () -> awake(() -> callback.accept(Response.noCapacity())));
                     return;
                 }
                 sockets.opened(kind);
@@ -442,7 +442,7 @@
                 if (sockets != null) {
                     sockets.closed(kind);
                 }
-                awake(() -> reply.accept(r));
+                awake(() -> callback.accept(r));
             };
             out(() -> {
                 if (call.validWhile().getAsBoolean()) {
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -86,86 +86,86 @@
     }
 
     private static ClusterScenario faults(int seed, int size) {
-        ClusterScenario day = new ClusterScenario(seed, size);
-        day.submitSome(30, 100_000);
-        day.drawFaults(10, 20_000, 150_000);
-        day.play(220_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed, size);
+        scenario.submitSome(30, 100_000);
+        scenario.drawFaults(10, 20_000, 150_000);
+        scenario.play(220_000);
+        return scenario;
     }
 
     private static ClusterScenario combinedFaults(int seed) {
-        ClusterScenario day = new ClusterScenario(seed);
-        day.submitSome(25, 100_000);
-        day.drawMeetings(4, 20_000, 110_000);
-        day.play(300_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed);
+        scenario.submitSome(25, 100_000);
+        scenario.drawMeetings(4, 20_000, 110_000);
+        scenario.play(300_000);
+        return scenario;
     }
 
     private static ClusterScenario answers(int seed) {
-        ClusterScenario day = new ClusterScenario(seed);
-        day.submitSome(25, 100_000);
-        day.closeLooks();
-        day.oddRequests(20, 120_000);
-        day.drawAnswerTroubles(6, 20_000, 120_000);
-        day.play(240_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed);
+        scenario.submitSome(25, 100_000);
+        scenario.closeLooks();
+        scenario.oddRequests(20, 120_000);
+        scenario.drawAnswerTroubles(6, 20_000, 120_000);
+        scenario.play(240_000);
+        return scenario;
     }
 
     private static ClusterScenario pipelines(int seed) {
-        ClusterScenario day = withOperator(seed, "{}");
-        day.submitSome(20, 100_000);
-        day.pipelines(6, 90_000);
-        day.world.at(60_000, day::tighten);
-        day.drawFaults(6, 20_000, 150_000);
-        day.play(240_000);
-        return day;
+        ClusterScenario scenario = withOperator(seed, "{}");
+        scenario.submitSome(20, 100_000);
+        scenario.pipelines(6, 90_000);
+        scenario.world.at(60_000, scenario::tighten);
+        scenario.drawFaults(6, 20_000, 150_000);
+        scenario.play(240_000);
+        return scenario;
     }
 
     private static ClusterScenario graphs(int seed) {
-        ClusterScenario day = withOperator(seed, "{:graphs true}");
+        ClusterScenario scenario = withOperator(seed, "{:graphs true}");
         for (int i = 0; i < 5; i++) {
-            GraphUser user = new GraphUser(day, String.format("req-7%05d", i), 3, 3);
-            day.world.at(3_000 + day.world.random.nextInt(50_000), user::start);
+            GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
+            scenario.world.at(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (i == 1) {
-                day.world.at(30_000 + day.world.random.nextInt(60_000), user::withdraw);
+                scenario.world.at(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
             } else if (i == 2) {
-                day.world.at(30_000 + day.world.random.nextInt(40_000), user::withdrawNode);
+                scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
             }
         }
-        day.submitSome(8, 60_000);
-        day.drawFaults(6, 10_000, 120_000);
-        day.play(330_000);
-        return day;
+        scenario.submitSome(8, 60_000);
+        scenario.drawFaults(6, 10_000, 120_000);
+        scenario.play(330_000);
+        return scenario;
     }
 
     private static ClusterScenario estimates(int seed) {
-        ClusterScenario day = withOperator(seed, "{:estimates true}");
-        day.submitSome(25, 100_000);
+        ClusterScenario scenario = withOperator(seed, "{:estimates true}");
+        scenario.submitSome(25, 100_000);
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
             int node = i % 3;
-            day.world.at(5_000 + i * 4_000L, () -> day.lookAt(node, path.split("/")[2], path));
+            scenario.world.at(5_000 + i * 4_000L, () -> scenario.lookAt(node, path.split("/")[2], path));
         }
-        day.drawFaults(5, 20_000, 120_000);
-        day.play(220_000);
-        return day;
+        scenario.drawFaults(5, 20_000, 120_000);
+        scenario.play(220_000);
+        return scenario;
     }
 
     private static ClusterScenario quickRestarts(int seed) {
-        ClusterScenario day = new ClusterScenario(seed, 4);
-        day.submitSome(25, 100_000);
+        ClusterScenario scenario = new ClusterScenario(seed, 4);
+        scenario.submitSome(25, 100_000);
         for (int i = 0; i < 8; i++) {
             int node = i % 3;
-            long back = 50L + day.world.random.nextInt(300);
-            day.world.at(15_000 + i * 9_000L, () -> day.crash(node, back));
+            long back = 50L + scenario.world.random.nextInt(300);
+            scenario.world.at(15_000 + i * 9_000L, () -> scenario.crash(node, back));
         }
-        day.world.at(100_000, day::crashAll);
-        day.play(200_000);
-        return day;
+        scenario.world.at(100_000, scenario::crashAll);
+        scenario.play(200_000);
+        return scenario;
     }
 
     private static ClusterScenario twoTeams(int seed) {
-        ClusterScenario day = new ClusterScenario(
+        ClusterScenario scenario = new ClusterScenario(
                 seed,
                 1,
                 null,
@@ -174,49 +174,49 @@
                         r,
                         ClusterScenario.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
                         OperatorSettings.defaults()));
-        day.owners = List.of("team", TWO_TEAMS_OTHER);
-        day.cancelledOf = 2;
-        day.submitSome(40, 100_000);
-        day.drawMeetings(3, 20_000, 110_000);
-        day.play(280_000);
-        return day;
+        scenario.owners = List.of("team", TWO_TEAMS_OTHER);
+        scenario.cancelledOf = 2;
+        scenario.submitSome(40, 100_000);
+        scenario.drawMeetings(3, 20_000, 110_000);
+        scenario.play(280_000);
+        return scenario;
     }
 
     private static ClusterScenario partition(int seed) {
-        ClusterScenario day = new ClusterScenario(seed, 4).withRunningServices();
-        day.controllerInZone(1, "b");
-        day.submitSome(20, 80_000);
-        day.cutZone("b", seed % 2 == 0 ? 25_000 : 50_000);
-        day.play(120_000);
-        day.cutFromWorkers(day.leader(), 40_000);
-        day.play(90_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed, 4).withRunningServices();
+        scenario.controllerInZone(1, "b");
+        scenario.submitSome(20, 80_000);
+        scenario.cutZone("b", seed % 2 == 0 ? 25_000 : 50_000);
+        scenario.play(120_000);
+        scenario.cutFromWorkers(scenario.leader(), 40_000);
+        scenario.play(90_000);
+        return scenario;
     }
 
     private static ClusterScenario outage(int seed) {
-        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
-        day.submitSome(20, 80_000);
-        day.state.outage(60_000);
-        day.play(180_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
+        scenario.submitSome(20, 80_000);
+        scenario.state.outage(60_000);
+        scenario.play(180_000);
+        return scenario;
     }
 
     private static ClusterScenario leadersChange(int seed) {
-        ClusterScenario day = new ClusterScenario(seed).withRunningServices();
-        day.submitSome(20, 80_000);
-        day.changeLeaders(10, 10_000);
-        day.play(200_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
+        scenario.submitSome(20, 80_000);
+        scenario.changeLeaders(10, 10_000);
+        scenario.play(200_000);
+        return scenario;
     }
 
     /** Begins with the version in production and is rolled over to this one. */
     private static ClusterScenario fromProduction(int seed) {
-        ClusterScenario day =
+        ClusterScenario scenario =
                 new ClusterScenario(seed, 1, production(), new ClusterScenario.Limits(2_048, 4, 25), version("{}"));
-        day.submitSome(25, 100_000);
-        day.roll(30_000, 12_000);
-        day.play(220_000);
-        return day;
+        scenario.submitSome(25, 100_000);
+        scenario.roll(30_000, 12_000);
+        scenario.play(220_000);
+        return scenario;
     }
 
     private static ProductionVersion production() {
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -55,18 +55,18 @@
         }
 
         @Override
-        public void call(Request call, Consumer<Response> reply) {
-            calls.add(call);
+        public void call(Request request, Consumer<Response> callback) {
+            calls.add(request);
             ObjectNode body = Codec.object().put("epoch", 1);
-            if (answersEvents && call.path().startsWith("/commit")) {
+            if (answersEvents && request.path().startsWith("/commit")) {
                 changes++;
-            } else if (answersEvents && call.path().startsWith("/watch")) {
+            } else if (answersEvents && request.path().startsWith("/watch")) {
                 ArrayNode events = body.putArray("events");
                 for (; changes > 0; changes--) {
                     events.addObject().put("put", "h/j/1");
                 }
             }
-            after(ANSWER_MS, () -> reply.accept(new Response(200, body)));
+            after(ANSWER_MS, () -> callback.accept(new Response(200, body)));
         }
 
         private void run(long untilMs) {
@@ -84,7 +84,7 @@
     }
 
     private final Service service = new Service();
-    private final KeyValueStoreClient state = new KeyValueStoreClient(service, settings());
+    private final KeyValueStoreClient store = new KeyValueStoreClient(service, settings());
 
     private static Settings settings() {
         List<Settings.Sibling> others =
@@ -115,12 +115,12 @@
     @Test
     void readsDoNotWaitBehindChanges() {
         for (int i = 0; i < 60; i++) {
-            state.commit(new KeyValueStoreClient.Txn().put("h/j/" + i, Codec.object()), r -> {});
+            store.commit(new KeyValueStoreClient.Txn().put("h/j/" + i, Codec.object()), r -> {});
         }
         service.run(1_000);
         long asked = service.now();
         List<Long> answered = new ArrayList<>();
-        state.get("h/j/0", r -> answered.add(service.now() - asked));
+        store.get("h/j/0", r -> answered.add(service.now() - asked));
         service.run(asked + 200);
         assertEquals(List.of(ANSWER_MS), answered);
         assertTrue(service.sent("/commit") < 60, "changes are still waiting");
@@ -159,13 +159,13 @@
     /** The leader's queue empties at the rate of all controllers while the others change nothing. */
     @Test
     void aLeaderSendsMoreWhileOthersAreQuiet() {
-        state.setLeader(true);
+        store.setLeader(true);
         service.answersEvents = true;
-        state.watch("h/", 0, r -> watchAgain());
+        store.watch("h/", 0, r -> watchAgain());
         for (long at = 0; at < SECONDS * 1_000; at += 50) {
             service.after(
                     at,
-                    () -> state.commit(
+                    () -> store.commit(
                             new KeyValueStoreClient.Txn().put("h/j/" + service.now(), Codec.object()), r -> {}));
         }
         service.run(SECONDS * 1_000);
@@ -173,6 +173,6 @@
     }
 
     private void watchAgain() {
-        service.after(60, () -> state.watch("h/", 0, r -> watchAgain()));
+        service.after(60, () -> store.watch("h/", 0, r -> watchAgain()));
     }
 }
