--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -13,6 +13,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.BiConsumer;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
@@ -52,6 +53,10 @@
 
     static final long LOST = -1;
 
+    private static final String HEARTBEAT_PATH = "/hello";
+    private static final String COMMIT_PATH = "/commit";
+    private static final String WATCH_PATH = "/watch";
+
     final Random random;
     long now = 1_000;
     private long seq;
@@ -179,7 +184,7 @@
 
     /** The same request once more, after a while, to another address; nobody gets its answer. */
     private void copy(Request call) {
-        if (call.path().equals("/hello") && copyShare > 0 && random.nextDouble() < copyShare) {
+        if (call.path().equals(HEARTBEAT_PATH) && copyShare > 0 && random.nextDouble() < copyShare) {
             String to = "p" + random.nextInt(3) + ":1";
             at(1_000 + random.nextInt(60_000), () -> deliverOnce(call, to));
         }
@@ -209,84 +214,117 @@
         return digest;
     }
 
-    /** Sends a request from one host to an address; the reply comes exactly once. */
+    /** Sends a request from one host to an address; the response comes exactly once. */
     void send(String from, Request call, Consumer<Response> callback) {
         played.putLong(now)
                 .putString(from + call.address() + call.method() + call.path() + call.body(), StandardCharsets.UTF_8);
-        boolean[] over = {false};
-        Consumer<Response> once = r -> {
-            if (!over[0]) {
-                over[0] = true;
-                callback.accept(r);
-            }
-        };
-        String link = link(from, call.address());
-        Endpoint e = endpoints.get(call.address());
-        if (e == null || !e.listens()) {
+        Consumer<Response> once = onlyFirst(callback);
+        Endpoint endpoint = endpoints.get(call.address());
+        if (endpoint == null || !endpoint.listens()) {
             at(1, () -> once.accept(Response.notSent()));
             return;
         }
         at(call.timeoutMs(), () -> once.accept(Response.noAnswer()));
         copy(call);
-        if (call.path().equals("/hello")) {
+        if (call.path().equals(HEARTBEAT_PATH)) {
             reporting.accept(call);
         }
-        long heldUpMs = heldUp.applyAsLong(from, call);
-        if (heldUpMs != 0) {
-            if (heldUpMs != LOST) {
-                at(heldUpMs, () -> deliverOnce(call, call.address()));
+        if (!isHeldUp(from, call) && !isRefused(from, call, once) && !isLateWrite(endpoint, call)) {
+            deliver(from, call, endpoint, once);
+        }
+    }
+
+    private static Consumer<Response> onlyFirst(Consumer<Response> callback) {
+        AtomicBoolean answered = new AtomicBoolean();
+        return response -> {
+            if (answered.compareAndSet(false, true)) {
+                callback.accept(response);
             }
-            return;
+        };
+    }
+
+    /** Applies {@link #heldUp}. */
+    private boolean isHeldUp(String from, Request call) {
+        long heldUpMs = heldUp.applyAsLong(from, call);
+        if (heldUpMs != 0 && heldUpMs != LOST) {
+            at(heldUpMs, () -> deliverOnce(call, call.address()));
         }
-        if (refused.contains(from + ">" + call.address())) {
-            at(2, () -> once.accept(new Response(503, Codec.object())));
-            return;
+        return heldUpMs != 0;
+    }
+
+    /** Answers the call with 503 if the address refuses this host. */
+    private boolean isRefused(String from, Request call, Consumer<Response> callback) {
+        boolean isRefused = refused.contains(from + ">" + call.address());
+        if (isRefused) {
+            at(2, () -> callback.accept(new Response(503, Codec.object())));
         }
-        if (lateWriteShare > 0
-                && call.path().equals("/commit")
-                && lateWrites.test(call.body())
-                && random.nextDouble() < lateWriteShare) {
-            at(2_000 + random.nextInt(10_000), () -> e.request(call.method(), call.path(), call.body(), r -> {}));
-            return;
+        return isRefused;
+    }
+
+    /** Draws whether {@link #lateWriteShare} strikes the call; if so, it is carried out later and never answered. */
+    private boolean isLateWrite(Endpoint endpoint, Request call) {
+        boolean isLate = isFaultyWrite(call, lateWriteShare);
+        if (isLate) {
+            at(
+                    2_000 + random.nextInt(10_000),
+                    () -> endpoint.request(call.method(), call.path(), call.body(), response -> {}));
         }
-        boolean unheard = lostAnswerShare > 0
-                && call.path().equals("/commit")
+        return isLate;
+    }
+
+    private boolean isFaultyWrite(Request call, double share) {
+        return share > 0
+                && call.path().equals(COMMIT_PATH)
                 && lateWrites.test(call.body())
-                && random.nextDouble() < lostAnswerShare;
+                && random.nextDouble() < share;
+    }
+
+    private void deliver(String from, Request call, Endpoint endpoint, Consumer<Response> callback) {
+        String link = link(from, call.address());
+        boolean isAnswerLost = isFaultyWrite(call, lostAnswerShare);
         long latency = latency(call.address());
-        int life = e.life();
-        Runnable deliver = () -> {
-            if (!e.listens() || e.life() != life) {
-                return;
+        int life = endpoint.life();
+        Runnable execute = () -> {
+            if (endpoint.listens() && endpoint.life() == life) {
+                endpoint.request(call.method(), call.path(), call.body(), response -> {
+                    played.putLong(now)
+                            .putInt(response.status())
+                            .putString(call.address() + response.body(), StandardCharsets.UTF_8);
+                    if (!isAnswerLost && !answerLost.test(call)) {
+                        sendBack(from, call, response, callback);
+                    }
+                });
             }
-            e.request(call.method(), call.path(), call.body(), r -> {
-                played.putLong(now).putInt(r.status()).putString(call.address() + r.body(), StandardCharsets.UTF_8);
-                if (unheard || answerLost.test(call)) {
-                    return;
-                }
-                Runnable answer = () -> at(latency(call.address()), () -> once.accept(r));
-                if (shut(link, from, call.address(), true)) {
-                    held.computeIfAbsent(link, k -> new ArrayList<>()).add(answer);
-                } else {
-                    answer.run();
-                }
-            });
         };
         if (shut(link, from, call.address(), false)) {
-            held.computeIfAbsent(link, k -> new ArrayList<>()).add(deliver);
-        } else if (lateShare > 0 && !call.path().startsWith("/watch") && random.nextDouble() < lateShare) {
-            at(random.nextInt(60_000), deliver);
+            hold(link, execute);
+        } else if (lateShare > 0 && !call.path().startsWith(WATCH_PATH) && random.nextDouble() < lateShare) {
+            at(random.nextInt(60_000), execute);
         } else {
             at(latency, () -> {
                 if (shut(link, from, call.address(), false)) {
-                    held.computeIfAbsent(link, k -> new ArrayList<>()).add(deliver);
+                    hold(link, execute);
                 } else {
-                    deliver.run();
+                    execute.run();
                 }
             });
         }
     }
 
+    private void sendBack(String from, Request call, Response response, Consumer<Response> callback) {
+        String link = link(from, call.address());
+        Runnable arrive = () -> at(latency(call.address()), () -> callback.accept(response));
+        if (shut(link, from, call.address(), true)) {
+            hold(link, arrive);
+        } else {
+            arrive.run();
+        }
+    }
+
+    private void hold(String link, Runnable delivery) {
+        held.computeIfAbsent(link, key -> new ArrayList<>()).add(delivery);
+    }
+
     /**
      * The runtime of one process; once it is killed nothing of it runs any more. What it decides to send leaves it a
      * millisecond later: if it stands still in between, that goes out, if at all, when it goes on.
