--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -112,17 +112,13 @@
         this.types = types;
         this.membership = membership;
         this.lastTick = eventLoop.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
-        boolean nobodyBefore = membership.terms() == 1;
+        boolean firstTerm = membership.terms() == 1;
         this.own = new LocalHealth(eventLoop.now());
         this.scheduler = new Scheduler(
                 token,
                 settings,
                 operator.firstShare(),
-                new WorkerLeases(
-                        settings,
-                        settings.siblings().stream().map(Settings.Sibling::node).toList(),
-                        eventLoop.now(),
-                        nobodyBefore),
+                workerLeases(settings, eventLoop.now(), firstTerm),
                 operator.estimates());
         if (membership.limitsKept()) {
             scheduler.earlierLeadersKeptLimits();
@@ -139,7 +135,7 @@
                 this::holdsLeaderLease,
                 membership::reachesState,
                 this::pump,
-                nobodyBefore);
+                firstTerm);
         this.registry =
                 new MachineRegistry(eventLoop, replica, store, settings, token, scheduler.terminatedMachines::contains);
         this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
@@ -165,6 +161,12 @@
                 : null;
     }
 
+    private static WorkerLeases workerLeases(Settings settings, long now, boolean firstTerm) {
+        List<String> peers =
+                settings.siblings().stream().map(Settings.Sibling::node).toList();
+        return new WorkerLeases(settings, peers, now, firstTerm);
+    }
+
     /**
      * Starts from the records; the view holds every change up to the leader record's own, and older leaders can make
      * none after it.
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -19,6 +19,7 @@
     private final Scheduler scheduler;
     private String last = "";
 
+    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
     public AttainedServiceStore(
             StoreReplica replica, Settings settings, KeyValueStoreClient store, Scheduler scheduler) {
         this.replica = replica;
@@ -27,6 +28,7 @@
         this.scheduler = scheduler;
     }
 
+    /** Restores the attained service that earlier leaders recorded for the live jobs. */
     public void load() {
         Map<String, Double> sizes = new HashMap<>();
         replica.entries().forEach((key, e) -> {
@@ -45,6 +47,7 @@
         });
     }
 
+    /** Writes the attained service of the live jobs, if it changed since the last successful write. */
     public void write() {
         ObjectNode record = Codec.object();
         ObjectNode sizes = record.putObject("sizes");
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -80,6 +80,7 @@
         }
     }
 
+    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
     public CompletionStore(
             EventLoop eventLoop,
             StoreReplica replica,
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -32,6 +32,7 @@
     private boolean writing;
     private long notBefore;
 
+    /** Writes under the fencing token {@code token}. */
     public DependentCancellation(
             EventLoop eventLoop, StoreReplica replica, KeyValueStoreClient store, Settings settings, long token) {
         this.eventLoop = eventLoop;
@@ -41,10 +42,12 @@
         this.token = token;
     }
 
+    /** Queues the terminal record of a cancelled job; {@code stamp}: the revision of its present record. */
     public void add(String id, long stamp) {
         waiting.put(id, stamp);
     }
 
+    /** Writes queued terminal records, at most one transaction at a time, when the store has capacity to spare. */
     public void flush() {
         waiting.keySet().removeIf(id -> {
             StoreReplica.Entry e = replica.get(StoreKeys.job(id));
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -75,6 +75,10 @@
         }
     }
 
+    /**
+     * {@code changed} runs after each change of a job's state; {@code record} makes a job's terminal record from the
+     * job and its status; {@code ended} receives the id of each job that became terminal.
+     */
     public JobTermination(
             EventLoop eventLoop,
             Scheduler scheduler,
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -44,6 +44,7 @@
     private long nextWrite;
     private int nextSlot;
 
+    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
     public RuntimeStatisticsStore(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -102,6 +103,9 @@
         return new Estimates.Kept(k.path("k").asText(), k.path("n").asLong(), read);
     }
 
+    /**
+     * Writes the next record with new statistics, if the write interval has passed and the store has capacity to spare.
+     */
     public void flush() {
         for (String kind : estimates.takeDirty()) {
             LinkedHashMap<String, Boolean> kinds = slots.get(slot(kind));
