--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -398,13 +398,22 @@
                 .put("p10", round(interval.p10()))
                 .put("p50", round(interval.p50()))
                 .put("p90", round(interval.p90()));
-        b.put("reason", finish.reason())
+        b.put("reason", reason(finish.bottleneck()))
                 .putObject("history")
                 .put("n", interval.runs())
                 .put("from", interval.from());
         return ServerResponse.of(200, b);
     }
 
+    private static String reason(CompletionEstimate.Bottleneck bottleneck) {
+        return switch (bottleneck) {
+            case CAPACITY -> "room";
+            case IMAGE_FETCH -> "image";
+            case RUN_TIME -> "running";
+            case DEPENDENCIES -> "what it awaits";
+        };
+    }
+
     private static double round(double seconds) {
         return Math.round(seconds * 10) / 10.0;
     }
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -1,7 +1,9 @@
 package org.hollypick.cli;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.undertow.Undertow;
 import io.undertow.server.DefaultByteBufferPool;
+import java.io.IOException;
 import java.net.ServerSocket;
 import java.util.List;
 import java.util.Map;
@@ -23,24 +25,45 @@
 import org.xnio.XnioWorker;
 
 /**
- * A node on loopback whose outside systems are all away: it must still answer. The build's class-data archive comes
- * from it.
+ * Starts a controller on loopback while every service that it depends on is unreachable, and checks that it answers
+ * each request with an error of its own. The build also runs it to create the class-data archive.
  */
 final class SelfTest {
+    private static final int REQUEST_TIMEOUT_MS = 5_000;
+    private static final int RESPONSE_WAIT_S = 10;
+    private static final int SOCKETS = 100;
+    private static final int IDLE_CONNECTIONS = 10;
+    private static final int BUFFER_BYTES = 8 * 1024;
+
     private SelfTest() {}
 
+    /** Runs the self-test and ends the process: with exit code 0 if it passed, else with 1. */
     static int run() throws Exception {
-        String users = loopback();
-        String mesh = loopback();
-        String away = loopback();
-        Settings settings = new Settings(
+        String usersAddress = unusedAddress();
+        String peersAddress = unusedAddress();
+        Undertow server =
+                Main.serve(settings(usersAddress, peersAddress, unusedAddress()), OperatorSettings.defaults());
+        XnioEventLoop client = client();
+        boolean passed = true;
+        for (Request request : requests(usersAddress, peersAddress)) {
+            passed &= isRefused(client, request);
+        }
+        server.stop();
+        System.out.println(passed ? "self-test passed" : "self-test failed");
+        // The I/O threads of server and client would keep the process alive.
+        System.exit(passed ? 0 : 1);
+        return 0;
+    }
+
+    private static Settings settings(String usersAddress, String peersAddress, String unreachableAddress) {
+        return new Settings(
                 "self",
                 "zone",
-                users,
-                mesh,
+                usersAddress,
+                peersAddress,
                 List.of(),
-                away,
-                away,
+                unreachableAddress,
+                unreachableAddress,
                 List.of("zone"),
                 Map.of(),
                 List.of(),
@@ -54,48 +77,52 @@
                 8,
                 5,
                 1000);
-        Undertow server = Main.serve(settings, OperatorSettings.defaults());
+    }
+
+    private static XnioEventLoop client() throws Exception {
         XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
-        XnioEventLoop client = new XnioEventLoop(
+        return new XnioEventLoop(
                 worker.getIoThread(),
-                new DefaultByteBufferPool(true, 8 * 1024),
-                new ConnectionBudget(100),
+                new DefaultByteBufferPool(true, BUFFER_BYTES),
+                new ConnectionBudget(SOCKETS),
                 Set.of(),
-                10);
-        boolean ok = true;
-        for (Request request : List.of(
-                Request.of(users, "GET", "/ready", null, 5_000),
-                Request.of(users, "POST", "/submissions", Codec.object().put("name_id", "req-1"), 5_000),
-                Request.of(users, "GET", "/submissions/req-1", null, 5_000),
+                IDLE_CONNECTIONS);
+    }
+
+    /** One request of each kind of client: users, agents and peer controllers. */
+    private static List<Request> requests(String usersAddress, String peersAddress) {
+        ObjectNode heartbeat = Codec.object()
+                .put("bothy", "n-1")
+                .put(WireNames.WORKER_SESSION, 1)
+                .put("tick", 1);
+        return List.of(
+                Request.of(usersAddress, "GET", "/ready", null, REQUEST_TIMEOUT_MS),
                 Request.of(
-                        users,
+                        usersAddress,
                         "POST",
-                        "/hello",
-                        Codec.object()
-                                .put("bothy", "n-1")
-                                .put(WireNames.WORKER_SESSION, 1)
-                                .put("tick", 1),
-                        5_000),
-                new Request(mesh, "GET", "/jobs/req-1", null, 5_000, true))) {
-            BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
-            client.after(0, () -> client.call(request, got::add));
-            Response response = got.poll(10, TimeUnit.SECONDS);
-            ok &= response != null && response.status() >= 400;
-        }
-        server.stop();
-        System.out.println(ok ? "self-test passed" : "self-test failed");
-        System.exit(ok ? 0 : 1);
-        return 0;
+                        "/submissions",
+                        Codec.object().put("name_id", "req-1"),
+                        REQUEST_TIMEOUT_MS),
+                Request.of(usersAddress, "GET", "/submissions/req-1", null, REQUEST_TIMEOUT_MS),
+                Request.of(usersAddress, "POST", "/hello", heartbeat, REQUEST_TIMEOUT_MS),
+                new Request(peersAddress, "GET", "/jobs/req-1", null, REQUEST_TIMEOUT_MS, true));
+    }
+
+    private static boolean isRefused(XnioEventLoop client, Request request) throws InterruptedException {
+        BlockingQueue<Response> responses = new ArrayBlockingQueue<>(1);
+        client.after(0, () -> client.call(request, responses::add));
+        Response response = responses.poll(RESPONSE_WAIT_S, TimeUnit.SECONDS);
+        return response != null && response.status() >= 400;
     }
 
-    private static String loopback() throws Exception {
-        try (ServerSocket s = new ServerSocket(0)) {
-            return "127.0.0.1:" + s.getLocalPort();
+    private static String unusedAddress() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return "127.0.0.1:" + socket.getLocalPort();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
@@ -0,0 +1,40 @@
+package org.hollypick.core.estimate;
+
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.assignment.Machine;
+
+/**
+ * The cores that batch tasks can use at one moment.
+ *
+ * @param usableCores cores of schedulable machines that no service occupies
+ * @param freeCores cores of schedulable machines that nothing occupies
+ * @param bootingCores cores of machines that haven't sent a heartbeat yet
+ * @param bootSeconds seconds until the last of these machines is expected to be up
+ */
+record ClusterCapacity(double usableCores, double freeCores, double bootingCores, double bootSeconds) {
+    private static final double MIN_BOOT_S = 1;
+
+    /** Adds up the scheduler's machines; {@code nowMillis} is the event loop's clock. */
+    static ClusterCapacity of(Scheduler scheduler, long nowMillis) {
+        double usableCores = 0;
+        double freeCores = 0;
+        double bootingCores = 0;
+        double bootSeconds = 0;
+        for (Machine machine : scheduler.machines.values()) {
+            if (machine.schedulable()) {
+                usableCores += machine.type.cpus() - machine.serviceCpus();
+                freeCores += machine.type.cpus() - machine.usedCpus;
+            } else if (!machine.heartbeatReceived && !machine.scalingIn) {
+                double ageSeconds = (nowMillis - machine.createdAt) / 1000.0;
+                bootingCores += machine.type.cpus();
+                bootSeconds = Math.max(bootSeconds, Math.max(MIN_BOOT_S, machine.type.bootS() - ageSeconds));
+            }
+        }
+        return new ClusterCapacity(usableCores, freeCores, bootingCores, bootSeconds);
+    }
+
+    /** Cores that batch tasks can use once the booting machines are up. */
+    double expectedCores() {
+        return usableCores + bootingCores;
+    }
+}
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -17,190 +17,235 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * When a job is likely to be done, from drawn courses of events. Pure; it changes nothing and is worked out only when
- * someone asks.
+ * Estimates when a job will be complete, by a Monte Carlo simulation of the job and of the jobs it depends on. Reads
+ * the scheduler's state and changes nothing; the same state gives the same estimate. One instance serves one query, on
+ * the event loop.
  */
 public final class CompletionEstimate {
-    /** Courses of events: enough for a tenth, and few enough for a busy owner. */
-    private static final int DRAWS = 48;
-    /** Tasks beyond which their sum stands for them. */
-    private static final int TASKS = 1_500;
-    /** Jobs before it, directly or through others, that are followed. */
-    private static final int CHAIN = 200;
+    /** Simulated outcomes of each job: enough for the 10 % quantile, and few enough for a busy leader. */
+    private static final int SAMPLES = 48;
 
-    /** Seconds from now, and what takes the largest part of them. */
-    public record Answer(PredictionInterval interval, String reason) {}
+    /** Jobs that are simulated at most: the job and its direct and indirect dependencies. */
+    private static final int MAX_JOBS = 200;
+
+    private static final double MIN_CPUS = 0.1;
+
+    /** What takes the largest part of the time until a job is complete. */
+    public enum Bottleneck {
+        /** Waiting for free cores. */
+        CAPACITY,
+        /** Fetching the container image. */
+        IMAGE_FETCH,
+        /** Running the tasks. */
+        RUN_TIME,
+        /** Waiting for jobs that it depends on. */
+        DEPENDENCIES
+    }
+
+    /**
+     * An estimate.
+     *
+     * @param interval seconds from now until the job is complete
+     * @param bottleneck what takes the largest part of them
+     */
+    public record Answer(PredictionInterval interval, Bottleneck bottleneck) {}
+
+    /** Seconds that a pending task waits before it runs, by cause. */
+    private record StartDelay(double capacityS, double imageFetchS) {}
+
+    /** Sums core-seconds over callbacks. */
+    private static final class CoreSeconds {
+        private double total;
+    }
 
     private final Scheduler scheduler;
     private final Estimates estimates;
-    private final Function<String, List<String>> awaited;
-    private final long now;
-    /** Cores that arrays can use, those of them that are free, and those that boot. */
-    private double cores;
-
-    private double free;
-    private double booting;
-    private double bootS;
-    private final Map<String, double[]> drawn = new HashMap<>();
+    private final Function<String, List<String>> incompleteDependencies;
+    private final long nowMillis;
+    private final ClusterCapacity capacity;
+    /** Sampled seconds until completion, by job id; sample i of a job belongs to sample i of its dependencies. */
+    private final Map<String, double[]> completionSamples = new HashMap<>();
 
-    /** {@code awaited}: the jobs that one awaits and that aren't done. */
+    /**
+     * Prepares an estimate of the scheduler's present state.
+     *
+     * @param incompleteDependencies the ids of the jobs that a job depends on and that aren't complete
+     * @param nowMillis the event loop's clock
+     */
     public CompletionEstimate(
-            Scheduler scheduler, Estimates estimates, Function<String, List<String>> awaited, long now) {
+            Scheduler scheduler,
+            Estimates estimates,
+            Function<String, List<String>> incompleteDependencies,
+            long nowMillis) {
         this.scheduler = scheduler;
         this.estimates = estimates;
-        this.awaited = awaited;
-        this.now = now;
-        for (Machine m : scheduler.machines.values()) {
-            if (m.schedulable()) {
-                cores += m.type.cpus() - m.serviceCpus();
-                free += m.type.cpus() - m.usedCpus;
-            } else if (!m.heartbeatReceived && !m.scalingIn) {
-                booting += m.type.cpus();
-                bootS = Math.max(bootS, Math.max(1, m.type.bootS() - (now - m.createdAt) / 1000.0));
-            }
-        }
+        this.incompleteDependencies = incompleteDependencies;
+        this.nowMillis = nowMillis;
+        this.capacity = ClusterCapacity.of(scheduler, nowMillis);
     }
 
+    /** Estimates when a live job will be complete. */
     public Answer of(Job job) {
-        List<Job> order = before(job);
-        String reason = "running";
-        for (Job j : order) {
-            reason = draw(j);
+        Bottleneck bottleneck = Bottleneck.RUN_TIME;
+        for (Job next : dependenciesFirst(job)) {
+            bottleneck = simulate(next);
         }
-        double[] d = drawn.get(job.spec.id());
-        Arrays.sort(d);
+        double[] samples = completionSamples.get(job.spec.id());
+        Arrays.sort(samples);
         JobSpec spec = job.tasks() > 0 ? job.spec(0) : job.spec;
-        PredictionInterval kind = estimates.interval(spec, 0);
-        return new Answer(
-                new PredictionInterval(d[DRAWS / 10], d[DRAWS / 2], d[DRAWS * 9 / 10], kind.runs(), kind.from()),
-                job.ready ? reason : "what it awaits");
-    }
-
-    /** The job behind all that it needs, without recursion: chains may be long. */
-    private List<Job> before(Job job) {
-        LinkedHashMap<String, Job> found = new LinkedHashMap<>();
-        List<Job> todo = new ArrayList<>(List.of(job));
-        List<Job> order = new ArrayList<>();
-        while (!todo.isEmpty()) {
-            Job next = todo.get(todo.size() - 1);
-            boolean first = found.putIfAbsent(next.spec.id(), next) == null;
-            if (first && found.size() < CHAIN) {
-                for (String id : awaited.apply(next.spec.id())) {
-                    Job other = scheduler.jobs.get(id);
-                    if (other != null && !found.containsKey(id)) {
-                        todo.add(other);
+        PredictionInterval runTime = estimates.interval(spec, 0);
+        PredictionInterval completion = new PredictionInterval(
+                samples[SAMPLES / 10], samples[SAMPLES / 2], samples[SAMPLES * 9 / 10], runTime.runs(), runTime.from());
+        return new Answer(completion, job.ready ? bottleneck : Bottleneck.DEPENDENCIES);
+    }
+
+    /** The job's dependencies and the job, in topological order; iterative, since chains may be long. */
+    private List<Job> dependenciesFirst(Job job) {
+        LinkedHashMap<String, Job> visited = new LinkedHashMap<>();
+        List<Job> stack = new ArrayList<>(List.of(job));
+        List<Job> ordered = new ArrayList<>();
+        while (!stack.isEmpty()) {
+            Job next = stack.get(stack.size() - 1);
+            boolean firstVisit = visited.putIfAbsent(next.spec.id(), next) == null;
+            if (firstVisit && visited.size() < MAX_JOBS) {
+                for (String id : incompleteDependencies.apply(next.spec.id())) {
+                    Job dependency = scheduler.jobs.get(id);
+                    if (dependency != null && !visited.containsKey(id)) {
+                        stack.add(dependency);
                     }
                 }
             }
-            if (!first || todo.get(todo.size() - 1) == next) {
-                todo.remove(todo.size() - 1);
-                if (!order.contains(next)) {
-                    order.add(next);
+            if (!firstVisit || stack.get(stack.size() - 1) == next) {
+                stack.remove(stack.size() - 1);
+                if (!ordered.contains(next)) {
+                    ordered.add(next);
                 }
             }
         }
-        return order;
+        return ordered;
     }
 
-    /** Core-seconds of work that goes before the job's in its partition. */
-    private double ahead(Job job) {
-        double[] work = {0};
-        for (Job other : scheduler.jobs.values()) {
-            int rank = other.priority.compareTo(job.priority);
-            if (other != job
-                    && other.hasPendingTasks()
-                    && !other.spec.service()
-                    && other.inSecondPartition() == job.inSecondPartition()
-                    && (rank < 0
-                            || (rank == 0 && Long.compareUnsigned(other.arrivalRevision, job.arrivalRevision) < 0))) {
-                other.forEachWaiting((spec, count) -> work[0] += count * spec.cpus() * scheduler.expectedRunS(spec));
-            }
+    /** Samples when a job is complete, once its dependencies have been sampled; returns its bottleneck. */
+    private Bottleneck simulate(Job job) {
+        RemainingWork work = new RemainingWork(job, estimates);
+        double expectedCores = Math.max(work.nextSpec().cpus(), capacity.expectedCores());
+        StartDelay delay = startDelay(job, work, expectedCores);
+        UniformRandomProvider random = new SplitMix64(job.arrivalRevision * 31 + job.completedTasks.cardinality());
+        double[] samples = new double[SAMPLES];
+        double meanRunS = 0;
+        for (int sample = 0; sample < SAMPLES; sample++) {
+            double start = dependenciesComplete(job, sample);
+            double lastEnd = lastTaskEnd(work, delay, start, expectedCores, random);
+            samples[sample] = lastEnd + work.aggregatedCoreSeconds() / expectedCores;
+            meanRunS += (samples[sample] - start - delay.capacityS - delay.imageFetchS) / SAMPLES;
         }
-        return work[0];
+        completionSamples.put(job.spec.id(), samples);
+        return bottleneck(delay, meanRunS);
     }
 
-    /** Draws when the job is done; returns what takes the largest part. */
-    private String draw(Job job) {
-        UniformRandomProvider random = new SplitMix64(job.arrivalRevision * 31 + job.completedTasks.cardinality());
-        Map<JobSpec, Estimates.Sampler> samplers = new HashMap<>();
-        List<Estimates.Sampler> waiting = new ArrayList<>();
-        double[] waitingWork = {0};
-        int[] left = {0};
-        job.forEachWaiting((spec, count) -> {
-            Estimates.Sampler s = samplers.computeIfAbsent(spec, estimates::sampler);
-            for (int i = 0; i < Math.min(count, TASKS); i++) {
-                waiting.add(s);
-            }
-            left[0] += Math.max(0, count - TASKS);
-            waitingWork[0] +=
-                    Math.max(0, count - TASKS) * spec.cpus() * s.interval().p50();
-        });
-        JobSpec spec = job.tasks() > 0 ? job.spec(Math.max(0, job.pendingTasks.nextSetBit(0))) : job.spec;
-        waitingWork[0] += job.unreleasedTasks()
-                * spec.cpus()
-                * samplers.computeIfAbsent(spec, estimates::sampler).interval().p50();
-        List<Assignment> running = new ArrayList<>();
-        for (Assignment assignment : job.assignments.values()) {
-            if (assignment.mayExist()) {
-                running.add(assignment);
-            }
+    private static Bottleneck bottleneck(StartDelay delay, double meanRunS) {
+        if (delay.capacityS > delay.imageFetchS && delay.capacityS > meanRunS) {
+            return Bottleneck.CAPACITY;
         }
-        double ahead = waiting.isEmpty() ? 0 : ahead(job);
-        double all = Math.max(spec.cpus(), cores + booting);
-        double room = ahead / all;
-        if (!waiting.isEmpty() && free < spec.cpus()) {
-            room += cores > 0
-                    ? estimates.interval(spec, 0).p50() / Math.max(1, cores / Math.max(0.1, spec.cpus()))
-                    : bootS;
+        return delay.imageFetchS > meanRunS ? Bottleneck.IMAGE_FETCH : Bottleneck.RUN_TIME;
+    }
+
+    private StartDelay startDelay(Job job, RemainingWork work, double expectedCores) {
+        if (work.pendingTasks().isEmpty()) {
+            return new StartDelay(0, 0);
         }
-        double image = waiting.isEmpty() || cached(spec) ? 0 : spec.imageGb() / fetchRate();
-        int slots = (int) Math.max(1, Math.min(waiting.size(), all / Math.max(0.1, spec.cpus())));
-        double[] result = new double[DRAWS];
-        double ran = 0;
-        for (int d = 0; d < DRAWS; d++) {
-            double start = 0;
-            for (String id : awaited.apply(job.spec.id())) {
-                double[] other = drawn.get(id);
-                start = Math.max(start, other == null ? 0 : other[d]);
-            }
-            PriorityQueue<Double> ends = new PriorityQueue<>();
-            double last = start;
-            for (Assignment assignment : running) {
-                double elapsed = assignment.runningAt > 0 ? (now - assignment.runningAt) / 1000.0 : 0;
-                double end = start
-                        + samplers.computeIfAbsent(assignment.spec, estimates::sampler)
-                                .draw(random, elapsed)
-                        - elapsed
-                        + (assignment.starting() ? image : 0);
-                ends.add(end);
-                last = Math.max(last, end);
-            }
-            for (int i = ends.size(); i < slots; i++) {
-                ends.add(start + room + image);
-            }
-            for (Estimates.Sampler s : waiting) {
-                double from = Math.max(start + room + image, ends.poll());
-                double end = from + s.draw(random, 0);
-                ends.add(end);
-                last = Math.max(last, end);
+        JobSpec spec = work.nextSpec();
+        double capacityS = coreSecondsAhead(job) / expectedCores;
+        if (capacity.freeCores() < spec.cpus()) {
+            capacityS += secondsUntilCoresAreFree(spec);
+        }
+        double imageFetchS = isImageCached(spec) ? 0 : spec.imageGb() / meanFetchGbPerSecond();
+        return new StartDelay(capacityS, imageFetchS);
+    }
+
+    private double secondsUntilCoresAreFree(JobSpec spec) {
+        if (capacity.usableCores() <= 0) {
+            return capacity.bootSeconds();
+        }
+        double parallelTasks = Math.max(1, capacity.usableCores() / Math.max(MIN_CPUS, spec.cpus()));
+        return estimates.interval(spec, 0).p50() / parallelTasks;
+    }
+
+    /** Seconds until all dependencies of a job are complete, in one sample. */
+    private double dependenciesComplete(Job job, int sample) {
+        double latest = 0;
+        for (String id : incompleteDependencies.apply(job.spec.id())) {
+            double[] samples = completionSamples.get(id);
+            latest = Math.max(latest, samples == null ? 0 : samples[sample]);
+        }
+        return latest;
+    }
+
+    /** Simulates one outcome of the remaining tasks on a fixed number of slots: seconds until the last one ends. */
+    private double lastTaskEnd(
+            RemainingWork work, StartDelay delay, double start, double expectedCores, UniformRandomProvider random) {
+        int slots = (int) Math.max(
+                1,
+                Math.min(
+                        work.pendingTasks().size(),
+                        expectedCores / Math.max(MIN_CPUS, work.nextSpec().cpus())));
+        PriorityQueue<Double> slotEnds = new PriorityQueue<>();
+        double lastEnd = start;
+        for (Assignment assignment : work.assignments()) {
+            double end = start + remainingSeconds(assignment, work, delay, random);
+            slotEnds.add(end);
+            lastEnd = Math.max(lastEnd, end);
+        }
+        double firstStart = start + delay.capacityS + delay.imageFetchS;
+        for (int i = slotEnds.size(); i < slots; i++) {
+            slotEnds.add(firstStart);
+        }
+        for (Estimates.Sampler sampler : work.pendingTasks()) {
+            double end = Math.max(firstStart, slotEnds.poll()) + sampler.draw(random, 0);
+            slotEnds.add(end);
+            lastEnd = Math.max(lastEnd, end);
+        }
+        return lastEnd;
+    }
+
+    private double remainingSeconds(
+            Assignment assignment, RemainingWork work, StartDelay delay, UniformRandomProvider random) {
+        double elapsedS = assignment.runningAt > 0 ? (nowMillis - assignment.runningAt) / 1000.0 : 0;
+        double totalS = work.sampler(assignment.spec).draw(random, elapsedS);
+        return totalS - elapsedS + (assignment.starting() ? delay.imageFetchS : 0);
+    }
+
+    /** Core-seconds of pending work that is scheduled before the job's in its Tyrex partition. */
+    private double coreSecondsAhead(Job job) {
+        CoreSeconds ahead = new CoreSeconds();
+        for (Job other : scheduler.jobs.values()) {
+            if (other != job && isAhead(other, job)) {
+                other.forEachWaiting(
+                        (spec, count) -> ahead.total += count * spec.cpus() * scheduler.expectedRunS(spec));
             }
-            last += waitingWork[0] / all;
-            result[d] = last;
-            ran += (last - start - room - image) / DRAWS;
         }
-        drawn.put(job.spec.id(), result);
-        return room > image && room > ran ? "room" : image > ran ? "image" : "running";
+        return ahead.total;
+    }
+
+    private static boolean isAhead(Job other, Job job) {
+        if (!other.hasPendingTasks() || other.spec.service() || other.inSecondPartition() != job.inSecondPartition()) {
+            return false;
+        }
+        int byPriority = other.priority.compareTo(job.priority);
+        return byPriority < 0
+                || (byPriority == 0 && Long.compareUnsigned(other.arrivalRevision, job.arrivalRevision) < 0);
     }
 
-    private boolean cached(JobSpec spec) {
+    private boolean isImageCached(JobSpec spec) {
         return scheduler.machines.values().stream()
-                .anyMatch(m -> m.schedulable() && m.images.containsKey(spec.image()) && m.hasRoom(spec));
+                .anyMatch(machine ->
+                        machine.schedulable() && machine.images.containsKey(spec.image()) && machine.hasRoom(spec));
     }
 
-    private double fetchRate() {
+    private double meanFetchGbPerSecond() {
         return scheduler.machines.values().stream()
                 .filter(Machine::schedulable)
-                .mapToDouble(m -> m.type.fetchGbPerS())
+                .mapToDouble(machine -> machine.type.fetchGbPerS())
                 .average()
                 .orElse(1);
     }
--- /dev/null
+++ b/src/main/java/org/hollypick/core/estimate/RemainingWork.java
@@ -0,0 +1,74 @@
+package org.hollypick.core.estimate;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.hollypick.core.Job;
+import org.hollypick.core.JobSpec;
+import org.hollypick.core.assignment.Assignment;
+
+/**
+ * What is left of a job, by task descriptions: tasks that are simulated one by one, and core-seconds for those beyond
+ * {@link #MAX_SIMULATED_TASKS} and those that wait for other tasks of the job.
+ */
+final class RemainingWork {
+    /** Pending tasks of one description that are simulated one by one; the sum of the others stands for them. */
+    private static final int MAX_SIMULATED_TASKS = 1_500;
+
+    private final Estimates estimates;
+    private final Map<JobSpec, Estimates.Sampler> samplers = new HashMap<>();
+    private final List<Estimates.Sampler> pendingTasks = new ArrayList<>();
+    private final List<Assignment> assignments = new ArrayList<>();
+    private final JobSpec nextSpec;
+    private double aggregatedCoreSeconds;
+
+    RemainingWork(Job job, Estimates estimates) {
+        this.estimates = estimates;
+        job.forEachWaiting(this::addPending);
+        this.nextSpec = job.tasks() > 0 ? job.spec(Math.max(0, job.pendingTasks.nextSetBit(0))) : job.spec;
+        this.aggregatedCoreSeconds += job.unreleasedTasks()
+                * nextSpec.cpus()
+                * sampler(nextSpec).interval().p50();
+        for (Assignment assignment : job.assignments.values()) {
+            if (assignment.mayExist()) {
+                assignments.add(assignment);
+            }
+        }
+    }
+
+    private void addPending(JobSpec spec, int count) {
+        Estimates.Sampler sampler = sampler(spec);
+        for (int i = 0; i < Math.min(count, MAX_SIMULATED_TASKS); i++) {
+            pendingTasks.add(sampler);
+        }
+        aggregatedCoreSeconds += Math.max(0, count - MAX_SIMULATED_TASKS)
+                * spec.cpus()
+                * sampler.interval().p50();
+    }
+
+    /** The sampler of run times of tasks with that description; the same one on each call. */
+    Estimates.Sampler sampler(JobSpec spec) {
+        return samplers.computeIfAbsent(spec, estimates::sampler);
+    }
+
+    /** One sampler for each pending task. */
+    List<Estimates.Sampler> pendingTasks() {
+        return pendingTasks;
+    }
+
+    /** Attempts that may exist on a machine. */
+    List<Assignment> assignments() {
+        return assignments;
+    }
+
+    /** The description of the next pending task. */
+    JobSpec nextSpec() {
+        return nextSpec;
+    }
+
+    /** Core-seconds of the tasks that aren't simulated one by one. */
+    double aggregatedCoreSeconds() {
+        return aggregatedCoreSeconds;
+    }
+}
