--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -48,6 +48,7 @@
     /** Direct calls under way to machines that left one unanswered. */
     private int openDoubtful;
 
+    /** {@code acting} tells whether this controller holds the leader lease; {@code pump} requests a reconcile step. */
     public AgentManager(
             EventLoop eventLoop,
             Settings settings,
@@ -98,14 +99,7 @@
             return ServerResponse.retryLater("a report of an earlier session");
         }
         if (!was) {
-            LOG.info(
-                    "machine up machine={} session={} tasks={}",
-                    m.id,
-                    r.incarnation(),
-                    r.tasks().size());
-            if (!m.confirmedLive) {
-                probe(m);
-            }
+            firstHeartbeat(m, r);
         }
         scheduler.heartbeatBalancer.reported(m.id, via, now);
         if (scheduler.machinesWithFreedRoom.remove(m)) {
@@ -132,6 +126,17 @@
                 .onlyWhile(acting);
     }
 
+    private void firstHeartbeat(Machine m, Heartbeat r) {
+        LOG.info(
+                "machine up machine={} session={} tasks={}",
+                m.id,
+                r.incarnation(),
+                r.tasks().size());
+        if (!m.confirmedLive) {
+            probe(m);
+        }
+    }
+
     /**
      * Draws what a new report shows of the answers before; false if the next one would only lengthen a lease that the
      * machine itself lets run out.
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -1,12 +1,9 @@
 package org.hollypick.control.machines;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import java.util.stream.Collectors;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.FailureDetectionConstants;
@@ -18,186 +15,153 @@
 import org.hollypick.io.TokenBucket;
 
 /**
- * What the machines' silence means: which are lost, which zones are partitioned, and whether it is this leader that is
- * cut off or overloaded.
+ * Tells from missing heartbeats and unacknowledged calls which machines are lost, which zones are partitioned, and
+ * whether this leader itself is isolated or overloaded. Confined to the event loop.
  */
 public final class FailureDetector {
+    /** So few unresponsive machines say nothing about the network. */
+    private static final int UNRELATED_FAILURES = 2;
+
     private final EventLoop eventLoop;
     private final Settings settings;
     private final Scheduler scheduler;
-    private final LocalHealth own;
+    private final LocalHealth localHealth;
     private final PeerReachabilityTracker reachability;
     private final Consumer<Machine> probe;
     private final long startedAt;
-    private final TokenBucket returns;
-    /** Since when nearly no machine has answered; 0 if some do. */
-    private long cutOffSince;
-    /** Since when others reach machines that this leader doesn't; 0 if there are none. */
-    private long beyondSince;
+    private final TokenBucket terminationBudget;
+    /** Since when nearly no machine responds; 0 if some do. */
+    private long isolatedSince;
+    /** Since when peers reach several machines that this leader doesn't; 0 if they don't. */
+    private long reachedByPeersSince;
 
-    private long complainedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
-    /** Until when silence counts for nothing, since most machines, or most of a zone, were silent together. */
-    private long troubleUntil;
+    private long complaintReceivedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
+    /** Until when no machine counts as lost, since most machines, or most of a zone, were unresponsive together. */
+    private long recoveringUntil;
 
-    private Set<String> partitioned = Set.of();
-    private String seen = "";
+    private Set<String> partitionedZones = Set.of();
+    private String summary = "";
 
-    /** {@code probe}: asks a machine directly. */
+    /** {@code probe} calls a machine directly, unless too many calls are in flight. */
     FailureDetector(
-            EventLoop eventLoop, Settings settings, Scheduler scheduler, LocalHealth own, Consumer<Machine> probe) {
+            EventLoop eventLoop,
+            Settings settings,
+            Scheduler scheduler,
+            LocalHealth localHealth,
+            Consumer<Machine> probe) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.scheduler = scheduler;
-        this.own = own;
+        this.localHealth = localHealth;
         this.reachability = new PeerReachabilityTracker(eventLoop, settings, scheduler.machines);
         this.probe = probe;
         this.startedAt = eventLoop.now();
-        this.returns = new TokenBucket(0, startedAt);
+        this.terminationBudget = new TokenBucket(0, startedAt);
     }
 
-    /** Asks machines that are quieter than their reports allow, and tells which are lost. */
+    /**
+     * Probes the machines whose heartbeats are overdue, has peers check those that left a call unacknowledged, and
+     * returns those that are lost and may be terminated now.
+     */
     public List<Machine> detectUnresponsive(long now) {
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
-        // Machines report within a quarter more than the interval. Only the loss of services is worth asking more
-        // often.
-        long usual = (long) (settings.reportS() * 1_250) + FailureDetectionConstants.PROBE_SLACK_MS;
-        long early = (long) (settings.reportS() * 1_000 * FailureDetectionConstants.PROBE_SHARE);
-        List<Machine> silent = new ArrayList<>();
-        List<Machine> unsure = new ArrayList<>();
-        List<Machine> quietest = new ArrayList<>();
-        int talking = 0;
-        int doubtful = 0;
-        Map<String, int[]> byZone = new HashMap<>();
-        for (Machine machine : scheduler.machines.values()) {
-            if (machine.scalingIn || (!machine.heartbeatReceived && !machine.registered)) {
-                continue;
-            }
-            long quiet = now - machine.lastHeartbeatAt;
-            int[] zone = byZone.computeIfAbsent(machine.zone, z -> new int[2]);
-            boolean doubted = machine.validity.doubted();
-            if (quiet < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
-                talking++;
-                zone[0]++;
-            }
-            if (machine.unacknowledgedCalls > 0 || doubted) {
-                doubtful++;
-                zone[1]++;
-            }
-            if (machine.unacknowledgedCalls > 0 && !machine.address.isEmpty()) {
-                unsure.add(machine);
-            }
-            if (machine.unreachable()
-                    && machine.reconciled
-                    && machine.idle()
-                    && now
-                                    - Math.max(
-                                            machine.idleSince,
-                                            Math.max(
-                                                    machine.incarnationExpiredAt,
-                                                    machine.validity.unreachableInboundSince()))
-                            > ReachabilityConstants.UNREACHABLE_RETURN_MS) {
-                silent.add(machine);
-            } else if (quiet
-                            > (doubted
-                                    ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
-                                    : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS)
-                    && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
-                    && !reachability.spared(machine, now)) {
-                if (reachability.nobodyReaches(machine, now)) {
-                    silent.add(machine);
-                }
-            } else if (doubted
-                    || quiet > (machine.unacknowledgedCalls > 0 || machine.serviceCpus() > 0 ? early : usual)) {
-                quietest.add(machine);
-            }
+        ResponsivenessSurvey survey =
+                new ResponsivenessSurvey(scheduler.machines.values(), reachability, settings, now);
+        survey.overdue().forEach(probe);
+        reachability.ask(survey.unacknowledged());
+        updateReachedByPeers(survey, now);
+        updateIsolation(survey, now);
+        return localHealth.sound(now) && now >= recoveringUntil ? withinBudget(survey.lost(), now) : List.of();
+    }
+
+    private void updateReachedByPeers(ResponsivenessSurvey survey, long now) {
+        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
+        if (reachedByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
+            reachedByPeersSince = 0;
+        } else if (reachedByPeersSince <= 0) {
+            reachedByPeersSince = now;
         }
-        // Not all may be asked at once: in any fixed order the last ones would never be.
-        quietest.sort((a, b) -> Long.compare(a.lastHeartbeatAt, b.lastHeartbeatAt));
-        quietest.forEach(probe);
-        reachability.ask(unsure);
-        int beyond = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
-        beyondSince = beyond < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT ? 0 : beyondSince > 0 ? beyondSince : now;
-        seen = "talking=" + talking + " doubtful=" + doubtful + " elsewhere=" + beyond;
-        // Those that left a question open against those heard of just now: counting only the silent ones would give
-        // them up one by one while this node is cut off from all of them.
-        double share = doubtful / (double) Math.max(1, doubtful + talking);
-        partitioned = byZone.entrySet().stream()
-                .filter(e -> partitioned(e.getValue()[0], e.getValue()[1]))
-                .map(Map.Entry::getKey)
-                .collect(Collectors.toUnmodifiableSet());
-        if ((doubtful > 2 && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitioned.isEmpty()) {
-            troubleUntil = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
+        summary = "talking=" + survey.responsiveCount() + " doubtful=" + survey.unresponsiveCount() + " elsewhere="
+                + reachedByPeers;
+    }
+
+    private void updateIsolation(ResponsivenessSurvey survey, long now) {
+        partitionedZones = survey.partitionedZones();
+        double share = survey.unresponsiveShare();
+        boolean related = survey.unresponsiveCount() > UNRELATED_FAILURES;
+        if ((related && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitionedZones.isEmpty()) {
+            recoveringUntil = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
         }
-        if (doubtful <= 2 || share < FailureDetectionConstants.ISOLATED_SHARE) {
-            cutOffSince = 0;
-        } else if (cutOffSince == 0) {
-            cutOffSince = now;
+        if (!related || share < FailureDetectionConstants.ISOLATED_SHARE) {
+            isolatedSince = 0;
+        } else if (isolatedSince == 0) {
+            isolatedSince = now;
         }
-        return own.sound(now) && now >= troubleUntil ? bounded(silent, now) : List.of();
     }
 
-    /** At most so many a second: what a leader takes for lost it may be wrong about, the more so after a takeover. */
-    private List<Machine> bounded(List<Machine> silent, long now) {
+    /** So many a second at most: a leader may be wrong about what it takes for lost, the more so after a failover. */
+    private List<Machine> withinBudget(List<Machine> lost, long now) {
         double share = now - startedAt < FailureDetectionConstants.EARLY_TERM_MS
                 ? FailureDetectionConstants.SCALE_IN_SHARE_EARLY
                 : FailureDetectionConstants.SCALE_IN_SHARE;
-        returns.setRate(Math.max(FailureDetectionConstants.SCALE_IN_MIN_MACHINES, share * scheduler.machines.size()));
-        List<Machine> some = new ArrayList<>();
-        for (Machine machine : silent) {
-            if (!returns.has(1, now)) {
+        terminationBudget.setRate(
+                Math.max(FailureDetectionConstants.SCALE_IN_MIN_MACHINES, share * scheduler.machines.size()));
+        List<Machine> terminating = new ArrayList<>();
+        for (Machine machine : lost) {
+            if (!terminationBudget.has(1, now)) {
                 break;
             }
-            returns.take(1, now);
-            some.add(machine);
+            terminationBudget.take(1, now);
+            terminating.add(machine);
         }
-        return some;
+        return terminating;
     }
 
-    private static boolean partitioned(int talking, int doubtful) {
-        return doubtful >= FailureDetectionConstants.PARTITIONED_ZONE_MACHINES
-                && doubtful >= FailureDetectionConstants.ISOLATED_SHARE * (doubtful + talking);
-    }
-
-    /** What the last look found, for the log. */
+    /** The counts of the last survey as key=value pairs, for the log. */
     public String seen() {
-        return seen;
+        return summary;
     }
 
-    /** Zones that seem to be cut off: what is rented there can't be reached. */
+    /** Zones that seem partitioned from this controller: an instance started there couldn't be reached. */
     public Set<String> partitioned() {
-        return partitioned;
+        return partitionedZones;
     }
 
-    /** Machines have been out of reach for so long that what runs there won't outlast another pause. */
+    /** Whether machines have been out of reach for so long that their leases would expire during another wait. */
     public boolean leasesAboutToExpire(long now) {
-        long since = Math.min(cutOffSince > 0 ? cutOffSince : now, beyondSince > 0 ? beyondSince : now);
-        return now - since > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
+        long isolationStart = isolatedSince > 0 ? isolatedSince : now;
+        long reachedByPeersStart = reachedByPeersSince > 0 ? reachedByPeersSince : now;
+        long outOfReachMillis = now - Math.min(isolationStart, reachedByPeersStart);
+        return outOfReachMillis > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
 
-    /** Another controller that this one doesn't reach told, by the state service, that it hears of those machines. */
+    /**
+     * A controller that can't be reached directly reported, through the store, that it receives the heartbeats of these
+     * machines.
+     */
     public void complaintReceived(List<String> machines) {
-        complainedAt = machines.isEmpty() ? complainedAt : eventLoop.now();
+        complaintReceivedAt = machines.isEmpty() ? complaintReceivedAt : eventLoop.now();
         machines.forEach(reachability::reached);
     }
 
-    /** No other controller that could be asked knows better: none answers, or one that can't be asked pleaded. */
+    /** Whether the peers' view is unknown: none answers checks, or one that can't be reached filed a complaint. */
     public boolean noPeerAnswers(long now) {
-        return !reachability.othersTell(now) || now - complainedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+        return !reachability.othersTell(now) || now - complaintReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /**
-     * Another controller should lead: it reaches machines that this one doesn't, and not since this one is overloaded
-     * or has only begun. If the others see the same, nobody would fare better.
+     * Whether another controller would make a better leader: it reaches machines that this one doesn't, and the cause
+     * is neither overload here nor a term that has just begun. False when peers reach no more than this one.
      */
     public boolean isolated(long now) {
-        if (!own.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
+        if (!localHealth.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
-        int beyond = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
-        boolean nearlyAll = cutOffSince > 0 && now - cutOffSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
-        return beyond >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
-                || (nearlyAll && (beyond > 0 || !reachability.othersTell(now)));
+        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
+        boolean nearlyAll = isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
+        return reachedByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
+                || (nearlyAll && (reachedByPeers > 0 || !reachability.othersTell(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -57,6 +57,7 @@
     private boolean writing;
     private long notBefore;
 
+    /** {@code token} fences the writes; {@code gone} tells whether a machine is terminated. */
     public MachineRegistry(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -115,6 +116,7 @@
         keysOf.computeIfAbsent(id, k -> new HashSet<>()).add(key);
     }
 
+    /** Has the machine recorded by a later {@link #flush}. */
     public void add(Machine m) {
         wanted.put(m.id, m);
     }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -49,6 +49,10 @@
     private boolean listedOnce;
     private long hires;
 
+    /**
+     * {@code acting} tells whether this controller holds the leader lease, {@code open} whether it reaches the store;
+     * {@code pump} requests a reconcile step.
+     */
     public InstanceProvisioner(
             EventLoop eventLoop,
             Settings settings,
@@ -73,6 +77,7 @@
         this.startedAt = eventLoop.now();
     }
 
+    /** Asks the cloud to terminate machines; those it confirms are dropped from the scheduler. */
     public void terminate(List<Machine> list, String why) {
         List<String> names = new ArrayList<>();
         for (Machine m : list.subList(0, Math.min(list.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST))) {
@@ -172,6 +177,7 @@
         });
     }
 
+    /** Reads the cloud's list of machines, unless that is under way, and reconciles the scheduler's with it. */
     public void list() {
         if (!listing) {
             listing = true;
