--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -255,8 +255,8 @@
                                 ? HeartbeatRelayCodec.take(body, term.token, this::rightMs, this::hello)
                                         .onlyWhile(term::holdsLeaderLease)
                                 : ServerResponse.retryLater("not the leader")));
-        mesh.on(RequestRouter.PATH, state.routes()::pass);
-        mesh.on(RequestRouter.WATCH_PATH, state.routes()::pass);
+        mesh.on(RequestRouter.PATH, state.router()::pass);
+        mesh.on(RequestRouter.WATCH_PATH, state.router()::pass);
         mesh.on(
                 PeerReachability.PATH,
                 (body, answer) -> PeerReachability.answer(agentClient, body, membership.reachesState(), answer));
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -17,6 +17,7 @@
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.WireNames;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -108,7 +109,7 @@
         released(
                 member,
                 earlierGrantsExpireAt - eventLoop.now(),
-                () -> store.end(old, e -> {
+                () -> store.endSession(old, e -> {
                     LOG.info(
                             "ended the state session of the earlier self state_session={} status={}",
                             Long.toUnsignedString(old),
@@ -157,7 +158,7 @@
         held = false;
         memberRevision = 0;
         long sent = eventLoop.now();
-        store.grant(ElectionConstants.SESSION_TTL_MS, r -> {
+        store.grantSession(ElectionConstants.SESSION_TTL_MS, r -> {
             if (!r.ok()) {
                 eventLoop.after(ElectionConstants.SESSION_RETRY_MS, this::join);
                 return;
@@ -195,7 +196,7 @@
         // Conditional on the key's absence: a copy that is applied late must not give the key a new stamp, which the
         // others would take for a new incarnation while this one still acts.
         String key = StoreKeys.member(settings.node());
-        store.commitNow(new KeyValueStoreClient.Txn().when(key, 0).putLeased(key, data, stateSession), r -> {
+        store.commitUrgently(new CompareAndSwap().expectAbsent(key).putWithLease(key, data, stateSession), r -> {
             if (self != incarnation) {
                 return;
             }
@@ -232,7 +233,7 @@
             return;
         }
         long sent = eventLoop.now();
-        store.extend(stateSession, r -> {
+        store.renewSession(stateSession, r -> {
             if (self != incarnation) {
                 return;
             }
@@ -486,7 +487,7 @@
         released(
                 member,
                 atMost(RelayConstants.RELAY_VALIDITY_MS),
-                () -> store.end(
+                () -> store.endSession(
                         old,
                         r -> LOG.info("resigned state_session={} status={}", Long.toUnsignedString(old), r.status())));
         changed.run();
@@ -526,11 +527,11 @@
             claiming = false;
         } else {
             String leader = leader();
-            KeyValueStoreClient.Txn transaction = new KeyValueStoreClient.Txn()
-                    .when(StoreKeys.LEADER_RECORD, leaderRecordRevision())
-                    .when(StoreKeys.member(settings.node()), memberRevision);
+            CompareAndSwap transaction = new CompareAndSwap()
+                    .expectRevision(StoreKeys.LEADER_RECORD, leaderRecordRevision())
+                    .expectRevision(StoreKeys.member(settings.node()), memberRevision);
             if (leader != null && !leader.equals(settings.node())) {
-                transaction.when(StoreKeys.member(leader), replica.revision(StoreKeys.member(leader)));
+                transaction.expectRevision(StoreKeys.member(leader), replica.revision(StoreKeys.member(leader)));
             }
             write(transaction, limitsKept(), leader == null ? "first" : "after " + leader);
         }
@@ -562,15 +563,15 @@
         if (!claiming && valid() && holdsLeaderLease(token)) {
             claiming = true;
             write(
-                    new KeyValueStoreClient.Txn()
-                            .when(StoreKeys.LEADER_RECORD, token)
-                            .when(StoreKeys.member(settings.node()), memberRevision),
+                    new CompareAndSwap()
+                            .expectRevision(StoreKeys.LEADER_RECORD, token)
+                            .expectRevision(StoreKeys.member(settings.node()), memberRevision),
                     limitsKept,
                     "a fence");
         }
     }
 
-    private void write(KeyValueStoreClient.Txn transaction, boolean limitsKept, String why) {
+    private void write(CompareAndSwap transaction, boolean limitsKept, String why) {
         ObjectNode leaderRecord = Codec.object()
                 .put("leader", settings.node())
                 .put("member", memberRevision)
@@ -578,7 +579,7 @@
         if (limitsKept) {
             leaderRecord.put(LIMITS, limits);
         }
-        store.commitNow(transaction.put(StoreKeys.LEADER_RECORD, leaderRecord), r -> {
+        store.commitUrgently(transaction.put(StoreKeys.LEADER_RECORD, leaderRecord), r -> {
             LOG.info("leader record written status={} why={}", r.status(), why);
             // The watch brings the outcome, whatever the answer was.
             eventLoop.after(r.ok() || r.status() == 409 ? 200 : ElectionConstants.SESSION_RETRY_MS, () -> {
--- a/src/main/java/org/hollypick/cluster/StoreReplica.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -114,7 +114,7 @@
         reading = true;
         List<Consumer<Boolean>> batch = asking;
         asking = new ArrayList<>();
-        store.epoch(r -> {
+        store.readRevision(r -> {
             if (r.status() == 404 && loaded) {
                 catchingUp.add(new CatchUp(
                         Codec.u64(r.body().path("epoch")), eventLoop.now() + StoreConstants.WATCH_CATCH_UP_MS, batch));
@@ -148,7 +148,7 @@
     }
 
     private void page(String from, Map<String, Entry> into, long firstEpoch) {
-        store.list(prefix, from, r -> {
+        store.listPage(prefix, from, r -> {
             if (!r.ok()) {
                 eventLoop.after(300, this::load);
                 return;
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -14,6 +14,7 @@
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -92,7 +93,7 @@
      * {@code written} hears of each success.
      */
     void flush(long order, Runnable written) {
-        if (writing || unwritten.isEmpty() || eventLoop.now() < notBefore || store.crowded()) {
+        if (writing || unwritten.isEmpty() || eventLoop.now() < notBefore || store.shouldShedWrite()) {
             return;
         }
         int most = Math.min(settings.txnOps(), NetworkConstants.MAX_BODY_BYTES * 3 / 4 / settings.valueBytes());
@@ -117,19 +118,19 @@
             taken.forEach(e -> unwritten.poll().durable.run());
             return;
         }
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
-                .when(StoreKeys.LEADER_RECORD, token)
-                .when(StoreKeys.job(id), order);
+        CompareAndSwap txn = new CompareAndSwap()
+                .expectRevision(StoreKeys.LEADER_RECORD, token)
+                .expectRevision(StoreKeys.job(id), order);
         for (List<ObjectNode> ops : records) {
             String key = StoreKeys.graphLog(id, token, numbers.getAsLong());
-            txn.when(key, 0).put(key, GraphRecords.record(id, ops));
+            txn.expectAbsent(key).put(key, GraphRecords.record(id, ops));
         }
         writing = true;
         commit(txn, taken, written);
     }
 
     /** The same keys again until the outcome is known: a second copy of an entry may never stand beside the first. */
-    private void commit(KeyValueStoreClient.Txn txn, List<Entry> taken, Runnable written) {
+    private void commit(CompareAndSwap txn, List<Entry> taken, Runnable written) {
         store.commit(txn, r -> {
             if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
                 writing = false;
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -28,6 +28,7 @@
 import org.hollypick.records.GraphRecords;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -315,9 +316,9 @@
         }
         graphs.put(id, made);
         ObjectNode record = GraphRecords.live(head, scheduler.token);
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
-                .when(StoreKeys.job(id), 0)
-                .when(StoreKeys.LEADER_RECORD, scheduler.token)
+        CompareAndSwap txn = new CompareAndSwap()
+                .expectAbsent(StoreKeys.job(id))
+                .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token)
                 .put(StoreKeys.job(id), record);
         state.commit(txn, r -> {
             if (!r.ok()) {
@@ -393,7 +394,7 @@
 
     /** What can't be recorded soon is refused at once, before anything of it is taken in. */
     private boolean crowded(Live g, Consumer<Outcome> answer) {
-        boolean crowded = state.crowded() || (g != null && g.log.size() > GraphConstants.GRAPH_WRITE_BACKLOG);
+        boolean crowded = state.shouldShedWrite() || (g != null && g.log.size() > GraphConstants.GRAPH_WRITE_BACKLOG);
         if (crowded) {
             answer.accept(Outcome.refused(503, "busy"));
         }
@@ -572,7 +573,7 @@
      * terms.
      */
     private void forget(long now) {
-        if (dropping || !state.spare()) {
+        if (dropping || !state.hasSpareWriteCapacity()) {
             return;
         }
         for (Map.Entry<String, Long> ended : endedAt.entrySet()) {
@@ -583,10 +584,9 @@
                     endedAt.remove(ended.getKey());
                     return;
                 }
-                KeyValueStoreClient.Txn txn =
-                        new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, scheduler.token);
+                CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token);
                 keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size())
-                        .forEach(txn::drop);
+                        .forEach(txn::delete);
                 dropping = true;
                 state.commit(txn, r -> runtime.after(ElectionConstants.SESSION_RETRY_MS, () -> dropping = false));
                 return;
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -9,6 +9,7 @@
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
 /** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next leader. */
@@ -66,8 +67,8 @@
         String text = record.toString();
         if (!text.equals(last)) {
             store.commit(
-                    new KeyValueStoreClient.Txn()
-                            .when(StoreKeys.LEADER_RECORD, scheduler.token)
+                    new CompareAndSwap()
+                            .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token)
                             .put(StoreKeys.sizes(settings.node()), record),
                     r -> {
                         if (r.ok()) {
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -20,6 +20,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
@@ -161,7 +162,10 @@
      * for.
      */
     public void flush() {
-        if (writing || scheduler.jobsWithNewCompletions.isEmpty() || eventLoop.now() < notBefore || !store.spare()) {
+        if (writing
+                || scheduler.jobsWithNewCompletions.isEmpty()
+                || eventLoop.now() < notBefore
+                || !store.hasSpareWriteCapacity()) {
             return;
         }
         Set<Slot> dirty = new LinkedHashSet<>();
@@ -203,7 +207,7 @@
     private record Written(Part part, BitSet done) {}
 
     private void write(Set<Slot> dirty, List<Written> included) {
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, scheduler.token);
+        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token);
         for (Slot slot : dirty) {
             slot.parts.values().removeIf(part -> {
                 boolean over = part.job.status != Job.Status.LIVE;
@@ -216,7 +220,7 @@
             slot.parts
                     .values()
                     .forEach(part -> record.put(part.name(), Records.text(part.of(part.job.completedTasks))));
-            txn.when(slot.key, slot.stamp).put(slot.key, record);
+            txn.expectRevision(slot.key, slot.stamp).put(slot.key, record);
         }
         writing = true;
         notBefore = eventLoop.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -10,6 +10,7 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -53,17 +54,17 @@
             StoreReplica.Entry e = replica.get(StoreKeys.job(id));
             return e != null && Records.isOver(e.data());
         });
-        if (writing || waiting.isEmpty() || eventLoop.now() < notBefore || !store.spare()) {
+        if (writing || waiting.isEmpty() || eventLoop.now() < notBefore || !store.hasSpareWriteCapacity()) {
             return;
         }
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
+        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         List<String> ending = new ArrayList<>();
         for (Map.Entry<String, Long> e : waiting.entrySet()) {
             if (ending.size() == settings.txnOps()) {
                 break;
             }
             ending.add(e.getKey());
-            txn.when(StoreKeys.job(e.getKey()), e.getValue())
+            txn.expectRevision(StoreKeys.job(e.getKey()), e.getValue())
                     .put(StoreKeys.job(e.getKey()), Records.over(Records.ABORTED, 0));
         }
         writing = true;
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -22,6 +22,7 @@
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
 /** The durable records of jobs on any node: what they say of one another, and new ones. */
@@ -173,14 +174,15 @@
             create(spec, List.of(), more, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
             return;
         }
-        if (store.crowded()) {
+        if (store.shouldShedWrite()) {
             then.accept(Outcome.LATER);
             return;
         }
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn();
+        CompareAndSwap txn = new CompareAndSwap();
         int to = Math.min(more.parts().size(), from + settings.txnOps());
         for (int i = from; i < to; i++) {
-            txn.when(more.key(i), 0).put(more.key(i), Records.part(more.parts().get(i)));
+            txn.expectAbsent(more.key(i))
+                    .put(more.key(i), Records.part(more.parts().get(i)));
         }
         store.commit(txn, r -> {
             if (r.ok()) {
@@ -197,14 +199,14 @@
      */
     private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
         long leaderRecord = membership.leaderRecordRevision();
-        if (leaderRecord == 0 || store.crowded()) {
+        if (leaderRecord == 0 || store.shouldShedWrite()) {
             then.accept(Outcome.LATER);
             return;
         }
         String key = StoreKeys.job(spec.id());
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn()
-                .when(key, 0)
-                .when(StoreKeys.LEADER_RECORD, leaderRecord)
+        CompareAndSwap txn = new CompareAndSwap()
+                .expectAbsent(key)
+                .expectRevision(StoreKeys.LEADER_RECORD, leaderRecord)
                 .put(key, Records.live(spec, leaderRecord, awaits, more));
         store.commit(txn, r -> {
             if (r.ok()) {
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -21,6 +21,7 @@
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Response;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -168,7 +169,9 @@
     public void writeCancellations(boolean reachable) {
         long now = eventLoop.now();
         for (Cancellation c : new ArrayList<>(cancelling.values())) {
-            boolean again = reachable && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS && store.spare();
+            boolean again = reachable
+                    && now - c.writtenAt >= JobConstants.CANCELLATION_REWRITE_MS
+                    && store.hasSpareWriteCapacity();
             if (!c.writing && (again || !c.waiting.isEmpty()) && !scheduler.launchMayStillExecute(c.job)) {
                 write(c);
             }
@@ -208,14 +211,14 @@
 
     /** Until the outcome is known for certain, this node's own idea of the jobs is no answer to users. */
     private void commit(List<Ending> endings, Consumer<Response> reply) {
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
+        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         for (Ending e : endings) {
             String id = e.job.spec.id();
             e.job.unresolvedTerminalWrites++;
             if (e.status.equals(Records.ABORTED)) {
                 abortsInDoubt.add(id);
             }
-            txn.when(StoreKeys.job(id), e.job.arrivalRevision).put(StoreKeys.job(id), e.record);
+            txn.expectRevision(StoreKeys.job(id), e.job.arrivalRevision).put(StoreKeys.job(id), e.record);
         }
         store.commit(txn, r -> {
             for (Ending e : endings) {
@@ -275,7 +278,7 @@
         int next = 0;
         while (next < finished.size()
                 && closings
-                        < (store.nothingWaits()
+                        < (store.areQueuesEmpty()
                                 ? JobConstants.TERMINAL_WRITES_IN_FLIGHT
                                 : JobConstants.TERMINAL_WRITES_WHILE_QUEUED)) {
             List<Ending> batch = batch(finished, next);
@@ -296,7 +299,9 @@
             bytes += Records.bytes(e.record);
             boolean alone = writtenAlone.contains(job.spec.id());
             if (!batch.isEmpty()
-                    && (alone || batch.size() >= store.batch() || bytes > NetworkConstants.MAX_BODY_BYTES / 2)) {
+                    && (alone
+                            || batch.size() >= store.maxBatchWrites()
+                            || bytes > NetworkConstants.MAX_BODY_BYTES / 2)) {
                 break;
             }
             batch.add(e);
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -20,6 +20,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -112,7 +113,7 @@
             kinds.remove(kind);
             kinds.put(kind, true);
         }
-        if (eventLoop.now() < nextWrite || !store.spare()) {
+        if (eventLoop.now() < nextWrite || !store.hasSpareWriteCapacity()) {
             return;
         }
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
@@ -152,9 +153,9 @@
         Map<String, Boolean> written = new LinkedHashMap<>(kinds);
         kinds.replaceAll((k, dirty) -> false);
         store.commit(
-                new KeyValueStoreClient.Txn()
-                        .when(StoreKeys.LEADER_RECORD, token)
-                        .when(key, stamp)
+                new CompareAndSwap()
+                        .expectRevision(StoreKeys.LEADER_RECORD, token)
+                        .expectRevision(key, stamp)
                         .put(key, record),
                 r -> {
                     if (!r.ok()) {
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -24,6 +24,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -135,7 +136,7 @@
         if (writing || (wanted.isEmpty() && copies.isEmpty() && unwanted.isEmpty()) || eventLoop.now() < notBefore) {
             return;
         }
-        KeyValueStoreClient.Txn txn = new KeyValueStoreClient.Txn().when(StoreKeys.LEADER_RECORD, token);
+        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         Map<String, JsonNode> adding = new LinkedHashMap<>();
         wanted.forEach((id, m) -> adding.put(id, Records.machine(m)));
         copies.forEach(adding::putIfAbsent);
@@ -147,7 +148,7 @@
             }
         });
         Set<String> dropping = shrink(txn);
-        if (txn.ops() == 0) {
+        if (txn.writeCount() == 0) {
             return;
         }
         writing = true;
@@ -164,13 +165,13 @@
                 dropping.forEach(keysOf::remove);
                 registered.accept(registering);
             } else if (r.status() == 400) {
-                LOG.error("record of machines refused ops={} machines={}", txn.ops(), added.size());
+                LOG.error("record of machines refused ops={} machines={}", txn.writeCount(), added.size());
             }
         });
     }
 
     /** New records for so many of the machines as the transaction has room for; returns the key that names each. */
-    private Map<String, String> create(KeyValueStoreClient.Txn txn, Map<String, JsonNode> machines) {
+    private Map<String, String> create(CompareAndSwap txn, Map<String, JsonNode> machines) {
         Map<String, String> added = new HashMap<>();
         ObjectNode record = null;
         String key = null;
@@ -178,13 +179,13 @@
         for (Map.Entry<String, JsonNode> m : machines.entrySet()) {
             int bytes = Records.bytes(m.getValue()) + m.getKey().length() + 4; // quotes, colon and comma
             if (left < bytes) {
-                if (txn.ops() == settings.txnOps()
-                        || (txn.ops() + 1) * settings.valueBytes() > NetworkConstants.MAX_BODY_BYTES * 3 / 4) {
+                if (txn.writeCount() == settings.txnOps()
+                        || (txn.writeCount() + 1) * settings.valueBytes() > NetworkConstants.MAX_BODY_BYTES * 3 / 4) {
                     break;
                 }
                 record = Codec.object();
                 key = StoreKeys.machines(settings.node(), token, written++);
-                txn.when(key, 0).put(key, record);
+                txn.expectAbsent(key).put(key, record);
                 left = Records.room(settings) - 2;
             }
             record.set(m.getKey(), m.getValue());
@@ -198,12 +199,14 @@
      * Takes machines out of their records, as far as the transaction has room; returns those that are out of all of
      * theirs.
      */
-    private Set<String> shrink(KeyValueStoreClient.Txn txn) {
+    private Set<String> shrink(CompareAndSwap txn) {
         Set<String> out = new HashSet<>();
         Set<String> touched = new HashSet<>();
         Set<String> leftAlone = new HashSet<>();
-        int bytes = txn.ops() * settings.valueBytes();
-        int most = Math.min(settings.txnOps(), txn.ops() + (store.spare() ? StoreConstants.SHRINKING_WRITES : 0));
+        int bytes = txn.writeCount() * settings.valueBytes();
+        int most = Math.min(
+                settings.txnOps(),
+                txn.writeCount() + (store.hasSpareWriteCapacity() ? StoreConstants.SHRINKING_WRITES : 0));
         for (String id : unwanted) {
             boolean all = true;
             for (String key : keysOf.getOrDefault(id, Set.of())) {
@@ -219,7 +222,7 @@
                 left.remove(unwanted);
                 int size = Records.bytes(left);
                 boolean tooLarge = size > Records.room(settings);
-                if (txn.ops() >= most
+                if (txn.writeCount() >= most
                         || bytes + size > NetworkConstants.MAX_BODY_BYTES * 3 / 4
                         || (tooLarge && !namedElsewhere(left, key))) {
                     all = false;
@@ -228,9 +231,9 @@
                 }
                 bytes += size;
                 touched.add(key);
-                txn.when(key, entry.revision());
+                txn.expectRevision(key, entry.revision());
                 if (left.isEmpty() || tooLarge) {
-                    txn.drop(key);
+                    txn.delete(key);
                 } else {
                     txn.put(key, left);
                 }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -14,6 +14,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.WireNames;
+import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -78,10 +79,10 @@
         ArrayNode names = data.putArray("machines");
         heard.keySet().forEach(names::add);
         LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
-        store.commitNow(
-                new KeyValueStoreClient.Txn()
-                        .when(StoreKeys.LEADER_RECORD, token)
-                        .putLeased(StoreKeys.leaderComplaint(settings.node()), data, stateSession),
+        store.commitUrgently(
+                new CompareAndSwap()
+                        .expectRevision(StoreKeys.LEADER_RECORD, token)
+                        .putWithLease(StoreKeys.leaderComplaint(settings.node()), data, stateSession),
                 r -> {});
     }
 
--- a/src/main/java/org/hollypick/store/KeyValueStoreClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -1,9 +1,5 @@
 package org.hollypick.store;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import it.unimi.dsi.fastutil.objects.Object2LongLinkedOpenHashMap;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
@@ -15,7 +11,6 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 import org.hollypick.io.TokenBucket;
-import org.hollypick.io.WireNames;
 import org.hollypick.peer.RequestRouter;
 
 /** The state service's protocol, inside this node's share of its limits. Leases never wait in the queue. */
@@ -40,9 +35,10 @@
     /** The queues will be looked at again shortly. */
     private boolean wakes;
 
-    private record Queued(Request call, RequestRouter.Kind kind, Txn txn, long since, Consumer<Response> reply) {
+    private record Queued(
+            Request call, RequestRouter.Kind kind, CompareAndSwap txn, long since, Consumer<Response> reply) {
         int puts() {
-            return txn == null ? 0 : txn.ops();
+            return txn == null ? 0 : txn.writeCount();
         }
 
         boolean late(long now) {
@@ -50,54 +46,6 @@
         }
     }
 
-    /** A transaction under construction. */
-    public static final class Txn {
-        private final Object2LongLinkedOpenHashMap<String> when = new Object2LongLinkedOpenHashMap<>();
-        private final ArrayNode then = Codec.array();
-
-        public Txn when(String key, long stamp) {
-            when.put(key, stamp);
-            return this;
-        }
-
-        public Txn put(String key, JsonNode data) {
-            then.addObject().put("put", key).set("data", data);
-            return this;
-        }
-
-        public Txn putLeased(String key, JsonNode data, long stateSession) {
-            ObjectNode op = then.addObject().put("put", key).put(WireNames.STATE_SESSION, stateSession);
-            op.set("data", data);
-            return this;
-        }
-
-        public Txn drop(String key) {
-            then.addObject().put("drop", key);
-            return this;
-        }
-
-        public int ops() {
-            return then.size();
-        }
-
-        private void count(StoreUsage usage) {
-            for (JsonNode change : then) {
-                String key = change.path(change.has("put") ? "put" : "drop").asText();
-                usage.changed(key, when.containsKey(key) && when.getLong(key) == 0);
-            }
-        }
-
-        JsonNode body() {
-            ObjectNode body = Codec.object();
-            ArrayNode conditions = body.putArray("when");
-            when.object2LongEntrySet()
-                    .forEach(e ->
-                            conditions.addObject().put("key", e.getKey()).put(WireNames.REVISION, e.getLongValue()));
-            body.set("then", then);
-            return body;
-        }
-    }
-
     public KeyValueStoreClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
         this.address = settings.state();
@@ -119,7 +67,7 @@
     }
 
     /** How calls get there; other controllers' too. */
-    public RequestRouter routes() {
+    public RequestRouter router() {
         return routes;
     }
 
@@ -150,15 +98,15 @@
         }
     }
 
-    private void own(Txn txn, Response reply) {
+    private void own(CompareAndSwap txn, Response reply) {
         if (leaderShare != null && reply.ok()) {
-            leaderShare.own(txn.ops(), eventLoop.now());
+            leaderShare.own(txn.writeCount(), eventLoop.now());
             followShare();
         }
     }
 
     /** Whether a new write would wait here for longer than it may: whoever wants it is told so at once. */
-    public boolean crowded() {
+    public boolean shouldShedWrite() {
         boolean crowded = full()
                 || queuedPuts
                         > Math.max(
@@ -181,17 +129,17 @@
      * Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what
      * users wait for.
      */
-    public boolean spare() {
-        return nothingWaits() && writes.has(writes.size() / 2, eventLoop.now());
+    public boolean hasSpareWriteCapacity() {
+        return areQueuesEmpty() && writes.has(writes.size() / 2, eventLoop.now());
     }
 
     /** Whether every request so far was sent as soon as it came. */
-    public boolean nothingWaits() {
+    public boolean areQueuesEmpty() {
         return reads.isEmpty() && commits.isEmpty();
     }
 
     /** Changes to put into one transaction at most, if there are many. */
-    public int batch() {
+    public int maxBatchWrites() {
         return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * StoreConstants.WRITE_BATCH_S));
     }
 
@@ -204,11 +152,11 @@
     }
 
     /** The answer is 404 and tells the epoch. */
-    public void epoch(Consumer<Response> reply) {
+    public void readRevision(Consumer<Response> reply) {
         get(NEVER, reply);
     }
 
-    public void list(String prefix, String from, Consumer<Response> reply) {
+    public void listPage(String prefix, String from, Consumer<Response> reply) {
         String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
         submit(
                 Request.of(address, "GET", path, null, StoreConstants.STORE_TIMEOUT_MS),
@@ -217,20 +165,20 @@
                 reply);
     }
 
-    public void commit(Txn txn, Consumer<Response> reply) {
+    public void commit(CompareAndSwap txn, Consumer<Response> reply) {
         submit(
-                Request.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
+                Request.of(address, "POST", "/commit", StoreCodec.encode(txn), StoreConstants.STORE_TIMEOUT_MS),
                 RequestRouter.Kind.ONCE,
                 txn,
                 reply);
     }
 
     /** Leadership and membership: ahead of the queue, like leases. */
-    public void commitNow(Txn txn, Consumer<Response> reply) {
-        writes.take(txn.ops(), eventLoop.now());
-        txn.count(usage);
+    public void commitUrgently(CompareAndSwap txn, Consumer<Response> reply) {
+        writes.take(txn.writeCount(), eventLoop.now());
+        usage.writesSent(txn);
         urgent(
-                Request.of(address, "POST", "/commit", txn.body(), StoreConstants.STORE_TIMEOUT_MS),
+                Request.of(address, "POST", "/commit", StoreCodec.encode(txn), StoreConstants.STORE_TIMEOUT_MS),
                 RequestRouter.Kind.ONCE,
                 StoreUsage.Request.COMMIT,
                 r -> {
@@ -240,7 +188,7 @@
     }
 
     /** Asked twice, one of two state sessions is never used and ends by itself. */
-    public void grant(long lifeMs, Consumer<Response> reply) {
+    public void grantSession(long lifeMs, Consumer<Response> reply) {
         urgent(
                 Request.of(
                         address,
@@ -253,7 +201,7 @@
                 reply);
     }
 
-    public void extend(long stateSession, Consumer<Response> reply) {
+    public void renewSession(long stateSession, Consumer<Response> reply) {
         urgent(
                 Request.of(
                         address,
@@ -266,7 +214,7 @@
                 reply);
     }
 
-    public void end(long stateSession, Consumer<Response> reply) {
+    public void endSession(long stateSession, Consumer<Response> reply) {
         urgent(
                 Request.of(
                         address,
@@ -302,7 +250,7 @@
         routes.call(call, kind, reply);
     }
 
-    private void submit(Request call, RequestRouter.Kind kind, Txn txn, Consumer<Response> reply) {
+    private void submit(Request call, RequestRouter.Kind kind, CompareAndSwap txn, Consumer<Response> reply) {
         ArrayDeque<Queued> queue = txn == null ? reads : commits;
         if (queue.size() >= StoreConstants.STORE_QUEUE_LENGTH) {
             usage.notSent();
@@ -361,7 +309,7 @@
         usage.sent(next.txn == null ? StoreUsage.Request.READ : StoreUsage.Request.COMMIT);
         usage.waited(now - next.since);
         if (next.txn != null) {
-            next.txn.count(usage);
+            usage.writesSent(next.txn);
         }
         routes.call(next.call, next.kind, r -> {
             if (next.txn != null) {
--- a/src/main/java/org/hollypick/store/StoreUsage.java
+++ b/src/main/java/org/hollypick/store/StoreUsage.java
@@ -36,10 +36,17 @@
         requests.merge(kind, 1, Integer::sum);
     }
 
-    /** A put or delete that was sent. {@code created}: on condition that the key doesn't exist. */
-    void changed(String key, boolean created) {
+    /** The writes of that transaction were sent. */
+    void writesSent(CompareAndSwap transaction) {
+        for (CompareAndSwap.Write write : transaction.writes()) {
+            changes.merge(prefix(write.key()) + (transaction.creates(write) ? "+" : ""), 1, Integer::sum);
+        }
+    }
+
+    /** The key up to its second slash: the kind of its record. */
+    private static String prefix(String key) {
         int end = key.indexOf('/', key.indexOf('/') + 1);
-        changes.merge((end < 0 ? key : key.substring(0, end)) + (created ? "+" : ""), 1, Integer::sum);
+        return end < 0 ? key : key.substring(0, end);
     }
 
     void waited(long ms) {
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -115,7 +115,7 @@
     @Test
     void readsDoNotWaitBehindChanges() {
         for (int i = 0; i < 60; i++) {
-            store.commit(new KeyValueStoreClient.Txn().put("h/j/" + i, Codec.object()), r -> {});
+            store.commit(new CompareAndSwap().put("h/j/" + i, Codec.object()), r -> {});
         }
         service.run(1_000);
         long asked = service.now();
@@ -164,9 +164,7 @@
         store.watch("h/", 0, r -> watchAgain());
         for (long at = 0; at < SECONDS * 1_000; at += 50) {
             service.after(
-                    at,
-                    () -> store.commit(
-                            new KeyValueStoreClient.Txn().put("h/j/" + service.now(), Codec.object()), r -> {}));
+                    at, () -> store.commit(new CompareAndSwap().put("h/j/" + service.now(), Codec.object()), r -> {}));
         }
         service.run(SECONDS * 1_000);
         assertTrue(service.sent("/commit") > SECONDS * 15, "sent " + service.sent("/commit"));
