--- a/src/main/java/org/hollypick/config/constants/JobConstants.java
+++ b/src/main/java/org/hollypick/config/constants/JobConstants.java
@@ -5,6 +5,9 @@
     /** Bits of an attempt number that count within one token; the rest is the token, so attempts never repeat. */
     public static final int ATTEMPT_BITS = 20;
 
+    /** Attempt numbers left when a new token is due: more than start while the leader takes one. */
+    public static final int ATTEMPT_RESERVE = 10_000;
+
     /**
      * Milliseconds for which a cancellation waits for a launch still under way before a new token ends that, if the
      * machine's lease was renewed in these: most are heard of, or their machine is gone, by then.
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -199,7 +199,7 @@
     public boolean fencingDue(long now) {
         long since = now - JobConstants.FENCING_DELAY_MS;
         return cancelling.values().stream()
-                .anyMatch(c -> c.since < since && scheduler.assignments.directLaunchPending(c.job, since));
+                .anyMatch(c -> c.since < since && scheduler.commands().directLaunchPending(c.job, since));
     }
 
     /** The end of one job as it is to be written. */
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -10,7 +10,6 @@
 import org.hollypick.agent.AgentCodec;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
-import org.hollypick.core.AssignmentTable;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.assignment.Command;
@@ -85,7 +84,7 @@
             LOG.info("machine machine={} type={} zone={} spot={}", r.machine(), r.type(), r.zone(), r.spot());
             m = scheduler.addMachine(r.machine(), type, r.zone(), r.spot(), false, now);
         }
-        if (AssignmentTable.outdated(m, r)) {
+        if (m.isOutdated(r)) {
             return ServerResponse.retryLater("a report of an earlier session");
         }
         HeartbeatValidity.Freshness freshness = m.validity.freshness(r, now);
@@ -105,7 +104,7 @@
         if (scheduler.machinesWithFreedRoom.remove(m)) {
             scheduler.scheduleOn(m, now);
         }
-        List<Command> orders = limited(scheduler.assignments.pendingCommands(m));
+        List<Command> orders = limited(scheduler.commands().pendingCommands(m));
         if (freshness == HeartbeatValidity.Freshness.NEW
                 && !acknowledges(m, r, was && r.incarnation() != before, orders, now)) {
             return ServerResponse.retryLater("answers don't reach the machine");
@@ -116,7 +115,7 @@
         }
         m.heartbeatAcknowledgedAt = m.validity.takenAt();
         m.validity.told(orders);
-        scheduler.assignments.sentInHeartbeatResponse(m, orders);
+        scheduler.commands().sentInHeartbeatResponse(m, orders);
         if (m.reconciled) {
             scheduler.machinesWithPendingCommands.remove(m);
             scheduler.machinesWithUrgentCommands.remove(m);
@@ -169,7 +168,7 @@
     private boolean accept(Machine m, Heartbeat r, boolean heartbeatReceived, long now) {
         m.lastHeartbeatAt = now;
         m.unacknowledgedCalls = 0;
-        return scheduler.assignments.applyHeartbeat(m, r, heartbeatReceived, now);
+        return scheduler.heartbeats().applyHeartbeat(m, r, heartbeatReceived, now);
     }
 
     /** An answer holds 64 KiB at most; what is left out follows with the next. */
@@ -205,7 +204,7 @@
             return;
         }
         List<Command> orders = m.heartbeatReceived && !m.incarnationExpired()
-                ? limited(scheduler.assignments.pendingCommands(m))
+                ? limited(scheduler.commands().pendingCommands(m))
                 : List.of();
         // What may be cleared can wait for the machine's next report.
         if (m.reconciled && !probe && orders.stream().allMatch(o -> o.verb() == Command.Verb.CLEAR)) {
@@ -218,7 +217,7 @@
         boolean known = m.heartbeatReceived;
         long session = known ? m.incarnation : 1;
         long tick = m.heartbeatSequence;
-        scheduler.assignments.sentDirectly(m, orders);
+        scheduler.commands().sentDirectly(m, orders);
         open++;
         long asked = eventLoop.now();
         openDoubtful += doubtful ? 1 : 0;
@@ -246,7 +245,7 @@
     /** {@code tick}: the newest count of the machine that was known when it was asked; -1 for none. */
     private void answered(Machine m, List<Command> orders, long session, long tick, Response r) {
         boolean settled = r.status() == 200 || r.status() == 409 || r.status() == 400 || r.neverSent();
-        scheduler.assignments.directCallCompleted(m, orders, session, settled);
+        scheduler.commands().directCallCompleted(m, orders, session, settled);
         if (r.status() != 200 && r.status() != 409) {
             if (r.status() != Response.NO_CAPACITY) {
                 m.unacknowledgedCalls++;
@@ -264,7 +263,7 @@
                 && Long.compareUnsigned(heartbeat.token(), scheduler.token) <= 0) {
             boolean again = !m.reconciled;
             m.validity.acknowledged();
-            scheduler.assignments.confirmLive(m);
+            scheduler.heartbeats().confirmLive(m);
             accept(m, heartbeat, false, eventLoop.now());
             if (tick >= 0 && !heartbeat.newerThan(session, tick) && !m.incarnationExpired()) {
                 LOG.info(
@@ -274,7 +273,7 @@
                         heartbeat.sequence(),
                         session,
                         tick);
-                scheduler.assignments.incarnationRestarted(m, heartbeat, eventLoop.now());
+                scheduler.heartbeats().incarnationRestarted(m, heartbeat, eventLoop.now());
             }
             if (again && !m.reconciled) {
                 direct(m, true);
--- /dev/null
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -0,0 +1,155 @@
+package org.hollypick.core;
+
+import org.hollypick.core.assignment.Assignment;
+import org.hollypick.core.assignment.Assignment.State;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.assignment.TaskStatus;
+
+/**
+ * Applies what agents report to the machines and the assignment table of one term: incarnation and sequence, listed and
+ * unlisted tasks, reconciliation under this term's token, and eviction notices of the cloud. Confined to the event
+ * loop.
+ */
+public final class HeartbeatProcessor {
+    private final Scheduler scheduler;
+    private final AssignmentTable assignments;
+    private final TeamUsage teamUsage;
+
+    HeartbeatProcessor(Scheduler scheduler, AssignmentTable assignments, TeamUsage teamUsage) {
+        this.scheduler = scheduler;
+        this.assignments = assignments;
+        this.teamUsage = teamUsage;
+    }
+
+    /**
+     * Applies a heartbeat, unless it is a duplicate, older than the newest one or of an incarnation that is over.
+     *
+     * @param sentByAgent true if the agent sent it as a request: the response to its previous request was then taken or
+     *     lost by now. False if it came in the response to a direct call.
+     * @param now milliseconds of the event loop's clock
+     * @return whether the heartbeat was applied
+     */
+    public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, boolean sentByAgent, long now) {
+        scheduler.lastNow = now;
+        if (machine.hasProcessed(heartbeat) || machine.isOutdated(heartbeat)) {
+            return false;
+        }
+        beginIncarnationIfNew(machine, heartbeat, now);
+        machine.recordHeartbeat(heartbeat);
+        if (sentByAgent) {
+            scheduler.cycleRequested |= machine.awaitsHeartbeat;
+            machine.heartbeatRequestReceived();
+        }
+        applyListedTasks(machine, heartbeat, now);
+        removeUnlistedAssignments(machine);
+        reconcileIfUnderToken(machine, heartbeat);
+        if (heartbeat.hasEvictionNotice() && !machine.draining) {
+            beginGracefulEviction(machine, heartbeat.noticeS());
+        }
+        scheduler.machinesWithPendingCommands.add(machine);
+        return true;
+    }
+
+    /** A new incarnation starts without tasks, and late commands to the old one are refused by the agent. */
+    private void beginIncarnationIfNew(Machine machine, Heartbeat heartbeat, long now) {
+        if (machine.heartbeatReceived && heartbeat.incarnation() == machine.incarnation) {
+            return;
+        }
+        if (machine.heartbeatReceived) {
+            assignments.removeAll(machine);
+            machine.endIncarnation();
+        } else if (!machine.registered) {
+            scheduler.machinesToRegister.add(machine);
+        }
+        machine.beginIncarnation(now);
+    }
+
+    private void applyListedTasks(Machine machine, Heartbeat heartbeat, long now) {
+        machine.beginTaskList();
+        boolean orphanedTasks = false;
+        for (TaskStatus status : heartbeat.tasks()) {
+            Assignment assignment = machine.assignmentOf(status.task(), status.attempt());
+            if (assignment == null) {
+                assignment = assignments.adopt(machine, status, now);
+            }
+            if (assignment != null) {
+                applyListedTask(assignment, status, heartbeat, now);
+            } else if (status.state() != State.EXITED) {
+                orphanedTasks = true;
+            }
+        }
+        scheduler.cycleRequested |= machine.hasOrphanedTasks && !orphanedTasks;
+        machine.hasOrphanedTasks = orphanedTasks;
+    }
+
+    private void applyListedTask(Assignment assignment, TaskStatus status, Heartbeat heartbeat, long now) {
+        assignment.machine.listed(assignment, now);
+        assignments.update(assignment, status, now);
+        if (heartbeat.token() == scheduler.token
+                && assignment.mayExist()
+                && AttemptNumbers.tokenOf(assignment.attempt) != scheduler.token
+                && !scheduler.reconciliationWasComplete()) {
+            teamUsage.found(assignment.spec, assignment.attempt);
+        }
+    }
+
+    private void removeUnlistedAssignments(Machine machine) {
+        for (Assignment assignment : machine.unlistedAssignments()) {
+            boolean launchCancelled = assignment.stopRequested && !assignment.launchMayStillExecute();
+            if (assignment.state() != State.LAUNCHING || launchCancelled) {
+                assignments.remove(assignment);
+            }
+        }
+    }
+
+    /** Only a heartbeat made under this token is final: the agent refuses older direct commands from then on. */
+    private void reconcileIfUnderToken(Machine machine, Heartbeat heartbeat) {
+        if (heartbeat.token() == scheduler.token && !(machine.reconciled && machine.confirmedLive)) {
+            machine.reconciled = true;
+            confirmLive(machine);
+        }
+    }
+
+    /** Records that the machine is present, and not only a delayed heartbeat of it. */
+    public void confirmLive(Machine machine) {
+        scheduler.cycleRequested |= !machine.confirmedLive;
+        machine.confirmedLive = true;
+    }
+
+    /**
+     * Applies the response to a direct call that was sent after a larger sequence number was known: the agent has
+     * restarted without tasks. The machine can only hold what a launch still in flight may bring, for one lease from
+     * now on at most.
+     */
+    public void incarnationRestarted(Machine machine, Heartbeat heartbeat, long now) {
+        scheduler.lastNow = now;
+        machine.expireRestartedIncarnation(now);
+        machine.beginTaskList();
+        for (TaskStatus status : heartbeat.tasks()) {
+            Assignment assignment = machine.assignmentOf(status.task(), status.attempt());
+            if (assignment != null) {
+                machine.listed(assignment, now);
+            }
+        }
+        for (Assignment assignment : machine.unlistedAssignments()) {
+            if (!assignment.launchMayStillExecute()) {
+                assignments.remove(assignment);
+            }
+        }
+    }
+
+    /** The cloud takes the machine: stops what can save a checkpoint, has to move, or can't finish in time. */
+    private void beginGracefulEviction(Machine machine, double noticeS) {
+        machine.draining = true;
+        for (Assignment assignment : machine.liveAssignments()) {
+            JobSpec spec = assignment.spec;
+            if (spec.checkpointS() > 0 && !spec.service()) {
+                assignments.stop(assignment, noticeS > spec.saveS() ? Math.ceil(spec.saveS()) : 0);
+            } else if (spec.service() || noticeS < spec.estimateS() / 4) {
+                assignments.stop(assignment, 0);
+            }
+        }
+        scheduler.cycleRequested = true;
+    }
+}
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -29,6 +29,8 @@
     public final HeartbeatBalancer heartbeatBalancer;
 
     public final AssignmentTable assignments;
+    private final HeartbeatProcessor heartbeats;
+    private final CommandTracker commands = new CommandTracker();
     private boolean reconciliationComplete;
     /** Earlier leaders kept the same limits of teams. */
     private boolean earlierLeadersKeptLimits;
@@ -74,6 +76,7 @@
         this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
         this.leases = leases;
         this.assignments = new AssignmentTable(this, teamUsage);
+        this.heartbeats = new HeartbeatProcessor(this, assignments, teamUsage);
         this.cycle = new SchedulingCycle(this, firstShare);
     }
 
@@ -82,6 +85,16 @@
         earlierLeadersKeptLimits = true;
     }
 
+    /** Applies the heartbeats of agents. */
+    public HeartbeatProcessor heartbeats() {
+        return heartbeats;
+    }
+
+    /** Computes and tracks the commands to agents. */
+    public CommandTracker commands() {
+        return commands;
+    }
+
     // ---- jobs ----
 
     /** A job that awaits nothing. */
@@ -250,7 +263,7 @@
      * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
      */
     public boolean launchMayStillExecute(Job job) {
-        return assignments.launchMayStillExecute(job) || (job.createdUnderToken != token && !allReconciled());
+        return commands.launchMayStillExecute(job) || (job.createdUnderToken != token && !allReconciled());
     }
 
     /** Once so, it stays so; asked for many jobs in one moment. */
--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -85,6 +85,16 @@
 
     /** Whether a copy of the launch may still be executed: clearing the attempt now could start it once more. */
     public boolean launchMayStillExecute() {
-        return directLaunchUnacknowledged || directLaunchInFlight || launchInHeartbeatResponse;
+        return directLaunchMayExecute() || launchInHeartbeatResponse;
+    }
+
+    /** Whether a launch that was sent directly may still be executed, while the agent's incarnation and token last. */
+    public boolean directLaunchMayExecute() {
+        return directLaunchUnacknowledged || directLaunchInFlight;
+    }
+
+    /** Whether the agent may forget the exited attempt. */
+    public boolean mayBeCleared() {
+        return removable && !launchMayStillExecute();
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Heartbeat.java
+++ b/src/main/java/org/hollypick/core/assignment/Heartbeat.java
@@ -18,4 +18,9 @@
         int c = Long.compareUnsigned(incarnation, otherSession);
         return c > 0 || (c == 0 && Long.compareUnsigned(sequence, otherTick) > 0);
     }
+
+    /** Whether the cloud announced that it takes the machine. */
+    public boolean hasEvictionNotice() {
+        return !Double.isNaN(noticeS);
+    }
 }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -116,7 +116,7 @@
 
     private int starting;
     private double serviceCpus;
-    private long reports;
+    private long taskLists;
 
     public Machine(String id, MachineType type, String zone, boolean spot, long now) {
         this.id = id;
@@ -153,9 +153,73 @@
         return reconciled && !hasOrphanedTasks;
     }
 
-    /** A new report begins: what it doesn't list is told by {@link #unlistedAssignments}. */
-    public void beginHeartbeat() {
-        reports++;
+    /** Whether the heartbeat is a duplicate of the newest one that was processed, or older. */
+    public boolean hasProcessed(Heartbeat heartbeat) {
+        return heartbeatReceived && !heartbeat.newerThan(incarnation, heartbeatSequence);
+    }
+
+    /**
+     * Whether a heartbeat says nothing whatever its sequence number: of an incarnation that is over, or with a larger
+     * sequence number and a lower token than the machine has shown. An agent's token never falls, so such a heartbeat
+     * was written by an earlier incarnation.
+     */
+    public boolean isOutdated(Heartbeat heartbeat) {
+        return Long.compareUnsigned(heartbeat.incarnation(), minIncarnation) < 0
+                || (incarnationExpired() && Long.compareUnsigned(heartbeat.incarnation(), incarnation) <= 0)
+                || (heartbeatReceived
+                        && heartbeat.newerThan(incarnation, heartbeatSequence)
+                        && Long.compareUnsigned(heartbeat.token(), seenToken) < 0);
+    }
+
+    /** The known incarnation is over since the agent reports another one; see {@link #awaitsHeartbeat}. */
+    public void endIncarnation() {
+        awaitsHeartbeat = !heartbeatInIncarnation;
+        heartbeatInIncarnation = false;
+    }
+
+    /** The agent's first heartbeat, or its first one of another incarnation, was received. */
+    public void beginIncarnation(long now) {
+        incarnationSeenAt = now;
+        incarnationExpiredAt = 0;
+        if (!heartbeatReceived) {
+            heartbeatReceived = true;
+            idleSince = now;
+        }
+    }
+
+    /** The agent restarted without tasks, as a direct call shows; the incarnation that it is known by is over. */
+    public void expireRestartedIncarnation(long now) {
+        incarnationExpiredAt = now;
+        incarnationSeenAt = now;
+        reportedTasks = List.of();
+    }
+
+    /** The heartbeat is the newest one from now on. */
+    public void recordHeartbeat(Heartbeat heartbeat) {
+        seenToken = heartbeat.token();
+        incarnation = heartbeat.incarnation();
+        heartbeatSequence = heartbeat.sequence();
+        if (!heartbeat.address().isEmpty()) {
+            address = heartbeat.address();
+        }
+        reportedTasks = heartbeat.tasks();
+    }
+
+    /**
+     * The newest heartbeat came as a request of the agent. An agent has one in flight, so the response to the one
+     * before was taken or lost by now.
+     */
+    public void heartbeatRequestReceived() {
+        for (Assignment assignment : assignments.values()) {
+            assignment.launchInHeartbeatResponse = false;
+        }
+        awaitsHeartbeat = false;
+        heartbeatInIncarnation = true;
+    }
+
+    /** A new list of reported tasks begins: {@link #unlistedAssignments} tells which assignments it doesn't hold. */
+    public void beginTaskList() {
+        taskLists++;
     }
 
     /** The present report lists the placement. */
@@ -163,7 +227,7 @@
         if (assignment.listedIn == 0) {
             newAssignmentListedAt = now;
         }
-        assignment.listedIn = reports;
+        assignment.listedIn = taskLists;
     }
 
     /**
@@ -177,7 +241,7 @@
     public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
-            if (assignment.listedIn != reports) {
+            if (assignment.listedIn != taskLists) {
                 list.add(assignment);
             }
         }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -82,7 +82,7 @@
     private Machine reporting() {
         Machine machine = machine("n-1", false);
         machine.registered = true;
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         return machine;
     }
 
@@ -110,7 +110,7 @@
     void aSessionKnownFromADirectAnswerHasItsFullLease() {
         Machine machine = reporting();
         machine.heartbeatAcknowledgedAt = 0;
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, machine, LEASE_MS + 10_000);
         scheduler.expireLeases(LEASE_MS + 11_000);
@@ -124,12 +124,12 @@
         Machine machine = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, machine, 0);
-        List<Command> commands = scheduler.assignments.pendingCommands(machine);
-        scheduler.assignments.sentDirectly(machine, commands);
-        scheduler.assignments.directCallCompleted(machine, commands, 1, false);
+        List<Command> commands = scheduler.commands().pendingCommands(machine);
+        scheduler.commands().sentDirectly(machine, commands);
+        scheduler.commands().directCallCompleted(machine, commands, 1, false);
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), true, 1_000);
-        assertEquals(0, clears(scheduler.assignments.pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), true, 1_000);
+        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
         assertTrue(job.pendingTasks.get(0), "an exited attempt can't start again, so the task is free");
     }
 
@@ -139,12 +139,14 @@
         Machine machine = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, machine, 0);
-        scheduler.assignments.sentInHeartbeatResponse(machine, scheduler.assignments.pendingCommands(machine));
+        scheduler
+                .commands()
+                .sentInHeartbeatResponse(machine, scheduler.commands().pendingCommands(machine));
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), false, 100);
-        assertEquals(0, clears(scheduler.assignments.pendingCommands(machine)));
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 3, 5, failed), true, 3_000);
-        assertEquals(1, clears(scheduler.assignments.pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), false, 100);
+        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 3, 5, failed), true, 3_000);
+        assertEquals(1, clears(scheduler.commands().pendingCommands(machine)));
     }
 
     @Test
@@ -152,29 +154,34 @@
         Machine machine = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, machine, 0);
-        scheduler.assignments.applyHeartbeat(
-                machine, report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")), true, 100);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")),
+                        true,
+                        100);
         assertTrue(job.finished());
-        assertEquals(0, clears(scheduler.assignments.pendingCommands(machine)));
+        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
         scheduler.markDone(job);
-        assertEquals(1, clears(scheduler.assignments.pendingCommands(machine)));
+        assertEquals(1, clears(scheduler.commands().pendingCommands(machine)));
     }
 
     @Test
     void afterATakeoverOlderJobsWaitForEveryRegisteredMachine() {
         Machine heard = machine("n-1", true);
         Machine silent = machine("n-2", true);
-        scheduler.assignments.applyHeartbeat(heard, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(heard, report("n-1", 1, 1, 5), true, 0);
         Job older = scheduler.addJob(spec("req-1", 1, false), 1, 4);
         Job younger = scheduler.addJob(spec("req-2", 1, false), 6, 5);
         scheduler.runSchedulingCycle(0);
         assertNull(older.assignments.get(0));
         assertNotNull(younger.assignments.get(0));
         // a report made before the new token was seen proves nothing: an older order may still be executed
-        scheduler.assignments.applyHeartbeat(silent, report("n-2", 1, 1, 4), true, 1_000);
+        scheduler.heartbeats().applyHeartbeat(silent, report("n-2", 1, 1, 4), true, 1_000);
         scheduler.runSchedulingCycle(1_000);
         assertNull(older.assignments.get(0));
-        scheduler.assignments.applyHeartbeat(silent, report("n-2", 1, 2, 5), true, 2_000);
+        scheduler.heartbeats().applyHeartbeat(silent, report("n-2", 1, 2, 5), true, 2_000);
         scheduler.runSchedulingCycle(2_000);
         assertNotNull(older.assignments.get(0));
     }
@@ -194,11 +201,13 @@
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Assignment p = launched(job, machine, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
-        assertFalse(scheduler.assignments.applyHeartbeat(
-                machine,
-                report("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
-                true,
-                LEASE_MS + 3_000));
+        assertFalse(scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
+                        true,
+                        LEASE_MS + 3_000));
         assertTrue(job.pendingTasks.get(0));
     }
 
@@ -218,7 +227,7 @@
                 new WorkerLeases(settings(Map.of()), List.of(), 0, true));
         Machine machine = limited.addMachine("n-1", TYPE, "a", true, false, 0);
         machine.registered = true;
-        limited.assignments.applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        limited.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         Job job = limited.addJob(spec("req-1", 4, false), 1, 5);
         limited.runSchedulingCycle(0);
         assertEquals(2, job.assignments.size());
@@ -237,24 +246,26 @@
         Machine machine = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, machine, 0);
-        List<Command> commands = scheduler.assignments.pendingCommands(machine);
-        scheduler.assignments.sentDirectly(machine, commands);
+        List<Command> commands = scheduler.commands().pendingCommands(machine);
+        scheduler.commands().sentDirectly(machine, commands);
         scheduler.cancel(job);
-        assertTrue(scheduler.assignments.directLaunchPending(job));
-        scheduler.assignments.directCallCompleted(machine, commands, 1, false);
-        assertTrue(scheduler.assignments.directLaunchPending(job));
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 20, 5), true, 20_000);
-        assertTrue(scheduler.assignments.directLaunchPending(job), "a report that doesn't show it proves nothing");
+        assertTrue(scheduler.commands().directLaunchPending(job));
+        scheduler.commands().directCallCompleted(machine, commands, 1, false);
+        assertTrue(scheduler.commands().directLaunchPending(job));
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 20, 5), true, 20_000);
+        assertTrue(scheduler.commands().directLaunchPending(job), "a report that doesn't show it proves nothing");
         Assignment p = job.assignments.get(0);
-        scheduler.assignments.applyHeartbeat(
-                machine,
-                report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")),
-                true,
-                21_000);
-        assertFalse(scheduler.assignments.directLaunchPending(job));
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")),
+                        true,
+                        21_000);
+        assertFalse(scheduler.commands().directLaunchPending(job));
         assertEquals(
                 List.of(new Command(Command.Verb.KILL, p.taskId, p.attempt, 0)),
-                scheduler.assignments.pendingCommands(machine));
+                scheduler.commands().pendingCommands(machine));
     }
 
     /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
@@ -265,14 +276,15 @@
         Assignment p = launched(job, machine, 0);
         scheduler.cancel(job);
         assertFalse(scheduler.launchMayStillExecute(job), "it was never sent");
-        scheduler.assignments.sentInHeartbeatResponse(
-                machine, List.of(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0)));
+        scheduler
+                .commands()
+                .sentInHeartbeatResponse(machine, List.of(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0)));
         assertTrue(scheduler.launchMayStillExecute(job), "the answer may be on its way");
         TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "");
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 20, 5, fetching), true, 2_000);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 20, 5, fetching), true, 2_000);
         assertTrue(scheduler.launchMayStillExecute(job), "it starts once the image is there");
         TaskStatus stopped = new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped");
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 21, 5, stopped), true, 3_000);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 21, 5, stopped), true, 3_000);
         assertFalse(scheduler.launchMayStillExecute(job));
     }
 
@@ -282,12 +294,12 @@
         Machine machine = reporting();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, machine, 0);
-        List<Command> commands = scheduler.assignments.pendingCommands(machine);
-        scheduler.assignments.sentDirectly(machine, commands);
-        scheduler.assignments.directCallCompleted(machine, commands, 1, false);
+        List<Command> commands = scheduler.commands().pendingCommands(machine);
+        scheduler.commands().sentDirectly(machine, commands);
+        scheduler.commands().directCallCompleted(machine, commands, 1, false);
         scheduler.cancel(job);
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 2, 2, 5), true, 21_000);
-        assertFalse(scheduler.assignments.directLaunchPending(job));
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 2, 2, 5), true, 21_000);
+        assertFalse(scheduler.commands().directLaunchPending(job));
         assertFalse(job.hasPendingTasks(), "it isn't started again");
     }
 
@@ -299,10 +311,10 @@
         TaskStatus[] running = low.assignments.values().stream()
                 .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 2, 5, running), true, 100);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
         scheduler.runSchedulingCycle(100);
-        List<Command> commands = scheduler.assignments.pendingCommands(machine);
+        List<Command> commands = scheduler.commands().pendingCommands(machine);
         assertEquals(Command.Verb.KILL, commands.get(0).verb());
         assertEquals(Command.Verb.LAUNCH, commands.get(commands.size() - 1).verb());
         assertTrue(commands.get(commands.size() - 1).task().startsWith("req-2/"));
@@ -311,11 +323,13 @@
     private void fail(Machine machine, Job job, long tick, long now) {
         Assignment p = job.assignments.values().iterator().next();
         assertEquals(machine, p.machine);
-        scheduler.assignments.applyHeartbeat(
-                machine,
-                report(machine.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")),
-                true,
-                now);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report(machine.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")),
+                        true,
+                        now);
     }
 
     /** Two jobs that fail on one machine alone speak against the machine; what runs there goes on. */
@@ -329,18 +343,20 @@
         Assignment running = good.assignments.get(0);
         Assignment a = one.assignments.get(0);
         Assignment b = two.assignments.get(0);
-        scheduler.assignments.applyHeartbeat(
-                machine,
-                report(
-                        "n-1",
-                        1,
-                        2,
-                        5,
-                        new TaskStatus(running.taskId, running.attempt, State.RUNNING, ""),
-                        new TaskStatus(a.taskId, a.attempt, State.EXITED, "error"),
-                        new TaskStatus(b.taskId, b.attempt, State.EXITED, "error")),
-                true,
-                100);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report(
+                                "n-1",
+                                1,
+                                2,
+                                5,
+                                new TaskStatus(running.taskId, running.attempt, State.RUNNING, ""),
+                                new TaskStatus(a.taskId, a.attempt, State.EXITED, "error"),
+                                new TaskStatus(b.taskId, b.attempt, State.EXITED, "error")),
+                        true,
+                        100);
         assertTrue(machine.faulty);
         assertFalse(running.stopRequested);
         scheduler.expireLeases(200_000);
@@ -356,7 +372,7 @@
         scheduler.runSchedulingCycle(0);
         fail(machine, one, 2, 100);
         n.registered = true;
-        scheduler.assignments.applyHeartbeat(n, report("n-2", 1, 1, 5), true, 200);
+        scheduler.heartbeats().applyHeartbeat(n, report("n-2", 1, 1, 5), true, 200);
         scheduler.runSchedulingCycle(10_000);
         fail(n, one, 2, 10_100);
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
@@ -370,7 +386,7 @@
     @Test
     void aMachineThatWentWhileItWasRegisteredGetsNothing() {
         Machine machine = machine("n-1", false);
-        scheduler.assignments.applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         scheduler.markTerminated("n-1");
         scheduler.registered(machine);
         assertFalse(scheduler.machinesWithFreedRoom.contains(machine));
@@ -400,8 +416,12 @@
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-2", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, true, 0);
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.assignments.applyHeartbeat(
-                machine, report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)), true, 100);
+        s.heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)),
+                        true,
+                        100);
         s.runSchedulingCycle(100);
         return s;
     }
@@ -416,17 +436,18 @@
         Job waiting = s.jobs.get("req-000002");
         assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
         Machine machine = s.machines.get("n-1");
-        s.assignments.applyHeartbeat(
-                machine,
-                report(
-                        "n-1",
-                        1,
-                        2,
-                        5,
-                        running("req-000001/0", 3),
-                        new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
-                true,
-                200);
+        s.heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report(
+                                "n-1",
+                                1,
+                                2,
+                                5,
+                                running("req-000001/0", 3),
+                                new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
+                        true,
+                        200);
         s.runSchedulingCycle(200);
         assertEquals(1, waiting.assignments.size(), "the room of the one that ended");
         s.runSchedulingCycle(300);
@@ -444,11 +465,12 @@
     @Test
     void endedTasksMakeNoRoomAfterLeadersWithOtherLimits() {
         Scheduler s = halfHeard(false, 5);
-        s.assignments.applyHeartbeat(
-                s.machines.get("n-1"),
-                report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
-                true,
-                200);
+        s.heartbeats()
+                .applyHeartbeat(
+                        s.machines.get("n-1"),
+                        report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
+                        true,
+                        200);
         s.runSchedulingCycle(200);
         assertEquals(0, s.jobs.get("req-000002").assignments.size());
     }
@@ -461,7 +483,7 @@
     void whatAnOlderReportListsMakesNoRoom() {
         Scheduler s = halfHeard(true, 4);
         Machine machine = s.machines.get("n-1");
-        s.assignments.applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
+        s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
         assertEquals(0, s.jobs.get("req-000002").assignments.size());
     }
@@ -476,15 +498,19 @@
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-3", TYPE, "a", true, false, 0).registered = true;
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.assignments.applyHeartbeat(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
-        s.assignments.applyHeartbeat(
-                machine, report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)), true, 100);
+        s.heartbeats().applyHeartbeat(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
+        s.heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)),
+                        true,
+                        100);
         s.runSchedulingCycle(100);
         assertEquals(
                 1,
                 s.jobs.get("req-000002").assignments.size(),
                 "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
-        s.assignments.applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
+        s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
         assertEquals(4, s.jobs.get("req-000002").assignments.size());
     }
@@ -499,13 +525,13 @@
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.registered = true;
-        s.assignments.applyHeartbeat(spot, report("n-1", 1, 1, 5), true, 0);
+        s.heartbeats().applyHeartbeat(spot, report("n-1", 1, 1, 5), true, 0);
         Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
         s.runSchedulingCycle(0);
         assertEquals(5, array.assignments.size(), "the whole limit");
         Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
         ordinary.registered = true;
-        s.assignments.applyHeartbeat(ordinary, report("n-2", 1, 1, 5), true, 0);
+        s.heartbeats().applyHeartbeat(ordinary, report("n-2", 1, 1, 5), true, 0);
         Job service = s.addJob(
                 new JobSpec(
                         "req-000002",
@@ -538,7 +564,7 @@
             one[i] = new TaskStatus(
                     there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
         }
-        s.assignments.applyHeartbeat(spot, report("n-1", 1, 2, 5, one), true, 2_500);
+        s.heartbeats().applyHeartbeat(spot, report("n-1", 1, 2, 5, one), true, 2_500);
         s.scheduleOn(spot, 2_500);
         assertEquals(4, array.assignments.size(), "what its task left isn't the array's");
         s.runSchedulingCycle(3_000);
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -161,11 +161,14 @@
                             fails ? "error" : ends ? "done" : ""));
                 }
             }
-            scheduler.assignments.applyHeartbeat(
-                    machine,
-                    new Heartbeat(machine.id, "addr:1", "t", machine.zone, true, 1, ++ticks, 5, Double.NaN, tasks),
-                    true,
-                    now);
+            scheduler
+                    .heartbeats()
+                    .applyHeartbeat(
+                            machine,
+                            new Heartbeat(
+                                    machine.id, "addr:1", "t", machine.zone, true, 1, ++ticks, 5, Double.NaN, tasks),
+                            true,
+                            now);
         }
     }
 
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -58,7 +58,7 @@
                     false,
                     0);
             m.registered = random.nextInt(10) > 0;
-            scheduler.assignments.applyHeartbeat(m, report(m, 1), true, 0);
+            scheduler.heartbeats().applyHeartbeat(m, report(m, 1), true, 0);
             for (int k = 0; k < 3; k++) {
                 if (random.nextBoolean()) {
                     m.images.put("img-" + k, 0);
@@ -98,7 +98,7 @@
             if (round == 0) {
                 scheduler.runSchedulingCycle(10);
                 for (Machine m : scheduler.machines.values()) {
-                    scheduler.assignments.applyHeartbeat(m, report(m, 2), true, 1_000 + random.nextInt(5_000));
+                    scheduler.heartbeats().applyHeartbeat(m, report(m, 2), true, 1_000 + random.nextInt(5_000));
                 }
             }
         }
@@ -166,7 +166,7 @@
         for (int i = 0; i < 120; i++) {
             Machine m = s.addMachine("n-" + i, SMALL, "a", false, false, 10);
             m.registered = true;
-            s.assignments.applyHeartbeat(m, report(m, 1), true, 10);
+            s.heartbeats().applyHeartbeat(m, report(m, 1), true, 10);
             s.scheduleOn(m, 10);
         }
         return lower.assignments.size() / 8;
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -39,8 +39,10 @@
         Machine m = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
         m.registered = true;
         m.images.put("img", now);
-        scheduler.assignments.applyHeartbeat(
-                m, new Heartbeat(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        m, new Heartbeat(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
         return m;
     }
 
@@ -110,11 +112,13 @@
             TaskStatus[] tasks = m.assignments.values().stream()
                     .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                     .toArray(TaskStatus[]::new);
-            scheduler.assignments.applyHeartbeat(
-                    m,
-                    new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)),
-                    true,
-                    now);
+            scheduler
+                    .heartbeats()
+                    .applyHeartbeat(
+                            m,
+                            new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)),
+                            true,
+                            now);
         }
     }
 
--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -67,11 +67,13 @@
         for (int i = 0; i < 1_000; i++) {
             Machine machine = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
             machine.registered = true;
-            scheduler.assignments.applyHeartbeat(
-                    machine,
-                    new Heartbeat(machine.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()),
-                    true,
-                    0);
+            scheduler
+                    .heartbeats()
+                    .applyHeartbeat(
+                            machine,
+                            new Heartbeat(machine.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, new ArrayList<>()),
+                            true,
+                            0);
         }
         for (int i = 0; i < 500; i++) {
             spec = new JobSpec(
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -139,8 +139,12 @@
         for (int i = 0; i < 4; i++) {
             Machine machine = s.addMachine("m-" + i, TYPE, "a", true, false, 0);
             machine.registered = true;
-            s.assignments.applyHeartbeat(
-                    machine, new Heartbeat(machine.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()), true, 0);
+            s.heartbeats()
+                    .applyHeartbeat(
+                            machine,
+                            new Heartbeat(machine.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()),
+                            true,
+                            0);
         }
         return s;
     }
@@ -211,17 +215,19 @@
                     for (Assignment assignment : machine.assignments.values()) {
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, state, "done"));
                     }
-                    s.assignments.applyHeartbeat(
-                            machine,
-                            new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks),
-                            true,
-                            now);
+                    s.heartbeats()
+                            .applyHeartbeat(
+                                    machine,
+                                    new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks),
+                                    true,
+                                    now);
                 }
-                s.assignments.applyHeartbeat(
-                        machine,
-                        new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()),
-                        true,
-                        now);
+                s.heartbeats()
+                        .applyHeartbeat(
+                                machine,
+                                new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()),
+                                true,
+                                now);
             }
             job.durablyCompleted = (BitSet) job.completedTasks.clone();
             s.assignments.completionsCommitted(job);
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -139,11 +139,23 @@
         }
 
         private void report(Machine machine, List<TaskStatus> tasks) {
-            scheduler.assignments.applyHeartbeat(
-                    machine,
-                    new Heartbeat(machine.id, "w:1", "t", machine.zone, machine.spot, 1, ++ticks, 5, Double.NaN, tasks),
-                    true,
-                    now);
+            scheduler
+                    .heartbeats()
+                    .applyHeartbeat(
+                            machine,
+                            new Heartbeat(
+                                    machine.id,
+                                    "w:1",
+                                    "t",
+                                    machine.zone,
+                                    machine.spot,
+                                    1,
+                                    ++ticks,
+                                    5,
+                                    Double.NaN,
+                                    tasks),
+                            true,
+                            now);
         }
 
         /** Every machine reports; tasks run, end, fail. */
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -153,7 +153,7 @@
     void whatBeganAfterTheTermHoldsNothingOfOlderOnes() {
         Machine machine = machine("n-1", true);
         for (int session = 1; session < 4; session++) {
-            scheduler.assignments.applyHeartbeat(machine, report(session, session, 3), true, 15_000L * session);
+            scheduler.heartbeats().applyHeartbeat(machine, report(session, session, 3), true, 15_000L * session);
             scheduler.expireLeases(15_000L * session);
             assertEquals(session > 1, scheduler.reconciliationComplete(), "in session " + session);
         }
@@ -165,14 +165,20 @@
         Job job = job(5);
         Machine old = machine("n-1", true);
         Machine now = machine("n-2", true);
-        scheduler.assignments.applyHeartbeat(
-                old, report(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 0);
-        scheduler.assignments.applyHeartbeat(
-                now, report(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")), true, 0);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        old, report(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 0);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        now, report(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")), true, 0);
         assertEquals(now, job.assignments.get(0).machine);
-        assertTrue(scheduler.assignments.pendingCommands(now).isEmpty());
-        scheduler.assignments.applyHeartbeat(
-                old, report(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 100);
+        assertTrue(scheduler.commands().pendingCommands(now).isEmpty());
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        old, report(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 100);
         assertEquals(now, job.assignments.get(0).machine);
     }
 
@@ -183,20 +189,22 @@
     @Test
     void largerCountsBesideALowerTokenAreAnEarlierLifes() {
         Machine machine = machine("n-1", true);
-        scheduler.assignments.applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.runSchedulingCycle(0);
         Assignment assignment = job.assignments.get(0);
-        scheduler.assignments.applyHeartbeat(
-                machine,
-                report(
-                        1,
-                        6,
-                        TOKEN,
-                        new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
-                true,
-                1_000);
-        assertFalse(scheduler.assignments.applyHeartbeat(machine, report(1, 99, 3), true, 2_000));
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report(
+                                1,
+                                6,
+                                TOKEN,
+                                new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
+                        true,
+                        1_000);
+        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, report(1, 99, 3), true, 2_000));
         assertEquals(assignment, job.assignments.get(0));
     }
 
@@ -207,11 +215,11 @@
     @Test
     void nothingIsToldUnderASessionThatIsOver() {
         Machine machine = machine("n-1", true);
-        scheduler.assignments.applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
         assertTrue(machine.incarnationExpired() && !machine.schedulable());
-        assertFalse(scheduler.assignments.applyHeartbeat(machine, report(1, 6, TOKEN), true, LEASE_MS + 3_000));
-        scheduler.assignments.applyHeartbeat(machine, report(2, 1, TOKEN), true, LEASE_MS + 4_000);
+        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, report(1, 6, TOKEN), true, LEASE_MS + 3_000));
+        scheduler.heartbeats().applyHeartbeat(machine, report(2, 1, TOKEN), true, LEASE_MS + 4_000);
         assertTrue(machine.schedulable());
     }
 
@@ -221,20 +229,22 @@
     @Test
     void whatHasBegunAgainHasNothing() {
         Machine machine = machine("n-1", true);
-        scheduler.assignments.applyHeartbeat(machine, report(1, 50, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report(1, 50, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.runSchedulingCycle(0);
         Assignment assignment = job.assignments.get(0);
-        scheduler.assignments.applyHeartbeat(
-                machine,
-                report(
-                        1,
-                        51,
-                        TOKEN,
-                        new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
-                true,
-                500);
-        scheduler.assignments.incarnationRestarted(machine, report(1, 1, TOKEN), 1_000);
+        scheduler
+                .heartbeats()
+                .applyHeartbeat(
+                        machine,
+                        report(
+                                1,
+                                51,
+                                TOKEN,
+                                new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
+                        true,
+                        500);
+        scheduler.heartbeats().incarnationRestarted(machine, report(1, 1, TOKEN), 1_000);
         assertTrue(job.pendingTasks.get(0));
         assertFalse(machine.schedulable());
     }
@@ -244,9 +254,9 @@
     void aReportAloneProvesNoMachine() {
         Machine machine = machine("n-1", false);
         machine.registered = true;
-        scheduler.assignments.applyHeartbeat(machine, report(1, 5, 0), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, 0), true, 0);
         assertFalse(machine.schedulable());
-        scheduler.assignments.applyHeartbeat(machine, report(1, 6, TOKEN), true, 500);
+        scheduler.heartbeats().applyHeartbeat(machine, report(1, 6, TOKEN), true, 500);
         assertTrue(machine.schedulable());
     }
 }
