--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -28,7 +28,7 @@
             BooleanSupplier still,
             Consumer<Response> reply) {
         ObjectNode body = AgentCodec.orders(token, commands).put(WireNames.WORKER_SESSION, session);
-        eventLoop.call(
+        eventLoop.send(
                 Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
                         .onlyWhile(still),
                 reply);
@@ -36,9 +36,9 @@
 
     /** Whether that machine answers: its report. */
     public void inspect(String machine, String addr, long timeoutMs, Consumer<Response> reply) {
-        eventLoop.call(
+        eventLoop.send(
                 Request.of(addr, "GET", "/inspect", null, timeoutMs),
                 r -> reply.accept(
-                        r.ok() && !r.body().path("bothy").asText().equals(machine) ? Response.noAnswer() : r));
+                        r.ok() && !r.body().path("bothy").asText().equals(machine) ? Response.noResponse() : r));
     }
 }
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -75,7 +75,7 @@
         passed.put(UserApi.REVISION, replica.revision()).set("body", body);
         Request call =
                 new Request(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
-        eventLoop.call(call, r -> answer.accept(told(method, r)));
+        eventLoop.send(call, r -> answer.accept(told(method, r)));
     }
 
     /**
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -219,8 +219,8 @@
         ObjectNode body = Codec.object().put(REVISION, replica.revision());
         ArrayNode ids = body.putArray("jobs");
         asked.keySet().forEach(ids::add);
-        eventLoop.call(new Request(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
-            if (r.status() <= 0) {
+        eventLoop.send(new Request(leaderAddress, "POST", "/jobs", body, NetworkConstants.PEER_TIMEOUT_MS, true), r -> {
+            if (!r.isAnswered()) {
                 leaderSilentUntil = eventLoop.now() + ApiConstants.SILENT_LEADER_MS;
             }
             long revision = Codec.u64(r.body().path(REVISION));
@@ -348,7 +348,7 @@
             return;
         }
         ObjectNode question = Codec.object().put("job", id).put(REVISION, replica.revision());
-        eventLoop.call(
+        eventLoop.send(
                 new Request(leaderAddress, "POST", "/estimate", question, NetworkConstants.PEER_TIMEOUT_MS, true),
                 r -> {
                     int status = r.body().path("status").asInt();
@@ -443,7 +443,7 @@
         }
         String leaderAddress = leaderToAsk();
         if (leaderAddress != null) {
-            eventLoop.call(
+            eventLoop.send(
                     new Request(
                             leaderAddress,
                             "POST",
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -115,7 +115,7 @@
 
     private static boolean isRefused(XnioEventLoop client, Request request) throws InterruptedException {
         BlockingQueue<Response> responses = new ArrayBlockingQueue<>(1);
-        client.after(0, () -> client.call(request, responses::add));
+        client.after(0, () -> client.send(request, responses::add));
         Response response = responses.poll(RESPONSE_WAIT_S, TimeUnit.SECONDS);
         return response != null && response.status() >= 400;
     }
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -40,7 +40,7 @@
             return;
         }
         budget.take(1, eventLoop.now());
-        eventLoop.call(call, reply);
+        eventLoop.send(call, reply);
     }
 
     public void types(Consumer<Map<String, MachineType>> reply) {
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -93,7 +93,7 @@
                             agentClient.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
                                 if (r.ok()) {
                                     direct.add(id);
-                                } else if (r.status() == Response.NO_CAPACITY) {
+                                } else if (r.failedWith(Response.Failure.NO_CAPACITY)) {
                                     asked.remove(id); // it says nothing about the path
                                 }
                                 ended();
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -137,7 +137,7 @@
         eventLoop.after(Math.max(0, withinMs), once);
         int[] missing = {settings.siblings().size()};
         for (Settings.Sibling s : settings.siblings()) {
-            eventLoop.call(
+            eventLoop.send(
                     new Request(
                             s.addr(),
                             "POST",
@@ -269,7 +269,7 @@
             long sent = eventLoop.now();
             int[] missing = {settings.siblings().size()};
             for (Settings.Sibling s : settings.siblings()) {
-                eventLoop.call(
+                eventLoop.send(
                         new Request(
                                 s.addr(),
                                 "POST",
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -102,7 +102,7 @@
                     .put("epoch", replica.appliedRevision())
                     .put("echo", echoToken == token ? echo : WorkerLeases.NO_ECHO)
                     .put("kept", telling > told);
-            eventLoop.call(
+            eventLoop.send(
                     new Request(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
                     r -> answered(r, token, sent, telling));
         }
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -30,7 +30,7 @@
         ObjectNode body = Codec.object();
         ObjectNode addresses = body.putObject("machines");
         machines.forEach(addresses::put);
-        eventLoop.call(
+        eventLoop.send(
                 new Request(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
                 r -> then.accept(
                         !r.ok()
@@ -73,7 +73,7 @@
                     m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
                         if (r.ok()) {
                             reached.add(m.getKey());
-                        } else if (r.status() != Response.NO_CAPACITY) {
+                        } else if (!r.failedWith(Response.Failure.NO_CAPACITY)) {
                             failed.add(m.getKey());
                         }
                         if (--open[0] == 0) {
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -237,7 +237,7 @@
                     scheduler.assignments.completionsCommitted(w.part.job);
                 });
             } else {
-                dirty.forEach(slot -> slot.doubtful |= !r.neverSent());
+                dirty.forEach(slot -> slot.doubtful |= !r.wasNeverSent());
                 included.forEach(w -> scheduler.jobsWithNewCompletions.add(w.part.job));
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -222,7 +222,7 @@
         }
         store.commit(txn, r -> {
             for (Ending e : endings) {
-                if (r.status() != Response.NO_ANSWER && --e.job.unresolvedTerminalWrites == 0) {
+                if (!r.failedWith(Response.Failure.NO_RESPONSE) && --e.job.unresolvedTerminalWrites == 0) {
                     abortsInDoubt.remove(e.job.spec.id());
                 }
             }
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -225,10 +225,10 @@
             open--;
             openDoubtful -= doubtful ? 1 : 0;
             long now = eventLoop.now();
-            if (r.status() == Response.NO_CAPACITY) {
+            if (r.failedWith(Response.Failure.NO_CAPACITY)) {
                 own.lacked(now);
                 probeWindow.lacked(now);
-            } else if (r.status() > 0 && !doubtful) {
+            } else if (r.isAnswered() && !doubtful) {
                 own.answered(now - asked, now);
                 probeWindow.answered(now - asked, now);
             }
@@ -244,10 +244,10 @@
 
     /** {@code tick}: the newest count of the machine that was known when it was asked; -1 for none. */
     private void answered(Machine m, List<Command> orders, long session, long tick, Response r) {
-        boolean settled = r.status() == 200 || r.status() == 409 || r.status() == 400 || r.neverSent();
+        boolean settled = r.status() == 200 || r.status() == 409 || r.status() == 400 || r.wasNeverSent();
         scheduler.commands().directCallCompleted(m, orders, session, settled);
         if (r.status() != 200 && r.status() != 409) {
-            if (r.status() != Response.NO_CAPACITY) {
+            if (!r.failedWith(Response.Failure.NO_CAPACITY)) {
                 m.unacknowledgedCalls++;
                 if (own.sound(eventLoop.now())) {
                     m.validity.unanswered(); // while this node is overloaded it proves nothing
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -165,7 +165,7 @@
                 if (got < count) {
                     fleet.refused(kind, now);
                 }
-            } else if (r.status() == Response.NO_ANSWER) {
+            } else if (r.failedWith(Response.Failure.NO_RESPONSE)) {
                 // It may have been carried out: the same name again gives the same machines.
                 eventLoop.after(1_000, () -> hire(kind, name, count));
             } else {
--- a/src/main/java/org/hollypick/io/EventLoop.java
+++ b/src/main/java/org/hollypick/io/EventLoop.java
@@ -14,5 +14,5 @@
     void after(long ms, Runnable task);
 
     /** Sends a request; the reply comes back on the event loop, exactly once. */
-    void call(Request request, Consumer<Response> callback);
+    void send(Request request, Consumer<Response> callback);
 }
--- a/src/main/java/org/hollypick/io/XnioEventLoop.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void call(Request call, Consumer<Response> callback) {
+    public void send(Request call, Consumer<Response> callback) {
         // Long watches have connections of their own, so that nothing waits behind them.
         String key = call.path().startsWith("/watch") ? call.address() + "#watch" : call.address();
         pools.computeIfAbsent(key, Pool::new).submit(new Exchange(call, callback));
@@ -259,7 +259,7 @@
         }
 
         void fail() {
-            end(sent ? Response.noAnswer() : Response.notSent(), false);
+            end(sent ? Response.noResponse() : Response.notSent(), false);
         }
 
         /** Not sent for want of something here. */
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -93,10 +93,10 @@
             direct(p);
         } else if (p.kind == Kind.WATCH && !route.proven(peer)) {
             call(probe, Kind.REPEATABLE, r -> {
-                if (r.status() > 0 && !p.over()) {
+                if (r.isAnswered() && !p.over()) {
                     send(p);
                 } else {
-                    p.end(Response.noAnswer());
+                    p.end(Response.noResponse());
                 }
             });
         } else {
@@ -108,7 +108,7 @@
         long sent = eventLoop.now();
         p.peer = DIRECT;
         waiting.add(p);
-        eventLoop.call(p.call, r -> {
+        eventLoop.send(p.call, r -> {
             heard(r, sent);
             p.end(r);
         });
@@ -123,12 +123,12 @@
 
     /** What a direct call's answer, or its want, says of the way. */
     private void heard(Response r, long sent) {
-        if (r.status() > 0 && r.status() != 503) {
+        if (r.isAnswered() && r.status() != 503) {
             if (!route.direct()) {
                 LOG.info("the state service is reached directly again");
             }
             route.answered(eventLoop.now());
-        } else if (r.status() != Response.NO_CAPACITY) {
+        } else if (!r.failedWith(Response.Failure.NO_CAPACITY)) {
             bad(sent);
         }
     }
@@ -150,7 +150,7 @@
         eventLoop.after(ReachabilityConstants.ROUTE_RETRY_MS, () -> {
             if (!route.direct()) {
                 long sent = eventLoop.now();
-                eventLoop.call(probe, r -> heard(r, sent));
+                eventLoop.send(probe, r -> heard(r, sent));
                 probeAgain();
             }
         });
@@ -167,7 +167,7 @@
         if (p.kind == Kind.WATCH) {
             waiting.add(p);
         }
-        eventLoop.call(
+        eventLoop.send(
                 new Request(
                         peers.get(peer).addr(),
                         "POST",
@@ -190,7 +190,7 @@
                         p.end(new Response(status, r.body().path("body")));
                     } else {
                         peerFailed(peer);
-                        if (r.status() == Response.NO_ANSWER) {
+                        if (r.failedWith(Response.Failure.NO_RESPONSE)) {
                             p.end(r);
                         } else {
                             send(p); // it wasn't passed on
@@ -218,7 +218,7 @@
     private void endWatches(int peer) {
         for (Pending p : new ArrayList<>(waiting)) {
             if (p.kind == Kind.WATCH && p.peer == peer) {
-                p.end(Response.noAnswer());
+                p.end(Response.noResponse());
             }
         }
     }
@@ -241,7 +241,7 @@
                 content.isNull() || content.isMissingNode() ? null : content,
                 Math.min(body.path("timeout_ms").asLong(), ReachabilityConstants.FORWARDED_REQUEST_TIMEOUT_MS));
         long sent = eventLoop.now();
-        eventLoop.call(call, r -> {
+        eventLoop.send(call, r -> {
             passing--;
             heard(r, sent);
             ObjectNode told = Codec.object().put("status", r.status());
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -160,7 +160,7 @@
             bytes += h.report.length;
         }
         open++;
-        eventLoop.call(
+        eventLoop.send(
                 new Request(
                         currentLeader,
                         "POST",
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -87,7 +87,7 @@
 
     private Response call(Request call) throws Exception {
         BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
-        network.after(0, () -> network.call(call, got::add));
+        network.after(0, () -> network.send(call, got::add));
         Response response = got.poll(10, TimeUnit.SECONDS);
         assertNotNull(response);
         return response;
@@ -111,10 +111,10 @@
     @Test
     void tellsNoAnswerFromNotSent() throws Exception {
         assertEquals(
-                Response.NO_ANSWER,
+                Response.Failure.NO_RESPONSE.code(),
                 call(Request.of(addr, "POST", "/hang", Codec.object(), 300)).status());
         assertEquals(
-                Response.NOT_SENT,
+                Response.Failure.NOT_SENT.code(),
                 call(Request.of(free(), "GET", "/", null, 2_000)).status());
     }
 
@@ -138,7 +138,9 @@
                 answers.add(call(Request.of(to, "GET", "/", null, 200)).status());
             }
             assertTrue(
-                    answers.stream().allMatch(s -> s == Response.NOT_SENT || s == Response.NO_ANSWER),
+                    answers.stream()
+                            .allMatch(s ->
+                                    s == Response.Failure.NOT_SENT.code() || s == Response.Failure.NO_RESPONSE.code()),
                     answers.toString());
             for (int i = 0; i < 100 && connections.open(ConnectionBudget.Kind.ORDERS) > 0; i++) {
                 Thread.sleep(20);
@@ -163,7 +165,7 @@
             connections.opened(ConnectionBudget.Kind.ORDERS);
         }
         assertEquals(
-                Response.NO_CAPACITY,
+                Response.Failure.NO_CAPACITY.code(),
                 call(Request.of(addr, "GET", "/echo", null, 2_000)).status());
         assertEquals(
                 404, call(new Request(addr, "GET", "/none", null, 2_000, true)).status());
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -99,12 +99,12 @@
                     }
 
                     @Override
-                    public void call(Request call, Consumer<Response> reply) {
+                    public void send(Request call, Consumer<Response> reply) {
                         Response known = replies.of(call, null);
                         if (known != null) {
                             r.after(0, () -> reply.accept(known));
                         } else {
-                            r.call(call, answer -> reply.accept(replies.of(call, answer)));
+                            r.send(call, answer -> reply.accept(replies.of(call, answer)));
                         }
                     }
                 },
@@ -133,7 +133,7 @@
     void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
         Response refusal = new Response(503, Codec.object());
         var version = answered((call, r) ->
-                call.path().equals("/commit") && r != null && r.status() == Response.NO_ANSWER ? refusal : r);
+                call.path().equals("/commit") && r != null && r.failedWith(Response.Failure.NO_RESPONSE) ? refusal : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
     }
 
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -140,13 +140,14 @@
         BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Request call, Consumer<Response> callback) {
+                    public void send(Request call, Consumer<Response> callback) {
                         if (call.path().equals("/reach")) {
                             r.after(1, () -> callback.accept(new Response(404, null)));
                         } else {
-                            super.call(
+                            super.send(
                                     call,
-                                    a -> callback.accept(a.status() == Response.NO_CAPACITY ? Response.noAnswer() : a));
+                                    a -> callback.accept(
+                                            a.failedWith(Response.Failure.NO_CAPACITY) ? Response.noResponse() : a));
                         }
                     }
                 },
--- a/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
+++ b/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void call(Request request, Consumer<Response> callback) {
-        to.call(request, callback);
+    public void send(Request request, Consumer<Response> callback) {
+        to.send(request, callback);
     }
 }
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -104,16 +104,16 @@
                 (r, s) -> new Controller(
                         new DelegatingEventLoop(r) {
                             @Override
-                            public void call(Request c, Consumer<Response> callback) {
+                            public void send(Request c, Consumer<Response> callback) {
                                 if (c.path().equals("/commit")
                                         && c.body().path("then").toString().contains("h/x/")) {
                                     r.after(
                                             10,
                                             () -> callback.accept(new Response(
                                                     200, Codec.object().put("epoch", 1))));
-                                    r.after(2_500, () -> r.call(c, x -> {}));
+                                    r.after(2_500, () -> r.send(c, x -> {}));
                                 } else {
-                                    r.call(c, callback);
+                                    r.send(c, callback);
                                 }
                             }
                         },
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -147,7 +147,7 @@
             }
 
             @Override
-            public void call(Request c, Consumer<Response> callback) {
+            public void send(Request c, Consumer<Response> callback) {
                 String path = c.path();
                 String name = path.startsWith("/watch")
                         ? "watch"
@@ -158,7 +158,7 @@
                                         : path.startsWith("/holds")
                                                 ? "renewal"
                                                 : path.equals("/commit") ? "commits" : c.toPeer() ? "mesh" : "reads";
-                r.call(c, a -> meter.run(name, () -> callback.accept(a)));
+                r.send(c, a -> meter.run(name, () -> callback.accept(a)));
             }
         };
         return new Controller(metered, s, OperatorSettings.defaults());
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -61,8 +61,8 @@
         BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Request call, Consumer<Response> callback) {
-                        super.call(call, a -> {
+                    public void send(Request call, Consumer<Response> callback) {
+                        super.send(call, a -> {
                             if (call.path().equals("/reports") && a.ok()) {
                                 ((ObjectNode) a.body()).put("right_ms", 60_000);
                             }
@@ -99,14 +99,14 @@
         BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Request call, Consumer<Response> callback) {
+                    public void send(Request call, Consumer<Response> callback) {
                         if (call.path().equals("/release")) {
                             r.after(
                                     1,
                                     () -> callback.accept(
                                             new Response(200, Codec.object().put("released", true))));
                         } else {
-                            super.call(call, callback);
+                            super.send(call, callback);
                         }
                     }
                 },
--- a/src/test/java/org/hollypick/sim/InvariantChecker.java
+++ b/src/test/java/org/hollypick/sim/InvariantChecker.java
@@ -284,7 +284,10 @@
      * time.
      */
     void neverAccepted(String id, int due, int status) {
-        if (status != due && status != 503 && status != Response.NO_ANSWER && status != Response.NOT_SENT) {
+        if (status != due
+                && status != 503
+                && status != Response.Failure.NO_RESPONSE.code()
+                && status != Response.Failure.NOT_SENT.code()) {
             String what = status == 200 || status == 201 ? "accepted " : "refused otherwise ";
             broken.add(what + id + ", due " + due + ", answered " + status);
         }
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -137,7 +137,7 @@
                 scenario.play(10);
             }
             if (answer[0] == null) {
-                return Response.noAnswer();
+                return Response.noResponse();
             }
             if (body != null) {
                 body.path("nodes").forEach(n -> {
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -181,15 +181,15 @@
         BiFunction<EventLoop, Settings, Controller> hasty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
-                    public void call(Request call, Consumer<Response> callback) {
+                    public void send(Request call, Consumer<Response> callback) {
                         if (registers(call)) {
                             super.after(
                                     1,
                                     () -> callback.accept(
                                             new Response(200, Codec.object().put("epoch", 0))));
-                            super.after(4_000, () -> super.call(call, late -> {}));
+                            super.after(4_000, () -> super.send(call, late -> {}));
                         } else {
-                            super.call(call, callback);
+                            super.send(call, callback);
                         }
                     }
                 },
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -301,7 +301,7 @@
                         (r, s) -> NEW.apply(
                                 new DelegatingEventLoop(r) {
                                     @Override
-                                    public void call(Request request, Consumer<Response> callback) {
+                                    public void send(Request request, Consumer<Response> callback) {
                                         if (request.path().equals("/commit")
                                                 && request.body().toString().contains("aborted")) {
                                             r.after(
@@ -309,7 +309,7 @@
                                                     () -> callback.accept(new Response(
                                                             200, Codec.object().put("epoch", 1))));
                                         } else {
-                                            super.call(request, callback);
+                                            super.send(request, callback);
                                         }
                                     }
                                 },
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -66,8 +66,8 @@
                         (r, s) -> new Controller(
                                 new DelegatingEventLoop(r) {
                                     @Override
-                                    public void call(Request request, Consumer<Response> callback) {
-                                        r.call(
+                                    public void send(Request request, Consumer<Response> callback) {
+                                        r.send(
                                                 new Request(
                                                         request.address(),
                                                         request.method(),
--- a/src/test/java/org/hollypick/sim/ProductionVersion.java
+++ b/src/test/java/org/hollypick/sim/ProductionVersion.java
@@ -148,7 +148,7 @@
                 (JsonNode) part(call, "body"),
                 (Long) part(call, "timeoutMs"),
                 (Boolean) part(call, "mesh"));
-        process.call(sent, r -> {
+        process.send(sent, r -> {
             try {
                 ((Consumer<Object>) reply).accept(replies.newInstance(r.status(), r.body()));
             } catch (ReflectiveOperationException e) {
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -224,7 +224,7 @@
             at(1, () -> once.accept(Response.notSent()));
             return;
         }
-        at(call.timeoutMs(), () -> once.accept(Response.noAnswer()));
+        at(call.timeoutMs(), () -> once.accept(Response.noResponse()));
         copy(call);
         if (call.path().equals(HEARTBEAT_PATH)) {
             reporting.accept(call);
@@ -461,7 +461,7 @@
         }
 
         @Override
-        public void call(Request call, Consumer<Response> callback) {
+        public void send(Request call, Consumer<Response> callback) {
             if (trap.test(call)) {
                 trap = c -> false;
                 freeze(trapMs);
@@ -485,7 +485,7 @@
             out(() -> {
                 if (call.validWhile().getAsBoolean()) {
                     sending.accept(host, call);
-                    send(host, call, in);
+                    SimulatedWorld.this.send(host, call, in);
                 } else {
                     in.accept(Response.notSent());
                 }
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void call(Request request, Consumer<Response> callback) {
+        public void send(Request request, Consumer<Response> callback) {
             calls.add(request);
             ObjectNode body = Codec.object().put("epoch", 1);
             if (answersEvents && request.path().startsWith("/commit")) {
