--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -20,12 +20,14 @@
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.RelayConstants;
+import org.hollypick.control.ControllerContext;
 import org.hollypick.control.LeaderTerm;
 import org.hollypick.control.graphs.GraphService;
 import org.hollypick.control.jobs.JobStore;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.graph.Graph;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.ServerResponse;
@@ -62,7 +64,7 @@
     /** Shared with the term; prices in it follow the cloud. */
     private final Map<String, MachineType> types = new HashMap<>();
 
-    private final GraphService.Maker maker;
+    private final ControllerContext context;
     private LeaderTerm term;
 
     public Controller(EventLoop runtime, Settings settings, OperatorSettings operator) {
@@ -70,17 +72,16 @@
     }
 
     public Controller(EventLoop runtime, Settings settings, OperatorSettings operator, JobDependencies dependencies) {
-        this(runtime, settings, operator, dependencies, null);
+        this(runtime, settings, operator, dependencies, Graph::new);
     }
 
-    /** {@code maker}: makes graphs, if they are switched on; null: as usual. */
+    /** {@code maker}: makes task graphs, if the operators switched them on. */
     public Controller(
             EventLoop runtime,
             Settings settings,
             OperatorSettings operator,
             JobDependencies dependencies,
             GraphService.Maker maker) {
-        this.maker = maker;
         this.runtime = runtime;
         this.settings = settings;
         this.operator = operator;
@@ -90,6 +91,8 @@
         this.view = new StoreReplica(runtime, state, StoreKeys.PREFIX, this::recordsChanged);
         this.membership = new Membership(runtime, state, settings, view, this::leadership);
         this.dependencies = dependencies;
+        this.context = new ControllerContext(
+                runtime, settings, operator, view, dependencies, state, cloud, agentClient, types, membership, maker);
         this.jobs = new JobStore(runtime, settings, state, view, membership, dependencies);
         this.users = new UserApi(
                 runtime,
@@ -110,7 +113,7 @@
                 view,
                 membership,
                 this::cancelled,
-                () -> term != null && term.scheduler.leases.allAsked(),
+                () -> term != null && term.scheduler().leases.allAsked(),
                 this::kept);
         this.heartbeatRelay = new HeartbeatRelay(
                 runtime,
@@ -158,7 +161,7 @@
             return;
         }
         long token = membership.token();
-        if (term != null && (term.token != token)) {
+        if (term != null && (term.token() != token)) {
             term.end();
             term = null;
             state.setLeader(false);
@@ -169,19 +172,7 @@
                 return;
             }
             state.setLeader(true);
-            term = new LeaderTerm(
-                    token,
-                    runtime,
-                    settings,
-                    operator,
-                    view,
-                    dependencies,
-                    state,
-                    cloud,
-                    agentClient,
-                    types,
-                    membership,
-                    maker);
+            term = new LeaderTerm(token, context);
             term.start();
         }
         membership.campaignIfVacant();
@@ -252,7 +243,7 @@
                 HeartbeatRelayCodec.PATH,
                 (body, answer) -> answer.accept(
                         term != null && term.holdsLeaderLease()
-                                ? HeartbeatRelayCodec.take(body, term.token, this::rightMs, this::hello)
+                                ? HeartbeatRelayCodec.take(body, term.token(), this::rightMs, this::hello)
                                         .onlyWhile(term::holdsLeaderLease)
                                 : ServerResponse.retryLater("not the leader")));
         mesh.on(RequestRouter.PATH, state.router()::pass);
@@ -273,7 +264,7 @@
         boolean own = body != null
                 && term != null
                 && term.holdsLeaderLease()
-                && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token;
+                && Codec.u64(body.path(WireNames.FENCING_TOKEN)) == term.token();
         return own
                 ? term.grantPartitionedRenewal(
                         body.path("node").asText(),
@@ -287,7 +278,7 @@
     private boolean cancelled(String id) {
         StoreReplica.Entry entry = view.get(StoreKeys.job(id));
         return dependencies.isCancelled(id)
-                || (term != null && term.jobTermination.cancelling(id))
+                || (term != null && term.jobTermination().cancelling(id))
                 || (entry != null
                         && Records.isOver(entry.data())
                         && Records.status(entry.data()).equals(Records.ABORTED));
@@ -295,7 +286,7 @@
 
     private void kept(long now) {
         if (term != null) {
-            term.scheduler.leases.keptByItself(now);
+            term.scheduler().leases.keptByItself(now);
         }
     }
 
@@ -313,7 +304,7 @@
 
     /** For how long others may pass on what this leader answers: no longer than it may act itself. */
     private long rightMs() {
-        return Math.min(RelayConstants.RELAY_VALIDITY_MS, membership.leaderLeaseUntil(term.token) - runtime.now());
+        return Math.min(RelayConstants.RELAY_VALIDITY_MS, membership.leaderLeaseUntil(term.token()) - runtime.now());
     }
 
     /** The leader's answer to a machine's report that came through that controller. */
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -184,7 +184,7 @@
             return;
         }
         boolean last = !body.path("more").asBoolean();
-        term.get().graphs.submit(id, head, nodes, last, o -> answer.accept(answer(o)));
+        term.get().graphs().submit(id, head, nodes, last, o -> answer.accept(answer(o)));
     }
 
     private boolean refused(List<NodeSpec> nodes, Consumer<ServerResponse> answer) {
@@ -219,7 +219,7 @@
                 return;
             }
             GraphService.Live live = term.get() != null && term.get().holdsLeaderLease()
-                    ? term.get().graphs.find(id)
+                    ? term.get().graphs().find(id)
                     : null;
             if (a.status() != 200) {
                 answer.accept(a);
@@ -251,7 +251,7 @@
     }
 
     private void children(String id, JsonNode body, Consumer<ServerResponse> answer) {
-        GraphService.Live live = term.get().graphs.find(id);
+        GraphService.Live live = term.get().graphs().find(id);
         if (live == null || live.job() == null) {
             missing(id, answer);
             return;
@@ -272,7 +272,7 @@
         } else if (!refused(nodes, answer)) {
             String next = body.path("then").isTextual() ? body.path("then").asText() : null;
             term.get()
-                    .graphs
+                    .graphs()
                     .children(
                             id,
                             body.path("parent").asText(),
@@ -294,13 +294,13 @@
     private void node(boolean post, String id, List<String> parts, JsonNode body, Consumer<ServerResponse> answer) {
         String node = parts.get(4);
         String what = parts.get(5);
-        GraphService.Live live = term.get().graphs.find(id);
+        GraphService.Live live = term.get().graphs().find(id);
         if (!parts.get(3).equals("nodes") || (!what.equals("result") && !what.equals("withdraw"))) {
             answer.accept(ServerResponse.error(404, "no such path"));
         } else if (live == null || (post && live.job() == null)) {
             missing(id, answer);
         } else if (post && what.equals("withdraw")) {
-            term.get().graphs.withdraw(id, node, o -> answer.accept(answer(o)));
+            term.get().graphs().withdraw(id, node, o -> answer.accept(answer(o)));
         } else if (post) {
             keep(id, node, body, answer);
         } else if (what.equals("result")) {
@@ -317,7 +317,7 @@
         }
         try {
             term.get()
-                    .graphs
+                    .graphs()
                     .result(
                             id,
                             node,
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -265,7 +265,7 @@
 
     /** While an end is in doubt it may be durable already, and another node may have told it: only the record knows. */
     private boolean certainlyLive(Job job) {
-        return owned(job.spec.id()) == job && !term.get().jobTermination.inDoubt(job);
+        return owned(job.spec.id()) == job && !term.get().jobTermination().inDoubt(job);
     }
 
     private boolean unknown(String id) {
@@ -293,7 +293,7 @@
 
     private Job owned(String id) {
         LeaderTerm t = term.get();
-        return t != null && t.holdsLeaderLease() ? t.scheduler.jobs.get(id) : null;
+        return t != null && t.holdsLeaderLease() ? t.scheduler().jobs.get(id) : null;
     }
 
     private String leaderToAsk() {
@@ -381,7 +381,7 @@
         if (over != null) {
             return over;
         }
-        Job job = term.get().scheduler.jobs.get(id);
+        Job job = term.get().scheduler().jobs.get(id);
         if (job == null || !certainlyLive(job)) {
             // Its end may be durable, and told by another node; GET /submissions/ID finds out, by a fresh view.
             return ServerResponse.retryLater("not known here yet");
@@ -391,7 +391,10 @@
             return ServerResponse.of(200, b.put("reason", "a service runs until it is cancelled"));
         }
         CompletionEstimate.Answer finish = new CompletionEstimate(
-                        term.get().scheduler, term.get().scheduler.estimates, dependencies::awaited, eventLoop.now())
+                        term.get().scheduler(),
+                        term.get().scheduler().estimates,
+                        dependencies::awaited,
+                        eventLoop.now())
                 .of(job);
         PredictionInterval interval = finish.interval();
         b.putObject("done_in_s")
@@ -432,7 +435,7 @@
         }
         Job job = owned(id);
         if (job != null) {
-            JobTermination jobTermination = term.get().jobTermination;
+            JobTermination jobTermination = term.get().jobTermination();
             jobTermination.cancel(job, done -> {
                 replica.answeredFrom(jobTermination.cancelledAt());
                 ServerResponse aborted =
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -9,61 +9,99 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The line about the fleet as a whole that a leader logs now and then. */
+/**
+ * Logs at an interval what a leader's machines and waiting jobs amount to, and how late its reconcile loop runs.
+ * Confined to the event loop.
+ */
 final class LeaderMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
+    private static final int HISTOGRAM_DIGITS = 2;
+    private static final double REPORTED_PERCENTILE = 99;
 
     private final Scheduler scheduler;
     private final InstanceProvisioner provisioner;
-    /** How late the leader's loop runs, in milliseconds: what the node's processor share does to it. */
-    private final Histogram lateness = new Histogram(2);
+    /** How late the reconcile loop runs, in milliseconds: what this process's share of processor time does to it. */
+    private final Histogram latenessMs = new Histogram(HISTOGRAM_DIGITS);
 
     LeaderMetrics(Scheduler scheduler, InstanceProvisioner provisioner) {
         this.scheduler = scheduler;
         this.provisioner = provisioner;
     }
 
-    /** The loop ran so long after the time before. */
-    void ran(long sinceMs) {
-        lateness.recordValue(Math.max(0, sinceMs - ReconcileConstants.RECONCILE_INTERVAL_MS));
+    /** The reconcile loop ran again, {@code elapsedMs} milliseconds after the time before. */
+    void recordIteration(long elapsedMs) {
+        latenessMs.recordValue(Math.max(0, elapsedMs - ReconcileConstants.RECONCILE_INTERVAL_MS));
     }
 
-    void log() {
-        double[] cores = new double[4]; // ordinary, spot, booting, used
-        int idle = 0;
-        int fetching = 0;
-        double serviceCores = 0;
-        for (Machine machine : scheduler.machines.values()) {
-            cores[!machine.heartbeatReceived ? 2 : machine.spot ? 1 : 0] += machine.type.cpus();
-            cores[3] += machine.usedCpus;
-            idle += machine.heartbeatReceived && machine.idle() ? 1 : 0;
-            fetching += machine.startingTasks();
+    /** Sums over the machines; cores by the state and kind of their machine. */
+    private static final class MachineTotals {
+        private double ordinaryCores;
+        private double spotCores;
+        private double bootingCores;
+        private double usedCores;
+        private double serviceCores;
+        private int idleMachines;
+        private int startingTasks;
+
+        private void add(Machine machine) {
+            if (!machine.heartbeatReceived) {
+                bootingCores += machine.type.cpus();
+            } else if (machine.spot) {
+                spotCores += machine.type.cpus();
+            } else {
+                ordinaryCores += machine.type.cpus();
+            }
+            usedCores += machine.usedCpus;
             serviceCores += machine.serviceCpus();
+            idleMachines += machine.heartbeatReceived && machine.idle() ? 1 : 0;
+            startingTasks += machine.startingTasks();
+        }
+    }
+
+    /** Cores that pending tasks ask for. */
+    private static final class PendingTotals {
+        private double batchCores;
+        private double serviceCores;
+
+        private void add(Job job) {
+            boolean service = job.spec.service();
+            job.forEachWaiting((spec, count) -> {
+                if (service) {
+                    serviceCores += count * spec.cpus();
+                } else {
+                    batchCores += count * spec.cpus();
+                }
+            });
         }
-        double[] waiting = new double[2]; // arrays, services
+    }
+
+    /** Logs the totals of now and the lateness since the last call. */
+    void log() {
+        MachineTotals machines = new MachineTotals();
+        scheduler.machines.values().forEach(machines::add);
+        PendingTotals pending = new PendingTotals();
         for (Job job : scheduler.jobs.values()) {
             if (job.hasPendingTasks()) {
-                int at = job.spec.service() ? 1 : 0;
-                job.forEachWaiting((spec, count) -> waiting[at] += count * spec.cpus());
+                pending.add(job);
             }
         }
         LOG.info(
-                "fleet token={} settled={} machines={} idle={} cores ordinary={} spot={} booting={} used={} services={} waiting={} waiting_services={} load={} fetching={} late_p99={} late_max={}",
+                "fleet.measured token={} reconciled={} machines={} idle={} cores_ordinary={} cores_spot={} cores_booting={} cores_used={} cores_services={} pending_batch={} pending_services={} load={} starting_tasks={} late_p99_ms={} late_max_ms={}",
                 scheduler.token,
                 scheduler.reconciliationComplete(),
                 scheduler.machines.size(),
-                idle,
-                cores[0],
-                cores[1],
-                cores[2],
-                cores[3],
-                serviceCores,
-                waiting[0],
-                waiting[1],
+                machines.idleMachines,
+                machines.ordinaryCores,
+                machines.spotCores,
+                machines.bootingCores,
+                machines.usedCores,
+                machines.serviceCores,
+                pending.batchCores,
+                pending.serviceCores,
                 Math.round(provisioner.load()),
-                fetching,
-                lateness.getValueAtPercentile(99),
-                lateness.getMaxValue());
-        lateness.reset();
+                machines.startingTasks,
+                latenessMs.getValueAtPercentile(REPORTED_PERCENTILE),
+                latenessMs.getMaxValue());
+        latenessMs.reset();
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -0,0 +1,168 @@
+package org.hollypick.control;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.hollypick.cluster.Membership;
+import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ReconcileConstants;
+import org.hollypick.control.machines.FailureDetector;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.io.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Brings machines, tasks and durable records to what the scheduler wants: at a regular interval, and soon after each
+ * event that asks for it. It acts only while this controller holds the leader lease. Confined to the event loop.
+ */
+final class ReconcileLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(ReconcileLoop.class);
+
+    private final EventLoop eventLoop;
+    private final Settings settings;
+    private final Membership membership;
+    private final TermComponents components;
+    private final Scheduler scheduler;
+    private final ResignationPolicy resignationPolicy;
+    private final BooleanSupplier holdsLeaderLease;
+
+    private final IntervalTimer fullCycleTimer = new IntervalTimer(ReconcileConstants.FULL_SCHEDULING_CYCLE_MS);
+    private final IntervalTimer instanceListTimer = new IntervalTimer(ReconcileConstants.INSTANCE_LIST_INTERVAL_MS);
+    private final IntervalTimer autoscalingTimer = new IntervalTimer(ReconcileConstants.AUTOSCALING_INTERVAL_MS);
+    private final IntervalTimer metricsTimer = new IntervalTimer(ReconcileConstants.METRICS_LOG_INTERVAL_MS);
+    private final IntervalTimer attainedServiceTimer =
+            new IntervalTimer(ReconcileConstants.ATTAINED_SERVICE_INTERVAL_MS);
+
+    private boolean stopped;
+    private boolean reconcilePending;
+    private long lastIterationAt;
+    /** What the leader lease rested on when it was last logged. */
+    private String loggedLeaseBasis = "";
+
+    ReconcileLoop(ControllerContext context, TermComponents components, BooleanSupplier holdsLeaderLease) {
+        this.eventLoop = context.eventLoop();
+        this.settings = context.settings();
+        this.membership = context.membership();
+        this.components = components;
+        this.scheduler = components.scheduler;
+        this.holdsLeaderLease = holdsLeaderLease;
+        this.resignationPolicy = new ResignationPolicy(
+                components.token, eventLoop, membership, components.agentManager.failureDetector(), holdsLeaderLease);
+        this.lastIterationAt = eventLoop.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
+    }
+
+    /** Runs the first iteration at once and the others at the regular interval, until {@link #stop}. */
+    void start() {
+        runIteration();
+    }
+
+    /** No further iteration or reconciliation starts. */
+    void stop() {
+        stopped = true;
+    }
+
+    private void runIteration() {
+        if (stopped) {
+            return;
+        }
+        long now = eventLoop.now();
+        recordLateness(now);
+        logLeaseBasis(now);
+        if (holdsLeaderLease.getAsBoolean()) {
+            reconcileMachines(now);
+            runPeriodicTasks(now);
+            requestReconcile();
+        } else {
+            components.localHealth.seen(now);
+        }
+        eventLoop.after(ReconcileConstants.RECONCILE_INTERVAL_MS, this::runIteration);
+    }
+
+    private void recordLateness(long now) {
+        long elapsedMs = now - lastIterationAt;
+        components.metrics.recordIteration(elapsedMs);
+        if (elapsedMs > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
+            components.localHealth.seen(now); // this process itself was delayed, so silence proves nothing yet
+        }
+        lastIterationAt = now;
+    }
+
+    private void logLeaseBasis(long now) {
+        String basis = membership.right(components.token);
+        if (!basis.equals(loggedLeaseBasis)) {
+            loggedLeaseBasis = basis;
+            long remainingMs = membership.leaderLeaseUntil(components.token) - now;
+            LOG.info("leader_lease.basis_changed by={} remaining_ms={} token={}", basis, remainingMs, components.token);
+        }
+    }
+
+    private void reconcileMachines(long now) {
+        FailureDetector failureDetector = components.agentManager.failureDetector();
+        scheduler.expireLeases(now);
+        scheduler.cycleRequested |= fullCycleTimer.isDue(now);
+        components.provisioner.terminate(failureDetector.detectUnresponsive(now), "silent");
+        resignationPolicy.evaluate(now);
+        components.agentManager.contactUnheard();
+    }
+
+    private void runPeriodicTasks(long now) {
+        if (instanceListTimer.restartIfDue(now)) {
+            components.provisioner.list();
+        }
+        if (autoscalingTimer.restartIfDue(now)) {
+            components.provisioner.scale(
+                    components.agentManager.failureDetector().partitioned(), now);
+            updateLeaderRecord(now);
+        }
+        if (metricsTimer.restartIfDue(now)) {
+            components.metrics.log();
+        }
+        if (attainedServiceTimer.restartIfDue(now)) {
+            components.attainedService.write();
+        }
+    }
+
+    /**
+     * Asks for a new fencing token, or records once that the quota limits hold, after leaders that didn't keep them.
+     */
+    private void updateLeaderRecord(long now) {
+        if (components.jobTermination.fencingDue(now) || scheduler.assignments.attemptNumbersNearlyExhausted()) {
+            membership.fence(components.token);
+        } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
+            membership.recordLimitsKept(components.token);
+        }
+    }
+
+    /** Reconciles after a short delay; requests that come close together share one run. */
+    void requestReconcile() {
+        if (reconcilePending || stopped) {
+            return;
+        }
+        reconcilePending = true;
+        eventLoop.after(ReconcileConstants.SCHEDULING_CYCLE_GAP_MS, () -> {
+            reconcilePending = false;
+            if (holdsLeaderLease.getAsBoolean()) {
+                reconcile();
+            }
+        });
+    }
+
+    private void reconcile() {
+        schedule(eventLoop.now());
+        components.agentManager.send();
+        components.writeChanges(membership.reachesState(), this::requestReconcile);
+    }
+
+    private void schedule(long now) {
+        if (scheduler.cycleRequested) {
+            scheduler.machinesWithFreedRoom.clear();
+            fullCycleTimer.restart(now);
+            scheduler.runSchedulingCycle(now);
+        }
+        List<Machine> machinesWithFreedRoom = new ArrayList<>(scheduler.machinesWithFreedRoom);
+        scheduler.machinesWithFreedRoom.clear();
+        machinesWithFreedRoom.forEach(machine -> scheduler.scheduleOn(machine, now));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -0,0 +1,174 @@
+package org.hollypick.control;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.cluster.StoreReplica;
+import org.hollypick.control.jobs.JobTermination;
+import org.hollypick.core.Job;
+import org.hollypick.core.JobDependencies;
+import org.hollypick.core.JobSpec;
+import org.hollypick.core.MachineType;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.io.Codec;
+import org.hollypick.io.EventLoop;
+import org.hollypick.records.GraphRecords;
+import org.hollypick.records.JobCodec;
+import org.hollypick.records.Records;
+import org.hollypick.relay.LeaderComplaint;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Applies the records of the replica to the leader's state: jobs that were submitted or became terminal, jobs that are
+ * ready or cancelled by their dependencies, machines, and complaints of workers. Confined to the event loop.
+ */
+final class RecordChangeHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(RecordChangeHandler.class);
+
+    private final EventLoop eventLoop;
+    private final StoreReplica replica;
+    private final JobDependencies dependencies;
+    private final Map<String, MachineType> machineTypes;
+    private final TermComponents components;
+    private final Scheduler scheduler;
+    private final JobTermination jobTermination;
+    private final Runnable requestReconcile;
+
+    RecordChangeHandler(ControllerContext context, TermComponents components, Runnable requestReconcile) {
+        this.eventLoop = context.eventLoop();
+        this.replica = context.replica();
+        this.dependencies = context.dependencies();
+        this.machineTypes = context.machineTypes();
+        this.components = components;
+        this.scheduler = components.scheduler;
+        this.jobTermination = components.jobTermination;
+        this.requestReconcile = requestReconcile;
+    }
+
+    /** Takes in all records, when the term starts. */
+    void loadAll() {
+        List<String> keys = new ArrayList<>();
+        replica.entries().keySet().forEach(key -> {
+            if (!key.startsWith(StoreKeys.MACHINES)) {
+                keys.add(key);
+            }
+        });
+        components.machineRegistry.load(this::addMachine);
+        recordsChanged(keys);
+    }
+
+    private void addMachine(String id, JsonNode record) {
+        String typeName = record.path("type").asText();
+        MachineType type = machineTypes.get(typeName);
+        if (type == null) {
+            type = unknownType(typeName);
+        }
+        Machine machine = scheduler.addMachine(
+                id, type, record.path("zone").asText(), record.path("spot").asBoolean(), true, eventLoop.now());
+        machine.address = record.path("addr").asText("");
+        machine.lastHeartbeatAt = eventLoop.now();
+    }
+
+    /** Stands for a type that the cloud no longer offers: it has no room for tasks. */
+    private static MachineType unknownType(String name) {
+        return new MachineType(name, 0, 0, 0, 0, 1, 1, 1, 60, Set.of());
+    }
+
+    /** The records under {@code keys} changed in the replica. */
+    void recordsChanged(Collection<String> keys) {
+        components.machineRegistry.changed(keys);
+        for (String key : keys) {
+            if (key.startsWith(StoreKeys.LEADER_COMPLAINT)) {
+                complaintChanged(replica.get(key));
+            }
+        }
+        for (String key : keys) {
+            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
+            if (entry != null) {
+                jobRecordChanged(key.substring(StoreKeys.JOB.length()), entry);
+            }
+        }
+        applyDependencyChanges();
+    }
+
+    private void complaintChanged(StoreReplica.Entry complaint) {
+        if (complaint != null) {
+            components
+                    .agentManager
+                    .failureDetector()
+                    .complaintReceived(LeaderComplaint.machines(complaint.data(), components.token));
+        }
+    }
+
+    private void jobRecordChanged(String id, StoreReplica.Entry entry) {
+        if (Records.isOver(entry.data())) {
+            terminalRecordFound(id, entry);
+        } else if (!jobTermination.isTerminal(id)) {
+            liveRecordFound(id, entry);
+        }
+    }
+
+    /** Also finds the terminal records that a write of this term stored although its response was lost. */
+    private void terminalRecordFound(String id, StoreReplica.Entry entry) {
+        jobTermination.recordShowsTerminal(id);
+        Job job = scheduler.jobs.get(id);
+        if (job == null) {
+            return;
+        }
+        if (Records.status(entry.data()).equals(Records.ABORTED)) {
+            jobTermination.cancelled(job, entry.revision());
+        } else {
+            jobTermination.over(job, Records.DONE);
+        }
+    }
+
+    private void liveRecordFound(String id, StoreReplica.Entry entry) {
+        if (dependencies.isCancelled(id)) {
+            components.dependentCancellation.add(id, entry.revision());
+        } else if (scheduler.jobs.containsKey(id)) {
+            return; // it was taken in before
+        } else if (GraphRecords.isGraph(entry.data())) {
+            if (components.graphs != null) {
+                components.graphs.appear(id, entry.data(), entry.revision());
+            }
+        } else {
+            addJob(id, entry);
+        }
+    }
+
+    private void addJob(String id, StoreReplica.Entry entry) {
+        try {
+            JobSpec spec = JobCodec.read(entry.data().path("spec"));
+            LOG.info(
+                    "job.added job={} class={} tasks={} token={}", id, spec.jobClass(), spec.tasks(), components.token);
+            scheduler.addJob(
+                    spec,
+                    entry.revision(),
+                    Codec.u64(entry.data().path("under")),
+                    dependencies.ready(id),
+                    dependencies.priority(id));
+        } catch (JobCodec.Invalid e) {
+            LOG.error("job.record_rejected job={} field={}", id, e.getMessage());
+        }
+    }
+
+    /** Terminal records that are durable make the jobs that depend on them ready, or cancel them too. */
+    void applyDependencyChanges() {
+        for (String id : dependencies.takeChanged()) {
+            Job job = scheduler.jobs.get(id);
+            if (job != null && dependencies.isCancelled(id)) {
+                jobTermination.over(job, Records.ABORTED);
+                components.dependentCancellation.add(id, job.arrivalRevision);
+            } else if (job != null) {
+                scheduler.updateDependencies(job, dependencies.ready(id), dependencies.priority(id));
+            }
+        }
+        requestReconcile.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -0,0 +1,186 @@
+package org.hollypick.control;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.hollypick.cluster.Membership;
+import org.hollypick.cluster.StoreReplica;
+import org.hollypick.config.OperatorSettings;
+import org.hollypick.config.Settings;
+import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.jobs.AttainedServiceStore;
+import org.hollypick.control.jobs.CompletionStore;
+import org.hollypick.control.jobs.DependentCancellation;
+import org.hollypick.control.jobs.JobTermination;
+import org.hollypick.control.jobs.RuntimeStatisticsStore;
+import org.hollypick.control.machines.AgentManager;
+import org.hollypick.control.machines.MachineRegistry;
+import org.hollypick.control.provisioning.InstanceProvisioner;
+import org.hollypick.core.Job;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.WorkerLeases;
+import org.hollypick.core.health.LocalHealth;
+import org.hollypick.io.EventLoop;
+import org.hollypick.records.Records;
+import org.hollypick.store.KeyValueStoreClient;
+
+/** The parts of one term of leadership and their wiring. Confined to the event loop. */
+final class TermComponents {
+    /** How the parts call back into their term. */
+    interface Callbacks {
+        /** Whether this controller may act as the term's leader now. */
+        boolean holdsLeaderLease();
+
+        /** Something changed that a reconciliation has to act on. */
+        void requestReconcile();
+
+        /** Jobs became terminal, so that others may be ready or cancelled. */
+        void dependenciesChanged();
+    }
+
+    final long token;
+    final Scheduler scheduler;
+    final LocalHealth localHealth;
+    final AgentManager agentManager;
+    final InstanceProvisioner provisioner;
+    final MachineRegistry machineRegistry;
+    final CompletionStore completionStore;
+    final DependentCancellation dependentCancellation;
+    final AttainedServiceStore attainedService;
+    final JobTermination jobTermination;
+    final LeaderMetrics metrics;
+    /** Null unless the operators switched estimates on. */
+    final RuntimeStatisticsStore runtimeStatistics;
+    /** Null unless the operators switched task graphs on. */
+    final GraphService graphs;
+
+    TermComponents(long token, ControllerContext context, Callbacks callbacks) {
+        EventLoop eventLoop = context.eventLoop();
+        Settings settings = context.settings();
+        OperatorSettings operatorSettings = context.operatorSettings();
+        StoreReplica replica = context.replica();
+        KeyValueStoreClient store = context.store();
+        boolean firstTerm = context.membership().terms() == 1;
+        BooleanSupplier holdsLeaderLease = callbacks::holdsLeaderLease;
+        Runnable requestReconcile = callbacks::requestReconcile;
+        this.token = token;
+        this.localHealth = new LocalHealth(eventLoop.now());
+        this.scheduler = scheduler(token, context, firstTerm);
+        this.agentManager = new AgentManager(
+                eventLoop,
+                settings,
+                scheduler,
+                context.agentClient(),
+                context.machineTypes(),
+                holdsLeaderLease,
+                localHealth,
+                requestReconcile);
+        this.provisioner = new InstanceProvisioner(
+                eventLoop,
+                settings,
+                operatorSettings,
+                scheduler,
+                context.cloud(),
+                context.machineTypes(),
+                holdsLeaderLease,
+                context.membership()::reachesState,
+                requestReconcile,
+                firstTerm);
+        this.machineRegistry =
+                new MachineRegistry(eventLoop, replica, store, settings, token, scheduler.terminatedMachines::contains);
+        this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
+        this.dependentCancellation = new DependentCancellation(eventLoop, replica, store, settings, token);
+        this.attainedService = new AttainedServiceStore(replica, settings, store, scheduler);
+        this.metrics = new LeaderMetrics(scheduler, provisioner);
+        this.jobTermination = new JobTermination(
+                eventLoop,
+                scheduler,
+                context.dependencies(),
+                store,
+                callbacks::dependenciesChanged,
+                this::terminalRecord,
+                this::jobTerminated);
+        this.runtimeStatistics = operatorSettings.estimates()
+                ? new RuntimeStatisticsStore(eventLoop, replica, store, settings, scheduler)
+                : null;
+        this.graphs = operatorSettings.graphs() ? graphService(context, requestReconcile) : null;
+    }
+
+    private static Scheduler scheduler(long token, ControllerContext context, boolean firstTerm) {
+        Settings settings = context.settings();
+        Membership membership = context.membership();
+        List<String> peers =
+                settings.siblings().stream().map(Settings.Sibling::node).toList();
+        WorkerLeases leases =
+                new WorkerLeases(settings, peers, context.eventLoop().now(), firstTerm);
+        OperatorSettings operatorSettings = context.operatorSettings();
+        Scheduler scheduler =
+                new Scheduler(token, settings, operatorSettings.firstShare(), leases, operatorSettings.estimates());
+        if (membership.limitsKept()) {
+            scheduler.earlierLeadersKeptLimits();
+        }
+        return scheduler;
+    }
+
+    private GraphService graphService(ControllerContext context, Runnable requestReconcile) {
+        return new GraphService(
+                context.eventLoop(),
+                context.settings(),
+                context.replica(),
+                context.store(),
+                scheduler,
+                jobTermination,
+                requestReconcile,
+                context.graphMaker(),
+                context.operatorSettings().graphKeepMs());
+    }
+
+    private ObjectNode terminalRecord(Job job, String status) {
+        ObjectNode graphRecord = graphs == null ? null : graphs.endOf(job, status);
+        return graphRecord != null ? graphRecord : Records.over(status, job.completedTasks.cardinality());
+    }
+
+    private void jobTerminated(String id) {
+        if (graphs != null) {
+            graphs.over(id);
+        }
+    }
+
+    /** Restores what earlier leaders recorded about the jobs that the scheduler knows by now. */
+    void loadJobState() {
+        completionStore.load();
+        attainedService.load();
+        if (graphs != null) {
+            graphs.loadEnded();
+        }
+        if (runtimeStatistics != null) {
+            runtimeStatistics.load();
+        }
+    }
+
+    /** Writes what changed in the term to the store, what users wait for first. */
+    void writeChanges(boolean storeReachable, Runnable requestReconcile) {
+        if (graphs != null) {
+            graphs.flush();
+        }
+        jobTermination.closeFinished();
+        jobTermination.writeCancellations(storeReachable);
+        writeMachineRegistrations(requestReconcile);
+        completionStore.flush();
+        dependentCancellation.flush();
+        if (runtimeStatistics != null) {
+            runtimeStatistics.flush();
+        }
+    }
+
+    private void writeMachineRegistrations(Runnable requestReconcile) {
+        scheduler.machinesToRegister.forEach(machineRegistry::add);
+        scheduler.machinesToRegister.clear();
+        scheduler.machinesToUnregister.forEach(machineRegistry::drop);
+        scheduler.machinesToUnregister.clear();
+        machineRegistry.flush(machines -> {
+            machines.forEach(scheduler::registered);
+            requestReconcile.run();
+        });
+    }
+}
