--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -113,7 +113,7 @@
                 view,
                 membership,
                 this::cancelled,
-                () -> term != null && term.scheduler().leases.allAsked(),
+                () -> term != null && term.scheduler().leases().allAsked(),
                 this::kept);
         this.heartbeatRelay = new HeartbeatRelay(
                 runtime,
@@ -286,7 +286,7 @@
 
     private void kept(long now) {
         if (term != null) {
-            term.scheduler().leases.keptByItself(now);
+            term.scheduler().leases().keptByItself(now);
         }
     }
 
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -293,7 +293,7 @@
 
     private Job owned(String id) {
         LeaderTerm t = term.get();
-        return t != null && t.holdsLeaderLease() ? t.scheduler().jobs.get(id) : null;
+        return t != null && t.holdsLeaderLease() ? t.scheduler().job(id) : null;
     }
 
     private String leaderToAsk() {
@@ -381,7 +381,7 @@
         if (over != null) {
             return over;
         }
-        Job job = term.get().scheduler().jobs.get(id);
+        Job job = term.get().scheduler().job(id);
         if (job == null || !certainlyLive(job)) {
             // Its end may be durable, and told by another node; GET /submissions/ID finds out, by a fresh view.
             return ServerResponse.retryLater("not known here yet");
@@ -392,7 +392,7 @@
         }
         CompletionEstimate.Answer finish = new CompletionEstimate(
                         term.get().scheduler(),
-                        term.get().scheduler().estimates,
+                        term.get().scheduler().estimates(),
                         dependencies::awaited,
                         eventLoop.now())
                 .of(job);
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -78,18 +78,18 @@
     /** Logs the totals of now and the lateness since the last call. */
     void log() {
         MachineTotals machines = new MachineTotals();
-        scheduler.machines.values().forEach(machines::add);
+        scheduler.machines().forEach(machines::add);
         PendingTotals pending = new PendingTotals();
-        for (Job job : scheduler.jobs.values()) {
+        for (Job job : scheduler.jobs()) {
             if (job.hasPendingTasks()) {
                 pending.add(job);
             }
         }
         LOG.info(
                 "fleet.measured token={} reconciled={} machines={} idle={} cores_ordinary={} cores_spot={} cores_booting={} cores_used={} cores_services={} pending_batch={} pending_services={} load={} starting_tasks={} late_p99_ms={} late_max_ms={}",
-                scheduler.token,
+                scheduler.token(),
                 scheduler.reconciliationComplete(),
-                scheduler.machines.size(),
+                scheduler.machines().size(),
                 machines.idleMachines,
                 machines.ordinaryCores,
                 machines.spotCores,
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -65,17 +65,17 @@
         recordChangeHandler.loadAll();
         components.loadJobState();
         Scheduler scheduler = components.scheduler;
-        for (Job job : new ArrayList<>(scheduler.jobs.values())) {
+        for (Job job : new ArrayList<>(scheduler.jobs())) {
             scheduler.completionsRestored(job);
             if (job.finished()) {
-                scheduler.jobsWithNewCompletions.add(job);
+                scheduler.outbox().addNewCompletions(job);
             }
         }
         LOG.info(
                 "leader_term.started token={} jobs={} machines={}",
                 token(),
-                scheduler.jobs.size(),
-                scheduler.machines.size());
+                scheduler.jobs().size(),
+                scheduler.machines().size());
         reconcileLoop.start();
     }
 
@@ -131,7 +131,7 @@
     public ServerResponse grantPartitionedRenewal(
             String node, long appliedRevision, long echo, boolean renewedByItself) {
         long now = eventLoop.now();
-        WorkerLeases leases = components.scheduler.leases;
+        WorkerLeases leases = components.scheduler.leases();
         leases.asked(node, echo, renewedByItself, now);
         boolean granted = leases.allAsked() && components.jobTermination.replicaShowsAllCancellations(appliedRevision);
         return PartitionedLeaseRenewal.told(token(), leases.answer(node, granted, now), granted)
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -1,6 +1,5 @@
 package org.hollypick.control;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.hollypick.cluster.Membership;
@@ -101,7 +100,7 @@
     private void reconcileMachines(long now) {
         FailureDetector failureDetector = components.agentManager.failureDetector();
         scheduler.expireLeases(now);
-        scheduler.cycleRequested |= fullCycleTimer.isDue(now);
+        scheduler.outbox().requestCycleIf(fullCycleTimer.isDue(now));
         components.provisioner.terminate(failureDetector.detectUnresponsive(now), "silent");
         resignationPolicy.evaluate(now);
         components.agentManager.contactUnheard();
@@ -128,9 +127,11 @@
      * Asks for a new fencing token, or records once that the quota limits hold, after leaders that didn't keep them.
      */
     private void updateLeaderRecord(long now) {
-        if (components.jobTermination.fencingDue(now) || scheduler.assignments.attemptNumbersNearlyExhausted()) {
+        if (components.jobTermination.fencingDue(now) || scheduler.assignments().attemptNumbersNearlyExhausted()) {
             membership.fence(components.token);
-        } else if (settings.anyLimit() && !membership.limitsKept() && scheduler.limitsKept()) {
+        } else if (settings.anyLimit()
+                && !membership.limitsKept()
+                && scheduler.quotas().limitsKept()) {
             membership.recordLimitsKept(components.token);
         }
     }
@@ -156,13 +157,12 @@
     }
 
     private void schedule(long now) {
-        if (scheduler.cycleRequested) {
-            scheduler.machinesWithFreedRoom.clear();
+        if (scheduler.outbox().cycleRequested()) {
+            scheduler.outbox().discardFreedRoom();
             fullCycleTimer.restart(now);
             scheduler.runSchedulingCycle(now);
         }
-        List<Machine> machinesWithFreedRoom = new ArrayList<>(scheduler.machinesWithFreedRoom);
-        scheduler.machinesWithFreedRoom.clear();
+        List<Machine> machinesWithFreedRoom = scheduler.outbox().takeMachinesWithFreedRoom();
         machinesWithFreedRoom.forEach(machine -> scheduler.scheduleOn(machine, now));
     }
 }
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -117,7 +117,7 @@
     /** Also finds the terminal records that a write of this term stored although its response was lost. */
     private void terminalRecordFound(String id, StoreReplica.Entry entry) {
         jobTermination.recordShowsTerminal(id);
-        Job job = scheduler.jobs.get(id);
+        Job job = scheduler.job(id);
         if (job == null) {
             return;
         }
@@ -131,7 +131,7 @@
     private void liveRecordFound(String id, StoreReplica.Entry entry) {
         if (dependencies.isCancelled(id)) {
             components.dependentCancellation.add(id, entry.revision());
-        } else if (scheduler.jobs.containsKey(id)) {
+        } else if (scheduler.hasJob(id)) {
             return; // it was taken in before
         } else if (GraphRecords.isGraph(entry.data())) {
             if (components.graphs != null) {
@@ -161,7 +161,7 @@
     /** Terminal records that are durable make the jobs that depend on them ready, or cancel them too. */
     void applyDependencyChanges() {
         for (String id : dependencies.takeChanged()) {
-            Job job = scheduler.jobs.get(id);
+            Job job = scheduler.job(id);
             if (job != null && dependencies.isCancelled(id)) {
                 jobTermination.over(job, Records.ABORTED);
                 components.dependentCancellation.add(id, job.arrivalRevision);
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -86,8 +86,7 @@
                 context.membership()::reachesState,
                 requestReconcile,
                 firstTerm);
-        this.machineRegistry =
-                new MachineRegistry(eventLoop, replica, store, settings, token, scheduler.terminatedMachines::contains);
+        this.machineRegistry = new MachineRegistry(eventLoop, replica, store, settings, token, scheduler::isTerminated);
         this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(eventLoop, replica, store, settings, token);
         this.attainedService = new AttainedServiceStore(replica, settings, store, scheduler);
@@ -117,7 +116,7 @@
         Scheduler scheduler =
                 new Scheduler(token, settings, operatorSettings.firstShare(), leases, operatorSettings.estimates());
         if (membership.limitsKept()) {
-            scheduler.earlierLeadersKeptLimits();
+            scheduler.quotas().setEarlierLeadersKeptLimits();
         }
         return scheduler;
     }
@@ -174,12 +173,10 @@
     }
 
     private void writeMachineRegistrations(Runnable requestReconcile) {
-        scheduler.machinesToRegister.forEach(machineRegistry::add);
-        scheduler.machinesToRegister.clear();
-        scheduler.machinesToUnregister.forEach(machineRegistry::drop);
-        scheduler.machinesToUnregister.clear();
+        scheduler.outbox().takeMachinesToRegister().forEach(machineRegistry::add);
+        scheduler.outbox().takeMachinesToUnregister().forEach(machineRegistry::drop);
         machineRegistry.flush(machines -> {
-            machines.forEach(scheduler::registered);
+            machines.forEach(scheduler::markRegistered);
             requestReconcile.run();
         });
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -79,7 +79,7 @@
             this.id = id;
             this.head = head;
             this.graph = maker.make(head.retries(), this::released);
-            this.log = new GraphLog(runtime, settings, state, id, scheduler.token, () -> written++);
+            this.log = new GraphLog(runtime, settings, state, id, scheduler.token(), () -> written++);
         }
 
         private void released(int node) {
@@ -223,7 +223,7 @@
                     id,
                     g.graph.count(),
                     g.graph.sealed(),
-                    scheduler.token);
+                    scheduler.token());
             g.started(scheduler.addJob(g.head.base(), g.graph, stamp, Codec.u64(record.path("under"))));
         } catch (JobCodec.Invalid e) {
             LOG.error("graph can't be read graph={} reason={}", id, e.getMessage());
@@ -315,10 +315,10 @@
             return;
         }
         graphs.put(id, made);
-        ObjectNode record = GraphRecords.live(head, scheduler.token);
+        ObjectNode record = GraphRecords.live(head, scheduler.token());
         CompareAndSwap txn = new CompareAndSwap()
                 .expectAbsent(StoreKeys.job(id))
-                .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token)
+                .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
                 .put(StoreKeys.job(id), record);
         state.commit(txn, r -> {
             if (!r.ok()) {
@@ -331,9 +331,9 @@
                 answer.accept(Outcome.refused(503, "state service"));
                 return;
             }
-            LOG.info("graph graph={} token={}", id, scheduler.token);
+            LOG.info("graph graph={} token={}", id, scheduler.token());
             made.started(
-                    scheduler.addJob(head.base(), made.graph, Codec.u64(r.body().path("epoch")), scheduler.token));
+                    scheduler.addJob(head.base(), made.graph, Codec.u64(r.body().path("epoch")), scheduler.token()));
             part(made, nodes, last, answer);
         });
     }
@@ -557,11 +557,11 @@
             }
             if (!g.graph.sealed() && !g.sealing && now - g.since > GraphConstants.GRAPH_SEAL_TIMEOUT_MS) {
                 g.sealing = true; // nothing is added to it any more
-                LOG.info("graph not sealed in time graph={} token={}", g.id, scheduler.token);
+                LOG.info("graph not sealed in time graph={} token={}", g.id, scheduler.token());
                 jobTermination.cancel(g.job, durable -> {});
             }
             if (g.job.finished() && g.log.isEmpty()) {
-                scheduler.jobsWithNewCompletions.add(g.job);
+                scheduler.outbox().addNewCompletions(g.job);
             }
             g.log.flush(g.job.arrivalRevision, pump);
         }
@@ -584,7 +584,7 @@
                     endedAt.remove(ended.getKey());
                     return;
                 }
-                CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token);
+                CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token());
                 keys.subList(Math.max(0, keys.size() - settings.txnOps()), keys.size())
                         .forEach(txn::delete);
                 dropping = true;
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -6,6 +6,7 @@
 import org.hollypick.cluster.StoreKeys;
 import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
+import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
 import org.hollypick.io.Codec;
 import org.hollypick.records.Records;
@@ -41,11 +42,12 @@
                                 f -> sizes.put(f.getKey(), f.getValue().asDouble()));
             }
         });
-        scheduler.jobs.forEach((id, job) -> {
-            if (sizes.containsKey(id)) {
-                scheduler.restoreAttainedService(job, sizes.get(id));
+        for (Job job : scheduler.jobs()) {
+            Double recorded = sizes.get(job.spec.id());
+            if (recorded != null) {
+                scheduler.restoreAttainedService(job, recorded);
             }
-        });
+        }
     }
 
     /** Writes the attained service of the live jobs, if it changed since the last successful write. */
@@ -68,7 +70,7 @@
         if (!text.equals(last)) {
             store.commit(
                     new CompareAndSwap()
-                            .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token)
+                            .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
                             .put(StoreKeys.sizes(settings.node()), record),
                     r -> {
                         if (r.ok()) {
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -116,7 +116,7 @@
     private Part part(String name) {
         int slash = name.lastIndexOf('/');
         int at = name.indexOf('@');
-        Job job = scheduler.jobs.get(name.substring(0, at < 0 ? slash : at));
+        Job job = scheduler.job(name.substring(0, at < 0 ? slash : at));
         if (job == null) {
             return null;
         }
@@ -163,16 +163,16 @@
      */
     public void flush() {
         if (writing
-                || scheduler.jobsWithNewCompletions.isEmpty()
+                || scheduler.outbox().hasNewCompletions()
                 || eventLoop.now() < notBefore
                 || !store.hasSpareWriteCapacity()) {
             return;
         }
         Set<Slot> dirty = new LinkedHashSet<>();
         List<Written> included = new ArrayList<>();
-        for (Job job : new ArrayList<>(scheduler.jobsWithNewCompletions)) {
+        for (Job job : new ArrayList<>(scheduler.outbox().jobsWithNewCompletions())) {
             if (job.status != Job.Status.LIVE) {
-                scheduler.jobsWithNewCompletions.remove(job);
+                scheduler.outbox().removeNewCompletions(job);
                 continue;
             }
             if (job.terminalWriteInFlight || job.finished()) {
@@ -193,7 +193,7 @@
                 all &= fits;
             }
             if (all) {
-                scheduler.jobsWithNewCompletions.remove(job);
+                scheduler.outbox().removeNewCompletions(job);
             }
         }
         lookUpDoubtful();
@@ -207,7 +207,7 @@
     private record Written(Part part, BitSet done) {}
 
     private void write(Set<Slot> dirty, List<Written> included) {
-        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token);
+        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, scheduler.token());
         for (Slot slot : dirty) {
             slot.parts.values().removeIf(part -> {
                 boolean over = part.job.status != Job.Status.LIVE;
@@ -234,11 +234,11 @@
                 });
                 included.forEach(w -> {
                     w.done.stream().forEach(i -> w.part.job.durablyCompleted.set(w.part.from + i));
-                    scheduler.assignments.completionsCommitted(w.part.job);
+                    scheduler.assignments().completionsCommitted(w.part.job);
                 });
             } else {
                 dirty.forEach(slot -> slot.doubtful |= !r.wasNeverSent());
-                included.forEach(w -> scheduler.jobsWithNewCompletions.add(w.part.job));
+                included.forEach(w -> scheduler.outbox().addNewCompletions(w.part.job));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -88,7 +88,7 @@
             Runnable changed,
             BiFunction<Job, String, ObjectNode> record,
             Consumer<String> ended) {
-        this.token = scheduler.token;
+        this.token = scheduler.token();
         this.eventLoop = eventLoop;
         this.scheduler = scheduler;
         this.dependencies = dependencies;
@@ -113,7 +113,7 @@
 
     /** The answer to its write says that the end is durable. */
     private void overByAnswer(Job job, String status) {
-        if (scheduler.jobs.containsKey(job.spec.id())) {
+        if (scheduler.hasJob(job.spec.id())) {
             overBeforeView.add(job.spec.id()); // else the view was first
         }
         over(job, status);
@@ -122,7 +122,7 @@
     /** The end is durable. */
     public void over(Job job, String status) {
         String id = job.spec.id();
-        scheduler.jobs.remove(id);
+        scheduler.removeJob(id);
         ended.accept(id);
         abortsInDoubt.remove(id);
         writtenAlone.remove(id);
@@ -270,7 +270,7 @@
      */
     public void closeFinished() {
         List<Job> finished = new ArrayList<>();
-        for (Job job : scheduler.jobsWithNewCompletions) {
+        for (Job job : scheduler.outbox().jobsWithNewCompletions()) {
             if (job.finished() && !job.terminalWriteInFlight) {
                 finished.add(job);
             }
@@ -315,7 +315,7 @@
     private void close(List<Ending> batch) {
         closings++;
         for (Ending e : batch) {
-            scheduler.jobsWithNewCompletions.remove(e.job);
+            scheduler.outbox().removeNewCompletions(e.job);
             e.job.terminalWriteInFlight = true;
         }
         commit(batch, r -> {
@@ -338,7 +338,7 @@
             LOG.info("job {} job={} token={}", e.status, job.spec.id(), token);
             overByAnswer(job, e.status);
         } else if (job.status == Job.Status.LIVE) {
-            scheduler.jobsWithNewCompletions.add(job);
+            scheduler.outbox().addNewCompletions(job);
         }
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -56,8 +56,8 @@
         this.replica = replica;
         this.store = store;
         this.settings = settings;
-        this.token = scheduler.token;
-        this.estimates = scheduler.estimates;
+        this.token = scheduler.token();
+        this.estimates = scheduler.estimates();
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             slots.add(new LinkedHashMap<>());
         }
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -1,10 +1,7 @@
 package org.hollypick.control.machines;
 
-import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.hollypick.agent.AgentClient;
 import org.hollypick.agent.AgentCodec;
@@ -12,6 +9,7 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.Scheduler;
+import org.hollypick.core.SchedulerOutbox;
 import org.hollypick.core.assignment.Command;
 import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.core.assignment.Machine;
@@ -71,11 +69,10 @@
     /** A worker's report, which came through that controller, while this node may act. */
     public ServerResponse heartbeatReceived(Heartbeat r, String via) {
         long now = eventLoop.now();
-        if (Long.compareUnsigned(r.token(), scheduler.token) > 0
-                || scheduler.terminatedMachines.contains(r.machine())) {
+        if (Long.compareUnsigned(r.token(), scheduler.token()) > 0 || scheduler.isTerminated(r.machine())) {
             return ServerResponse.retryLater("not for this node");
         }
-        Machine m = scheduler.machines.get(r.machine());
+        Machine m = scheduler.machine(r.machine());
         if (m == null) {
             MachineType type = types.get(r.type());
             if (type == null) {
@@ -100,8 +97,8 @@
         if (!was) {
             firstHeartbeat(m, r);
         }
-        scheduler.heartbeatBalancer.reported(m.id, via, now);
-        if (scheduler.machinesWithFreedRoom.remove(m)) {
+        scheduler.heartbeatBalancer().reported(m.id, via, now);
+        if (scheduler.outbox().takeFreedRoom(m)) {
             scheduler.scheduleOn(m, now);
         }
         List<Command> orders = limited(scheduler.commands().pendingCommands(m));
@@ -109,7 +106,8 @@
                 && !acknowledges(m, r, was && r.incarnation() != before, orders, now)) {
             return ServerResponse.retryLater("answers don't reach the machine");
         }
-        String elsewhere = orders.isEmpty() && m.reconciled ? scheduler.heartbeatBalancer.elsewhere(via, now) : null;
+        String elsewhere =
+                orders.isEmpty() && m.reconciled ? scheduler.heartbeatBalancer().elsewhere(via, now) : null;
         if (elsewhere != null) {
             return HeartbeatRelayCodec.elsewhere(elsewhere);
         }
@@ -117,11 +115,10 @@
         m.validity.told(orders);
         scheduler.commands().sentInHeartbeatResponse(m, orders);
         if (m.reconciled) {
-            scheduler.machinesWithPendingCommands.remove(m);
-            scheduler.machinesWithUrgentCommands.remove(m);
+            scheduler.outbox().commandsDelivered(m);
         }
         pump.run();
-        return ServerResponse.of(200, AgentCodec.orders(scheduler.token, orders))
+        return ServerResponse.of(200, AgentCodec.orders(scheduler.token(), orders))
                 .onlyWhile(acting);
     }
 
@@ -142,12 +139,12 @@
      */
     private boolean acknowledges(Machine m, Heartbeat r, boolean newSession, List<Command> orders, long now) {
         boolean unreachableInbound = m.validity.unreachableInbound();
-        boolean knows = r.token() == scheduler.token;
-        if (newSession && m.heartbeatAcknowledgedAt > 0 && scheduler.leases.fresh(m.heartbeatAcknowledgedAt, now)) {
+        boolean knows = r.token() == scheduler.token();
+        if (newSession && m.heartbeatAcknowledgedAt > 0 && scheduler.leases().fresh(m.heartbeatAcknowledgedAt, now)) {
             m.validity.lapsed(now);
         }
         m.validity.reported(r, knows, orders, now);
-        if (m.validity.unreachableInbound() && !newSession && scheduler.leases.over(m.incarnationSeenAt, now)) {
+        if (m.validity.unreachableInbound() && !newSession && scheduler.leases().over(m.incarnationSeenAt, now)) {
             m.validity.acknowledged(); // without an answer taken its session would be over
         }
         if (!knows) {
@@ -160,7 +157,7 @@
                     m.id,
                     r.incarnation(),
                     r.token());
-            scheduler.cycleRequested = true;
+            scheduler.outbox().requestCycle();
         }
         return !m.validity.unreachableInbound() || (m.reconciled && m.idle());
     }
@@ -180,18 +177,14 @@
 
     /** Sends the orders that wait, those for services first, as many at once as the sockets allow. */
     public void send() {
-        send(scheduler.machinesWithUrgentCommands);
-        send(scheduler.machinesWithPendingCommands);
+        SchedulerOutbox outbox = scheduler.outbox();
+        outbox.takeMachinesWithUrgentCommands(freeCalls()).forEach(m -> direct(m, false));
+        outbox.takeMachinesWithPendingCommands(freeCalls()).forEach(m -> direct(m, false));
     }
 
-    private void send(Set<Machine> dirty) {
-        Iterator<Machine> i = dirty.iterator();
-        List<Machine> now = new ArrayList<>();
-        while (i.hasNext() && open + now.size() < probeWindow.window()) {
-            now.add(i.next());
-            i.remove();
-        }
-        now.forEach(m -> direct(m, false));
+    /** Direct calls that may go out beside those in flight; not above zero if there are none. */
+    private int freeCalls() {
+        return probeWindow.window() - open;
     }
 
     /** Sends what the machine should do at once; {@code probe}: even if that is nothing, to hear from it. */
@@ -221,7 +214,7 @@
         open++;
         long asked = eventLoop.now();
         openDoubtful += doubtful ? 1 : 0;
-        agentClient.command(m.address, scheduler.token, session, orders, acting, r -> {
+        agentClient.command(m.address, scheduler.token(), session, orders, acting, r -> {
             open--;
             openDoubtful -= doubtful ? 1 : 0;
             long now = eventLoop.now();
@@ -234,9 +227,7 @@
             }
             answered(m, orders, session, known ? tick : -1, r);
             contactUnheard();
-            if (!scheduler.machinesWithUrgentCommands.isEmpty()
-                    || !scheduler.machinesWithPendingCommands.isEmpty()
-                    || !scheduler.machinesWithFreedRoom.isEmpty()) {
+            if (scheduler.outbox().hasMachinesToServe()) {
                 pump.run();
             }
         });
@@ -259,8 +250,8 @@
         }
         Heartbeat heartbeat = AgentCodec.report(r.body());
         if (heartbeat != null
-                && scheduler.machines.get(m.id) == m
-                && Long.compareUnsigned(heartbeat.token(), scheduler.token) <= 0) {
+                && scheduler.machine(m.id) == m
+                && Long.compareUnsigned(heartbeat.token(), scheduler.token()) <= 0) {
             boolean again = !m.reconciled;
             m.validity.acknowledged();
             scheduler.heartbeats().confirmLive(m);
@@ -296,7 +287,7 @@
             return;
         }
         long now = eventLoop.now();
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             if (!m.reconciled
                     && !(m.heartbeatReceived
                             && now - m.heartbeatAcknowledgedAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS)) {
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -53,7 +53,7 @@
         this.settings = settings;
         this.scheduler = scheduler;
         this.localHealth = localHealth;
-        this.reachability = new PeerReachabilityTracker(eventLoop, settings, scheduler.machines);
+        this.reachability = new PeerReachabilityTracker(eventLoop, settings, scheduler::machine);
         this.probe = probe;
         this.startedAt = eventLoop.now();
         this.terminationBudget = new TokenBucket(0, startedAt);
@@ -67,8 +67,7 @@
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
-        ResponsivenessSurvey survey =
-                new ResponsivenessSurvey(scheduler.machines.values(), reachability, settings, now);
+        ResponsivenessSurvey survey = new ResponsivenessSurvey(scheduler.machines(), reachability, settings, now);
         survey.overdue().forEach(probe);
         reachability.ask(survey.unacknowledged());
         updateReachedByPeers(survey, now);
@@ -77,7 +76,7 @@
     }
 
     private void updateReachedByPeers(ResponsivenessSurvey survey, long now) {
-        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
+        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines(), now);
         if (reachedByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
             reachedByPeersSince = 0;
         } else if (reachedByPeersSince <= 0) {
@@ -106,8 +105,9 @@
         double share = now - startedAt < FailureDetectionConstants.EARLY_TERM_MS
                 ? FailureDetectionConstants.SCALE_IN_SHARE_EARLY
                 : FailureDetectionConstants.SCALE_IN_SHARE;
-        terminationBudget.setRate(
-                Math.max(FailureDetectionConstants.SCALE_IN_MIN_MACHINES, share * scheduler.machines.size()));
+        terminationBudget.setRate(Math.max(
+                FailureDetectionConstants.SCALE_IN_MIN_MACHINES,
+                share * scheduler.machines().size()));
         List<Machine> terminating = new ArrayList<>();
         for (Machine machine : lost) {
             if (!terminationBudget.has(1, now)) {
@@ -159,7 +159,7 @@
         if (!localHealth.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
-        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines.values(), now);
+        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines(), now);
         boolean nearlyAll = isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
         return reachedByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
                 || (nearlyAll && (reachedByPeers > 0 || !reachability.othersTell(now)));
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -5,6 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Function;
 import org.hollypick.cluster.PeerReachability;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
@@ -19,7 +20,7 @@
 final class PeerReachabilityTracker {
     private final EventLoop runtime;
     private final Settings settings;
-    private final Map<String, Machine> machines;
+    private final Function<String, Machine> machineById;
     private long askedAt;
     private long firstAskedAt;
     /** When another controller last told what it reaches and what it doesn't. */
@@ -27,10 +28,10 @@
 
     private boolean asking;
 
-    PeerReachabilityTracker(EventLoop runtime, Settings settings, Map<String, Machine> machines) {
+    PeerReachabilityTracker(EventLoop runtime, Settings settings, Function<String, Machine> machineById) {
         this.runtime = runtime;
         this.settings = settings;
-        this.machines = machines;
+        this.machineById = machineById;
     }
 
     /** Has others try some of those machines, those not asked about for longest first. */
@@ -67,7 +68,7 @@
 
     /** Another controller hears of that machine. */
     void reached(String id) {
-        Machine machine = machines.get(id);
+        Machine machine = machineById.apply(id);
         if (machine != null && machine.unacknowledgedCalls > 0) {
             machine.reachedByPeerSince = elsewhere(machine, runtime.now()) ? machine.reachedByPeerSince : runtime.now();
             machine.reachedByPeerAt = runtime.now();
@@ -75,7 +76,7 @@
     }
 
     private void failed(String id) {
-        Machine machine = machines.get(id);
+        Machine machine = machineById.apply(id);
         if (machine != null) {
             machine.peerCheckFailedAt = runtime.now();
         }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -110,12 +110,14 @@
     public void scale(Set<String> partitioned, long now) {
         // Machines whose return wasn't answered: again, until it is.
         terminate(
-                scheduler.machines.values().stream()
+                scheduler.machines().stream()
                         .filter(m -> m.scalingIn && !returning.contains(m.id))
                         .toList(),
                 "again");
         if (!nobodyBefore
-                && (!listedOnce || (now - startedAt < settings.listLagS() * 2000 && !scheduler.machines.isEmpty()))) {
+                && (!listedOnce
+                        || (now - startedAt < settings.listLagS() * 2000
+                                && !scheduler.machines().isEmpty()))) {
             return; // machines that an earlier leader rented may not be listed yet
         }
         if (!open.getAsBoolean()) {
@@ -125,13 +127,13 @@
         if (hiring == 0) { // else machines may be on their way already
             for (Autoscaler.Rent rent : plan.rents()) {
                 hiring++;
-                hire(rent.kind(), settings.node() + "-" + scheduler.token + "-" + hires++, rent.count());
+                hire(rent.kind(), settings.node() + "-" + scheduler.token() + "-" + hires++, rent.count());
             }
         }
         terminate(plan.returns(), "idle");
         plan.moves().forEach(p -> {
             LOG.info("move task={} from={}", p.taskId, p.machine.id);
-            scheduler.assignments.stop(p, 0);
+            scheduler.assignments().stop(p, 0);
         });
         pump.run();
     }
@@ -156,8 +158,8 @@
                 int got = 0;
                 for (JsonNode id : r.body().path("bothies")) {
                     got++;
-                    if (!scheduler.machines.containsKey(id.asText())
-                            && !scheduler.terminatedMachines.contains(id.asText())
+                    if (!scheduler.hasMachine(id.asText())
+                            && !scheduler.isTerminated(id.asText())
                             && types.containsKey(kind.type())) {
                         scheduler.addMachine(id.asText(), types.get(kind.type()), kind.zone(), kind.spot(), false, now);
                     }
@@ -210,11 +212,11 @@
         long now = eventLoop.now();
         List<Machine> bad = new ArrayList<>();
         list.forEach((id, l) -> {
-            if (scheduler.terminatedMachines.contains(id)) {
+            if (scheduler.isTerminated(id)) {
                 return;
             }
             listedAt.putIfAbsent(id, now);
-            Machine m = scheduler.machines.get(id);
+            Machine m = scheduler.machine(id);
             String status = l.path("status").asText();
             if (m == null) {
                 MachineType type = types.get(l.path("flavour").asText());
@@ -245,7 +247,7 @@
         terminate(bad, "failed or never up");
         // Once listed, a machine stays listed until it is gone; a list is at most twice the lag old.
         Set<String> missing = new LinkedHashSet<>();
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             Long first = listedAt.get(m.id);
             if (first != null
                     && !list.containsKey(m.id)
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -26,9 +26,9 @@
 
     AssignmentTable(Scheduler scheduler, TeamUsage teamUsage) {
         this.scheduler = scheduler;
-        this.attemptNumbers = new AttemptNumbers(scheduler.token);
+        this.attemptNumbers = new AttemptNumbers(scheduler.token());
         this.teamUsage = teamUsage;
-        this.faultAttribution = new FaultAttribution(scheduler.jobs, scheduler.machines);
+        this.faultAttribution = new FaultAttribution(scheduler);
     }
 
     // ---- start and stop ----
@@ -55,15 +55,18 @@
         assignment.graceS = graceS;
         if (graceS == 0) {
             assignment.machine.release(assignment);
-            scheduler.machinesWithFreedRoom.add(assignment.machine);
+            scheduler.outbox().addFreedRoom(assignment.machine);
         }
         requestCommands(assignment);
     }
 
     /** Commands for services go out first. */
     private void requestCommands(Assignment assignment) {
-        (assignment.job.spec.service() ? scheduler.machinesWithUrgentCommands : scheduler.machinesWithPendingCommands)
-                .add(assignment.machine);
+        if (assignment.job.spec.service()) {
+            scheduler.outbox().addUrgentCommands(assignment.machine);
+        } else {
+            scheduler.outbox().addPendingCommands(assignment.machine);
+        }
     }
 
     /** Whether few attempt numbers are left: a new token brings new ones. */
@@ -106,7 +109,7 @@
     /** @return null if the job isn't live, or the name isn't one of a task */
     private Job liveJobOf(String taskId) {
         int separator = taskId.lastIndexOf(TASK_INDEX_SEPARATOR);
-        Job job = separator < 0 ? null : scheduler.jobs.get(taskId.substring(0, separator));
+        Job job = separator < 0 ? null : scheduler.job(taskId.substring(0, separator));
         return job != null && job.status == Job.Status.LIVE ? job : null;
     }
 
@@ -184,7 +187,7 @@
             job.uncommittedAssignments.add(assignment);
         }
         if (first) {
-            scheduler.jobsWithNewCompletions.add(job);
+            scheduler.outbox().addNewCompletions(job);
             accountRuntime(assignment, now);
         }
         FaultAttribution.cleared(assignment.machine, job, assignment.startedAt);
@@ -196,9 +199,9 @@
         double runtimeS = observed ? (now - assignment.runningAt) / 1000.0 : assignment.spec.estimateS();
         assignment.job.attainedServiceS += runtimeS;
         if (observed) {
-            scheduler.estimates.observe(assignment.spec, assignment.machine.id, runtimeS, false);
+            scheduler.estimates().observe(assignment.spec, assignment.machine.id, runtimeS, false);
         }
-        for (Job mover : Tyrex.movers(scheduler.jobs.values())) {
+        for (Job mover : Tyrex.movers(scheduler.jobs())) {
             mover.inSecondPartitionByTyrex = true;
             mover.attainedServiceS = 0;
         }
@@ -227,7 +230,7 @@
     /** Nothing of the assignment can be on its machine any more. */
     void remove(Assignment assignment) {
         if (assignment.mayExist()) {
-            observeInterrupted(assignment, scheduler.lastNow);
+            observeInterrupted(assignment, scheduler.lastEventAt());
         }
         assignment.machine.assignments.remove(assignment.attempt);
         assignment.machine.release(assignment);
@@ -242,7 +245,7 @@
     private void observeInterrupted(Assignment assignment, long now) {
         if (assignment.runningAt > 0) {
             double runtimeS = (now - assignment.runningAt) / 1000.0;
-            scheduler.estimates.observe(assignment.spec, assignment.machine.id, runtimeS, true);
+            scheduler.estimates().observe(assignment.spec, assignment.machine.id, runtimeS, true);
         }
     }
 
@@ -253,14 +256,14 @@
             teamUsage.add(assignment.spec, -1);
             if (job.mayStart(assignment.index)) {
                 job.pendingTasks.set(assignment.index);
-                scheduler.cycleRequested = true;
+                scheduler.outbox().requestCycle();
             }
         }
         Machine machine = assignment.machine;
         if (machine.idle()) {
-            machine.idleSince = Math.max(machine.idleSince, scheduler.lastNow);
+            machine.idleSince = Math.max(machine.idleSince, scheduler.lastEventAt());
         }
-        scheduler.machinesWithFreedRoom.add(machine);
+        scheduler.outbox().addFreedRoom(machine);
     }
 
     /** Everything in {@code job.durablyCompleted} is durable: its exited attempts may be cleared. */
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -1,17 +1,14 @@
 package org.hollypick.core;
 
-import java.util.Map;
 import org.hollypick.config.constants.FaultConstants;
 import org.hollypick.core.assignment.Machine;
 
 /** Whose fault a task's failure is, the machine's or the job's, and how long either is left alone. */
 final class FaultAttribution {
-    private final Map<String, Job> jobs;
-    private final Map<String, Machine> machines;
+    private final Scheduler scheduler;
 
-    FaultAttribution(Map<String, Job> jobs, Map<String, Machine> machines) {
-        this.jobs = jobs;
-        this.machines = machines;
+    FaultAttribution(Scheduler scheduler) {
+        this.scheduler = scheduler;
     }
 
     /** A task ended without being done. */
@@ -51,7 +48,7 @@
     private int own(Machine machine) {
         int own = 0;
         for (String id : machine.failedJobs) {
-            Job other = jobs.get(id);
+            Job other = scheduler.job(id);
             own += other != null && (!other.completedTasks.isEmpty() || other.failedMachines.size() == 1) ? 1 : 0;
         }
         return own;
@@ -73,7 +70,7 @@
         machine.failedAt = now;
         machine.failedJobs.add(job.spec.id());
         if (job.failedMachines.add(machine.id) && job.failedMachines.size() == 2) {
-            job.failedMachines.forEach(id -> acquit(machines.get(id)));
+            job.failedMachines.forEach(id -> acquit(scheduler.machine(id)));
         }
         if (own(machine) >= FaultConstants.MACHINE_ERRORS) {
             machine.faulty = true;
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -31,14 +31,14 @@
      * @return whether the heartbeat was applied
      */
     public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, boolean sentByAgent, long now) {
-        scheduler.lastNow = now;
+        scheduler.eventAt(now);
         if (machine.hasProcessed(heartbeat) || machine.isOutdated(heartbeat)) {
             return false;
         }
         beginIncarnationIfNew(machine, heartbeat, now);
         machine.recordHeartbeat(heartbeat);
         if (sentByAgent) {
-            scheduler.cycleRequested |= machine.awaitsHeartbeat;
+            scheduler.outbox().requestCycleIf(machine.awaitsHeartbeat);
             machine.heartbeatRequestReceived();
         }
         applyListedTasks(machine, heartbeat, now);
@@ -47,7 +47,7 @@
         if (heartbeat.hasEvictionNotice() && !machine.draining) {
             beginGracefulEviction(machine, heartbeat.noticeS());
         }
-        scheduler.machinesWithPendingCommands.add(machine);
+        scheduler.outbox().addPendingCommands(machine);
         return true;
     }
 
@@ -60,7 +60,7 @@
             assignments.removeAll(machine);
             machine.endIncarnation();
         } else if (!machine.registered) {
-            scheduler.machinesToRegister.add(machine);
+            scheduler.outbox().addToRegister(machine);
         }
         machine.beginIncarnation(now);
     }
@@ -79,16 +79,16 @@
                 orphanedTasks = true;
             }
         }
-        scheduler.cycleRequested |= machine.hasOrphanedTasks && !orphanedTasks;
+        scheduler.outbox().requestCycleIf(machine.hasOrphanedTasks && !orphanedTasks);
         machine.hasOrphanedTasks = orphanedTasks;
     }
 
     private void applyListedTask(Assignment assignment, TaskStatus status, Heartbeat heartbeat, long now) {
         assignment.machine.listed(assignment, now);
         assignments.update(assignment, status, now);
-        if (heartbeat.token() == scheduler.token
+        if (heartbeat.token() == scheduler.token()
                 && assignment.mayExist()
-                && AttemptNumbers.tokenOf(assignment.attempt) != scheduler.token
+                && AttemptNumbers.tokenOf(assignment.attempt) != scheduler.token()
                 && !scheduler.reconciliationWasComplete()) {
             teamUsage.found(assignment.spec, assignment.attempt);
         }
@@ -105,7 +105,7 @@
 
     /** Only a heartbeat made under this token is final: the agent refuses older direct commands from then on. */
     private void reconcileIfUnderToken(Machine machine, Heartbeat heartbeat) {
-        if (heartbeat.token() == scheduler.token && !(machine.reconciled && machine.confirmedLive)) {
+        if (heartbeat.token() == scheduler.token() && !(machine.reconciled && machine.confirmedLive)) {
             machine.reconciled = true;
             confirmLive(machine);
         }
@@ -113,7 +113,7 @@
 
     /** Records that the machine is present, and not only a delayed heartbeat of it. */
     public void confirmLive(Machine machine) {
-        scheduler.cycleRequested |= !machine.confirmedLive;
+        scheduler.outbox().requestCycleIf(!machine.confirmedLive);
         machine.confirmedLive = true;
     }
 
@@ -123,7 +123,7 @@
      * now on at most.
      */
     public void incarnationRestarted(Machine machine, Heartbeat heartbeat, long now) {
-        scheduler.lastNow = now;
+        scheduler.eventAt(now);
         machine.expireRestartedIncarnation(now);
         machine.beginTaskList();
         for (TaskStatus status : heartbeat.tasks()) {
@@ -150,6 +150,6 @@
                 assignments.stop(assignment, 0);
             }
         }
-        scheduler.cycleRequested = true;
+        scheduler.outbox().requestCycle();
     }
 }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -175,6 +175,22 @@
         return failedMachines.size() >= FaultConstants.JOB_ERRORS;
     }
 
+    /** Whether it has attained service to record. */
+    boolean hasAttainedService() {
+        return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || inSecondPartitionByTyrex);
+    }
+
+    /** Its attained service as recorded: in seconds, or, in the second partition, minus one minus the seconds. */
+    double recordedAttainedService() {
+        return inSecondPartitionByTyrex ? -1 - attainedServiceS : attainedServiceS;
+    }
+
+    /** Reverses {@link #recordedAttainedService}. */
+    void restoreAttainedService(double recorded) {
+        inSecondPartitionByTyrex = recorded < 0;
+        attainedServiceS = recorded < 0 ? -1 - recorded : recorded;
+    }
+
     public boolean inSecondPartition() {
         return spec.service() || inSecondPartitionByTyrex;
     }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -1,11 +1,10 @@
 package org.hollypick.core;
 
-import it.unimi.dsi.fastutil.objects.Object2DoubleMap;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
 import org.hollypick.config.Settings;
@@ -15,74 +14,88 @@
 import org.hollypick.core.estimate.Estimates;
 
 /**
- * What one leader knows during one term, and what it decides. Pure: time comes in with each event, effects are left in
- * the dirty sets for the loops around to carry out. docs/safety.md argues why its decisions keep the rules.
+ * What a leader knows of jobs and machines during one term, and what it decides. Does no I/O: the time comes in with
+ * each event, in milliseconds of the event loop's clock, and effects are left in the {@link SchedulerOutbox}.
+ * docs/safety.md argues why its decisions are safe. Confined to the event loop.
  */
 public final class Scheduler {
-    public final long token;
-    private final Settings settings;
-    public final WorkerLeases leases;
-    private final SchedulingCycle cycle;
-    final TeamUsage teamUsage = new TeamUsage();
-    public final Estimates estimates;
-    /** Which controller each machine reports to. */
-    public final HeartbeatBalancer heartbeatBalancer;
-
-    public final AssignmentTable assignments;
+    private final long token;
+    private final WorkerLeases leases;
+    private final Estimates estimates;
+    private final HeartbeatBalancer heartbeatBalancer;
+    private final SchedulerOutbox outbox = new SchedulerOutbox();
+    private final TeamQuotas quotas;
+    private final AssignmentTable assignments;
     private final HeartbeatProcessor heartbeats;
     private final CommandTracker commands = new CommandTracker();
-    private boolean reconciliationComplete;
-    /** Earlier leaders kept the same limits of teams. */
-    private boolean earlierLeadersKeptLimits;
-
-    private long unreconciledCountedAt = -1;
-    private boolean allReconciled;
-    private long allReconciledCheckedAt = -1;
-    long lastNow;
-    private Arrived arrived = new Arrived(0, 0, 0);
-    /** Work of tasks that were released since that was last taken: there may be thousands at once. */
-    private double releasedWork;
-
-    public final Map<String, Job> jobs = new LinkedHashMap<>();
-    public final Map<String, Machine> machines = new LinkedHashMap<>();
-    /** Machines certainly gone in this term; late reports of theirs mean nothing. */
-    public final Set<String> terminatedMachines = new HashSet<>();
-
-    // effects, drained by the loops
-    public final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
-    /** The same for machines whose orders concern services. */
-    public final Set<Machine> machinesWithUrgentCommands = new LinkedHashSet<>();
-    /** Machines on which room came free since this was last emptied. */
-    public final Set<Machine> machinesWithFreedRoom = new LinkedHashSet<>();
-
-    public final Set<Job> jobsWithNewCompletions = new LinkedHashSet<>();
-    /** Machines that came up and aren't registered yet. */
-    public final Set<Machine> machinesToRegister = new LinkedHashSet<>();
-    /** Machines that are gone; their durable records have to follow. */
-    public final Set<String> machinesToUnregister = new LinkedHashSet<>();
-
-    public boolean cycleRequested;
-
-    /** {@code leases}: when a worker's lease is certainly over. */
-    public Scheduler(long token, Settings settings, double firstShare, WorkerLeases leases) {
-        this(token, settings, firstShare, leases, false);
-    }
-
-    /** {@code learns}: from the run times of tasks, for those who ask when something will be done. */
-    public Scheduler(long token, Settings settings, double firstShare, WorkerLeases leases, boolean learns) {
-        this.estimates = new Estimates(learns);
+    private final SchedulingCycle cycle;
+    private final ArrivalCounter arrivals = new ArrivalCounter();
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Machine> machines = new LinkedHashMap<>();
+    private final ReconciliationProgress reconciliation = new ReconciliationProgress(machines.values());
+    private final Set<String> terminatedMachines = new HashSet<>();
+    private long lastEventAt;
+
+    /** A scheduler whose estimates don't learn from the runtimes of tasks. */
+    public Scheduler(long token, Settings settings, double firstPartitionShare, WorkerLeases leases) {
+        this(token, settings, firstPartitionShare, leases, false);
+    }
+
+    /**
+     * Begins a term.
+     *
+     * @param token the leader's fencing token
+     * @param firstPartitionShare the share of machines in the first Tyrex partition
+     * @param leases tells when an agent's lease has certainly expired
+     * @param learnsRuntimes whether the estimates learn from the runtimes of tasks
+     */
+    public Scheduler(
+            long token, Settings settings, double firstPartitionShare, WorkerLeases leases, boolean learnsRuntimes) {
         this.token = token;
-        this.settings = settings;
-        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
         this.leases = leases;
-        this.assignments = new AssignmentTable(this, teamUsage);
-        this.heartbeats = new HeartbeatProcessor(this, assignments, teamUsage);
-        this.cycle = new SchedulingCycle(this, firstShare);
+        this.estimates = new Estimates(learnsRuntimes);
+        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
+        this.quotas = new TeamQuotas(this, settings);
+        this.assignments = new AssignmentTable(this, quotas.usage());
+        this.heartbeats = new HeartbeatProcessor(this, assignments, quotas.usage());
+        this.cycle = new SchedulingCycle(this, firstPartitionShare);
+    }
+
+    // ---- parts ----
+
+    /** The fencing token of the leader's term. */
+    public long token() {
+        return token;
+    }
+
+    /** Tells when an agent's lease has certainly expired. */
+    public WorkerLeases leases() {
+        return leases;
+    }
+
+    /** The runtimes of tasks, as far as they are known. */
+    public Estimates estimates() {
+        return estimates;
+    }
+
+    /** Which controller each machine sends its heartbeats to. */
+    public HeartbeatBalancer heartbeatBalancer() {
+        return heartbeatBalancer;
+    }
+
+    /** The effects that others have to carry out. */
+    public SchedulerOutbox outbox() {
+        return outbox;
     }
 
-    /** The leader before kept the same limits of teams, and all before it did. */
-    public void earlierLeadersKeptLimits() {
-        earlierLeadersKeptLimits = true;
+    /** Keeps the limits of teams. */
+    public TeamQuotas quotas() {
+        return quotas;
+    }
+
+    /** The tasks that are, or may be, on machines. */
+    public AssignmentTable assignments() {
+        return assignments;
     }
 
     /** Applies the heartbeats of agents. */
@@ -95,101 +108,133 @@
         return commands;
     }
 
+    /** When the last event took place. */
+    long lastEventAt() {
+        return lastEventAt;
+    }
+
+    void eventAt(long now) {
+        lastEventAt = now;
+    }
+
     // ---- jobs ----
 
-    /** A job that awaits nothing. */
-    public Job addJob(JobSpec spec, long order, long under) {
-        return addJob(spec, order, under, true, spec.priority());
+    /** The live jobs in the order in which they were added: a view, from which jobs go as they end. */
+    public Collection<Job> jobs() {
+        return jobs.values();
+    }
+
+    /** @return null if no live job has this id */
+    public Job job(String id) {
+        return jobs.get(id);
+    }
+
+    /** Whether a live job has this id. */
+    public boolean hasJob(String id) {
+        return jobs.containsKey(id);
+    }
+
+    /** The job has ended, durably. */
+    public void removeJob(String id) {
+        jobs.remove(id);
     }
 
-    public Job addJob(JobSpec spec, long order, long under, boolean ready, JobSpec.Priority rank) {
+    /** Adds a job that depends on no other, unless it is known. */
+    public Job addJob(JobSpec spec, long arrivalRevision, long createdUnderToken) {
+        return addJob(spec, arrivalRevision, createdUnderToken, true, spec.priority());
+    }
+
+    /**
+     * Adds a job, unless it is known.
+     *
+     * @param ready whether all that it depends on is done
+     * @param priority its own, or a higher one of a job that depends on it
+     */
+    public Job addJob(
+            JobSpec spec, long arrivalRevision, long createdUnderToken, boolean ready, JobSpec.Priority priority) {
         Job job = jobs.get(spec.id());
         if (job == null) {
-            job = new Job(spec, order, under, ready, rank);
+            job = new Job(spec, arrivalRevision, createdUnderToken, ready, priority);
             jobs.put(spec.id(), job);
             if (ready) {
-                arrived(job);
+                countArrival(job);
             }
         }
         return job;
     }
 
-    /** Its ancestors or those that need it have changed: it may start from now on, or became more urgent. */
-    public void updateDependencies(Job job, boolean ready, JobSpec.Priority rank) {
-        job.priority = rank;
+    /** Adds a job whose tasks differ; none of them waits before its {@link #release}. */
+    public Job addJob(JobSpec spec, TaskSet tasks, long arrivalRevision, long createdUnderToken) {
+        Job job = new Job(spec, tasks, arrivalRevision, createdUnderToken, true, spec.priority());
+        jobs.put(spec.id(), job);
+        arrivals.addArray(0);
+        return job;
+    }
+
+    /** The jobs that it depends on, or that depend on it, changed. */
+    public void updateDependencies(Job job, boolean ready, JobSpec.Priority priority) {
+        job.priority = priority;
         if (ready && !job.ready) {
             job.ready = true;
-            arrived(job);
+            countArrival(job);
         }
     }
 
-    private void arrived(Job job) {
+    private void countArrival(Job job) {
         JobSpec spec = job.spec;
         double cores = spec.tasks() * spec.cpus();
-        arrived = spec.service()
-                ? new Arrived(arrived.arrays, arrived.arrayWork, arrived.serviceCores + cores)
-                : new Arrived(arrived.arrays + 1, arrived.arrayWork + cores * expectedRunS(spec), arrived.serviceCores);
-        cycleRequested = true;
-    }
-
-    /** A job whose tasks aren't all alike; none of them waits yet. */
-    public Job addJob(JobSpec spec, TaskSet set, long order, long under) {
-        Job job = new Job(spec, set, order, under, true, spec.priority());
-        jobs.put(spec.id(), job);
-        arrived = new Arrived(arrived.arrays + 1, arrived.arrayWork, arrived.serviceCores);
-        return job;
+        if (spec.service()) {
+            arrivals.addService(cores);
+        } else {
+            arrivals.addArray(cores * expectedRunS(spec));
+        }
+        outbox.requestCycle();
     }
 
-    /** What the records say that is done of such a job was read. */
+    /** The completed tasks of the job were read from its durable records. */
     public void completionsRestored(Job job) {
         job.completionsCommitted();
     }
 
-    /** From now on that task of such a job waits. */
+    /** The task of a job with a {@link TaskSet} waits from now on, unless it may not start or was assigned. */
     public void release(Job job, int index) {
         if (job.mayStart(index) && !job.assignments.containsKey(index)) {
             JobSpec spec = job.spec(index);
             job.pendingTasks.set(index);
-            releasedWork += spec.cpus() * expectedRunS(spec);
-            cycleRequested = true;
+            arrivals.addReleasedTask(spec.cpus() * expectedRunS(spec));
+            outbox.requestCycle();
         }
     }
 
-    /** That task of such a job isn't to run any more: it doesn't wait, and where it may be it is stopped. */
+    /** The task of a job with a {@link TaskSet} must not run any more: it is stopped where it may be. */
     public void cancelTask(Job job, int index) {
         job.pendingTasks.clear(index);
         Assignment assignment = job.assignments.get(index);
         if (assignment != null) {
             assignments.stop(assignment, 0);
         }
-        cycleRequested = true;
+        outbox.requestCycle();
     }
 
-    /** What arrived in a while: array jobs, their work in core-seconds, and the cores of services. */
-    public record Arrived(int arrays, double arrayWork, double serviceCores) {}
-
-    public Arrived takeArrived() {
-        Arrived taken = new Arrived(arrived.arrays, arrived.arrayWork + releasedWork, arrived.serviceCores);
-        arrived = new Arrived(0, 0, 0);
-        releasedWork = 0;
-        return taken;
+    /** What arrived since this was last called. */
+    public Arrivals takeArrivals() {
+        return arrivals.take();
     }
 
+    /** The expected runtime, in seconds, of a task. */
     public double expectedRunS(JobSpec spec) {
         return estimates.meanS(spec);
     }
 
     /**
-     * Its user asked to cancel it: whoever sees that in the records first may tell so, and this leader need not be the
-     * first. Nothing of the job starts from here on, and all of it goes; what it would do yet is of use to nobody.
+     * The user asked to cancel the job, and may learn of it from any controller that reads the records, before this
+     * leader does. Nothing of the job starts from here on, and all of it is stopped.
      */
     public void cancel(Job job) {
         job.cancellationRequested = true;
         job.pendingTasks.clear();
-        for (Assignment assignment : new ArrayList<>(job.assignments.values())) {
-            assignments.stop(assignment, 0);
-        }
-        cycleRequested = true;
+        stopAll(job);
+        outbox.requestCycle();
     }
 
     /** The cancellation is durable. */
@@ -198,184 +243,160 @@
         job.status = Job.Status.CANCELLED;
     }
 
+    /** The job's completion is durable. */
     public void markDone(Job job) {
         job.status = Job.Status.DONE;
         job.durablyCompleted = job.completedTasks;
+        stopAll(job);
+        assignments.completionsCommitted(job);
+    }
+
+    private void stopAll(Job job) {
         for (Assignment assignment : new ArrayList<>(job.assignments.values())) {
             assignments.stop(assignment, 0);
         }
-        assignments.completionsCommitted(job);
     }
 
     // ---- machines ----
 
+    /** The machines that aren't terminated, in the order in which they were added: a view. */
+    public Collection<Machine> machines() {
+        return machines.values();
+    }
+
+    /** @return null if no such machine is known, or it was terminated */
+    public Machine machine(String id) {
+        return machines.get(id);
+    }
+
+    /** Whether the machine is known and wasn't terminated. */
+    public boolean hasMachine(String id) {
+        return machines.containsKey(id);
+    }
+
+    /** Whether the machine was terminated in this term: late heartbeats of it mean nothing. */
+    public boolean isTerminated(String machineId) {
+        return terminatedMachines.contains(machineId);
+    }
+
+    /**
+     * Adds a machine.
+     *
+     * @param registered whether it has a durable record; without one, no earlier leader can have given it a task
+     */
     public Machine addMachine(String id, MachineType type, String zone, boolean spot, boolean registered, long now) {
-        Machine m = new Machine(id, type, zone, spot, now);
-        m.registered = registered;
-        // A machine without a durable record can't have been given a task by an earlier leader.
-        m.reconciled = !registered;
-        machines.put(id, m);
-        reconciliationComplete &= m.accountedFor();
-        return m;
+        Machine machine = new Machine(id, type, zone, spot, now);
+        machine.registered = registered;
+        machine.reconciled = !registered;
+        machines.put(id, machine);
+        reconciliation.machineAdded(machine);
+        return machine;
+    }
+
+    /** The machine's record is durable: it may get tasks from now on, unless it was terminated meanwhile. */
+    public void markRegistered(Machine machine) {
+        machine.registered = true;
+        if (machines.get(machine.id) == machine) {
+            outbox.addFreedRoom(machine);
+        }
     }
 
-    /** The machine and everything on it are certainly gone. */
+    /** The machine, and everything on it, has certainly gone. */
     public void markTerminated(String id) {
-        Machine m = machines.remove(id);
+        Machine machine = machines.remove(id);
         terminatedMachines.add(id);
         heartbeatBalancer.terminated(id);
-        if (m != null) {
-            assignments.removeAll(m);
-            machinesWithPendingCommands.remove(m);
-            machinesWithUrgentCommands.remove(m);
-            machinesToRegister.remove(m);
-            machinesWithFreedRoom.remove(m);
+        if (machine != null) {
+            assignments.removeAll(machine);
+            outbox.discard(machine);
         }
-        machinesToUnregister.add(id);
-        cycleRequested = true;
+        outbox.addToUnregister(id);
+        outbox.requestCycle();
     }
 
-    /** Leases that ran out, and machines from earlier terms that can't hold anything any more. */
+    /**
+     * Removes what was on machines whose lease has certainly expired, and ends the reconciliation of machines that
+     * can't hold anything of earlier terms any more.
+     */
     public void expireLeases(long now) {
-        lastNow = now;
-        for (Machine m : machines.values()) {
-            cycleRequested |= FaultAttribution.pardon(m, now);
-            // What older leaders launched needs a session that began before this term: all of those have ended,
-            // whatever has begun since.
-            boolean olderOver = !m.reconciled && leases.over(m.heartbeatAcknowledgedAt, now);
-            // A session can also be known from a direct answer alone: its lease began before that came, not earlier.
-            boolean over = ((m.heartbeatReceived && !m.incarnationExpired()) || !m.assignments.isEmpty())
-                    && leases.over(m.leaseStartedAt(), now);
-            if (olderOver || over) {
-                assignments.removeAll(m);
-                m.reconciled = true;
-                cycleRequested = true;
-            }
-            if (over && m.heartbeatReceived) {
-                m.incarnationExpiredAt = now;
-                m.minIncarnation = m.incarnation + 1;
-            }
+        lastEventAt = now;
+        for (Machine machine : machines.values()) {
+            outbox.requestCycleIf(FaultAttribution.pardon(machine, now));
+            expireLease(machine, now);
+        }
+    }
+
+    private void expireLease(Machine machine, long now) {
+        // What earlier leaders launched needs an incarnation that began before this term: all of those have expired,
+        // whatever has begun since.
+        boolean earlierExpired = !machine.reconciled && leases.over(machine.heartbeatAcknowledgedAt, now);
+        boolean expired = machine.mayHoldLease() && leases.over(machine.leaseStartedAt(), now);
+        if (earlierExpired || expired) {
+            assignments.removeAll(machine);
+            machine.reconciled = true;
+            outbox.requestCycle();
+        }
+        if (expired) {
+            machine.expireIncarnation(now);
         }
     }
 
     /**
-     * Whether a task of the job may yet start by a launch that was sent: this leader's, or an older one's on a machine
-     * that isn't heard yet. As long as so nobody may be told that the job is cancelled: none may start after that.
+     * Whether a task of the job may still start by a launch that was sent: by this leader, or by an earlier one on a
+     * machine that isn't reconciled. Until then nobody may learn that the job is cancelled, since nothing of it may
+     * start after that.
      */
     public boolean launchMayStillExecute(Job job) {
-        return commands.launchMayStillExecute(job) || (job.createdUnderToken != token && !allReconciled());
-    }
-
-    /** Once so, it stays so; asked for many jobs in one moment. */
-    private boolean allReconciled() {
-        if (!allReconciled && allReconciledCheckedAt != lastNow) {
-            allReconciledCheckedAt = lastNow;
-            allReconciled = machines.values().stream().allMatch(m -> m.reconciled);
-        }
-        return allReconciled;
+        return commands.launchMayStillExecute(job)
+                || (job.createdUnderToken != token && !reconciliation.allReconciled(lastEventAt));
     }
 
     /**
-     * Whether no machine of an earlier term can still hold tasks that this one doesn't know of. Once so, it stays so.
+     * Whether no machine of an earlier term can still hold tasks that this leader doesn't know of. Once so, it stays so
+     * until such a machine is added.
      */
     public boolean reconciliationComplete() {
-        if (!reconciliationComplete) {
-            reconciliationComplete = machines.values().stream().allMatch(Machine::accountedFor);
-            if (reconciliationComplete) {
-                teamUsage.reconciliationComplete();
-            }
+        if (!reconciliation.wasComplete() && reconciliation.isComplete()) {
+            quotas.usage().reconciliationComplete();
         }
-        return reconciliationComplete;
+        return reconciliation.wasComplete();
     }
 
-    /** Whether that was so when it was last asked: without a look at all machines, for each task of each report. */
+    /** The last result of {@link #reconciliationComplete}, without going through the machines. */
     boolean reconciliationWasComplete() {
-        return reconciliationComplete;
-    }
-
-    /** It is durable that the machine may hold tasks: from now on it may, unless it went while that was written. */
-    public void registered(Machine m) {
-        m.registered = true;
-        if (machines.get(m.id) == m) {
-            machinesWithFreedRoom.add(m);
-        }
+        return reconciliation.wasComplete();
     }
 
-    // ---- placing ----
+    // ---- scheduling ----
 
-    /** One pass over everything that waits. */
+    /** Runs a scheduling cycle: all pending tasks over all machines. */
     public void runSchedulingCycle(long now) {
-        lastNow = now;
-        cycleRequested = false;
+        lastEventAt = now;
+        outbox.cycleStarted();
         cycle.run(now);
     }
 
-    /** What waits is looked through for this one machine, where room may have come free. */
-    public void scheduleOn(Machine m, long now) {
-        lastNow = now;
-        cycle.scheduleOn(m, now);
-    }
-
-    boolean severalTeams() {
-        return settings.teams().size() > 1;
-    }
-
-    /**
-     * Whether one more task keeps its team's limit. Machines of earlier terms may hold tasks nobody here has counted.
-     */
-    public boolean withinLimit(JobSpec spec) {
-        Settings.Team team = settings.teams().get(spec.team());
-        if (team == null || (team.cpusMax() <= 0 && team.gpusMax() <= 0)) {
-            return true;
-        }
-        if (reconciliationComplete()) {
-            return teamUsage.allows(team, spec);
-        }
-        if (unreconciledCountedAt != lastNow) {
-            unreconciledCountedAt = lastNow; // within one moment they only become fewer
-            teamUsage.unheard(machines.values());
-        }
-        return teamUsage.allowsUnheard(team, spec, earlierLeadersKeptLimits);
-    }
-
-    /**
-     * Cores that arrays can use at once beside their team's services, by what there is of both for each team; without
-     * end if a team has no limit.
-     */
-    public double usableCores(Object2DoubleMap<String> services, Object2DoubleMap<String> arrays) {
-        double usable = 0;
-        for (Object2DoubleMap.Entry<String> e : arrays.object2DoubleEntrySet()) {
-            Settings.Team team = settings.teams().get(e.getKey());
-            if (team == null || team.cpusMax() <= 0) {
-                return Double.POSITIVE_INFINITY;
-            }
-            usable += Math.min(e.getDoubleValue(), Math.max(0, team.cpusMax() - services.getDouble(e.getKey())));
-        }
-        return usable;
+    /** Schedules pending tasks on this one machine, where room may have come free. */
+    public void scheduleOn(Machine machine, long now) {
+        lastEventAt = now;
+        cycle.scheduleOn(machine, now);
     }
 
-    /** Everything is known, and no team takes more than its limit. */
-    public boolean limitsKept() {
-        return reconciliationComplete() && teamUsage.within(settings.teams().values());
-    }
+    // ---- attained service ----
 
-    /** Partial sizes by job, for the controller's one value. */
+    /** Attained service by job id, for its durable record; see {@link #restoreAttainedService}. */
     public Map<String, Double> attainedService() {
         Map<String, Double> attainedService = new HashMap<>();
         for (Job job : jobs.values()) {
-            if (job.status == Job.Status.LIVE
-                    && job.ready
-                    && !job.spec.service()
-                    && (job.attainedServiceS > 0 || job.inSecondPartitionByTyrex)) {
-                attainedService.put(
-                        job.spec.id(), job.inSecondPartitionByTyrex ? -1 - job.attainedServiceS : job.attainedServiceS);
+            if (job.hasAttainedService()) {
+                attainedService.put(job.spec.id(), job.recordedAttainedService());
             }
         }
         return attainedService;
     }
 
-    public void restoreAttainedService(Job job, double size) {
-        job.inSecondPartitionByTyrex = size < 0;
-        job.attainedServiceS = size < 0 ? -1 - size : size;
+    /** Restores a job's attained service from its durable record. */
+    public void restoreAttainedService(Job job, double recorded) {
+        job.restoreAttainedService(recorded);
     }
 }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -53,13 +53,13 @@
         firstJobs = new ArrayList<>();
         secondJobs = new ArrayList<>();
         boolean settled = scheduler.reconciliationComplete();
-        for (Job job : scheduler.jobs.values()) {
-            if (job.hasPendingTasks() && (settled || job.createdUnderToken == scheduler.token)) {
+        for (Job job : scheduler.jobs()) {
+            if (job.hasPendingTasks() && (settled || job.createdUnderToken == scheduler.token())) {
                 (job.inSecondPartition() ? secondJobs : firstJobs).add(job);
             }
         }
         if (firstJobs.isEmpty() && secondJobs.isEmpty()) {
-            scheduler.teamUsage.owesNothing();
+            scheduler.quotas().usage().owesNothing();
             return;
         }
         firstJobs.sort(ORDER);
@@ -69,7 +69,7 @@
         List<Machine> secondMachines = new ArrayList<>();
         List<Machine> usable = new ArrayList<>();
         allServices = 0;
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             allServices += m.serviceCpus();
             if (MachineSelector.takesTasks(m, now)) {
                 usable.add(m);
@@ -98,7 +98,7 @@
             return;
         }
         List<Machine> one = List.of(m);
-        boolean byArrival = scheduler.severalTeams() && ++fills % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
+        boolean byArrival = scheduler.quotas().severalTeams() && ++fills % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
         List<Job> first = byArrival ? byArrival(firstJobs) : firstJobs;
         List<Job> second = byArrival ? byArrival(secondJobs) : secondJobs;
         for (Job job : secondJobs) {
@@ -133,9 +133,9 @@
             if (choice == null) {
                 return;
             }
-            choice.victims().forEach(v -> scheduler.assignments.stop(v, 0));
+            choice.victims().forEach(v -> scheduler.assignments().stop(v, 0));
             start(job, i, choice.machine(), now);
-            scheduler.teamUsage.owe(job.spec, -1);
+            scheduler.quotas().usage().owe(job.spec, -1);
         }
     }
 
@@ -149,16 +149,16 @@
             return;
         }
         reservedAt = now;
-        scheduler.teamUsage.owesNothing();
+        scheduler.quotas().usage().owesNothing();
         Map<String, Boolean> room = new HashMap<>();
         for (Job job : secondJobs) {
             JobSpec spec = job.spec;
             if (spec.service()
-                    && !scheduler.withinLimit(spec)
+                    && !scheduler.quotas().withinLimit(spec)
                     && useChangedLately(spec.team(), now)
                     && room.computeIfAbsent(
                             spec.team(), t -> MachineSelector.preempt(job, usable, allServices, now) != null)) {
-                scheduler.teamUsage.owe(spec, job.pendingTasks.cardinality());
+                scheduler.quotas().usage().owe(spec, job.pendingTasks.cardinality());
             }
         }
     }
@@ -169,7 +169,7 @@
      * arrays that fit into it waited for ever beside room.
      */
     private boolean useChangedLately(String team, long now) {
-        long changes = scheduler.teamUsage.changes(team);
+        long changes = scheduler.quotas().usage().changes(team);
         UseSeen seen = usesSeen.get(team);
         if (seen == null || seen.changes != changes) {
             seen = new UseSeen(changes, now);
@@ -215,7 +215,7 @@
 
     private void start(Job job, int index, Machine m, long now) {
         idleFirst -= m.inFirstPartition && m.idle() ? 1 : 0;
-        scheduler.assignments.start(job, index, m, now);
+        scheduler.assignments().start(job, index, m, now);
     }
 
     /** The next task that may start now, or -1. */
@@ -228,7 +228,7 @@
         for (int i = job.pendingTasks.nextSetBit(from); i >= 0; i = job.pendingTasks.nextSetBit(i + 1)) {
             JobSpec spec = job.spec(i);
             if (spec != within && spec != beyond) {
-                if (scheduler.withinLimit(spec)) {
+                if (scheduler.quotas().withinLimit(spec)) {
                     within = spec;
                 } else if (job.heterogeneous()) {
                     beyond = spec;
@@ -256,14 +256,14 @@
 
     private void countIdleFirst() {
         idleFirst = 0;
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             idleFirst += m.inFirstPartition && m.schedulable() && m.idle() ? 1 : 0;
         }
     }
 
     /** Keeps 30 % of the machines in the first partition: spot ones first, since services can't use them. */
     private void partition() {
-        Collection<Machine> all = scheduler.machines.values();
+        Collection<Machine> all = scheduler.machines();
         int have = 0;
         int usable = 0;
         for (Machine m : all) {
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -194,6 +194,22 @@
         reportedTasks = List.of();
     }
 
+    /**
+     * Whether a lease may be running: a heartbeat came in the known incarnation, or a task may be there. An incarnation
+     * may also be known from the response to a direct call alone: its lease began before that response came.
+     */
+    public boolean mayHoldLease() {
+        return (heartbeatReceived && !incarnationExpired()) || !assignments.isEmpty();
+    }
+
+    /** The lease of the known incarnation has expired; only heartbeats of a later incarnation count from now on. */
+    public void expireIncarnation(long now) {
+        if (heartbeatReceived) {
+            incarnationExpiredAt = now;
+            minIncarnation = incarnation + 1;
+        }
+    }
+
     /** The heartbeat is the newest one from now on. */
     public void recordHeartbeat(Heartbeat heartbeat) {
         seenToken = heartbeat.token();
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.constants.AutoscalingConstants;
+import org.hollypick.core.Arrivals;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
@@ -95,7 +96,7 @@
         double ordinaryCores = 0;
         Map<String, Double> ordinary = new HashMap<>();
         have.clear();
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             boolean slow = !m.heartbeatReceived
                     && now - m.createdAt > AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * m.type.bootS();
             if (m.scalingIn || m.draining || m.faulty || slow || (m.unreachable() && !partitioned.contains(m.zone))) {
@@ -132,7 +133,7 @@
                     .orElse(60);
             JobSpec array = demand.array;
             // What a team's limit keeps from running needs no machine, however long it waits.
-            double unused = scheduler.usableCores(demand.teamServices, demand.teamArrays) - supply;
+            double unused = scheduler.quotas().usableCores(demand.teamServices, demand.teamArrays) - supply;
             double spot = Math.max(
                     base - supply, Math.min(unused, late(demand, supply, bootS, AutoscalingConstants.CATCH_UP_S)));
             if (!rent(rents, array, types, lit, true, spot, now)) {
@@ -142,7 +143,7 @@
                 rent(rents, array, types, lit, false, missing, now);
             }
         }
-        Collection<Machine> machines = scheduler.machines.values();
+        Collection<Machine> machines = scheduler.machines();
         double surplus =
                 cordon(machines, spare, supply - Math.max(base, demand.arrayCores * AutoscalingConstants.BUSY_MARGIN));
         List<Assignment> moves = scheduler.reconciliationComplete() ? moves(machines, spare, surplus, now) : List.of();
@@ -154,16 +155,16 @@
      * follows.
      */
     private void follow(Scheduler scheduler, long now) {
-        Scheduler.Arrived arrived = scheduler.takeArrived();
+        Arrivals arrived = scheduler.takeArrivals();
         if (startedAt == 0) {
             startedAt = now;
         }
         if (now - startedAt > crowdMs) { // never the first time: that is what a term finds
-            arrays.arrived(arrived.arrayWork(), now);
-            arrayJobs.arrived(arrived.arrays(), now);
+            arrays.arrived(arrived.arrayCoreSeconds(), now);
+            arrayJobs.arrived(arrived.arrayJobs(), now);
             services.arrived(arrived.serviceCores(), now);
         }
-        if (arrived.arrays() > 0) {
+        if (arrived.arrayJobs() > 0) {
             arrayArrivedAt = now;
             arrayRate = arrayJobs.perSecond() * reliance();
         } else if ((now - arrayArrivedAt) / 1000.0 * arrayRate > AutoscalingConstants.MISSED_ARRIVALS) {
@@ -303,7 +304,7 @@
 
     private static Demand demand(Scheduler scheduler, List<String> zones, long now) {
         Demand d = new Demand();
-        for (Job job : scheduler.jobs.values()) {
+        for (Job job : scheduler.jobs()) {
             JobSpec s = job.spec;
             if (!job.ready) {
                 continue;
--- a/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
+++ b/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
@@ -20,7 +20,7 @@
         double freeCores = 0;
         double bootingCores = 0;
         double bootSeconds = 0;
-        for (Machine machine : scheduler.machines.values()) {
+        for (Machine machine : scheduler.machines()) {
             if (machine.schedulable()) {
                 usableCores += machine.type.cpus() - machine.serviceCpus();
                 freeCores += machine.type.cpus() - machine.usedCpus;
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -109,7 +109,7 @@
             boolean firstVisit = visited.putIfAbsent(next.spec.id(), next) == null;
             if (firstVisit && visited.size() < MAX_JOBS) {
                 for (String id : incompleteDependencies.apply(next.spec.id())) {
-                    Job dependency = scheduler.jobs.get(id);
+                    Job dependency = scheduler.job(id);
                     if (dependency != null && !visited.containsKey(id)) {
                         stack.add(dependency);
                     }
@@ -218,7 +218,7 @@
     /** Core-seconds of pending work that is scheduled before the job's in its Tyrex partition. */
     private double coreSecondsAhead(Job job) {
         CoreSeconds ahead = new CoreSeconds();
-        for (Job other : scheduler.jobs.values()) {
+        for (Job other : scheduler.jobs()) {
             if (other != job && isAhead(other, job)) {
                 other.forEachWaiting(
                         (spec, count) -> ahead.total += count * spec.cpus() * scheduler.expectedRunS(spec));
@@ -237,13 +237,13 @@
     }
 
     private boolean isImageCached(JobSpec spec) {
-        return scheduler.machines.values().stream()
+        return scheduler.machines().stream()
                 .anyMatch(machine ->
                         machine.schedulable() && machine.images.containsKey(spec.image()) && machine.hasRoom(spec));
     }
 
     private double meanFetchGbPerSecond() {
-        return scheduler.machines.values().stream()
+        return scheduler.machines().stream()
                 .filter(Machine::schedulable)
                 .mapToDouble(machine -> machine.type.fetchGbPerS())
                 .average()
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -388,11 +388,11 @@
         Machine machine = machine("n-1", false);
         scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         scheduler.markTerminated("n-1");
-        scheduler.registered(machine);
-        assertFalse(scheduler.machinesWithFreedRoom.contains(machine));
+        scheduler.markRegistered(machine);
+        assertFalse(scheduler.outbox().hasFreedRoom(machine));
         Machine other = reporting();
-        scheduler.registered(other);
-        assertTrue(scheduler.machinesWithFreedRoom.contains(other));
+        scheduler.markRegistered(other);
+        assertTrue(scheduler.outbox().hasFreedRoom(other));
     }
 
     // ---- limits while machines of earlier terms are unheard ----
@@ -410,7 +410,7 @@
     private static Scheduler halfHeard(boolean olderKept, long token) {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         if (olderKept) {
-            s.earlierLeadersKeptLimits();
+            s.quotas().setEarlierLeadersKeptLimits();
         }
         s.addJob(spec("req-000001", 3, false), 1, 2);
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
@@ -433,9 +433,9 @@
     @Test
     void aTeamsEndedTasksMakeRoomBeforeAllIsHeard() {
         Scheduler s = halfHeard(true, 5);
-        Job waiting = s.jobs.get("req-000002");
+        Job waiting = s.job("req-000002");
         assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
-        Machine machine = s.machines.get("n-1");
+        Machine machine = s.machine("n-1");
         s.heartbeats()
                 .applyHeartbeat(
                         machine,
@@ -456,8 +456,7 @@
         s.runSchedulingCycle(400);
         assertEquals(
                 4,
-                waiting.assignments.size()
-                        + s.jobs.get("req-000001").assignments.size(),
+                waiting.assignments.size() + s.job("req-000001").assignments.size(),
                 "all is known: the whole machine is used");
     }
 
@@ -467,12 +466,12 @@
         Scheduler s = halfHeard(false, 5);
         s.heartbeats()
                 .applyHeartbeat(
-                        s.machines.get("n-1"),
+                        s.machine("n-1"),
                         report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                         true,
                         200);
         s.runSchedulingCycle(200);
-        assertEquals(0, s.jobs.get("req-000002").assignments.size());
+        assertEquals(0, s.job("req-000002").assignments.size());
     }
 
     /**
@@ -482,10 +481,10 @@
     @Test
     void whatAnOlderReportListsMakesNoRoom() {
         Scheduler s = halfHeard(true, 4);
-        Machine machine = s.machines.get("n-1");
+        Machine machine = s.machine("n-1");
         s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
-        assertEquals(0, s.jobs.get("req-000002").assignments.size());
+        assertEquals(0, s.job("req-000002").assignments.size());
     }
 
     /**
@@ -498,7 +497,7 @@
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-3", TYPE, "a", true, false, 0).registered = true;
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.heartbeats().applyHeartbeat(s.machines.get("n-3"), report("n-3", 1, 1, 5), true, 50);
+        s.heartbeats().applyHeartbeat(s.machine("n-3"), report("n-3", 1, 1, 5), true, 50);
         s.heartbeats()
                 .applyHeartbeat(
                         machine,
@@ -508,11 +507,11 @@
         s.runSchedulingCycle(100);
         assertEquals(
                 1,
-                s.jobs.get("req-000002").assignments.size(),
+                s.job("req-000002").assignments.size(),
                 "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
         s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
-        assertEquals(4, s.jobs.get("req-000002").assignments.size());
+        assertEquals(4, s.job("req-000002").assignments.size());
     }
 
     /**
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -122,7 +122,7 @@
         private void second() {
             now += 1_000;
             scheduler.runSchedulingCycle(now);
-            for (Machine machine : scheduler.machines.values()) {
+            for (Machine machine : scheduler.machines()) {
                 machine.heartbeatAcknowledgedAt = now;
                 report(machine);
                 if (machine.faulty && sick.contains(machine.id)) {
@@ -137,8 +137,8 @@
                 mostBroken = Math.max(
                         mostBroken,
                         broken.stream()
-                                .mapToInt(id -> scheduler.jobs.get(id).failsEverywhere()
-                                        ? scheduler.jobs.get(id).assignments.size()
+                                .mapToInt(id -> scheduler.job(id).failsEverywhere()
+                                        ? scheduler.job(id).assignments.size()
                                         : 0)
                                 .max()
                                 .orElse(0));
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -97,7 +97,7 @@
             }
             if (round == 0) {
                 scheduler.runSchedulingCycle(10);
-                for (Machine m : scheduler.machines.values()) {
+                for (Machine m : scheduler.machines()) {
                     scheduler.heartbeats().applyHeartbeat(m, report(m, 2), true, 1_000 + random.nextInt(5_000));
                 }
             }
@@ -120,7 +120,7 @@
             Scheduler plain = world(seed);
             real.runSchedulingCycle(9_000);
             // The partitions are the real pass's, or the model would have to repeat them.
-            real.machines.forEach((id, m) -> plain.machines.get(id).inFirstPartition = m.inFirstPartition);
+            real.machines().forEach(m -> plain.machine(m.id).inFirstPartition = m.inFirstPartition);
             plainPass(plain, 9_000);
             Map<String, String> where = where(real);
             assertEquals(where(plain), where, "seed " + seed);
@@ -205,8 +205,7 @@
 
     private static Map<String, String> where(Scheduler s) {
         Map<String, String> where = new TreeMap<>();
-        s.machines
-                .values()
+        s.machines()
                 .forEach(m -> m.assignments
                         .values()
                         .forEach(p -> where.put(p.taskId, m.id + (p.stopRequested ? " stopped" : ""))));
@@ -218,7 +217,7 @@
                         j -> j.spec.priority().ordinal())
                 .thenComparing(j -> j.arrivalRevision);
         for (boolean second : new boolean[] {true, false}) {
-            for (Job job : s.jobs.values().stream()
+            for (Job job : s.jobs().stream()
                     .filter(j -> j.inSecondPartition() == second)
                     .sorted(order)
                     .toList()) {
@@ -233,10 +232,10 @@
     }
 
     private static List<Machine> possible(Scheduler s, Job job) {
-        if (!s.withinLimit(job.spec)) {
+        if (!s.quotas().withinLimit(job.spec)) {
             return List.of();
         }
-        return s.machines.values().stream()
+        return s.machines().stream()
                 .filter(m -> {
                     long inZone = job.assignments.values().stream()
                             .filter(p -> p.machine.zone.equals(m.zone))
@@ -264,7 +263,7 @@
     }
 
     private static boolean array(Scheduler s, Job job, int index, boolean second, long now) {
-        long idleFirst = s.machines.values().stream()
+        long idleFirst = s.machines().stream()
                 .filter(m -> m.inFirstPartition && m.schedulable() && m.idle())
                 .count();
         for (boolean own : new boolean[] {true, false}) {
@@ -283,7 +282,7 @@
                 }
             }
             if (best != null) {
-                s.assignments.start(job, index, best, now);
+                s.assignments().start(job, index, best, now);
                 return true;
             }
         }
@@ -295,7 +294,7 @@
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
         double all = 0;
-        for (Machine m : s.machines.values()) {
+        for (Machine m : s.machines()) {
             // As of the pass's start: what this pass places itself doesn't count.
             all += m.liveAssignments().stream()
                     .filter(p -> p.job.spec.service() && p.startedAt < now)
@@ -343,8 +342,8 @@
         if (best == null) {
             return false;
         }
-        bestVictims.forEach(p -> s.assignments.stop(p, 0));
-        s.assignments.start(job, index, best, now);
+        bestVictims.forEach(p -> s.assignments().stop(p, 0));
+        s.assignments().start(job, index, best, now);
         return true;
     }
 }
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -108,7 +108,7 @@
     }
 
     private void allRun(long now) {
-        for (Machine m : scheduler.machines.values()) {
+        for (Machine m : scheduler.machines()) {
             TaskStatus[] tasks = m.assignments.values().stream()
                     .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                     .toArray(TaskStatus[]::new);
@@ -190,11 +190,11 @@
         }
         long now = 0;
         for (; now < 200_000; now += 1_000) {
-            scheduler.jobs.clear();
+            scheduler.jobs().clear();
             array("req-" + now, 1);
             assertTrue(fleet.plan(scheduler, TYPES, ZONES, now).returns().isEmpty() || now < 60_000);
         }
-        scheduler.jobs.clear();
+        scheduler.jobs().clear();
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 8_000).returns().isEmpty(), "a pause");
         fleet.closed(now + 20_000);
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size() < 4, "nobody could submit");
@@ -224,7 +224,7 @@
             assertFalse(p.machine.schedulable(), "nothing new goes to a machine that is emptied");
         });
         // Without the image elsewhere a move would cost a fetch.
-        scheduler.machines.values().forEach(m -> m.images.clear());
+        scheduler.machines().forEach(m -> m.images.clear());
         assertTrue(fleet.plan(scheduler, TYPES, ZONES, 101_000).moves().isEmpty());
     }
 
@@ -241,8 +241,10 @@
         scheduler.runSchedulingCycle(0);
         allRun(1_000);
         fleet.plan(scheduler, TYPES, ZONES, 10_000);
-        fleet.plan(scheduler, TYPES, ZONES, 100_000).moves().forEach(p -> scheduler.assignments.stop(p, 0));
-        assertTrue(scheduler.machines.values().stream().anyMatch(m -> m.evictedNext && m.schedulable()));
+        fleet.plan(scheduler, TYPES, ZONES, 100_000)
+                .moves()
+                .forEach(p -> scheduler.assignments().stop(p, 0));
+        assertTrue(scheduler.machines().stream().anyMatch(m -> m.evictedNext && m.schedulable()));
         Job late = service("req-late", 2);
         scheduler.runSchedulingCycle(101_000);
         late.assignments.values().forEach(p -> assertFalse(p.machine.evictedNext));
@@ -393,7 +395,7 @@
     private static long followArrays(Autoscaler fleet, Scheduler scheduler) {
         long now = 0;
         for (; now < 200_000; now += 1_000) {
-            scheduler.jobs.clear();
+            scheduler.jobs().clear();
             addArray(scheduler, "req-" + now, 30);
             fleet.plan(scheduler, TYPES, ZONES, now);
         }
--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -106,21 +106,23 @@
     /** A task's end. */
     @Benchmark
     public void observe() {
-        scheduler.estimates.observe(
-                spec,
-                "m-" + random.nextInt(1_000),
-                25 * Math.exp(random.nextGaussian() * 0.4),
-                random.nextInt(20) == 0);
+        scheduler
+                .estimates()
+                .observe(
+                        spec,
+                        "m-" + random.nextInt(1_000),
+                        25 * Math.exp(random.nextGaussian() * 0.4),
+                        random.nextInt(20) == 0);
     }
 
     @Benchmark
     public PredictionInterval interval() {
-        return scheduler.estimates.interval(spec, 10);
+        return scheduler.estimates().interval(spec, 10);
     }
 
     /** A question of a user. */
     @Benchmark
     public CompletionEstimate.Answer finish() {
-        return new CompletionEstimate(scheduler, scheduler.estimates, id -> List.of(), 10_000).of(last);
+        return new CompletionEstimate(scheduler, scheduler.estimates(), id -> List.of(), 10_000).of(last);
     }
 }
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -201,7 +201,7 @@
     }
 
     private static int run(Scheduler s) {
-        Job job = s.jobs.values().iterator().next();
+        Job job = s.jobs().iterator().next();
         long now = 1_000;
         long tick = 1;
         int passes = 0;
@@ -209,7 +209,7 @@
             now += 1_000;
             passes++;
             s.runSchedulingCycle(now);
-            for (Machine machine : s.machines.values()) {
+            for (Machine machine : s.machines()) {
                 for (State state : List.of(State.RUNNING, State.EXITED)) {
                     List<TaskStatus> tasks = new ArrayList<>();
                     for (Assignment assignment : machine.assignments.values()) {
@@ -230,7 +230,7 @@
                                 now);
             }
             job.durablyCompleted = (BitSet) job.completedTasks.clone();
-            s.assignments.completionsCommitted(job);
+            s.assignments().completionsCommitted(job);
         }
         return passes;
     }
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -160,7 +160,7 @@
 
         /** Every machine reports; tasks run, end, fail. */
         private void reports() {
-            for (Machine machine : List.copyOf(scheduler.machines.values())) {
+            for (Machine machine : List.copyOf(scheduler.machines())) {
                 List<TaskStatus> tasks = new ArrayList<>();
                 for (Assignment assignment : List.copyOf(machine.assignments.values())) {
                     int what = random.nextInt(10);
@@ -177,7 +177,7 @@
             }
             for (Job job : jobs) { // what is done becomes durable
                 job.durablyCompleted = (BitSet) job.completedTasks.clone();
-                scheduler.assignments.completionsCommitted(job);
+                scheduler.assignments().completionsCommitted(job);
             }
         }
 
@@ -192,18 +192,17 @@
                 }
                 if (random.nextInt(12) == 0) {
                     machine(100 + step);
-                } else if (random.nextInt(20) == 0 && scheduler.machines.size() > 2) {
-                    scheduler.markTerminated(
-                            scheduler.machines.keySet().iterator().next());
+                } else if (random.nextInt(20) == 0 && scheduler.machines().size() > 2) {
+                    scheduler.markTerminated(scheduler.machines().iterator().next().id);
                 }
                 if (random.nextInt(25) == 0 && !jobs.isEmpty()) {
                     Job job = jobs.get(random.nextInt(jobs.size()));
-                    scheduler.jobs.remove(job.spec.id());
+                    scheduler.removeJob(job.spec.id());
                     scheduler.markCancelled(job);
                 }
                 scheduler.expireLeases(now);
                 scheduler.runSchedulingCycle(now);
-                for (Machine machine : scheduler.machines.values()) {
+                for (Machine machine : scheduler.machines()) {
                     for (Assignment assignment : machine.assignments.values()) {
                         if (assignment.startedAt == now) {
                             trace.add(step + " " + assignment.taskId + " on " + machine.id + " attempt "
