--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -163,7 +163,7 @@
      */
     public void flush() {
         if (writing
-                || scheduler.outbox().hasNewCompletions()
+                || !scheduler.outbox().hasNewCompletions()
                 || eventLoop.now() < notBefore
                 || !store.hasSpareWriteCapacity()) {
             return;
