--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -103,7 +103,7 @@
         scheduler.outbox().requestCycleIf(fullCycleTimer.isDue(now));
         components.provisioner.terminate(failureDetector.detectUnresponsive(now), "silent");
         resignationPolicy.evaluate(now);
-        components.agentManager.contactUnheard();
+        components.agentManager.probeUnreconciled();
     }
 
     private void runPeriodicTasks(long now) {
@@ -112,7 +112,7 @@
         }
         if (autoscalingTimer.restartIfDue(now)) {
             components.provisioner.scale(
-                    components.agentManager.failureDetector().partitioned(), now);
+                    components.agentManager.failureDetector().partitionedZones(), now);
             updateLeaderRecord(now);
         }
         if (metricsTimer.restartIfDue(now)) {
@@ -152,7 +152,7 @@
 
     private void reconcile() {
         schedule(eventLoop.now());
-        components.agentManager.send();
+        components.agentManager.dispatchCommands();
         components.writeChanges(membership.reachesState(), this::requestReconcile);
     }
 
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -39,7 +39,7 @@
      * is allowed again, or the workers' leases can't wait for that.
      */
     void evaluate(long now) {
-        if (failureDetector.isolated(now)
+        if (failureDetector.isIsolated(now)
                 && (membership.resignationAllowed() || failureDetector.leasesAboutToExpire(now))) {
             measureAndResignIfBetter();
         }
@@ -59,7 +59,7 @@
             boolean peersMayDoBetter =
                     failureDetector.noPeerAnswers(eventLoop.now()) && !reachability.reachesNearlyAll();
             if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.betterElsewhere())) {
-                LOG.info("leader.resigned token={} {} {}", token, failureDetector.seen(), reachability);
+                LOG.info("leader.resigned token={} {} {}", token, failureDetector.summary(), reachability);
                 membership.resign();
             }
         });
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -66,15 +66,9 @@
         this.token = token;
         this.localHealth = new LocalHealth(eventLoop.now());
         this.scheduler = scheduler(token, context, firstTerm);
-        this.agentManager = new AgentManager(
-                eventLoop,
-                settings,
-                scheduler,
-                context.agentClient(),
-                context.machineTypes(),
-                holdsLeaderLease,
-                localHealth,
-                requestReconcile);
+        TermContext term = new TermContext(
+                eventLoop, settings, scheduler, context.machineTypes(), holdsLeaderLease, requestReconcile);
+        this.agentManager = new AgentManager(term, context.agentClient(), localHealth);
         this.provisioner = new InstanceProvisioner(
                 eventLoop,
                 settings,
--- /dev/null
+++ b/src/main/java/org/hollypick/control/TermContext.java
@@ -0,0 +1,38 @@
+package org.hollypick.control;
+
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import org.hollypick.config.Settings;
+import org.hollypick.core.MachineType;
+import org.hollypick.core.Scheduler;
+import org.hollypick.io.EventLoop;
+
+/**
+ * What the parts of one leader term share. Confined to the event loop.
+ *
+ * @param machineTypes the cloud's machine types by name; filled as they become known
+ * @param leaderLease whether this controller holds the leader lease of the term now
+ * @param reconcileRequest requests a reconcile step soon; requests that come close together share one
+ */
+public record TermContext(
+        EventLoop eventLoop,
+        Settings settings,
+        Scheduler scheduler,
+        Map<String, MachineType> machineTypes,
+        BooleanSupplier leaderLease,
+        Runnable reconcileRequest) {
+    /** The event loop's clock, in milliseconds. */
+    public long now() {
+        return eventLoop.now();
+    }
+
+    /** Whether this controller may act for the term now. */
+    public boolean holdsLeaderLease() {
+        return leaderLease.getAsBoolean();
+    }
+
+    /** Has what changed acted on soon. */
+    public void requestReconcile() {
+        reconcileRequest.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -0,0 +1,191 @@
+package org.hollypick.control.machines;
+
+import java.util.List;
+import java.util.OptionalLong;
+import org.hollypick.agent.AgentClient;
+import org.hollypick.agent.AgentCodec;
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.control.TermContext;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.SchedulerOutbox;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.core.health.LocalHealth;
+import org.hollypick.io.Response;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Calls agents directly, with the commands that shouldn't wait for the next heartbeat or just to get an answer. One
+ * call at a time to each machine. Confined to the event loop.
+ */
+final class CommandDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
+
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_BAD_REQUEST = 400;
+    /** The agent has another incarnation or a higher token; its answer shows them. */
+    private static final int STATUS_CONFLICT = 409;
+    /** Sent when no incarnation is known: agents count theirs from 1. */
+    private static final long FIRST_INCARNATION = 1;
+
+    private final TermContext term;
+    private final Scheduler scheduler;
+    private final AgentClient agentClient;
+    private final LocalHealth localHealth;
+    private final DirectCallLimiter limiter;
+    private final Runnable onCallCompleted;
+
+    /**
+     * A call in flight.
+     *
+     * @param incarnation the one that the commands are for
+     * @param knownSequence the newest sequence number that was known of the machine at sending; empty if none was
+     * @param toUnresponsive whether the machine was unresponsive at sending
+     */
+    private record DirectCall(
+            Machine machine,
+            List<Command> commands,
+            long incarnation,
+            OptionalLong knownSequence,
+            boolean toUnresponsive,
+            long startedAt) {}
+
+    /** {@code onCallCompleted} runs after each call's result was taken in. */
+    CommandDispatcher(TermContext term, AgentClient agentClient, LocalHealth localHealth, Runnable onCallCompleted) {
+        this.term = term;
+        this.scheduler = term.scheduler();
+        this.agentClient = agentClient;
+        this.localHealth = localHealth;
+        this.limiter = new DirectCallLimiter(localHealth);
+        this.onCallCompleted = onCallCompleted;
+    }
+
+    /** As many of the commands as a message may hold (64 KiB); the others follow with the next message. */
+    static List<Command> limitToMessage(List<Command> commands) {
+        return commands.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
+                ? commands
+                : commands.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
+    }
+
+    /** Sends pending commands, urgent ones first, to as many machines as there is room for. */
+    void dispatchPending() {
+        SchedulerOutbox outbox = scheduler.outbox();
+        outbox.takeMachinesWithUrgentCommands(limiter.room()).forEach(machine -> call(machine, false));
+        outbox.takeMachinesWithPendingCommands(limiter.room()).forEach(machine -> call(machine, false));
+    }
+
+    /** Calls a machine even without commands, to get its answer, if there is room for another call. */
+    void probe(Machine machine) {
+        if (limiter.room() > 0) {
+            call(machine, true);
+        }
+    }
+
+    private void call(Machine machine, boolean isProbe) {
+        if (!mayCall(machine)) {
+            return;
+        }
+        List<Command> commands = commandsFor(machine);
+        boolean canWaitForHeartbeat = commands.stream().allMatch(command -> command.verb() == Command.Verb.CLEAR);
+        if (machine.reconciled && !isProbe && canWaitForHeartbeat) {
+            return;
+        }
+        boolean toUnresponsive = machine.unacknowledgedCalls > 0 || machine.validity.doubted();
+        if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
+            return;
+        }
+        boolean known = machine.heartbeatReceived;
+        DirectCall call = new DirectCall(
+                machine,
+                commands,
+                known ? machine.incarnation : FIRST_INCARNATION,
+                known ? OptionalLong.of(machine.heartbeatSequence) : OptionalLong.empty(),
+                toUnresponsive,
+                term.now());
+        scheduler.commands().sentDirectly(machine, commands);
+        limiter.started(toUnresponsive);
+        agentClient.command(
+                machine.address,
+                scheduler.token(),
+                call.incarnation(),
+                commands,
+                term.leaderLease(),
+                response -> completed(call, response));
+    }
+
+    private boolean mayCall(Machine machine) {
+        return term.holdsLeaderLease()
+                && !machine.directCallInFlight
+                && !machine.address.isEmpty()
+                && machine.directCallNotBefore <= term.now()
+                && !machine.scalingIn;
+    }
+
+    private List<Command> commandsFor(Machine machine) {
+        return machine.heartbeatReceived && !machine.incarnationExpired()
+                ? limitToMessage(scheduler.commands().pendingCommands(machine))
+                : List.of();
+    }
+
+    private void completed(DirectCall call, Response response) {
+        long now = term.now();
+        limiter.completed(call.toUnresponsive(), response, now - call.startedAt(), now);
+        int status = response.status();
+        boolean acknowledged = status == STATUS_OK || status == STATUS_CONFLICT;
+        boolean settled = acknowledged || status == STATUS_BAD_REQUEST || response.wasNeverSent();
+        scheduler.commands().directCallCompleted(call.machine(), call.commands(), call.incarnation(), settled);
+        if (acknowledged) {
+            acknowledged(call, AgentCodec.report(response.body()));
+        } else {
+            unacknowledged(call.machine(), response, now);
+        }
+        onCallCompleted.run();
+    }
+
+    private void unacknowledged(Machine machine, Response response, long now) {
+        if (!response.failedWith(Response.Failure.NO_CAPACITY)) {
+            machine.unacknowledgedCalls++;
+            if (localHealth.sound(now)) {
+                machine.validity.unanswered(); // while this controller is overloaded, silence proves nothing
+            }
+        }
+        machine.directCallNotBefore = now + FailureDetectionConstants.DIRECT_RETRY_MS;
+        LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
+    }
+
+    /** @param heartbeat what the agent answered; null if it can't be read */
+    private void acknowledged(DirectCall call, Heartbeat heartbeat) {
+        Machine machine = call.machine();
+        if (heartbeat == null
+                || scheduler.machine(machine.id) != machine
+                || Long.compareUnsigned(heartbeat.token(), scheduler.token()) > 0) {
+            return;
+        }
+        long now = term.now();
+        boolean wasReconciled = machine.reconciled;
+        machine.validity.acknowledged();
+        scheduler.heartbeats().confirmLive(machine);
+        HeartbeatHandler.apply(scheduler, machine, heartbeat, false, now);
+        if (showsRestart(call, heartbeat) && !machine.incarnationExpired()) {
+            LOG.info(
+                    "agent.restarted machine={} incarnation={} sequence={} known_incarnation={} known_sequence={}",
+                    machine.id,
+                    heartbeat.incarnation(),
+                    heartbeat.sequence(),
+                    call.incarnation(),
+                    call.knownSequence().getAsLong());
+            scheduler.heartbeats().incarnationRestarted(machine, heartbeat, now);
+        }
+        if (!wasReconciled && !machine.reconciled) {
+            call(machine, true);
+        }
+    }
+
+    /** The answer was made after the known sequence number and should be newer: the agent counts anew. */
+    private static boolean showsRestart(DirectCall call, Heartbeat heartbeat) {
+        return call.knownSequence().isPresent()
+                && !heartbeat.newerThan(call.incarnation(), call.knownSequence().getAsLong());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -0,0 +1,51 @@
+package org.hollypick.control.machines;
+
+import org.hollypick.config.constants.FailureDetectionConstants;
+import org.hollypick.core.health.AdaptiveWindow;
+import org.hollypick.core.health.LocalHealth;
+import org.hollypick.io.Response;
+
+/**
+ * Bounds the direct calls in flight: all of them by a window that adapts to response times, and those to unresponsive
+ * machines by a fixed number, so that a partitioned zone doesn't take every call. Confined to the event loop.
+ */
+final class DirectCallLimiter {
+    private final AdaptiveWindow window = new AdaptiveWindow();
+    private final LocalHealth localHealth;
+    private int inFlight;
+    private int inFlightToUnresponsive;
+
+    /** {@code localHealth} learns of response times and missing capacity too. */
+    DirectCallLimiter(LocalHealth localHealth) {
+        this.localHealth = localHealth;
+    }
+
+    /** How many more calls the window has room for; negative after it shrank. */
+    int room() {
+        return window.window() - inFlight;
+    }
+
+    /** Whether another call to an unresponsive machine may be made. */
+    boolean hasRoomForUnresponsive() {
+        return inFlightToUnresponsive < FailureDetectionConstants.MAX_DIRECT_CALLS_UNRESPONSIVE;
+    }
+
+    /** Counts a call that is about to be sent. */
+    void started(boolean toUnresponsive) {
+        inFlight++;
+        inFlightToUnresponsive += toUnresponsive ? 1 : 0;
+    }
+
+    /** Counts a call that ended after {@code tookMillis}. */
+    void completed(boolean toUnresponsive, Response response, long tookMillis, long now) {
+        inFlight--;
+        inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
+        if (response.failedWith(Response.Failure.NO_CAPACITY)) {
+            localHealth.lacked(now);
+            window.lacked(now);
+        } else if (response.isAnswered() && !toUnresponsive) {
+            localHealth.answered(tookMillis, now);
+            window.answered(tookMillis, now);
+        }
+    }
+}
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -8,10 +8,10 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
+import org.hollypick.control.TermContext;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.core.health.LocalHealth;
-import org.hollypick.io.EventLoop;
 import org.hollypick.io.TokenBucket;
 
 /**
@@ -22,7 +22,7 @@
     /** So few unresponsive machines say nothing about the network. */
     private static final int UNRELATED_FAILURES = 2;
 
-    private final EventLoop eventLoop;
+    private final TermContext term;
     private final Settings settings;
     private final Scheduler scheduler;
     private final LocalHealth localHealth;
@@ -43,19 +43,14 @@
     private String summary = "";
 
     /** {@code probe} calls a machine directly, unless too many calls are in flight. */
-    FailureDetector(
-            EventLoop eventLoop,
-            Settings settings,
-            Scheduler scheduler,
-            LocalHealth localHealth,
-            Consumer<Machine> probe) {
-        this.eventLoop = eventLoop;
-        this.settings = settings;
-        this.scheduler = scheduler;
+    FailureDetector(TermContext term, LocalHealth localHealth, Consumer<Machine> probe) {
+        this.term = term;
+        this.settings = term.settings();
+        this.scheduler = term.scheduler();
         this.localHealth = localHealth;
-        this.reachability = new PeerReachabilityTracker(eventLoop, settings, scheduler::machine);
+        this.reachability = new PeerReachabilityTracker(term.eventLoop(), settings, scheduler::machine);
         this.probe = probe;
-        this.startedAt = eventLoop.now();
+        this.startedAt = term.now();
         this.terminationBudget = new TokenBucket(0, startedAt);
     }
 
@@ -69,21 +64,21 @@
         }
         ResponsivenessSurvey survey = new ResponsivenessSurvey(scheduler.machines(), reachability, settings, now);
         survey.overdue().forEach(probe);
-        reachability.ask(survey.unacknowledged());
+        reachability.requestChecks(survey.unacknowledged());
         updateReachedByPeers(survey, now);
         updateIsolation(survey, now);
         return localHealth.sound(now) && now >= recoveringUntil ? withinBudget(survey.lost(), now) : List.of();
     }
 
     private void updateReachedByPeers(ResponsivenessSurvey survey, long now) {
-        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines(), now);
+        int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
         if (reachedByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
             reachedByPeersSince = 0;
         } else if (reachedByPeersSince <= 0) {
             reachedByPeersSince = now;
         }
-        summary = "talking=" + survey.responsiveCount() + " doubtful=" + survey.unresponsiveCount() + " elsewhere="
-                + reachedByPeers;
+        summary = "responsive=" + survey.responsiveCount() + " unresponsive=" + survey.unresponsiveCount()
+                + " reached_by_peers=" + reachedByPeers;
     }
 
     private void updateIsolation(ResponsivenessSurvey survey, long now) {
@@ -120,12 +115,12 @@
     }
 
     /** The counts of the last survey as key=value pairs, for the log. */
-    public String seen() {
+    public String summary() {
         return summary;
     }
 
     /** Zones that seem partitioned from this controller: an instance started there couldn't be reached. */
-    public Set<String> partitioned() {
+    public Set<String> partitionedZones() {
         return partitionedZones;
     }
 
@@ -142,26 +137,27 @@
      * machines.
      */
     public void complaintReceived(List<String> machines) {
-        complaintReceivedAt = machines.isEmpty() ? complaintReceivedAt : eventLoop.now();
-        machines.forEach(reachability::reached);
+        complaintReceivedAt = machines.isEmpty() ? complaintReceivedAt : term.now();
+        machines.forEach(reachability::reachedByPeer);
     }
 
     /** Whether the peers' view is unknown: none answers checks, or one that can't be reached filed a complaint. */
     public boolean noPeerAnswers(long now) {
-        return !reachability.othersTell(now) || now - complaintReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+        return !reachability.hasRecentPeerAnswer(now)
+                || now - complaintReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /**
      * Whether another controller would make a better leader: it reaches machines that this one doesn't, and the cause
      * is neither overload here nor a term that has just begun. False when peers reach no more than this one.
      */
-    public boolean isolated(long now) {
+    public boolean isIsolated(long now) {
         if (!localHealth.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
-        int reachedByPeers = PeerReachabilityTracker.beyond(scheduler.machines(), now);
+        int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
         boolean nearlyAll = isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
         return reachedByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
-                || (nearlyAll && (reachedByPeers > 0 || !reachability.othersTell(now)));
+                || (nearlyAll && (reachedByPeers > 0 || !reachability.hasRecentPeerAnswer(now)));
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -0,0 +1,181 @@
+package org.hollypick.control.machines;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.hollypick.agent.AgentCodec;
+import org.hollypick.control.TermContext;
+import org.hollypick.core.MachineType;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.assignment.Command;
+import org.hollypick.core.assignment.Heartbeat;
+import org.hollypick.core.assignment.Machine;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.relay.HeartbeatRelayCodec;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Takes in agents' heartbeats and answers each with the machine's pending commands. An answer with status 200 renews
+ * the agent's lease, so one is given only to the newest heartbeat of an agent that answers seem to reach. Confined to
+ * the event loop.
+ */
+final class HeartbeatHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
+
+    /** Texts in the bodies of rejections. */
+    private static final String REJECTED_OTHER_TERM = "not for this node";
+
+    private static final String REJECTED_UNKNOWN_TYPE = "machine type not known yet";
+    private static final String REJECTED_EARLIER_INCARNATION = "a report of an earlier session";
+    private static final String REJECTED_OLDER_HEARTBEAT = "an older report";
+    private static final String REJECTED_UNREACHABLE_INBOUND = "answers don't reach the machine";
+
+    private final TermContext term;
+    private final Scheduler scheduler;
+    private final Consumer<Machine> probe;
+
+    /** {@code probe} calls a machine directly, unless too many calls are in flight. */
+    HeartbeatHandler(TermContext term, Consumer<Machine> probe) {
+        this.term = term;
+        this.scheduler = term.scheduler();
+        this.probe = probe;
+    }
+
+    /** Handles a heartbeat that {@code relay}, a controller, received from the agent. */
+    ServerResponse handle(Heartbeat heartbeat, String relay) {
+        if (Long.compareUnsigned(heartbeat.token(), scheduler.token()) > 0
+                || scheduler.isTerminated(heartbeat.machine())) {
+            return ServerResponse.retryLater(REJECTED_OTHER_TERM);
+        }
+        long now = term.now();
+        Machine machine = findOrAdd(heartbeat, now);
+        if (machine == null) {
+            return ServerResponse.retryLater(REJECTED_UNKNOWN_TYPE);
+        }
+        if (machine.isOutdated(heartbeat)) {
+            return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
+        }
+        return switch (machine.validity.freshness(heartbeat, now)) {
+            case COPY -> ServerResponse.retryLater(REJECTED_OLDER_HEARTBEAT);
+            case AGAIN -> handleCurrent(machine, heartbeat, false, relay, now);
+            case NEW -> handleCurrent(machine, heartbeat, true, relay, now);
+        };
+    }
+
+    /**
+     * Takes in what a heartbeat or the answer to a direct call shows; false if it is older than what is known.
+     *
+     * @param heartbeatRequest whether it came as a heartbeat, not as an answer
+     */
+    static boolean apply(
+            Scheduler scheduler, Machine machine, Heartbeat heartbeat, boolean heartbeatRequest, long now) {
+        machine.lastHeartbeatAt = now;
+        machine.unacknowledgedCalls = 0;
+        return scheduler.heartbeats().applyHeartbeat(machine, heartbeat, heartbeatRequest, now);
+    }
+
+    /** @return null if the machine is new and its type isn't known yet */
+    private Machine findOrAdd(Heartbeat heartbeat, long now) {
+        Machine machine = scheduler.machine(heartbeat.machine());
+        if (machine != null) {
+            return machine;
+        }
+        MachineType type = term.machineTypes().get(heartbeat.type());
+        if (type == null) {
+            return null;
+        }
+        LOG.info(
+                "machine.discovered machine={} type={} zone={} spot={}",
+                heartbeat.machine(),
+                heartbeat.type(),
+                heartbeat.zone(),
+                heartbeat.spot());
+        return scheduler.addMachine(heartbeat.machine(), type, heartbeat.zone(), heartbeat.spot(), false, now);
+    }
+
+    /** {@code isNew}: false for the newest heartbeat once more, while its agent may still wait for the answer. */
+    private ServerResponse handleCurrent(Machine machine, Heartbeat heartbeat, boolean isNew, String relay, long now) {
+        boolean firstOfTerm = !machine.heartbeatReceived;
+        boolean newIncarnation = !firstOfTerm && heartbeat.incarnation() != machine.incarnation;
+        boolean applied = apply(scheduler, machine, heartbeat, true, now);
+        if (!applied && (!machine.heartbeatReceived || heartbeat.incarnation() != machine.incarnation)) {
+            return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
+        }
+        if (firstOfTerm) {
+            firstHeartbeatReceived(machine, heartbeat);
+        }
+        scheduler.heartbeatBalancer().reported(machine.id, relay, now);
+        if (scheduler.outbox().takeFreedRoom(machine)) {
+            scheduler.scheduleOn(machine, now);
+        }
+        List<Command> commands =
+                CommandDispatcher.limitToMessage(scheduler.commands().pendingCommands(machine));
+        if (isNew) {
+            updateValidity(machine, heartbeat, newIncarnation, commands, now);
+            if (machine.validity.unreachableInbound() && !(machine.reconciled && machine.idle())) {
+                // An answer would only lengthen a lease that the agent itself lets expire.
+                return ServerResponse.retryLater(REJECTED_UNREACHABLE_INBOUND);
+            }
+        }
+        return respond(machine, commands, relay, now);
+    }
+
+    private void firstHeartbeatReceived(Machine machine, Heartbeat heartbeat) {
+        LOG.info(
+                "machine.first_heartbeat_received machine={} incarnation={} tasks={}",
+                machine.id,
+                heartbeat.incarnation(),
+                heartbeat.tasks().size());
+        if (!machine.confirmedLive) {
+            probe.accept(machine);
+        }
+    }
+
+    /** Draws from a new heartbeat whether the answers before it reached the agent. */
+    private void updateValidity(
+            Machine machine, Heartbeat heartbeat, boolean newIncarnation, List<Command> commands, long now) {
+        boolean wasUnreachable = machine.validity.unreachableInbound();
+        boolean seenThisToken = heartbeat.token() == scheduler.token();
+        if (newIncarnation
+                && machine.heartbeatAcknowledgedAt > 0
+                && scheduler.leases().fresh(machine.heartbeatAcknowledgedAt, now)) {
+            machine.validity.lapsed(now);
+        }
+        machine.validity.reported(heartbeat, seenThisToken, commands, now);
+        if (machine.validity.unreachableInbound()
+                && !newIncarnation
+                && scheduler.leases().over(machine.incarnationSeenAt, now)) {
+            machine.validity.acknowledged(); // had no answer reached it, its incarnation would have ended
+        }
+        if (!seenThisToken) {
+            machine.heartbeatAcknowledgedAt = 0; // no answer of this term reached it
+        }
+        if (machine.validity.unreachableInbound() != wasUnreachable) {
+            LOG.info(
+                    "{} machine={} incarnation={} token={}",
+                    wasUnreachable ? "machine.became_reachable_inbound" : "machine.became_unreachable_inbound",
+                    machine.id,
+                    heartbeat.incarnation(),
+                    heartbeat.token());
+            scheduler.outbox().requestCycle();
+        }
+    }
+
+    private ServerResponse respond(Machine machine, List<Command> commands, String relay, long now) {
+        String otherRelay = commands.isEmpty() && machine.reconciled
+                ? scheduler.heartbeatBalancer().elsewhere(relay, now)
+                : null;
+        if (otherRelay != null) {
+            return HeartbeatRelayCodec.elsewhere(otherRelay);
+        }
+        machine.heartbeatAcknowledgedAt = machine.validity.takenAt();
+        machine.validity.told(commands);
+        scheduler.commands().sentInHeartbeatResponse(machine, commands);
+        if (machine.reconciled) {
+            scheduler.outbox().commandsDelivered(machine);
+        }
+        term.requestReconcile();
+        return ServerResponse.of(200, AgentCodec.orders(scheduler.token(), commands))
+                .onlyWhile(term.leaderLease());
+    }
+}
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,114 +15,129 @@
 import org.hollypick.io.EventLoop;
 
 /**
- * Whether machines that leave this leader's questions open are lost, or only out of its reach: other controllers put
- * the same question. What they reach isn't returned; several such machines are a reason to ask who would lead better.
+ * Tells machines that are lost from those that only this leader can't reach: the other controllers probe those that
+ * left its calls unacknowledged. Confined to the event loop.
  */
 final class PeerReachabilityTracker {
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final Function<String, Machine> machineById;
-    private long askedAt;
-    private long firstAskedAt;
-    /** When another controller last told what it reaches and what it doesn't. */
-    private long toldAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
+    private long requestedAt;
+    private long firstRequestedAt;
+    /** When a peer last answered with what it reaches and what it doesn't. */
+    private long peerAnsweredAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
 
-    private boolean asking;
+    private int requestsInFlight;
 
-    PeerReachabilityTracker(EventLoop runtime, Settings settings, Function<String, Machine> machineById) {
-        this.runtime = runtime;
+    PeerReachabilityTracker(EventLoop eventLoop, Settings settings, Function<String, Machine> machineById) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.machineById = machineById;
     }
 
-    /** Has others try some of those machines, those not asked about for longest first. */
-    void ask(List<Machine> doubtful) {
-        long now = runtime.now();
-        if (asking || doubtful.isEmpty() || now - askedAt < ReachabilityConstants.PEER_CHECK_INTERVAL_MS) {
+    /** Has all peers probe some of the machines, those longest unchecked first; one round at a time. */
+    void requestChecks(List<Machine> unacknowledged) {
+        long now = eventLoop.now();
+        if (requestsInFlight > 0
+                || unacknowledged.isEmpty()
+                || now - requestedAt < ReachabilityConstants.PEER_CHECK_INTERVAL_MS) {
             return;
         }
-        List<Machine> some = new ArrayList<>(doubtful);
-        some.sort((a, b) -> Long.compare(a.peerCheckRequestedAt, b.peerCheckRequestedAt));
+        Map<String, String> addresses = selectForCheck(unacknowledged, now);
+        requestedAt = now;
+        firstRequestedAt = firstRequestedAt == 0 ? now : firstRequestedAt;
+        requestsInFlight = settings.siblings().size();
+        for (Settings.Sibling peer : settings.siblings()) {
+            PeerReachability.ask(eventLoop, peer.addr(), addresses, this::checked);
+        }
+    }
+
+    /** Addresses by machine of those to check now. */
+    private static Map<String, String> selectForCheck(List<Machine> unacknowledged, long now) {
+        List<Machine> longestUncheckedFirst = new ArrayList<>(unacknowledged);
+        longestUncheckedFirst.sort(Comparator.comparingLong(machine -> machine.peerCheckRequestedAt));
+        int count = Math.min(longestUncheckedFirst.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES);
         Map<String, String> addresses = new HashMap<>();
-        for (Machine machine : some.subList(0, Math.min(some.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES))) {
+        for (Machine machine : longestUncheckedFirst.subList(0, count)) {
             machine.peerCheckRequestedAt = now;
             addresses.put(machine.id, machine.address);
         }
-        asking = true;
-        askedAt = now;
-        firstAskedAt = firstAskedAt == 0 ? now : firstAskedAt;
-        int[] open = {settings.siblings().size()};
-        for (Settings.Sibling sibling : settings.siblings()) {
-            PeerReachability.ask(runtime, sibling.addr(), addresses, told -> {
-                asking = --open[0] > 0;
-                if (told != null) {
-                    told.reached().forEach(this::reached);
-                    if (told.tells()) {
-                        toldAt = runtime.now();
-                        told.failed().forEach(this::failed);
-                    }
-                }
-            });
+        return addresses;
+    }
+
+    /** @param report a peer's answer; null if there was none */
+    private void checked(PeerReachability.ReachabilityReport report) {
+        requestsInFlight--;
+        if (report == null) {
+            return;
+        }
+        report.reached().forEach(this::reachedByPeer);
+        if (report.tells()) {
+            peerAnsweredAt = eventLoop.now();
+            report.failed().forEach(this::peerCheckFailed);
         }
-        asking = open[0] > 0;
     }
 
-    /** Another controller hears of that machine. */
-    void reached(String id) {
-        Machine machine = machineById.apply(id);
-        if (machine != null && machine.unacknowledgedCalls > 0) {
-            machine.reachedByPeerSince = elsewhere(machine, runtime.now()) ? machine.reachedByPeerSince : runtime.now();
-            machine.reachedByPeerAt = runtime.now();
+    /** A peer reaches the machine or receives its heartbeats. */
+    void reachedByPeer(String machineId) {
+        Machine machine = machineById.apply(machineId);
+        if (machine == null || machine.unacknowledgedCalls == 0) {
+            return;
+        }
+        long now = eventLoop.now();
+        if (!isReachedOnlyByPeer(machine, now)) {
+            machine.reachedByPeerSince = now;
         }
+        machine.reachedByPeerAt = now;
     }
 
-    private void failed(String id) {
-        Machine machine = machineById.apply(id);
+    private void peerCheckFailed(String machineId) {
+        Machine machine = machineById.apply(machineId);
         if (machine != null) {
-            machine.peerCheckFailedAt = runtime.now();
+            machine.peerCheckFailedAt = eventLoop.now();
         }
     }
 
-    /** Others told lately what they reach. */
-    boolean othersTell(long now) {
-        return now - toldAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+    /** Whether a peer answered a check lately. */
+    boolean hasRecentPeerAnswer(long now) {
+        return now - peerAnsweredAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
-    /** Another controller tried it in vain too, or none answers, which takes a while to know. */
-    boolean nobodyReaches(Machine machine, long now) {
+    /** Whether no controller reaches the machine: a peer tried in vain too, or none answered for long enough. */
+    boolean isUnreachableFromAll(Machine machine, long now) {
         if (settings.siblings().isEmpty()) {
             return true;
         }
-        if (machine.peerCheckRequestedAt == 0 || now - firstAskedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
+        if (machine.peerCheckRequestedAt == 0 || now - firstRequestedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
-        return !othersTell(now)
+        return !hasRecentPeerAnswer(now)
                 || (machine.peerCheckFailedAt > 0
                         && now - machine.peerCheckFailedAt < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
-    /** Another controller reached the machine a moment ago, and this one doesn't. */
-    static boolean elsewhere(Machine machine, long now) {
+    /** Whether a peer reached the machine a moment ago and this controller doesn't. */
+    private static boolean isReachedOnlyByPeer(Machine machine, long now) {
         return machine.unacknowledgedCalls > 0
                 && machine.reachedByPeerAt > 0
                 && now - machine.reachedByPeerAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
-    /** Not to be returned, though silent: its reports come by way of another, or may yet. */
-    boolean spared(Machine machine, long now) {
-        return elsewhere(machine, now)
+    /** Whether a silent machine is to be kept: its heartbeats come by way of a peer, or may yet. */
+    boolean mayRecoverThroughPeer(Machine machine, long now) {
+        return isReachedOnlyByPeer(machine, now)
                 && (now - machine.reachedByPeerSince < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
                         || now - machine.lastHeartbeatAt < settings.leaseS() * 1_000 / 2);
     }
 
-    /** Machines that are only out of this leader's reach. */
-    static int beyond(Collection<Machine> machines, long now) {
+    /** Machines that peers reach and that left several calls of this controller unacknowledged. */
+    static int countReachedOnlyByPeers(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine machine : machines) {
-            count += elsewhere(machine, now)
-                            && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS
-                    ? 1
-                    : 0;
+            if (isReachedOnlyByPeer(machine, now)
+                    && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS) {
+                count++;
+            }
         }
         return count;
     }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -80,8 +80,8 @@
         }
         if (isUnreachableWithoutWork(machine)) {
             lost.add(machine);
-        } else if (isSilent(machine) && !reachability.spared(machine, now)) {
-            if (reachability.nobodyReaches(machine, now)) {
+        } else if (isSilent(machine) && !reachability.mayRecoverThroughPeer(machine, now)) {
+            if (reachability.isUnreachableFromAll(machine, now)) {
                 lost.add(machine);
             }
         } else if (isOverdue(machine)) {
