--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -4,10 +4,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.hollypick.agent.AgentClient;
 import org.hollypick.agent.AgentCodec;
+import org.hollypick.api.Admission;
 import org.hollypick.api.GraphApi;
+import org.hollypick.api.LeaderClient;
+import org.hollypick.api.LocalJobState;
+import org.hollypick.api.PeerCodec;
 import org.hollypick.api.UserApi;
 import org.hollypick.cloud.CloudClient;
 import org.hollypick.cluster.Membership;
@@ -96,13 +101,12 @@
         this.jobs = new JobStore(runtime, settings, state, view, membership, dependencies);
         this.users = new UserApi(
                 runtime,
-                settings,
                 view,
-                membership,
                 jobs,
                 dependencies,
-                () -> term,
-                () -> types.isEmpty() ? null : types);
+                new Admission(settings, () -> types.isEmpty() ? null : types),
+                new LocalJobState(view, dependencies, () -> term),
+                new LeaderClient(runtime, settings, membership));
         this.graphs = operator.graphs()
                 ? new GraphApi(
                         runtime, settings, view, membership, users, () -> term, () -> types.isEmpty() ? null : types)
@@ -204,7 +208,7 @@
             String rest = path.substring("/submissions/".length());
             if (rest.endsWith("/withdraw")) {
                 if (method.equals("POST")) {
-                    users.withdraw(rest.substring(0, rest.length() - "/withdraw".length()), answer);
+                    users.cancel(rest.substring(0, rest.length() - "/withdraw".length()), answer);
                 } else {
                     answer.accept(notAllowed());
                 }
@@ -222,8 +226,9 @@
 
     /** A request of another controller. */
     public void handleMesh(String method, String path, byte[] bytes, Consumer<ServerResponse> answer) {
-        if (method.equals("POST") && path.startsWith("/jobs/") && path.endsWith("/abort")) {
-            users.meshAbort(path.substring("/jobs/".length(), path.length() - "/abort".length()), answer);
+        Optional<String> cancelledJob = method.equals("POST") ? PeerCodec.cancelledJob(path) : Optional.empty();
+        if (cancelledJob.isPresent()) {
+            users.cancelForPeer(cancelledJob.get(), answer);
         } else {
             mesh.handle(method, path, bytes, answer);
         }
@@ -251,12 +256,12 @@
         mesh.on(
                 PeerReachability.PATH,
                 (body, answer) -> PeerReachability.answer(agentClient, body, membership.reachesState(), answer));
-        mesh.on("/jobs", (body, answer) -> answer.accept(users.meshStatus(body)));
+        mesh.on(PeerCodec.STATUS_PATH, (body, answer) -> answer.accept(users.statusForPeer(body)));
         if (graphs != null) {
             mesh.on("/graph", graphs::passed);
         }
         if (operator.estimates()) {
-            mesh.on("/estimate", (body, answer) -> answer.accept(users.meshEstimate(body)));
+            mesh.on(PeerCodec.ESTIMATE_PATH, (body, answer) -> answer.accept(users.estimateForPeer(body)));
         }
     }
 
--- a/src/main/java/org/hollypick/api/Admission.java
+++ b/src/main/java/org/hollypick/api/Admission.java
@@ -1,33 +1,47 @@
 package org.hollypick.api;
 
 import java.util.Map;
+import java.util.Optional;
+import java.util.function.Supplier;
 import org.hollypick.config.Settings;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
 
-/** What can never run, whatever happens. */
-final class Admission {
-    private Admission() {}
+/** Refuses jobs that could never run, whatever happens in the cluster. Confined to the event loop. */
+public final class Admission {
+    private final Settings settings;
+    private final Supplier<Map<String, MachineType>> machineTypes;
 
-    /** The reason, or null. A service needs all of its tasks at once, an array or a node one. */
-    static String neverRuns(JobSpec spec, Settings settings, Map<String, MachineType> types) {
+    /** {@code machineTypes}: the machine types that the cloud offers; null until they are known. */
+    public Admission(Settings settings, Supplier<Map<String, MachineType>> machineTypes) {
+        this.settings = settings;
+        this.machineTypes = machineTypes;
+    }
+
+    /** Whether the machine types are known; before that no job can be judged. */
+    boolean isReady() {
+        return machineTypes.get() != null;
+    }
+
+    /** Why the job could never run, for its user; empty if it could. To be called only while {@link #isReady}. */
+    Optional<String> rejectionReason(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null && !spec.team().isEmpty()) {
-            return "unknown team";
+            return Optional.of("unknown team");
         }
-        boolean fits = false;
-        for (MachineType t : types.values()) {
-            fits |= t.fits(spec);
+        if (machineTypes.get().values().stream().noneMatch(type -> type.fits(spec))) {
+            return Optional.of("a task fits no allowed machine type");
         }
-        if (!fits) {
-            return "a task fits no allowed machine type";
+        if (team != null && exceedsLimit(spec, team)) {
+            return Optional.of("more than the team's limit");
         }
-        int at = spec.service() ? spec.tasks() : 1;
-        if (team != null
-                && ((team.cpusMax() > 0 && at * spec.cpus() > team.cpusMax())
-                        || (team.gpusMax() > 0 && at * spec.gpus() > team.gpusMax()))) {
-            return "more than the team's limit";
-        }
-        return null;
+        return Optional.empty();
+    }
+
+    private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
+        // A service runs all of its tasks at once; a job array can run them one after the other.
+        int simultaneousTasks = spec.service() ? spec.tasks() : 1;
+        return (team.cpusMax() > 0 && simultaneousTasks * spec.cpus() > team.cpusMax())
+                || (team.gpusMax() > 0 && simultaneousTasks * spec.gpus() > team.gpusMax());
     }
 }
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.hollypick.cluster.Membership;
@@ -72,7 +73,7 @@
             return;
         }
         ObjectNode passed = Codec.object().put("method", method).put("path", path);
-        passed.put(UserApi.REVISION, replica.revision()).set("body", body);
+        passed.put(PeerCodec.REVISION, replica.revision()).set("body", body);
         Request call =
                 new Request(leaderAddress, "POST", "/graph", passed, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
         eventLoop.send(call, r -> answer.accept(told(method, r)));
@@ -84,7 +85,7 @@
      */
     private ServerResponse told(String method, Response r) {
         int status = r.ok() ? r.body().path("status").asInt() : 503;
-        JsonNode revision = r.body().path(UserApi.REVISION);
+        JsonNode revision = r.body().path(PeerCodec.REVISION);
         boolean older = revision.isNumber() && !replica.mayAnswerFrom(Codec.u64(revision));
         if (status == 0 || status == 503 || (older && method.equals("GET"))) {
             return ServerResponse.retryLater("leader");
@@ -99,7 +100,7 @@
             answer.accept(ServerResponse.retryLater("not the leader"));
             return;
         }
-        replica.answeredFrom(Codec.u64(call.path(UserApi.REVISION)));
+        replica.answeredFrom(Codec.u64(call.path(PeerCodec.REVISION)));
         owned(
                 call.path("method").asText(),
                 call.path("path").asText(),
@@ -109,7 +110,7 @@
 
     private ServerResponse passedBack(ServerResponse a) {
         ObjectNode body =
-                Codec.object().put(UserApi.REVISION, replica.revision()).put("status", a.status());
+                Codec.object().put(PeerCodec.REVISION, replica.revision()).put("status", a.status());
         return ServerResponse.of(200, body.set("body", a.body()));
     }
 
@@ -132,7 +133,7 @@
             case 3 -> show(post, id, from(query), answer);
             case 4 -> {
                 if (post && parts.get(3).equals("withdraw")) {
-                    jobs.withdraw(id, answer);
+                    jobs.cancel(id, answer);
                 } else if (post && parts.get(3).equals("nodes")) {
                     children(id, body, answer);
                 } else {
@@ -189,9 +190,9 @@
 
     private boolean refused(List<NodeSpec> nodes, Consumer<ServerResponse> answer) {
         for (NodeSpec n : nodes) {
-            String never = Admission.neverRuns(n.task(), settings, types.get());
-            if (never != null) {
-                answer.accept(ServerResponse.error(422, "node " + n.id() + ": " + never));
+            Optional<String> rejection = new Admission(settings, types).rejectionReason(n.task());
+            if (rejection.isPresent()) {
+                answer.accept(ServerResponse.error(422, "node " + n.id() + ": " + rejection.get()));
                 return true;
             }
         }
--- /dev/null
+++ b/src/main/java/org/hollypick/api/JobCancellation.java
@@ -0,0 +1,102 @@
+package org.hollypick.api;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.hollypick.cluster.StoreReplica;
+import org.hollypick.control.jobs.JobTermination;
+import org.hollypick.core.Job;
+import org.hollypick.io.Response;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.records.JobCodec;
+
+/**
+ * Cancels jobs for users of any controller. Only the leader cancels a live job; the other controllers ask it. Confined
+ * to the event loop.
+ */
+final class JobCancellation {
+    private final StoreReplica replica;
+    private final LocalJobState localJobs;
+    private final LeaderClient leaderClient;
+
+    JobCancellation(StoreReplica replica, LocalJobState localJobs, LeaderClient leaderClient) {
+        this.replica = replica;
+        this.localJobs = localJobs;
+        this.leaderClient = leaderClient;
+    }
+
+    /** Answers with the job's status once a terminal state is durable. */
+    void cancel(String id, Consumer<ServerResponse> responder) {
+        if (!JobCodec.isId(id)) {
+            responder.accept(UserResponses.noSuchJob());
+            return;
+        }
+        Optional<JobStatus> terminal = localJobs.terminalStatus(id);
+        if (terminal.isPresent()) {
+            responder.accept(terminal.get().toResponse());
+            return;
+        }
+        Optional<Job> owned = localJobs.ownedJob(id);
+        if (owned.isPresent()) {
+            cancelOwned(owned.get(), responder);
+            return;
+        }
+        Optional<String> leaderAddress =
+                localJobs.activeTerm().isPresent() ? Optional.empty() : leaderClient.leaderAddress();
+        if (leaderAddress.isPresent()) {
+            leaderClient.cancel(leaderAddress.get(), id, response -> leaderAnswered(id, response, responder));
+        } else {
+            answerWithoutLeader(id, responder);
+        }
+    }
+
+    private void cancelOwned(Job job, Consumer<ServerResponse> responder) {
+        JobTermination termination = localJobs.activeTerm().orElseThrow().jobTermination();
+        termination.cancel(job, durable -> {
+            replica.answeredFrom(termination.cancelledAt());
+            ServerResponse cancelled = JobStatus.cancelled(job.spec.id(), job.completedTasks.cardinality())
+                    .toResponse();
+            responder.accept(durable ? cancelled : UserResponses.storeUnavailable());
+        });
+    }
+
+    private void leaderAnswered(String id, Response response, Consumer<ServerResponse> responder) {
+        Optional<JobStatus> status = response.ok() ? JobStatus.read(response.body()) : Optional.empty();
+        if (status.isEmpty()) {
+            answerWithoutLeader(id, responder);
+            return;
+        }
+        replica.answeredFrom(PeerCodec.revision(response.body()));
+        responder.accept(status.get().toResponse());
+    }
+
+    /** Without the leader only a job that is terminal, or that never was, can be answered for. */
+    private void answerWithoutLeader(String id, Consumer<ServerResponse> responder) {
+        replica.fresh(fresh -> {
+            Optional<JobStatus> terminal = localJobs.terminalStatus(id);
+            if (fresh && !localJobs.hasRecord(id)) {
+                responder.accept(UserResponses.noSuchJob().onlyWhile(() -> !localJobs.hasRecord(id)));
+            } else if (fresh && terminal.isPresent()) {
+                responder.accept(terminal.get().toResponse());
+            } else {
+                responder.accept(UserResponses.noLeader());
+            }
+        });
+    }
+
+    /** Answers a peer that asks on behalf of its user; a live job that isn't owned here isn't asked for elsewhere. */
+    void cancelForPeer(String id, Consumer<ServerResponse> responder) {
+        if (localJobs.ownedJob(id).isPresent()) {
+            cancel(
+                    id,
+                    response -> responder.accept(
+                            response.status() == 200
+                                    ? PeerCodec.withRevision(response, replica.revision())
+                                    : response));
+            return;
+        }
+        responder.accept(localJobs
+                .certainResponse(id)
+                .map(response -> PeerCodec.withRevision(response, replica.revision()))
+                .orElseGet(() -> ServerResponse.error(404, "not owned here")));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/api/JobSubmission.java
@@ -0,0 +1,145 @@
+package org.hollypick.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.hollypick.cluster.StoreReplica;
+import org.hollypick.control.jobs.JobStore;
+import org.hollypick.core.JobDependencies;
+import org.hollypick.core.JobSpec;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.records.JobCodec;
+
+/**
+ * Accepts jobs on any controller: validates a submission and creates the job's durable record. Idempotent: a repeated
+ * submission is answered with the job's status. A final refusal is only given after a linearizable read, so that a job
+ * that was accepted stays accepted. Confined to the event loop.
+ */
+final class JobSubmission {
+    private final StoreReplica replica;
+    private final JobStore jobStore;
+    private final JobDependencies dependencies;
+    private final Admission admission;
+    private final LocalJobState localJobs;
+    private final StatusQueries statusQueries;
+    /** Submissions that were refused for lack of capacity so far. */
+    private int shedSubmissions;
+
+    JobSubmission(
+            StoreReplica replica,
+            JobStore jobStore,
+            JobDependencies dependencies,
+            Admission admission,
+            LocalJobState localJobs,
+            StatusQueries statusQueries) {
+        this.replica = replica;
+        this.jobStore = jobStore;
+        this.dependencies = dependencies;
+        this.admission = admission;
+        this.localJobs = localJobs;
+        this.statusQueries = statusQueries;
+    }
+
+    /** Answers with 201 once the job's record is durable; {@code body}: null if it couldn't be read. */
+    void submit(JsonNode body, Consumer<ServerResponse> responder) {
+        if (body == null || !body.isObject()) {
+            responder.accept(ServerResponse.error(400, "not a CBOR map"));
+            return;
+        }
+        JsonNode idField = body.path(JobStatus.ID);
+        String id = idField.asText("");
+        if (!idField.isTextual() || !JobCodec.isId(id)) {
+            responder.accept(ServerResponse.error(400, JobStatus.ID));
+            return;
+        }
+        if (jobStore.known(id)) {
+            statusQueries.query(id, responder);
+            return;
+        }
+        try {
+            admit(JobCodec.submission(body), JobCodec.awaits(body), responder);
+        } catch (JobCodec.Invalid e) {
+            refuseUnlessAccepted(id, ServerResponse.error(400, "missing or invalid: " + e.getMessage()), responder);
+        }
+    }
+
+    private void admit(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
+        if (!admission.isReady() || !replica.loaded()) {
+            responder.accept(ServerResponse.retryLater("starting"));
+            return;
+        }
+        Optional<String> rejectionReason = admission.rejectionReason(spec);
+        if (rejectionReason.isPresent()) {
+            refuseUnlessAccepted(spec.id(), ServerResponse.error(422, rejectionReason.get()), responder);
+            return;
+        }
+        if (haveRecords(dependencyIds)) {
+            create(spec, dependencyIds, responder);
+        } else {
+            createAfterRead(spec, dependencyIds, responder);
+        }
+    }
+
+    /** The replica may not show yet what another controller has just accepted. */
+    private void createAfterRead(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
+        replica.fresh(fresh -> {
+            if (!fresh) {
+                responder.accept(UserResponses.storeUnavailable());
+            } else if (localJobs.hasRecord(spec.id())) {
+                statusQueries.query(spec.id(), responder);
+            } else if (haveRecords(dependencyIds)) {
+                create(spec, dependencyIds, responder);
+            } else {
+                responder.accept(ServerResponse.error(422, "awaits a job that was never accepted"));
+            }
+        });
+    }
+
+    private boolean haveRecords(Set<String> ids) {
+        return ids.stream().allMatch(localJobs::hasRecord);
+    }
+
+    private void create(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
+        if (dependencyIds.stream().anyMatch(localJobs::isService)) {
+            refuseUnlessAccepted(
+                    spec.id(), ServerResponse.error(422, "awaits a service, which is never done"), responder);
+            return;
+        }
+        jobStore.create(spec, dependencyIds, outcome -> {
+            switch (outcome) {
+                case CREATED -> responder.accept(created(spec.id(), dependencyIds));
+                case KNOWN -> statusQueries.query(spec.id(), responder);
+                case TOO_LARGE ->
+                    refuseUnlessAccepted(
+                            spec.id(), ServerResponse.error(400, "larger than the state service can hold"), responder);
+                default -> responder.accept(ServerResponse.shedLoad(shedSubmissions++));
+            }
+        });
+    }
+
+    /**
+     * The write may be acknowledged after the job has come to a terminal state, and other users know of that already.
+     */
+    private ServerResponse created(String id, Set<String> dependencyIds) {
+        Optional<JobStatus> terminal = localJobs.terminalStatus(id);
+        if (terminal.isPresent()) {
+            return terminal.get().toResponse();
+        }
+        JobStatus status =
+                dependencies.anyCancelled(dependencyIds) ? JobStatus.cancelled(id, 0) : JobStatus.pending(id);
+        return ServerResponse.of(201, status.write()).onlyWhile(() -> !localJobs.isTerminal(id));
+    }
+
+    private void refuseUnlessAccepted(String id, ServerResponse refusal, Consumer<ServerResponse> responder) {
+        replica.fresh(fresh -> {
+            if (!fresh) {
+                responder.accept(UserResponses.storeUnavailable());
+            } else if (localJobs.hasRecord(id)) {
+                statusQueries.query(id, responder);
+            } else {
+                responder.accept(refusal.onlyWhile(() -> !localJobs.hasRecord(id)));
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -0,0 +1,75 @@
+package org.hollypick.api;
+
+import java.util.Collection;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.hollypick.cluster.Membership;
+import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ApiConstants;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.config.constants.StoreConstants;
+import org.hollypick.io.Codec;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+
+/** Asks the leader on behalf of this controller's users. Confined to the event loop. */
+public final class LeaderClient {
+    private final EventLoop eventLoop;
+    private final Settings settings;
+    private final Membership membership;
+    /** Until when the leader isn't asked, since it left a status request unanswered. */
+    private long unresponsiveUntil;
+
+    /** A client that follows the leader as the membership knows it. */
+    public LeaderClient(EventLoop eventLoop, Settings settings, Membership membership) {
+        this.eventLoop = eventLoop;
+        this.settings = settings;
+        this.membership = membership;
+    }
+
+    /**
+     * The address of another controller that leads; empty if none is known, or it recently left a request unanswered.
+     */
+    Optional<String> leaderAddress() {
+        return eventLoop.now() < unresponsiveUntil
+                ? Optional.empty()
+                : Optional.ofNullable(settings.meshAddr(membership.leader()));
+    }
+
+    /** Asks for the status of several jobs; {@code revision} is the newest that this controller answered from. */
+    void queryStatus(String address, long revision, Collection<String> ids, Consumer<PeerCodec.StatusAnswer> callback) {
+        Request request = new Request(
+                address,
+                "POST",
+                PeerCodec.STATUS_PATH,
+                PeerCodec.statusRequest(revision, ids),
+                NetworkConstants.PEER_TIMEOUT_MS,
+                true);
+        eventLoop.send(request, response -> {
+            if (!response.isAnswered()) {
+                unresponsiveUntil = eventLoop.now() + ApiConstants.SILENT_LEADER_MS;
+            }
+            callback.accept(PeerCodec.statusAnswer(response, ids));
+        });
+    }
+
+    /** Asks for a job's cancellation. The response to a success holds the job's status and a revision. */
+    void cancel(String address, String id, Consumer<Response> callback) {
+        Request request = new Request(
+                address, "POST", PeerCodec.cancellationPath(id), Codec.object(), StoreConstants.STORE_TIMEOUT_MS, true);
+        eventLoop.send(request, callback);
+    }
+
+    /** Asks for an estimate of a job's completion. */
+    void estimate(String address, long revision, String id, Consumer<PeerCodec.ForwardedAnswer> callback) {
+        Request request = new Request(
+                address,
+                "POST",
+                PeerCodec.ESTIMATE_PATH,
+                PeerCodec.estimateRequest(revision, id),
+                NetworkConstants.PEER_TIMEOUT_MS,
+                true);
+        eventLoop.send(request, response -> callback.accept(PeerCodec.forwardedAnswer(response)));
+    }
+}
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -105,6 +105,11 @@
         return record.path("status").asText();
     }
 
+    /** Tasks that were done when the job came to its terminal state. */
+    public static int completedTasks(JsonNode record) {
+        return record.path("done").asInt();
+    }
+
     public static JobSpec.Priority rank(JsonNode record) throws JobCodec.Invalid {
         return JobCodec.rank(GraphRecords.isGraph(record) ? GraphRecords.base(record) : record.path("spec"));
     }
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -299,7 +299,7 @@
         }
     }
 
-    // ---- requests of users: api.UserApi, control.JobRecords.create ----
+    // ---- requests of users: api.JobSubmission, control.jobs.JobStore.create ----
 
     private static void request(State s, Fault fault, Successors<State> to) {
         Request r = s.request;
@@ -383,7 +383,7 @@
 
     /**
      * What a node tells without a read: an end that its view shows, or a live job that it leads
-     * ({@code UserApi.certain}).
+     * ({@code LocalJobState.certainResponse}).
      */
     private static Integer certain(State s, int node, Fault fault) {
         if (s.at(s.views[node]) == OVER) {
