--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -124,7 +124,7 @@
         return jobs.values();
     }
 
-    /** @return null if no live job has this id */
+    /** The live job with this id; null if there is none. */
     public Job job(String id) {
         return jobs.get(id);
     }
@@ -264,7 +264,7 @@
         return machines.values();
     }
 
-    /** @return null if no such machine is known, or it was terminated */
+    /** The machine with this id; null if it is not known or was terminated. */
     public Machine machine(String id) {
         return machines.get(id);
     }
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -64,9 +64,9 @@
     }
 
     /** The sums needed to evaluate both variations for any p inside one gap. */
-    private record Gap(int n, int above, double below, double belowSquares, double meanAbove, double varianceAbove) {
+    private record Gap(int size, int above, double below, double belowSquares, double meanAbove, double varianceAbove) {
         double difference(double p) {
-            double left = cv2(below + above * p, belowSquares + above * p * p, n);
+            double left = cv2(below + above * p, belowSquares + above * p * p, size);
             double right = varianceAbove / ((meanAbove - p) * (meanAbove - p));
             return left - right;
         }
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -21,7 +21,7 @@
 @AnalyzeClasses(packages = "org.hollypick", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayoutTest {
     @ArchTest
-    static final ArchRule layers = layeredArchitecture()
+    static final ArchRule LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("config")
             .definedBy("org.hollypick.config..")
@@ -74,7 +74,7 @@
 
     /** Whoever uses the client library needs nothing of the server. */
     @ArchTest
-    static final ArchRule clientStandsAlone = noClasses()
+    static final ArchRule CLIENT_STANDS_ALONE = noClasses()
             .that()
             .resideInAPackage("org.hollypick.client..")
             .should()
@@ -92,7 +92,7 @@
                     "org.hollypick.cli..");
 
     @ArchTest
-    static final ArchRule coreIsPure = noClasses()
+    static final ArchRule CORE_IS_PURE = noClasses()
             .that()
             .resideInAPackage("org.hollypick.core..")
             .should()
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -89,7 +89,7 @@
         ObjectNode b = call(first);
         scenario.checker.submitting(id, b, scenario.world.now);
         scenario.checker.program = this::running;
-        users.put(id, this);
+        USERS.put(id, this);
         post("/graphs", b, 0, r2 -> {
             learn(b, r2);
             sent = true;
@@ -97,11 +97,11 @@
         });
     }
 
-    private static final Map<String, GraphUser> users = new HashMap<>();
+    private static final Map<String, GraphUser> USERS = new HashMap<>();
 
     /** Tasks of several graphs run on one day. */
     private void running(String task, long attempt, Runnable finish) {
-        users.get(task.substring(0, task.indexOf('/'))).run(task, attempt, finish);
+        USERS.get(task.substring(0, task.indexOf('/'))).run(task, attempt, finish);
     }
 
     /** Repeats a call until it is answered for certain. */
