--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -27,7 +27,7 @@
 import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.control.ControllerContext;
 import org.hollypick.control.LeaderTerm;
-import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.graphs.GraphFactory;
 import org.hollypick.control.jobs.JobStore;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.MachineType;
@@ -80,13 +80,13 @@
         this(runtime, settings, operator, dependencies, Graph::new);
     }
 
-    /** {@code maker}: makes task graphs, if the operators switched them on. */
+    /** {@code graphFactory}: creates task graphs, if the operators switched them on. */
     public Controller(
             EventLoop runtime,
             Settings settings,
             OperatorSettings operator,
             JobDependencies dependencies,
-            GraphService.Maker maker) {
+            GraphFactory graphFactory) {
         this.runtime = runtime;
         this.settings = settings;
         this.operator = operator;
@@ -97,7 +97,17 @@
         this.membership = new Membership(runtime, state, settings, view, this::leadership);
         this.dependencies = dependencies;
         this.context = new ControllerContext(
-                runtime, settings, operator, view, dependencies, state, cloud, agentClient, types, membership, maker);
+                runtime,
+                settings,
+                operator,
+                view,
+                dependencies,
+                state,
+                cloud,
+                agentClient,
+                types,
+                membership,
+                graphFactory);
         this.jobs = new JobStore(runtime, settings, state, view, membership, dependencies);
         this.users = new UserApi(
                 runtime,
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -14,16 +14,18 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.control.LeaderTerm;
-import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.graphs.LiveGraph;
+import org.hollypick.control.graphs.NodeAttempt;
 import org.hollypick.core.MachineType;
-import org.hollypick.core.graph.Graph;
+import org.hollypick.core.graph.GraphOptions;
 import org.hollypick.core.graph.NodeSpec;
+import org.hollypick.core.graph.NodeState;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 import org.hollypick.io.ServerResponse;
-import org.hollypick.records.GraphRecords;
+import org.hollypick.records.GraphRecordCodec;
 import org.hollypick.records.JobCodec;
 
 /**
@@ -160,11 +162,11 @@
             return;
         }
         StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
-        if (entry != null && GraphRecords.isEnded(entry.data())) {
+        if (entry != null && GraphRecordCodec.isEnded(entry.data())) {
             show(false, id, 0, answer); // a late retry
             return;
         }
-        if (entry != null && !GraphRecords.isGraph(entry.data())) {
+        if (entry != null && !GraphRecordCodec.isGraph(entry.data())) {
             answer.accept(ServerResponse.error(409, "the id is a job's"));
             return;
         }
@@ -172,7 +174,7 @@
             answer.accept(ServerResponse.retryLater("starting"));
             return;
         }
-        GraphRecords.Head head;
+        GraphOptions head;
         List<NodeSpec> nodes;
         try {
             head = GraphCodec.head(id, body);
@@ -185,7 +187,7 @@
             return;
         }
         boolean last = !body.path("more").asBoolean();
-        term.get().graphs().submit(id, head, nodes, last, o -> answer.accept(answer(o)));
+        term.get().graphs().requests().submit(id, head, nodes, last, o -> answer.accept(GraphCodec.response(o)));
     }
 
     private boolean refused(List<NodeSpec> nodes, Consumer<ServerResponse> answer) {
@@ -199,12 +201,6 @@
         return false;
     }
 
-    private static ServerResponse answer(GraphService.Outcome o) {
-        return o.status() == 503
-                ? ServerResponse.retryLater(o.body().path("error").asText())
-                : ServerResponse.of(o.status(), o.body());
-    }
-
     private void show(boolean post, String id, int from, Consumer<ServerResponse> answer) {
         if (post) {
             answer.accept(ServerResponse.error(405, "method not allowed"));
@@ -214,17 +210,17 @@
             StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
             if (a.status() == 200
                     && entry != null
-                    && !GraphRecords.isGraph(entry.data())
-                    && !GraphRecords.isEnded(entry.data())) {
+                    && !GraphRecordCodec.isGraph(entry.data())
+                    && !GraphRecordCodec.isEnded(entry.data())) {
                 answer.accept(ServerResponse.error(404, "no graph, but a job"));
                 return;
             }
-            GraphService.Live live = term.get() != null && term.get().holdsLeaderLease()
-                    ? term.get().graphs().find(id)
+            LiveGraph live = term.get() != null && term.get().holdsLeaderLease()
+                    ? term.get().graphs().find(id).orElse(null)
                     : null;
             if (a.status() != 200) {
                 answer.accept(a);
-            } else if (live != null && live.unrecorded()) {
+            } else if (live != null && live.hasUndurableChanges()) {
                 answer.accept(unrecorded());
             } else if (live != null) {
                 ObjectNode b = GraphCodec.describe(live, id, from);
@@ -242,8 +238,8 @@
     /** What a graph's own record says once it is over. */
     private void ended(String id, ObjectNode b) {
         StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
-        if (entry != null && GraphRecords.isEnded(entry.data())) {
-            for (String field : List.of("nodes", "failed", "cancelled", "why")) {
+        if (entry != null && GraphRecordCodec.isEnded(entry.data())) {
+            for (String field : GraphRecordCodec.END_SUMMARY_FIELDS) {
                 if (!b.has(field)) {
                     b.set(field, entry.data().path(field));
                 }
@@ -252,8 +248,8 @@
     }
 
     private void children(String id, JsonNode body, Consumer<ServerResponse> answer) {
-        GraphService.Live live = term.get().graphs().find(id);
-        if (live == null || live.job() == null) {
+        LiveGraph live = term.get().graphs().find(id).orElse(null);
+        if (live == null || live.job().isEmpty()) {
             missing(id, answer);
             return;
         }
@@ -263,7 +259,7 @@
         }
         List<NodeSpec> nodes;
         try {
-            nodes = GraphCodec.nodes(body, JobCodec.write(live.job().spec));
+            nodes = GraphCodec.nodes(body, JobCodec.write(live.job().get().spec));
         } catch (GraphCodec.Malformed x) {
             answer.accept(ServerResponse.error(400, x.getMessage()));
             return;
@@ -274,13 +270,12 @@
             String next = body.path("then").isTextual() ? body.path("then").asText() : null;
             term.get()
                     .graphs()
-                    .children(
-                            id,
-                            body.path("parent").asText(),
-                            Codec.u64(body.path("try")),
+                    .requests()
+                    .appendChildren(
+                            new NodeAttempt(id, body.path("parent").asText(), Codec.u64(body.path("try"))),
                             nodes,
                             next,
-                            o -> answer.accept(answer(o)));
+                            o -> answer.accept(GraphCodec.response(o)));
         }
     }
 
@@ -295,13 +290,13 @@
     private void node(boolean post, String id, List<String> parts, JsonNode body, Consumer<ServerResponse> answer) {
         String node = parts.get(4);
         String what = parts.get(5);
-        GraphService.Live live = term.get().graphs().find(id);
+        LiveGraph live = term.get().graphs().find(id).orElse(null);
         if (!parts.get(3).equals("nodes") || (!what.equals("result") && !what.equals("withdraw"))) {
             answer.accept(ServerResponse.error(404, "no such path"));
-        } else if (live == null || (post && live.job() == null)) {
+        } else if (live == null || (post && live.job().isEmpty())) {
             missing(id, answer);
         } else if (post && what.equals("withdraw")) {
-            term.get().graphs().withdraw(id, node, o -> answer.accept(answer(o)));
+            term.get().graphs().requests().cancelNode(id, node, o -> answer.accept(GraphCodec.response(o)));
         } else if (post) {
             keep(id, node, body, answer);
         } else if (what.equals("result")) {
@@ -319,12 +314,11 @@
         try {
             term.get()
                     .graphs()
-                    .result(
-                            id,
-                            node,
-                            Codec.u64(body.path("try")),
+                    .requests()
+                    .recordResult(
+                            new NodeAttempt(id, node, Codec.u64(body.path("try"))),
                             GraphCodec.result(body),
-                            o -> answer.accept(answer(o)));
+                            o -> answer.accept(GraphCodec.response(o)));
         } catch (GraphCodec.Malformed x) {
             answer.accept(ServerResponse.error(400, x.getMessage()));
         }
@@ -335,9 +329,9 @@
         return ServerResponse.retryLater("what a node ended with is being recorded");
     }
 
-    private static void result(GraphService.Live live, String node, Consumer<ServerResponse> answer) {
-        int i = live.graph().find(node);
-        if (live.unrecorded()) {
+    private static void result(LiveGraph live, String node, Consumer<ServerResponse> answer) {
+        int i = live.graph().indexOf(node);
+        if (live.hasUndurableChanges()) {
             answer.accept(unrecorded());
             return;
         }
@@ -345,19 +339,19 @@
             answer.accept(ServerResponse.error(404, "no such node"));
             return;
         }
-        Graph.State state = live.graph().state(i);
-        if (state != Graph.State.DONE) {
-            boolean never = state == Graph.State.FAILED || state == Graph.State.CANCELLED;
+        NodeState state = live.graph().state(i);
+        if (state != NodeState.DONE) {
+            boolean never = state == NodeState.FAILED || state == NodeState.CANCELLED;
             answer.accept(
                     never
                             ? ServerResponse.error(
                                     409,
                                     state.name().toLowerCase(Locale.ROOT) + ": "
-                                            + live.graph().reason(i))
+                                            + live.graph().terminationReason(i))
                             : ServerResponse.retryLater("not done yet"));
             return;
         }
-        JsonNode result = live.resultOf(i);
+        JsonNode result = live.result(i).orElse(null);
         answer.accept(
                 result == null
                         ? ServerResponse.error(404, "the node is done and gave no result")
--- a/src/main/java/org/hollypick/api/GraphCodec.java
+++ b/src/main/java/org/hollypick/api/GraphCodec.java
@@ -5,15 +5,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 import org.hollypick.config.constants.GraphConstants;
-import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.graphs.GraphResponse;
+import org.hollypick.control.graphs.LiveGraph;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.graph.Graph;
+import org.hollypick.core.graph.GraphOptions;
+import org.hollypick.core.graph.GraphRejection;
 import org.hollypick.core.graph.NodeSpec;
+import org.hollypick.core.graph.NodeState;
 import org.hollypick.io.Codec;
-import org.hollypick.records.GraphRecords;
+import org.hollypick.io.ServerResponse;
 import org.hollypick.records.JobCodec;
 
 /**
@@ -43,7 +46,7 @@
         }
     }
 
-    static GraphRecords.Head head(String id, JsonNode b) throws Malformed {
+    static GraphOptions head(String id, JsonNode b) throws Malformed {
         JsonNode retries = b.path("retries");
         if (!retries.isMissingNode()
                 && !retries.isNull()
@@ -56,7 +59,7 @@
         if (!onFailure.equals("continue") && !onFailure.equals("end")) {
             throw new Malformed("on_failure: \"continue\" or \"end\"");
         }
-        return new GraphRecords.Head(
+        return new GraphOptions(
                 task(id, b, Codec.object()),
                 retries.isIntegralNumber() ? retries.asInt() : GraphConstants.GRAPH_RETRIES,
                 onFailure.equals("end"));
@@ -156,14 +159,56 @@
                 : Codec.object().put("ref", b.path("ref").asText());
     }
 
+    private static String stateName(NodeState state) {
+        return switch (state) {
+            case WAITING -> "waiting";
+            case READY -> "ready";
+            case DELEGATED -> "handed";
+            case DONE -> "done";
+            case FAILED -> "failed";
+            case CANCELLED -> "cancelled";
+        };
+    }
+
+    static ServerResponse response(GraphResponse response) {
+        if (response instanceof GraphResponse.Accepted accepted) {
+            ObjectNode body = Codec.object().put("graph", accepted.graphId());
+            ObjectNode tasks = body.putObject("tasks");
+            accepted.taskIds().forEach(tasks::put);
+            return ServerResponse.of(status(accepted.acceptance()), body);
+        }
+        if (response instanceof GraphResponse.NodeCancelled cancelled) {
+            return ServerResponse.of(
+                    200, Codec.object().put("node", cancelled.nodeId()).put("state", stateName(cancelled.state())));
+        }
+        return response(((GraphResponse.Rejected) response).rejection());
+    }
+
+    private static int status(GraphResponse.Acceptance acceptance) {
+        return switch (acceptance) {
+            case CREATED -> 201;
+            case CREATED_PARTIALLY -> 202;
+            case ALREADY_KNOWN -> 200;
+        };
+    }
+
+    private static ServerResponse response(GraphRejection rejection) {
+        return switch (rejection.reason()) {
+            case INVALID -> ServerResponse.error(422, rejection.message());
+            case CONFLICT -> ServerResponse.error(409, rejection.message());
+            case NOT_FOUND -> ServerResponse.error(404, rejection.message());
+            case RETRY_LATER -> ServerResponse.retryLater(rejection.message());
+        };
+    }
+
     /** A graph as its users see it, with a page of nodes from an index on. */
-    static ObjectNode describe(GraphService.Live live, String id, int from) {
+    static ObjectNode describe(LiveGraph live, String id, int from) {
         Graph graph = live.graph();
         ObjectNode b =
-                Codec.object().put("graph", id).put("sealed", graph.sealed()).put("nodes_count", graph.count());
+                Codec.object().put("graph", id).put("sealed", graph.isSealed()).put("nodes_count", graph.count());
         ObjectNode counts = b.putObject("counts");
-        for (Graph.State s : Graph.State.values()) {
-            counts.put(s.name().toLowerCase(Locale.ROOT), graph.count(s));
+        for (NodeState state : NodeState.values()) {
+            counts.put(stateName(state), graph.count(state));
         }
         ArrayNode nodes = b.putArray("nodes");
         int to = Math.min(graph.durableNodes(), from + GraphConstants.GRAPH_PAGE_NODES);
@@ -171,16 +216,17 @@
             ObjectNode n = nodes.addObject()
                     .put("id", graph.id(i))
                     .put("task", id + "/" + i)
-                    .put("state", graph.state(i).name().toLowerCase(Locale.ROOT));
-            if (!graph.reason(i).isEmpty()) {
+                    .put("state", stateName(graph.state(i)));
+            if (!graph.terminationReason(i).isEmpty()) {
                 n.put(
                         "why",
-                        graph.reason(i)
-                                .substring(0, Math.min(160, graph.reason(i).length())));
-            }
-            if (live.job() != null && live.job().assignments.containsKey(i)) {
-                n.put("try", live.job().assignments.get(i).attempt);
+                        graph.terminationReason(i)
+                                .substring(
+                                        0,
+                                        Math.min(160, graph.terminationReason(i).length())));
             }
+            int node = i;
+            live.job().map(job -> job.assignments.get(node)).ifPresent(assignment -> n.put("try", assignment.attempt));
         }
         if (to < graph.durableNodes()) {
             b.put("from", to);
--- a/src/main/java/org/hollypick/control/ControllerContext.java
+++ b/src/main/java/org/hollypick/control/ControllerContext.java
@@ -7,7 +7,7 @@
 import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
-import org.hollypick.control.graphs.GraphService;
+import org.hollypick.control.graphs.GraphFactory;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.MachineType;
 import org.hollypick.io.EventLoop;
@@ -20,7 +20,7 @@
  * @param replica the watched replica of the store's records
  * @param dependencies the dependency graph of the jobs in {@code replica}
  * @param machineTypes by name; the controller refreshes their prices in place
- * @param graphMaker makes task graphs, if the operators switched these on
+ * @param graphFactory creates task graphs, if the operators switched these on
  */
 public record ControllerContext(
         EventLoop eventLoop,
@@ -33,4 +33,4 @@
         AgentClient agentClient,
         Map<String, MachineType> machineTypes,
         Membership membership,
-        GraphService.Maker graphMaker) {}
+        GraphFactory graphFactory) {}
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -17,7 +17,7 @@
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.records.GraphRecords;
+import org.hollypick.records.GraphRecordCodec;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
 import org.hollypick.relay.LeaderComplaint;
@@ -133,9 +133,9 @@
             components.dependentCancellation.add(id, entry.revision());
         } else if (scheduler.hasJob(id)) {
             return; // it was taken in before
-        } else if (GraphRecords.isGraph(entry.data())) {
+        } else if (GraphRecordCodec.isGraph(entry.data())) {
             if (components.graphs != null) {
-                components.graphs.appear(id, entry.data(), entry.revision());
+                components.graphs.recordObserved(id, entry.data(), entry.revision());
             }
         } else {
             addJob(id, entry);
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -2,11 +2,13 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
+import org.hollypick.control.graphs.GraphContext;
 import org.hollypick.control.graphs.GraphService;
 import org.hollypick.control.jobs.AttainedServiceStore;
 import org.hollypick.control.jobs.CompletionStore;
@@ -116,26 +118,26 @@
     }
 
     private GraphService graphService(ControllerContext context, Runnable requestReconcile) {
-        return new GraphService(
+        GraphContext graphContext = new GraphContext(
                 context.eventLoop(),
                 context.settings(),
                 context.replica(),
                 context.store(),
                 scheduler,
                 jobTermination,
-                requestReconcile,
-                context.graphMaker(),
-                context.operatorSettings().graphKeepMs());
+                requestReconcile);
+        return new GraphService(
+                graphContext, context.graphFactory(), context.operatorSettings().graphKeepMs());
     }
 
     private ObjectNode terminalRecord(Job job, String status) {
-        ObjectNode graphRecord = graphs == null ? null : graphs.endOf(job, status);
-        return graphRecord != null ? graphRecord : Records.over(status, job.completedTasks.cardinality());
+        Optional<ObjectNode> graphRecord = graphs == null ? Optional.empty() : graphs.endRecord(job, status);
+        return graphRecord.orElseGet(() -> Records.over(status, job.completedTasks.cardinality()));
     }
 
     private void jobTerminated(String id) {
         if (graphs != null) {
-            graphs.over(id);
+            graphs.markEnded(id);
         }
     }
 
@@ -144,7 +146,7 @@
         completionStore.load();
         attainedService.load();
         if (graphs != null) {
-            graphs.loadEnded();
+            graphs.loadEndedGraphs();
         }
         if (runtimeStatistics != null) {
             runtimeStatistics.load();
@@ -154,7 +156,7 @@
     /** Writes what changed in the term to the store, what users wait for first. */
     void writeChanges(boolean storeReachable, Runnable requestReconcile) {
         if (graphs != null) {
-            graphs.flush();
+            graphs.reconcile();
         }
         jobTermination.closeFinished();
         jobTermination.writeCancellations(storeReachable);
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -1,161 +1,208 @@
 package org.hollypick.control.graphs;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
 import org.hollypick.cluster.StoreKeys;
-import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.io.EventLoop;
-import org.hollypick.records.GraphRecords;
+import org.hollypick.io.Response;
+import org.hollypick.records.GraphLogCodec;
+import org.hollypick.records.GraphLogEntry;
 import org.hollypick.records.Records;
 import org.hollypick.store.CompareAndSwap;
-import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One graph's log: entries in their order, as many to a record and records to a transaction as fit, one transaction at
- * a time. Each is conditional on the token and on the graph's own record, under keys that were never used; while its
- * outcome isn't known the very same one is sent again.
+ * Durable log of one graph. Entries are written in their order, as many to a record and records to a transaction as
+ * fit, one transaction at a time. Each transaction is conditional on the fencing token and on the graph's own record,
+ * and creates keys that were never used; while its outcome isn't known the very same one is sent again. Confined to the
+ * event loop.
  */
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
-    private final EventLoop eventLoop;
-    private final Settings settings;
-    private final KeyValueStoreClient store;
-    private final String id;
-    private final long token;
-    private final LongSupplier numbers;
-    private final int room;
-    private final ArrayDeque<Entry> unwritten = new ArrayDeque<>();
-    private boolean writing;
-    private long notBefore;
-
-    /** Something to be recorded, and who wants to know when it is; without {@code op} only that all before it is. */
-    private record Entry(ObjectNode op, int bytes, Runnable durable) {}
-
-    /** {@code numbers}: each number once in this term. */
-    GraphLog(
-            EventLoop eventLoop,
-            Settings settings,
-            KeyValueStoreClient store,
-            String id,
-            long token,
-            LongSupplier numbers) {
-        this.eventLoop = eventLoop;
-        this.settings = settings;
-        this.store = store;
-        this.id = id;
-        this.token = token;
-        this.numbers = numbers;
-        this.room = Records.room(settings);
-    }
+    private final GraphContext context;
+    private final String graphId;
+    private final LongSupplier recordNumbers;
+    private final int recordCapacityBytes;
+    private final ArrayDeque<PendingEntry> pending = new ArrayDeque<>();
+    private boolean writeInFlight;
+    /** The store rejected a write: another controller leads, or the graph has ended. Nothing is written any more. */
+    private boolean rejected;
+
+    private long nextWriteNotBefore;
 
-    void add(ObjectNode op, Runnable durable) {
-        unwritten.add(new Entry(op, packed(op), durable));
+    /**
+     * Something that waits to be durable.
+     *
+     * @param entry null for a marker, which only waits for what was appended before it
+     * @param bytes that the entry takes in a record of its own
+     */
+    private record PendingEntry(GraphLogEntry entry, int bytes, Runnable onDurable) {
+        boolean isMarker() {
+            return entry == null;
+        }
     }
 
-    /** Runs once all that was added so far is durable. */
-    void then(Runnable durable) {
-        if (unwritten.isEmpty()) {
-            durable.run();
-        } else {
-            unwritten.add(new Entry(null, 0, durable));
+    /** The longest run of pending entries that one transaction holds. */
+    private static final class Batch {
+        private final int recordCapacityBytes;
+        private final int maxRecords;
+        private final List<PendingEntry> entries = new ArrayList<>();
+        private final List<List<GraphLogEntry>> records = new ArrayList<>();
+        private int bytesLeftInRecord;
+
+        Batch(int recordCapacityBytes, int maxRecords) {
+            this.recordCapacityBytes = recordCapacityBytes;
+            this.maxRecords = maxRecords;
         }
+
+        /** Adds the entry, if it fits. */
+        boolean add(PendingEntry added) {
+            if (!added.isMarker()) {
+                if (bytesLeftInRecord < added.bytes) {
+                    if (records.size() == maxRecords) {
+                        return false;
+                    }
+                    records.add(new ArrayList<>());
+                    bytesLeftInRecord = recordCapacityBytes;
+                }
+                records.get(records.size() - 1).add(added.entry);
+                bytesLeftInRecord -= added.bytes;
+            }
+            entries.add(added);
+            return true;
+        }
+    }
+
+    /**
+     * An empty log.
+     *
+     * @param recordNumbers gives each number once in this term
+     */
+    GraphLog(GraphContext context, String graphId, LongSupplier recordNumbers) {
+        this.context = context;
+        this.graphId = graphId;
+        this.recordNumbers = recordNumbers;
+        this.recordCapacityBytes = Records.room(context.settings());
+    }
+
+    /** Adds an entry and calls {@code onDurable} once it is durable. */
+    void append(GraphLogEntry entry, Runnable onDurable) {
+        pending.add(new PendingEntry(entry, GraphLogCodec.recordBytes(graphId, entry), onDurable));
     }
 
-    int size() {
-        return unwritten.size();
+    /** Calls {@code onDurable} once all that was appended so far is durable: at once, if it is. */
+    void whenDurable(Runnable onDurable) {
+        if (pending.isEmpty()) {
+            onDurable.run();
+        } else {
+            pending.add(new PendingEntry(null, 0, onDurable));
+        }
     }
 
-    boolean isEmpty() {
-        return unwritten.isEmpty();
+    int pendingEntries() {
+        return pending.size();
     }
 
-    /** Whether an entry fits a record by itself. */
-    boolean fits(ObjectNode op) {
-        return packed(op) <= room;
+    boolean isDurable() {
+        return pending.isEmpty();
     }
 
-    private int packed(ObjectNode op) {
-        return Records.bytes(GraphRecords.record(id, List.of(op)));
+    /** Whether an entry fits into a record of its own. */
+    boolean fits(GraphLogEntry entry) {
+        return GraphLogCodec.recordBytes(graphId, entry) <= recordCapacityBytes;
     }
 
     /**
-     * Writes what there is, unless a write is under way; {@code order}: the stamp of the graph's own record;
-     * {@code written} hears of each success.
+     * Starts to write pending entries, unless a write is in flight or the store is overloaded.
+     *
+     * @param graphRevision revision of the graph's own record
+     * @param onWritten called after each successful write
      */
-    void flush(long order, Runnable written) {
-        if (writing || unwritten.isEmpty() || eventLoop.now() < notBefore || store.shouldShedWrite()) {
+    void flush(long graphRevision, Runnable onWritten) {
+        if (writeInFlight
+                || rejected
+                || pending.isEmpty()
+                || context.eventLoop().now() < nextWriteNotBefore
+                || context.store().shouldShedWrite()) {
             return;
         }
-        int most = Math.min(settings.txnOps(), NetworkConstants.MAX_BODY_BYTES * 3 / 4 / settings.valueBytes());
-        List<Entry> taken = new ArrayList<>();
-        List<List<ObjectNode>> records = new ArrayList<>();
-        int left = 0;
-        for (Entry e : unwritten) {
-            if (e.op != null) {
-                if (left < e.bytes) {
-                    if (records.size() == most) {
-                        break;
-                    }
-                    records.add(new ArrayList<>());
-                    left = room;
-                }
-                records.get(records.size() - 1).add(e.op);
-                left -= e.bytes;
-            }
-            taken.add(e);
-        }
-        if (records.isEmpty()) { // who only wanted to know was added while the last entry was being written
-            taken.forEach(e -> unwritten.poll().durable.run());
+        Batch batch = nextBatch();
+        if (batch.records.isEmpty()) { // only markers, added while the last entry was being written
+            complete(batch);
             return;
         }
-        CompareAndSwap txn = new CompareAndSwap()
-                .expectRevision(StoreKeys.LEADER_RECORD, token)
-                .expectRevision(StoreKeys.job(id), order);
-        for (List<ObjectNode> ops : records) {
-            String key = StoreKeys.graphLog(id, token, numbers.getAsLong());
-            txn.expectAbsent(key).put(key, GraphRecords.record(id, ops));
+        writeInFlight = true;
+        commit(transaction(batch, graphRevision), batch, onWritten);
+    }
+
+    private Batch nextBatch() {
+        int recordsInBody =
+                NetworkConstants.MAX_BODY_BYTES * 3 / 4 / context.settings().valueBytes();
+        Batch batch = new Batch(recordCapacityBytes, Math.min(context.settings().txnOps(), recordsInBody));
+        for (PendingEntry entry : pending) {
+            if (!batch.add(entry)) {
+                break;
+            }
         }
-        writing = true;
-        commit(txn, taken, written);
+        return batch;
     }
 
-    /** The same keys again until the outcome is known: a second copy of an entry may never stand beside the first. */
-    private void commit(CompareAndSwap txn, List<Entry> taken, Runnable written) {
-        store.commit(txn, r -> {
-            if (r.ok() || (r.status() == 409 && onlyOwnKeys(r.body()))) { // an earlier try was carried out after all
-                writing = false;
-                notBefore = eventLoop.now() + GraphConstants.GRAPH_WRITE_GAP_MS;
-                for (Entry e : taken) {
-                    unwritten.poll();
-                    e.durable.run();
-                }
-                written.run();
-            } else if (r.status() == 409 || r.status() == 400) {
-                // Another leader, or the graph is over: nothing more is recorded, and callers hear nothing good.
-                if (r.status() == 400) {
-                    LOG.error("record of a graph refused graph={}", id);
-                }
-                notBefore = Long.MAX_VALUE;
-                writing = false;
+    private CompareAndSwap transaction(Batch batch, long graphRevision) {
+        CompareAndSwap changes = new CompareAndSwap()
+                .expectRevision(StoreKeys.LEADER_RECORD, context.fencingToken())
+                .expectRevision(StoreKeys.job(graphId), graphRevision);
+        for (List<GraphLogEntry> entries : batch.records) {
+            String key = StoreKeys.graphLog(graphId, context.fencingToken(), recordNumbers.getAsLong());
+            changes.expectAbsent(key).put(key, GraphLogCodec.encodeRecord(graphId, entries));
+        }
+        return changes;
+    }
+
+    /** Sends the same keys until the outcome is known: an entry must never be stored twice. */
+    private void commit(CompareAndSwap changes, Batch batch, Runnable onWritten) {
+        context.store().commit(changes, response -> {
+            if (response.ok() || wasWrittenByEarlierTry(response)) {
+                writeInFlight = false;
+                nextWriteNotBefore = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
+                complete(batch);
+                onWritten.run();
+            } else if (response.status() == 409 || response.status() == 400) {
+                writeRejected(response);
             } else {
-                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> commit(txn, taken, written));
+                context.eventLoop().after(ElectionConstants.SESSION_RETRY_MS, () -> commit(changes, batch, onWritten));
             }
         });
     }
 
-    private static boolean onlyOwnKeys(JsonNode body) {
-        for (JsonNode failed : body.path("failed")) {
-            if (!failed.asText().startsWith(StoreKeys.GRAPH_LOG)) {
+    private void complete(Batch batch) {
+        for (PendingEntry entry : batch.entries) {
+            pending.poll();
+            entry.onDurable.run();
+        }
+    }
+
+    private void writeRejected(Response response) {
+        if (response.status() == 400) {
+            LOG.error("graph.log_record_rejected graph={}", graphId);
+        }
+        rejected = true;
+        writeInFlight = false;
+    }
+
+    /** Only the keys that the transaction creates stand in its way: an earlier try was carried out after all. */
+    private static boolean wasWrittenByEarlierTry(Response response) {
+        if (response.status() != 409) {
+            return false;
+        }
+        for (JsonNode failedKey : response.body().path("failed")) {
+            if (!failedKey.asText().startsWith(StoreKeys.GRAPH_LOG)) {
                 return false;
             }
         }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
@@ -0,0 +1,62 @@
+package org.hollypick.control.graphs;
+
+import org.hollypick.config.constants.GraphConstants;
+import org.hollypick.core.graph.Graph;
+import org.hollypick.records.GraphLogCodec;
+import org.hollypick.records.GraphLogEntry;
+
+/** Appends the nodes that a graph got to its log, as many to an entry as fit a record. Confined to the event loop. */
+final class NodeLogWriter {
+    private final Graph graph;
+    private final GraphLog log;
+    private int loggedNodes;
+    private int loggedSpecs;
+
+    NodeLogWriter(Graph graph, GraphLog log) {
+        this.graph = graph;
+        this.log = log;
+    }
+
+    /** All that the graph has by now was read from its log. */
+    void skipToEnd() {
+        loggedNodes = graph.count();
+        loggedSpecs = graph.specs().size();
+    }
+
+    /**
+     * Appends the nodes that were added since the last call; they become durable with their entries.
+     *
+     * @param parentId the node that added them; null for nodes of the client
+     * @param continuationId the node that the parent has just delegated its result to, or null
+     */
+    void appendNewNodes(String parentId, String continuationId) {
+        int count = graph.count();
+        if (loggedNodes == count && continuationId != null) {
+            log.append(entry(count, count, parentId, continuationId), () -> {});
+        }
+        while (loggedNodes < count) {
+            appendNextEntry(parentId, continuationId);
+        }
+    }
+
+    private void appendNextEntry(String parentId, String continuationId) {
+        int end = Math.min(graph.count(), loggedNodes + GraphConstants.GRAPH_LOG_ENTRY_NODES);
+        GraphLogEntry entry = entry(loggedNodes, end, parentId, continuationId);
+        while (end - loggedNodes > 1 && !log.fits(entry)) {
+            end = loggedNodes + (end - loggedNodes) / 2;
+            entry = entry(loggedNodes, end, parentId, continuationId);
+        }
+        int durableNodes = end;
+        log.append(entry, () -> graph.markDurable(durableNodes));
+        for (int node = loggedNodes; node < end; node++) {
+            loggedSpecs = Math.max(loggedSpecs, graph.specNumber(node) + 1);
+        }
+        loggedNodes = end;
+    }
+
+    /** The continuation may be any of the new nodes, so it is named in the last entry. */
+    private GraphLogEntry entry(int from, int to, String parentId, String continuationId) {
+        boolean last = to == graph.count();
+        return GraphLogCodec.nodesAdded(graph, from, to, loggedSpecs, parentId, last ? continuationId : null);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/graphs/NodeResults.java
@@ -0,0 +1,27 @@
+package org.hollypick.control.graphs;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import org.hollypick.records.Records;
+
+/** Results that the nodes of one graph gave, and their size. Confined to the event loop. */
+final class NodeResults {
+    private final Map<Integer, JsonNode> byNode = new HashMap<>();
+    private int totalBytes;
+
+    void put(int node, JsonNode result) {
+        byNode.put(node, result);
+        totalBytes += Records.bytes(result);
+    }
+
+    Optional<JsonNode> get(int node) {
+        return Optional.ofNullable(byNode.get(node));
+    }
+
+    /** Bytes of all results together. */
+    int totalBytes() {
+        return totalBytes;
+    }
+}
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -1,533 +1,342 @@
 package org.hollypick.core.graph;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
-import it.unimi.dsi.fastutil.ints.IntOpenHashSet;
-import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.IntConsumer;
-import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.TaskSet;
 
 /**
- * A graph of tasks that grows while it runs. Pure and without recursion, since chains may be as long as the graph is
- * large. A node is released once it is durable, the graph is sealed, and all that it awaits is durably done. One that
- * has handed its result on to a continuation is done when that one is. Not final: tests put faulty ones in its place.
+ * A directed acyclic graph of tasks that grows while it runs. A node is released once it is durable, the graph is
+ * sealed, and all of its dependencies are durably done. A node that delegated its result to a continuation is done when
+ * the continuation is. A node that fails or is cancelled takes with it all nodes that depend on it.
+ *
+ * <p>Does no input or output, and doesn't recurse, since chains may be as long as the graph is large. Not final: tests
+ * replace it by faulty ones. Confined to the event loop.
  */
 public class Graph implements TaskSet {
-    public enum State {
-        WAITING,
-        READY,
-        HANDED,
-        DONE,
-        FAILED,
-        CANCELLED
-    }
-
-    private static final int NONE = -1;
-    private static final int[] NO_NODES = {};
+    private static final int NONE = NodeTable.NONE;
 
     private final int retries;
-    private final IntConsumer release;
-    private final Object2IntOpenHashMap<String> index = new Object2IntOpenHashMap<>();
-    private final List<String> ids = new ArrayList<>();
-    /** Equal descriptions are one object, numbered as they came. */
-    private final Map<JobSpec, Integer> specNumbers = new HashMap<>();
-
-    private final List<JobSpec> specs = new ArrayList<>();
-    private int[] specOf = new int[16];
-    private State[] states = new State[16];
-    private int[] missing = new int[16];
-    private int[] parents = new int[16];
-    /** The continuation that a node hands its result on to, and the node that a continuation stands for. */
-    private int[] then = new int[16];
-
-    private int[] origin = new int[16];
-    private int[][] awaits = new int[16][];
-    private IntArrayList[] neededBy = new IntArrayList[16];
-    private final Map<Integer, Integer> errors = new HashMap<>();
-    private final Map<Integer, String> reasons = new HashMap<>();
-    /** Nodes that failed for good, and whose failure isn't recorded yet. */
-    private IntArrayList failing = new IntArrayList();
-
-    private final int[] counts = new int[State.values().length];
-    private final BitSet committed = new BitSet();
-    private int durable;
-    private boolean sealed;
-
-    /** {@code release}: hears of each node whose task may start from now on. */
-    public Graph(int retries, IntConsumer release) {
-        this.retries = retries;
-        this.release = release;
-        index.defaultReturnValue(NONE);
-    }
+    private final NodeTable nodes = new NodeTable();
+    private final NodeReleaser releaser;
+    private final Map<Integer, Integer> failureCounts = new HashMap<>();
+    /** Nodes that failed too often, and whose failure isn't recorded yet. */
+    private IntArrayList exhaustedNodes = new IntArrayList();
 
-    // ---- growing ----
+    private final BitSet completedTasks = new BitSet();
 
     /**
-     * Whether those nodes may be added: {@code parent} is the running node that submits them, null at the start;
-     * {@code next} the one among them, or among its earlier children, that the parent hands its result on to. Null if
-     * they may; nodes that are known already are no reason.
+     * An empty graph.
+     *
+     * @param retries how often a node's failed task is started again
+     * @param onRelease called with each node whose task may start from now on
      */
-    public Refusal check(List<NodeSpec> batch, String parent, String next) {
-        int by = parent == null ? NONE : index.getInt(parent);
-        if (parent != null && by == NONE) {
-            return Refusal.invalid("unknown parent " + parent);
-        }
-        Map<String, NodeSpec> fresh = new HashMap<>();
-        for (NodeSpec n : batch) {
-            int known = index.getInt(n.id());
-            if (known != NONE) {
-                String differs = differs(known, n, by);
-                if (differs != null) {
-                    return Refusal.conflict("node " + n.id() + " is known with another " + differs);
-                }
-            } else if (fresh.put(n.id(), n) != null) {
-                return Refusal.invalid("node " + n.id() + " stands twice in one call");
-            }
-        }
-        if (ids.size() + fresh.size() > JobConstants.MAX_TASKS_PER_JOB) {
-            return Refusal.invalid("more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes");
-        }
-        for (NodeSpec n : fresh.values()) {
-            for (String other : n.awaits()) {
-                if (index.getInt(other) == NONE && !fresh.containsKey(other)) {
-                    return Refusal.invalid("node " + n.id() + " awaits " + other + ", which is unknown");
-                }
-            }
-        }
-        String cycle = cycle(fresh);
-        if (cycle != null) {
-            return Refusal.invalid("a cycle through " + cycle);
-        }
-        return next == null ? null : checkNext(fresh, by, next);
+    public Graph(int retries, IntConsumer onRelease) {
+        this.retries = retries;
+        this.releaser = new NodeReleaser(nodes, onRelease);
     }
 
-    private Refusal checkNext(Map<String, NodeSpec> fresh, int by, String next) {
-        int known = index.getInt(next);
-        if (by == NONE) {
-            return Refusal.invalid("only a running node hands on its result");
-        }
-        if (known == NONE && !fresh.containsKey(next)) {
-            return Refusal.invalid("the continuation " + next + " is unknown");
-        }
-        if (then[by] != NONE) {
-            return then[by] == known
-                    ? null
-                    : Refusal.conflict("node " + ids.get(by) + " hands on to " + ids.get(then[by]) + " already");
-        }
-        if (known != NONE && (origin[known] != NONE || parents[known] != by)) {
-            return Refusal.conflict(
-                    "node " + next + " can't be its continuation: it is no child of it, or stands for another");
-        }
-        return needs(fresh, next, by)
-                ? Refusal.invalid("the continuation " + next + " needs " + ids.get(by) + ", which it stands for")
-                : null;
-    }
-
-    /** Whether a node, known or fresh, needs {@code target}: by what it awaits, and by what those stand for. */
-    private boolean needs(Map<String, NodeSpec> fresh, String from, int target) {
-        IntArrayList todo = new IntArrayList();
-        List<String> names = new ArrayList<>(List.of(from));
-        IntOpenHashSet seen = new IntOpenHashSet();
-        IntOpenHashSet seenFresh = new IntOpenHashSet();
-        Map<String, Integer> numbers = new HashMap<>();
-        while (!names.isEmpty() || !todo.isEmpty()) {
-            if (!names.isEmpty()) {
-                String name = names.remove(names.size() - 1);
-                NodeSpec n = fresh.get(name);
-                if (n == null) {
-                    todo.add(index.getInt(name));
-                } else if (seenFresh.add((int) numbers.computeIfAbsent(name, k -> numbers.size()))) {
-                    names.addAll(n.awaits());
-                }
-                continue;
-            }
-            int node = todo.removeInt(todo.size() - 1);
-            if (node == target) {
-                return true;
-            }
-            if (!seen.add(node) || states[node] == State.DONE) {
-                continue;
-            }
-            for (int other : awaits[node]) {
-                todo.add(other);
-            }
-            if (then[node] != NONE) {
-                todo.add(then[node]);
-            }
-        }
-        return false;
-    }
-
-    /** A node on a cycle among fresh ones; they can't lie on one with known ones, which await nothing fresh. */
-    private static String cycle(Map<String, NodeSpec> fresh) {
-        Map<String, int[]> open = new HashMap<>();
-        Map<String, List<String>> behind = new HashMap<>();
-        List<String> free = new ArrayList<>();
-        for (NodeSpec n : fresh.values()) {
-            int[] count = {0};
-            for (String other : n.awaits()) {
-                if (fresh.containsKey(other)) {
-                    count[0]++;
-                    behind.computeIfAbsent(other, k -> new ArrayList<>()).add(n.id());
-                }
-            }
-            open.put(n.id(), count);
-            if (count[0] == 0) {
-                free.add(n.id());
-            }
-        }
-        while (!free.isEmpty()) {
-            String id = free.remove(free.size() - 1);
-            open.remove(id);
-            for (String other : behind.getOrDefault(id, List.of())) {
-                if (--open.get(other)[0] == 0) {
-                    free.add(other);
-                }
-            }
-        }
-        return open.isEmpty() ? null : open.keySet().iterator().next();
-    }
+    // ---- growth ----
 
-    private String differs(int known, NodeSpec n, int by) {
-        if (!specs.get(specOf[known]).equals(n.task())) {
-            return "description";
-        }
-        if (parents[known] != by) {
-            return "parent";
+    /**
+     * Whether nodes may be added. Nodes that are known already may be repeated, if they are described alike.
+     *
+     * @param parentId the running node that adds them; null for nodes of the client
+     * @param continuationId the one among them, or among the parent's earlier children, that the parent delegates its
+     *     result to; null if there is none
+     * @return why they may not be added; empty if they may
+     */
+    public Optional<GraphRejection> validate(List<NodeSpec> batch, String parentId, String continuationId) {
+        int parent = parentId == null ? NONE : nodes.indexOf(parentId);
+        if (parentId != null && parent == NONE) {
+            return Optional.of(GraphRejection.invalid("unknown parent " + parentId));
         }
-        int[] wanted =
-                n.awaits().stream().mapToInt(index::getInt).distinct().sorted().toArray();
-        int[] had = awaits[known].clone();
-        Arrays.sort(had);
-        return Arrays.equals(wanted, had) ? null : "set of nodes that it awaits";
+        return new BatchValidator(nodes, batch, parent, continuationId).validate();
     }
 
     /**
-     * Adds nodes that {@link #check} has nothing against, those that are known left out; they aren't durable yet.
-     * Returns the new ones.
+     * Adds nodes that {@link #validate} accepts, except those that are known already. They aren't durable yet.
+     *
+     * @param parentId the running node that adds them; null for nodes of the client
+     * @param continuationId the node that the parent delegates its result to; null if there is none
+     * @return the new ones
      */
-    public List<NodeSpec> add(List<NodeSpec> batch, String parent, String next) {
-        List<NodeSpec> added = new ArrayList<>();
-        int by = parent == null ? NONE : index.getInt(parent);
-        for (NodeSpec n : batch) {
-            if (index.getInt(n.id()) == NONE) {
-                index.put(n.id(), ids.size());
-                ids.add(n.id());
-                added.add(n);
-            }
+    public List<NodeSpec> append(List<NodeSpec> batch, String parentId, String continuationId) {
+        int parent = parentId == null ? NONE : nodes.indexOf(parentId);
+        List<NodeSpec> added = nodes.append(batch, parent);
+        for (NodeSpec spec : added) {
+            cancelIfDependencyFailed(nodes.indexOf(spec.id()));
         }
-        room(ids.size());
-        for (NodeSpec n : added) {
-            int i = index.getInt(n.id());
-            specOf[i] = specNumber(n.task());
-            states[i] = State.WAITING;
-            counts[State.WAITING.ordinal()]++;
-            parents[i] = by;
-            then[i] = NONE;
-            origin[i] = NONE;
-            awaits[i] = n.awaits().stream().mapToInt(index::getInt).distinct().toArray();
-            for (int other : awaits[i]) {
-                if (states[other] != State.DONE) {
-                    missing[i]++;
-                    neededBy[other] = neededBy[other] == null ? new IntArrayList(2) : neededBy[other];
-                    neededBy[other].add(i);
-                }
-            }
-        }
-        // What awaits a node that can't be done any more never can either.
-        for (NodeSpec n : added) {
-            int i = index.getInt(n.id());
-            for (int other : awaits[i]) {
-                if (states[other] == State.FAILED || states[other] == State.CANCELLED) {
-                    endAll(
-                            new int[] {i},
-                            State.CANCELLED,
-                            "needs " + ids.get(other) + ": " + reasons.getOrDefault(other, ""));
-                }
-            }
-        }
-        if (next != null && then[by] == NONE) {
-            then[by] = index.getInt(next);
-            origin[then[by]] = by;
-            if (states[then[by]] == State.FAILED || states[then[by]] == State.CANCELLED) {
-                endAll(
-                        new int[] {by},
-                        State.CANCELLED,
-                        "its continuation " + next + " can't be done: " + reasons.getOrDefault(then[by], ""));
-            }
+        if (continuationId != null && nodes.continuation(parent) == NONE) {
+            delegate(parent, nodes.indexOf(continuationId));
         }
         return added;
     }
 
-    private void room(int n) {
-        if (n > specOf.length) {
-            int to = Math.max(n, specOf.length * 2);
-            specOf = Arrays.copyOf(specOf, to);
-            states = Arrays.copyOf(states, to);
-            missing = Arrays.copyOf(missing, to);
-            parents = Arrays.copyOf(parents, to);
-            then = Arrays.copyOf(then, to);
-            origin = Arrays.copyOf(origin, to);
-            awaits = Arrays.copyOf(awaits, to);
-            neededBy = Arrays.copyOf(neededBy, to);
-        }
-    }
-
-    private int specNumber(JobSpec spec) {
-        return specNumbers.computeIfAbsent(spec, s -> {
-            specs.add(s);
-            return specs.size() - 1;
-        });
-    }
-
-    /** So many nodes, the first ones, are durable. */
-    public void durable(int nodes) {
-        int from = durable;
-        durable = Math.max(durable, nodes);
-        for (int i = from; i < durable; i++) {
-            releaseIfReady(i);
+    private void cancelIfDependencyFailed(int node) {
+        for (int dependency : nodes.dependencies(node)) {
+            if (nodes.state(dependency).isUnsuccessful()) {
+                terminateRoots(
+                        new int[] {node},
+                        NodeState.CANCELLED,
+                        "needs " + nodes.id(dependency) + ": " + nodes.terminationReason(dependency));
+            }
         }
     }
 
-    /** Nothing is missing of what the client submits at the start. */
-    public void seal() {
-        sealed = true;
-        for (int i = 0; i < durable; i++) {
-            releaseIfReady(i);
+    private void delegate(int node, int continuation) {
+        nodes.setContinuation(node, continuation);
+        if (nodes.state(continuation).isUnsuccessful()) {
+            terminateRoots(
+                    new int[] {node},
+                    NodeState.CANCELLED,
+                    "its continuation " + nodes.id(continuation) + " can't be done: "
+                            + nodes.terminationReason(continuation));
         }
     }
 
-    private void releaseIfReady(int i) {
-        if (sealed && i < durable && states[i] == State.WAITING && missing[i] == 0) {
-            become(i, State.READY);
-            release.accept(i);
-        }
+    /** The first {@code nodeCount} nodes are durable. */
+    public void markDurable(int nodeCount) {
+        releaser.markDurable(nodeCount);
     }
 
-    private void become(int i, State state) {
-        counts[states[i].ordinal()]--;
-        counts[state.ordinal()]++;
-        states[i] = state;
+    /** The client has submitted all nodes of its own; from now on only running nodes add further ones. */
+    public void seal() {
+        releaser.seal();
     }
 
-    // ---- ends ----
+    // ---- completion ----
 
     @Override
     public void completionsCommitted(BitSet done) {
-        BitSet news = (BitSet) done.clone();
-        news.andNot(committed);
-        committed.or(done);
-        news.stream().forEach(this::taskDone);
+        BitSet newlyCompleted = (BitSet) done.clone();
+        newlyCompleted.andNot(completedTasks);
+        completedTasks.or(done);
+        newlyCompleted.stream().forEach(this::taskCompleted);
     }
 
     /** The node's own task is durably done. */
-    private void taskDone(int node) {
-        if (ended(node)) {
+    private void taskCompleted(int node) {
+        if (isTerminal(node)) {
             return;
         }
-        if (then[node] != NONE && states[then[node]] != State.DONE) {
-            if (states[node] != State.HANDED) {
-                become(node, State.HANDED);
-            }
-            return;
+        int continuation = nodes.continuation(node);
+        if (continuation != NONE && nodes.state(continuation) != NodeState.DONE) {
+            nodes.setState(node, NodeState.DELEGATED);
+        } else {
+            markDone(node);
         }
-        IntArrayList todo = new IntArrayList(new int[] {node});
-        while (!todo.isEmpty()) {
-            int i = todo.removeInt(todo.size() - 1);
-            if (ended(i)) {
-                continue;
-            }
-            become(i, State.DONE);
-            if (neededBy[i] != null) {
-                for (int other : neededBy[i].toIntArray()) {
-                    missing[other]--;
-                    releaseIfReady(other);
-                }
-                neededBy[i] = null;
-            }
-            if (origin[i] != NONE && states[origin[i]] == State.HANDED) {
-                todo.add(origin[i]);
+    }
+
+    /** Marks the node done, and with it those whose results it stands for, from one to the next. */
+    private void markDone(int first) {
+        int node = first;
+        while (node != NONE && !isTerminal(node)) {
+            nodes.setState(node, NodeState.DONE);
+            for (int dependent : nodes.removeDependents(node)) {
+                releaser.dependencyMet(dependent);
             }
+            int delegator = nodes.delegator(node);
+            node = delegator != NONE && nodes.state(delegator) == NodeState.DELEGATED ? delegator : NONE;
         }
     }
 
-    /** What ended: all of it, and the nodes from which the rest follows. */
-    public record Ended(int[] all, int[] roots) {}
+    // ---- failure and cancellation ----
 
     /**
-     * Fails or cancels a node and what it handed on to; with them goes all that needs them, and the node that they
-     * stand for.
+     * Nodes that reached a final state together.
+     *
+     * @param all every node whose state changed
+     * @param roots those from which the others follow
      */
-    public Ended end(int node, State as, String why) {
-        IntArrayList roots = new IntArrayList();
-        for (int i = node; i != NONE; i = then[i]) {
-            if (!ended(i)) {
-                roots.add(i);
+    public record Termination(int[] all, int[] roots) {}
+
+    /**
+     * Fails or cancels a node and the chain of its continuations, and cancels all nodes that depend on one of them or
+     * delegated their result to it.
+     */
+    public Termination terminate(int node, NodeState state, String reason) {
+        IntArrayList open = new IntArrayList();
+        for (int at = node; at != NONE; at = nodes.continuation(at)) {
+            if (!isTerminal(at)) {
+                open.add(at);
             }
         }
-        int[] from = roots.toIntArray();
-        return new Ended(endAll(from, as, why), from);
-    }
-
-    /** The same for nodes of which that is known; what follows from it follows again. */
-    public int[] endAll(int[] roots, State as, String why) {
-        IntArrayList ended = new IntArrayList();
-        IntArrayList todo = new IntArrayList();
-        for (int k = 0; k < roots.length; k++) {
-            if (!ended(roots[k])) {
-                close(
-                        roots[k],
-                        k == 0 ? as : State.CANCELLED,
-                        k == 0 ? why : "its result stood for " + ids.get(roots[0]) + ": " + why,
-                        ended,
-                        todo);
+        int[] roots = open.toIntArray();
+        return new Termination(terminateRoots(roots, state, reason), roots);
+    }
+
+    /**
+     * Does the same for nodes that were determined as roots already, as when a log is replayed.
+     *
+     * @param roots the first gets {@code state}; the others, its continuations, are cancelled
+     * @return every node whose state changed
+     */
+    public int[] terminateRoots(int[] roots, NodeState state, String reason) {
+        IntArrayList terminated = new IntArrayList();
+        IntArrayList affected = new IntArrayList();
+        for (int i = 0; i < roots.length; i++) {
+            if (isTerminal(roots[i])) {
+                continue;
+            }
+            if (i == 0) {
+                terminate(roots[i], state, reason, terminated, affected);
+            } else {
+                String inherited = "its result stood for " + nodes.id(roots[0]) + ": " + reason;
+                terminate(roots[i], NodeState.CANCELLED, inherited, terminated, affected);
             }
         }
-        String follows = roots.length == 0 ? why : "needs " + ids.get(roots[0]) + ": " + why;
-        while (!todo.isEmpty()) {
-            int i = todo.removeInt(todo.size() - 1);
-            if (!ended(i)) {
-                close(i, State.CANCELLED, follows, ended, todo);
+        String inherited = roots.length == 0 ? reason : "needs " + nodes.id(roots[0]) + ": " + reason;
+        while (!affected.isEmpty()) {
+            int node = affected.popInt();
+            if (!isTerminal(node)) {
+                terminate(node, NodeState.CANCELLED, inherited, terminated, affected);
             }
         }
-        return ended.toIntArray();
+        return terminated.toIntArray();
     }
 
-    private void close(int i, State as, String why, IntArrayList ended, IntArrayList todo) {
-        become(i, as);
-        reasons.put(i, why);
-        ended.add(i);
-        if (neededBy[i] != null) {
-            todo.addAll(neededBy[i]);
-            neededBy[i] = null;
-        }
-        if (origin[i] != NONE) {
-            todo.add(origin[i]);
+    private void terminate(int node, NodeState state, String reason, IntArrayList terminated, IntArrayList affected) {
+        nodes.terminate(node, state, reason);
+        terminated.add(node);
+        affected.addElements(affected.size(), nodes.removeDependents(node));
+        if (nodes.delegator(node) != NONE) {
+            affected.add(nodes.delegator(node));
         }
     }
 
     @Override
-    public void taskFailed(int i) {
-        if (states[i] == State.READY && errors.merge(i, 1, Integer::sum) > retries) {
-            failing.add(i);
+    public void taskFailed(int node) {
+        if (nodes.state(node) == NodeState.READY && failureCounts.merge(node, 1, Integer::sum) > retries) {
+            exhaustedNodes.add(node);
         }
     }
 
-    /** Nodes that failed once too often since the last time. */
-    public int[] takeFailing() {
-        int[] taken = failing.toIntArray();
-        failing = new IntArrayList();
+    /** Nodes that used up their retries since the last call; the caller has to terminate them. */
+    public int[] takeExhaustedNodes() {
+        int[] taken = exhaustedNodes.toIntArray();
+        exhaustedNodes = new IntArrayList();
         return taken;
     }
 
-    /** Done, failed or cancelled: nothing becomes of it any more. */
-    public boolean ended(int i) {
-        return states[i] == State.DONE || states[i] == State.FAILED || states[i] == State.CANCELLED;
-    }
-
-    // ---- what the core asks ----
+    // ---- what the scheduler asks ----
 
     @Override
     public int count() {
-        return ids.size();
+        return nodes.size();
     }
 
     @Override
-    public JobSpec spec(int i) {
-        return specs.get(specOf[i]);
+    public JobSpec spec(int node) {
+        return nodes.spec(node);
     }
 
     @Override
     public boolean heterogeneous() {
-        return specs.size() > 1;
+        return nodes.specs().size() > 1;
     }
 
     @Override
     public int unreleasedTasks() {
-        return counts[State.WAITING.ordinal()];
+        return nodes.count(NodeState.WAITING);
     }
 
     @Override
-    public boolean mayStart(int i) {
-        return states[i] == State.READY && !failing.contains(i);
+    public boolean mayStart(int node) {
+        return nodes.state(node) == NodeState.READY && !exhaustedNodes.contains(node);
     }
 
     @Override
     public boolean finished(BitSet done) {
-        return sealed
-                && counts[State.WAITING.ordinal()] + counts[State.READY.ordinal()] + counts[State.HANDED.ordinal()]
-                        == 0;
+        return isSealed()
+                && nodes.count(NodeState.WAITING) == 0
+                && nodes.count(NodeState.READY) == 0
+                && nodes.count(NodeState.DELEGATED) == 0;
     }
 
     @Override
     public boolean successful() {
-        return counts[State.DONE.ordinal()] == ids.size();
+        return nodes.count(NodeState.DONE) == nodes.size();
     }
 
-    // ---- what its users ask ----
+    // ---- queries ----
 
-    public boolean sealed() {
-        return sealed;
+    /** Whether the client has submitted all nodes of its own. */
+    public boolean isSealed() {
+        return releaser.isSealed();
     }
 
+    /** How many nodes are durable: always the first ones. */
     public int durableNodes() {
-        return durable;
+        return releaser.durableNodes();
     }
 
-    /** The node's index; -1 if there is none. */
-    public int find(String id) {
-        return index.getInt(id);
+    /** The node's index, or -1 if the graph has no such node. */
+    public int indexOf(String id) {
+        return nodes.indexOf(id);
     }
 
-    public String id(int i) {
-        return ids.get(i);
+    /** Whether the graph has a node of that id, durable or not. */
+    public boolean contains(String id) {
+        return indexOf(id) != NONE;
     }
 
-    public State state(int i) {
-        return states[i];
+    /** The node's id. */
+    public String id(int node) {
+        return nodes.id(node);
     }
 
-    public String reason(int i) {
-        return reasons.getOrDefault(i, "");
+    /** The node's state. */
+    public NodeState state(int node) {
+        return nodes.state(node);
     }
 
-    public int parent(int i) {
-        return parents[i];
+    /** Whether the node has reached a final state. */
+    public boolean isTerminal(int node) {
+        return nodes.state(node).isTerminal();
     }
 
-    public int[] awaits(int i) {
-        return awaits[i] == null ? NO_NODES : awaits[i];
+    /** How many nodes are in that state. */
+    public int count(NodeState state) {
+        return nodes.count(state);
     }
 
-    public int specNumber(int i) {
-        return specOf[i];
+    /** Why the node failed or was cancelled; empty if it wasn't. */
+    public String terminationReason(int node) {
+        return nodes.terminationReason(node);
     }
 
+    /** Indexes of the nodes that this one depends on, each once. */
+    public int[] dependencies(int node) {
+        return nodes.dependencies(node);
+    }
+
+    /** The different task descriptions in the order in which they came. */
     public List<JobSpec> specs() {
-        return specs;
+        return nodes.specs();
     }
 
-    public int count(State state) {
-        return counts[state.ordinal()];
+    /** Index of the node's task description in {@link #specs}. */
+    public int specNumber(int node) {
+        return nodes.specNumber(node);
     }
 
-    /** The node whose result stands for this one's: itself, or the last one that it was handed on to. */
-    public int speaker(int i) {
-        int at = i;
-        while (then[at] != NONE) {
-            at = then[at];
-        }
-        return at;
+    /** Whether the node delegated its result to a continuation. */
+    public boolean hasContinuation(int node) {
+        return nodes.continuation(node) != NONE;
     }
 
-    public int then(int i) {
-        return then[i];
+    /** The node whose result stands for this one's: itself, or the last in the chain of its continuations. */
+    public int resultNode(int node) {
+        int last = node;
+        while (nodes.continuation(last) != NONE) {
+            last = nodes.continuation(last);
+        }
+        return last;
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/records/PackedText.java
@@ -0,0 +1,50 @@
+package org.hollypick.records;
+
+import java.io.ByteArrayOutputStream;
+import java.util.Base64;
+import java.util.zip.DataFormatException;
+import java.util.zip.Deflater;
+import java.util.zip.Inflater;
+
+/** Bytes as text for a record: deflated without a header, then in base64. */
+final class PackedText {
+    private static final int PACK_BUFFER_BYTES = 4_096;
+    private static final int UNPACK_BUFFER_BYTES = 8_192;
+
+    private PackedText() {}
+
+    static String pack(byte[] plain) {
+        Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION, true);
+        deflater.setInput(plain);
+        deflater.finish();
+        ByteArrayOutputStream packed = new ByteArrayOutputStream(plain.length / 2 + 64);
+        byte[] buffer = new byte[PACK_BUFFER_BYTES];
+        while (!deflater.finished()) {
+            packed.write(buffer, 0, deflater.deflate(buffer));
+        }
+        deflater.end();
+        return Base64.getEncoder().encodeToString(packed.toByteArray());
+    }
+
+    /** The bytes that {@link #pack} was given; fails on any text that it didn't make. */
+    static byte[] unpack(String text) throws JobCodec.Invalid {
+        Inflater inflater = new Inflater(true);
+        try {
+            inflater.setInput(Base64.getDecoder().decode(text));
+            ByteArrayOutputStream plain = new ByteArrayOutputStream();
+            byte[] buffer = new byte[UNPACK_BUFFER_BYTES];
+            while (!inflater.finished()) {
+                int bytes = inflater.inflate(buffer);
+                if (bytes == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
+                    throw new JobCodec.Invalid("packed entries are cut short");
+                }
+                plain.write(buffer, 0, bytes);
+            }
+            return plain.toByteArray();
+        } catch (DataFormatException | IllegalArgumentException e) {
+            throw new JobCodec.Invalid("packed entries: " + e.getMessage());
+        } finally {
+            inflater.end();
+        }
+    }
+}
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -111,7 +111,7 @@
     }
 
     public static JobSpec.Priority rank(JsonNode record) throws JobCodec.Invalid {
-        return JobCodec.rank(GraphRecords.isGraph(record) ? GraphRecords.base(record) : record.path("spec"));
+        return JobCodec.rank(GraphRecordCodec.isGraph(record) ? GraphRecordCodec.base(record) : record.path("spec"));
     }
 
     public static boolean isService(JsonNode record) {
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -114,8 +114,8 @@
             case "admit" -> chains = specs(50);
             case "release" -> {
                 grown = new Graph(3, i -> {});
-                grown.add(specs(50), null, null);
-                grown.durable(nodes);
+                grown.append(specs(50), null, null);
+                grown.markDurable(nodes);
                 grown.seal();
             }
             case "arrayTasks" -> {
@@ -153,8 +153,8 @@
         Job[] job = {null};
         Graph g = new Graph(3, i -> s.release(job[0], i));
         job[0] = s.addJob(spec(1), g, 1, 5);
-        g.add(nodes, null, null);
-        g.durable(nodes.size());
+        g.append(nodes, null, null);
+        g.markDurable(nodes.size());
         g.seal();
     }
 
@@ -162,9 +162,9 @@
     @Benchmark
     public int admit() {
         Graph g = new Graph(3, i -> {});
-        g.check(chains, null, null);
-        g.add(chains, null, null);
-        g.durable(nodes);
+        g.validate(chains, null, null);
+        g.append(chains, null, null);
+        g.markDurable(nodes);
         g.seal();
         return g.count();
     }
@@ -179,7 +179,7 @@
             }
             grown.completionsCommitted(done);
         }
-        return grown.count(Graph.State.DONE);
+        return grown.count(NodeState.DONE);
     }
 
     /** Placed, run, reported and recorded: every task of an array. */
@@ -244,8 +244,8 @@
             System.gc();
             long before = used();
             Graph g = new Graph(3, i -> {});
-            g.add(specs, null, null);
-            g.durable(n);
+            g.append(specs, null, null);
+            g.markDurable(n);
             g.seal();
             System.gc();
             System.out.println(
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -101,8 +101,8 @@
                 for (int i = 0; i < tasks; i++) {
                     nodes.add(new NodeSpec("n" + i, one, List.of()));
                 }
-                g.add(nodes, null, null);
-                g.durable(tasks);
+                g.append(nodes, null, null);
+                g.markDurable(tasks);
                 g.seal();
                 jobs.add(job[0]);
             } else {
--- a/src/test/java/org/hollypick/core/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -2,18 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeSet;
@@ -21,8 +18,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import org.hollypick.core.JobSpec;
-import org.hollypick.core.graph.Graph.State;
-import org.hollypick.records.GraphRecords;
+import org.hollypick.records.GraphLogCodec;
+import org.hollypick.records.GraphLogEntry;
 import org.hollypick.records.JobCodec;
 import org.junit.jupiter.api.Test;
 
@@ -105,7 +102,7 @@
         Plain plain = new Plain();
         Set<Integer> released = new TreeSet<>();
         Graph g = new Graph(2, released::add);
-        List<ObjectNode> log = new ArrayList<>();
+        List<GraphLogEntry> log = new ArrayList<>();
         BitSet done = new BitSet();
         int specs = 0;
         for (int step = 0; step < 60; step++) {
@@ -123,30 +120,30 @@
                     String next = parent != null && r.nextInt(3) == 0
                             ? batch.get(r.nextInt(batch.size())).id()
                             : null;
-                    Refusal refusal = g.check(batch, parent, next);
+                    Optional<GraphRejection> rejection = g.validate(batch, parent, next);
                     boolean cyclic = next != null && cyclic(plain, batch, parent, next);
                     if (next != null && plain.then.containsKey(parent)) {
-                        assertNotNull(refusal);
+                        assertTrue(rejection.isPresent());
                         break;
                     }
-                    assertEquals(cyclic, refusal != null, () -> "seed " + seed + ": " + refusal);
-                    if (refusal != null) {
+                    assertEquals(cyclic, rejection.isPresent(), () -> "seed " + seed + ": " + rejection);
+                    if (rejection.isPresent()) {
                         break;
                     }
                     int before = g.count();
-                    g.add(batch, parent, next);
-                    batch.forEach(n -> plain.awaits.put(n.id(), n.awaits()));
+                    g.append(batch, parent, next);
+                    batch.forEach(n -> plain.awaits.put(n.id(), n.dependencies()));
                     if (next != null) {
                         plain.then.put(parent, next);
                     }
-                    log.add(GraphRecords.nodes(g, before, g.count(), specs, parent, next));
+                    log.add(GraphLogCodec.nodesAdded(g, before, g.count(), specs, parent, next));
                     specs = g.specs().size();
-                    g.durable(g.count());
+                    g.markDurable(g.count());
                 }
                 case 2 -> {
                     if (!plain.sealed && g.count() > 0) {
                         plain.sealed = true;
-                        log.add(GraphRecords.sealed());
+                        log.add(GraphLogCodec.graphSealed());
                         g.seal();
                     }
                 }
@@ -164,11 +161,11 @@
                     if (g.count() > 0 && r.nextInt(3) == 0) {
                         int i = r.nextInt(g.count());
                         if (!plain.done(g.id(i)) && !plain.dead(g.id(i))) {
-                            Graph.Ended ended = g.end(i, State.CANCELLED, "asked");
-                            for (int root : ended.roots()) {
+                            Graph.Termination termination = g.terminate(i, NodeState.CANCELLED, "asked");
+                            for (int root : termination.roots()) {
                                 plain.ended.add(g.id(root));
                             }
-                            log.add(GraphRecords.ended(ended.roots(), State.CANCELLED, "asked"));
+                            log.add(GraphLogCodec.nodesTerminated(termination.roots(), NodeState.CANCELLED, "asked"));
                         }
                     }
                 }
@@ -178,8 +175,8 @@
         // A new leader reads the log, then what is done.
         Set<Integer> again = new TreeSet<>();
         Graph read = new Graph(2, again::add);
-        for (JsonNode op : GraphRecords.unpack(GraphRecords.record("req-1", log))) {
-            GraphRecords.replay(op, read, (n, v) -> {});
+        for (GraphLogEntry entry : GraphLogCodec.decodeRecord(GraphLogCodec.encodeRecord("req-1", log))) {
+            GraphLogCodec.replay(entry, read, (n, v) -> {});
         }
         read.completionsCommitted(done);
         compare(plain, read, again, "seed " + seed + " read again");
@@ -211,16 +208,17 @@
         Plain with = new Plain();
         with.awaits.putAll(plain.awaits);
         with.then.putAll(plain.then);
-        batch.forEach(n -> with.awaits.put(n.id(), n.awaits()));
+        batch.forEach(n -> with.awaits.put(n.id(), n.dependencies()));
         return with.reaches(next, parent, new HashSet<>());
     }
 
     private static void compare(Plain plain, Graph g, Set<Integer> released, String where) {
         for (int i = 0; i < g.count(); i++) {
             String n = g.id(i);
-            State s = g.state(i);
-            assertEquals(plain.dead(n), s == State.CANCELLED || s == State.FAILED, where + " dead " + n + " " + s);
-            assertEquals(plain.done(n), s == State.DONE, where + " done " + n + " " + s);
+            NodeState s = g.state(i);
+            assertEquals(
+                    plain.dead(n), s == NodeState.CANCELLED || s == NodeState.FAILED, where + " dead " + n + " " + s);
+            assertEquals(plain.done(n), s == NodeState.DONE, where + " done " + n + " " + s);
             assertEquals(plain.ready(n), g.mayStart(i), where + " ready " + n + " " + s);
             assertTrue(!plain.ready(n) || released.contains(i), where + " released " + n);
         }
@@ -234,12 +232,12 @@
         }
         int[] released = {0};
         Graph g = new Graph(0, i -> released[0]++);
-        assertNull(g.check(chain, null, null));
-        g.add(chain, null, null);
-        g.durable(g.count());
+        assertEquals(Optional.empty(), g.validate(chain, null, null));
+        g.append(chain, null, null);
+        g.markDurable(g.count());
         g.seal();
         assertEquals(1, released[0]);
-        assertEquals(100_000, g.end(0, State.FAILED, "x").all().length);
+        assertEquals(100_000, g.terminate(0, NodeState.FAILED, "x").all().length);
         List<NodeSpec> fan = new ArrayList<>();
         fan.add(node("root"));
         for (int i = 0; i < 10_000; i++) {
@@ -247,8 +245,8 @@
         }
         int[] children = {0};
         Graph wide = new Graph(0, i -> children[0]++);
-        wide.add(fan, null, null);
-        wide.durable(wide.count());
+        wide.append(fan, null, null);
+        wide.markDurable(wide.count());
         wide.seal();
         BitSet done = new BitSet();
         done.set(0);
@@ -259,23 +257,42 @@
     @Test
     void whatCantBeIsRefusedWithAReason() {
         Graph g = new Graph(0, i -> {});
-        assertTrue(g.check(List.of(node("a", "b"), node("b", "a")), null, null)
-                .why()
+        assertTrue(g.validate(List.of(node("a", "b"), node("b", "a")), null, null)
+                .orElseThrow()
+                .message()
                 .contains("cycle"));
-        assertTrue(g.check(List.of(node("a", "a")), null, null).why().contains("cycle"));
-        assertTrue(g.check(List.of(node("a", "x")), null, null).why().contains("x, which is unknown"));
-        assertTrue(g.check(List.of(node("a"), node("a")), null, null).why().contains("twice"));
-        g.add(List.of(node("a"), node("b", "a")), null, null);
-        assertNull(g.check(List.of(node("a")), null, null), "known, and the same");
+        assertTrue(g.validate(List.of(node("a", "a")), null, null)
+                .orElseThrow()
+                .message()
+                .contains("cycle"));
+        assertTrue(g.validate(List.of(node("a", "x")), null, null)
+                .orElseThrow()
+                .message()
+                .contains("x, which is unknown"));
+        assertTrue(g.validate(List.of(node("a"), node("a")), null, null)
+                .orElseThrow()
+                .message()
+                .contains("twice"));
+        g.append(List.of(node("a"), node("b", "a")), null, null);
+        assertEquals(Optional.empty(), g.validate(List.of(node("a")), null, null), "known, and the same");
+        assertEquals(
+                GraphRejection.Reason.CONFLICT,
+                g.validate(List.of(new NodeSpec("a", task(2), List.of())), null, null)
+                        .orElseThrow()
+                        .reason());
         assertEquals(
-                409,
-                g.check(List.of(new NodeSpec("a", task(2), List.of())), null, null)
-                        .status());
-        assertEquals(409, g.check(List.of(node("b")), null, null).status(), "awaits something else");
-        assertEquals(409, g.check(List.of(node("b", "a")), "a", null).status(), "has another parent");
+                GraphRejection.Reason.CONFLICT,
+                g.validate(List.of(node("b")), null, null).orElseThrow().reason(),
+                "awaits something else");
+        assertEquals(
+                GraphRejection.Reason.CONFLICT,
+                g.validate(List.of(node("b", "a")), "a", null).orElseThrow().reason(),
+                "has another parent");
         // c stands for a, and awaits b, which awaits a: nobody would ever be done.
-        assertEquals(422, g.check(List.of(node("c", "b")), "a", "c").status());
-        assertNull(g.check(List.of(node("c")), "a", "c"));
-        assertArrayEquals(new int[0], g.takeFailing());
+        assertEquals(
+                GraphRejection.Reason.INVALID,
+                g.validate(List.of(node("c", "b")), "a", "c").orElseThrow().reason());
+        assertEquals(Optional.empty(), g.validate(List.of(node("c")), "a", "c"));
+        assertArrayEquals(new int[0], g.takeExhaustedNodes());
     }
 }
--- a/src/test/java/org/hollypick/records/CodecTest.java
+++ b/src/test/java/org/hollypick/records/CodecTest.java
@@ -104,17 +104,17 @@
     /** A graph's record holds whatever was packed, and one that was cut short or isn't one is told apart. */
     @Test
     void packedEntriesComeBackOrAreRefused() throws JobCodec.Invalid {
-        ObjectNode record = GraphRecords.record(
+        ObjectNode record = GraphLogCodec.encodeRecord(
                 "req-1",
                 List.of(
-                        GraphRecords.sealed(),
-                        GraphRecords.result(7, Codec.object().put("value", "x"))));
-        assertEquals(2, GraphRecords.unpack(record).size());
+                        GraphLogCodec.graphSealed(),
+                        GraphLogCodec.resultRecorded(7, Codec.object().put("value", "x"))));
+        assertEquals(2, GraphLogCodec.decodeRecord(record).size());
         String packed = record.path("b").asText();
         for (String broken : List.of("", "no base64!", packed.substring(0, packed.length() / 2), "AAAA")) {
             assertThrows(
                     JobCodec.Invalid.class,
-                    () -> GraphRecords.unpack(Codec.object().put("b", broken)),
+                    () -> GraphLogCodec.decodeRecord(Codec.object().put("b", broken)),
                     broken);
         }
     }
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
@@ -14,8 +15,9 @@
 import org.hollypick.config.Settings;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.graph.Graph;
+import org.hollypick.core.graph.GraphRejection;
 import org.hollypick.core.graph.NodeSpec;
-import org.hollypick.core.graph.Refusal;
+import org.hollypick.core.graph.NodeState;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
@@ -138,7 +140,7 @@
                 "lost",
                 with((retries, release) -> new Graph(retries, release) {
                     @Override
-                    public int[] endAll(int[] roots, State as, String why) {
+                    public int[] terminateRoots(int[] roots, NodeState state, String reason) {
                         BitSet pretended = new BitSet();
                         for (int i : roots) {
                             pretended.set(i); // what awaits it runs as if it were done
@@ -159,28 +161,29 @@
                     private int again;
 
                     @Override
-                    public Refusal check(List<NodeSpec> batch, String parent, String next) {
-                        Refusal r = super.check(batch, parent, next);
-                        return r != null && r.status() == 409 ? null : r;
+                    public Optional<GraphRejection> validate(
+                            List<NodeSpec> batch, String parentId, String continuationId) {
+                        return super.validate(batch, parentId, continuationId)
+                                .filter(rejection -> rejection.reason() != GraphRejection.Reason.CONFLICT);
                     }
 
                     @Override
-                    public List<NodeSpec> add(List<NodeSpec> batch, String parent, String next) {
-                        if (parent != null
+                    public List<NodeSpec> append(List<NodeSpec> batch, String parentId, String continuationId) {
+                        if (parentId != null
                                 && !batch.isEmpty()
-                                && find(batch.get(0).id()) >= 0) {
+                                && indexOf(batch.get(0).id()) >= 0) {
                             again++;
                             List<NodeSpec> renamed = batch.stream()
                                     .map(n -> new NodeSpec(n.id() + "-again" + again, n.task(), List.of()))
                                     .toList();
-                            return super.add(renamed, parent, null);
+                            return super.append(renamed, parentId, null);
                         }
-                        return super.add(batch, parent, next);
+                        return super.append(batch, parentId, continuationId);
                     }
 
                     @Override
-                    public int find(String id) {
-                        return super.find(super.find(id + "-again" + again) >= 0 ? id + "-again" + again : id);
+                    public int indexOf(String id) {
+                        return super.indexOf(super.indexOf(id + "-again" + again) >= 0 ? id + "-again" + again : id);
                     }
                 }),
                 d -> {
