--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -40,6 +40,7 @@
 import org.hollypick.peer.PeerRequestDispatcher;
 import org.hollypick.peer.RequestRouter;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.relay.HeartbeatRelay;
 import org.hollypick.relay.HeartbeatRelayCodec;
 import org.hollypick.store.KeyValueStoreClient;
@@ -160,7 +161,7 @@
     }
 
     private void recordsChanged(List<String> keys) {
-        jobs.follow(keys);
+        jobs.recordsChanged(keys);
         leadership();
         if (term != null) {
             term.recordsChanged(keys);
@@ -293,10 +294,10 @@
     private boolean cancelled(String id) {
         StoreReplica.Entry entry = view.get(StoreKeys.job(id));
         return dependencies.isCancelled(id)
-                || (term != null && term.jobTermination().cancelling(id))
+                || (term != null && term.jobTermination().isCancellationRequested(id))
                 || (entry != null
                         && Records.isOver(entry.data())
-                        && Records.status(entry.data()).equals(Records.ABORTED));
+                        && Records.status(entry.data()) == TerminalStatus.CANCELLED);
     }
 
     private void kept(long now) {
--- a/src/main/java/org/hollypick/api/JobCancellation.java
+++ b/src/main/java/org/hollypick/api/JobCancellation.java
@@ -52,7 +52,7 @@
     private void cancelOwned(Job job, Consumer<ServerResponse> responder) {
         JobTermination termination = localJobs.activeTerm().orElseThrow().jobTermination();
         termination.cancel(job, durable -> {
-            replica.answeredFrom(termination.cancelledAt());
+            replica.answeredFrom(termination.lastCancellationRevision());
             ServerResponse cancelled = JobStatus.cancelled(job.spec.id(), job.completedTasks.cardinality())
                     .toResponse();
             responder.accept(durable ? cancelled : UserResponses.storeUnavailable());
--- a/src/main/java/org/hollypick/api/JobStatus.java
+++ b/src/main/java/org/hollypick/api/JobStatus.java
@@ -6,7 +6,7 @@
 import org.hollypick.core.Job;
 import org.hollypick.io.Codec;
 import org.hollypick.io.ServerResponse;
-import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 
 /**
  * The status of a job as users see it. Immutable.
@@ -29,8 +29,8 @@
     enum State {
         PENDING("pending"),
         RUNNING("running"),
-        DONE(Records.DONE),
-        CANCELLED(Records.ABORTED);
+        DONE(TerminalStatus.COMPLETED.wireName()),
+        CANCELLED(TerminalStatus.CANCELLED.wireName());
 
         private final String wireName;
 
--- a/src/main/java/org/hollypick/api/JobSubmission.java
+++ b/src/main/java/org/hollypick/api/JobSubmission.java
@@ -53,7 +53,7 @@
             responder.accept(ServerResponse.error(400, JobStatus.ID));
             return;
         }
-        if (jobStore.known(id)) {
+        if (jobStore.exists(id)) {
             statusQueries.query(id, responder);
             return;
         }
@@ -109,7 +109,7 @@
         jobStore.create(spec, dependencyIds, outcome -> {
             switch (outcome) {
                 case CREATED -> responder.accept(created(spec.id(), dependencyIds));
-                case KNOWN -> statusQueries.query(spec.id(), responder);
+                case ALREADY_EXISTS -> statusQueries.query(spec.id(), responder);
                 case TOO_LARGE ->
                     refuseUnlessAccepted(
                             spec.id(), ServerResponse.error(400, "larger than the state service can hold"), responder);
--- a/src/main/java/org/hollypick/api/LocalJobState.java
+++ b/src/main/java/org/hollypick/api/LocalJobState.java
@@ -10,6 +10,7 @@
 import org.hollypick.core.JobDependencies;
 import org.hollypick.io.ServerResponse;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 
 /**
  * What this controller knows of jobs without asking another one: terminal states from its replica of the store, and
@@ -65,8 +66,9 @@
         if (Records.isOver(entry.data())) {
             replica.answeredFrom(entry.revision());
             JsonNode record = entry.data();
-            JobStatus.State state =
-                    Records.status(record).equals(Records.DONE) ? JobStatus.State.DONE : JobStatus.State.CANCELLED;
+            JobStatus.State state = Records.status(record) == TerminalStatus.COMPLETED
+                    ? JobStatus.State.DONE
+                    : JobStatus.State.CANCELLED;
             return Optional.of(new JobStatus(id, state, Records.completedTasks(record), 0));
         }
         if (dependencies.isCancelled(id)) {
@@ -103,7 +105,7 @@
     private boolean isCertainlyLive(Job job) {
         return activeTerm()
                 .filter(active -> active.scheduler().job(job.spec.id()) == job)
-                .filter(active -> !active.jobTermination().inDoubt(job))
+                .filter(active -> !active.jobTermination().hasUnresolvedTerminalWrite(job))
                 .isPresent();
     }
 }
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void dependenciesChanged() {
+        public void jobStatesChanged() {
             recordChangeHandler.applyDependencyChanges();
         }
     }
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -127,7 +127,8 @@
      * Asks for a new fencing token, or records once that the quota limits hold, after leaders that didn't keep them.
      */
     private void updateLeaderRecord(long now) {
-        if (components.jobTermination.fencingDue(now) || scheduler.assignments().attemptNumbersNearlyExhausted()) {
+        if (components.jobTermination.needsNewFencingToken(now)
+                || scheduler.assignments().attemptNumbersNearlyExhausted()) {
             membership.fence(components.token);
         } else if (settings.anyLimit()
                 && !membership.limitsKept()
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -20,6 +20,7 @@
 import org.hollypick.records.GraphRecordCodec;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.relay.LeaderComplaint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -109,22 +110,22 @@
     private void jobRecordChanged(String id, StoreReplica.Entry entry) {
         if (Records.isOver(entry.data())) {
             terminalRecordFound(id, entry);
-        } else if (!jobTermination.isTerminal(id)) {
+        } else if (!jobTermination.isTerminalAheadOfReplica(id)) {
             liveRecordFound(id, entry);
         }
     }
 
     /** Also finds the terminal records that a write of this term stored although its response was lost. */
     private void terminalRecordFound(String id, StoreReplica.Entry entry) {
-        jobTermination.recordShowsTerminal(id);
+        jobTermination.terminalRecordApplied(id);
         Job job = scheduler.job(id);
         if (job == null) {
             return;
         }
-        if (Records.status(entry.data()).equals(Records.ABORTED)) {
-            jobTermination.cancelled(job, entry.revision());
+        if (Records.status(entry.data()) == TerminalStatus.CANCELLED) {
+            jobTermination.cancelledRecordFound(job, entry.revision());
         } else {
-            jobTermination.over(job, Records.DONE);
+            jobTermination.markTerminal(job, TerminalStatus.COMPLETED);
         }
     }
 
@@ -163,7 +164,7 @@
         for (String id : dependencies.takeChanged()) {
             Job job = scheduler.job(id);
             if (job != null && dependencies.isCancelled(id)) {
-                jobTermination.over(job, Records.ABORTED);
+                jobTermination.markTerminal(job, TerminalStatus.CANCELLED);
                 components.dependentCancellation.add(id, job.arrivalRevision);
             } else if (job != null) {
                 scheduler.updateDependencies(job, dependencies.ready(id), dependencies.priority(id));
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -24,6 +24,7 @@
 import org.hollypick.core.health.LocalHealth;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.KeyValueStoreClient;
 
 /** The parts of one term of leadership and their wiring. Confined to the event loop. */
@@ -36,8 +37,8 @@
         /** Something changed that a reconciliation has to act on. */
         void requestReconcile();
 
-        /** Jobs became terminal, so that others may be ready or cancelled. */
-        void dependenciesChanged();
+        /** The states of jobs changed, so that others may be ready or cancelled. */
+        void jobStatesChanged();
     }
 
     final long token;
@@ -88,13 +89,7 @@
         this.attainedService = new AttainedServiceStore(replica, settings, store, scheduler);
         this.metrics = new LeaderMetrics(scheduler, provisioner);
         this.jobTermination = new JobTermination(
-                eventLoop,
-                scheduler,
-                context.dependencies(),
-                store,
-                callbacks::dependenciesChanged,
-                this::terminalRecord,
-                this::jobTerminated);
+                eventLoop, scheduler, context.dependencies(), store, new TerminationListener(callbacks));
         this.runtimeStatistics = operatorSettings.estimates()
                 ? new RuntimeStatisticsStore(eventLoop, replica, store, settings, scheduler)
                 : null;
@@ -130,14 +125,30 @@
                 graphContext, context.graphFactory(), context.operatorSettings().graphKeepMs());
     }
 
-    private ObjectNode terminalRecord(Job job, String status) {
-        Optional<ObjectNode> graphRecord = graphs == null ? Optional.empty() : graphs.endRecord(job, status);
-        return graphRecord.orElseGet(() -> Records.over(status, job.completedTasks.cardinality()));
-    }
+    /** Task graphs have terminal records of their own, and their logs are kept for a while after them. */
+    private final class TerminationListener implements JobTermination.Listener {
+        private final Callbacks callbacks;
 
-    private void jobTerminated(String id) {
-        if (graphs != null) {
-            graphs.markEnded(id);
+        TerminationListener(Callbacks callbacks) {
+            this.callbacks = callbacks;
+        }
+
+        @Override
+        public ObjectNode terminalRecord(Job job, TerminalStatus status) {
+            Optional<ObjectNode> graphRecord = graphs == null ? Optional.empty() : graphs.endRecord(job, status);
+            return graphRecord.orElseGet(() -> Records.over(status, job.completedTasks.cardinality()));
+        }
+
+        @Override
+        public void jobTerminated(String id) {
+            if (graphs != null) {
+                graphs.markEnded(id);
+            }
+        }
+
+        @Override
+        public void jobStatesChanged() {
+            callbacks.jobStatesChanged();
         }
     }
 
@@ -158,7 +169,7 @@
         if (graphs != null) {
             graphs.reconcile();
         }
-        jobTermination.closeFinished();
+        jobTermination.writeFinishedJobs();
         jobTermination.writeCancellations(storeReachable);
         writeMachineRegistrations(requestReconcile);
         completionStore.flush();
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -17,6 +17,7 @@
 import org.hollypick.records.GraphRecordCodec;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.CompareAndSwap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -175,7 +176,7 @@
     }
 
     /** The record that the end of a graph's job leaves; empty if the job is no graph. */
-    public Optional<ObjectNode> endRecord(Job job, String status) {
+    public Optional<ObjectNode> endRecord(Job job, TerminalStatus status) {
         LiveGraph live = graphs.get(job.spec.id());
         if (live == null || live.job().orElse(null) != job) {
             return Optional.empty();
@@ -183,14 +184,14 @@
         return Optional.of(GraphRecordCodec.ended(status, live.graph(), endReason(live, status)));
     }
 
-    private static String endReason(LiveGraph live, String status) {
+    private static String endReason(LiveGraph live, TerminalStatus status) {
         if (!live.graph().isSealed()) {
             return "not sealed in time, or cancelled before";
         }
         if (live.graph().count(NodeState.FAILED) > 0) {
             return "nodes failed";
         }
-        return status.equals(Records.ABORTED) ? "cancelled" : "";
+        return status == TerminalStatus.CANCELLED ? "cancelled" : "";
     }
 
     // ---- reconcile loop ----
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -1,6 +1,5 @@
 package org.hollypick.control.jobs;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,14 +9,16 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Jobs that can never be done, since one that they need was cancelled. Every node tells so from the records of the
- * others alone; their own records follow here, many to a transaction and after everything that users wait for.
+ * Writes the terminal records of jobs that are cancelled since a dependency was. Every controller derives their state
+ * from the dependency's record alone, so these writes can wait: they go out many to a transaction, after everything
+ * that users wait for. Confined to the event loop.
  */
 public final class DependentCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(DependentCancellation.class);
@@ -27,11 +28,11 @@
     private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
-    /** Jobs whose records aren't written yet, and the stamps that they have now. */
-    private final Map<String, Long> waiting = new LinkedHashMap<>();
+    /** Revisions of the live records that are to be replaced, by job. */
+    private final Map<String, Long> pendingRevisions = new LinkedHashMap<>();
 
-    private boolean writing;
-    private long notBefore;
+    private boolean writeInFlight;
+    private long retryNotBefore;
 
     /** Writes under the fencing token {@code token}. */
     public DependentCancellation(
@@ -43,40 +44,43 @@
         this.token = token;
     }
 
-    /** Queues the terminal record of a cancelled job; {@code stamp}: the revision of its present record. */
-    public void add(String id, long stamp) {
-        waiting.put(id, stamp);
+    /** Queues the terminal record of a cancelled job; {@code revision}: that of its live record. */
+    public void add(String id, long revision) {
+        pendingRevisions.put(id, revision);
     }
 
-    /** Writes queued terminal records, at most one transaction at a time, when the store has capacity to spare. */
+    /** Writes queued records, one transaction at a time, when the store has capacity to spare. */
     public void flush() {
-        waiting.keySet().removeIf(id -> {
-            StoreReplica.Entry e = replica.get(StoreKeys.job(id));
-            return e != null && Records.isOver(e.data());
-        });
-        if (writing || waiting.isEmpty() || eventLoop.now() < notBefore || !store.hasSpareWriteCapacity()) {
+        pendingRevisions.keySet().removeIf(this::hasTerminalRecord);
+        if (writeInFlight
+                || pendingRevisions.isEmpty()
+                || eventLoop.now() < retryNotBefore
+                || !store.hasSpareWriteCapacity()) {
             return;
         }
-        CompareAndSwap txn = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
-        List<String> ending = new ArrayList<>();
-        for (Map.Entry<String, Long> e : waiting.entrySet()) {
-            if (ending.size() == settings.txnOps()) {
-                break;
-            }
-            ending.add(e.getKey());
-            txn.expectRevision(StoreKeys.job(e.getKey()), e.getValue())
-                    .put(StoreKeys.job(e.getKey()), Records.over(Records.ABORTED, 0));
+        CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
+        List<String> jobIds =
+                pendingRevisions.keySet().stream().limit(settings.txnOps()).toList();
+        for (String id : jobIds) {
+            transaction
+                    .expectRevision(StoreKeys.job(id), pendingRevisions.get(id))
+                    .put(StoreKeys.job(id), Records.over(TerminalStatus.CANCELLED, 0));
         }
-        writing = true;
-        store.commit(txn, r -> {
-            writing = false;
-            LOG.info("cancelled with what they need jobs={} status={} token={}", ending, r.status(), token);
-            if (r.ok()) {
-                waiting.keySet().removeAll(ending);
+        writeInFlight = true;
+        store.commit(transaction, response -> {
+            writeInFlight = false;
+            LOG.info("jobs.cancelled_by_dependency jobs={} response={} token={}", jobIds, response.status(), token);
+            if (response.ok()) {
+                pendingRevisions.keySet().removeAll(jobIds);
             } else {
-                // by then the view shows what was written otherwise
-                notBefore = eventLoop.now() + ElectionConstants.SESSION_RETRY_MS;
+                // by then the replica shows what was written otherwise
+                retryNotBefore = eventLoop.now() + ElectionConstants.SESSION_RETRY_MS;
             }
         });
     }
+
+    private boolean hasTerminalRecord(String id) {
+        StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
+        return entry != null && Records.isOver(entry.data());
+    }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -0,0 +1,131 @@
+package org.hollypick.control.jobs;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.core.Job;
+import org.hollypick.core.Scheduler;
+import org.hollypick.io.Response;
+import org.hollypick.records.Records;
+import org.hollypick.records.TerminalStatus;
+import org.hollypick.store.KeyValueStoreClient;
+
+/** Writes the terminal records of jobs whose tasks have all ended, in batches. Confined to the event loop. */
+final class FinishedJobWriter {
+    private static final int CONFLICT = 409;
+    private static final int MAX_BATCH_BYTES = NetworkConstants.MAX_BODY_BYTES / 2;
+
+    private final Scheduler scheduler;
+    private final KeyValueStoreClient store;
+    private final TerminalRecordWriter recordWriter;
+    private final Consumer<TerminalWrite> becameDurable;
+    /**
+     * Jobs whose records weren't as expected: each is written in a transaction of its own and so holds up no others.
+     */
+    private final Set<String> writtenAlone = new HashSet<>();
+
+    private int batchesInFlight;
+
+    /** {@code becameDurable} receives each write that is known to be durable. */
+    FinishedJobWriter(
+            Scheduler scheduler,
+            KeyValueStoreClient store,
+            TerminalRecordWriter recordWriter,
+            Consumer<TerminalWrite> becameDurable) {
+        this.scheduler = scheduler;
+        this.store = store;
+        this.recordWriter = recordWriter;
+        this.becameDurable = becameDurable;
+    }
+
+    /**
+     * Writes the terminal records that are due, several to a transaction. While requests are queued for the store,
+     * fewer transactions are in flight: more would keep new jobs from being accepted, and fewer would answer users
+     * late.
+     */
+    void writeFinishedJobs() {
+        List<Job> finishedJobs = new ArrayList<>();
+        for (Job job : scheduler.outbox().jobsWithNewCompletions()) {
+            if (job.finished() && !job.terminalWriteInFlight) {
+                finishedJobs.add(job);
+            }
+        }
+        int next = 0;
+        while (next < finishedJobs.size() && batchesInFlight < maxBatchesInFlight()) {
+            List<TerminalWrite> batch = nextBatch(finishedJobs.subList(next, finishedJobs.size()));
+            next += batch.size();
+            writeBatch(batch);
+        }
+    }
+
+    private int maxBatchesInFlight() {
+        return store.areQueuesEmpty()
+                ? JobConstants.TERMINAL_WRITES_IN_FLIGHT
+                : JobConstants.TERMINAL_WRITES_WHILE_QUEUED;
+    }
+
+    /** The first of the jobs, as many as one transaction has room for. */
+    private List<TerminalWrite> nextBatch(List<Job> finishedJobs) {
+        List<TerminalWrite> batch = new ArrayList<>();
+        int bytes = 0;
+        for (Job job : finishedJobs) {
+            TerminalWrite write =
+                    recordWriter.prepare(job, job.successful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
+            bytes += Records.bytes(write.record());
+            boolean alone = writtenAlone.contains(write.jobId());
+            boolean full = alone || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
+            if (full && !batch.isEmpty()) {
+                break;
+            }
+            batch.add(write);
+            if (alone) {
+                break;
+            }
+        }
+        return batch;
+    }
+
+    private void writeBatch(List<TerminalWrite> batch) {
+        batchesInFlight++;
+        for (TerminalWrite write : batch) {
+            scheduler.outbox().removeNewCompletions(write.job());
+            write.job().terminalWriteInFlight = true;
+        }
+        recordWriter.commit(batch, response -> {
+            batchesInFlight--;
+            if (response.status() == CONFLICT) {
+                separateConflictingJobs(response);
+            }
+            batch.forEach(write -> writeFinished(write, response.ok()));
+        });
+    }
+
+    private void separateConflictingJobs(Response conflict) {
+        for (JsonNode key : conflict.body().path("failed")) {
+            if (key.asText().startsWith(StoreKeys.JOB)) {
+                writtenAlone.add(key.asText().substring(StoreKeys.JOB.length()));
+            }
+        }
+    }
+
+    private void writeFinished(TerminalWrite write, boolean durable) {
+        Job job = write.job();
+        job.terminalWriteInFlight = false;
+        if (durable) {
+            becameDurable.accept(write);
+        } else if (job.status == Job.Status.LIVE) {
+            scheduler.outbox().addNewCompletions(job);
+        }
+    }
+
+    /** The job's terminal record is durable, whoever wrote it. */
+    void jobTerminated(String id) {
+        writtenAlone.remove(id);
+    }
+}
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -13,40 +13,29 @@
 import org.hollypick.cluster.StoreKeys;
 import org.hollypick.cluster.StoreReplica;
 import org.hollypick.config.Settings;
-import org.hollypick.config.constants.JobConstants;
-import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.JobSpec.Priority;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
-import org.hollypick.store.CompareAndSwap;
+import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.KeyValueStoreClient;
 
-/** The durable records of jobs on any node: what they say of one another, and new ones. */
+/**
+ * The durable records of jobs, on any controller: creates them for submissions, and feeds the dependency graph from
+ * those in the replica. Confined to the event loop.
+ */
 public final class JobStore {
-    /** What became of a submission. {@code TOO_LARGE}: no record can hold it. */
-    public enum Outcome {
-        CREATED,
-        KNOWN,
-        TOO_LARGE,
-        LATER
-    }
-
-    private final EventLoop eventLoop;
-    private final Settings settings;
-    private final KeyValueStoreClient store;
     private final StoreReplica replica;
-    private final Membership membership;
     private final JobDependencies dependencies;
-    private long written;
-    /** Jobs that certainly have a record which the view doesn't show yet: submitted again they cost no write. */
-    private final Set<String> durable = new HashSet<>();
-    /** Jobs whose records are being written, and who has submitted them once more since. */
-    private final Map<String, List<Consumer<Outcome>>> creating = new HashMap<>();
+    private final SubmissionWriter submissionWriter;
+    /** Jobs that certainly have a record which the replica doesn't show yet: a repeated submission costs no write. */
+    private final Set<String> durableAheadOfReplica = new HashSet<>();
+    /** Jobs whose records are being written, and the callers that submitted them again meanwhile. */
+    private final Map<String, List<Consumer<SubmissionOutcome>>> writesInFlight = new HashMap<>();
 
+    /** {@code dependencies} is kept up to date with the replica by {@link #recordsChanged}. */
     public JobStore(
             EventLoop eventLoop,
             Settings settings,
@@ -54,47 +43,34 @@
             StoreReplica replica,
             Membership membership,
             JobDependencies dependencies) {
-        this.eventLoop = eventLoop;
-        this.settings = settings;
-        this.store = store;
         this.replica = replica;
-        this.membership = membership;
         this.dependencies = dependencies;
+        this.submissionWriter =
+                new SubmissionWriter(eventLoop, settings, store, membership, dependencies, this::recordExists);
     }
 
-    /** Records changed in the view. */
-    public void follow(Collection<String> keys) {
+    /** The records under {@code keys} changed in the replica. */
+    public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
-            StoreReplica.Entry e = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
-            if (e == null) {
-                continue;
-            }
-            String id = key.substring(StoreKeys.JOB.length());
-            durable.remove(id);
-            if (!Records.isOver(e.data())) {
-                dependencies.addLive(id, rank(e.data()), Records.awaits(e.data(), replica));
-            } else if (Records.status(e.data()).equals(Records.DONE)) {
-                dependencies.done(id);
-            } else {
-                dependencies.cancelled(id);
+            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
+            if (entry != null) {
+                jobRecordChanged(key.substring(StoreKeys.JOB.length()), entry.data());
             }
         }
     }
 
-    /** Whether the job certainly has a record, in the view or not. */
-    public boolean known(String id) {
-        return durable.contains(id) || replica.get(StoreKeys.job(id)) != null;
-    }
-
-    /** The job had a record at this revision. */
-    private void known(String id, long revision) {
-        replica.answeredFrom(revision);
-        if (replica.get(StoreKeys.job(id)) == null) {
-            durable.add(id);
+    private void jobRecordChanged(String id, JsonNode record) {
+        durableAheadOfReplica.remove(id);
+        if (!Records.isOver(record)) {
+            dependencies.addLive(id, priority(record), Records.awaits(record, replica));
+        } else if (Records.status(record) == TerminalStatus.COMPLETED) {
+            dependencies.done(id);
+        } else {
+            dependencies.cancelled(id);
         }
     }
 
-    private static Priority rank(JsonNode record) {
+    private static Priority priority(JsonNode record) {
         try {
             return Records.rank(record);
         } catch (JobCodec.Invalid e) {
@@ -102,132 +78,38 @@
         }
     }
 
-    /**
-     * Makes an accepted job durable; everything that it awaits has a record already. A repetition waits for the write
-     * that is under way: one of its own would be refused, and count against the service's limit on writes.
-     */
-    public void create(JobSpec spec, Collection<String> awaits, Consumer<Outcome> then) {
-        List<Consumer<Outcome>> repetitions = creating.get(spec.id());
-        if (repetitions != null) {
-            repetitions.add(then);
-            return;
-        }
-        creating.put(spec.id(), new ArrayList<>());
-        write(spec, awaits, outcome -> {
-            List<Consumer<Outcome>> waiting = creating.remove(spec.id());
-            then.accept(outcome);
-            waiting.forEach(w -> w.accept(outcome == Outcome.CREATED ? Outcome.KNOWN : outcome));
-        });
-    }
-
-    private void write(JobSpec spec, Collection<String> awaits, Consumer<Outcome> then) {
-        List<String> open = open(awaits);
-        int room = Records.room(settings);
-        if (Records.bytes(Records.live(spec, Long.MAX_VALUE, open, null)) <= room) {
-            create(spec, open, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
-            return;
-        }
-        Records.More more =
-                new Records.More(StoreKeys.awaited(settings.node(), membership.member(), written++), parts(open, room));
-        if (Records.bytes(Records.live(spec, Long.MAX_VALUE, List.of(), more)) > room) {
-            then.accept(Outcome.TOO_LARGE);
-        } else {
-            writeParts(spec, more, 0, then);
-        }
-    }
-
-    /** What still has to be done of those. What is done never becomes undone, and one that is cancelled decides. */
-    private List<String> open(Collection<String> awaits) {
-        List<String> open = new ArrayList<>();
-        for (String id : awaits) {
-            if (dependencies.isCancelled(id)) {
-                return List.of(id);
-            }
-            if (!dependencies.isDone(id)) {
-                open.add(id);
-            }
-        }
-        return open;
-    }
-
-    private static List<List<String>> parts(List<String> ids, int room) {
-        List<List<String>> parts = new ArrayList<>();
-        int left = 0;
-        for (String id : ids) {
-            int bytes = id.length() + 3; // quotes and comma
-            if (left < bytes) {
-                parts.add(new ArrayList<>());
-                left = room - Records.bytes(Records.part(List.of()));
-            }
-            parts.get(parts.size() - 1).add(id);
-            left -= bytes;
-        }
-        return parts;
+    /** Whether the job certainly has a record, in the replica or ahead of it. */
+    public boolean exists(String id) {
+        return durableAheadOfReplica.contains(id) || replica.get(StoreKeys.job(id)) != null;
     }
 
-    /**
-     * The parts go first, under keys that nobody ever used; the job's own record names them, and it alone makes the job
-     * exist.
-     */
-    private void writeParts(JobSpec spec, Records.More more, int from, Consumer<Outcome> then) {
-        if (from >= more.parts().size()) {
-            create(spec, List.of(), more, JobConstants.SUBMISSION_WRITE_ATTEMPTS, then);
-            return;
-        }
-        if (store.shouldShedWrite()) {
-            then.accept(Outcome.LATER);
-            return;
-        }
-        CompareAndSwap txn = new CompareAndSwap();
-        int to = Math.min(more.parts().size(), from + settings.txnOps());
-        for (int i = from; i < to; i++) {
-            txn.expectAbsent(more.key(i))
-                    .put(more.key(i), Records.part(more.parts().get(i)));
+    private void recordExists(String id, long revision) {
+        replica.answeredFrom(revision);
+        if (replica.get(StoreKeys.job(id)) == null) {
+            durableAheadOfReplica.add(id);
         }
-        store.commit(txn, r -> {
-            if (r.ok()) {
-                writeParts(spec, more, to, then);
-            } else {
-                then.accept(Outcome.LATER);
-            }
-        });
     }
 
     /**
-     * The record is conditional on the leader record, so that a later leader knows that no earlier one can have started
-     * the job.
+     * Creates the record of an accepted job. A repeated submission waits for the write in flight: one of its own would
+     * fail, and count against the store's write limit.
+     *
+     * @param dependencyIds the jobs that it depends on, each of which has a record
+     * @param finished receives the outcome
      */
-    private void create(JobSpec spec, List<String> awaits, Records.More more, int tries, Consumer<Outcome> then) {
-        long leaderRecord = membership.leaderRecordRevision();
-        if (leaderRecord == 0 || store.shouldShedWrite()) {
-            then.accept(Outcome.LATER);
+    public void create(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> finished) {
+        List<Consumer<SubmissionOutcome>> repeatedCallers = writesInFlight.get(spec.id());
+        if (repeatedCallers != null) {
+            repeatedCallers.add(finished);
             return;
         }
-        String key = StoreKeys.job(spec.id());
-        CompareAndSwap txn = new CompareAndSwap()
-                .expectAbsent(key)
-                .expectRevision(StoreKeys.LEADER_RECORD, leaderRecord)
-                .put(key, Records.live(spec, leaderRecord, awaits, more));
-        store.commit(txn, r -> {
-            if (r.ok()) {
-                known(spec.id(), Codec.u64(r.body().path("epoch")));
-                then.accept(Outcome.CREATED);
-                return;
-            }
-            if (r.status() == 409) {
-                for (JsonNode failed : r.body().path("failed")) {
-                    if (failed.asText().equals(key)) {
-                        known(spec.id(), Codec.u64(r.body().path("epoch")));
-                        then.accept(Outcome.KNOWN);
-                        return;
-                    }
-                }
-                if (tries > 1) {
-                    eventLoop.after(2 * StoreConstants.WATCH_GAP_MS, () -> create(spec, awaits, more, tries - 1, then));
-                    return;
-                }
-            }
-            then.accept(Outcome.LATER);
+        writesInFlight.put(spec.id(), new ArrayList<>());
+        submissionWriter.write(spec, dependencyIds, outcome -> {
+            List<Consumer<SubmissionOutcome>> waitingCallers = writesInFlight.remove(spec.id());
+            finished.accept(outcome);
+            SubmissionOutcome repeatedOutcome =
+                    outcome == SubmissionOutcome.CREATED ? SubmissionOutcome.ALREADY_EXISTS : outcome;
+            waitingCallers.forEach(caller -> caller.accept(repeatedOutcome));
         });
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/jobs/PendingCancellation.java
@@ -0,0 +1,69 @@
+package org.hollypick.control.jobs;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.hollypick.config.constants.JobConstants;
+import org.hollypick.core.Job;
+import org.hollypick.core.WorkerLeases;
+
+/** A cancellation that was requested and isn't known to be durable. Confined to the event loop. */
+final class PendingCancellation {
+    private final Job job;
+    private final long requestedAt;
+    private final List<Consumer<Boolean>> waitingCallers = new ArrayList<>();
+    private boolean writeInFlight;
+    private long lastWrittenAt = WorkerLeases.NEVER;
+
+    PendingCancellation(Job job, long requestedAt) {
+        this.job = job;
+        this.requestedAt = requestedAt;
+    }
+
+    Job job() {
+        return job;
+    }
+
+    /** Whether the job was to be cancelled before {@code time}. */
+    boolean wasRequestedBefore(long time) {
+        return requestedAt < time;
+    }
+
+    void addCaller(Consumer<Boolean> caller) {
+        waitingCallers.add(caller);
+    }
+
+    /** A caller waits no longer; returns whether it was still waiting. */
+    boolean removeCaller(Consumer<Boolean> caller) {
+        return waitingCallers.remove(caller);
+    }
+
+    boolean hasWaitingCallers() {
+        return !waitingCallers.isEmpty();
+    }
+
+    boolean isWriteInFlight() {
+        return writeInFlight;
+    }
+
+    /** Whether the last write is so long ago that it may be repeated though no caller waits. */
+    boolean isRewriteDue(long now) {
+        return now - lastWrittenAt >= JobConstants.CANCELLATION_REWRITE_MS;
+    }
+
+    void writeStarted(long now) {
+        writeInFlight = true;
+        lastWrittenAt = now;
+    }
+
+    void writeFinished() {
+        writeInFlight = false;
+    }
+
+    /** Answers all callers that wait. */
+    void answerCallers(boolean durable) {
+        List<Consumer<Boolean>> callers = new ArrayList<>(waitingCallers);
+        waitingCallers.clear();
+        callers.forEach(caller -> caller.accept(durable));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
@@ -0,0 +1,86 @@
+package org.hollypick.control.jobs;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BiFunction;
+import java.util.function.Consumer;
+import org.hollypick.cluster.StoreKeys;
+import org.hollypick.core.Job;
+import org.hollypick.core.JobDependencies;
+import org.hollypick.io.Response;
+import org.hollypick.records.TerminalStatus;
+import org.hollypick.store.CompareAndSwap;
+import org.hollypick.store.KeyValueStoreClient;
+
+/**
+ * Commits terminal records, under the leader's fencing token and on the condition that the job's record is still the
+ * one that the leader knows. It keeps account of the writes whose outcome is unresolved: while a job has one, this
+ * controller's own state of the job is no answer to users. Confined to the event loop.
+ */
+final class TerminalRecordWriter {
+    private final long token;
+    private final KeyValueStoreClient store;
+    private final JobDependencies dependencies;
+    private final BiFunction<Job, TerminalStatus, ObjectNode> recordFactory;
+    /** Jobs whose cancellation was sent and may be, or become, durable. */
+    private final Set<String> unresolvedCancellations = new HashSet<>();
+
+    TerminalRecordWriter(
+            long token,
+            KeyValueStoreClient store,
+            JobDependencies dependencies,
+            BiFunction<Job, TerminalStatus, ObjectNode> recordFactory) {
+        this.token = token;
+        this.store = store;
+        this.dependencies = dependencies;
+        this.recordFactory = recordFactory;
+    }
+
+    TerminalWrite prepare(Job job, TerminalStatus status) {
+        return new TerminalWrite(job, status, recordFactory.apply(job, status));
+    }
+
+    /** Commits all the writes in one transaction. Only a missing response leaves them unresolved. */
+    void commit(List<TerminalWrite> writes, Consumer<Response> responseReceived) {
+        CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
+        for (TerminalWrite write : writes) {
+            write.job().unresolvedTerminalWrites++;
+            if (write.status() == TerminalStatus.CANCELLED) {
+                unresolvedCancellations.add(write.jobId());
+            }
+            String key = StoreKeys.job(write.jobId());
+            transaction.expectRevision(key, write.job().arrivalRevision).put(key, write.record());
+        }
+        store.commit(transaction, response -> {
+            if (!response.failedWith(Response.Failure.NO_RESPONSE)) {
+                writes.forEach(this::resolve);
+            }
+            responseReceived.accept(response);
+        });
+    }
+
+    private void resolve(TerminalWrite write) {
+        Job job = write.job();
+        job.unresolvedTerminalWrites--;
+        if (job.unresolvedTerminalWrites == 0) {
+            unresolvedCancellations.remove(write.jobId());
+        }
+    }
+
+    /** The job's terminal record is durable. */
+    void jobTerminated(String id) {
+        unresolvedCancellations.remove(id);
+    }
+
+    boolean hasUnresolvedCancellations() {
+        return !unresolvedCancellations.isEmpty();
+    }
+
+    /** Whether the job may be terminal by a write that is unresolved: its own, or the cancellation of a dependency. */
+    boolean hasUnresolvedWrite(Job job) {
+        return job.unresolvedTerminalWrites > 0
+                || (hasUnresolvedCancellations() && dependencies.needsAny(job.spec.id(), unresolvedCancellations));
+    }
+}
--- a/src/main/java/org/hollypick/records/GraphRecordCodec.java
+++ b/src/main/java/org/hollypick/records/GraphRecordCodec.java
@@ -47,7 +47,7 @@
     }
 
     /** The record that the end of a graph leaves: how many nodes ended in which state. */
-    public static ObjectNode ended(String status, Graph graph, String reason) {
+    public static ObjectNode ended(TerminalStatus status, Graph graph, String reason) {
         return Records.over(status, graph.count(NodeState.DONE))
                 .put(ENDED, true)
                 .put(NODE_COUNT, graph.count())
--- a/src/main/java/org/hollypick/records/Records.java
+++ b/src/main/java/org/hollypick/records/Records.java
@@ -17,8 +17,6 @@
 
 /** What the durable records hold. */
 public final class Records {
-    public static final String DONE = "done";
-    public static final String ABORTED = "aborted";
     private static final String AWAITS = "awaits";
     private static final String MORE = "awaits_in";
 
@@ -93,16 +91,16 @@
     }
 
     /** A job that is over keeps only what users may ask. */
-    public static ObjectNode over(String status, int done) {
-        return Codec.object().put("status", status).put("done", done);
+    public static ObjectNode over(TerminalStatus status, int done) {
+        return Codec.object().put("status", status.wireName()).put("done", done);
     }
 
     public static boolean isOver(JsonNode record) {
         return record.has("status");
     }
 
-    public static String status(JsonNode record) {
-        return record.path("status").asText();
+    public static TerminalStatus status(JsonNode record) {
+        return TerminalStatus.ofStored(record.path("status").asText());
     }
 
     /** Tasks that were done when the job came to its terminal state. */
