--- /dev/null
+++ b/src/test/java/org/hollypick/sim/AgentProtocol.java
@@ -0,0 +1,33 @@
+package org.hollypick.sim;
+
+/** Paths, fields and values of the agents' protocol, spelt independently of the program's codecs. */
+final class AgentProtocol {
+    static final String HEARTBEAT = "/hello";
+    static final String COMMANDS = "/commands";
+    static final String INSPECT = "/inspect";
+
+    static final String MACHINE_ID = "bothy";
+    static final String ADDRESS = "addr";
+    static final String MACHINE_TYPE = "flavour";
+    static final String ZONE = "hall";
+    static final String SPOT = "lendable";
+    static final String INCARNATION = "tenure";
+    static final String HEARTBEAT_SEQUENCE = "tick";
+    static final String FENCING_TOKEN = "baton";
+    static final String TERMINATION_NOTICE_S = "warning_s";
+    static final String TASKS = "shards";
+    static final String TASK = "shard";
+    static final String ATTEMPT = "try";
+    static final String STATUS = "status";
+    static final String CAUSE = "cause";
+    /** In an answer to a heartbeat: the controller to send the next one to. */
+    static final String LEADER = "foreman";
+
+    static final String ORDERS = "orders";
+    static final String VERB = "verb";
+    static final String LAUNCH = "launch";
+    static final String KILL = "kill";
+    static final String CLEAR = "clear";
+
+    private AgentProtocol() {}
+}
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -63,19 +63,19 @@
 
     private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.cancelledOf = 2;
-        scenario.closeLooks();
-        scenario.submitSome(12, 60_000);
-        scenario.pipelines(2, 40_000);
-        scenario.oddRequests(8, 80_000);
+        scenario.users.cancelOneIn = 2;
+        scenario.answerProber.start();
+        scenario.workload.submitJobs(12, 60_000);
+        scenario.pipelines.submitPipelines(2, 40_000);
+        scenario.invalidRequests.submit(8, 80_000);
         GraphUser graph = new GraphUser(scenario, "req-700000", 2, 2);
         scenario.world.at(5_000 + scenario.world.random.nextInt(20_000), graph::start);
         if (seed % 4 > 0) {
             scenario.world.at(10_000, () -> scenario.world.lostAnswerShare = 0.2);
             scenario.world.at(60_000, () -> scenario.world.lostAnswerShare = 0);
-            scenario.drawAnswerTroubles(6, 10_000, 80_000);
+            scenario.randomFaults.scheduleReorderingFaults(6, 10_000, 80_000);
         }
-        scenario.play(130_000);
+        scenario.advance(130_000);
         return scenario;
     }
 
@@ -143,7 +143,7 @@
         assertTrue(noticed("went_back (same controller)", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
             Map<String, Response> known = new HashMap<>();
-            scenario.faulty = (q, r) -> q == null || q.creates() || r.status() != 200
+            scenario.responseFault = (q, r) -> q == null || q.creates() || r.status() != 200
                     ? r
                     : scenario.world.random.nextBoolean()
                             ? known.getOrDefault(q.node() + q.id(), r)
@@ -162,10 +162,10 @@
     void theCheckerNoticesThatWhatCantRunIsAccepted() {
         assertTrue(noticed("accepted req-8", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
-            scenario.faulty = (q, r) ->
+            scenario.responseFault = (q, r) ->
                     r.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : r;
-            scenario.oddRequests(6, 10_000);
-            return scenario.play(20_000);
+            scenario.invalidRequests.submit(6, 10_000);
+            return scenario.advance(20_000);
         }));
     }
 
@@ -181,10 +181,10 @@
     }
 
     private static ClusterScenario look(ClusterScenario scenario) {
-        scenario.cancelledOf = 2;
-        scenario.closeLooks();
-        scenario.submitSome(6, 20_000);
-        return scenario.play(60_000);
+        scenario.users.cancelOneIn = 2;
+        scenario.answerProber.start();
+        scenario.workload.submitJobs(6, 20_000);
+        return scenario.advance(60_000);
     }
 
     @Test
@@ -209,11 +209,12 @@
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
         scenario.world.lostAnswerShare = 0.5;
-        scenario.world.at(20_000, () -> scenario.crash(scenario.leader(), 400));
+        scenario.world.at(20_000, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
         if (kind.equals("h/x/")) {
             scenario.world.at(8_000, new GraphUser(scenario, "req-700000", 2, 2)::start);
         }
-        scenario.submitSome(3, 20_000); // cancellations that wait for what may still start are answered more seldom
+        scenario.workload.submitJobs(
+                3, 20_000); // cancellations that wait for what may still start are answered more seldom
         return look(scenario);
     }
 
@@ -224,16 +225,17 @@
     @Test
     void noEstimateOfAJobWhoseEndIsInDoubt() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW).withRunningServices();
-        int leader = scenario.leader();
-        assertEquals("running", status(scenario.askAt(leader, "GET", ESTIMATE, null)));
+        int leader = scenario.leaderIndex();
+        assertEquals("running", status(scenario.users.requestAt(leader, "GET", ESTIMATE, null)));
         scenario.world.cutOneWay("state:1", "bothy-" + leader, 5_000);
-        scenario.withdrawAt(leader, "req-000000");
-        scenario.play(100);
-        Response other = scenario.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
+        scenario.users.cancelAt(leader, "req-000000");
+        scenario.advance(100);
+        Response other = scenario.users.requestAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
         assertEquals("aborted", status(other));
-        assertEquals(503, scenario.askAt(leader, "GET", ESTIMATE, null).status());
-        scenario.play(8_000);
-        assertEquals("aborted", status(scenario.askAt(leader, "GET", ESTIMATE, null)));
+        assertEquals(
+                503, scenario.users.requestAt(leader, "GET", ESTIMATE, null).status());
+        scenario.advance(8_000);
+        assertEquals("aborted", status(scenario.users.requestAt(leader, "GET", ESTIMATE, null)));
         assertEquals(List.of(), scenario.checker.broken);
     }
 
@@ -244,20 +246,23 @@
     @Test
     void theEndOfANodeThatIsNotDurableIsNotTold() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
-        scenario.play(5_000);
+        scenario.advance(5_000);
         new GraphUser(scenario, "req-700000", 2, 2).start();
-        scenario.play(500);
-        scenario.state.refused = txn -> txn.path("then").toString().contains("\"h/x/");
+        scenario.advance(500);
+        scenario.store.refused = txn -> txn.path("then").toString().contains("\"h/x/");
         scenario.checker.withdrawing("req-700000");
         String withdraw = "/graphs/req-700000/nodes/n0/withdraw";
         assertEquals(
                 503,
-                scenario.askAt(scenario.leader(), "POST", withdraw, Codec.object())
+                scenario.users
+                        .requestAt(scenario.leaderIndex(), "POST", withdraw, Codec.object())
                         .status());
-        assertEquals(503, scenario.askAt(0, "GET", "/graphs/req-700000", null).status());
-        scenario.state.refused = txn -> false;
-        scenario.play(2_000);
-        Response later = scenario.askAt(0, "GET", "/graphs/req-700000", null);
+        assertEquals(
+                503,
+                scenario.users.requestAt(0, "GET", "/graphs/req-700000", null).status());
+        scenario.store.refused = txn -> false;
+        scenario.advance(2_000);
+        Response later = scenario.users.requestAt(0, "GET", "/graphs/req-700000", null);
         assertEquals(
                 "cancelled", later.body().path("nodes").path(0).path("state").asText());
         assertEquals(List.of(), scenario.checker.broken);
@@ -270,14 +275,14 @@
     void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
         for (int seed = 1; seed <= 4; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW).withRunningServices();
-            int leader = scenario.leader();
+            int leader = scenario.leaderIndex();
             int other = (leader + 1) % 3;
             scenario.world.slow("m" + leader + ":1", 300, 10_000);
             for (int ms = 0; ms < 600; ms += 5) {
-                scenario.world.at(ms, () -> scenario.lookAt(other, "req-000000", "/submissions/req-000000"));
+                scenario.world.at(ms, () -> scenario.users.queryAt(other, "req-000000", "/submissions/req-000000"));
             }
-            scenario.world.at(300, () -> scenario.withdrawAt(leader, "req-000000"));
-            scenario.play(10_000);
+            scenario.world.at(300, () -> scenario.users.cancelAt(leader, "req-000000"));
+            scenario.advance(10_000);
             assertTrue(scenario.checker.isOver("req-000000"));
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
@@ -287,18 +292,18 @@
     @Test
     void aFloodOfRepetitionsCostsAWriteForEachControllerAtMost() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
-        scenario.play(20_000);
+        scenario.advance(20_000);
         scenario.world.slow("state:1", 300, 10_000);
         int[] writes = {0};
         scenario.world.sending = (from, call) -> writes[0] += writes(call, "\"pull_gb\"") ? 1 : 0;
         scenario.checker.order.news = id -> {
             for (int i = 0; i < 300; i++) {
                 int node = i % 3;
-                scenario.world.at(i, () -> scenario.againAt(node, id, scenario.checker.submitted.get(id)));
+                scenario.world.at(i, () -> scenario.users.resubmitAt(node, id, scenario.checker.submitted.get(id)));
             }
         };
-        scenario.submitArrays(1, 1);
-        scenario.play(10_000);
+        scenario.workload.submitBatchJobs(1, 1);
+        scenario.advance(10_000);
         assertTrue(writes[0] >= 1 && writes[0] <= 3, "writes of the record: " + writes[0]);
         assertEquals(List.of(), scenario.checker.broken);
     }
@@ -318,35 +323,47 @@
     @Test
     void wrongAndRepeatedRequestsAreAnsweredAlikeEverywhere() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
-        scenario.oddRequests(40, 20_000);
-        scenario.play(5_000);
-        scenario.submitArrays(1, 1);
-        scenario.play(60_000);
+        scenario.invalidRequests.submit(40, 20_000);
+        scenario.advance(5_000);
+        scenario.workload.submitBatchJobs(1, 1);
+        scenario.advance(60_000);
         var spec = scenario.checker.submitted.get("req-000000");
         var wrong = ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
         scenario.world.sending = (from, call) -> writes[0] += writes(call, "h/j/") ? 1 : 0;
         for (int node = 0; node < 3; node++) {
             assertEquals(
-                    "done", status(scenario.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
+                    "done",
+                    status(scenario.users.requestAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
             for (int i = 0; i < 50; i++) {
-                Response again = scenario.askAt(node, "POST", "/submissions", spec);
+                Response again = scenario.users.requestAt(node, "POST", "/submissions", spec);
                 assertEquals("200 done", again.status() + " " + status(again));
             }
             assertEquals(
                     404,
-                    scenario.askAt(node, "GET", "/submissions/req-777777", null).status());
+                    scenario.users
+                            .requestAt(node, "GET", "/submissions/req-777777", null)
+                            .status());
         }
         assertEquals(0, writes[0], "repetitions cost no write");
-        scenario.state.outage(5_000);
+        scenario.store.outage(5_000);
         for (int node = 0; node < 3; node++) {
             assertEquals(
                     503,
-                    scenario.askAt(node, "GET", "/submissions/req-777777", null).status(),
+                    scenario.users
+                            .requestAt(node, "GET", "/submissions/req-777777", null)
+                            .status(),
                     "nobody can know");
             assertEquals(
-                    503, scenario.askAt(node, "POST", "/submissions", wrong).status(), "422 only from fresh records");
-            assertEquals(200, scenario.askAt(node, "POST", "/submissions", spec).status(), "what is over is known");
+                    503,
+                    scenario.users
+                            .requestAt(node, "POST", "/submissions", wrong)
+                            .status(),
+                    "422 only from fresh records");
+            assertEquals(
+                    200,
+                    scenario.users.requestAt(node, "POST", "/submissions", spec).status(),
+                    "what is over is known");
         }
         assertEquals(List.of(), scenario.checker.broken);
     }
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/AnswerProber.java
@@ -0,0 +1,70 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Asks all controllers, for estimates too, again and again in the milliseconds after a job was accepted, completed or
+ * ended, repeats the submission, and cancels some of the jobs: answers that go back in time come to light.
+ */
+final class AnswerProber {
+    /** Milliseconds after the change of a job's state at which all controllers are asked. */
+    private static final List<Integer> PROBES_MS = List.of(0, 1, 2, 4, 8, 12, 16, 24, 32, 48, 64, 100);
+    /** Estimates are asked for at multiples of this. */
+    private static final int ESTIMATE_INTERVAL_MS = 32;
+
+    private static final int RESUBMIT_WITHIN_MS = 16;
+    private static final long COMPLETION_POLL_MS = 25;
+
+    private final ClusterScenario scenario;
+    private final SimulatedWorld world;
+    private final InvariantChecker checker;
+    private final Set<String> probedOnCompletion = new HashSet<>();
+
+    AnswerProber(ClusterScenario scenario) {
+        this.scenario = scenario;
+        this.world = scenario.world;
+        this.checker = scenario.checker;
+    }
+
+    /** Probes each change of a job's state from now on. */
+    void start() {
+        checker.order.news = this::probe;
+        probeOnCompletion();
+    }
+
+    private void probeOnCompletion() {
+        checker.submitted.keySet().stream()
+                .filter(id -> checker.isAccepted(id) && checker.isComplete(id) && probedOnCompletion.add(id))
+                .toList()
+                .forEach(this::probe);
+        world.at(COMPLETION_POLL_MS, this::probeOnCompletion);
+    }
+
+    private void probe(String id) {
+        JsonNode job = checker.submitted.get(id);
+        boolean isGraph = job.has(UserProtocol.GRAPH_NODES);
+        for (int delayMs : PROBES_MS) {
+            for (int i = 0; i < scenario.controllers.size(); i++) {
+                probeAt(i, id, job, delayMs);
+            }
+        }
+        if (scenario.users.mayCancel(id) && !checker.isOver(id) && !isGraph && world.random.nextInt(3) == 0) {
+            world.at(world.random.nextInt(16), () -> scenario.users.cancel(id));
+        }
+    }
+
+    private void probeAt(int controller, String id, JsonNode job, int delayMs) {
+        boolean isGraph = job.has(UserProtocol.GRAPH_NODES);
+        String path = (isGraph ? UserProtocol.GRAPHS : UserProtocol.SUBMISSIONS) + "/" + id;
+        world.at(delayMs, () -> scenario.users.queryAt(controller, id, path));
+        if (delayMs % ESTIMATE_INTERVAL_MS == 0 && !isGraph) {
+            world.at(delayMs, () -> scenario.users.queryAt(controller, id, path + UserProtocol.ESTIMATE));
+        }
+        if (delayMs < RESUBMIT_WITHIN_MS && !isGraph) {
+            world.at(delayMs, () -> scenario.users.resubmitAt(controller, id, job));
+        }
+    }
+}
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -51,16 +51,16 @@
         }
 
         void strike(ClusterScenario day) {
-            int leader = day.leader();
+            int leader = day.leaderIndex();
             switch (this) {
-                case BACK_AT_ONCE -> day.crash(leader, 200);
-                case AWAY -> day.crash(leader, 20_000);
-                case FROZEN -> day.freeze(leader, 7_000);
-                case CUT_OFF -> day.cutFromStateAndPeers(leader, 25_000);
-                case OUT_OF_REACH_OF_MACHINES -> day.cutFromWorkers(leader, 12_000);
+                case BACK_AT_ONCE -> day.faults.crash(leader, 200);
+                case AWAY -> day.faults.crash(leader, 20_000);
+                case FROZEN -> day.faults.freeze(leader, 7_000);
+                case CUT_OFF -> day.network.partitionFromStoreAndPeers(leader, 25_000);
+                case OUT_OF_REACH_OF_MACHINES -> day.network.partitionFromAgents(leader, 12_000);
                 default -> {
-                    day.controllerInZone(leader, "b");
-                    day.cutZone("b", 25_000);
+                    day.placeControllerInZone(leader, "b");
+                    day.network.partitionZone("b", 25_000);
                 }
             }
         }
@@ -87,7 +87,7 @@
                         day.world.cut("bothy-" + node, w.addr, 30_000);
                     }
                 }
-                default -> day.deafen(w, 30_000);
+                default -> day.network.dropInbound(w, 30_000);
             }
         }
     }
@@ -106,7 +106,9 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int number = i;
-            day.world.at(everyMs * i, () -> ids.add(day.submitBatch(1, number % 3 == 0 ? 60 : 4, "img-" + number % 7)));
+            day.world.at(
+                    everyMs * i,
+                    () -> ids.add(day.workload.submitBatchJob(1, number % 3 == 0 ? 60 : 4, "img-" + number % 7)));
         }
         return ids;
     }
@@ -117,7 +119,7 @@
             int number = i;
             day.world.at(everyMs * i, () -> {
                 if (number < ids.size()) {
-                    day.withdraw(ids.get(ids.size() - 1 - number));
+                    day.users.cancel(ids.get(ids.size() - 1 - number));
                 }
             });
         }
@@ -125,13 +127,13 @@
 
     private static ClusterScenario changesHands(int seed, Change change, Change back) {
         ClusterScenario day = new ClusterScenario(seed);
-        day.play(5_000);
+        day.advance(5_000);
         List<String> ids = smallJobs(day, 80, 150);
-        day.play(13_000);
+        day.advance(13_000);
         cancelEvery(day, ids, 120, 80);
         day.world.at(500, () -> change.strike(day));
         day.world.at(5_500, () -> back.strike(day));
-        return day.play(45_000);
+        return day.advance(45_000);
     }
 
     /** Jobs are cancelled every 120 ms while the lead goes over and, from whoever has it then, over again or back. */
@@ -149,26 +151,26 @@
     private static ClusterScenario atTheLimit(
             int seed, Change change, Loss loss, long changeAfterMs, Consumer<ClusterScenario> fault) {
         ClusterScenario day = new ClusterScenario(seed, 1, null, null, TWO_TEAMS);
-        day.owners = TEAMS;
+        day.workload.teams = TEAMS;
         TEAMS.forEach(t -> day.checker.teamCpus.put(t, LIMIT));
-        day.play(5_000);
+        day.advance(5_000);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int number = i;
-            day.world.at(200L * i, () -> ids.add(day.submitBatch(6, 40, "img-" + number % 5)));
+            day.world.at(200L * i, () -> ids.add(day.workload.submitBatchJob(6, 40, "img-" + number % 5)));
         }
-        day.play(25_000);
+        day.advance(25_000);
         TEAMS.forEach(t -> assertTrue(day.checker.cpusOf(t) >= LIMIT - FETCHING, t + " isn't at its limit"));
         fault.accept(day);
         for (int i = 0; i < 4; i++) {
             String id = ids.get(i);
             day.world.at(1_000 + 300 * i, () -> {
-                day.withdraw(id);
+                day.users.cancel(id);
                 machinesOf(day, id).limit(2).forEach(w -> loss.strike(day, w));
             });
         }
         day.world.at(1_000 + changeAfterMs, () -> change.strike(day));
-        return day.play(80_000);
+        return day.advance(80_000);
     }
 
     /** Each change with each loss, a second before the first cancellation to three after; a quarter of them a seed. */
@@ -200,7 +202,7 @@
     /** A successor that doesn't know of the machines takes their silence for room under the limit. */
     @Test
     void theCheckerNoticesALimitThatIsFreedOnSilence() {
-        Consumer<ClusterScenario> forgets = day -> day.state.hidden = key -> key.startsWith("h/m/");
+        Consumer<ClusterScenario> forgets = day -> day.store.hidden = key -> key.startsWith("h/m/");
         ClusterScenario day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
         assertTrue(day.checker.broken.stream().anyMatch(b -> b.startsWith("quota of")), day.checker.broken::toString);
     }
@@ -210,12 +212,12 @@
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         day.cloud.workers().forEach(fault);
         for (int i = 0; i < 8; i++) {
-            String id = day.submitBatch(3, 60, "img-fetched-" + i);
+            String id = day.workload.submitBatchJob(3, 60, "img-fetched-" + i);
             long after = 300L * i;
             day.world.at(1_500 + after, () -> machinesOf(day, id).forEach(w -> loss.strike(day, w)));
-            day.world.at(1_500 + after + 50L * i, () -> day.withdraw(id));
+            day.world.at(1_500 + after + 50L * i, () -> day.users.cancel(id));
         }
-        return day.play(75_000);
+        return day.advance(75_000);
     }
 
     @Test
@@ -238,14 +240,14 @@
     private static ClusterScenario answersHeldUp(int seed) {
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         for (int spell = 0; spell < 10; spell++) {
-            day.world.at(4_000L * spell, () -> day.cloud.workers().forEach(w -> day.deafen(w, 2_500)));
+            day.world.at(4_000L * spell, () -> day.cloud.workers().forEach(w -> day.network.dropInbound(w, 2_500)));
         }
         List<String> ids = smallJobs(day, 200, 200);
         for (int i = 0; i < 200; i++) {
             int number = i;
-            day.world.at(200 * i + 150 + 13 * i % 2_000, () -> day.withdraw(ids.get(number)));
+            day.world.at(200 * i + 150 + 13 * i % 2_000, () -> day.users.cancel(ids.get(number)));
         }
-        return day.play(70_000);
+        return day.advance(70_000);
     }
 
     @Test
@@ -261,26 +263,26 @@
      */
     private static ClusterScenario throughTheGap(int seed) {
         ClusterScenario day = new ClusterScenario(seed);
-        day.play(5_000);
+        day.advance(5_000);
         for (int i = 0; i < 320; i++) {
             int number = i;
             day.world.at(250L * i, () -> {
-                String id = day.submitBatch(1, 3, "img-" + number % 5);
+                String id = day.workload.submitBatchJob(1, 3, "img-" + number % 5);
                 if (number % 4 == 0) {
-                    day.world.at(200 + 37 * number % 3_000, () -> day.withdraw(id));
+                    day.world.at(200 + 37 * number % 3_000, () -> day.users.cancel(id));
                 }
             });
         }
-        day.play(40_000);
-        day.crash(day.leader(), 300);
-        day.play(20_000);
-        int leader = day.leader();
+        day.advance(40_000);
+        day.faults.crash(day.leaderIndex(), 300);
+        day.advance(20_000);
+        int leader = day.leaderIndex();
         day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
-        day.play(1_500);
+        day.advance(1_500);
         day.world.refuse("bothy-" + leader, "state:1", 4_000);
-        day.play(1_000);
-        day.state.outage(OUTAGE_MS);
-        return day.play(OUTAGE_MS + 60_000);
+        day.advance(1_000);
+        day.store.outage(OUTAGE_MS);
+        return day.advance(OUTAGE_MS + 60_000);
     }
 
     @Test
@@ -295,16 +297,16 @@
     /** The leader alone is refused, a second later everybody for long; jobs are cancelled every 40 ms around both. */
     private static ClusterScenario refusedThenOut(int seed, Consumer<FakeAgent> fault) {
         ClusterScenario day = new ClusterScenario(seed);
-        day.play(5_000);
+        day.advance(5_000);
         List<String> ids = smallJobs(day, 60, 100);
-        day.play(30_000);
+        day.advance(30_000);
         day.cloud.workers().forEach(fault);
         cancelEvery(day, ids, 40, 50);
-        day.play(500);
-        day.world.refuse("bothy-" + day.leader(), "state:1", 1_000);
-        day.play(1_000);
-        day.state.outage(OUTAGE_MS);
-        return day.play(OUTAGE_MS + 30_000);
+        day.advance(500);
+        day.world.refuse("bothy-" + day.leaderIndex(), "state:1", 1_000);
+        day.advance(1_000);
+        day.store.outage(OUTAGE_MS);
+        return day.advance(OUTAGE_MS + 30_000);
     }
 
     @Test
@@ -336,14 +338,14 @@
 
         void strike(ClusterScenario day, int leader) {
             switch (this) {
-                case ENDS -> day.crash(leader, 300);
-                case FREEZES -> day.freeze(leader, 5_000);
-                case CUT_OFF -> day.cutFromStateAndPeers(leader, OUTAGE_MS);
+                case ENDS -> day.faults.crash(leader, 300);
+                case FREEZES -> day.faults.freeze(leader, 5_000);
+                case CUT_OFF -> day.network.partitionFromStoreAndPeers(leader, OUTAGE_MS);
                 case UNHEARD -> {
                     day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
-                    day.world.at(1_000, () -> day.state.outage(OUTAGE_MS));
+                    day.world.at(1_000, () -> day.store.outage(OUTAGE_MS));
                 }
-                default -> day.state.outage(OUTAGE_MS);
+                default -> day.store.outage(OUTAGE_MS);
             }
         }
     }
@@ -352,10 +354,10 @@
     private static ClusterScenario struckAtMessage(int seed, int message, Stop stop) {
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         List<String> ids = new ArrayList<>(List.of("req-000000", "req-000001"));
-        ids.add(day.submitBatch(2, 60, "img-fetched"));
-        day.play(1_500);
-        ids.add(day.submitBatch(40, 60, "img-0"));
-        int leader = day.leader();
+        ids.add(day.workload.submitBatchJob(2, 60, "img-fetched"));
+        day.advance(1_500);
+        ids.add(day.workload.submitBatchJob(40, 60, "img-0"));
+        int leader = day.leaderIndex();
         int[] sent = {0};
         BiConsumer<String, String> count = (node, path) -> {
             boolean regular = path.startsWith("/watch") || path.equals("/keep") || path.contains("/hosts");
@@ -363,10 +365,10 @@
                 stop.strike(day, leader);
             }
         };
-        ids.forEach(id -> day.withdrawAt(leader, id));
-        day.answering = count;
+        ids.forEach(id -> day.users.cancelAt(leader, id));
+        day.responseObserver = count;
         day.world.sending = day.world.sending.andThen((node, call) -> count.accept(node, call.path()));
-        day.play(OUTAGE_MS + 30_000);
+        day.advance(OUTAGE_MS + 30_000);
         assertTrue(day.checker.isOver(ids.get(0)), "never told");
         return day;
     }
@@ -388,19 +390,19 @@
     /** Without any other trouble a job's user cancels it as its last task ends, or up to 60 ms later. */
     private static ClusterScenario atTheEnd(int seed) {
         ClusterScenario day = new ClusterScenario(seed);
-        day.play(5_000);
+        day.advance(5_000);
         int[] ends = {0};
         day.checker.onCompleted = task -> {
             String id = task.substring(0, task.indexOf('/'));
             if (day.checker.isComplete(id)) {
-                day.world.at(ends[0]++ % 60, () -> day.withdraw(id));
+                day.world.at(ends[0]++ % 60, () -> day.users.cancel(id));
             }
         };
         for (int i = 0; i < 120; i++) {
             int number = i;
-            day.world.at(250L * i, () -> day.submitBatch(1 + number % 2, 4, "img-" + number % 3));
+            day.world.at(250L * i, () -> day.workload.submitBatchJob(1 + number % 2, 4, "img-" + number % 3));
         }
-        return day.play(70_000);
+        return day.advance(70_000);
     }
 
     @Test
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -37,8 +37,8 @@
     /** Its write is carried out, and nothing of that comes back to the leader. */
     private static void cancelWithoutAnswer(ClusterScenario scenario, int leader) {
         scenario.world.cutOneWay("state:1", "bothy-" + leader, 14_000);
-        scenario.withdrawAt(leader, "req-000000");
-        scenario.play(60);
+        scenario.users.cancelAt(leader, "req-000000");
+        scenario.advance(60);
     }
 
     /**
@@ -50,12 +50,12 @@
     void whatAnotherControllerToldAsCancelledIsGoneThoughTheLeaderCantKnow() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-            int leader = scenario.leader();
+            int leader = scenario.leaderIndex();
             cancelWithoutAnswer(scenario, leader);
-            Response told = scenario.askAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
+            Response told = scenario.users.requestAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
             assertEquals("aborted", told.body().path("status").asText(), "seed " + seed);
-            scenario.state.outage(OUTAGE_MS);
-            scenario.play(OUTAGE_MS + 60_000);
+            scenario.store.outage(OUTAGE_MS);
+            scenario.advance(OUTAGE_MS + 60_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
     }
@@ -68,15 +68,15 @@
     void slowAnswersBeforeAnOutageTellNothingOlder() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-            int leader = scenario.leader();
+            int leader = scenario.leaderIndex();
             scenario.world.slow("state:1", 4_000, 20_000);
             for (int i = 0; i < 4; i++) {
                 String id = "req-00000" + i;
-                scenario.world.at(3_000L * i, () -> scenario.withdraw(id));
+                scenario.world.at(3_000L * i, () -> scenario.users.cancel(id));
             }
             scenario.world.at(9_000, () -> scenario.world.refuse("bothy-" + leader, "state:1", 12_000));
-            scenario.world.at(14_000, () -> scenario.state.outage(OUTAGE_MS));
-            scenario.play(OUTAGE_MS + 90_000);
+            scenario.world.at(14_000, () -> scenario.store.outage(OUTAGE_MS));
+            scenario.advance(OUTAGE_MS + 90_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             assertTrue(scenario.checker.isOver("req-000003"), "seed " + seed);
         }
@@ -96,7 +96,7 @@
     @Test
     void theCheckerNoticesAnOldLeaderThatKeepsLeasesForLonger() {
         BiFunction<EventLoop, Settings, Controller> greedy =
-                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.greedy(s, 60) : s);
+                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 60) : s);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
         assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.broken.stream()
                 .anyMatch(b -> b.startsWith("ran_cancelled")));
@@ -105,23 +105,23 @@
     private static ClusterScenario cancelledThroughTheNewLeader(
             int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
-        int old = scenario.leader();
-        scenario.cutFromStateAndPeers(old, 110_000);
+        int old = scenario.leaderIndex();
+        scenario.network.partitionFromStoreAndPeers(old, 110_000);
         List<String> ofZone = scenario.cloud.workers().stream()
                 .filter(w -> w.zone.equals("b"))
                 .map(w -> w.name)
                 .toList();
         for (int other = 0; other < 3; other++) {
             if (other != old) {
-                scenario.cutFromWorkers(other, 110_000, ofZone); // these have only the old one
+                scenario.network.partitionFromAgents(other, 110_000, ofZone); // these have only the old one
             }
         }
-        scenario.play(8_000);
-        assertTrue(scenario.leader() != old);
+        scenario.advance(8_000);
+        assertTrue(scenario.leaderIndex() != old);
         for (int i = 0; i < 4; i++) {
-            scenario.withdrawAt(scenario.leader(), "req-00000" + i);
+            scenario.users.cancelAt(scenario.leaderIndex(), "req-00000" + i);
         }
-        scenario.play(190_000);
+        scenario.advance(190_000);
         assertTrue(scenario.checker.isOver("req-000000"));
         return scenario;
     }
@@ -138,7 +138,7 @@
         for (int seed = 1; seed <= 12; seed++) {
             for (long ms : new long[] {9_000, 13_000, 25_000, 50_000}) {
                 ClusterScenario scenario = new ClusterScenario(seed);
-                scenario.play(20_000);
+                scenario.advance(20_000);
                 FakeAgent[] held = {null};
                 boolean hangs = seed % 2 == 0;
                 scenario.world.sending = (from, call) -> {
@@ -156,28 +156,28 @@
                         }
                     }
                 };
-                scenario.submitLasting(1);
+                scenario.workload.submitUncancelledServices(1);
                 while (held[0] == null) {
-                    scenario.play(10);
+                    scenario.advance(10);
                 }
-                scenario.play(20);
-                scenario.withdraw("req-000000");
+                scenario.advance(20);
+                scenario.users.cancel("req-000000");
                 if (seed % 4 > 1) {
-                    scenario.world.at(2_000, () -> scenario.crash(scenario.leader(), 200));
+                    scenario.world.at(2_000, () -> scenario.faults.crash(scenario.leaderIndex(), 200));
                 }
                 long from = scenario.world.now;
-                long token = scenario.state.stamp("h/roster");
+                long token = scenario.store.stamp("h/roster");
                 while (!scenario.checker.isOver("req-000000")) {
-                    scenario.play(10);
+                    scenario.advance(10);
                     assertTrue(scenario.world.now - from < 120_000, "seed " + seed + ": never told");
                 }
                 waited += scenario.world.now - from > 5_000 ? 1 : 0;
-                fenced += scenario.state.stamp("h/roster") != token && seed % 4 <= 1 ? 1 : 0;
+                fenced += scenario.store.stamp("h/roster") != token && seed % 4 <= 1 ? 1 : 0;
                 assertTrue(
-                        !hangs || seed % 4 > 1 || scenario.state.stamp("h/roster") == token,
+                        !hangs || seed % 4 > 1 || scenario.store.stamp("h/roster") == token,
                         "the lease of one that hangs ends by itself");
                 int starts = scenario.checker.starts;
-                scenario.play(100_000);
+                scenario.advance(100_000);
                 assertEquals(starts, scenario.checker.starts, "seed " + seed + ": started after its user was told");
                 assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
                 assertEquals(0, scenario.checker.running(), "seed " + seed);
@@ -213,16 +213,16 @@
 
     private static ClusterScenario smallJobs(int seed, Predicate<String> hidden) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.state.hidden = hidden;
-        scenario.length = 5;
-        scenario.cancelledOf = 1_000_000;
-        scenario.play(5_000);
-        scenario.submitArrays(8, 20_000);
+        scenario.store.hidden = hidden;
+        scenario.workload.durationFactor = 5;
+        scenario.users.cancelOneIn = 1_000_000;
+        scenario.advance(5_000);
+        scenario.workload.submitBatchJobs(8, 20_000);
         for (int i = 0; i < 8; i++) {
             long back = i % 2 == 0 ? 200 : 9_000;
-            scenario.world.at(30_000 + 9_000 * i, () -> scenario.crash(scenario.leader(), back));
+            scenario.world.at(30_000 + 9_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), back));
         }
-        scenario.play(300_000);
+        scenario.advance(300_000);
         return scenario;
     }
 
@@ -241,23 +241,23 @@
     void theLeadGoesOverAndBack() {
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-            scenario.cancelledOf = 2;
-            scenario.submitSome(20, 60_000);
+            scenario.users.cancelOneIn = 2;
+            scenario.workload.submitJobs(20, 60_000);
             scenario.world.copyShare = 0.3;
             int changes = 0;
             for (int i = 0; i < 4; i++) {
-                int before = scenario.leader();
-                scenario.cutFromWorkers(before, 9_000);
-                scenario.play(12_000);
-                changes += scenario.leader() != before ? 1 : 0;
+                int before = scenario.leaderIndex();
+                scenario.network.partitionFromAgents(before, 9_000);
+                scenario.advance(12_000);
+                changes += scenario.leaderIndex() != before ? 1 : 0;
                 int one = scenario.world.random.nextInt(3);
                 for (int node = 0; node < 3; node++) {
-                    scenario.crash(node, node == one ? 100 : 7_000);
+                    scenario.faults.crash(node, node == one ? 100 : 7_000);
                 }
-                scenario.play(14_000);
+                scenario.advance(14_000);
             }
             assertTrue(changes > 0, "seed " + seed + ": the lead never went over");
-            scenario.play(100_000);
+            scenario.advance(100_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
     }
@@ -288,25 +288,25 @@
 
     private static ClusterScenario outOfReach(int seed, Predicate<String> hidden) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.length = 6;
-        scenario.cancelledOf = 3;
-        scenario.state.hidden = hidden;
-        scenario.play(5_000);
-        scenario.submitArrays(10, 10_000);
-        scenario.play(30_000);
+        scenario.workload.durationFactor = 6;
+        scenario.users.cancelOneIn = 3;
+        scenario.store.hidden = hidden;
+        scenario.advance(5_000);
+        scenario.workload.submitBatchJobs(10, 10_000);
+        scenario.advance(30_000);
         for (FakeAgent w : scenario.cloud.workers()) {
             int how = scenario.world.random.nextInt(3);
             for (int node = 0; node < 3; node++) {
                 if (how == 0) {
-                    scenario.deafen(w, node, 12_000);
+                    scenario.network.dropInbound(w, node, 12_000);
                 } else if (how == 1) {
                     scenario.world.cut(w.name, "p" + node + ":1", 12_000);
                     scenario.world.cut("bothy-" + node, w.addr, 12_000);
                 }
             }
         }
-        scenario.crashAll();
-        scenario.play(360_000);
+        scenario.faults.crashAll();
+        scenario.advance(360_000);
         return scenario;
     }
 
@@ -317,9 +317,9 @@
     void oldReportsSayNothingToAnyLeader() {
         for (int seed = 1; seed <= 20; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.length = 3;
-            scenario.cancelledOf = 2;
-            scenario.submitSome(25, 100_000);
+            scenario.workload.durationFactor = 3;
+            scenario.users.cancelOneIn = 2;
+            scenario.workload.submitJobs(25, 100_000);
             scenario.world.copyShare = 0.5;
             for (int i = 0; i < 8; i++) {
                 boolean anew = i % 2 == 0;
@@ -330,9 +330,9 @@
                                 .forEach(w -> w.restart(300, anew)));
                 scenario.world.at(
                         20_000 + 12_000 * i + scenario.world.random.nextInt(6_000),
-                        () -> scenario.crash(scenario.leader(), 300));
+                        () -> scenario.faults.crash(scenario.leaderIndex(), 300));
             }
-            scenario.play(240_000);
+            scenario.advance(240_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
     }
@@ -366,16 +366,16 @@
 
     private static ClusterScenario lateTransactions(int seed, String kind, boolean careless) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.state.careless = careless;
-        scenario.cancelledOf = 2;
-        scenario.submitSome(25, 100_000);
+        scenario.store.careless = careless;
+        scenario.users.cancelOneIn = 2;
+        scenario.workload.submitJobs(25, 100_000);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
         scenario.world.at(15_000, () -> scenario.world.lateWriteShare = 0.5);
         for (int i = 0; i < 5; i++) {
-            scenario.world.at(25_000 + 18_000 * i, () -> scenario.crash(scenario.leader(), 400));
+            scenario.world.at(25_000 + 18_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
         }
         scenario.world.at(130_000, () -> scenario.world.lateWriteShare = 0);
-        scenario.play(300_000);
+        scenario.advance(300_000);
         return scenario;
     }
 
@@ -387,43 +387,48 @@
     void wrongAndDoubledRequestsWhileACancellationIsInDoubt() {
         for (int seed = 1; seed <= 5; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-            int leader = scenario.leader();
+            int leader = scenario.leaderIndex();
             cancelWithoutAnswer(scenario, leader);
-            scenario.state.outage(OUTAGE_MS);
-            scenario.play(5_000);
+            scenario.store.outage(OUTAGE_MS);
+            scenario.advance(5_000);
             for (int node = 0; node < 3; node++) {
                 assertEquals(
                         503,
-                        scenario.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                        scenario.users
+                                .requestAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
                                 .status(),
                         "nobody can know");
                 assertEquals(
                         404,
-                        scenario.askAt(node, "POST", "/submissions/nonsense/withdraw", Codec.object())
+                        scenario.users
+                                .requestAt(node, "POST", "/submissions/nonsense/withdraw", Codec.object())
                                 .status());
             }
             assertEquals(
                     503,
-                    scenario.askAt(leader, "GET", "/submissions/req-000000", null)
+                    scenario.users
+                            .requestAt(leader, "GET", "/submissions/req-000000", null)
                             .status(),
                     "the leader can't know");
-            scenario.play(OUTAGE_MS);
+            scenario.advance(OUTAGE_MS);
             for (int node = 0; node < 3; node++) {
                 assertEquals(
                         404,
-                        scenario.askAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                        scenario.users
+                                .requestAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
                                 .status());
                 assertEquals(
                         "aborted",
-                        scenario.askAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())
+                        scenario.users
+                                .requestAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())
                                 .body()
                                 .path("status")
                                 .asText());
             }
             for (int node = 0; node < 3; node++) {
-                scenario.withdrawAt(node, "req-000001"); // at all three at once
+                scenario.users.cancelAt(node, "req-000001"); // at all three at once
             }
-            scenario.play(10_000);
+            scenario.advance(10_000);
             assertTrue(scenario.checker.isOver("req-000001"));
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
@@ -443,16 +448,16 @@
 
     static ClusterScenario drawn(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.length = seed % 2 == 0 ? 4 : 1;
-        scenario.cancelledOf = 2;
-        scenario.zoneBound = true;
-        scenario.controllerInZone(seed % 3, "b");
-        scenario.submitSome(25, 120_000);
-        scenario.drawMeetings(4, 20_000, 110_000);
-        scenario.play(CALM_MS);
+        scenario.workload.durationFactor = seed % 2 == 0 ? 4 : 1;
+        scenario.users.cancelOneIn = 2;
+        scenario.workload.hasZoneConstraints = true;
+        scenario.placeControllerInZone(seed % 3, "b");
+        scenario.workload.submitJobs(25, 120_000);
+        scenario.randomFaults.scheduleCombinedFaults(4, 20_000, 110_000);
+        scenario.advance(CALM_MS);
         scenario.checker.calm(scenario.world.now);
-        scenario.submitSome(8, 10_000);
-        scenario.play(StarvationChecker.NEGLECTED_MS + 15_000);
+        scenario.workload.submitJobs(8, 10_000);
+        scenario.advance(StarvationChecker.NEGLECTED_MS + 15_000);
         return scenario;
     }
 
@@ -465,25 +470,25 @@
     void aLeaderThatReadsAllRecordsAgainTakesUpNothingThatIsOver() {
         for (int seed = 1; seed <= 4; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.cancelledOf = 1_000_000;
-            scenario.play(5_000);
-            scenario.length = 0.5;
-            scenario.submitArrays(40, 60_000);
+            scenario.users.cancelOneIn = 1_000_000;
+            scenario.advance(5_000);
+            scenario.workload.durationFactor = 0.5;
+            scenario.workload.submitBatchJobs(40, 60_000);
             for (long at = 15_000; at < 80_000; at += 1_500) {
                 scenario.world.at(at, () -> {
                     scenario.world.slow("state:1", 900, 1_300);
-                    scenario.state.forgetChanges();
+                    scenario.store.forgetChanges();
                 });
             }
             Map<String, Long> completeAt = new TreeMap<>();
             while (scenario.world.now < 100_000) {
-                scenario.play(50);
+                scenario.advance(50);
                 scenario.checker.submitted.keySet().stream()
                         .filter(scenario.checker::isComplete)
                         .forEach(id -> completeAt.putIfAbsent(id, scenario.world.now));
                 completeAt.forEach((id, at) -> {
                     if (scenario.world.now - at < 6_000) {
-                        scenario.look(id);
+                        scenario.users.queryAllControllers(id);
                     }
                 });
             }
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -37,12 +37,12 @@
 
         Watched(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
             scenario = new ClusterScenario(seed, SIZE, null, null, version);
-            scenario.play(3_000);
-            scenario.submitLasting(30);
-            scenario.submitSome(20, 60_000);
-            scenario.play(70_000);
-            scenario.sockets = sockets;
-            scenario.costMs = 1.2;
+            scenario.advance(3_000);
+            scenario.workload.submitUncancelledServices(30);
+            scenario.workload.submitJobs(20, 60_000);
+            scenario.advance(70_000);
+            scenario.socketLimit = sockets;
+            scenario.costPerTaskMs = 1.2;
             leaderRecord = leaderStamp();
             scenario.world.sending = (from, call) -> {
                 if (call.path().equals("/hosts/return")) {
@@ -52,7 +52,7 @@
         }
 
         private long leaderStamp() {
-            return scenario.state.data("h/roster").path("member").asLong();
+            return scenario.store.data("h/roster").path("member").asLong();
         }
 
         /** One that runs services is neither idle nor more than is needed. */
@@ -66,7 +66,7 @@
 
         Watched play(long ms) {
             for (long t = 0; t < ms; t += 100) {
-                scenario.play(100);
+                scenario.advance(100);
                 if (leaderStamp() != leaderRecord) {
                     leaderRecord = leaderStamp();
                     changes.add(scenario.world.now);
@@ -79,7 +79,7 @@
     /** All controllers end, and come back with few sockets and little processor time. */
     private static Watched crashOfAll(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
         Watched w = new Watched(seed, version, sockets);
-        w.scenario.crashAll();
+        w.scenario.faults.crashAll();
         return w.play(90_000);
     }
 
@@ -106,10 +106,10 @@
             Watched w = new Watched(seed, NEW, SOCKETS);
             for (int node = 0; node < 3; node++) {
                 int n = node;
-                w.scenario.world.at(1_000 + 20_000 * node, () -> w.scenario.crash(n, 6_000));
+                w.scenario.world.at(1_000 + 20_000 * node, () -> w.scenario.faults.crash(n, 6_000));
             }
-            w.scenario.world.at(65_000, () -> w.scenario.state.outage(12_000));
-            w.scenario.world.at(90_000, () -> w.scenario.freeze(w.scenario.leader(), 7_000));
+            w.scenario.world.at(65_000, () -> w.scenario.store.outage(12_000));
+            w.scenario.world.at(90_000, () -> w.scenario.faults.freeze(w.scenario.leaderIndex(), 7_000));
             w.play(160_000);
             assertTrue(w.changes.size() <= 5, "seed " + seed + ": the lead changed at " + w.changes);
             assertEquals(Set.of(), w.wellReturned, "seed " + seed);
--- a/src/test/java/org/hollypick/sim/DeterminismTest.java
+++ b/src/test/java/org/hollypick/sim/DeterminismTest.java
@@ -24,13 +24,13 @@
                     seed,
                     seed % 3 == 0 ? 12 : 1,
                     null,
-                    new ClusterScenario.Limits(2_048, 4, 25),
+                    new StoreLimits(2_048, 4, 25),
                     (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
-            scenario.submitSome(30, 100_000);
-            scenario.pipelines(6, 90_000);
-            scenario.world.at(60_000, scenario::tighten);
-            scenario.drawFaults(9, 20_000, 150_000);
-            scenario.play(240_000);
+            scenario.workload.submitJobs(30, 100_000);
+            scenario.pipelines.submitPipelines(6, 90_000);
+            scenario.world.at(60_000, scenario::tightenStoreLimits);
+            scenario.randomFaults.scheduleFaults(9, 20_000, 150_000);
+            scenario.advance(240_000);
             digests.add(scenario.world.digest());
         }
         return digests;
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -35,8 +35,7 @@
             List<GraphUser> users,
             boolean cancels,
             Consumer<ClusterScenario> troubles) {
-        ClusterScenario scenario =
-                new ClusterScenario(seed, 1, null, new ClusterScenario.Limits(2_048, 4, 25), version);
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, new StoreLimits(2_048, 4, 25), version);
         for (int i = 0; i < 5; i++) {
             GraphUser u = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
             users.add(u);
@@ -47,9 +46,9 @@
                 scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), u::withdrawNode);
             }
         }
-        scenario.submitSome(8, 60_000);
+        scenario.workload.submitJobs(8, 60_000);
         troubles.accept(scenario);
-        scenario.play(330_000);
+        scenario.advance(330_000);
         return scenario;
     }
 
@@ -71,9 +70,10 @@
         int refused = 0;
         for (int seed = 1; seed <= 150; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            ClusterScenario scenario = day(seed, NEW, users, true, d -> d.drawFaults(6, 10_000, 120_000));
+            ClusterScenario scenario =
+                    day(seed, NEW, users, true, cluster -> cluster.randomFaults.scheduleFaults(6, 10_000, 120_000));
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
-            assertEquals(0, scenario.state.tooLarge, "seed " + seed);
+            assertEquals(0, scenario.store.tooLarge, "seed " + seed);
             for (GraphUser u : users) {
                 over += u.told.equals("done") || u.told.equals("aborted") ? 1 : 0;
                 refused += u.refusedChildren;
@@ -123,7 +123,7 @@
                         ON),
                 d -> {
                     for (int i = 0; i < 8; i++) {
-                        d.world.at(15_000 + i * 11_000, () -> d.crash(d.leader(), 4_000));
+                        d.world.at(15_000 + i * 11_000, () -> d.faults.crash(d.leaderIndex(), 4_000));
                     }
                 }));
     }
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -26,34 +26,34 @@
     void aHundredThousandNodesAreRecordedAndTakenOver() {
         ClusterScenario scenario = new ClusterScenario(
                 1, 4, null, null, (r, s) -> new Controller(r, s, OperatorSettings.parse("{:graphs true}")));
-        scenario.play(5_000);
-        int before = scenario.leader();
+        scenario.advance(5_000);
+        int before = scenario.leaderIndex();
         long from = scenario.world.now;
-        int changes = scenario.state.changes;
+        int changes = scenario.store.changes;
         for (int first = 0; first < NODES; first += A_CALL) {
             submit(scenario, first, Math.min(NODES, first + A_CALL));
         }
         double seconds = (scenario.world.now - from) / 1000.0;
-        int written = scenario.state.changes - changes;
-        assertEquals(before, scenario.leader(), "the hold was renewed all along");
-        assertEquals(0, scenario.state.tooLarge);
+        int written = scenario.store.changes - changes;
+        assertEquals(before, scenario.leaderIndex(), "the hold was renewed all along");
+        assertEquals(0, scenario.store.tooLarge);
         int records = 0;
         long bytes = 0;
-        for (String key : scenario.state.keys()) {
+        for (String key : scenario.store.keys()) {
             if (key.startsWith("h/x/")) {
                 records++;
-                bytes += scenario.state.data(key).toString().length();
+                bytes += scenario.store.data(key).toString().length();
             }
         }
         assertTrue(written / seconds < 60, "changes a second: " + written / seconds);
-        scenario.play(60_000);
+        scenario.advance(60_000);
         int started = scenario.checker.starts;
         assertTrue(started > 100, "started " + started);
         long cpu = System.nanoTime();
-        scenario.crash(scenario.leader(), 60_000);
+        scenario.faults.crash(scenario.leaderIndex(), 60_000);
         long crashed = scenario.world.now;
-        while (scenario.checker.starts == started || scenario.leader() == before) {
-            scenario.play(50);
+        while (scenario.checker.starts == started || scenario.leaderIndex() == before) {
+            scenario.advance(50);
             assertTrue(scenario.world.now - crashed < 60_000, "nothing started after the takeover");
         }
         System.out.printf(
@@ -95,9 +95,9 @@
         Response[] answer = {null};
         while (answer[0] == null || answer[0].status() == 503 || answer[0].status() <= 0) {
             answer[0] = null;
-            scenario.raw("POST", "/graphs", Codec.write(call, false), r -> answer[0] = r);
+            scenario.users.sendRaw("POST", "/graphs", Codec.write(call, false), r -> answer[0] = r);
             while (answer[0] == null) {
-                scenario.play(10);
+                scenario.advance(10);
             }
         }
         assertTrue(answer[0].status() <= 202, answer[0].toString());
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -76,14 +76,14 @@
             }
         };
         int jobs = 26;
-        scenario.submitLasting(jobs);
-        scenario.submitSome(jobs * 6, WARM_MS + MEASURED_MS);
-        scenario.play(WARM_MS);
+        scenario.workload.submitUncancelledServices(jobs);
+        scenario.workload.submitJobs(jobs * 6, WARM_MS + MEASURED_MS);
+        scenario.advance(WARM_MS);
         meters.values().forEach(m -> m.by.clear());
         state[0] = 0;
         state[1] = 0;
-        scenario.play(MEASURED_MS);
-        String leaderAtFirst = "bothy-" + scenario.leader();
+        scenario.advance(MEASURED_MS);
+        String leaderAtFirst = "bothy-" + scenario.leaderIndex();
         StringBuilder by = new StringBuilder();
         double[] all = new double[2];
         meters.forEach((node, m) -> m.by.forEach((activity, sum) -> {
@@ -103,22 +103,22 @@
         java.lang.Runtime vm = java.lang.Runtime.getRuntime();
         long heap = (vm.totalMemory() - vm.freeMemory()) >> 20;
         meters.values().forEach(m -> m.by.clear());
-        scenario.limit(SOCKETS, COST_MS);
-        scenario.crash(scenario.leader(), 60_000);
+        scenario.limitControllers(SOCKETS, COST_MS);
+        scenario.faults.crash(scenario.leaderIndex(), 60_000);
         long from = scenario.world.now;
         long led = 0;
         long half = 0;
         long known = 0;
         while (scenario.world.now < from + TAKEOVER_MS) {
-            scenario.play(50);
-            long token = scenario.state.stamp("h/roster");
-            led = led == 0 && !scenario.lead().equals(leaderAtFirst) ? scenario.world.now : led;
+            scenario.advance(50);
+            long token = scenario.store.stamp("h/roster");
+            led = led == 0 && !scenario.leaderName().equals(leaderAtFirst) ? scenario.world.now : led;
             List<FakeAgent> workers = scenario.cloud.workers();
             long seen = workers.stream().filter(w -> w.token >= token).count();
             half = half == 0 && led > 0 && seen >= 0.5 * workers.size() ? scenario.world.now : half;
             known = known == 0 && led > 0 && seen >= 0.99 * workers.size() ? scenario.world.now : known;
         }
-        Meter next = meters.get("bothy-" + scenario.leader());
+        Meter next = meters.get("bothy-" + scenario.leaderIndex());
         double reload = next.by.values().stream().mapToLong(s -> s[0]).sum() / 1e6;
         System.out.printf(
                 Locale.ROOT,
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -28,23 +28,23 @@
     private static ClusterScenario standstill(
             int seed, long freezeMs, long restartMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 6, null, null, version);
-        scenario.submitSome(80, 110_000);
+        scenario.workload.submitJobs(80, 110_000);
         boolean[] armed = {false};
         scenario.world.sending = (from, call) -> {
             if (armed[0] && call.path().equals("/reports")) {
                 armed[0] = false;
-                int leader = scenario.leader();
+                int leader = scenario.leaderIndex();
                 int other = Integer.parseInt(from.substring("bothy-".length()));
                 // It hears of the new leader record later still.
-                scenario.freeze(other, freezeMs);
+                scenario.faults.freeze(other, freezeMs);
                 scenario.world.cut(from, "state:1", 12_000);
-                scenario.world.at(40, () -> scenario.crash(leader, restartMs));
+                scenario.world.at(40, () -> scenario.faults.crash(leader, restartMs));
             }
         };
         for (int i = 0; i < 5; i++) {
             scenario.world.at(20_000 + 20_000 * i, () -> armed[0] = true);
         }
-        scenario.play(140_000);
+        scenario.advance(140_000);
         return scenario;
     }
 
@@ -123,17 +123,17 @@
     @Test
     void aNewLeaderHearsOfMachinesThroughTheOthers() {
         ClusterScenario scenario = new ClusterScenario(5, 8);
-        scenario.play(3_000);
-        scenario.submitLasting(12);
-        scenario.play(60_000);
+        scenario.advance(3_000);
+        scenario.workload.submitUncancelledServices(12);
+        scenario.advance(60_000);
         int lost = scenario.checker.lost;
-        scenario.crash(scenario.leader(), 40_000);
-        scenario.play(12_000);
-        long token = scenario.state.stamp("h/roster");
+        scenario.faults.crash(scenario.leaderIndex(), 40_000);
+        scenario.advance(12_000);
+        long token = scenario.store.stamp("h/roster");
         assertTrue(
                 scenario.cloud.workers().stream().allMatch(w -> w.token >= token),
                 "every machine has seen the new leader's token");
-        scenario.play(60_000);
+        scenario.advance(60_000);
         assertEquals(lost, scenario.checker.lost);
         assertEquals(List.of(), scenario.checker.broken);
     }
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -24,9 +24,9 @@
 
     private static ClusterScenario day(long seed, int services) {
         ClusterScenario day = new ClusterScenario(seed, 4);
-        day.play(5_000);
-        day.submitLasting(services);
-        day.play(40_000);
+        day.advance(5_000);
+        day.workload.submitUncancelledServices(services);
+        day.advance(40_000);
         return day;
     }
 
@@ -57,12 +57,12 @@
     void aDeafZoneHoldsUpATakeoverForALeaseAtMost() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed, 5);
-            day.submitArrays(12, 1_000);
+            day.workload.submitBatchJobs(12, 1_000);
             day.world.at(1_500, () -> {
-                zone(day).forEach(w -> day.deafen(w, FIVE_MINUTES_MS));
-                day.crashAll();
+                zone(day).forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
+                day.faults.crashAll();
             });
-            day.play(2 * LEASE_MS + 120_000);
+            day.advance(2 * LEASE_MS + 120_000);
             assertOver(day, seed);
         }
     }
@@ -76,12 +76,12 @@
     void whatAWorkerThatBeganAgainWasGivenIsWaitedForByItsOwnLease() {
         for (int seed = 1; seed <= 3; seed++) {
             ClusterScenario day = day(seed);
-            day.length = 6;
+            day.workload.durationFactor = 6;
             List<FakeAgent> some = zone(day);
-            day.mute(some.stream().map(w -> w.name).toList(), 60_000);
+            day.network.delayHeartbeats(some.stream().map(w -> w.name).toList(), 60_000);
             day.world.at(6_000, () -> some.forEach(w -> w.restart(200, false)));
-            day.world.at(7_000, () -> day.submitArrays(8, 1_000));
-            day.play(300_000);
+            day.world.at(7_000, () -> day.workload.submitBatchJobs(8, 1_000));
+            day.advance(300_000);
             assertOver(day, seed);
         }
     }
@@ -95,7 +95,7 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed);
             List<FakeAgent> deaf = zone(day);
-            deaf.forEach(w -> day.deafen(w, FIVE_MINUTES_MS));
+            deaf.forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
             Set<String> launches = new HashSet<>();
             Set<String> addresses = deaf.stream().map(w -> w.addr).collect(Collectors.toSet());
             day.world.at(
@@ -111,8 +111,8 @@
                             launches.remove("");
                         }
                     });
-            day.submitArrays(20, 100_000);
-            day.play(270_000);
+            day.workload.submitBatchJobs(20, 100_000);
+            day.advance(270_000);
             assertOver(day, seed);
             assertTrue(
                     launches.size() <= deaf.size(),
@@ -127,8 +127,8 @@
             ClusterScenario day = day(seed, 5);
             List<FakeAgent> some = zone(day);
             int lost = day.checker.lost;
-            some.forEach(w -> day.deafen(w, 8_000));
-            day.play(60_000);
+            some.forEach(w -> day.network.dropInbound(w, 8_000));
+            day.advance(60_000);
             assertEquals(lost, day.checker.lost, "seed " + seed);
             assertTrue(
                     day.cloud
@@ -151,9 +151,9 @@
             List<FakeAgent> some = new ArrayList<>(day.cloud.workers());
             some.removeIf(w -> w.name.hashCode() % 2 == 0);
             int node = seed % 3;
-            some.forEach(w -> day.deafen(w, node, 120_000));
-            day.submitArrays(10, 60_000);
-            day.play(150_000);
+            some.forEach(w -> day.network.dropInbound(w, node, 120_000));
+            day.workload.submitBatchJobs(10, 60_000);
+            day.advance(150_000);
             assertEquals(lost, day.checker.lost, "seed " + seed);
             assertOver(day, seed);
         }
@@ -168,18 +168,18 @@
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario day = day(seed);
             day.world.copyShare = 0.5;
-            day.submitArrays(40, 120_000);
-            day.play(30_000);
+            day.workload.submitBatchJobs(40, 120_000);
+            day.advance(30_000);
             List<FakeAgent> some = new ArrayList<>(day.cloud.workers().subList(0, 4));
             some.subList(0, 2).forEach(w -> w.hang(60_000));
             some.subList(2, 4).forEach(day.cloud::take);
             List<String> hung = some.subList(0, 2).stream().map(w -> w.name).toList();
-            day.play(16_000);
+            day.advance(16_000);
             assertTrue(
                     hung.stream().noneMatch(day.cloud.names()::contains),
                     "seed " + seed + ": a copy kept a machine that hangs");
-            day.crashAll();
-            day.play(150_000);
+            day.faults.crashAll();
+            day.advance(150_000);
             assertOver(day, seed);
         }
     }
@@ -200,12 +200,12 @@
             int before = day.checker.running();
             some.forEach(w -> w.restart(50 + day.world.random.nextInt(250), anew));
             if (seed % 3 == 0) {
-                day.crash(day.leader(), 100); // in the middle of an election
+                day.faults.crash(day.leaderIndex(), 100); // in the middle of an election
             }
-            day.play(2 * LEASE_MS);
+            day.advance(2 * LEASE_MS);
             assertEquals(before, day.checker.running(), "seed " + seed + ": replicas run again");
-            day.submitArrays(20, 30_000);
-            day.play(120_000);
+            day.workload.submitBatchJobs(20, 30_000);
+            day.advance(120_000);
             assertOver(day, seed);
         }
     }
@@ -216,17 +216,17 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed);
             int lost = day.checker.lost;
-            int node = seed % 2 == 0 ? day.leader() : (day.leader() + 1) % 3;
-            day.cutFromStateAndPeers(node, 60_000);
-            day.submitArrays(10, 30_000);
-            day.play(9_000);
-            assertEquals(503, day.ready(node), "seed " + seed);
-            assertTrue(day.leader() != node, "seed " + seed);
-            assertEquals(200, day.ready(day.leader()), "seed " + seed);
-            day.play(60_000);
-            assertEquals(200, day.ready(node), "seed " + seed);
+            int node = seed % 2 == 0 ? day.leaderIndex() : (day.leaderIndex() + 1) % 3;
+            day.network.partitionFromStoreAndPeers(node, 60_000);
+            day.workload.submitBatchJobs(10, 30_000);
+            day.advance(9_000);
+            assertEquals(503, day.users.readinessStatus(node), "seed " + seed);
+            assertTrue(day.leaderIndex() != node, "seed " + seed);
+            assertEquals(200, day.users.readinessStatus(day.leaderIndex()), "seed " + seed);
+            day.advance(60_000);
+            assertEquals(200, day.users.readinessStatus(node), "seed " + seed);
             assertEquals(lost, day.checker.lost, "seed " + seed);
-            day.play(60_000);
+            day.advance(60_000);
             assertOver(day, seed);
         }
     }
@@ -248,11 +248,11 @@
 
     private static ClusterScenario drawn(long seed, String withheld) {
         ClusterScenario day = new ClusterScenario(seed, 2);
-        day.submitSome(25, 90_000);
-        day.drawFaults(12, 20_000, 100_000);
-        day.world.at(100_000, () -> day.withheld = withheld);
+        day.workload.submitJobs(25, 90_000);
+        day.randomFaults.scheduleFaults(12, 20_000, 100_000);
+        day.world.at(100_000, () -> day.unavailableJob = withheld);
         day.world.at(195_000, () -> day.checker.calm(day.world.now));
-        day.play(300_000);
+        day.advance(300_000);
         return day;
     }
 
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/InvalidRequests.java
@@ -0,0 +1,64 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Submissions that can't be accepted, each sent twice to all controllers: the answers must agree. */
+final class InvalidRequests {
+    private static final int BAD_REQUEST = 400;
+    private static final int UNPROCESSABLE = 422;
+    private static final int SENT_WITHIN_MS = 3_000;
+
+    private final ClusterScenario scenario;
+    private final SimulatedWorld world;
+
+    InvalidRequests(ClusterScenario scenario) {
+        this.scenario = scenario;
+        this.world = scenario.world;
+    }
+
+    /** Submits invalid jobs at random moments. */
+    void submit(int count, long withinMs) {
+        for (int i = 0; i < count; i++) {
+            String id = "req-8" + String.format("%05d", i);
+            world.at(world.random.nextInt((int) withinMs), () -> submitInvalidJob(id));
+        }
+    }
+
+    private void submitInvalidJob(String id) {
+        ObjectNode job = JobDescription.batch(id, 1, 5);
+        int expectedStatus = makeInvalid(job);
+        for (int i = 0; i < scenario.controllers.size(); i++) {
+            int controller = i;
+            Runnable send = () -> scenario.users.send(
+                    controller,
+                    "POST",
+                    UserProtocol.SUBMISSIONS,
+                    job,
+                    response -> scenario.checker.neverAccepted(id, expectedStatus, response.status()));
+            world.at(world.random.nextInt(SENT_WITHIN_MS), send);
+            world.at(world.random.nextInt(SENT_WITHIN_MS), send);
+        }
+    }
+
+    /** Returns the status that such a job must be answered with. */
+    private int makeInvalid(ObjectNode job) {
+        switch (world.random.nextInt(6)) {
+            case 0 -> job.put(UserProtocol.TEAM, "nobody");
+            case 1 -> job.put(UserProtocol.CORES, FakeCloud.CPUS + 1.0);
+            case 2 -> job.put(UserProtocol.ZONE, "nowhere");
+            case 3 -> job.putArray(UserProtocol.MACHINE_TYPES).add("none");
+            case 4 ->
+                job.put(UserProtocol.SHAPE, UserProtocol.SERVICE)
+                        .put(UserProtocol.TASK_COUNT, (int) (ClusterScenario.TEAM_CORES * scenario.size) + 1);
+            default -> {
+                List<String> fields = new ArrayList<>();
+                job.fieldNames().forEachRemaining(fields::add);
+                job.remove(fields.get(world.random.nextInt(fields.size())));
+                return BAD_REQUEST;
+            }
+        }
+        return UNPROCESSABLE;
+    }
+}
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -13,8 +13,8 @@
     @Test
     void aQuietDayRunsEverything() {
         ClusterScenario scenario = new ClusterScenario(1);
-        scenario.submitSome(40, 60_000);
-        scenario.play(200_000);
+        scenario.workload.submitJobs(40, 60_000);
+        scenario.advance(200_000);
         assertEquals(List.of(), scenario.checker.broken);
         assertTrue(scenario.checker.completed > 30, "completed " + scenario.checker.completed);
         scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isOver(id), id));
@@ -25,9 +25,9 @@
         int starts = 0;
         for (int seed = 100; seed < 100 + DAYS; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.submitSome(25, 120_000);
-            scenario.drawFaults(10, 20_000, 150_000);
-            scenario.play(220_000);
+            scenario.workload.submitJobs(25, 120_000);
+            scenario.randomFaults.scheduleFaults(10, 20_000, 150_000);
+            scenario.advance(220_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             starts += scenario.checker.starts;
         }
@@ -37,10 +37,10 @@
     @Test
     void everyAcceptedJobEndsAfterTheLossOfAllControllers() {
         ClusterScenario scenario = new ClusterScenario(7);
-        scenario.submitSome(15, 30_000);
-        scenario.world.at(35_000, () -> scenario.state.outage(15_000));
-        scenario.world.at(40_000, scenario::crashAll);
-        scenario.play(300_000);
+        scenario.workload.submitJobs(15, 30_000);
+        scenario.world.at(35_000, () -> scenario.store.outage(15_000));
+        scenario.world.at(40_000, scenario.faults::crashAll);
+        scenario.advance(300_000);
         assertEquals(List.of(), scenario.checker.broken);
         scenario.checker
                 .submitted
@@ -55,12 +55,12 @@
     @Test
     void runningWorkSurvivesALongOutageOfTheStateService() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.state.outage(60_000);
-        scenario.play(5_000);
+        scenario.store.outage(60_000);
+        scenario.advance(5_000);
         int lost = scenario.checker.lost;
-        scenario.play(54_000);
+        scenario.advance(54_000);
         assertEquals(lost, scenario.checker.lost);
-        scenario.play(120_000);
+        scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.broken);
     }
 
@@ -68,13 +68,13 @@
     @Test
     void withoutAllPromisesNobodyActsInAnOutage() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.world.at(100, () -> scenario.crash(0, 90_000));
-        scenario.state.outage(60_000);
-        scenario.play(5_000);
+        scenario.world.at(100, () -> scenario.faults.crash(0, 90_000));
+        scenario.store.outage(60_000);
+        scenario.advance(5_000);
         int lost = scenario.checker.lost;
-        scenario.play(54_000);
+        scenario.advance(54_000);
         assertTrue(scenario.checker.lost > lost);
-        scenario.play(120_000);
+        scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.broken);
     }
 
@@ -83,9 +83,9 @@
     void largeDaysWithFaultsKeepTheRules() {
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed, 12);
-            scenario.submitSome(40, 100_000);
-            scenario.drawFaults(14, 20_000, 150_000);
-            scenario.play(240_000);
+            scenario.workload.submitJobs(40, 100_000);
+            scenario.randomFaults.scheduleFaults(14, 20_000, 150_000);
+            scenario.advance(240_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             assertTrue(scenario.checker.starts > 500, "seed " + seed + " started " + scenario.checker.starts);
         }
@@ -95,12 +95,12 @@
     @Test
     void aLeaderCutOffFromTheMachinesLeavesTheLeadToAnother() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leader();
+        int before = scenario.leaderIndex();
         int lost = scenario.checker.lost;
-        scenario.cutFromWorkers(before, 40_000);
-        scenario.play(14_000);
-        assertTrue(scenario.leader() != before);
-        scenario.play(60_000);
+        scenario.network.partitionFromAgents(before, 40_000);
+        scenario.advance(14_000);
+        assertTrue(scenario.leaderIndex() != before);
+        scenario.advance(60_000);
         assertEquals(lost, scenario.checker.lost);
         assertEquals(List.of(), scenario.checker.broken);
     }
@@ -112,15 +112,15 @@
     @Test
     void aLeaderThatAloneCantReachTheStateServiceGoesOnByAnother() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leader();
+        int before = scenario.leaderIndex();
         scenario.world.cut("bothy-" + before, "state:1", 40_000);
-        scenario.submitSome(10, 20_000);
+        scenario.workload.submitJobs(10, 20_000);
         for (int i = 0; i < 300; i++) {
-            scenario.play(100);
-            assertEquals(before, scenario.leader());
+            scenario.advance(100);
+            assertEquals(before, scenario.leaderIndex());
         }
-        assertEquals(200, scenario.ready(before), "users are served there too");
-        scenario.play(60_000);
+        assertEquals(200, scenario.users.readinessStatus(before), "users are served there too");
+        scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.broken);
         scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isAccepted(id), id));
     }
@@ -129,16 +129,16 @@
     @Test
     void aLeaderWithoutAnyWayToTheStateServiceIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leader();
+        int before = scenario.leaderIndex();
         scenario.world.cut("bothy-" + before, "state:1", 40_000);
         for (int other = 0; other < 3; other++) {
             scenario.world.cut("bothy-" + before, "m" + other + ":1", 4_500);
         }
-        scenario.play(8_000);
-        assertTrue(scenario.leader() != before);
-        assertEquals(200, scenario.ready((before + 1) % 3));
-        scenario.play(90_000);
-        assertEquals(200, scenario.ready(before));
+        scenario.advance(8_000);
+        assertTrue(scenario.leaderIndex() != before);
+        assertEquals(200, scenario.users.readinessStatus((before + 1) % 3));
+        scenario.advance(90_000);
+        assertEquals(200, scenario.users.readinessStatus(before));
         assertEquals(List.of(), scenario.checker.broken);
     }
 
@@ -146,10 +146,10 @@
     @Test
     void inAnOutageAllStayReady() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.state.outage(30_000);
-        scenario.play(12_000);
+        scenario.store.outage(30_000);
+        scenario.advance(12_000);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, scenario.ready(node));
+            assertEquals(200, scenario.users.readinessStatus(node));
         }
     }
 
@@ -159,8 +159,8 @@
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.state.hidden = k -> k.startsWith("h/m/");
-            scenario.submitSome(25, 40_000);
+            scenario.store.hidden = k -> k.startsWith("h/m/");
+            scenario.workload.submitJobs(25, 40_000);
             scenario.world.at(
                     45_000,
                     () -> scenario.cloud.workers().forEach(w -> {
@@ -171,8 +171,8 @@
                             scenario.world.cut("bothy-" + i, w.addr, 12_000);
                         }
                     }));
-            scenario.world.at(46_000, scenario::crashAll);
-            scenario.play(120_000);
+            scenario.world.at(46_000, scenario.faults::crashAll);
+            scenario.advance(120_000);
             noticed = scenario.checker.broken.stream().anyMatch(b -> b.startsWith("ran_twice"));
         }
         assertTrue(noticed);
@@ -184,13 +184,13 @@
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.state.holdShare = 0.2;
-            scenario.submitSome(25, 60_000);
+            scenario.store.holdShare = 0.2;
+            scenario.workload.submitJobs(25, 60_000);
             for (int i = 0; i < 12; i++) {
                 int node = i % 3;
                 scenario.world.at(20_000 + 8_000 * i, () -> scenario.world.cut("bothy-" + node, "state:1", 6_000));
             }
-            scenario.play(120_000);
+            scenario.advance(120_000);
             noticed = !scenario.checker.broken.isEmpty();
         }
         assertTrue(noticed);
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -37,9 +37,9 @@
     private static ClusterScenario running(int seed) {
         ClusterScenario scenario = new ClusterScenario(
                 seed, 6, null, null, (r, s) -> new Controller(r, s, OperatorSettings.defaults()), LEASE_MS);
-        scenario.play(3_000);
-        scenario.submitLasting(5);
-        scenario.play(37_000);
+        scenario.advance(3_000);
+        scenario.workload.submitUncancelledServices(5);
+        scenario.advance(37_000);
         return scenario;
     }
 
@@ -61,17 +61,17 @@
                                 .forEach(w -> returned.add(w.name)));
             }
         };
-        scenario.links(links);
-        scenario.play(10_000);
+        scenario.network.apply(links);
+        scenario.advance(10_000);
         long from = scenario.world.now;
         int starts = scenario.checker.starts;
         int changes = 0;
-        long lead = scenario.state.data("h/roster").path("member").asLong();
+        long lead = scenario.store.data("h/roster").path("member").asLong();
         long startedAfter = Long.MAX_VALUE;
-        scenario.submitLasting(3);
+        scenario.workload.submitUncancelledServices(3);
         for (long t = 0; t < CUT_MS - 10_000; t += 100) {
-            scenario.play(100);
-            long leads = scenario.state.data("h/roster").path("member").asLong();
+            scenario.advance(100);
+            long leads = scenario.store.data("h/roster").path("member").asLong();
             changes += leads == lead ? 0 : 1;
             lead = leads;
             if (startedAfter == Long.MAX_VALUE && scenario.checker.starts > starts) {
@@ -79,8 +79,8 @@
             }
         }
         int lostInCut = scenario.checker.lost - lost;
-        scenario.links(null);
-        scenario.play(60_000);
+        scenario.network.apply(null);
+        scenario.advance(60_000);
         return new Outcome(links, lostInCut, startedAfter, changes, returned, scenario.checker.broken);
     }
 
@@ -113,17 +113,17 @@
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.submitSome(25, 100_000);
-            scenario.drawFaults(4, 20_000, 120_000);
+            scenario.workload.submitJobs(25, 100_000);
+            scenario.randomFaults.scheduleFaults(4, 20_000, 120_000);
             for (long at = 15_000; at < 130_000; at += 2_000 + scenario.world.random.nextInt(12_000)) {
                 // Most links are up at a time, or nothing would run.
                 int first = scenario.world.random.nextInt(LinkPattern.COUNT);
                 int second = scenario.world.random.nextInt(LinkPattern.COUNT);
                 LinkPattern links = new LinkPattern(first | second);
-                scenario.world.at(at, () -> scenario.links(links));
+                scenario.world.at(at, () -> scenario.network.apply(links));
             }
-            scenario.world.at(135_000, () -> scenario.links(null));
-            scenario.play(220_000);
+            scenario.world.at(135_000, () -> scenario.network.apply(null));
+            scenario.advance(220_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             starts += scenario.checker.starts;
         }
@@ -143,23 +143,23 @@
                 boolean down = i % 2 == 0;
                 scenario.world.at(
                         4_000L * i,
-                        () -> scenario.links(
+                        () -> scenario.network.apply(
                                 down
                                         ? new LinkPattern(
-                                                LinkPattern.COUNT - 1 & ~LinkPattern.machinesOf(scenario.leader()))
+                                                LinkPattern.COUNT - 1 & ~LinkPattern.machinesOf(scenario.leaderIndex()))
                                         : null));
             }
-            long lead = scenario.state.data("h/roster").path("member").asLong();
+            long lead = scenario.store.data("h/roster").path("member").asLong();
             int changes = 0;
             for (int t = 0; t < 600; t++) {
-                scenario.play(100);
-                long leads = scenario.state.data("h/roster").path("member").asLong();
+                scenario.advance(100);
+                long leads = scenario.store.data("h/roster").path("member").asLong();
                 changes += leads == lead ? 0 : 1;
                 lead = leads;
             }
             assertTrue(changes <= 4, "seed " + seed + " changes in a minute " + changes);
-            scenario.links(null);
-            scenario.play(40_000);
+            scenario.network.apply(null);
+            scenario.advance(40_000);
             assertEquals(lost, scenario.checker.lost, "seed " + seed);
             assertEquals(List.of(), scenario.checker.broken);
         }
@@ -174,28 +174,29 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = running(seed);
             int lost = scenario.checker.lost;
-            int leaderAtFirst = scenario.leader();
+            int leaderAtFirst = scenario.leaderIndex();
             int well = (leaderAtFirst + 1 + seed % 2) % 3;
             int other = 3 - leaderAtFirst - well;
             long[] gaveUpAt = {0};
             scenario.world.sending =
                     (from, call) -> gaveUpAt[0] = call.path().equals("/release") ? scenario.world.now : gaveUpAt[0];
             int cut = LinkPattern.machinesOf(leaderAtFirst) | LinkPattern.machinesOf(other);
-            scenario.links(new LinkPattern(LinkPattern.COUNT - 1 & ~cut));
+            scenario.network.apply(new LinkPattern(LinkPattern.COUNT - 1 & ~cut));
             // Controllers refuse each other soon after: from then on nobody tells anybody anything.
             scenario.world.at(
                     seed % 3 == 0 ? 2_000 : 7_000,
-                    () -> scenario.links(new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEERS)));
-            while (scenario.leader() == leaderAtFirst) {
-                scenario.play(10);
+                    () -> scenario.network.apply(
+                            new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEERS)));
+            while (scenario.leaderIndex() == leaderAtFirst) {
+                scenario.advance(10);
                 assertTrue(scenario.world.now < 60_000, "nobody took over");
             }
-            assertEquals(well, scenario.leader());
+            assertEquals(well, scenario.leaderIndex());
             long without = scenario.world.now - gaveUpAt[0];
             assertTrue(seed % 3 == 0 || without < 1_000, "seed " + seed + " without a leader for ms=" + without);
-            scenario.play(40_000);
-            scenario.links(null);
-            scenario.play(30_000);
+            scenario.advance(40_000);
+            scenario.network.apply(null);
+            scenario.advance(30_000);
             assertEquals(lost, scenario.checker.lost);
             assertEquals(List.of(), scenario.checker.broken);
         }
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -91,13 +91,13 @@
         threads.execute(() -> {
             while (!over) {
                 synchronized (scenario) {
-                    scenario.play(100);
+                    scenario.advance(100);
                 }
                 pause(); // a hundred times as fast as the clock: calls take real time
             }
         });
         synchronized (scenario) {
-            scenario.play(5_000);
+            scenario.advance(5_000);
         }
     }
 
@@ -132,9 +132,9 @@
             if (path.endsWith("/withdraw")) {
                 scenario.checker.withdrawing(path.split("/")[2]);
             }
-            scenario.raw(method, path, bytes, r -> answer[0] = r);
+            scenario.users.sendRaw(method, path, bytes, r -> answer[0] = r);
             for (int i = 0; answer[0] == null && i < 600; i++) {
-                scenario.play(10);
+                scenario.advance(10);
             }
             if (answer[0] == null) {
                 return Response.noResponse();
@@ -193,9 +193,12 @@
                     .put("expect_s", 0.0)
                     .put("bookmark_s", 0.0)
                     .put("stow_s", 0.0);
-            scenario.ask("POST", "/submissions", filler);
-            assertEquals(404, scenario.ask("GET", "/graphs/req-000900", null).status(), "a job is no graph");
-            scenario.play(40_000);
+            scenario.users.request("POST", "/submissions", filler);
+            assertEquals(
+                    404,
+                    scenario.users.request("GET", "/graphs/req-000900", null).status(),
+                    "a job is no graph");
+            scenario.advance(40_000);
         }
         Task large = new Task()
                 .cores(8)
@@ -244,7 +247,7 @@
                 .node("last", TASK, "first");
         HollypickClient.Graph graph = client.submit(spec).join();
         synchronized (scenario) {
-            scenario.crash(scenario.leader(), 8_000);
+            scenario.faults.crash(scenario.leaderIndex(), 8_000);
         }
         assertEquals("done", graph.over().join().status());
         assertEquals("[a, 1]", graph.result("first", List.class).join().toString());
@@ -362,6 +365,6 @@
             assertEquals(404, ask("GET", "/graphs/" + id, new byte[0]).status(), id);
         }
         assertEquals(404, ask("GET", "/graphs/../../x", new byte[0]).status());
-        assertNull(scenario.state.data("h/j/req-000933"));
+        assertNull(scenario.store.data("h/j/req-000933"));
     }
 }
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -104,10 +104,10 @@
         ClusterScenario day = day(order.seed, version);
         day.cloud.bootMs = order.bootMs;
         day.cloud.alternatingLists = true;
-        day.cancelledOf = 4;
+        day.users.cancelOneIn = 4;
         boolean slow = order.rental == Fate.ANSWER_LATE;
         Random random = day.world.random;
-        day.late = (from, call) -> {
+        day.network.requestDelay = (from, call) -> {
             boolean late = ((rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE)
                     || (registers(call) && order.registration == Fate.CARRIED_OUT_LATE);
             return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
@@ -115,13 +115,13 @@
         day.world.answerLost = call -> ((rents(call) && order.rental == Fate.ANSWER_LOST)
                         || (registers(call) && order.registration == Fate.ANSWER_LOST))
                 && random.nextBoolean();
-        day.play(5_000);
+        day.advance(5_000);
         day.world.slow("cloud:1", slow ? 3_000 : 0, 60_000);
         day.world.slow("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
         endLeaderAt(day, order, 2);
-        day.submitLasting(3);
-        day.submitArrays(8, 15_000);
-        day.play(100_000);
+        day.workload.submitUncancelledServices(3);
+        day.workload.submitBatchJobs(8, 15_000);
+        day.advance(100_000);
         return day;
     }
 
@@ -132,9 +132,9 @@
             if (due[0]) {
                 due[0] = false;
                 day.world.at(order.afterMs, () -> {
-                    day.crash(day.leader(), order.seed % 2 == 0 ? 150 : 6_000);
+                    day.faults.crash(day.leaderIndex(), order.seed % 2 == 0 ? 150 : 6_000);
                     if (times > 1) {
-                        day.atNextLeader(() -> endLeaderAt(day, order, times - 1));
+                        day.onNextFencingToken(() -> endLeaderAt(day, order, times - 1));
                     }
                 });
             }
@@ -246,37 +246,40 @@
      */
     private static ClusterScenario play(OldReports order, BiConsumer<ClusterScenario, ObjectNode> altered) {
         ClusterScenario day = day(order.seed, NEW);
-        day.length = 4;
-        day.cancelledOf = 4;
+        day.workload.durationFactor = 4;
+        day.users.cancelOneIn = 4;
         List<Request> reports = new ArrayList<>();
-        day.play(5_000);
-        day.submitLasting(3);
-        day.submitArrays(8, 30_000);
-        day.play(30_000);
-        day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.deafen(w, 19_000));
+        day.advance(5_000);
+        day.workload.submitUncancelledServices(3);
+        day.workload.submitBatchJobs(8, 30_000);
+        day.advance(30_000);
+        day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.network.dropInbound(w, 19_000));
         day.world.reporting = order.onlyHeldBack ? call -> {} : reports::add;
-        day.play(26_000);
+        day.advance(26_000);
         day.world.reporting = call -> {};
         for (int change = 0; change < 2; change++) {
-            day.late = (from, call) -> {
+            day.network.requestDelay = (from, call) -> {
                 if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
                     reports.add(call);
                     return SimulatedWorld.LOST;
                 }
                 return 0;
             };
-            day.submitArrays(3, 1_000); // no copy shows their tasks
-            day.play(7_000);
-            day.crash(day.leader(), change == 0 ? 200 : 8_000);
+            day.workload.submitBatchJobs(3, 1_000); // no copy shows their tasks
+            day.advance(7_000);
+            day.faults.crash(day.leaderIndex(), change == 0 ? 200 : 8_000);
             // Their own word comes later than the copy.
-            day.cloud.workers().stream().filter(w -> w.running() > 0).limit(2).forEach(w -> day.silence(w, 12_000));
-            day.atNextLeader(() -> {
-                day.late = (from, call) -> 0;
+            day.cloud.workers().stream()
+                    .filter(w -> w.running() > 0)
+                    .limit(2)
+                    .forEach(w -> day.network.isolate(w, 12_000));
+            day.onNextFencingToken(() -> {
+                day.network.requestDelay = (from, call) -> 0;
                 arrive(day, order, new ArrayList<>(reports), altered);
             });
-            day.play(25_000);
+            day.advance(25_000);
         }
-        day.play(60_000);
+        day.advance(60_000);
         return day;
     }
 
@@ -285,7 +288,7 @@
             OldReports order,
             List<Request> reports,
             BiConsumer<ClusterScenario, ObjectNode> altered) {
-        int leader = day.leader();
+        int leader = day.leaderIndex();
         if (order.which == Which.NEWEST_FIRST) {
             Collections.reverse(reports);
         } else if (order.which == Which.EMPTIEST) {
@@ -342,7 +345,7 @@
      */
     @Test
     void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
-        BiConsumer<ClusterScenario, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.state.stamp("h/roster"));
+        BiConsumer<ClusterScenario, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.store.stamp("h/roster"));
         List<OldReports> early = oldReports().stream()
                 .filter(o -> o.onlyHeldBack && o.to != To.OTHERS && o.when != When.A_LEASE_LATER)
                 .toList();
@@ -391,41 +394,41 @@
     private static ClusterScenario play(LateCommands order, Consumer<FakeAgent> up) {
         ClusterScenario day = day(order.seed, NEW);
         day.cloud.booted = up;
-        day.length = 3;
-        day.cancelledOf = 2;
-        day.play(5_000);
-        day.submitLasting(3);
+        day.workload.durationFactor = 3;
+        day.users.cancelOneIn = 2;
+        day.advance(5_000);
+        day.workload.submitUncancelledServices(3);
         Random random = day.world.random;
-        day.late = (from, call) -> {
+        day.network.requestDelay = (from, call) -> {
             boolean late = call.path().equals("/commands") && random.nextBoolean();
             return late ? 2_000 + random.nextInt(14_000) : 0;
         };
-        day.submitArrays(20, 90_000);
+        day.workload.submitBatchJobs(20, 90_000);
         for (int i = 0; i < 3; i++) {
-            day.play(20_000);
-            int leader = day.leader();
+            day.advance(20_000);
+            int leader = day.leaderIndex();
             long ms = List.of(7_000L, 20_000L, 40_000L).get((order.seed + i) % 3);
             day.cloud.workers().stream()
                     .filter(w -> day.world.random.nextInt(3) == 0)
                     .forEach(w -> {
                         if (order.mute) {
-                            day.mute(w, ms);
+                            day.network.dropOutbound(w, ms);
                         }
                         if (order.deaf && day.world.random.nextBoolean()) {
-                            day.deafen(w, ms);
+                            day.network.dropInbound(w, ms);
                         }
                     });
             switch (order.change) {
-                case RESTART -> day.world.at(2_000, () -> day.crash(leader, 200));
-                case FREEZE -> day.world.at(2_000, () -> day.freeze(leader, 9_000));
-                case CUT -> day.world.at(2_000, () -> day.cutFromStateAndPeers(leader, 20_000));
-                case WORKERS_CUT -> day.cutFromWorkers(leader, 12_000);
+                case RESTART -> day.world.at(2_000, () -> day.faults.crash(leader, 200));
+                case FREEZE -> day.world.at(2_000, () -> day.faults.freeze(leader, 9_000));
+                case CUT -> day.world.at(2_000, () -> day.network.partitionFromStoreAndPeers(leader, 20_000));
+                case WORKERS_CUT -> day.network.partitionFromAgents(leader, 12_000);
                 default -> {}
             }
         }
-        day.play(40_000);
-        day.late = (from, call) -> 0;
-        day.play(60_000);
+        day.advance(40_000);
+        day.network.requestDelay = (from, call) -> 0;
+        day.advance(60_000);
         return day;
     }
 
@@ -456,18 +459,18 @@
     void aTaskThatWaitsForItsImageIsStoppedBeforeItsCancellationIsTold() {
         for (int seed = 1; seed <= 8; seed++) {
             ClusterScenario day = new ClusterScenario(seed);
-            day.play(20_000);
+            day.advance(20_000);
             boolean[] fetching = {false};
             day.world.reporting = call -> fetching[0] |= call.body().toString().contains("fetching");
-            day.submitLasting(1);
+            day.workload.submitUncancelledServices(1);
             while (!fetching[0]) {
-                day.play(10);
+                day.advance(10);
             }
-            day.play(20);
-            day.late = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
-            day.cloud.workers().forEach(w -> day.mute(w, 10_000));
-            day.withdraw("req-000000");
-            day.play(60_000);
+            day.advance(20);
+            day.network.requestDelay = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
+            day.cloud.workers().forEach(w -> day.network.dropOutbound(w, 10_000));
+            day.users.cancel("req-000000");
+            day.advance(60_000);
             assertTrue(day.checker.isOver("req-000000"), "seed " + seed);
             assertEquals(List.of(), day.checker.startsAfterCancellation, "seed " + seed);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
@@ -483,15 +486,17 @@
         int lost = 0;
         for (int seed = 1; seed <= 5; seed++) {
             ClusterScenario day = new ClusterScenario(seed);
-            day.length = 3;
-            day.play(5_000);
-            day.submitLasting(3);
-            day.submitArrays(20, 100_000);
-            day.play(25_000);
-            day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.mute(w, 90_000));
-            day.play(20_000);
+            day.workload.durationFactor = 3;
+            day.advance(5_000);
+            day.workload.submitUncancelledServices(3);
+            day.workload.submitBatchJobs(20, 100_000);
+            day.advance(25_000);
+            day.cloud.workers().stream()
+                    .filter(w -> w.zone.equals("a"))
+                    .forEach(w -> day.network.dropOutbound(w, 90_000));
+            day.advance(20_000);
             int before = day.checker.lost;
-            day.play(100_000);
+            day.advance(100_000);
             lost += day.checker.lost - before;
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
         }
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -24,9 +24,9 @@
                 4,
                 6,
                 null,
-                new ClusterScenario.Limits(8192, 12, CHANGES_PER_SECOND),
+                new StoreLimits(8192, 12, CHANGES_PER_SECOND),
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
-        scenario.tighten();
+        scenario.tightenStoreLimits();
         return scenario;
     }
 
@@ -57,7 +57,7 @@
         for (int i = 0; i < count; i++) {
             String id = "req-9" + String.format("%05d", i);
             ids.add(id);
-            scenario.world.at(i * withinMs / count, () -> scenario.begin(id, job(id)));
+            scenario.world.at(i * withinMs / count, () -> scenario.users.submit(id, job(id)));
         }
         return ids;
     }
@@ -89,13 +89,13 @@
     void jobsThatEndCloseTogetherShareATransaction() {
         ClusterScenario scenario = day();
         List<String> ids = submit(scenario, JOBS, 10_000);
-        scenario.play(14_000);
-        scenario.state.outage(OUTAGE_MS);
-        scenario.play(OUTAGE_MS);
+        scenario.advance(14_000);
+        scenario.store.outage(OUTAGE_MS);
+        scenario.advance(OUTAGE_MS);
         long open = ids.stream().filter(id -> !scenario.checker.isOver(id)).count();
         assertTrue(open >= JOBS / 3, "open " + open);
         int[] transactions = countEnds(scenario);
-        scenario.play(60_000);
+        scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.broken);
         ids.forEach(id -> assertTrue(scenario.checker.isOver(id), id));
         assertTrue(transactions[0] <= open / 2, "transactions " + transactions[0] + " for " + open);
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -52,20 +52,20 @@
 
     /** The troubles are over soon: from then on every job is answered about, and none waits beside room. */
     private static ClusterScenario calm(ClusterScenario day) {
-        day.play(SETTLED_MS);
+        day.advance(SETTLED_MS);
         day.checker.calm(day.world.now);
-        return day.play(StarvationChecker.NEGLECTED_MS + 5_000);
+        return day.advance(StarvationChecker.NEGLECTED_MS + 5_000);
     }
 
     /** Arrays, half of them bound to a zone or spread, and some services. */
     private static ClusterScenario busy(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
-        day.zoneBound = true;
-        day.length = 3;
-        day.cancelledOf = 3;
-        day.play(5_000);
-        day.submitSome(16, 25_000);
-        return day.play(30_000);
+        day.workload.hasZoneConstraints = true;
+        day.workload.durationFactor = 3;
+        day.users.cancelOneIn = 3;
+        day.advance(5_000);
+        day.workload.submitJobs(16, 25_000);
+        return day.advance(30_000);
     }
 
     @Test
@@ -80,10 +80,10 @@
 
     private static ClusterScenario allAway(int seed, Predicate<String> hidden) {
         ClusterScenario day = busy(seed, NEW);
-        day.state.hidden = hidden;
-        day.allAwayForLongerThanALease();
-        day.submitArrays(4, CUT_MS);
-        return calm(day.play(CUT_MS));
+        day.store.hidden = hidden;
+        day.faults.crashAllBeyondLease();
+        day.workload.submitBatchJobs(4, CUT_MS);
+        return calm(day.advance(CUT_MS));
     }
 
     /**
@@ -103,20 +103,21 @@
                         seed,
                         true,
                         5 * CUT_MS,
-                        (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.greedy(s, 90) : s)));
+                        (r, s) -> NEW.apply(
+                                r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 90) : s)));
     }
 
     private static ClusterScenario zoneCut(
             int seed, boolean leaderInside, long cutMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario day = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
-        int inside = leaderInside ? day.leader() : (day.leader() + 1) % 3;
-        day.controllerInZone(inside, "b");
-        day.cutZone("b", cutMs);
+        int inside = leaderInside ? day.leaderIndex() : (day.leaderIndex() + 1) % 3;
+        day.placeControllerInZone(inside, "b");
+        day.network.partitionZone("b", cutMs);
         for (int i = 0; i < 6; i++) {
             String id = "req-00000" + i;
-            day.world.at(i * 4_000 + day.world.random.nextInt(4_000), () -> day.withdrawAt((inside + 1) % 3, id));
+            day.world.at(i * 4_000 + day.world.random.nextInt(4_000), () -> day.users.cancelAt((inside + 1) % 3, id));
         }
-        return calm(day.play(cutMs));
+        return calm(day.advance(cutMs));
     }
 
     /**
@@ -130,22 +131,22 @@
 
     private static ClusterScenario keeperBackAtOnce(int seed) {
         ClusterScenario day = new ClusterScenario(seed, 4);
-        day.length = 30;
-        day.cancelledOf = Integer.MAX_VALUE;
-        day.play(5_000);
-        day.submitArrays(10, 5_000);
-        day.play(30_000);
-        int inside = (day.leader() + 1) % 3;
-        day.controllerInZone(inside, "b");
+        day.workload.durationFactor = 30;
+        day.users.cancelOneIn = Integer.MAX_VALUE;
+        day.advance(5_000);
+        day.workload.submitBatchJobs(10, 5_000);
+        day.advance(30_000);
+        int inside = (day.leaderIndex() + 1) % 3;
+        day.placeControllerInZone(inside, "b");
         day.world.heldAreLost = true;
-        day.cutZone("b", 16_000);
-        day.world.at(15_000, () -> day.crash(inside, 150));
+        day.network.partitionZone("b", 16_000);
+        day.world.at(15_000, () -> day.faults.crash(inside, 150));
         day.world.at(
                 14_900,
                 () -> day.cloud.workers().stream()
                         .filter(w -> w.zone.equals("b"))
                         .forEach(w -> w.hang(13_000)));
-        return calm(day.play(30_000));
+        return calm(day.advance(30_000));
     }
 
     /**
@@ -165,16 +166,17 @@
 
     private static ClusterScenario boundToAZone(int seed, Predicate<String> hidden) {
         ClusterScenario day = busy(seed, NEW);
-        day.state.hidden = hidden;
+        day.store.hidden = hidden;
         String zone = seed % 2 == 0 ? "a" : "b";
         day.cloud.workers().stream()
                 .filter(w -> w.spot && day.world.random.nextBoolean())
                 .forEach(day.cloud::take);
-        day.controllerInZone((day.leader() + seed) % 3, "b");
-        day.cutZone(zone, 12_000 + 3_000 * seed);
-        day.world.at(4_000, () -> day.crash(day.leader(), 200 + 4_000 * (seed % 2)));
-        day.world.at(12_000 + 3_000 * seed + day.world.random.nextInt(300), () -> day.crash(day.leader(), 200));
-        return calm(day.play(CUT_MS + 15_000));
+        day.placeControllerInZone((day.leaderIndex() + seed) % 3, "b");
+        day.network.partitionZone(zone, 12_000 + 3_000 * seed);
+        day.world.at(4_000, () -> day.faults.crash(day.leaderIndex(), 200 + 4_000 * (seed % 2)));
+        day.world.at(
+                12_000 + 3_000 * seed + day.world.random.nextInt(300), () -> day.faults.crash(day.leaderIndex(), 200));
+        return calm(day.advance(CUT_MS + 15_000));
     }
 
     /** What direct commands launch ends with the machines' leases, since no report renews them. */
@@ -185,7 +187,7 @@
 
     @Test
     void theCheckerNoticesALeaderThatTakesLeasesForOverTooEarly() {
-        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, ClusterScenario.shortLease(s, 4))));
+        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, ClusterScenario.withShorterLease(s, 4))));
     }
 
     private static ClusterScenario muteWorkers(int seed, BiFunction<EventLoop, Settings, Controller> version) {
@@ -194,12 +196,12 @@
                 .filter(w -> seed % 3 == 0 || w.zone.equals("a") || day.world.random.nextBoolean())
                 .map(w -> w.name)
                 .toList();
-        day.mute(names, 2 * CUT_MS);
-        day.submitArrays(5, CUT_MS);
+        day.network.delayHeartbeats(names, 2 * CUT_MS);
+        day.workload.submitBatchJobs(5, CUT_MS);
         if (seed % 2 == 0) {
-            day.world.at(CUT_MS, () -> day.crash(day.leader(), 200));
+            day.world.at(CUT_MS, () -> day.faults.crash(day.leaderIndex(), 200));
         }
-        return calm(day.play(2 * CUT_MS));
+        return calm(day.advance(2 * CUT_MS));
     }
 
     /**
@@ -218,18 +220,18 @@
 
     private static ClusterScenario moreThanRoom(int seed, Predicate<String> hidden) {
         ClusterScenario day = new ClusterScenario(seed);
-        day.zoneBound = true;
-        day.submitLasting(2); // their machines stay, with room beside them
-        day.play(8_000);
+        day.workload.hasZoneConstraints = true;
+        day.workload.submitUncancelledServices(2); // their machines stay, with room beside them
+        day.advance(8_000);
         for (int node = 0; node < 3; node++) {
             day.world.slow("p" + node + ":1", 1_000, 80_000);
         }
         day.cloud.workers().forEach(w -> day.world.slow(w.addr, 1_000, 80_000));
-        day.submitSome(40, 20_000);
-        day.state.hidden = hidden;
-        day.world.at(6_000, () -> day.crash(day.leader(), 300));
-        day.world.at(25_000, day::crashAll);
-        return calm(day.play(80_000));
+        day.workload.submitJobs(40, 20_000);
+        day.store.hidden = hidden;
+        day.world.at(6_000, () -> day.faults.crash(day.leaderIndex(), 300));
+        day.world.at(25_000, day.faults::crashAll);
+        return calm(day.advance(80_000));
     }
 
     /**
@@ -240,16 +242,16 @@
     void arraysGetWhatServicesCantUseOfTheLimit() {
         int seed = 4;
         ClusterScenario day = new ClusterScenario(seed, 2);
-        day.length = 6;
-        day.cancelledOf = 4;
-        day.zoneBound = true;
-        day.submitLasting(9);
-        day.play(10_000);
-        day.submitSome(30, 40_000);
-        day.play(50_000);
+        day.workload.durationFactor = 6;
+        day.users.cancelOneIn = 4;
+        day.workload.hasZoneConstraints = true;
+        day.workload.submitUncancelledServices(9);
+        day.advance(10_000);
+        day.workload.submitJobs(30, 40_000);
+        day.advance(50_000);
         day.checker.calm(day.world.now);
-        day.submitSome(30, 60_000);
-        day.play(60_000 + 2 * StarvationChecker.NEGLECTED_MS);
+        day.workload.submitJobs(30, 60_000);
+        day.advance(60_000 + 2 * StarvationChecker.NEGLECTED_MS);
         assertEquals(List.of(), day.checker.broken, "seed " + seed);
     }
 
@@ -267,19 +269,19 @@
 
     private static ClusterScenario tenChanges(int seed, double holdShare) {
         ClusterScenario day = busy(seed, NEW);
-        day.state.holdShare = holdShare;
-        day.changeLeaders(10, 12_000);
-        day.submitSome(8, 100_000);
+        day.store.holdShare = holdShare;
+        day.faults.failOverRepeatedly(10, 12_000);
+        day.workload.submitJobs(8, 100_000);
         for (int i = 0; i < 4; i++) {
-            day.world.at(5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.cancelSome(0));
+            day.world.at(5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.faults.cancelHalfOfJobs(0));
         }
         if (seed % 2 == 0) {
-            day.world.at(30_000, () -> day.state.outage(OUTAGE_MS));
+            day.world.at(30_000, () -> day.store.outage(OUTAGE_MS));
         }
         if (holdShare < 1) {
-            day.world.at(40_000, () -> day.freeze(day.leader(), 3_000));
+            day.world.at(40_000, () -> day.faults.freeze(day.leaderIndex(), 3_000));
         }
-        return calm(day.play(125_000));
+        return calm(day.advance(125_000));
     }
 
     /**
@@ -321,9 +323,9 @@
         if (seed % 2 == 0) {
             day.world.slow("state:1", 800, 10_000);
         }
-        day.refusalThenOutage(OUTAGE_MS);
-        day.world.at(1_500 + 500 * seed, () -> day.cancelSome(3_000));
-        day.world.at(OUTAGE_MS + 5_000, () -> day.crash(day.leader(), 300));
-        return calm(day.play(OUTAGE_MS + 5_000));
+        day.faults.refusalThenOutage(OUTAGE_MS);
+        day.world.at(1_500 + 500 * seed, () -> day.faults.cancelHalfOfJobs(3_000));
+        day.world.at(OUTAGE_MS + 5_000, () -> day.faults.crash(day.leaderIndex(), 300));
+        return calm(day.advance(OUTAGE_MS + 5_000));
     }
 }
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -23,10 +23,10 @@
 
     private static ClusterScenario day(long seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.controllerInZone(2, "b");
-        scenario.play(5_000);
-        scenario.submitLasting(8);
-        scenario.play(40_000);
+        scenario.placeControllerInZone(2, "b");
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(8);
+        scenario.advance(40_000);
         return scenario;
     }
 
@@ -34,23 +34,23 @@
         ClusterScenario scenario = day(seed, version);
         for (int node = 0; node < 3; node++) {
             if (node != leader) {
-                scenario.crash(node, 12_000);
+                scenario.faults.crash(node, 12_000);
             }
         }
-        scenario.play(20_000);
-        assertEquals(leader, scenario.leader());
-        scenario.play(10_000);
+        scenario.advance(20_000);
+        assertEquals(leader, scenario.leaderIndex());
+        scenario.advance(10_000);
         return scenario;
     }
 
     private static void survives(ClusterScenario scenario) {
         int lost = scenario.checker.lost;
         int starts = scenario.checker.starts;
-        scenario.cutZone("b", CUT_MS);
-        scenario.play(CUT_MS + 5_000);
+        scenario.network.partitionZone("b", CUT_MS);
+        scenario.advance(CUT_MS + 5_000);
         assertEquals(lost, scenario.checker.lost, "leases were kept");
         assertEquals(starts, scenario.checker.starts, "nothing was started again, since nothing ended");
-        scenario.play(60_000);
+        scenario.advance(60_000);
         assertEquals(lost, scenario.checker.lost);
         assertEquals(List.of(), scenario.checker.broken);
     }
@@ -70,7 +70,7 @@
     @Test
     void workInACutZoneOutlivesTheLeadersCrash() {
         ClusterScenario scenario = led(3, 0, NEW);
-        scenario.world.at(12_000, () -> scenario.crash(0, 8_000));
+        scenario.world.at(12_000, () -> scenario.faults.crash(0, 8_000));
         survives(scenario);
     }
 
@@ -83,17 +83,17 @@
         int starts = 0;
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed, 4, null, null, NEW);
-            scenario.controllerInZone(2, "b");
-            scenario.play(5_000);
-            scenario.submitSome(60, 90_000);
-            scenario.play(40_000);
-            scenario.cutZone("b", 45_000);
-            scenario.world.at(500, () -> scenario.crash(scenario.leader(), 20_000));
-            scenario.play(12_000);
+            scenario.placeControllerInZone(2, "b");
+            scenario.advance(5_000);
+            scenario.workload.submitJobs(60, 90_000);
+            scenario.advance(40_000);
+            scenario.network.partitionZone("b", 45_000);
+            scenario.world.at(500, () -> scenario.faults.crash(scenario.leaderIndex(), 20_000));
+            scenario.advance(12_000);
             int before = scenario.checker.starts;
-            scenario.play(13_000);
+            scenario.advance(13_000);
             starts += scenario.checker.starts - before;
-            scenario.play(120_000);
+            scenario.advance(120_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
         System.out.println("starts while a zone is dark " + starts);
@@ -118,32 +118,34 @@
 
     private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.controllerInZone(2, "b");
-        scenario.submitSome(30, 150_000);
-        scenario.drawFaults(5, 20_000, 170_000);
+        scenario.placeControllerInZone(2, "b");
+        scenario.workload.submitJobs(30, 150_000);
+        scenario.randomFaults.scheduleFaults(5, 20_000, 170_000);
         for (int i = 0; i < 3; i++) {
             String zone = scenario.world.random.nextBoolean() ? "a" : "b";
             long ms = 5_000L + scenario.world.random.nextInt(45_000);
             scenario.world.at(
-                    25_000 + 50_000 * i + scenario.world.random.nextInt(30_000), () -> scenario.cutZone(zone, ms));
+                    25_000 + 50_000 * i + scenario.world.random.nextInt(30_000),
+                    () -> scenario.network.partitionZone(zone, ms));
         }
-        scenario.play(260_000);
+        scenario.advance(260_000);
         return scenario;
     }
 
     private static ClusterScenario longCut(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = day(seed, version);
-        scenario.submitSome(30, 10_000);
-        scenario.play(16_000); // their users cancel services within a minute
-        scenario.cutZone("b", 70_000);
-        scenario.play(200_000);
+        scenario.workload.submitJobs(30, 10_000);
+        scenario.advance(16_000); // their users cancel services within a minute
+        scenario.network.partitionZone("b", 70_000);
+        scenario.advance(200_000);
         return scenario;
     }
 
     /** One that keeps leases for longer keeps tasks alive whose cancellation was told long ago. */
     @Test
     void theCheckerNoticesLeasesKeptForTooLong() {
-        BiFunction<EventLoop, Settings, Controller> greedy = (r, s) -> NEW.apply(r, ClusterScenario.greedy(s, 60));
+        BiFunction<EventLoop, Settings, Controller> greedy =
+                (r, s) -> NEW.apply(r, ClusterScenario.withLongerCancellation(s, 60));
         boolean noticed = false;
         for (int seed = 1; seed <= 20 && !noticed; seed++) {
             noticed = longCut(seed, greedy).checker.broken.stream().anyMatch(b -> b.startsWith("ran_cancelled"));
@@ -158,18 +160,18 @@
     @Test
     void manySilentMachinesDoNotTakeAllCalls() {
         ClusterScenario scenario = new ClusterScenario(2, 24, null, null, NEW);
-        scenario.controllerInZone(2, "b");
-        scenario.play(5_000);
-        scenario.submitLasting(40);
-        scenario.play(45_000);
-        int before = scenario.leader();
-        scenario.cutZone("b", 40_000);
-        scenario.world.at(1_000, () -> scenario.crash(before, 60_000));
-        scenario.play(12_000);
-        int successor = scenario.leader();
-        scenario.play(27_000);
-        assertEquals(successor, scenario.leader(), "it kept the lead while the zone was dark");
-        scenario.play(60_000);
+        scenario.placeControllerInZone(2, "b");
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(40);
+        scenario.advance(45_000);
+        int before = scenario.leaderIndex();
+        scenario.network.partitionZone("b", 40_000);
+        scenario.world.at(1_000, () -> scenario.faults.crash(before, 60_000));
+        scenario.advance(12_000);
+        int successor = scenario.leaderIndex();
+        scenario.advance(27_000);
+        assertEquals(successor, scenario.leaderIndex(), "it kept the lead while the zone was dark");
+        scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.broken);
     }
 }
--- a/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -10,9 +10,9 @@
 class PeerReachabilityTest {
     private static ClusterScenario day(long seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4);
-        scenario.play(5_000);
-        scenario.submitLasting(6);
-        scenario.play(40_000);
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(6);
+        scenario.advance(40_000);
         return scenario;
     }
 
@@ -24,18 +24,18 @@
     void machinesThatOthersReachAreNotReturnedAndEndTheLead() {
         for (int seed = 1; seed <= 8; seed++) {
             ClusterScenario scenario = day(seed);
-            int before = scenario.leader();
+            int before = scenario.leaderIndex();
             int lost = scenario.checker.lost;
             List<String> cut = scenario.cloud.workers().stream()
                     .map(w -> w.name)
                     .filter(n -> n.hashCode() % 2 == 0)
                     .toList();
             assertTrue(cut.size() >= 3);
-            scenario.cutFromWorkers(before, 60_000, cut);
-            scenario.play(14_000);
-            assertTrue(scenario.leader() != before, "seed " + seed + ": another controller leads");
+            scenario.network.partitionFromAgents(before, 60_000, cut);
+            scenario.advance(14_000);
+            assertTrue(scenario.leaderIndex() != before, "seed " + seed + ": another controller leads");
             assertTrue(scenario.cloud.names().containsAll(cut), "seed " + seed + ": good machines were returned");
-            scenario.play(80_000);
+            scenario.advance(80_000);
             assertEquals(lost, scenario.checker.lost, "seed " + seed);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
@@ -45,14 +45,14 @@
     @Test
     void machinesThatHangAreReturnedAsBefore() {
         ClusterScenario scenario = day(1);
-        int before = scenario.leader();
+        int before = scenario.leaderIndex();
         List<FakeAgent> hung = scenario.cloud.workers().subList(0, 3);
         List<String> names = hung.stream().map(w -> w.name).toList();
         hung.forEach(w -> w.hang(60_000));
-        scenario.play(9_000);
+        scenario.advance(9_000);
         assertTrue(names.stream().noneMatch(scenario.cloud.names()::contains), names + " of " + scenario.cloud.names());
-        assertEquals(before, scenario.leader());
-        scenario.play(60_000);
+        assertEquals(before, scenario.leaderIndex());
+        scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.broken);
     }
 }
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -22,13 +22,14 @@
 import org.hollypick.core.JobSpec.Priority;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that await others, limits that tighten, and the version in production beside the present one. */
 class PipelinesTest {
     private static final int DAYS = 200;
     /** What a state service may come down to. */
-    private static final ClusterScenario.Limits TIGHT = new ClusterScenario.Limits(2_048, 4, 25);
+    private static final StoreLimits TIGHT = new StoreLimits(2_048, 4, 25);
 
     private static final BiFunction<EventLoop, Settings, Controller> NEW =
             (r, s) -> new Controller(r, s, OperatorSettings.defaults());
@@ -46,13 +47,13 @@
         int starts = 0;
         for (int seed = 1; seed <= DAYS; seed++) {
             ClusterScenario day = day(seed, NEW);
-            day.submitSome(12, 120_000);
-            day.pipelines(8, 110_000);
-            day.world.at(60_000, day::tighten);
-            day.drawFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
-            day.play(240_000);
+            day.workload.submitJobs(12, 120_000);
+            day.pipelines.submitPipelines(8, 110_000);
+            day.world.at(60_000, day::tightenStoreLimits);
+            day.randomFaults.scheduleFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
+            day.advance(240_000);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
-            assertEquals(0, day.state.tooLarge, "seed " + seed);
+            assertEquals(0, day.store.tooLarge, "seed " + seed);
             starts += day.checker.starts;
         }
         assertTrue(starts > DAYS * 60, "the days did little: " + starts);
@@ -68,22 +69,22 @@
         for (int seed = 1; seed <= 60; seed++) {
             int size = seed % 10 == 0 ? 12 : 1;
             ClusterScenario day = new ClusterScenario(seed, size, production, TIGHT, NEW);
-            day.submitSome(20, 150_000);
-            day.drawFaults(8, 10_000, 170_000);
-            day.roll(25_000, 12_000);
+            day.workload.submitJobs(20, 150_000);
+            day.randomFaults.scheduleFaults(8, 10_000, 170_000);
+            day.rollOut(25_000, 12_000);
             // A zone cut while both versions are there: the old one doesn't reckon with leases that the new one would
             // keep.
-            day.controllerInZone(2, "b");
+            day.placeControllerInZone(2, "b");
             for (int i = 0; i < 2; i++) {
                 long ms = 10_000L + day.world.random.nextInt(25_000);
-                day.world.at(15_000 + day.world.random.nextInt(50_000), () -> day.cutZone("b", ms));
+                day.world.at(15_000 + day.world.random.nextInt(50_000), () -> day.network.partitionZone("b", ms));
             }
-            day.play(58_000);
-            day.pipelines(8, 80_000);
-            day.world.at(20_000, day::tighten);
-            day.play(200_000);
+            day.advance(58_000);
+            day.pipelines.submitPipelines(8, 80_000);
+            day.world.at(20_000, day::tightenStoreLimits);
+            day.advance(200_000);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
-            assertEquals(0, day.state.tooLarge, "seed " + seed);
+            assertEquals(0, day.store.tooLarge, "seed " + seed);
             assertTrue(day.checker.starts > 30, "seed " + seed + " started " + day.checker.starts);
         }
     }
@@ -93,10 +94,10 @@
             String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 60; seed++) {
             ClusterScenario day = day(seed, version);
-            day.pipelines(14, 60_000);
-            day.world.at(40_000, day::tighten);
+            day.pipelines.submitPipelines(14, 60_000);
+            day.world.at(40_000, day::tightenStoreLimits);
             troubles.accept(day);
-            day.play(180_000);
+            day.advance(180_000);
             if (day.checker.broken.stream().anyMatch(b -> b.startsWith(rule))) {
                 return true;
             }
@@ -133,9 +134,9 @@
                 }),
                 day -> {
                     playing[0] = day;
-                    day.withdrawOnceComplete();
+                    day.workload.cancelJobsOnCompletion();
                     for (int i = 0; i < 5; i++) {
-                        day.world.at(15_000 + i * 20_000, () -> day.state.outage(5_000));
+                        day.world.at(15_000 + i * 20_000, () -> day.store.outage(5_000));
                     }
                 }));
     }
@@ -162,7 +163,7 @@
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
                     public boolean isCancelled(String id) {
-                        return s.node().equals("bothy-" + playing[0].leader()) && super.isCancelled(id);
+                        return s.node().equals("bothy-" + playing[0].leaderIndex()) && super.isCancelled(id);
                     }
                 }),
                 day -> {
@@ -179,15 +180,15 @@
     void everyNodeTellsWhatIsCancelledWithoutItsRecord() {
         for (int seed = 1; seed <= 20; seed++) {
             ClusterScenario day = day(seed, NEW);
-            day.pipelines(14, 60_000);
+            day.pipelines.submitPipelines(14, 60_000);
             withoutRecordsOfWhatFollows(day);
-            day.play(180_000);
+            day.advance(180_000);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
         }
     }
 
     private static void withoutRecordsOfWhatFollows(ClusterScenario day) {
-        day.state.refused = txn -> {
+        day.store.refused = txn -> {
             for (JsonNode op : txn.path("then")) {
                 String key = op.path("put").asText();
                 if (key.startsWith("h/j/")
@@ -199,7 +200,7 @@
             return false;
         };
         for (int i = 0; i < 12; i++) {
-            day.world.at(15_000 + 8_000 * i, () -> day.crash(day.leader(), 5_000));
+            day.world.at(15_000 + 8_000 * i, () -> day.faults.crash(day.leaderIndex(), 5_000));
         }
     }
 
@@ -234,22 +235,22 @@
     @Test
     void aJobMayAwaitHundredsOfOthers() {
         ClusterScenario day = day(5, NEW);
-        day.tighten();
-        day.play(5_000);
+        day.tightenStoreLimits();
+        day.advance(5_000);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             String id = String.format("req-%018d", i);
             ids.add(id);
-            day.world.at(i * 150L, () -> day.begin(id, job(id, 1, List.of())));
+            day.world.at(i * 150L, () -> day.users.submit(id, job(id, 1, List.of())));
         }
         String last = "req-" + "9".repeat(18);
-        day.world.at(20_000, () -> day.submitWhenAccepted(last, job(last, 2, ids)));
-        day.play(60_000);
+        day.world.at(20_000, () -> day.users.submitWhenAccepted(last, job(last, 2, ids)));
+        day.advance(60_000);
         assertTrue(day.checker.isAccepted(last));
-        day.crashAll();
-        day.play(240_000);
+        day.faults.crashAll();
+        day.advance(240_000);
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.state.tooLarge);
+        assertEquals(0, day.store.tooLarge);
         assertTrue(day.checker.isOver(last));
     }
 
@@ -259,20 +260,20 @@
      */
     @Test
     void progressOfAJobLargerThanAValueIsKept() {
-        ClusterScenario day = new ClusterScenario(8, 20, null, new ClusterScenario.Limits(640, 4, 40), NEW);
-        day.tighten();
-        day.play(5_000);
+        ClusterScenario day = new ClusterScenario(8, 20, null, new StoreLimits(640, 4, 40), NEW);
+        day.tightenStoreLimits();
+        day.advance(5_000);
         int tasks = 4_000;
-        day.begin("req-1", job("req-1", tasks, List.of()).put("expect_s", 6.0));
+        day.users.submit("req-1", job("req-1", tasks, List.of()).put("expect_s", 6.0));
         while (day.checker.completed < tasks / 2) {
-            day.play(1_000);
+            day.advance(1_000);
         }
-        assertTrue(day.state.stored("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
-        day.crashAll();
-        day.play(200_000);
+        assertTrue(day.store.stored("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
+        day.faults.crashAll();
+        day.advance(200_000);
         assertTrue(day.checker.isOver("req-1"));
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.state.tooLarge);
+        assertEquals(0, day.store.tooLarge);
         assertTrue(day.checker.starts < tasks * 1.4, "started again: " + day.checker.starts);
     }
 
@@ -280,9 +281,8 @@
     @Test
     void garbageInAwaitsIsRefused() {
         ClusterScenario day = day(6, NEW);
-        day.play(5_000);
-        assertEquals(
-                201, day.ask("POST", "/submissions", job("req-1", 1, List.of())).status());
+        day.advance(5_000);
+        assertEquals(201, submit(day, job("req-1", 1, List.of())));
         for (JsonNode garbage : List.of(
                 Codec.object(),
                 Codec.array().add(1),
@@ -291,37 +291,22 @@
                 Codec.array().add("req-1").add(""))) {
             ObjectNode b = job("req-2", 1, List.of());
             b.set("awaits", garbage);
-            assertEquals(400, day.ask("POST", "/submissions", b).status());
+            assertEquals(400, day.users.request("POST", "/submissions", b).status());
         }
-        assertEquals(
-                422,
-                day.ask("POST", "/submissions", job("req-2", 1, List.of("req-2")))
-                        .status());
-        assertEquals(
-                422,
-                day.ask("POST", "/submissions", job("req-2", 1, List.of("req-1", "req-3")))
-                        .status());
+        assertEquals(422, submit(day, job("req-2", 1, List.of("req-2"))));
+        assertEquals(422, submit(day, job("req-2", 1, List.of("req-1", "req-3"))));
         ObjectNode endless = job("req-2", 1, List.of("req-1"));
         ArrayNode types = endless.putArray("flavours").add("t4");
         for (int i = 0; i < 2_000; i++) {
             types.add("type-" + i);
         }
-        assertEquals(400, day.ask("POST", "/submissions", endless).status());
-        assertEquals(404, day.ask("GET", "/submissions/req-2", null).status());
-        assertEquals(
-                201,
-                day.ask("POST", "/submissions", job("req-2", 1, List.of("req-1", "req-1")))
-                        .status());
-        assertEquals(
-                200,
-                day.ask("POST", "/submissions", job("req-2", 1, List.of("req-3")))
-                        .status());
+        assertEquals(400, day.users.request("POST", "/submissions", endless).status());
+        assertEquals(404, day.users.request("GET", "/submissions/req-2", null).status());
+        assertEquals(201, submit(day, job("req-2", 1, List.of("req-1", "req-1"))));
+        assertEquals(200, submit(day, job("req-2", 1, List.of("req-3"))));
         ObjectNode service = job("req-4", 1, List.of()).put("shape", "standing");
-        assertEquals(201, day.ask("POST", "/submissions", service).status());
-        assertEquals(
-                422,
-                day.ask("POST", "/submissions", job("req-5", 1, List.of("req-4")))
-                        .status());
+        assertEquals(201, day.users.request("POST", "/submissions", service).status());
+        assertEquals(422, submit(day, job("req-5", 1, List.of("req-4"))));
     }
 
     /**
@@ -331,58 +316,24 @@
     @Test
     void aCancellationReachesWhatComesLater() {
         ClusterScenario day = day(7, NEW);
-        day.play(5_000);
+        day.advance(5_000);
         for (String id : List.of("req-1", "req-2")) {
-            assertEquals(
-                    201, day.ask("POST", "/submissions", job(id, 1, List.of())).status());
+            assertEquals(201, submit(day, job(id, 1, List.of())));
         }
-        assertEquals(
-                201,
-                day.ask("POST", "/submissions", job("req-3", 1, List.of("req-1")))
-                        .status());
-        assertEquals(
-                "aborted",
-                day.ask("POST", "/submissions/req-1/withdraw", Codec.object())
-                        .body()
-                        .path("status")
-                        .asText());
+        assertEquals(201, submit(day, job("req-3", 1, List.of("req-1"))));
+        assertEquals("aborted", cancel(day, "req-1"));
         for (String id : List.of("req-3", "req-1")) {
-            assertEquals(
-                    "aborted",
-                    day.ask("GET", "/submissions/" + id, null)
-                            .body()
-                            .path("status")
-                            .asText());
+            assertEquals("aborted", statusOf(day, id));
         }
-        assertEquals(
-                201,
-                day.ask("POST", "/submissions", job("req-4", 1, List.of("req-3", "req-2")))
-                        .status());
-        assertEquals(
-                "aborted",
-                day.ask("GET", "/submissions/req-4", null).body().path("status").asText());
-        assertEquals(
-                "aborted",
-                day.ask("POST", "/submissions/req-4/withdraw", Codec.object())
-                        .body()
-                        .path("status")
-                        .asText());
-        day.play(120_000);
-        assertEquals("aborted", day.state.data("h/j/req-4").path("status").asText(), "its own record follows");
-        assertEquals(
-                "done",
-                day.ask("POST", "/submissions/req-2/withdraw", Codec.object())
-                        .body()
-                        .path("status")
-                        .asText());
-        assertEquals(
-                201,
-                day.ask("POST", "/submissions", job("req-5", 1, List.of("req-2")))
-                        .status());
-        day.play(30_000);
-        assertEquals(
-                "done",
-                day.ask("GET", "/submissions/req-5", null).body().path("status").asText());
+        assertEquals(201, submit(day, job("req-4", 1, List.of("req-3", "req-2"))));
+        assertEquals("aborted", statusOf(day, "req-4"));
+        assertEquals("aborted", cancel(day, "req-4"));
+        day.advance(120_000);
+        assertEquals("aborted", day.store.data("h/j/req-4").path("status").asText(), "its own record follows");
+        assertEquals("done", cancel(day, "req-2"));
+        assertEquals(201, submit(day, job("req-5", 1, List.of("req-2"))));
+        day.advance(30_000);
+        assertEquals("done", statusOf(day, "req-5"));
     }
 
     /**
@@ -392,21 +343,22 @@
     @Test
     void progressOfTheOldVersionThatIsTooLargeMovesOn() {
         ClusterScenario day = new ClusterScenario(12, 20, null, TIGHT, NEW);
-        day.play(5_000);
+        day.advance(5_000);
         ObjectNode packed = Codec.object();
         for (int i = 0; i < 220; i++) {
             String id = String.format("req-%06d", 100 + i);
             packed.put(id + "/0", "AA==");
-            day.world.at(i * 60L, () -> day.begin(id, job(id, 7, List.of()).put("expect_s", 30.0)));
+            day.world.at(
+                    i * 60L, () -> day.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
-        day.play(20_000);
-        day.state.store("h/p/0", packed);
+        day.advance(20_000);
+        day.store.store("h/p/0", packed);
         assertTrue(Codec.write(packed, true).length > 2_048);
-        day.crashAll();
-        day.tighten();
-        day.play(250_000);
+        day.faults.crashAll();
+        day.tightenStoreLimits();
+        day.advance(250_000);
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.state.tooLarge);
+        assertEquals(0, day.store.tooLarge);
         day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
         assertEquals(0, day.cloud.workers().stream().mapToInt(FakeAgent::tasks).sum());
     }
@@ -418,11 +370,11 @@
     @Test
     void recordsOfTheOldVersionThatAreTooLargeGiveTheirMachinesToOthers() throws Exception {
         ClusterScenario day = new ClusterScenario(11, 20, ProductionVersion.load(), TIGHT, NEW);
-        day.submitSome(40, 30_000);
-        day.play(40_000);
+        day.workload.submitJobs(40, 30_000);
+        day.advance(40_000);
         // Machines that came up together, as production packs them: 50 to a record.
         ObjectNode packed = Codec.object();
-        day.state
+        day.store
                 .stored("h/m/")
                 .values()
                 .forEach(r -> r.fields().forEachRemaining(f -> {
@@ -431,18 +383,36 @@
                     }
                 }));
         assertTrue(Codec.write(packed, true).length > 2_048);
-        day.state.store("h/m/bothy-0/1/0", packed);
-        day.roll(0, 10_000);
-        day.play(45_000);
-        day.tighten();
-        day.submitSome(30, 60_000);
-        day.play(200_000);
+        day.store.store("h/m/bothy-0/1/0", packed);
+        day.rollOut(0, 10_000);
+        day.advance(45_000);
+        day.tightenStoreLimits();
+        day.workload.submitJobs(30, 60_000);
+        day.advance(200_000);
         Set<String> named = new LinkedHashSet<>();
-        day.state.stored("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
+        day.store.stored("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
         named.removeAll(day.cloud.names());
         assertEquals(Set.of(), named, "machines that are gone are still recorded");
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.state.tooLarge);
+        assertEquals(0, day.store.tooLarge);
         day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
     }
+
+    /** The status with which the submission is answered. */
+    private static int submit(ClusterScenario scenario, ObjectNode job) {
+        return scenario.users.request("POST", "/submissions", job).status();
+    }
+
+    /** The state of the job that the answer to its cancellation names. */
+    private static String cancel(ClusterScenario scenario, String id) {
+        return status(scenario.users.request("POST", "/submissions/" + id + "/withdraw", Codec.object()));
+    }
+
+    private static String statusOf(ClusterScenario scenario, String id) {
+        return status(scenario.users.request("GET", "/submissions/" + id, null));
+    }
+
+    private static String status(Response response) {
+        return response.body().path("status").asText();
+    }
 }
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -31,16 +31,16 @@
     private static ClusterScenario day(
             int seed, Predicate<Request> kind, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.submitSome(30, 100_000);
-        scenario.play(30_000);
-        int before = scenario.leader();
-        scenario.freezeLeaderBefore(kind, LONGER_THAN_THE_HOLD_MS);
-        scenario.submitLasting(8);
+        scenario.workload.submitJobs(30, 100_000);
+        scenario.advance(30_000);
+        int before = scenario.leaderIndex();
+        scenario.faults.freezeLeaderBefore(kind, LONGER_THAN_THE_HOLD_MS);
+        scenario.workload.submitUncancelledServices(8);
         scenario.world.at(
                 500, () -> scenario.cloud.workers().stream().findFirst().ifPresent(w -> w.hang(20_000)));
-        scenario.play(60_000);
-        assertNotEquals(before, scenario.leader(), "seed " + seed + ": another one leads by then");
-        scenario.play(90_000);
+        scenario.advance(60_000);
+        assertNotEquals(before, scenario.leaderIndex(), "seed " + seed + ": another one leads by then");
+        scenario.advance(90_000);
         return scenario;
     }
 
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/RandomFaults.java
@@ -0,0 +1,230 @@
+package org.hollypick.sim;
+
+import java.util.List;
+import java.util.function.Predicate;
+import org.hollypick.io.Request;
+
+/** Faults drawn from the seed. The order of the draws is part of each scenario. */
+final class RandomFaults {
+    /**
+     * Requests of controllers that faults are aimed at.
+     *
+     * @param path how the path begins
+     * @param content what the body contains
+     */
+    private record RequestKind(String path, String content) {
+        boolean matches(Request request) {
+            return request.path().startsWith(path)
+                    && (request.body() == null ? "" : request.body().toString()).contains(content);
+        }
+    }
+
+    private static final List<RequestKind> REQUEST_KINDS = List.of(
+            new RequestKind(AgentProtocol.COMMANDS, AgentProtocol.LAUNCH),
+            new RequestKind(AgentProtocol.COMMANDS, AgentProtocol.KILL),
+            new RequestKind(StoreProtocol.COMMIT, "aborted"),
+            new RequestKind(StoreProtocol.COMMIT, "done"),
+            new RequestKind(StoreProtocol.COMMIT, LeadershipChecker.LEADER_KEY),
+            new RequestKind(StoreProtocol.COMMIT, "h/m/"),
+            new RequestKind(StoreProtocol.COMMIT, "h/j/"),
+            new RequestKind(StoreProtocol.COMMIT, "h/n/"),
+            new RequestKind(CloudProtocol.MACHINES, CloudProtocol.REQUEST_ID),
+            new RequestKind(CloudProtocol.TERMINATE, ""),
+            new RequestKind("/promise", ""),
+            new RequestKind("/keep", ""),
+            new RequestKind("/release", ""));
+
+    private final ClusterScenario scenario;
+    private final SimulatedWorld world;
+    private final FaultInjector faults;
+    private final NetworkFaults network;
+
+    RandomFaults(ClusterScenario scenario) {
+        this.scenario = scenario;
+        this.world = scenario.world;
+        this.faults = scenario.faults;
+        this.network = scenario.network;
+    }
+
+    /** Schedules single faults at random moments. */
+    void scheduleFaults(int count, long fromMs, long toMs) {
+        for (int i = 0; i < count; i++) {
+            world.at(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectFault);
+        }
+    }
+
+    /**
+     * Schedules pairs of faults that meet: the second begins within milliseconds of a request after the first, or
+     * within a store session, a lease or the time that cancelled tasks have.
+     */
+    void scheduleCombinedFaults(int pairs, long fromMs, long toMs) {
+        List<Long> distancesMs = List.of(0L, 4_000L, scenario.leaseMs, scenario.cancellationMs());
+        for (int i = 0; i < pairs; i++) {
+            long firstMs = fromMs + world.random.nextInt((int) (toMs - fromMs));
+            long withinMs = distancesMs.get(world.random.nextInt(4));
+            world.at(firstMs, this::injectCombinableFault);
+            if (withinMs == 0) {
+                world.at(firstMs, () -> faults.injectAtNextRequest(drawRequestKind(), this::injectCombinableFault));
+            } else {
+                world.at(firstMs + world.random.nextInt((int) withinMs), this::injectCombinableFault);
+            }
+        }
+    }
+
+    /**
+     * Schedules faults in which answers overtake one another: slow links to the store and between controllers, a leader
+     * that is refused, stands still or ends.
+     */
+    void scheduleReorderingFaults(int count, long fromMs, long toMs) {
+        for (int i = 0; i < count; i++) {
+            world.at(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectReorderingFault);
+        }
+    }
+
+    private Predicate<Request> drawRequestKind() {
+        return REQUEST_KINDS.get(world.random.nextInt(REQUEST_KINDS.size()))::matches;
+    }
+
+    private void injectFault() {
+        List<FakeAgent> agents = scenario.cloud.workers();
+        FakeAgent agent = agents.isEmpty() ? null : agents.get(world.random.nextInt(agents.size()));
+        int controller = world.random.nextInt(ClusterScenario.CONTROLLERS);
+        long ms = 1_000L + world.random.nextInt(30_000);
+        int kind = world.random.nextInt(21);
+        switch (kind) {
+            case 5, 6, 7, 8, 9, 11, 12, 14, 15 -> {
+                if (agent != null) {
+                    injectAgentFault(kind, agent, controller, ms);
+                }
+            }
+            case 0, 1 -> faults.crash(controller, faults.drawDowntimeMs(10_000));
+            case 2 -> faults.crashAll();
+            case 3 -> scenario.store.outage(ms);
+            case 4 -> partitionFromStore(controller, ms);
+            case 10 -> faults.freeze(controller, ms / 2);
+            case 13 -> duplicateHeartbeats(ms);
+            case 16 -> network.partitionFromStoreAndPeers(controller, ms);
+            case 17, 18, 19 -> injectCombinableFault();
+            default -> delayRequests(ms);
+        }
+    }
+
+    private void injectAgentFault(int kind, FakeAgent agent, int controller, long ms) {
+        switch (kind) {
+            case 5 -> agent.hang(ms);
+            case 6 -> world.cut(SimulatedController.name(controller), agent.addr, ms);
+            case 7 -> network.isolate(agent, ms);
+            case 8 -> {
+                if (agent.spot) {
+                    scenario.cloud.take(agent);
+                }
+            }
+            case 9 -> agent.sick();
+            case 11, 12 -> dropInbound(agent, 3 * ms);
+            default -> agent.restart(50 + world.random.nextInt(950), world.random.nextBoolean());
+        }
+    }
+
+    private void partitionFromStore(int controller, long ms) {
+        world.cut(SimulatedController.name(controller), ClusterScenario.STORE_ADDRESS, ms);
+        if (world.random.nextInt(3) == 0) {
+            network.partitionFromPeer(controller, (controller + 1) % ClusterScenario.CONTROLLERS, ms);
+        }
+    }
+
+    /** From one controller, or from all. */
+    private void dropInbound(FakeAgent agent, long ms) {
+        int drawn = world.random.nextInt(ClusterScenario.CONTROLLERS + 1);
+        scenario.controllers.stream()
+                .filter(controller -> drawn == ClusterScenario.CONTROLLERS || drawn == controller.index)
+                .forEach(controller -> network.dropInbound(agent, controller.index, ms));
+    }
+
+    private void duplicateHeartbeats(long ms) {
+        world.copyShare = 0.3;
+        world.at(ms, () -> world.copyShare = 0);
+    }
+
+    private void delayRequests(long ms) {
+        world.lateShare = 0.03;
+        world.at(ms, () -> world.lateShare = 0);
+    }
+
+    private void delayTransactions(long ms) {
+        world.lateWriteShare = 0.2;
+        world.at(ms, () -> world.lateWriteShare = 0);
+    }
+
+    /** One of the faults that broke invariants together with another one; most strike the leader. */
+    private void injectCombinableFault() {
+        int leader = scenario.leaderIndexOrFirst();
+        long ms = 1_000L + world.random.nextInt(20_000);
+        int kind = world.random.nextInt(24);
+        if (kind < 8) {
+            injectStoreFault(kind, leader, ms);
+        } else if (kind < 16) {
+            injectReachabilityFault(kind, leader, ms);
+        } else {
+            injectCompositeFault(kind, leader, ms);
+        }
+    }
+
+    private void injectStoreFault(int kind, int leader, long ms) {
+        String name = SimulatedController.name(leader);
+        switch (kind) {
+            case 0, 1 -> world.refuse(name, ClusterScenario.STORE_ADDRESS, ms);
+            case 2, 3 -> scenario.store.outage(scenario.cancellationMs() + ms);
+            case 4 -> delayTransactions(ms);
+            case 5 -> world.slow(ClusterScenario.STORE_ADDRESS, 3_000, ms);
+            case 6 -> network.partitionFromStoreAndPeers(leader, 2 * ms);
+            default -> world.cutOneWay(ClusterScenario.STORE_ADDRESS, name, ms);
+        }
+    }
+
+    private void injectReachabilityFault(int kind, int leader, long ms) {
+        switch (kind) {
+            case 8 -> faults.crash(leader, faults.drawDowntimeMs(5_000));
+            case 9 -> faults.crashAll();
+            case 10 -> faults.freeze(leader, ms);
+            case 11 -> network.partitionFromAgents(leader, 2 * ms, faults.drawMachines());
+            case 12 ->
+                scenario.cloud.workers().stream()
+                        .filter(agent -> world.random.nextInt(3) == 0)
+                        .forEach(agent -> network.dropInbound(agent, 2 * ms));
+            case 13, 14 -> {
+                String zone = ClusterScenario.ZONES.get(world.random.nextInt(ClusterScenario.ZONES.size()));
+                network.partitionZone(zone, scenario.leaseMs + ms);
+            }
+            default -> network.delayHeartbeats(faults.drawMachines(), scenario.leaseMs + ms);
+        }
+    }
+
+    private void injectCompositeFault(int kind, int leader, long ms) {
+        switch (kind) {
+            case 16 -> faults.crashAllBeyondLease();
+            case 17 -> faults.failOverRepeatedly(10, 10_000);
+            case 18, 19 -> faults.cancelHalfOfJobs(ms);
+            case 20, 21 -> faults.refusalThenOutage(scenario.cancellationMs() + ms);
+            case 22 -> faults.freezeBefore(leader, drawRequestKind(), ms);
+            default -> faults.hangThirdOfMachines(ms);
+        }
+    }
+
+    private void injectReorderingFault() {
+        int leader = scenario.leaderIndexOrFirst();
+        long ms = 1_000L + world.random.nextInt(8_000);
+        switch (world.random.nextInt(8)) {
+            case 0 -> world.slow(ClusterScenario.STORE_ADDRESS, 700, ms);
+            case 1, 2 -> world.slow(SimulatedController.peerAddress(leader), 400, 2 * ms);
+            case 3 -> world.refuse(SimulatedController.name(leader), ClusterScenario.STORE_ADDRESS, ms);
+            case 4 -> faults.freeze(world.random.nextInt(ClusterScenario.CONTROLLERS), 100 + ms / 2);
+            case 5 ->
+                world.cutOneWay(
+                        ClusterScenario.STORE_ADDRESS,
+                        SimulatedController.name(world.random.nextInt(ClusterScenario.CONTROLLERS)),
+                        ms);
+            case 6 -> faults.crash(leader, faults.drawDowntimeMs(5_000));
+            default -> scenario.store.outage(ms);
+        }
+    }
+}
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -11,18 +11,18 @@
 class RestartTest {
     private static ClusterScenario running(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4);
-        scenario.play(5_000);
-        scenario.submitLasting(6);
-        scenario.play(30_000);
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(6);
+        scenario.advance(30_000);
         return scenario;
     }
 
     /** Milliseconds from the leader's end until a leader record names another incarnation. */
     private static long withoutLeader(ClusterScenario scenario, long within) {
-        long member = scenario.state.data("h/roster").path("member").asLong();
+        long member = scenario.store.data("h/roster").path("member").asLong();
         long from = scenario.world.now;
-        while (scenario.state.data("h/roster").path("member").asLong() == member) {
-            scenario.play(10);
+        while (scenario.store.data("h/roster").path("member").asLong() == member) {
+            scenario.advance(10);
             assertTrue(scenario.world.now < from + within, "nobody leads after ms=" + (scenario.world.now - from));
         }
         return scenario.world.now - from;
@@ -35,10 +35,10 @@
             for (long restart : new long[] {50, 200, 1_000}) {
                 ClusterScenario scenario = running(seed);
                 int lost = scenario.checker.lost;
-                scenario.crash(scenario.leader(), restart);
+                scenario.faults.crash(scenario.leaderIndex(), restart);
                 long took = withoutLeader(scenario, restart + 1_000);
                 System.out.println("seed " + seed + " restart " + restart + " without a leader ms=" + took);
-                scenario.play(40_000);
+                scenario.advance(40_000);
                 assertEquals(lost, scenario.checker.lost);
                 assertEquals(List.of(), scenario.checker.broken);
             }
@@ -51,10 +51,10 @@
         for (int seed = 1; seed <= 4; seed++) {
             ClusterScenario scenario = running(seed);
             for (int node = 0; node < 3; node++) {
-                scenario.crash(node, 100);
+                scenario.faults.crash(node, 100);
             }
             withoutLeader(scenario, 1_500);
-            scenario.play(40_000);
+            scenario.advance(40_000);
             assertEquals(List.of(), scenario.checker.broken);
         }
     }
@@ -68,12 +68,12 @@
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.submitSome(25, 100_000);
-            scenario.drawFaults(6, 20_000, 120_000);
+            scenario.workload.submitJobs(25, 100_000);
+            scenario.randomFaults.scheduleFaults(6, 20_000, 120_000);
             for (int i = 0; i < 6; i++) {
                 scenario.world.at(20_000 + scenario.world.random.nextInt(100_000), () -> cascade(scenario, 4));
             }
-            scenario.play(200_000);
+            scenario.advance(200_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             starts += scenario.checker.starts;
         }
@@ -84,7 +84,7 @@
         List<Integer> some = new ArrayList<>(List.of(0, 1, 2));
         some.removeIf(n -> scenario.world.random.nextInt(3) == 0);
         long back = 50L + scenario.world.random.nextInt(300);
-        some.forEach(n -> scenario.crash(n, back));
+        some.forEach(n -> scenario.faults.crash(n, back));
         if (more > 0) {
             scenario.world.at(back + scenario.world.random.nextInt(80), () -> cascade(scenario, more - 1));
         }
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -21,9 +21,9 @@
                 seed,
                 2,
                 null,
-                new ClusterScenario.Limits(2_048, 4, 25),
+                new StoreLimits(2_048, 4, 25),
                 (r, s) -> new Controller(r, s, OperatorSettings.parse("{:estimates true}")));
-        scenario.play(5_000);
+        scenario.advance(5_000);
         return scenario;
     }
 
@@ -50,15 +50,15 @@
         for (String other : awaits) {
             b.withArray("awaits").add(other);
         }
-        assertEquals(201, scenario.ask("POST", "/submissions", b).status());
+        assertEquals(201, scenario.users.request("POST", "/submissions", b).status());
         return id;
     }
 
     private static JsonNode estimate(ClusterScenario scenario, String id) {
-        Response r = scenario.ask("GET", "/submissions/" + id + "/estimate", null);
+        Response r = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
         for (int i = 0; i < 200 && r.status() != 200; i++) {
-            scenario.play(200);
-            r = scenario.ask("GET", "/submissions/" + id + "/estimate", null);
+            scenario.advance(200);
+            r = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
         }
         assertEquals(200, r.status());
         return r.body();
@@ -71,9 +71,9 @@
     private void learn(ClusterScenario scenario) {
         for (int i = 0; i < 6; i++) {
             array(scenario, 12);
-            scenario.play(25_000);
+            scenario.advance(25_000);
         }
-        scenario.play(40_000);
+        scenario.advance(40_000);
     }
 
     @Test
@@ -85,15 +85,16 @@
             learn(scenario);
             for (int i = 0; i < 4; i++) {
                 String id = array(scenario, 10);
-                scenario.play(1_000);
+                scenario.advance(1_000);
                 JsonNode told = estimate(scenario, id).path("done_in_s");
                 long from = scenario.world.now;
-                while (!scenario.ask("GET", "/submissions/" + id, null)
+                while (!scenario.users
+                        .request("GET", "/submissions/" + id, null)
                         .body()
                         .path("status")
                         .asText()
                         .equals("done")) {
-                    scenario.play(100);
+                    scenario.advance(100);
                 }
                 double took = (scenario.world.now - from) / 1000.0;
                 all++;
@@ -120,23 +121,23 @@
                     .asInt();
             assertTrue(before >= 20, "learned " + before);
             switch (trouble) {
-                case 0 -> scenario.crash(scenario.leader(), 9_000);
-                case 1 -> scenario.crashAll();
+                case 0 -> scenario.faults.crash(scenario.leaderIndex(), 9_000);
+                case 1 -> scenario.faults.crashAll();
                 case 2 -> {
-                    scenario.state.outage(12_000);
-                    scenario.world.at(3_000, scenario::crashAll);
+                    scenario.store.outage(12_000);
+                    scenario.world.at(3_000, scenario.faults::crashAll);
                 }
                 default -> {
-                    scenario.tighten();
-                    scenario.play(30_000);
-                    scenario.crash(scenario.leader(), 9_000);
+                    scenario.tightenStoreLimits();
+                    scenario.advance(30_000);
+                    scenario.faults.crash(scenario.leaderIndex(), 9_000);
                 }
             }
-            scenario.play(40_000);
+            scenario.advance(40_000);
             String after = array(scenario, 8);
             JsonNode told = estimate(scenario, after);
             assertTrue(told.path("history").path("n").asInt() >= 20, "trouble " + trouble + ": " + told);
-            assertEquals(0, scenario.state.tooLarge);
+            assertEquals(0, scenario.store.tooLarge);
             assertEquals(List.of(), scenario.checker.broken);
         }
     }
@@ -147,7 +148,7 @@
         learn(scenario);
         String first = array(scenario, 8);
         String second = array(scenario, 8, first);
-        scenario.play(500);
+        scenario.advance(500);
         JsonNode one = estimate(scenario, first);
         JsonNode both = estimate(scenario, second);
         assertTrue(p50(both) > p50(one) + 3, one + " and " + both);
@@ -163,15 +164,15 @@
         ObjectNode broken = Codec.object().put("v", 1);
         broken.putArray("kinds").add(7);
         for (int slot = 0; slot < 8; slot++) {
-            scenario.state.store("h/e/" + slot, slot % 2 == 0 ? newer : broken);
+            scenario.store.store("h/e/" + slot, slot % 2 == 0 ? newer : broken);
         }
-        scenario.crash(scenario.leader(), 9_000);
-        scenario.play(30_000);
+        scenario.faults.crash(scenario.leaderIndex(), 9_000);
+        scenario.advance(30_000);
         learn(scenario);
         assertTrue(
                 estimate(scenario, array(scenario, 4)).path("history").path("n").asInt() > 5);
         for (int slot = 0; slot < 8; slot += 2) {
-            assertEquals(newer, scenario.state.data("h/e/" + slot));
+            assertEquals(newer, scenario.store.data("h/e/" + slot));
         }
         assertEquals(List.of(), scenario.checker.broken);
     }
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/SimulatedController.java
@@ -0,0 +1,140 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.function.Consumer;
+import org.hollypick.io.Codec;
+import org.hollypick.io.Response;
+
+/** The host of a controller; processes start and end on it. */
+final class SimulatedController implements SimulatedWorld.Endpoint {
+    static final String NAME_PREFIX = "bothy-";
+    static final String PUBLIC_PREFIX = "p";
+    static final String PEER_PREFIX = "m";
+    static final String PORT = ":1";
+    /** The clocks of neighbouring controllers run apart by that share. */
+    private static final double CLOCK_DRIFT = 0.0005;
+
+    final int index;
+    String zone = "a";
+    /** Whether processes started here run the version in production. */
+    boolean runsProductionVersion;
+
+    SimulatedWorld.Process process;
+    private ControllerProcess controller;
+    private final double clockRate;
+    private final ClusterScenario scenario;
+
+    SimulatedController(ClusterScenario scenario, int index) {
+        this.scenario = scenario;
+        this.index = index;
+        this.clockRate = 1 + (index - 1) * CLOCK_DRIFT;
+    }
+
+    static String name(int index) {
+        return NAME_PREFIX + index;
+    }
+
+    static String publicAddress(int index) {
+        return PUBLIC_PREFIX + index + PORT;
+    }
+
+    static String peerAddress(int index) {
+        return PEER_PREFIX + index + PORT;
+    }
+
+    String name() {
+        return name(index);
+    }
+
+    void start() {
+        process = scenario.world.new Process(name(), clockRate);
+        process.limit(scenario.socketLimit, scenario.costPerTaskMs);
+        controller = scenario.newController(this);
+        process.after(0, controller::start);
+    }
+
+    /** Ends the process; another one starts after a while, with the version that is due by then. */
+    void crash(long downtimeMs) {
+        if (process.dead) {
+            return;
+        }
+        process.dead = true;
+        scenario.world.at(downtimeMs, this::start);
+    }
+
+    @Override
+    public boolean listens() {
+        return !process.dead;
+    }
+
+    @Override
+    public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
+        if (scenario.unavailableJob != null && path.equals(UserProtocol.job(scenario.unavailableJob))) {
+            callback.accept(new Response(503, Codec.object()));
+            return;
+        }
+        SimulatedWorld.Process receiver = process;
+        boolean isHeartbeat = path.equals(AgentProtocol.HEARTBEAT);
+        String machine = isHeartbeat ? body.path(AgentProtocol.MACHINE_ID).asText() : null;
+        if (isHeartbeat && !receiver.accepts(machine)) {
+            callback.accept(Response.notSent());
+            return;
+        }
+        byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
+        AnswerOrderChecker.Question question =
+                AnswerOrderChecker.question(name(), method, path, body, scenario.world.now);
+        Consumer<Response> respond = answer -> {
+            Response response = scenario.responseFault.apply(question, answer);
+            scenario.checker.order.left(question, response, scenario.world.now);
+            if (isHeartbeat) {
+                receiver.answered(machine);
+            }
+            scenario.responseObserver.accept(name(), path);
+            if (isHeartbeat) {
+                checkLaunches(response);
+            }
+            callback.accept(response);
+        };
+        receiver.awake(() -> scenario.metering.run(
+                name(),
+                GrowthBenchmark.Metering.activity(path, body),
+                () -> controller.handle(
+                        method, path, bytes, answer -> receiver.out(() -> respond.accept(answer.get())))));
+    }
+
+    private void checkLaunches(Response response) {
+        if (response.ok()
+                && response.body().path(AgentProtocol.ORDERS).toString().contains(AgentProtocol.LAUNCH)) {
+            scenario.leadership.launchSent(
+                    name(), response.body().path(AgentProtocol.FENCING_TOKEN).asLong());
+        }
+    }
+
+    /** A user's request with its body as it comes from the wire. */
+    void handleRaw(String method, String path, byte[] body, Consumer<Response> callback) {
+        SimulatedWorld.Process receiver = process;
+        receiver.awake(() ->
+                controller.handle(method, path, body, answer -> receiver.out(() -> callback.accept(answer.get()))));
+    }
+
+    /** What other controllers reach. */
+    SimulatedWorld.Endpoint peerEndpoint() {
+        return new SimulatedWorld.Endpoint() {
+            @Override
+            public boolean listens() {
+                return SimulatedController.this.listens();
+            }
+
+            @Override
+            public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
+                SimulatedWorld.Process receiver = process;
+                byte[] bytes = body == null ? new byte[0] : Codec.write(body, true);
+                receiver.awake(() -> scenario.metering.run(
+                        name(),
+                        path,
+                        () -> controller.handleMesh(
+                                method, path, bytes, answer -> receiver.out(() -> callback.accept(answer.get())))));
+            }
+        };
+    }
+}
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -87,37 +87,37 @@
 
     private static ClusterScenario faults(int seed, int size) {
         ClusterScenario scenario = new ClusterScenario(seed, size);
-        scenario.submitSome(30, 100_000);
-        scenario.drawFaults(10, 20_000, 150_000);
-        scenario.play(220_000);
+        scenario.workload.submitJobs(30, 100_000);
+        scenario.randomFaults.scheduleFaults(10, 20_000, 150_000);
+        scenario.advance(220_000);
         return scenario;
     }
 
     private static ClusterScenario combinedFaults(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.submitSome(25, 100_000);
-        scenario.drawMeetings(4, 20_000, 110_000);
-        scenario.play(300_000);
+        scenario.workload.submitJobs(25, 100_000);
+        scenario.randomFaults.scheduleCombinedFaults(4, 20_000, 110_000);
+        scenario.advance(300_000);
         return scenario;
     }
 
     private static ClusterScenario answers(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.submitSome(25, 100_000);
-        scenario.closeLooks();
-        scenario.oddRequests(20, 120_000);
-        scenario.drawAnswerTroubles(6, 20_000, 120_000);
-        scenario.play(240_000);
+        scenario.workload.submitJobs(25, 100_000);
+        scenario.answerProber.start();
+        scenario.invalidRequests.submit(20, 120_000);
+        scenario.randomFaults.scheduleReorderingFaults(6, 20_000, 120_000);
+        scenario.advance(240_000);
         return scenario;
     }
 
     private static ClusterScenario pipelines(int seed) {
         ClusterScenario scenario = withOperator(seed, "{}");
-        scenario.submitSome(20, 100_000);
-        scenario.pipelines(6, 90_000);
-        scenario.world.at(60_000, scenario::tighten);
-        scenario.drawFaults(6, 20_000, 150_000);
-        scenario.play(240_000);
+        scenario.workload.submitJobs(20, 100_000);
+        scenario.pipelines.submitPipelines(6, 90_000);
+        scenario.world.at(60_000, scenario::tightenStoreLimits);
+        scenario.randomFaults.scheduleFaults(6, 20_000, 150_000);
+        scenario.advance(240_000);
         return scenario;
     }
 
@@ -132,35 +132,35 @@
                 scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
             }
         }
-        scenario.submitSome(8, 60_000);
-        scenario.drawFaults(6, 10_000, 120_000);
-        scenario.play(330_000);
+        scenario.workload.submitJobs(8, 60_000);
+        scenario.randomFaults.scheduleFaults(6, 10_000, 120_000);
+        scenario.advance(330_000);
         return scenario;
     }
 
     private static ClusterScenario estimates(int seed) {
         ClusterScenario scenario = withOperator(seed, "{:estimates true}");
-        scenario.submitSome(25, 100_000);
+        scenario.workload.submitJobs(25, 100_000);
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
             int node = i % 3;
-            scenario.world.at(5_000 + i * 4_000L, () -> scenario.lookAt(node, path.split("/")[2], path));
+            scenario.world.at(5_000 + i * 4_000L, () -> scenario.users.queryAt(node, path.split("/")[2], path));
         }
-        scenario.drawFaults(5, 20_000, 120_000);
-        scenario.play(220_000);
+        scenario.randomFaults.scheduleFaults(5, 20_000, 120_000);
+        scenario.advance(220_000);
         return scenario;
     }
 
     private static ClusterScenario quickRestarts(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4);
-        scenario.submitSome(25, 100_000);
+        scenario.workload.submitJobs(25, 100_000);
         for (int i = 0; i < 8; i++) {
             int node = i % 3;
             long back = 50L + scenario.world.random.nextInt(300);
-            scenario.world.at(15_000 + i * 9_000L, () -> scenario.crash(node, back));
+            scenario.world.at(15_000 + i * 9_000L, () -> scenario.faults.crash(node, back));
         }
-        scenario.world.at(100_000, scenario::crashAll);
-        scenario.play(200_000);
+        scenario.world.at(100_000, scenario.faults::crashAll);
+        scenario.advance(200_000);
         return scenario;
     }
 
@@ -174,48 +174,48 @@
                         r,
                         ClusterScenario.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
                         OperatorSettings.defaults()));
-        scenario.owners = List.of("team", TWO_TEAMS_OTHER);
-        scenario.cancelledOf = 2;
-        scenario.submitSome(40, 100_000);
-        scenario.drawMeetings(3, 20_000, 110_000);
-        scenario.play(280_000);
+        scenario.workload.teams = List.of("team", TWO_TEAMS_OTHER);
+        scenario.users.cancelOneIn = 2;
+        scenario.workload.submitJobs(40, 100_000);
+        scenario.randomFaults.scheduleCombinedFaults(3, 20_000, 110_000);
+        scenario.advance(280_000);
         return scenario;
     }
 
     private static ClusterScenario partition(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4).withRunningServices();
-        scenario.controllerInZone(1, "b");
-        scenario.submitSome(20, 80_000);
-        scenario.cutZone("b", seed % 2 == 0 ? 25_000 : 50_000);
-        scenario.play(120_000);
-        scenario.cutFromWorkers(scenario.leader(), 40_000);
-        scenario.play(90_000);
+        scenario.placeControllerInZone(1, "b");
+        scenario.workload.submitJobs(20, 80_000);
+        scenario.network.partitionZone("b", seed % 2 == 0 ? 25_000 : 50_000);
+        scenario.advance(120_000);
+        scenario.network.partitionFromAgents(scenario.leaderIndex(), 40_000);
+        scenario.advance(90_000);
         return scenario;
     }
 
     private static ClusterScenario outage(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-        scenario.submitSome(20, 80_000);
-        scenario.state.outage(60_000);
-        scenario.play(180_000);
+        scenario.workload.submitJobs(20, 80_000);
+        scenario.store.outage(60_000);
+        scenario.advance(180_000);
         return scenario;
     }
 
     private static ClusterScenario leadersChange(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
-        scenario.submitSome(20, 80_000);
-        scenario.changeLeaders(10, 10_000);
-        scenario.play(200_000);
+        scenario.workload.submitJobs(20, 80_000);
+        scenario.faults.failOverRepeatedly(10, 10_000);
+        scenario.advance(200_000);
         return scenario;
     }
 
     /** Begins with the version in production and is rolled over to this one. */
     private static ClusterScenario fromProduction(int seed) {
         ClusterScenario scenario =
-                new ClusterScenario(seed, 1, production(), new ClusterScenario.Limits(2_048, 4, 25), version("{}"));
-        scenario.submitSome(25, 100_000);
-        scenario.roll(30_000, 12_000);
-        scenario.play(220_000);
+                new ClusterScenario(seed, 1, production(), new StoreLimits(2_048, 4, 25), version("{}"));
+        scenario.workload.submitJobs(25, 100_000);
+        scenario.rollOut(30_000, 12_000);
+        scenario.advance(220_000);
         return scenario;
     }
 
@@ -228,7 +228,7 @@
     }
 
     private static ClusterScenario withOperator(int seed, String operator) {
-        return new ClusterScenario(seed, 1, null, new ClusterScenario.Limits(2_048, 4, 25), version(operator));
+        return new ClusterScenario(seed, 1, null, new StoreLimits(2_048, 4, 25), version(operator));
     }
 
     private static BiFunction<EventLoop, Settings, Controller> version(String operator) {
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/UserClient.java
@@ -0,0 +1,224 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
+import org.hollypick.io.Codec;
+import org.hollypick.io.Request;
+import org.hollypick.io.Response;
+
+/**
+ * Users of the cluster: they submit, poll, repeat and cancel, and every answer goes to the {@link InvariantChecker}.
+ */
+final class UserClient {
+    private static final String USER = "user";
+    private static final long SUBMIT_TIMEOUT_MS = 5_000;
+    private static final long QUERY_TIMEOUT_MS = 2_000;
+    private static final long RETRY_MS = 1_000;
+    /** For that long a submission is repeated until it is accepted. */
+    private static final long SUBMIT_RETRY_PERIOD_MS = 60_000;
+
+    /** Of the arrays, one in so many is cancelled; services always are. */
+    int cancelOneIn = 6;
+
+    private final ClusterScenario scenario;
+    private final SimulatedWorld world;
+    private final InvariantChecker checker;
+    private final Set<String> uncancelled = new HashSet<>();
+
+    UserClient(ClusterScenario scenario) {
+        this.scenario = scenario;
+        this.world = scenario.world;
+        this.checker = scenario.checker;
+    }
+
+    /** From now on no user cancels that job by chance. */
+    void neverCancel(String id) {
+        uncancelled.add(id);
+    }
+
+    boolean mayCancel(String id) {
+        return !uncancelled.contains(id);
+    }
+
+    /** Submits a job, again until it is accepted; then polls it, and may cancel and resubmit it. */
+    void submit(String id, ObjectNode job) {
+        checker.submitting(id, job, world.now);
+        submit(id, job, world.now + SUBMIT_RETRY_PERIOD_MS);
+    }
+
+    private void submit(String id, ObjectNode job, long until) {
+        long sentAt = world.now;
+        send(drawController(), "POST", UserProtocol.SUBMISSIONS, job, response -> {
+            if (isAccepted(response)) {
+                checker.told(id, status(response), sentAt, world.now);
+                poll(id);
+                boolean isService = job.path(UserProtocol.SHAPE).asText().equals(UserProtocol.SERVICE);
+                if (mayCancel(id) && (isService || world.random.nextInt(cancelOneIn) == 0)) {
+                    world.at(world.random.nextInt(60_000), () -> cancel(id));
+                }
+                world.at(world.random.nextInt(100_000), () -> resubmitAt(drawController(), id, job));
+            } else {
+                checker.refused(id, response.status(), sentAt);
+                if (world.now < until) {
+                    world.at(RETRY_MS, () -> submit(id, job, until));
+                }
+            }
+        });
+    }
+
+    /** Submits the job as soon as all its dependencies are accepted. */
+    void submitWhenAccepted(String id, ObjectNode job) {
+        for (JsonNode dependency : job.path(UserProtocol.DEPENDENCIES)) {
+            if (!checker.isAccepted(dependency.asText())) {
+                world.at(50, () -> submitWhenAccepted(id, job));
+                return;
+            }
+        }
+        submit(id, job);
+    }
+
+    /** Repeats the submission of a job that was accepted. */
+    void resubmitAt(int controller, String id, JsonNode job) {
+        long sentAt = world.now;
+        send(controller, "POST", UserProtocol.SUBMISSIONS, job, response -> {
+            if (isAccepted(response)) {
+                checker.told(id, status(response), sentAt, world.now);
+            } else {
+                checker.refused(id, response.status(), sentAt);
+            }
+        });
+    }
+
+    private void poll(String id) {
+        long sentAt = world.now;
+        send(drawController(), "GET", UserProtocol.job(id), null, QUERY_TIMEOUT_MS, response -> {
+            if (response.status() == 200) {
+                checker.told(id, status(response), sentAt, world.now);
+            } else if (response.status() == 404) {
+                checker.refused(id, 404, sentAt);
+            }
+            world.at(1_000 + world.random.nextInt(2_000), () -> poll(id));
+        });
+    }
+
+    void cancel(String id) {
+        cancelAt(drawController(), id);
+    }
+
+    /** Cancels a job; repeated, at any controller, until it is answered. */
+    void cancelAt(int controller, String id) {
+        checker.withdrawing(id);
+        long sentAt = world.now;
+        send(controller, "POST", UserProtocol.job(id) + UserProtocol.CANCEL, Codec.object(), response -> {
+            if (response.status() == 200) {
+                checker.told(id, status(response), sentAt, world.now);
+            } else {
+                checker.refused(id, response.status(), sentAt);
+                world.at(RETRY_MS, () -> cancel(id));
+            }
+        });
+    }
+
+    /** Asks one controller about a job, or for its estimate. */
+    void queryAt(int controller, String id, String path) {
+        long sentAt = world.now;
+        send(controller, "GET", path, null, QUERY_TIMEOUT_MS, response -> {
+            if (response.status() == 200) {
+                checker.told(id, status(response), sentAt, world.now);
+            } else {
+                checker.refused(id, response.status(), sentAt);
+            }
+        });
+    }
+
+    /** Asks all controllers about a job at once. */
+    void queryAllControllers(String id) {
+        long sentAt = world.now;
+        for (SimulatedController controller : scenario.controllers) {
+            send(controller.index, "GET", UserProtocol.job(id), null, QUERY_TIMEOUT_MS, response -> {
+                if (response.status() == 200) {
+                    checker.told(id, status(response), sentAt, world.now);
+                }
+            });
+        }
+    }
+
+    /** Sends a request to any controller and lets the time advance until it is answered. */
+    Response request(String method, String path, JsonNode body) {
+        return requestAt(drawController(), method, path, body);
+    }
+
+    /** Sends a request to one controller and lets the time advance until it is answered. */
+    Response requestAt(int controller, String method, String path, JsonNode body) {
+        if (path.equals(UserProtocol.SUBMISSIONS)) {
+            String id = body.path(UserProtocol.JOB_ID).asText();
+            if (!checker.submitted.containsKey(id)) {
+                checker.submitting(id, body, world.now);
+            }
+        }
+        if (path.endsWith(UserProtocol.CANCEL)) {
+            checker.withdrawing(idIn(path));
+        }
+        AtomicReference<Response> answer = new AtomicReference<>();
+        long sentAt = world.now;
+        send(controller, method, path, body, response -> {
+            answer.set(response);
+            if (response.status() == 200 && path.startsWith(UserProtocol.SUBMISSIONS + "/")) {
+                checker.told(idIn(path), status(response), sentAt, world.now);
+            }
+        });
+        while (answer.get() == null) {
+            scenario.advance(10);
+        }
+        return answer.get();
+    }
+
+    /** Sends a request to any controller, with its body as it comes from the wire. */
+    void sendRaw(String method, String path, byte[] body, Consumer<Response> callback) {
+        SimulatedController controller = scenario.controllers.get(world.random.nextInt(scenario.controllers.size()));
+        if (controller.listens()) {
+            controller.handleRaw(method, path, body, callback);
+        } else {
+            world.at(10, () -> callback.accept(new Response(503, Codec.object())));
+        }
+    }
+
+    /** The status with which a controller answers whether it is ready. */
+    int readinessStatus(int controller) {
+        AtomicReference<Integer> status = new AtomicReference<>(0);
+        scenario.controllers.get(controller).request("GET", "/ready", null, response -> status.set(response.status()));
+        scenario.advance(10);
+        return status.get();
+    }
+
+    int drawController() {
+        return world.random.nextInt(ClusterScenario.CONTROLLERS);
+    }
+
+    /** Sends a request to one controller; the answer isn't checked here. */
+    void send(int controller, String method, String path, JsonNode body, Consumer<Response> callback) {
+        send(controller, method, path, body, SUBMIT_TIMEOUT_MS, callback);
+    }
+
+    private void send(
+            int controller, String method, String path, JsonNode body, long timeoutMs, Consumer<Response> callback) {
+        String address = SimulatedController.publicAddress(controller);
+        world.send(USER, new Request(address, method, path, body, timeoutMs, false), callback);
+    }
+
+    private static boolean isAccepted(Response response) {
+        return response.status() == 200 || response.status() == 201;
+    }
+
+    private static String status(Response response) {
+        return response.body().path(UserProtocol.STATUS).asText();
+    }
+
+    private static String idIn(String path) {
+        return path.split("/")[2];
+    }
+}
