--- a/src/test/java/org/hollypick/sim/AgentProtocol.java
+++ b/src/test/java/org/hollypick/sim/AgentProtocol.java
@@ -14,7 +14,6 @@
     static final String INCARNATION = "tenure";
     static final String HEARTBEAT_SEQUENCE = "tick";
     static final String FENCING_TOKEN = "baton";
-    static final String TERMINATION_NOTICE_S = "warning_s";
     static final String TASKS = "shards";
     static final String TASK = "shard";
     static final String ATTEMPT = "try";
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -249,7 +249,7 @@
         scenario.advance(5_000);
         new GraphUser(scenario, "req-700000", 2, 2).start();
         scenario.advance(500);
-        scenario.store.refused = txn -> txn.path("then").toString().contains("\"h/x/");
+        scenario.store.refusedTransactions = txn -> txn.path("then").toString().contains("\"h/x/");
         scenario.checker.withdrawing("req-700000");
         String withdraw = "/graphs/req-700000/nodes/n0/withdraw";
         assertEquals(
@@ -260,7 +260,7 @@
         assertEquals(
                 503,
                 scenario.users.requestAt(0, "GET", "/graphs/req-700000", null).status());
-        scenario.store.refused = txn -> false;
+        scenario.store.refusedTransactions = txn -> false;
         scenario.advance(2_000);
         Response later = scenario.users.requestAt(0, "GET", "/graphs/req-700000", null);
         assertEquals(
@@ -346,7 +346,7 @@
                             .status());
         }
         assertEquals(0, writes[0], "repetitions cost no write");
-        scenario.store.outage(5_000);
+        scenario.store.startOutage(5_000);
         for (int node = 0; node < 3; node++) {
             assertEquals(
                     503,
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -84,7 +84,7 @@
                 case CUT -> {
                     for (int node = 0; node < 3; node++) {
                         day.world.cut(w.name, "p" + node + ":1", 30_000);
-                        day.world.cut("bothy-" + node, w.addr, 30_000);
+                        day.world.cut("bothy-" + node, w.address, 30_000);
                     }
                 }
                 default -> day.network.dropInbound(w, 30_000);
@@ -98,7 +98,7 @@
     }
 
     private static Stream<FakeAgent> machinesOf(ClusterScenario day, String job) {
-        return day.cloud.workers().stream().filter(w -> w.has(job));
+        return day.cloud.agents().stream().filter(w -> w.hasActiveTaskOf(job));
     }
 
     /** One-task jobs, some for seconds and some for long, so that at any moment some wait, fetch, run and end. */
@@ -202,7 +202,7 @@
     /** A successor that doesn't know of the machines takes their silence for room under the limit. */
     @Test
     void theCheckerNoticesALimitThatIsFreedOnSilence() {
-        Consumer<ClusterScenario> forgets = day -> day.store.hidden = key -> key.startsWith("h/m/");
+        Consumer<ClusterScenario> forgets = day -> day.store.hiddenKeys = key -> key.startsWith("h/m/");
         ClusterScenario day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
         assertTrue(day.checker.broken.stream().anyMatch(b -> b.startsWith("quota of")), day.checker.broken::toString);
     }
@@ -210,7 +210,7 @@
     /** Jobs are cancelled while their tasks wait for their image, on machines that are lost just then. */
     private static ClusterScenario whileFetching(int seed, Loss loss, Consumer<FakeAgent> fault) {
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
-        day.cloud.workers().forEach(fault);
+        day.cloud.agents().forEach(fault);
         for (int i = 0; i < 8; i++) {
             String id = day.workload.submitBatchJob(3, 60, "img-fetched-" + i);
             long after = 300L * i;
@@ -232,7 +232,7 @@
     /** As it was: only a launch that no report had shown kept a cancellation from being told. */
     @Test
     void theCheckerNoticesACancellationThatIsToldWhileAMachineFetches() {
-        ClusterScenario day = whileFetching(1, Loss.CUT, w -> w.callsFetchingRunning = true);
+        ClusterScenario day = whileFetching(1, Loss.CUT, w -> w.reportFetchingAsRunning());
         assertFalse(day.checker.startsAfterCancellation.isEmpty());
     }
 
@@ -240,7 +240,7 @@
     private static ClusterScenario answersHeldUp(int seed) {
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         for (int spell = 0; spell < 10; spell++) {
-            day.world.at(4_000L * spell, () -> day.cloud.workers().forEach(w -> day.network.dropInbound(w, 2_500)));
+            day.world.at(4_000L * spell, () -> day.cloud.agents().forEach(w -> day.network.dropInbound(w, 2_500)));
         }
         List<String> ids = smallJobs(day, 200, 200);
         for (int i = 0; i < 200; i++) {
@@ -281,7 +281,7 @@
         day.advance(1_500);
         day.world.refuse("bothy-" + leader, "state:1", 4_000);
         day.advance(1_000);
-        day.store.outage(OUTAGE_MS);
+        day.store.startOutage(OUTAGE_MS);
         return day.advance(OUTAGE_MS + 60_000);
     }
 
@@ -300,12 +300,12 @@
         day.advance(5_000);
         List<String> ids = smallJobs(day, 60, 100);
         day.advance(30_000);
-        day.cloud.workers().forEach(fault);
+        day.cloud.agents().forEach(fault);
         cancelEvery(day, ids, 40, 50);
         day.advance(500);
         day.world.refuse("bothy-" + day.leaderIndex(), "state:1", 1_000);
         day.advance(1_000);
-        day.store.outage(OUTAGE_MS);
+        day.store.startOutage(OUTAGE_MS);
         return day.advance(OUTAGE_MS + 30_000);
     }
 
@@ -320,7 +320,7 @@
     @Test
     void theCheckerNoticesACancelledTaskThatNobodyEnds() {
         ClusterScenario day = refusedThenOut(1, w -> {
-            w.ignored = "kill";
+            w.ignoreCommands("kill");
             w.hangLater(45_000, 2_000);
         });
         for (String rule : List.of("ran_cancelled (still there)", "ran_cancelled (went on after its machine hung)")) {
@@ -343,9 +343,9 @@
                 case CUT_OFF -> day.network.partitionFromStoreAndPeers(leader, OUTAGE_MS);
                 case UNHEARD -> {
                     day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
-                    day.world.at(1_000, () -> day.store.outage(OUTAGE_MS));
+                    day.world.at(1_000, () -> day.store.startOutage(OUTAGE_MS));
                 }
-                default -> day.store.outage(OUTAGE_MS);
+                default -> day.store.startOutage(OUTAGE_MS);
             }
         }
     }
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -52,7 +52,7 @@
     private final BiFunction<EventLoop, Settings, Controller> version;
 
     /** Measures how long the controllers take to handle requests. */
-    GrowthBenchmark.Metering metering = (controller, activity, handling) -> handling.run();
+    RequestMetering metering = (controller, activity, handling) -> handling.run();
     /** Replaces the answers of controllers, as a faulty version would give them. */
     BiFunction<AnswerOrderChecker.Question, Response, Response> responseFault = (question, response) -> response;
     /** Called with the name of a controller and the path, when it sends an answer to a user or an agent. */
@@ -238,10 +238,7 @@
 
     /** The tightened limits of the store come into force. */
     void tightenStoreLimits() {
-        store.tighten(
-                tightenedLimits.valueBytes(),
-                tightenedLimits.transactionOperations(),
-                tightenedLimits.changesPerSecond());
+        store.tightenLimits(tightenedLimits);
     }
 
     /** Limits the sockets of each controller, and lets each event that it handles take so long. */
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -54,7 +54,7 @@
             cancelWithoutAnswer(scenario, leader);
             Response told = scenario.users.requestAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
             assertEquals("aborted", told.body().path("status").asText(), "seed " + seed);
-            scenario.store.outage(OUTAGE_MS);
+            scenario.store.startOutage(OUTAGE_MS);
             scenario.advance(OUTAGE_MS + 60_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
         }
@@ -75,7 +75,7 @@
                 scenario.world.at(3_000L * i, () -> scenario.users.cancel(id));
             }
             scenario.world.at(9_000, () -> scenario.world.refuse("bothy-" + leader, "state:1", 12_000));
-            scenario.world.at(14_000, () -> scenario.store.outage(OUTAGE_MS));
+            scenario.world.at(14_000, () -> scenario.store.startOutage(OUTAGE_MS));
             scenario.advance(OUTAGE_MS + 90_000);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
             assertTrue(scenario.checker.isOver("req-000003"), "seed " + seed);
@@ -107,7 +107,7 @@
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
         int old = scenario.leaderIndex();
         scenario.network.partitionFromStoreAndPeers(old, 110_000);
-        List<String> ofZone = scenario.cloud.workers().stream()
+        List<String> ofZone = scenario.cloud.agents().stream()
                 .filter(w -> w.zone.equals("b"))
                 .map(w -> w.name)
                 .toList();
@@ -145,8 +145,8 @@
                     if (held[0] == null
                             && call.path().equals("/commands")
                             && call.body().toString().contains("launch")) {
-                        held[0] = scenario.cloud.workers().stream()
-                                .filter(w -> w.addr.equals(call.address()))
+                        held[0] = scenario.cloud.agents().stream()
+                                .filter(w -> w.address.equals(call.address()))
                                 .findAny()
                                 .orElseThrow();
                         if (hangs) {
@@ -166,15 +166,15 @@
                     scenario.world.at(2_000, () -> scenario.faults.crash(scenario.leaderIndex(), 200));
                 }
                 long from = scenario.world.now;
-                long token = scenario.store.stamp("h/roster");
+                long token = scenario.store.revisionOf("h/roster");
                 while (!scenario.checker.isOver("req-000000")) {
                     scenario.advance(10);
                     assertTrue(scenario.world.now - from < 120_000, "seed " + seed + ": never told");
                 }
                 waited += scenario.world.now - from > 5_000 ? 1 : 0;
-                fenced += scenario.store.stamp("h/roster") != token && seed % 4 <= 1 ? 1 : 0;
+                fenced += scenario.store.revisionOf("h/roster") != token && seed % 4 <= 1 ? 1 : 0;
                 assertTrue(
-                        !hangs || seed % 4 > 1 || scenario.store.stamp("h/roster") == token,
+                        !hangs || seed % 4 > 1 || scenario.store.revisionOf("h/roster") == token,
                         "the lease of one that hangs ends by itself");
                 int starts = scenario.checker.starts;
                 scenario.advance(100_000);
@@ -213,7 +213,7 @@
 
     private static ClusterScenario smallJobs(int seed, Predicate<String> hidden) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.store.hidden = hidden;
+        scenario.store.hiddenKeys = hidden;
         scenario.workload.durationFactor = 5;
         scenario.users.cancelOneIn = 1_000_000;
         scenario.advance(5_000);
@@ -290,18 +290,18 @@
         ClusterScenario scenario = new ClusterScenario(seed);
         scenario.workload.durationFactor = 6;
         scenario.users.cancelOneIn = 3;
-        scenario.store.hidden = hidden;
+        scenario.store.hiddenKeys = hidden;
         scenario.advance(5_000);
         scenario.workload.submitBatchJobs(10, 10_000);
         scenario.advance(30_000);
-        for (FakeAgent w : scenario.cloud.workers()) {
+        for (FakeAgent w : scenario.cloud.agents()) {
             int how = scenario.world.random.nextInt(3);
             for (int node = 0; node < 3; node++) {
                 if (how == 0) {
                     scenario.network.dropInbound(w, node, 12_000);
                 } else if (how == 1) {
                     scenario.world.cut(w.name, "p" + node + ":1", 12_000);
-                    scenario.world.cut("bothy-" + node, w.addr, 12_000);
+                    scenario.world.cut("bothy-" + node, w.address, 12_000);
                 }
             }
         }
@@ -325,7 +325,7 @@
                 boolean anew = i % 2 == 0;
                 scenario.world.at(
                         20_000 + 12_000 * i,
-                        () -> scenario.cloud.workers().stream()
+                        () -> scenario.cloud.agents().stream()
                                 .filter(w -> scenario.world.random.nextInt(3) == 0)
                                 .forEach(w -> w.restart(300, anew)));
                 scenario.world.at(
@@ -366,7 +366,7 @@
 
     private static ClusterScenario lateTransactions(int seed, String kind, boolean careless) {
         ClusterScenario scenario = new ClusterScenario(seed);
-        scenario.store.careless = careless;
+        scenario.store.ignoresConditions = careless;
         scenario.users.cancelOneIn = 2;
         scenario.workload.submitJobs(25, 100_000);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
@@ -389,7 +389,7 @@
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
             cancelWithoutAnswer(scenario, leader);
-            scenario.store.outage(OUTAGE_MS);
+            scenario.store.startOutage(OUTAGE_MS);
             scenario.advance(5_000);
             for (int node = 0; node < 3; node++) {
                 assertEquals(
@@ -477,7 +477,7 @@
             for (long at = 15_000; at < 80_000; at += 1_500) {
                 scenario.world.at(at, () -> {
                     scenario.world.slow("state:1", 900, 1_300);
-                    scenario.store.forgetChanges();
+                    scenario.store.compact();
                 });
             }
             Map<String, Long> completeAt = new TreeMap<>();
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -52,13 +52,13 @@
         }
 
         private long leaderStamp() {
-            return scenario.store.data("h/roster").path("member").asLong();
+            return scenario.store.valueOf("h/roster").path("member").asLong();
         }
 
         /** One that runs services is neither idle nor more than is needed. */
         private void returned(String id) {
-            for (FakeAgent w : scenario.cloud.workers()) {
-                if (w.name.equals(id) && w.tasks() > 0 && !hung.contains(id)) {
+            for (FakeAgent w : scenario.cloud.agents()) {
+                if (w.name.equals(id) && w.reportedTasks() > 0 && !hung.contains(id)) {
                     wellReturned.add(id);
                 }
             }
@@ -88,8 +88,8 @@
         for (int seed = 1; seed <= 4; seed++) {
             Watched w = crashOfAll(seed, NEW, SOCKETS);
             assertTrue(
-                    w.scenario.cloud.workers().size() > 1.5 * SOCKETS,
-                    "more machines than sockets: " + w.scenario.cloud.workers().size());
+                    w.scenario.cloud.agents().size() > 1.5 * SOCKETS,
+                    "more machines than sockets: " + w.scenario.cloud.agents().size());
             assertTrue(w.changes.size() <= 2, "seed " + seed + ": the lead changed at " + w.changes);
             assertEquals(Set.of(), w.wellReturned, "seed " + seed);
             assertEquals(List.of(), w.scenario.checker.broken, "seed " + seed);
@@ -108,7 +108,7 @@
                 int n = node;
                 w.scenario.world.at(1_000 + 20_000 * node, () -> w.scenario.faults.crash(n, 6_000));
             }
-            w.scenario.world.at(65_000, () -> w.scenario.store.outage(12_000));
+            w.scenario.world.at(65_000, () -> w.scenario.store.startOutage(12_000));
             w.scenario.world.at(90_000, () -> w.scenario.faults.freeze(w.scenario.leaderIndex(), 7_000));
             w.play(160_000);
             assertTrue(w.changes.size() <= 5, "seed " + seed + ": the lead changed at " + w.changes);
@@ -121,13 +121,13 @@
     @Test
     void machinesThatHangAreReturnedWhileSocketsAreShort() {
         Watched w = crashOfAll(1, NEW, SOCKETS);
-        List<FakeAgent> some = w.scenario.cloud.workers().subList(0, 12);
+        List<FakeAgent> some = w.scenario.cloud.agents().subList(0, 12);
         some.forEach(m -> {
             w.hung.add(m.name);
             m.hang(120_000);
         });
         w.play(25_000);
-        assertTrue(w.hung.stream().noneMatch(w.scenario.cloud.names()::contains), "still there");
+        assertTrue(w.hung.stream().noneMatch(w.scenario.cloud.machineNames()::contains), "still there");
         assertEquals(Set.of(), w.wellReturned);
     }
 
--- a/src/test/java/org/hollypick/sim/FakeAgent.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -1,163 +1,155 @@
 package org.hollypick.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.Consumer;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** A worker, written from the protocol: reports, leases, tokens, images, orders late and repeated. */
+/** An agent, written from its protocol: heartbeats, its lease, incarnations, fencing tokens and repeated commands. */
 final class FakeAgent implements SimulatedWorld.Endpoint {
-    private static final class Task {
-        String status = "fetching";
-        String cause;
-    }
+    private static final long LEASE_CHECK_MS = 100;
+    private static final long HEARTBEAT_CHECK_MS = 200;
+    private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
+    private static final long HEARTBEAT_INTERVAL_MS = 2_250;
+    private static final int HEARTBEAT_JITTER_MS = 1_500;
+    private static final long HEARTBEAT_TIMEOUT_MS = 4_000;
+    private static final long REDIRECT_DELAY_MS = 300;
+    private static final long RETRY_DELAY_MS = 1_000;
 
     final String name;
-    final String addr;
+    final String address;
     final String zone;
     final boolean spot;
     private final SimulatedWorld world;
-    private final InvariantChecker checker;
-    private final List<String> nodes;
+    private final List<String> controllers;
     private final long leaseMs;
-    private final double cpus;
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Set<String> images = new HashSet<>();
-    private final List<Runnable> frozen = new ArrayList<>();
-    boolean gone;
-    private boolean hung;
+    private final double cores;
+    private final FakeAgentTasks tasks;
+    /** What was due while the machine hung. */
+    private final List<Runnable> deferred = new ArrayList<>();
+
+    private boolean isTerminated;
+    private boolean isHung;
     /** For how long it has hung in all: its tasks don't run meanwhile. */
     private long hungMs;
-    /** Orders of that kind don't reach it, as if no controller sent them: breaks rules in tests of the checker. */
-    String ignored = "";
-    /** It reports tasks that wait for their image as running: a leader acts as one that doesn't tell them apart. */
-    boolean callsFetchingRunning;
-    /** Counts its starts: what an earlier life has under way means nothing to the present one. */
-    private int life;
-
-    private boolean down;
-    private boolean sick;
-    /** It carries out direct commands of any token and session: breaks the workers' promise. */
-    boolean careless;
-
-    private int node;
-    private long session = 1;
-    private long tick;
+    /** Counts the starts of the process: what an earlier one has under way means nothing to the present one. */
+    private int starts;
+
+    private boolean isDown;
+    private boolean isFaulty;
+    /** It executes commands of any fencing token and incarnation: breaks the agents' guarantees. */
+    boolean ignoresFencing;
+    /** The controller that gets the next heartbeat. */
+    private int controller;
+
+    private long incarnation = 1;
+    private long sequence;
     /** The highest that it has seen. */
-    long token;
+    private long fencingToken;
 
-    private long renewedAt;
-    private boolean reporting;
-    private long lastReport;
-    Double notice;
+    private long leaseRenewedAt;
+    private boolean isHeartbeatInFlight;
+    private long lastHeartbeatAt;
 
     FakeAgent(
             SimulatedWorld world,
             InvariantChecker checker,
-            List<String> nodes,
-            String name,
-            String addr,
-            String zone,
-            boolean spot,
-            double cpus,
+            List<String> controllers,
+            MachineIdentity machine,
             long leaseMs) {
         this.world = world;
-        this.checker = checker;
-        this.nodes = nodes;
-        this.name = name;
-        this.addr = addr;
-        this.zone = zone;
-        this.spot = spot;
-        this.cpus = cpus;
+        this.controllers = controllers;
+        this.name = machine.name();
+        this.address = machine.address();
+        this.zone = machine.zone();
+        this.spot = machine.spot();
+        this.cores = machine.cores();
         this.leaseMs = leaseMs;
-        this.renewedAt = world.now;
-        this.node = world.random.nextInt(nodes.size());
-        loop();
+        this.tasks = new FakeAgentTasks(this, world, checker);
+        this.leaseRenewedAt = world.now;
+        this.controller = world.random.nextInt(controllers.size());
+        scheduleHeartbeats();
         watchLease();
     }
 
+    double cores() {
+        return cores;
+    }
+
+    /** The highest fencing token that it has seen. */
+    long fencingToken() {
+        return fencingToken;
+    }
+
+    boolean isTerminated() {
+        return isTerminated;
+    }
+
+    boolean isFaulty() {
+        return isFaulty;
+    }
+
+    /** Its process is up and its tasks don't fail. */
+    boolean isHealthy() {
+        return !isTerminated && !isDown && !isHung && !isFaulty;
+    }
+
     /** Tasks that it reports, exited ones included. */
-    int tasks() {
-        return tasks.size();
+    int reportedTasks() {
+        return tasks.reportedCount();
     }
 
-    /** Whether a task of that job is on it and hasn't ended. */
-    boolean has(String job) {
-        return tasks.entrySet().stream()
-                .anyMatch(e ->
-                        e.getKey().startsWith(job + "/") && !e.getValue().status.equals("exited"));
+    /** Tasks that haven't exited. */
+    int activeTasks() {
+        return tasks.activeNames().size();
     }
 
-    /** Tasks that haven't ended. */
-    int running() {
-        return (int)
-                tasks.values().stream().filter(t -> !t.status.equals("exited")).count();
+    /** Names of the tasks that haven't exited. */
+    List<String> activeTaskNames() {
+        return tasks.activeNames();
     }
 
-    /** The tasks that haven't ended. */
-    List<String> taskNames() {
-        return tasks.entrySet().stream()
-                .filter(e -> !e.getValue().status.equals("exited"))
-                .map(e -> taskOf(e.getKey()))
-                .toList();
+    /** Whether a task of that job is on it and hasn't exited. */
+    boolean hasActiveTaskOf(String job) {
+        return tasks.activeNames().stream().anyMatch(task -> task.startsWith(job + "/"));
     }
 
-    /** It is up, reports and isn't faulty, and the cloud hasn't announced its end. */
-    boolean isWell() {
-        return !gone && !down && !hung && !sick && notice == null;
+    /** Ignores commands with that verb from now on: breaks invariants in tests of the checker. */
+    void ignoreCommands(String verb) {
+        tasks.ignoreCommands(verb);
     }
 
-    /** Tasks end with the lease even on a machine that hangs. */
-    private void watchLease() {
-        world.at(100, () -> {
-            if (!gone) {
-                checkLease();
-                watchLease();
-            }
-        });
+    /** Reports tasks that wait for their image as running from now on. */
+    void reportFetchingAsRunning() {
+        tasks.reportFetchingAsRunning();
     }
 
-    /** Whatever the machine does waits while it hangs, and is lost when it is gone. */
-    private void later(long ms, Runnable run) {
-        int now = life;
-        world.at(ms, () -> act(now, run));
+    /** From now on its tasks fail soon after they started. */
+    void makeFaulty() {
+        isFaulty = true;
     }
 
-    private void act(int when, Runnable run) {
-        if (gone || down || when != life) {
-            return;
-        }
-        if (hung) {
-            frozen.add(run);
-        } else {
-            checkLease();
-            run.run();
-        }
+    /** The machine is gone with all its tasks. */
+    void terminate() {
+        isTerminated = true;
+        tasks.loseAll();
     }
 
+    /** The machine does nothing for a while; what was due meanwhile happens then. */
     void hang(long ms) {
-        hung = true;
+        isHung = true;
         world.at(ms, () -> {
-            hung = false;
+            isHung = false;
             hungMs += ms;
             checkLease();
-            tasks.forEach((k, t) -> {
-                if (t.status.equals("running")) {
-                    checker.wentOn(taskOf(k), world.now);
-                }
-            });
-            List<Runnable> list = new ArrayList<>(frozen);
-            frozen.clear();
-            list.forEach(r -> act(life, r));
+            tasks.resume();
+            List<Runnable> due = new ArrayList<>(deferred);
+            deferred.clear();
+            due.forEach(this::now);
         });
     }
 
@@ -165,282 +157,194 @@
         world.at(afterMs, () -> hang(ms));
     }
 
-    /** Ends a task that has run for so long, times in which the machine hung left out. */
-    private void runFor(long ms, Runnable end) {
-        long before = hungMs;
-        later(ms, () -> {
-            if (hungMs > before) {
-                runFor(hungMs - before, end);
-            } else {
-                end.run();
-            }
-        });
-    }
-
     /**
-     * It ends and is back soon with nothing on it; {@code anew}: with its counts at their first values, and no token.
+     * The process ends and is back after a while without tasks and images.
+     *
+     * @param losesState whether it is back as if it had never run, with its first incarnation and no fencing token
      */
-    void restart(long ms, boolean anew) {
-        if (gone || down || hung) {
+    void restart(long downtimeMs, boolean losesState) {
+        if (isTerminated || isDown || isHung) {
             return;
         }
-        down = true;
-        life++;
-        leave();
-        images.clear();
-        world.at(ms, () -> {
-            down = false;
-            reporting = false;
-            renewedAt = world.now;
-            if (anew) {
-                session = 1;
-                tick = 0;
-                token = 0;
+        isDown = true;
+        starts++;
+        tasks.loseAll();
+        tasks.forgetImages();
+        world.at(downtimeMs, () -> {
+            isDown = false;
+            isHeartbeatInFlight = false;
+            leaseRenewedAt = world.now;
+            if (losesState) {
+                incarnation = 1;
+                sequence = 0;
+                fencingToken = 0;
             }
-            loop();
+            scheduleHeartbeats();
         });
     }
 
-    private void leave() {
-        tasks.keySet().forEach(k -> checker.left(taskOf(k), this));
-        tasks.clear();
-    }
-
-    void sick() {
-        sick = true;
-    }
-
-    void vanish() {
-        gone = true;
-        leave();
-    }
-
     @Override
     public boolean listens() {
-        return !gone && !down;
+        return !isTerminated && !isDown;
     }
 
     @Override
     public int life() {
-        return life;
+        return starts;
     }
 
-    private static String taskOf(String key) {
-        return key.substring(0, key.indexOf('#'));
+    /** Runs after a while: later if the machine hangs then, never if the process has ended. */
+    void later(long ms, Runnable action) {
+        int startedAs = starts;
+        world.at(ms, () -> run(startedAs, action));
     }
 
-    private void checkLease() {
-        if (!down && world.now - renewedAt > leaseMs) {
-            tasks.forEach((k, t) -> {
-                checker.lost += t.status.equals("running") ? 1 : 0;
-                checker.left(taskOf(k), this);
-            });
-            tasks.clear();
-            session++;
-            renewedAt = world.now;
+    /** Runs now, or once the machine no longer hangs. */
+    void now(Runnable action) {
+        run(starts, action);
+    }
+
+    private void run(int startedAs, Runnable action) {
+        if (isTerminated || isDown || startedAs != starts) {
+            return;
+        }
+        if (isHung) {
+            deferred.add(action);
+        } else {
+            checkLease();
+            action.run();
         }
     }
 
-    private void loop() {
-        later(200, () -> {
-            if (!reporting && world.now - lastReport > 2_250 + world.random.nextInt(1_500)) {
-                report();
+    /** Runs once the machine has worked for so long, times in which it hung left out. */
+    void afterRunning(long ms, Runnable action) {
+        long hungBefore = hungMs;
+        later(ms, () -> {
+            if (hungMs > hungBefore) {
+                afterRunning(hungMs - hungBefore, action);
+            } else {
+                action.run();
             }
-            loop();
         });
     }
 
-    private void changed() {
-        later(Math.max(0, 500 - (world.now - lastReport)), () -> {
-            if (!reporting) {
-                report();
+    /** Tasks end with the lease even on a machine that hangs. */
+    private void watchLease() {
+        world.at(LEASE_CHECK_MS, () -> {
+            if (!isTerminated) {
+                checkLease();
+                watchLease();
             }
         });
     }
 
-    private ObjectNode describe() {
-        ObjectNode b = Codec.object()
-                .put("bothy", name)
-                .put("addr", addr)
-                .put("flavour", "t4")
-                .put("hall", zone)
-                .put("lendable", spot)
-                .put("tenure", session)
-                .put("tick", ++tick)
-                .put("baton", token);
-        if (notice != null) {
-            b.put("warning_s", notice);
+    private void checkLease() {
+        if (!isDown && world.now - leaseRenewedAt > leaseMs) {
+            tasks.expire();
+            incarnation++;
+            leaseRenewedAt = world.now;
         }
-        ArrayNode list = b.putArray("shards");
-        tasks.forEach((k, t) -> {
-            ObjectNode n = list.addObject()
-                    .put("shard", taskOf(k))
-                    .put("try", Long.parseLong(k.substring(k.indexOf('#') + 1)))
-                    .put("status", callsFetchingRunning && t.status.equals("fetching") ? "running" : t.status);
-            if (t.cause != null) {
-                n.put("cause", t.cause);
+    }
+
+    private void scheduleHeartbeats() {
+        later(HEARTBEAT_CHECK_MS, () -> {
+            if (!isHeartbeatInFlight
+                    && world.now - lastHeartbeatAt
+                            > HEARTBEAT_INTERVAL_MS + world.random.nextInt(HEARTBEAT_JITTER_MS)) {
+                sendHeartbeat();
             }
+            scheduleHeartbeats();
         });
-        return b;
     }
 
-    private void report() {
-        reporting = true;
-        lastReport = world.now;
-        long sent = world.now;
-        long sentIn = session;
-        int now = life;
+    /** The next heartbeat is sent soon: there is news. */
+    void statusChanged() {
+        later(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - (world.now - lastHeartbeatAt)), () -> {
+            if (!isHeartbeatInFlight) {
+                sendHeartbeat();
+            }
+        });
+    }
+
+    private void sendHeartbeat() {
+        isHeartbeatInFlight = true;
+        lastHeartbeatAt = world.now;
+        long sentAt = world.now;
+        long sentAs = incarnation;
+        int startedAs = starts;
+        Request heartbeat = new Request(
+                controllers.get(controller), "POST", AgentProtocol.HEARTBEAT, describe(), HEARTBEAT_TIMEOUT_MS, false);
         world.send(
                 name,
-                new Request(nodes.get(node), "POST", "/hello", describe(), 4_000, false),
-                r -> act(now, () -> {
-                    reporting = false;
-                    if (r.status() == 200
-                            && session == sentIn
-                            && world.now - sent <= 4_000
-                            && r.body().path("baton").asLong() >= token) {
-                        boolean higher = r.body().path("baton").asLong() > token;
-                        token = r.body().path("baton").asLong();
-                        renewedAt = sent;
-                        execute(r.body().path("orders"));
-                        if (higher) {
-                            changed();
-                        }
-                    } else if (r.status() == 421 && r.body().path("foreman").isTextual()) {
-                        int next = Integer.parseInt(
-                                r.body().path("foreman").asText().substring("bothy-".length()));
-                        if (next == node) {
-                            node = (node + 1) % nodes.size();
-                        }
-                        node = next;
-                        later(300, () -> lastReport = 0);
-                    } else if (r.status() != 200) {
-                        node = (node + 1) % nodes.size();
-                        later(1_000, () -> lastReport = 0);
-                    }
+                heartbeat,
+                response -> run(startedAs, () -> {
+                    isHeartbeatInFlight = false;
+                    heartbeatAnswered(response, sentAt, sentAs);
                 }));
     }
 
-    private void execute(JsonNode orders) {
-        for (JsonNode o : orders) {
-            if (o.path("verb").asText().equals(ignored)) {
-                continue;
-            }
-            String task = o.path("shard").asText();
-            String key = task + "#" + o.path("try").asLong();
-            Task t = tasks.get(key);
-            switch (o.path("verb").asText()) {
-                case "launch" -> {
-                    if (t == null) {
-                        launch(task, key);
-                    }
-                }
-                case "kill" -> {
-                    if (t != null && !t.status.equals("exited")) {
-                        exit(key, t, "stopped");
-                    }
-                }
-                case "clear" -> {
-                    if (t != null && t.status.equals("exited")) {
-                        tasks.remove(key);
-                    }
-                }
-                default -> throw new AssertionError("unknown order " + o);
-            }
-        }
-    }
-
-    private void launch(String task, String key) {
-        Task t = new Task();
-        JsonNode spec = checker.spec(task);
-        if (spec == null) {
-            refuse(key, t, "unknown");
-            return;
-        }
-        double used = spec.path("cores").asDouble();
-        for (Map.Entry<String, Task> e : tasks.entrySet()) {
-            if (!e.getValue().status.equals("exited")) {
-                if (taskOf(e.getKey()).equals(task)) {
-                    refuse(key, t, "busy");
-                    return;
-                }
-                used += checker.spec(taskOf(e.getKey())).path("cores").asDouble();
-            }
+    private void heartbeatAnswered(Response response, long sentAt, long sentAs) {
+        JsonNode body = response.body();
+        if (response.status() == 200
+                && incarnation == sentAs
+                && world.now - sentAt <= HEARTBEAT_TIMEOUT_MS
+                && body.path(AgentProtocol.FENCING_TOKEN).asLong() >= fencingToken) {
+            leaseRenewedAt = sentAt;
+            executeUnderToken(body);
+        } else if (response.status() == 421 && body.path(AgentProtocol.LEADER).isTextual()) {
+            followRedirect(body.path(AgentProtocol.LEADER).asText());
+        } else if (response.status() != 200) {
+            controller = (controller + 1) % controllers.size();
+            sendNextHeartbeatAfter(RETRY_DELAY_MS);
         }
-        if (used > cpus + 1e-6) {
-            refuse(key, t, "full");
-            return;
-        }
-        tasks.put(key, t);
-        String image = spec.path("bundle").asText();
-        later(images.contains(image) ? 0 : 2_000 + world.random.nextInt(3_000), () -> {
-            if (tasks.get(key) == t && t.status.equals("fetching")) {
-                images.add(image);
-                t.status = "running";
-                checker.started(task, this, world.now);
-                changed();
-                if (checker.nodes.containsKey(task)) {
-                    if (sick || spec.path("fails").asBoolean()) {
-                        later(500, () -> end(key, t, "error"));
-                    } else {
-                        checker.program.running(
-                                task,
-                                Long.parseLong(key.substring(key.indexOf('#') + 1)),
-                                () -> act(life, () -> end(key, t, "done")));
-                    }
-                } else if (sick) {
-                    later(500, () -> end(key, t, "error"));
-                } else if (spec.path("shape").asText().equals("batch")) {
-                    long ms = (long) (spec.path("expect_s").asDouble() * (500 + world.random.nextInt(1_000)));
-                    runFor(ms, () -> end(key, t, "done"));
-                }
-            }
-        });
     }
 
-    private void refuse(String key, Task t, String why) {
-        t.status = "exited";
-        t.cause = why;
-        tasks.put(key, t);
-        changed();
+    private void followRedirect(String leader) {
+        controller = Integer.parseInt(leader.substring(SimulatedController.NAME_PREFIX.length()));
+        sendNextHeartbeatAfter(REDIRECT_DELAY_MS);
     }
 
-    private void end(String key, Task t, String cause) {
-        if (tasks.get(key) == t && t.status.equals("running")) {
-            if (cause.equals("done")) {
-                checker.completed(taskOf(key));
-            }
-            exit(key, t, cause);
-        }
+    private void sendNextHeartbeatAfter(long ms) {
+        later(ms, () -> lastHeartbeatAt = 0);
     }
 
-    private void exit(String key, Task t, String cause) {
-        if (t.status.equals("running")) {
-            checker.left(taskOf(key), this);
+    private void executeUnderToken(JsonNode commands) {
+        long token = commands.path(AgentProtocol.FENCING_TOKEN).asLong();
+        boolean isNewToken = token > fencingToken;
+        fencingToken = Math.max(fencingToken, token);
+        tasks.execute(commands.path(AgentProtocol.ORDERS));
+        if (isNewToken) {
+            statusChanged();
         }
-        t.status = "exited";
-        t.cause = cause;
-        changed();
     }
 
     @Override
     public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
-        act(life, () -> {
-            if (path.equals("/inspect")) {
+        now(() -> {
+            if (path.equals(AgentProtocol.INSPECT)) {
                 callback.accept(new Response(200, describe()));
-            } else if (!careless
-                    && (body.path("baton").asLong() < token
-                            || body.path("tenure").asLong() != session)) {
+            } else if (!ignoresFencing
+                    && (body.path(AgentProtocol.FENCING_TOKEN).asLong() < fencingToken
+                            || body.path(AgentProtocol.INCARNATION).asLong() != incarnation)) {
                 callback.accept(new Response(409, describe()));
             } else {
-                boolean higher = body.path("baton").asLong() > token;
-                token = Math.max(token, body.path("baton").asLong());
-                execute(body.path("orders"));
-                if (higher) {
-                    changed();
-                }
+                executeUnderToken(body);
                 callback.accept(new Response(200, describe()));
             }
         });
     }
+
+    private ObjectNode describe() {
+        ObjectNode description = Codec.object()
+                .put(AgentProtocol.MACHINE_ID, name)
+                .put(AgentProtocol.ADDRESS, address)
+                .put(AgentProtocol.MACHINE_TYPE, FakeCloud.TYPE)
+                .put(AgentProtocol.ZONE, zone)
+                .put(AgentProtocol.SPOT, spot)
+                .put(AgentProtocol.INCARNATION, incarnation)
+                .put(AgentProtocol.HEARTBEAT_SEQUENCE, ++sequence)
+                .put(AgentProtocol.FENCING_TOKEN, fencingToken);
+        tasks.describe(description.putArray(AgentProtocol.TASKS));
+        return description;
+    }
 }
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/FakeAgentTasks.java
@@ -0,0 +1,224 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The tasks on a {@link FakeAgent}: launched, killed and cleared by commands, ended by themselves or with the lease.
+ */
+final class FakeAgentTasks {
+    private static final double CORES_TOLERANCE = 1e-6;
+    private static final long FAILURE_MS = 500;
+    private static final long MIN_FETCH_MS = 2_000;
+    private static final int FETCH_SPREAD_MS = 3_000;
+
+    private static final String CAUSE_DONE = "done";
+    private static final String CAUSE_ERROR = "error";
+    private static final String CAUSE_STOPPED = "stopped";
+
+    private enum Status {
+        FETCHING("fetching"),
+        RUNNING("running"),
+        EXITED("exited");
+
+        private final String wireName;
+
+        Status(String wireName) {
+            this.wireName = wireName;
+        }
+    }
+
+    private record Attempt(String task, long number) {}
+
+    private static final class Execution {
+        private Status status = Status.FETCHING;
+        private String cause;
+    }
+
+    private final FakeAgent agent;
+    private final SimulatedWorld world;
+    private final InvariantChecker checker;
+    private final Map<Attempt, Execution> executions = new LinkedHashMap<>();
+    private final Set<String> images = new HashSet<>();
+    /** Commands with that verb are ignored, as if no controller sent them; empty: none. */
+    private String ignoredVerb = "";
+    /** Tasks that wait for their image are reported as running, as an agent does that doesn't tell them apart. */
+    private boolean reportsFetchingAsRunning;
+
+    FakeAgentTasks(FakeAgent agent, SimulatedWorld world, InvariantChecker checker) {
+        this.agent = agent;
+        this.world = world;
+        this.checker = checker;
+    }
+
+    void ignoreCommands(String verb) {
+        ignoredVerb = verb;
+    }
+
+    void reportFetchingAsRunning() {
+        reportsFetchingAsRunning = true;
+    }
+
+    /** Tasks that are reported, exited ones included. */
+    int reportedCount() {
+        return executions.size();
+    }
+
+    /** Names of the tasks that haven't exited. */
+    List<String> activeNames() {
+        return executions.entrySet().stream()
+                .filter(entry -> entry.getValue().status != Status.EXITED)
+                .map(entry -> entry.getKey().task)
+                .toList();
+    }
+
+    void describe(ArrayNode list) {
+        executions.forEach((attempt, execution) -> {
+            boolean isCalledRunning = reportsFetchingAsRunning && execution.status == Status.FETCHING;
+            ObjectNode task = list.addObject()
+                    .put(AgentProtocol.TASK, attempt.task)
+                    .put(AgentProtocol.ATTEMPT, attempt.number)
+                    .put(AgentProtocol.STATUS, isCalledRunning ? Status.RUNNING.wireName : execution.status.wireName);
+            if (execution.cause != null) {
+                task.put(AgentProtocol.CAUSE, execution.cause);
+            }
+        });
+    }
+
+    /** The machine no longer hangs: its tasks go on. */
+    void resume() {
+        executions.forEach((attempt, execution) -> {
+            if (execution.status == Status.RUNNING) {
+                checker.wentOn(attempt.task, world.now);
+            }
+        });
+    }
+
+    /** All tasks end with the machine or its process. */
+    void loseAll() {
+        executions.keySet().forEach(attempt -> checker.left(attempt.task, agent));
+        executions.clear();
+    }
+
+    /** All tasks end with the lease. */
+    void expire() {
+        executions.forEach((attempt, execution) -> {
+            checker.lost += execution.status == Status.RUNNING ? 1 : 0;
+            checker.left(attempt.task, agent);
+        });
+        executions.clear();
+    }
+
+    void forgetImages() {
+        images.clear();
+    }
+
+    void execute(JsonNode commands) {
+        for (JsonNode command : commands) {
+            String verb = command.path(AgentProtocol.VERB).asText();
+            if (!verb.equals(ignoredVerb)) {
+                execute(verb, command);
+            }
+        }
+    }
+
+    private void execute(String verb, JsonNode command) {
+        Attempt attempt = new Attempt(
+                command.path(AgentProtocol.TASK).asText(),
+                command.path(AgentProtocol.ATTEMPT).asLong());
+        Execution execution = executions.get(attempt);
+        boolean isActive = execution != null && execution.status != Status.EXITED;
+        switch (verb) {
+            case AgentProtocol.LAUNCH -> {
+                if (execution == null) {
+                    launch(attempt);
+                }
+            }
+            case AgentProtocol.KILL -> {
+                if (isActive) {
+                    exit(attempt, execution, CAUSE_STOPPED);
+                }
+            }
+            case AgentProtocol.CLEAR -> {
+                if (!isActive) {
+                    executions.remove(attempt);
+                }
+            }
+            default -> throw new AssertionError("unknown order " + command);
+        }
+    }
+
+    private void launch(Attempt attempt) {
+        Execution execution = new Execution();
+        JsonNode spec = checker.spec(attempt.task);
+        String refusal = refusal(attempt, spec);
+        executions.put(attempt, execution);
+        if (refusal != null) {
+            exit(attempt, execution, refusal);
+            return;
+        }
+        String image = spec.path(UserProtocol.IMAGE).asText();
+        long fetchMs = images.contains(image) ? 0 : MIN_FETCH_MS + world.random.nextInt(FETCH_SPREAD_MS);
+        agent.later(fetchMs, () -> {
+            if (executions.get(attempt) == execution && execution.status == Status.FETCHING) {
+                images.add(image);
+                start(attempt, execution, spec);
+            }
+        });
+    }
+
+    /** Why the task can't be launched; null: it can. */
+    private String refusal(Attempt attempt, JsonNode spec) {
+        if (spec == null) {
+            return "unknown";
+        }
+        double cores = spec.path(UserProtocol.CORES).asDouble();
+        for (String active : activeNames()) {
+            if (active.equals(attempt.task)) {
+                return "busy";
+            }
+            cores += checker.spec(active).path(UserProtocol.CORES).asDouble();
+        }
+        return cores > agent.cores() + CORES_TOLERANCE ? "full" : null;
+    }
+
+    private void start(Attempt attempt, Execution execution, JsonNode spec) {
+        execution.status = Status.RUNNING;
+        checker.started(attempt.task, agent, world.now);
+        agent.statusChanged();
+        boolean isGraphNode = checker.nodes.containsKey(attempt.task);
+        if (agent.isFaulty() || (isGraphNode && spec.path("fails").asBoolean())) {
+            agent.later(FAILURE_MS, () -> end(attempt, execution, CAUSE_ERROR));
+        } else if (isGraphNode) {
+            checker.program.running(
+                    attempt.task, attempt.number, () -> agent.now(() -> end(attempt, execution, CAUSE_DONE)));
+        } else if (spec.path(UserProtocol.SHAPE).asText().equals(UserProtocol.BATCH)) {
+            long ms = (long) (spec.path(UserProtocol.EXPECTED_S).asDouble() * (500 + world.random.nextInt(1_000)));
+            agent.afterRunning(ms, () -> end(attempt, execution, CAUSE_DONE));
+        }
+    }
+
+    private void end(Attempt attempt, Execution execution, String cause) {
+        if (executions.get(attempt) == execution && execution.status == Status.RUNNING) {
+            if (cause.equals(CAUSE_DONE)) {
+                checker.completed(attempt.task);
+            }
+            exit(attempt, execution, cause);
+        }
+    }
+
+    private void exit(Attempt attempt, Execution execution, String cause) {
+        if (execution.status == Status.RUNNING) {
+            checker.left(attempt.task, agent);
+        }
+        execution.status = Status.EXITED;
+        execution.cause = cause;
+        agent.statusChanged();
+    }
+}
--- a/src/test/java/org/hollypick/sim/FakeCloud.java
+++ b/src/test/java/org/hollypick/sim/FakeCloud.java
@@ -9,183 +9,219 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.BiFunction;
 import java.util.function.Consumer;
 import org.hollypick.io.Codec;
 import org.hollypick.io.Response;
 
-/** The cloud, written from the protocol: requests by name, boot times, a late list. */
+/** The cloud provider, written from its protocol: idempotent requests for machines, boot times, lists that lag. */
 final class FakeCloud implements SimulatedWorld.Endpoint {
     /** The only type of machine. */
     static final String TYPE = "t4";
 
     static final double CPUS = 8;
     static final double RAM_GB = 64;
-    private static final long LAG_MS = 4_000;
-
-    private static final class Host {
-        String zone;
-        boolean spot;
-        long born;
-        FakeAgent worker;
-        boolean failed;
+    private static final long LIST_LAG_MS = 4_000;
+    /** A list is at most that old. */
+    private static final long MAX_LIST_AGE_MS = 2 * LIST_LAG_MS;
+
+    private static final long SNAPSHOT_INTERVAL_MS = 1_000;
+    private static final long SNAPSHOTS_KEPT_MS = 3 * LIST_LAG_MS;
+    /** Machines in each zone, times the size of the cluster. */
+    private static final int SPOT_CAPACITY = 3;
+
+    private static final int ON_DEMAND_CAPACITY = 4;
+
+    private static final class Machine {
+        private final MachineIdentity identity;
+        private final long createdAt;
+        /** Null until it has booted. */
+        private FakeAgent agent;
+
+        private Machine(MachineIdentity identity, long createdAt) {
+            this.identity = identity;
+            this.createdAt = createdAt;
+        }
     }
 
+    private record Pool(String zone, boolean spot) {}
+
     private record Snapshot(long at, ArrayNode list) {}
 
     private final SimulatedWorld world;
-    private final BiFunction<String, Host, FakeAgent> boot;
-    private final TreeMap<String, Host> hosts = new TreeMap<>();
-    private final Map<String, ObjectNode> answered = new LinkedHashMap<>();
+    private final InvariantChecker checker;
+    private final List<String> controllers;
+    private final long leaseMs;
+    private final TreeMap<String, Machine> machines = new TreeMap<>();
+    private final Map<String, ObjectNode> answersByRequest = new LinkedHashMap<>();
     private final List<Snapshot> snapshots = new ArrayList<>();
-    private final Map<String, Integer> capacity = new LinkedHashMap<>();
-    private int names;
-    /** Machines are up within that many milliseconds of their rental. */
-    int bootMs = 8_000;
+    private final Map<Pool, Integer> capacity = new LinkedHashMap<>();
+    private int createdMachines;
+    /** Machines have booted within that many milliseconds. */
+    int maxBootMs = 8_000;
     /** Lists are in turn as new and as old as they may be, so that every second one is older than the one before. */
-    boolean alternatingLists;
+    boolean alternatesListAge;
 
-    private boolean oldList;
-    /** Sees each machine that comes up. */
-    Consumer<FakeAgent> booted = w -> {};
+    private boolean isOldListNext;
+    /** Called with each machine that has booted. */
+    Consumer<FakeAgent> bootListener = agent -> {};
 
     FakeCloud(
             SimulatedWorld world,
             InvariantChecker checker,
-            List<String> nodes,
+            List<String> controllers,
             List<String> zones,
             long leaseMs,
             int size) {
         this.world = world;
-        for (String z : zones) {
-            capacity.put(z + true, 3 * size);
-            capacity.put(z + false, 4 * size);
+        this.checker = checker;
+        this.controllers = controllers;
+        this.leaseMs = leaseMs;
+        for (String zone : zones) {
+            capacity.put(new Pool(zone, true), SPOT_CAPACITY * size);
+            capacity.put(new Pool(zone, false), ON_DEMAND_CAPACITY * size);
         }
-        this.boot = (name, h) -> {
-            String addr = "w-" + name + ":9000";
-            FakeAgent w = new FakeAgent(world, checker, nodes, name, addr, h.zone, h.spot, CPUS, leaseMs);
-            world.listen(addr, w);
-            return w;
-        };
-        snapshot();
-    }
-
-    private void snapshot() {
-        ArrayNode list = Codec.array();
-        hosts.forEach((name, h) -> list.addObject()
-                .put("name_id", name)
-                .put("addr", "w-" + name + ":9000")
-                .put("flavour", "t4")
-                .put("hall", h.zone)
-                .put("lendable", h.spot)
-                .put("status", h.failed ? "failed" : h.worker == null ? "starting" : "running")
-                .put("age_s", (world.now - h.born) / 1000.0));
-        snapshots.add(new Snapshot(world.now, list));
-        snapshots.removeIf(s -> s.at < world.now - 3 * LAG_MS);
-        world.at(1_000, this::snapshot);
+        takeSnapshot();
     }
 
-    /** The machines that there are. */
-    Set<String> names() {
-        return hosts.keySet();
+    /** Names of the machines, those that boot included. */
+    Set<String> machineNames() {
+        return machines.keySet();
     }
 
-    List<FakeAgent> workers() {
-        List<FakeAgent> list = new ArrayList<>();
-        hosts.values().forEach(h -> {
-            if (h.worker != null && !h.worker.gone) {
-                list.add(h.worker);
+    /** The machines that have booted. */
+    List<FakeAgent> agents() {
+        List<FakeAgent> agents = new ArrayList<>();
+        machines.values().forEach(machine -> {
+            if (machine.agent != null && !machine.agent.isTerminated()) {
+                agents.add(machine.agent);
             }
         });
-        return list;
+        return agents;
     }
 
-    /** Spot machines taken back without notice. */
-    void take(FakeAgent w) {
-        w.vanish();
-        hosts.remove(w.name);
+    /** Takes a spot instance back without notice. */
+    void reclaim(FakeAgent agent) {
+        agent.terminate();
+        machines.remove(agent.name);
     }
 
     @Override
     public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
-        if (path.equals("/machine_types")) {
-            ObjectNode r = Codec.object();
-            r.putArray("flavours")
-                    .addObject()
-                    .put("sku", TYPE)
-                    .put("cores", CPUS)
-                    .put("gpus", 0.0)
-                    .put("ram_gb", RAM_GB)
-                    .put("cache_gb", 50.0)
-                    .put("pull_gb_per_s", 1.0)
-                    .put("price", 1.0)
-                    .put("market_price", 0.4)
-                    .put("ready_s", 6.0)
-                    .putArray("halls")
-                    .add("a")
-                    .add("b");
-            callback.accept(new Response(200, r));
-        } else if (path.equals("/hosts")) {
-            callback.accept(hire(body));
-        } else if (path.equals("/hosts/return")) {
-            for (JsonNode id : body.path("bothies")) {
-                Host h = hosts.remove(id.asText());
-                if (h != null && h.worker != null) {
-                    h.worker.vanish();
-                }
-            }
-            callback.accept(new Response(200, Codec.object()));
-        } else {
-            oldList = !oldList;
-            long oldest = oldList ? 2 * LAG_MS - 1_000 : 0;
-            long wanted = world.now - (alternatingLists ? oldest : world.random.nextInt((int) (2 * LAG_MS)));
-            Snapshot s = snapshots.get(0);
-            for (Snapshot other : snapshots) {
-                if (other.at <= wanted) {
-                    s = other;
-                }
-            }
-            // A snapshot is at most twice the lag old.
-            if (s.at < world.now - 2 * LAG_MS) {
-                s = snapshots.get(snapshots.size() - 1);
-            }
-            ObjectNode r = Codec.object().put("truncated", false);
-            r.set("bothies", s.list.deepCopy());
-            callback.accept(new Response(200, r));
-        }
+        callback.accept(
+                switch (path) {
+                    case CloudProtocol.MACHINE_TYPES -> machineTypes();
+                    case CloudProtocol.MACHINES -> create(body);
+                    case CloudProtocol.TERMINATE -> terminate(body);
+                    default -> list();
+                });
     }
 
-    private Response hire(JsonNode body) {
-        String request = body.path("hire").asText();
-        if (answered.containsKey(request)) {
-            return new Response(200, answered.get(request));
+    private static Response machineTypes() {
+        ObjectNode answer = Codec.object();
+        answer.putArray(CloudProtocol.TYPES)
+                .addObject()
+                .put("sku", TYPE)
+                .put("cores", CPUS)
+                .put("gpus", 0.0)
+                .put("ram_gb", RAM_GB)
+                .put("cache_gb", 50.0)
+                .put("pull_gb_per_s", 1.0)
+                .put("price", 1.0)
+                .put("market_price", 0.4)
+                .put("ready_s", 6.0)
+                .putArray(CloudProtocol.ZONES)
+                .add("a")
+                .add("b");
+        return new Response(200, answer);
+    }
+
+    /** A repeated request gets the first answer once more. */
+    private Response create(JsonNode body) {
+        String requestId = body.path(CloudProtocol.REQUEST_ID).asText();
+        if (answersByRequest.containsKey(requestId)) {
+            return new Response(200, answersByRequest.get(requestId));
         }
-        String kind = body.path("hall").asText() + body.path("lendable").asBoolean();
-        long used = hosts.values().stream()
-                .filter(h -> (h.zone + h.spot).equals(kind))
+        Pool pool = new Pool(
+                body.path(CloudProtocol.ZONE).asText(),
+                body.path(CloudProtocol.SPOT).asBoolean());
+        long used = machines.values().stream()
+                .filter(machine -> machine.identity.zone().equals(pool.zone) && machine.identity.spot() == pool.spot)
                 .count();
-        int count = (int) Math.min(body.path("number").asInt(), capacity.get(kind) - used);
+        int count = (int) Math.min(body.path(CloudProtocol.COUNT).asInt(), capacity.get(pool) - used);
         if (count <= 0) {
             return new Response(503, Codec.object().put("error", "no capacity"));
         }
-        ObjectNode r = Codec.object();
-        ArrayNode list = r.putArray("bothies");
+        ObjectNode answer = Codec.object();
+        ArrayNode names = answer.putArray(CloudProtocol.MACHINE_IDS);
         for (int i = 0; i < count; i++) {
-            String name = String.format("n-%06d", names++);
-            Host h = new Host();
-            h.zone = body.path("hall").asText();
-            h.spot = body.path("lendable").asBoolean();
-            h.born = world.now;
-            hosts.put(name, h);
-            list.add(name);
-            world.at(world.random.nextInt(bootMs), () -> {
-                if (hosts.get(name) == h) {
-                    h.worker = boot.apply(name, h);
-                    booted.accept(h.worker);
-                }
-            });
+            names.add(create(pool));
         }
-        answered.put(request, r);
-        return new Response(200, r);
+        answersByRequest.put(requestId, answer);
+        return new Response(200, answer);
+    }
+
+    private String create(Pool pool) {
+        String name = String.format("n-%06d", createdMachines++);
+        Machine machine = new Machine(new MachineIdentity(name, address(name), pool.zone, pool.spot, CPUS), world.now);
+        machines.put(name, machine);
+        world.at(world.random.nextInt(maxBootMs), () -> {
+            if (machines.get(name) == machine) {
+                boot(machine);
+            }
+        });
+        return name;
+    }
+
+    private static String address(String name) {
+        return "w-" + name + ":9000";
+    }
+
+    private void boot(Machine machine) {
+        machine.agent = new FakeAgent(world, checker, controllers, machine.identity, leaseMs);
+        world.listen(machine.identity.address(), machine.agent);
+        bootListener.accept(machine.agent);
+    }
+
+    private Response terminate(JsonNode body) {
+        for (JsonNode name : body.path(CloudProtocol.MACHINE_IDS)) {
+            Machine machine = machines.remove(name.asText());
+            if (machine != null && machine.agent != null) {
+                machine.agent.terminate();
+            }
+        }
+        return new Response(200, Codec.object());
+    }
+
+    private Response list() {
+        isOldListNext = !isOldListNext;
+        long oldestAgeMs = isOldListNext ? MAX_LIST_AGE_MS - SNAPSHOT_INTERVAL_MS : 0;
+        long wantedAt = world.now - (alternatesListAge ? oldestAgeMs : world.random.nextInt((int) MAX_LIST_AGE_MS));
+        Snapshot snapshot = snapshots.get(0);
+        for (Snapshot other : snapshots) {
+            if (other.at <= wantedAt) {
+                snapshot = other;
+            }
+        }
+        if (snapshot.at < world.now - MAX_LIST_AGE_MS) {
+            snapshot = snapshots.get(snapshots.size() - 1);
+        }
+        ObjectNode answer = Codec.object().put("truncated", false);
+        answer.set(CloudProtocol.MACHINE_IDS, snapshot.list.deepCopy());
+        return new Response(200, answer);
+    }
+
+    private void takeSnapshot() {
+        ArrayNode list = Codec.array();
+        machines.forEach((name, machine) -> list.addObject()
+                .put(CloudProtocol.MACHINE_ID, name)
+                .put(CloudProtocol.ADDRESS, machine.identity.address())
+                .put(CloudProtocol.MACHINE_TYPE, TYPE)
+                .put(CloudProtocol.ZONE, machine.identity.zone())
+                .put(CloudProtocol.SPOT, machine.identity.spot())
+                .put(CloudProtocol.STATUS, machine.agent == null ? "starting" : "running")
+                .put(CloudProtocol.AGE_S, (world.now - machine.createdAt) / 1000.0));
+        snapshots.add(new Snapshot(world.now, list));
+        snapshots.removeIf(snapshot -> snapshot.at < world.now - SNAPSHOTS_KEPT_MS);
+        world.at(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
     }
 }
--- a/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
+++ b/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
@@ -15,307 +15,337 @@
 import org.hollypick.io.Response;
 import org.hollypick.io.TokenBucket;
 
-/** The state service, written from the protocol. */
+/** The key-value store, written from its protocol: transactions with conditions, sessions, watches and rate limits. */
 final class FakeKeyValueStore implements SimulatedWorld.Endpoint {
-    private record Entry(JsonNode data, long stamp, long tenancy) {}
+    private static final double REQUESTS_PER_SECOND = 150;
+    private static final double CHANGES_PER_SECOND = 60;
+    private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
+    /** A transaction may have so many times as many conditions as operations. */
+    private static final int CONDITIONS_PER_OPERATION = 4;
 
-    private static final class Hold {
-        long lifeMs;
-        long ends;
+    private static final String DEFAULT_PAGE_SIZE = "1000";
+    private static final long EXPIRY_CHECK_MS = 100;
+
+    private static final class Session {
+        private final long lifeMs;
+        private long expiresAt;
+
+        private Session(long lifeMs) {
+            this.lifeMs = lifeMs;
+        }
     }
 
-    private record Watch(String prefix, long from, Consumer<Response> reply) {}
+    private record Watch(String prefix, long from, Consumer<Response> callback) {}
 
     private final SimulatedWorld world;
-    private final TreeMap<String, Entry> keys = new TreeMap<>();
-    private final Map<Long, Hold> holds = new HashMap<>();
-    private final List<ObjectNode> events = new ArrayList<>();
+    private final VersionedKeys keys = new VersionedKeys();
+    private final Map<Long, Session> sessions = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private long epoch;
-    private long tenancies;
-    private boolean down;
-    private int valueBytes = 8_192;
-    private int txnOps = 12;
-    private final TokenBucket requests;
-    private final TokenBucket writes;
-    /** Refusals for a value or a transaction that is too large: nodes should know better. */
-    int tooLarge;
+    private long lastSession;
+    private boolean isDown;
+    private int maxValueBytes = 8_192;
+    private int maxOperations = 12;
+    private final TokenBucket requestRate;
+    private final TokenBucket changeRate;
+    /** Transactions refused since a value or the whole was too large: controllers must not send any. */
+    int oversizedTransactions;
     /** Puts and deletes that were carried out. */
-    int changes;
-    /** Keys that lists leave out; a test breaks the service's promises with it. */
-    Predicate<String> hidden = k -> false;
-    /** Transactions that aren't executed: trouble that only some writes meet. */
-    Predicate<JsonNode> refused = t -> false;
-    /** It carries out whatever comes: breaks the service's promise to look at a transaction's conditions. */
-    boolean careless;
-    /** Share of a state session's life after which it ends; below 1 breaks the promise that none ends early. */
-    double holdShare = 1;
+    int appliedOperations;
+    /** Keys that lists leave out: a test breaks the store's guarantees with it. */
+    Predicate<String> hiddenKeys = key -> false;
+    /** Transactions that are answered with 503: a fault that only some writes meet. */
+    Predicate<JsonNode> refusedTransactions = transaction -> false;
+    /** Transactions are carried out whatever their conditions: breaks the store's guarantees. */
+    boolean ignoresConditions;
+    /** Share of its life after which a session expires; below 1 breaks the guarantee that none expires early. */
+    double sessionLifeShare = 1;
 
     FakeKeyValueStore(SimulatedWorld world) {
         this.world = world;
-        this.requests = new TokenBucket(150, world.now);
-        this.writes = new TokenBucket(60, world.now);
+        this.requestRate = new TokenBucket(REQUESTS_PER_SECOND, world.now);
+        this.changeRate = new TokenBucket(CHANGES_PER_SECOND, world.now);
     }
 
-    /** From now on, without notice. What is stored stays readable. */
-    void tighten(int valueBytes, int txnOps, double writeRps) {
-        this.valueBytes = valueBytes;
-        this.txnOps = txnOps;
-        writes.setRate(writeRps);
+    /** Lowers the limits without notice. What is stored stays readable. */
+    void tightenLimits(StoreLimits limits) {
+        maxValueBytes = limits.valueBytes();
+        maxOperations = limits.transactionOperations();
+        changeRate.setRate(limits.changesPerSecond());
     }
 
-    /** Stored as if by a node, long ago. */
     Set<String> keys() {
-        return keys.keySet();
+        return keys.entries().keySet();
     }
 
-    void store(String key, JsonNode data) {
-        commit((JsonNode) Codec.object()
-                .set("then", Codec.array().add(Codec.object().put("put", key).set("data", data))));
+    /** Writes a value as a controller would have written it earlier. */
+    void write(String key, JsonNode value) {
+        ObjectNode put = Codec.object().put(StoreProtocol.PUT, key);
+        put.set(StoreProtocol.DATA, value);
+        ObjectNode transaction = Codec.object();
+        transaction.putArray(StoreProtocol.OPERATIONS).add(put);
+        commit(transaction);
     }
 
-    /** What is stored under keys with a prefix, by key. */
-    Map<String, JsonNode> stored(String prefix) {
+    /** The values under a prefix by key. */
+    Map<String, JsonNode> valuesUnder(String prefix) {
         Map<String, JsonNode> found = new TreeMap<>();
-        keys.forEach((k, e) -> {
-            if (k.startsWith(prefix)) {
-                found.put(k, e.data);
+        keys.entries().forEach((key, entry) -> {
+            if (key.startsWith(prefix)) {
+                found.put(key, entry.value());
             }
         });
         return found;
     }
 
-    /** What is stored under a key; null without one. */
-    JsonNode data(String key) {
-        Entry e = keys.get(key);
-        return e == null ? null : e.data;
+    /** The value of a key, or null. */
+    JsonNode valueOf(String key) {
+        VersionedKeys.Entry entry = keys.get(key);
+        return entry == null ? null : entry.value();
     }
 
-    long stamp(String key) {
-        Entry e = keys.get(key);
-        return e == null ? 0 : e.stamp;
+    /** The revision at which a key was written; 0: there is no such key. */
+    long revisionOf(String key) {
+        return keys.revisionOf(key);
     }
 
-    /** What was stored under a key by the change of that number; null if that is long ago or wasn't this key's. */
-    JsonNode put(String key, long stamp) {
-        for (JsonNode e : events) {
-            if (e.path("stamp").asLong() == stamp && e.path("put").asText().equals(key)) {
-                return e.path("data");
-            }
-        }
-        return null;
+    /** The value that a key got at that revision; null if another key was written then, or none. */
+    JsonNode valueWrittenAt(String key, long revision) {
+        return keys.valueWrittenAt(key, revision);
     }
 
-    void outage(long ms) {
-        down = true;
+    /** Answers everything with 503 for a while; sessions don't expire meanwhile and begin anew then. */
+    void startOutage(long ms) {
+        isDown = true;
         world.at(ms, () -> {
-            down = false;
-            holds.values().forEach(h -> h.ends = world.now + (long) (h.lifeMs * holdShare));
+            isDown = false;
+            sessions.values().forEach(this::renew);
         });
     }
 
-    private void expire() {
-        if (down) {
-            return;
+    /** Forgets the changes that open watches follow: whoever watches must read all keys again. */
+    void compact() {
+        List<Watch> open = new ArrayList<>(watches);
+        watches.clear();
+        open.forEach(watch -> watch.callback.accept(new Response(410, Codec.object())));
+    }
+
+    @Override
+    public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
+        expireSessions();
+        int queryStart = path.indexOf('?');
+        String resource = queryStart < 0 ? path : path.substring(0, queryStart);
+        Map<String, String> query = queryStart < 0 ? Map.of() : parse(path.substring(queryStart + 1));
+        if (isDown || (resource.equals(StoreProtocol.COMMIT) && refusedTransactions.test(body))) {
+            callback.accept(new Response(503, Codec.object()));
+        } else if (!admit(body == null ? 0 : body.path(StoreProtocol.OPERATIONS).size())) {
+            callback.accept(new Response(429, Codec.object()));
+        } else if (resource.equals(StoreProtocol.WATCH)) {
+            watch(query, callback);
+        } else if (resource.equals(StoreProtocol.SESSIONS)) {
+            openSession(body.get(StoreProtocol.SESSION_LIFE_MS).asLong(), callback);
+        } else {
+            callback.accept(answer(method, resource, query, body));
         }
-        for (Long id : new ArrayList<>(holds.keySet())) {
-            if (world.now > holds.get(id).ends) {
-                endHold(id);
-            }
+    }
+
+    private static Map<String, String> parse(String query) {
+        Map<String, String> parameters = new HashMap<>();
+        for (String parameter : query.split("&")) {
+            int equals = parameter.indexOf('=');
+            parameters.put(parameter.substring(0, equals), parameter.substring(equals + 1));
         }
+        return parameters;
     }
 
-    private void endHold(long id) {
-        holds.remove(id);
-        List<String> gone = new ArrayList<>();
-        keys.forEach((k, e) -> {
-            if (e.tenancy == id) {
-                gone.add(k);
-            }
-        });
-        if (!gone.isEmpty()) {
-            epoch++;
-            gone.forEach(k -> {
-                keys.remove(k);
-                events.add(Codec.object().put("drop", k).put("stamp", epoch));
-            });
-            wake();
+    private boolean admit(int operations) {
+        boolean isWithinRates = requestRate.has(1, world.now) && changeRate.has(operations, world.now);
+        if (isWithinRates) {
+            requestRate.take(1, world.now);
+            changeRate.take(operations, world.now);
         }
+        return isWithinRates;
     }
 
-    /** The changes that open watches follow are kept no longer: whoever watches has to read all keys again. */
-    void forgetChanges() {
-        List<Watch> open = new ArrayList<>(watches);
-        watches.clear();
-        open.forEach(w -> w.reply.accept(new Response(410, Codec.object())));
+    private Response answer(String method, String resource, Map<String, String> query, JsonNode body) {
+        if (resource.equals(StoreProtocol.KEYS)) {
+            return list(query);
+        }
+        if (resource.startsWith(StoreProtocol.KEYS + "/")) {
+            return read(resource.substring(StoreProtocol.KEYS.length() + 1));
+        }
+        if (resource.equals(StoreProtocol.COMMIT)) {
+            return commit(body);
+        }
+        if (resource.startsWith(StoreProtocol.SESSIONS + "/")) {
+            return changeSession(method, Long.parseLong(resource.split("/")[2]));
+        }
+        return new Response(400, Codec.object());
     }
 
-    private void wake() {
-        for (Watch w : new ArrayList<>(watches)) {
-            ObjectNode r = events(w.prefix, w.from);
-            if (!r.path("events").isEmpty()) {
-                watches.remove(w);
-                w.reply.accept(new Response(200, r));
-            }
+    private void watch(Map<String, String> query, Consumer<Response> callback) {
+        Watch watch =
+                new Watch(query.get(StoreProtocol.PREFIX), Long.parseLong(query.get(StoreProtocol.FROM)), callback);
+        ObjectNode changes = keys.changesAfter(watch.prefix, watch.from);
+        if (!changes.path(StoreProtocol.EVENTS).isEmpty()) {
+            callback.accept(new Response(200, changes));
+            return;
         }
+        watches.add(watch);
+        world.at(Long.parseLong(query.get(StoreProtocol.WAIT_MS)), () -> {
+            if (watches.remove(watch)) {
+                callback.accept(new Response(200, keys.changesAfter(watch.prefix, watch.from)));
+            }
+        });
     }
 
-    private ObjectNode events(String prefix, long from) {
-        ObjectNode r = Codec.object().put("epoch", epoch);
-        ArrayNode list = r.putArray("events");
-        for (ObjectNode e : events) {
-            String key = e.has("put") ? e.get("put").asText() : e.get("drop").asText();
-            if (e.get("stamp").asLong() > from && key.startsWith(prefix)) {
-                list.add(e);
+    private void notifyWatches() {
+        for (Watch watch : new ArrayList<>(watches)) {
+            ObjectNode changes = keys.changesAfter(watch.prefix, watch.from);
+            if (!changes.path(StoreProtocol.EVENTS).isEmpty()) {
+                watches.remove(watch);
+                watch.callback.accept(new Response(200, changes));
             }
         }
-        return r;
     }
 
-    @Override
-    public void request(String method, String path, JsonNode body, Consumer<Response> reply) {
-        expire();
-        String where = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
-        Map<String, String> query = new HashMap<>();
-        if (path.contains("?")) {
-            for (String q : path.substring(path.indexOf('?') + 1).split("&")) {
-                query.put(q.substring(0, q.indexOf('=')), q.substring(q.indexOf('=') + 1));
+    private Response list(Map<String, String> query) {
+        ObjectNode answer =
+                Codec.object().put(StoreProtocol.REVISION, keys.revision()).put(StoreProtocol.TRUNCATED, false);
+        ArrayNode page = answer.putArray(StoreProtocol.ENTRIES);
+        int pageSize = Integer.parseInt(query.getOrDefault(StoreProtocol.PAGE_SIZE, DEFAULT_PAGE_SIZE));
+        String from = query.getOrDefault(StoreProtocol.FROM, "");
+        for (Map.Entry<String, VersionedKeys.Entry> entry :
+                keys.entries().tailMap(from, false).entrySet()) {
+            String key = entry.getKey();
+            if (key.startsWith(query.get(StoreProtocol.PREFIX)) && !hiddenKeys.test(key)) {
+                if (page.size() == pageSize) {
+                    answer.put(StoreProtocol.TRUNCATED, true);
+                    break;
+                }
+                page.addObject()
+                        .put(StoreProtocol.KEY, key)
+                        .put(StoreProtocol.KEY_REVISION, entry.getValue().revision())
+                        .set(StoreProtocol.DATA, entry.getValue().value());
             }
         }
-        if (down || (where.equals("/commit") && refused.test(body))) {
-            reply.accept(new Response(503, Codec.object()));
-            return;
+        return new Response(200, answer);
+    }
+
+    private Response read(String key) {
+        VersionedKeys.Entry entry = keys.get(key);
+        if (entry == null) {
+            return new Response(404, Codec.object().put(StoreProtocol.REVISION, keys.revision()));
         }
-        int puts = body == null ? 0 : body.path("then").size();
-        if (!requests.has(1, world.now) || !writes.has(puts, world.now)) {
-            reply.accept(new Response(429, Codec.object()));
-            return;
+        ObjectNode answer =
+                Codec.object().put(StoreProtocol.KEY, key).put(StoreProtocol.KEY_REVISION, entry.revision());
+        answer.set(StoreProtocol.DATA, entry.value());
+        if (entry.session() != 0) {
+            answer.put(StoreProtocol.SESSION, entry.session());
         }
-        requests.take(1, world.now);
-        writes.take(puts, world.now);
-        if (where.equals("/watch")) {
-            long from = Long.parseLong(query.get("from"));
-            ObjectNode now = events(query.get("prefix"), from);
-            if (!now.path("events").isEmpty()) {
-                reply.accept(new Response(200, now));
-                return;
-            }
-            Watch w = new Watch(query.get("prefix"), from, reply);
-            watches.add(w);
-            world.at(Long.parseLong(query.get("wait_ms")), () -> {
-                if (watches.remove(w)) {
-                    reply.accept(new Response(200, events(w.prefix, w.from)));
-                }
-            });
-        } else if (where.equals("/keys")) {
-            ObjectNode r = Codec.object().put("epoch", epoch).put("truncated", false);
-            ArrayNode list = r.putArray("entries");
-            int left = Integer.parseInt(query.getOrDefault("page", "1000"));
-            for (Map.Entry<String, Entry> e :
-                    keys.tailMap(query.getOrDefault("from", ""), false).entrySet()) {
-                if (e.getKey().startsWith(query.get("prefix")) && !hidden.test(e.getKey())) {
-                    if (left-- == 0) {
-                        r.put("truncated", true);
-                        break;
-                    }
-                    list.addObject()
-                            .put("key", e.getKey())
-                            .put("stamp", e.getValue().stamp)
-                            .set("data", e.getValue().data);
-                }
-            }
-            reply.accept(new Response(200, r));
-        } else if (where.startsWith("/keys/")) {
-            Entry e = keys.get(where.substring(6));
-            if (e == null) {
-                reply.accept(new Response(404, Codec.object().put("epoch", epoch)));
-            } else {
-                ObjectNode r = Codec.object().put("key", where.substring(6)).put("stamp", e.stamp);
-                r.set("data", e.data);
-                if (e.tenancy != 0) {
-                    r.put("tenancy", e.tenancy);
-                }
-                reply.accept(new Response(200, r));
+        return new Response(200, answer);
+    }
+
+    private Response commit(JsonNode transaction) {
+        JsonNode operations = transaction.path(StoreProtocol.OPERATIONS);
+        if (!fits(transaction)) {
+            oversizedTransactions++;
+            return new Response(400, Codec.object().put(StoreProtocol.ERROR, "too large"));
+        }
+        for (JsonNode operation : operations) {
+            if (operation.has(StoreProtocol.SESSION)
+                    && !sessions.containsKey(
+                            operation.get(StoreProtocol.SESSION).asLong())) {
+                return new Response(400, Codec.object().put(StoreProtocol.ERROR, "no such lease"));
             }
-        } else if (where.equals("/commit")) {
-            reply.accept(commit(body));
-        } else if (where.equals("/holds")) {
-            Hold h = new Hold();
-            h.lifeMs = body.get("life_ms").asLong();
-            h.ends = world.now + (long) (h.lifeMs * holdShare);
-            holds.put(++tenancies, h);
-            long id = tenancies;
-            reply.accept(new Response(200, Codec.object().put("tenancy", id)));
-            tick(id);
-        } else if (where.startsWith("/holds/")) {
-            long id = Long.parseLong(where.split("/")[2]);
-            Hold h = holds.get(id);
-            if (h == null) {
-                reply.accept(new Response(404, Codec.object()));
-            } else if (method.equals("DELETE")) {
-                endHold(id);
-                reply.accept(new Response(200, Codec.object()));
-            } else {
-                h.ends = world.now + (long) (h.lifeMs * holdShare);
-                reply.accept(new Response(200, Codec.object().put("tenancy", id)));
+        }
+        ArrayNode failed = failedConditions(transaction.path(StoreProtocol.CONDITIONS));
+        if (!failed.isEmpty() && !ignoresConditions) {
+            ObjectNode answer = Codec.object().put(StoreProtocol.REVISION, keys.revision());
+            answer.set(StoreProtocol.FAILED, failed);
+            return new Response(409, answer);
+        }
+        appliedOperations += operations.size();
+        keys.apply(operations);
+        world.at(0, this::notifyWatches);
+        return new Response(200, Codec.object().put(StoreProtocol.REVISION, keys.revision()));
+    }
+
+    private boolean fits(JsonNode transaction) {
+        JsonNode operations = transaction.path(StoreProtocol.OPERATIONS);
+        for (JsonNode operation : operations) {
+            if (operation.has(StoreProtocol.PUT)
+                    && Codec.write(operation.get(StoreProtocol.DATA), true).length > maxValueBytes) {
+                return false;
             }
-        } else {
-            reply.accept(new Response(400, Codec.object()));
         }
+        return operations.size() <= maxOperations
+                && transaction.path(StoreProtocol.CONDITIONS).size() <= CONDITIONS_PER_OPERATION * maxOperations
+                && Codec.write(transaction, true).length <= MAX_TRANSACTION_BYTES;
     }
 
-    private void tick(long id) {
-        world.at(100, () -> {
-            expire();
-            if (holds.containsKey(id)) {
-                tick(id);
+    private ArrayNode failedConditions(JsonNode conditions) {
+        ArrayNode failed = Codec.array();
+        for (JsonNode condition : conditions) {
+            String key = condition.get(StoreProtocol.KEY).asText();
+            if (keys.revisionOf(key)
+                    != condition.get(StoreProtocol.KEY_REVISION).asLong()) {
+                failed.add(key);
             }
-        });
+        }
+        return failed;
+    }
+
+    private void openSession(long lifeMs, Consumer<Response> callback) {
+        long id = ++lastSession;
+        Session session = new Session(lifeMs);
+        renew(session);
+        sessions.put(id, session);
+        callback.accept(new Response(200, Codec.object().put(StoreProtocol.SESSION, id)));
+        checkExpiry(id);
     }
 
-    private Response commit(JsonNode body) {
-        boolean fits = body.path("then").size() <= txnOps
-                && body.path("when").size() <= 4 * txnOps
-                && Codec.write(body, true).length <= 64 * 1024;
-        for (JsonNode op : body.path("then")) {
-            fits &= !op.has("put") || Codec.write(op.get("data"), true).length <= valueBytes;
+    /** Renews or closes a session. */
+    private Response changeSession(String method, long id) {
+        Session session = sessions.get(id);
+        if (session == null) {
+            return new Response(404, Codec.object());
         }
-        if (!fits) {
-            tooLarge++;
-            return new Response(400, Codec.object().put("error", "too large"));
+        if (method.equals("DELETE")) {
+            endSession(id);
+            return new Response(200, Codec.object());
         }
-        ArrayNode failed = Codec.array();
-        for (JsonNode c : body.path("when")) {
-            Entry e = keys.get(c.get("key").asText());
-            if ((e == null ? 0 : e.stamp) != c.get("stamp").asLong()) {
-                failed.add(c.get("key").asText());
+        renew(session);
+        return new Response(200, Codec.object().put(StoreProtocol.SESSION, id));
+    }
+
+    private void renew(Session session) {
+        session.expiresAt = world.now + (long) (session.lifeMs * sessionLifeShare);
+    }
+
+    private void checkExpiry(long id) {
+        world.at(EXPIRY_CHECK_MS, () -> {
+            expireSessions();
+            if (sessions.containsKey(id)) {
+                checkExpiry(id);
             }
+        });
+    }
+
+    private void expireSessions() {
+        if (isDown) {
+            return;
         }
-        for (JsonNode op : body.path("then")) {
-            if (op.has("tenancy") && !holds.containsKey(op.get("tenancy").asLong())) {
-                return new Response(400, Codec.object().put("error", "no such lease"));
+        for (Long id : new ArrayList<>(sessions.keySet())) {
+            if (world.now > sessions.get(id).expiresAt) {
+                endSession(id);
             }
         }
-        if (!failed.isEmpty() && !careless) {
-            ObjectNode r = Codec.object().put("epoch", epoch);
-            r.set("failed", failed);
-            return new Response(409, r);
-        }
-        epoch++;
-        changes += body.path("then").size();
-        for (JsonNode op : body.path("then")) {
-            if (op.has("put")) {
-                keys.put(
-                        op.get("put").asText(),
-                        new Entry(op.get("data"), epoch, op.path("tenancy").asLong(0)));
-                ObjectNode e = Codec.object().put("put", op.get("put").asText()).put("stamp", epoch);
-                e.set("data", op.get("data"));
-                events.add(e);
-            } else if (keys.remove(op.get("drop").asText()) != null) {
-                events.add(Codec.object().put("drop", op.get("drop").asText()).put("stamp", epoch));
-            }
+    }
+
+    private void endSession(long id) {
+        sessions.remove(id);
+        if (keys.deleteKeysOf(id)) {
+            notifyWatches();
         }
-        world.at(0, this::wake);
-        return new Response(200, Codec.object().put("epoch", epoch));
     }
 }
--- a/src/test/java/org/hollypick/sim/FaultInjector.java
+++ b/src/test/java/org/hollypick/sim/FaultInjector.java
@@ -109,7 +109,7 @@
     }
 
     void hangThirdOfMachines(long ms) {
-        scenario.cloud.workers().stream()
+        scenario.cloud.agents().stream()
                 .filter(agent -> world.random.nextInt(3) == 0)
                 .forEach(agent -> agent.hang(ms));
     }
@@ -119,12 +119,12 @@
         String leader = scenario.leadership.hasLeader() ? scenario.leaderName() : SimulatedController.name(0);
         world.refuse(leader, ClusterScenario.STORE_ADDRESS, REFUSAL_MS);
         cancelHalfOfJobs(0);
-        world.at(1_000, () -> scenario.store.outage(outageMs));
+        world.at(1_000, () -> scenario.store.startOutage(outageMs));
     }
 
     /** The names of two thirds of the machines, drawn. */
     Collection<String> drawMachines() {
-        Set<String> names = new HashSet<>(scenario.cloud.names());
+        Set<String> names = new HashSet<>(scenario.cloud.machineNames());
         names.removeIf(name -> world.random.nextInt(3) == 0);
         return names;
     }
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphDaysTest.java
@@ -73,7 +73,7 @@
             ClusterScenario scenario =
                     day(seed, NEW, users, true, cluster -> cluster.randomFaults.scheduleFaults(6, 10_000, 120_000));
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
-            assertEquals(0, scenario.store.tooLarge, "seed " + seed);
+            assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
             for (GraphUser u : users) {
                 over += u.told.equals("done") || u.told.equals("aborted") ? 1 : 0;
                 refused += u.refusedChildren;
@@ -190,7 +190,7 @@
                     for (int i = 0; i < 10; i++) {
                         d.world.at(
                                 12_000 + i * 9_000,
-                                () -> d.cloud.workers().stream().findFirst().ifPresent(d.cloud::take));
+                                () -> d.cloud.agents().stream().findFirst().ifPresent(d.cloud::reclaim));
                     }
                 }));
     }
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -29,20 +29,20 @@
         scenario.advance(5_000);
         int before = scenario.leaderIndex();
         long from = scenario.world.now;
-        int changes = scenario.store.changes;
+        int changes = scenario.store.appliedOperations;
         for (int first = 0; first < NODES; first += A_CALL) {
             submit(scenario, first, Math.min(NODES, first + A_CALL));
         }
         double seconds = (scenario.world.now - from) / 1000.0;
-        int written = scenario.store.changes - changes;
+        int written = scenario.store.appliedOperations - changes;
         assertEquals(before, scenario.leaderIndex(), "the hold was renewed all along");
-        assertEquals(0, scenario.store.tooLarge);
+        assertEquals(0, scenario.store.oversizedTransactions);
         int records = 0;
         long bytes = 0;
         for (String key : scenario.store.keys()) {
             if (key.startsWith("h/x/")) {
                 records++;
-                bytes += scenario.store.data(key).toString().length();
+                bytes += scenario.store.valueOf(key).toString().length();
             }
         }
         assertTrue(written / seconds < 60, "changes a second: " + written / seconds);
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -129,9 +129,9 @@
         int lost = scenario.checker.lost;
         scenario.faults.crash(scenario.leaderIndex(), 40_000);
         scenario.advance(12_000);
-        long token = scenario.store.stamp("h/roster");
+        long token = scenario.store.revisionOf("h/roster");
         assertTrue(
-                scenario.cloud.workers().stream().allMatch(w -> w.token >= token),
+                scenario.cloud.agents().stream().allMatch(w -> w.fencingToken() >= token),
                 "every machine has seen the new leader's token");
         scenario.advance(60_000);
         assertEquals(lost, scenario.checker.lost);
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -32,7 +32,7 @@
 
     private static List<FakeAgent> zone(ClusterScenario day) {
         List<FakeAgent> some =
-                day.cloud.workers().stream().filter(w -> w.zone.equals("a")).toList();
+                day.cloud.agents().stream().filter(w -> w.zone.equals("a")).toList();
         assertTrue(some.size() >= 2);
         return some;
     }
@@ -97,7 +97,7 @@
             List<FakeAgent> deaf = zone(day);
             deaf.forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
             Set<String> launches = new HashSet<>();
-            Set<String> addresses = deaf.stream().map(w -> w.addr).collect(Collectors.toSet());
+            Set<String> addresses = deaf.stream().map(w -> w.address).collect(Collectors.toSet());
             day.world.at(
                     30_000,
                     () -> day.world.sending = (from, call) -> {
@@ -132,9 +132,9 @@
             assertEquals(lost, day.checker.lost, "seed " + seed);
             assertTrue(
                     day.cloud
-                            .names()
+                            .machineNames()
                             .containsAll(some.stream()
-                                    .filter(w -> w.tasks() > 0)
+                                    .filter(w -> w.reportedTasks() > 0)
                                     .map(w -> w.name)
                                     .toList()),
                     "seed " + seed + ": returned");
@@ -148,7 +148,7 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed);
             int lost = day.checker.lost;
-            List<FakeAgent> some = new ArrayList<>(day.cloud.workers());
+            List<FakeAgent> some = new ArrayList<>(day.cloud.agents());
             some.removeIf(w -> w.name.hashCode() % 2 == 0);
             int node = seed % 3;
             some.forEach(w -> day.network.dropInbound(w, node, 120_000));
@@ -170,13 +170,13 @@
             day.world.copyShare = 0.5;
             day.workload.submitBatchJobs(40, 120_000);
             day.advance(30_000);
-            List<FakeAgent> some = new ArrayList<>(day.cloud.workers().subList(0, 4));
+            List<FakeAgent> some = new ArrayList<>(day.cloud.agents().subList(0, 4));
             some.subList(0, 2).forEach(w -> w.hang(60_000));
-            some.subList(2, 4).forEach(day.cloud::take);
+            some.subList(2, 4).forEach(day.cloud::reclaim);
             List<String> hung = some.subList(0, 2).stream().map(w -> w.name).toList();
             day.advance(16_000);
             assertTrue(
-                    hung.stream().noneMatch(day.cloud.names()::contains),
+                    hung.stream().noneMatch(day.cloud.machineNames()::contains),
                     "seed " + seed + ": a copy kept a machine that hangs");
             day.faults.crashAll();
             day.advance(150_000);
@@ -193,8 +193,8 @@
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario day = day(seed);
             boolean anew = seed % 2 == 0;
-            List<FakeAgent> some = new ArrayList<>(day.cloud.workers().stream()
-                    .filter(w -> w.running() > 0)
+            List<FakeAgent> some = new ArrayList<>(day.cloud.agents().stream()
+                    .filter(w -> w.activeTasks() > 0)
                     .limit(3)
                     .toList());
             int before = day.checker.running();
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -38,7 +38,7 @@
     void everyAcceptedJobEndsAfterTheLossOfAllControllers() {
         ClusterScenario scenario = new ClusterScenario(7);
         scenario.workload.submitJobs(15, 30_000);
-        scenario.world.at(35_000, () -> scenario.store.outage(15_000));
+        scenario.world.at(35_000, () -> scenario.store.startOutage(15_000));
         scenario.world.at(40_000, scenario.faults::crashAll);
         scenario.advance(300_000);
         assertEquals(List.of(), scenario.checker.broken);
@@ -55,7 +55,7 @@
     @Test
     void runningWorkSurvivesALongOutageOfTheStateService() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.store.outage(60_000);
+        scenario.store.startOutage(60_000);
         scenario.advance(5_000);
         int lost = scenario.checker.lost;
         scenario.advance(54_000);
@@ -69,7 +69,7 @@
     void withoutAllPromisesNobodyActsInAnOutage() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.world.at(100, () -> scenario.faults.crash(0, 90_000));
-        scenario.store.outage(60_000);
+        scenario.store.startOutage(60_000);
         scenario.advance(5_000);
         int lost = scenario.checker.lost;
         scenario.advance(54_000);
@@ -146,7 +146,7 @@
     @Test
     void inAnOutageAllStayReady() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.store.outage(30_000);
+        scenario.store.startOutage(30_000);
         scenario.advance(12_000);
         for (int node = 0; node < 3; node++) {
             assertEquals(200, scenario.users.readinessStatus(node));
@@ -159,16 +159,16 @@
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.store.hidden = k -> k.startsWith("h/m/");
+            scenario.store.hiddenKeys = k -> k.startsWith("h/m/");
             scenario.workload.submitJobs(25, 40_000);
             scenario.world.at(
                     45_000,
-                    () -> scenario.cloud.workers().forEach(w -> {
+                    () -> scenario.cloud.agents().forEach(w -> {
                         for (int i = 0; i < 3; i++) {
                             if (scenario.world.random.nextBoolean()) {
                                 scenario.world.cut(w.name, "p" + i + ":1", 12_000);
                             }
-                            scenario.world.cut("bothy-" + i, w.addr, 12_000);
+                            scenario.world.cut("bothy-" + i, w.address, 12_000);
                         }
                     }));
             scenario.world.at(46_000, scenario.faults::crashAll);
@@ -184,7 +184,7 @@
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.store.holdShare = 0.2;
+            scenario.store.sessionLifeShare = 0.2;
             scenario.workload.submitJobs(25, 60_000);
             for (int i = 0; i < 12; i++) {
                 int node = i % 3;
--- a/src/test/java/org/hollypick/sim/LeadershipChecker.java
+++ b/src/test/java/org/hollypick/sim/LeadershipChecker.java
@@ -21,16 +21,16 @@
     }
 
     boolean hasLeader() {
-        return store.data(LEADER_KEY) != null;
+        return store.valueOf(LEADER_KEY) != null;
     }
 
     String leaderName() {
-        return store.data(LEADER_KEY).path(LEADER_NAME).asText();
+        return store.valueOf(LEADER_KEY).path(LEADER_NAME).asText();
     }
 
     /** The revision at which the present leader record was written. */
     long fencingToken() {
-        return store.stamp(LEADER_KEY);
+        return store.revisionOf(LEADER_KEY);
     }
 
     /** A controller sends a request: at this moment it must be the leader if the request commands anything. */
@@ -48,8 +48,8 @@
      * answers, but only while that one is the leader.
      */
     void launchSent(String controller, long fencingToken) {
-        JsonNode then = store.put(LEADER_KEY, fencingToken);
-        JsonNode now = store.data(LEADER_KEY);
+        JsonNode then = store.valueWrittenAt(LEADER_KEY, fencingToken);
+        JsonNode now = store.valueOf(LEADER_KEY);
         if (then == null
                 || !then.path(LEADER_NAME).equals(now.path(LEADER_NAME))
                 || !then.path(LEADER_MEMBERSHIP).equals(now.path(LEADER_MEMBERSHIP))) {
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -52,9 +52,9 @@
             if (call.path().equals("/hosts/return")) {
                 call.body()
                         .path("bothies")
-                        .forEach(id -> scenario.cloud.workers().stream()
+                        .forEach(id -> scenario.cloud.agents().stream()
                                 .filter(w -> w.name.equals(id.asText())
-                                        && w.running() > 0
+                                        && w.activeTasks() > 0
                                         && (links.machines(0, w.zone)
                                                 || links.machines(1, w.zone)
                                                 || links.machines(2, w.zone)))
@@ -66,12 +66,12 @@
         long from = scenario.world.now;
         int starts = scenario.checker.starts;
         int changes = 0;
-        long lead = scenario.store.data("h/roster").path("member").asLong();
+        long lead = scenario.store.valueOf("h/roster").path("member").asLong();
         long startedAfter = Long.MAX_VALUE;
         scenario.workload.submitUncancelledServices(3);
         for (long t = 0; t < CUT_MS - 10_000; t += 100) {
             scenario.advance(100);
-            long leads = scenario.store.data("h/roster").path("member").asLong();
+            long leads = scenario.store.valueOf("h/roster").path("member").asLong();
             changes += leads == lead ? 0 : 1;
             lead = leads;
             if (startedAfter == Long.MAX_VALUE && scenario.checker.starts > starts) {
@@ -149,11 +149,11 @@
                                                 LinkPattern.COUNT - 1 & ~LinkPattern.machinesOf(scenario.leaderIndex()))
                                         : null));
             }
-            long lead = scenario.store.data("h/roster").path("member").asLong();
+            long lead = scenario.store.valueOf("h/roster").path("member").asLong();
             int changes = 0;
             for (int t = 0; t < 600; t++) {
                 scenario.advance(100);
-                long leads = scenario.store.data("h/roster").path("member").asLong();
+                long leads = scenario.store.valueOf("h/roster").path("member").asLong();
                 changes += leads == lead ? 0 : 1;
                 lead = leads;
             }
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -365,6 +365,6 @@
             assertEquals(404, ask("GET", "/graphs/" + id, new byte[0]).status(), id);
         }
         assertEquals(404, ask("GET", "/graphs/../../x", new byte[0]).status());
-        assertNull(scenario.store.data("h/j/req-000933"));
+        assertNull(scenario.store.valueOf("h/j/req-000933"));
     }
 }
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -102,8 +102,8 @@
 
     private static ClusterScenario play(NewMachines order, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario day = day(order.seed, version);
-        day.cloud.bootMs = order.bootMs;
-        day.cloud.alternatingLists = true;
+        day.cloud.maxBootMs = order.bootMs;
+        day.cloud.alternatesListAge = true;
         day.users.cancelOneIn = 4;
         boolean slow = order.rental == Fate.ANSWER_LATE;
         Random random = day.world.random;
@@ -141,7 +141,7 @@
         };
         Consumer<FakeAgent> up = w -> end.run();
         Consumer<Request> report = call -> end.run();
-        day.cloud.booted = order.end == End.MACHINE_UP ? up : w -> {};
+        day.cloud.bootListener = order.end == End.MACHINE_UP ? up : w -> {};
         day.world.reporting = order.end == End.FIRST_REPORT ? report : call -> {};
         day.world.sending = (from, call) -> {
             if ((order.end == End.RENTAL_SENT && rents(call))
@@ -253,7 +253,7 @@
         day.workload.submitUncancelledServices(3);
         day.workload.submitBatchJobs(8, 30_000);
         day.advance(30_000);
-        day.cloud.workers().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.network.dropInbound(w, 19_000));
+        day.cloud.agents().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.network.dropInbound(w, 19_000));
         day.world.reporting = order.onlyHeldBack ? call -> {} : reports::add;
         day.advance(26_000);
         day.world.reporting = call -> {};
@@ -269,8 +269,8 @@
             day.advance(7_000);
             day.faults.crash(day.leaderIndex(), change == 0 ? 200 : 8_000);
             // Their own word comes later than the copy.
-            day.cloud.workers().stream()
-                    .filter(w -> w.running() > 0)
+            day.cloud.agents().stream()
+                    .filter(w -> w.activeTasks() > 0)
                     .limit(2)
                     .forEach(w -> day.network.isolate(w, 12_000));
             day.onNextFencingToken(() -> {
@@ -345,7 +345,8 @@
      */
     @Test
     void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
-        BiConsumer<ClusterScenario, ObjectNode> asIfNew = (day, body) -> body.put("baton", day.store.stamp("h/roster"));
+        BiConsumer<ClusterScenario, ObjectNode> asIfNew =
+                (day, body) -> body.put("baton", day.store.revisionOf("h/roster"));
         List<OldReports> early = oldReports().stream()
                 .filter(o -> o.onlyHeldBack && o.to != To.OTHERS && o.when != When.A_LEASE_LATER)
                 .toList();
@@ -393,7 +394,7 @@
      */
     private static ClusterScenario play(LateCommands order, Consumer<FakeAgent> up) {
         ClusterScenario day = day(order.seed, NEW);
-        day.cloud.booted = up;
+        day.cloud.bootListener = up;
         day.workload.durationFactor = 3;
         day.users.cancelOneIn = 2;
         day.advance(5_000);
@@ -408,7 +409,7 @@
             day.advance(20_000);
             int leader = day.leaderIndex();
             long ms = List.of(7_000L, 20_000L, 40_000L).get((order.seed + i) % 3);
-            day.cloud.workers().stream()
+            day.cloud.agents().stream()
                     .filter(w -> day.world.random.nextInt(3) == 0)
                     .forEach(w -> {
                         if (order.mute) {
@@ -468,7 +469,7 @@
             }
             day.advance(20);
             day.network.requestDelay = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
-            day.cloud.workers().forEach(w -> day.network.dropOutbound(w, 10_000));
+            day.cloud.agents().forEach(w -> day.network.dropOutbound(w, 10_000));
             day.users.cancel("req-000000");
             day.advance(60_000);
             assertTrue(day.checker.isOver("req-000000"), "seed " + seed);
@@ -491,7 +492,7 @@
             day.workload.submitUncancelledServices(3);
             day.workload.submitBatchJobs(20, 100_000);
             day.advance(25_000);
-            day.cloud.workers().stream()
+            day.cloud.agents().stream()
                     .filter(w -> w.zone.equals("a"))
                     .forEach(w -> day.network.dropOutbound(w, 90_000));
             day.advance(20_000);
@@ -507,7 +508,7 @@
     @Test
     void theCheckerNoticesWorkersThatCarryOutLateCommands() {
         assertTrue(lateCommands().stream()
-                .anyMatch(o -> play(o, w -> w.careless = true).checker.broken.stream()
+                .anyMatch(o -> play(o, w -> w.ignoresFencing = true).checker.broken.stream()
                         .anyMatch(b -> b.startsWith("ran_twice"))));
     }
 }
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -27,12 +27,12 @@
 
     /** Nothing passes between a controller and all agents. */
     void partitionFromAgents(int controller, long ms) {
-        partitionFromAgents(controller, ms, scenario.cloud.names());
+        partitionFromAgents(controller, ms, scenario.cloud.machineNames());
     }
 
     /** Nothing passes between a controller and the agents with these names. */
     void partitionFromAgents(int controller, long ms, Collection<String> names) {
-        for (FakeAgent agent : scenario.cloud.workers()) {
+        for (FakeAgent agent : scenario.cloud.agents()) {
             if (names.contains(agent.name)) {
                 partition(controller, agent, ms);
             }
@@ -46,12 +46,12 @@
 
     private void partition(int controller, FakeAgent agent, long ms) {
         world.cut(agent.name, SimulatedController.publicAddress(controller), ms);
-        world.cut(SimulatedController.name(controller), agent.addr, ms);
+        world.cut(SimulatedController.name(controller), agent.address, ms);
     }
 
     /** Heartbeats of the agent arrive at that controller, and nothing from there reaches the agent. */
     void dropInbound(FakeAgent agent, int controller, long ms) {
-        world.cutOneWay(SimulatedController.name(controller), agent.addr, ms);
+        world.cutOneWay(SimulatedController.name(controller), agent.address, ms);
         world.cutOneWay(SimulatedController.publicAddress(controller), agent.name, ms);
     }
 
@@ -95,7 +95,7 @@
             if (isInside) {
                 partitionFromOutside(controller, ms);
             }
-            for (FakeAgent agent : scenario.cloud.workers()) {
+            for (FakeAgent agent : scenario.cloud.agents()) {
                 if (isInside != agent.zone.equals(zone)) {
                     partition(controller.index, agent, ms);
                 }
@@ -150,8 +150,8 @@
 
     /** The zone of the agent with that name or address; null if there is none. */
     private String zoneOfAgent(String nameOrAddress) {
-        for (FakeAgent agent : scenario.cloud.workers()) {
-            if (agent.name.equals(nameOrAddress) || agent.addr.equals(nameOrAddress)) {
+        for (FakeAgent agent : scenario.cloud.agents()) {
+            if (agent.name.equals(nameOrAddress) || agent.address.equals(nameOrAddress)) {
                 return agent.zone;
             }
         }
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -90,7 +90,7 @@
         ClusterScenario scenario = day();
         List<String> ids = submit(scenario, JOBS, 10_000);
         scenario.advance(14_000);
-        scenario.store.outage(OUTAGE_MS);
+        scenario.store.startOutage(OUTAGE_MS);
         scenario.advance(OUTAGE_MS);
         long open = ids.stream().filter(id -> !scenario.checker.isOver(id)).count();
         assertTrue(open >= JOBS / 3, "open " + open);
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -80,7 +80,7 @@
 
     private static ClusterScenario allAway(int seed, Predicate<String> hidden) {
         ClusterScenario day = busy(seed, NEW);
-        day.store.hidden = hidden;
+        day.store.hiddenKeys = hidden;
         day.faults.crashAllBeyondLease();
         day.workload.submitBatchJobs(4, CUT_MS);
         return calm(day.advance(CUT_MS));
@@ -143,7 +143,7 @@
         day.world.at(15_000, () -> day.faults.crash(inside, 150));
         day.world.at(
                 14_900,
-                () -> day.cloud.workers().stream()
+                () -> day.cloud.agents().stream()
                         .filter(w -> w.zone.equals("b"))
                         .forEach(w -> w.hang(13_000)));
         return calm(day.advance(30_000));
@@ -166,11 +166,11 @@
 
     private static ClusterScenario boundToAZone(int seed, Predicate<String> hidden) {
         ClusterScenario day = busy(seed, NEW);
-        day.store.hidden = hidden;
+        day.store.hiddenKeys = hidden;
         String zone = seed % 2 == 0 ? "a" : "b";
-        day.cloud.workers().stream()
+        day.cloud.agents().stream()
                 .filter(w -> w.spot && day.world.random.nextBoolean())
-                .forEach(day.cloud::take);
+                .forEach(day.cloud::reclaim);
         day.placeControllerInZone((day.leaderIndex() + seed) % 3, "b");
         day.network.partitionZone(zone, 12_000 + 3_000 * seed);
         day.world.at(4_000, () -> day.faults.crash(day.leaderIndex(), 200 + 4_000 * (seed % 2)));
@@ -192,7 +192,7 @@
 
     private static ClusterScenario muteWorkers(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario day = busy(seed, version);
-        List<String> names = day.cloud.workers().stream()
+        List<String> names = day.cloud.agents().stream()
                 .filter(w -> seed % 3 == 0 || w.zone.equals("a") || day.world.random.nextBoolean())
                 .map(w -> w.name)
                 .toList();
@@ -226,9 +226,9 @@
         for (int node = 0; node < 3; node++) {
             day.world.slow("p" + node + ":1", 1_000, 80_000);
         }
-        day.cloud.workers().forEach(w -> day.world.slow(w.addr, 1_000, 80_000));
+        day.cloud.agents().forEach(w -> day.world.slow(w.address, 1_000, 80_000));
         day.workload.submitJobs(40, 20_000);
-        day.store.hidden = hidden;
+        day.store.hiddenKeys = hidden;
         day.world.at(6_000, () -> day.faults.crash(day.leaderIndex(), 300));
         day.world.at(25_000, day.faults::crashAll);
         return calm(day.advance(80_000));
@@ -269,14 +269,14 @@
 
     private static ClusterScenario tenChanges(int seed, double holdShare) {
         ClusterScenario day = busy(seed, NEW);
-        day.store.holdShare = holdShare;
+        day.store.sessionLifeShare = holdShare;
         day.faults.failOverRepeatedly(10, 12_000);
         day.workload.submitJobs(8, 100_000);
         for (int i = 0; i < 4; i++) {
             day.world.at(5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.faults.cancelHalfOfJobs(0));
         }
         if (seed % 2 == 0) {
-            day.world.at(30_000, () -> day.store.outage(OUTAGE_MS));
+            day.world.at(30_000, () -> day.store.startOutage(OUTAGE_MS));
         }
         if (holdShare < 1) {
             day.world.at(40_000, () -> day.faults.freeze(day.leaderIndex(), 3_000));
--- a/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -26,7 +26,7 @@
             ClusterScenario scenario = day(seed);
             int before = scenario.leaderIndex();
             int lost = scenario.checker.lost;
-            List<String> cut = scenario.cloud.workers().stream()
+            List<String> cut = scenario.cloud.agents().stream()
                     .map(w -> w.name)
                     .filter(n -> n.hashCode() % 2 == 0)
                     .toList();
@@ -34,7 +34,8 @@
             scenario.network.partitionFromAgents(before, 60_000, cut);
             scenario.advance(14_000);
             assertTrue(scenario.leaderIndex() != before, "seed " + seed + ": another controller leads");
-            assertTrue(scenario.cloud.names().containsAll(cut), "seed " + seed + ": good machines were returned");
+            assertTrue(
+                    scenario.cloud.machineNames().containsAll(cut), "seed " + seed + ": good machines were returned");
             scenario.advance(80_000);
             assertEquals(lost, scenario.checker.lost, "seed " + seed);
             assertEquals(List.of(), scenario.checker.broken, "seed " + seed);
@@ -46,11 +47,13 @@
     void machinesThatHangAreReturnedAsBefore() {
         ClusterScenario scenario = day(1);
         int before = scenario.leaderIndex();
-        List<FakeAgent> hung = scenario.cloud.workers().subList(0, 3);
+        List<FakeAgent> hung = scenario.cloud.agents().subList(0, 3);
         List<String> names = hung.stream().map(w -> w.name).toList();
         hung.forEach(w -> w.hang(60_000));
         scenario.advance(9_000);
-        assertTrue(names.stream().noneMatch(scenario.cloud.names()::contains), names + " of " + scenario.cloud.names());
+        assertTrue(
+                names.stream().noneMatch(scenario.cloud.machineNames()::contains),
+                names + " of " + scenario.cloud.machineNames());
         assertEquals(before, scenario.leaderIndex());
         scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.broken);
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -53,7 +53,7 @@
             day.randomFaults.scheduleFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
             day.advance(240_000);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
-            assertEquals(0, day.store.tooLarge, "seed " + seed);
+            assertEquals(0, day.store.oversizedTransactions, "seed " + seed);
             starts += day.checker.starts;
         }
         assertTrue(starts > DAYS * 60, "the days did little: " + starts);
@@ -84,7 +84,7 @@
             day.world.at(20_000, day::tightenStoreLimits);
             day.advance(200_000);
             assertEquals(List.of(), day.checker.broken, "seed " + seed);
-            assertEquals(0, day.store.tooLarge, "seed " + seed);
+            assertEquals(0, day.store.oversizedTransactions, "seed " + seed);
             assertTrue(day.checker.starts > 30, "seed " + seed + " started " + day.checker.starts);
         }
     }
@@ -136,7 +136,7 @@
                     playing[0] = day;
                     day.workload.cancelJobsOnCompletion();
                     for (int i = 0; i < 5; i++) {
-                        day.world.at(15_000 + i * 20_000, () -> day.store.outage(5_000));
+                        day.world.at(15_000 + i * 20_000, () -> day.store.startOutage(5_000));
                     }
                 }));
     }
@@ -188,7 +188,7 @@
     }
 
     private static void withoutRecordsOfWhatFollows(ClusterScenario day) {
-        day.store.refused = txn -> {
+        day.store.refusedTransactions = txn -> {
             for (JsonNode op : txn.path("then")) {
                 String key = op.path("put").asText();
                 if (key.startsWith("h/j/")
@@ -250,7 +250,7 @@
         day.faults.crashAll();
         day.advance(240_000);
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.store.tooLarge);
+        assertEquals(0, day.store.oversizedTransactions);
         assertTrue(day.checker.isOver(last));
     }
 
@@ -268,12 +268,12 @@
         while (day.checker.completed < tasks / 2) {
             day.advance(1_000);
         }
-        assertTrue(day.store.stored("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
+        assertTrue(day.store.valuesUnder("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
         day.faults.crashAll();
         day.advance(200_000);
         assertTrue(day.checker.isOver("req-1"));
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.store.tooLarge);
+        assertEquals(0, day.store.oversizedTransactions);
         assertTrue(day.checker.starts < tasks * 1.4, "started again: " + day.checker.starts);
     }
 
@@ -329,7 +329,7 @@
         assertEquals("aborted", statusOf(day, "req-4"));
         assertEquals("aborted", cancel(day, "req-4"));
         day.advance(120_000);
-        assertEquals("aborted", day.store.data("h/j/req-4").path("status").asText(), "its own record follows");
+        assertEquals("aborted", day.store.valueOf("h/j/req-4").path("status").asText(), "its own record follows");
         assertEquals("done", cancel(day, "req-2"));
         assertEquals(201, submit(day, job("req-5", 1, List.of("req-2"))));
         day.advance(30_000);
@@ -352,15 +352,17 @@
                     i * 60L, () -> day.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
         day.advance(20_000);
-        day.store.store("h/p/0", packed);
+        day.store.write("h/p/0", packed);
         assertTrue(Codec.write(packed, true).length > 2_048);
         day.faults.crashAll();
         day.tightenStoreLimits();
         day.advance(250_000);
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.store.tooLarge);
+        assertEquals(0, day.store.oversizedTransactions);
         day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
-        assertEquals(0, day.cloud.workers().stream().mapToInt(FakeAgent::tasks).sum());
+        assertEquals(
+                0,
+                day.cloud.agents().stream().mapToInt(FakeAgent::reportedTasks).sum());
     }
 
     /**
@@ -375,7 +377,7 @@
         // Machines that came up together, as production packs them: 50 to a record.
         ObjectNode packed = Codec.object();
         day.store
-                .stored("h/m/")
+                .valuesUnder("h/m/")
                 .values()
                 .forEach(r -> r.fields().forEachRemaining(f -> {
                     if (packed.size() < 50) {
@@ -383,18 +385,18 @@
                     }
                 }));
         assertTrue(Codec.write(packed, true).length > 2_048);
-        day.store.store("h/m/bothy-0/1/0", packed);
+        day.store.write("h/m/bothy-0/1/0", packed);
         day.rollOut(0, 10_000);
         day.advance(45_000);
         day.tightenStoreLimits();
         day.workload.submitJobs(30, 60_000);
         day.advance(200_000);
         Set<String> named = new LinkedHashSet<>();
-        day.store.stored("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
-        named.removeAll(day.cloud.names());
+        day.store.valuesUnder("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
+        named.removeAll(day.cloud.machineNames());
         assertEquals(Set.of(), named, "machines that are gone are still recorded");
         assertEquals(List.of(), day.checker.broken);
-        assertEquals(0, day.store.tooLarge);
+        assertEquals(0, day.store.oversizedTransactions);
         day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isOver(id), id));
     }
 
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -37,7 +37,7 @@
         scenario.faults.freezeLeaderBefore(kind, LONGER_THAN_THE_HOLD_MS);
         scenario.workload.submitUncancelledServices(8);
         scenario.world.at(
-                500, () -> scenario.cloud.workers().stream().findFirst().ifPresent(w -> w.hang(20_000)));
+                500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(w -> w.hang(20_000)));
         scenario.advance(60_000);
         assertNotEquals(before, scenario.leaderIndex(), "seed " + seed + ": another one leads by then");
         scenario.advance(90_000);
--- a/src/test/java/org/hollypick/sim/RandomFaults.java
+++ b/src/test/java/org/hollypick/sim/RandomFaults.java
@@ -86,7 +86,7 @@
     }
 
     private void injectFault() {
-        List<FakeAgent> agents = scenario.cloud.workers();
+        List<FakeAgent> agents = scenario.cloud.agents();
         FakeAgent agent = agents.isEmpty() ? null : agents.get(world.random.nextInt(agents.size()));
         int controller = world.random.nextInt(ClusterScenario.CONTROLLERS);
         long ms = 1_000L + world.random.nextInt(30_000);
@@ -99,7 +99,7 @@
             }
             case 0, 1 -> faults.crash(controller, faults.drawDowntimeMs(10_000));
             case 2 -> faults.crashAll();
-            case 3 -> scenario.store.outage(ms);
+            case 3 -> scenario.store.startOutage(ms);
             case 4 -> partitionFromStore(controller, ms);
             case 10 -> faults.freeze(controller, ms / 2);
             case 13 -> duplicateHeartbeats(ms);
@@ -112,14 +112,14 @@
     private void injectAgentFault(int kind, FakeAgent agent, int controller, long ms) {
         switch (kind) {
             case 5 -> agent.hang(ms);
-            case 6 -> world.cut(SimulatedController.name(controller), agent.addr, ms);
+            case 6 -> world.cut(SimulatedController.name(controller), agent.address, ms);
             case 7 -> network.isolate(agent, ms);
             case 8 -> {
                 if (agent.spot) {
-                    scenario.cloud.take(agent);
+                    scenario.cloud.reclaim(agent);
                 }
             }
-            case 9 -> agent.sick();
+            case 9 -> agent.makeFaulty();
             case 11, 12 -> dropInbound(agent, 3 * ms);
             default -> agent.restart(50 + world.random.nextInt(950), world.random.nextBoolean());
         }
@@ -173,7 +173,7 @@
         String name = SimulatedController.name(leader);
         switch (kind) {
             case 0, 1 -> world.refuse(name, ClusterScenario.STORE_ADDRESS, ms);
-            case 2, 3 -> scenario.store.outage(scenario.cancellationMs() + ms);
+            case 2, 3 -> scenario.store.startOutage(scenario.cancellationMs() + ms);
             case 4 -> delayTransactions(ms);
             case 5 -> world.slow(ClusterScenario.STORE_ADDRESS, 3_000, ms);
             case 6 -> network.partitionFromStoreAndPeers(leader, 2 * ms);
@@ -188,7 +188,7 @@
             case 10 -> faults.freeze(leader, ms);
             case 11 -> network.partitionFromAgents(leader, 2 * ms, faults.drawMachines());
             case 12 ->
-                scenario.cloud.workers().stream()
+                scenario.cloud.agents().stream()
                         .filter(agent -> world.random.nextInt(3) == 0)
                         .forEach(agent -> network.dropInbound(agent, 2 * ms));
             case 13, 14 -> {
@@ -224,7 +224,7 @@
                         SimulatedController.name(world.random.nextInt(ClusterScenario.CONTROLLERS)),
                         ms);
             case 6 -> faults.crash(leader, faults.drawDowntimeMs(5_000));
-            default -> scenario.store.outage(ms);
+            default -> scenario.store.startOutage(ms);
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -19,9 +19,9 @@
 
     /** Milliseconds from the leader's end until a leader record names another incarnation. */
     private static long withoutLeader(ClusterScenario scenario, long within) {
-        long member = scenario.store.data("h/roster").path("member").asLong();
+        long member = scenario.store.valueOf("h/roster").path("member").asLong();
         long from = scenario.world.now;
-        while (scenario.store.data("h/roster").path("member").asLong() == member) {
+        while (scenario.store.valueOf("h/roster").path("member").asLong() == member) {
             scenario.advance(10);
             assertTrue(scenario.world.now < from + within, "nobody leads after ms=" + (scenario.world.now - from));
         }
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -124,7 +124,7 @@
                 case 0 -> scenario.faults.crash(scenario.leaderIndex(), 9_000);
                 case 1 -> scenario.faults.crashAll();
                 case 2 -> {
-                    scenario.store.outage(12_000);
+                    scenario.store.startOutage(12_000);
                     scenario.world.at(3_000, scenario.faults::crashAll);
                 }
                 default -> {
@@ -137,7 +137,7 @@
             String after = array(scenario, 8);
             JsonNode told = estimate(scenario, after);
             assertTrue(told.path("history").path("n").asInt() >= 20, "trouble " + trouble + ": " + told);
-            assertEquals(0, scenario.store.tooLarge);
+            assertEquals(0, scenario.store.oversizedTransactions);
             assertEquals(List.of(), scenario.checker.broken);
         }
     }
@@ -164,7 +164,7 @@
         ObjectNode broken = Codec.object().put("v", 1);
         broken.putArray("kinds").add(7);
         for (int slot = 0; slot < 8; slot++) {
-            scenario.store.store("h/e/" + slot, slot % 2 == 0 ? newer : broken);
+            scenario.store.write("h/e/" + slot, slot % 2 == 0 ? newer : broken);
         }
         scenario.faults.crash(scenario.leaderIndex(), 9_000);
         scenario.advance(30_000);
@@ -172,7 +172,7 @@
         assertTrue(
                 estimate(scenario, array(scenario, 4)).path("history").path("n").asInt() > 5);
         for (int slot = 0; slot < 8; slot += 2) {
-            assertEquals(newer, scenario.store.data("h/e/" + slot));
+            assertEquals(newer, scenario.store.valueOf("h/e/" + slot));
         }
         assertEquals(List.of(), scenario.checker.broken);
     }
--- a/src/test/java/org/hollypick/sim/SimulatedController.java
+++ b/src/test/java/org/hollypick/sim/SimulatedController.java
@@ -97,7 +97,7 @@
         };
         receiver.awake(() -> scenario.metering.run(
                 name(),
-                GrowthBenchmark.Metering.activity(path, body),
+                RequestMetering.activity(path, body),
                 () -> controller.handle(
                         method, path, bytes, answer -> receiver.out(() -> respond.accept(answer.get())))));
     }
--- a/src/test/java/org/hollypick/sim/StarvationChecker.java
+++ b/src/test/java/org/hollypick/sim/StarvationChecker.java
@@ -40,7 +40,7 @@
         count();
         checker.submitted.forEach((id, job) -> {
             int progress = checker.progress(id);
-            if (!waits(id, job) || cloud.workers().stream().noneMatch(w -> takes(w, id, job))) {
+            if (!waits(id, job) || cloud.agents().stream().noneMatch(w -> takes(w, id, job))) {
                 waiting.remove(id);
                 return;
             }
@@ -56,9 +56,9 @@
     private void count() {
         used.clear();
         zonesOf.clear();
-        for (FakeAgent w : cloud.workers()) {
+        for (FakeAgent w : cloud.agents()) {
             double[] sum = used.computeIfAbsent(w, k -> new double[2]);
-            for (String task : w.taskNames()) {
+            for (String task : w.activeTaskNames()) {
                 JsonNode spec = checker.spec(task);
                 sum[0] += spec.path("cores").asDouble();
                 sum[1] += spec.path("ram_gb").asDouble();
@@ -86,7 +86,7 @@
     private boolean takes(FakeAgent w, String id, JsonNode job) {
         double cores = job.path("cores").asDouble();
         double[] there = used.get(w);
-        return w.isWell()
+        return w.isHealthy()
                 && there[0] + cores <= FakeCloud.CPUS + SLACK
                 && there[1] + job.path("ram_gb").asDouble() <= FakeCloud.RAM_GB + SLACK
                 && checker.teamHasRoom(job.path("owner").asText(), cores)
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -196,7 +196,7 @@
     private static ClusterScenario outage(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
         scenario.workload.submitJobs(20, 80_000);
-        scenario.store.outage(60_000);
+        scenario.store.startOutage(60_000);
         scenario.advance(180_000);
         return scenario;
     }
--- /dev/null
+++ b/src/test/java/org/hollypick/sim/VersionedKeys.java
@@ -0,0 +1,115 @@
+package org.hollypick.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.TreeMap;
+import org.hollypick.io.Codec;
+
+/** The keys of the {@link FakeKeyValueStore}: each change has a revision, and all changes are kept as events. */
+final class VersionedKeys {
+    /**
+     * A stored value.
+     *
+     * @param revision at which it was written
+     * @param session with which the key is deleted; 0: none
+     */
+    record Entry(JsonNode value, long revision, long session) {}
+
+    private final TreeMap<String, Entry> entries = new TreeMap<>();
+    private final List<ObjectNode> events = new ArrayList<>();
+    private long revision;
+
+    long revision() {
+        return revision;
+    }
+
+    /** All keys and what is stored there, in the order of the keys. */
+    TreeMap<String, Entry> entries() {
+        return entries;
+    }
+
+    /** The entry of a key, or null. */
+    Entry get(String key) {
+        return entries.get(key);
+    }
+
+    /** The revision at which a key was written; 0: there is no such key. */
+    long revisionOf(String key) {
+        Entry entry = entries.get(key);
+        return entry == null ? 0 : entry.revision;
+    }
+
+    /** The value that a key got at that revision; null if another key was written then, or none. */
+    JsonNode valueWrittenAt(String key, long writtenAt) {
+        for (JsonNode event : events) {
+            if (event.path(StoreProtocol.KEY_REVISION).asLong() == writtenAt
+                    && event.path(StoreProtocol.PUT).asText().equals(key)) {
+                return event.path(StoreProtocol.DATA);
+            }
+        }
+        return null;
+    }
+
+    /** Applies puts and deletes, all at one new revision. */
+    void apply(JsonNode operations) {
+        revision++;
+        for (JsonNode operation : operations) {
+            if (operation.has(StoreProtocol.PUT)) {
+                put(operation);
+            } else if (entries.remove(operation.get(StoreProtocol.DELETE).asText()) != null) {
+                addDeletion(operation.get(StoreProtocol.DELETE).asText());
+            }
+        }
+    }
+
+    private void put(JsonNode operation) {
+        String key = operation.get(StoreProtocol.PUT).asText();
+        JsonNode value = operation.get(StoreProtocol.DATA);
+        entries.put(
+                key,
+                new Entry(value, revision, operation.path(StoreProtocol.SESSION).asLong(0)));
+        ObjectNode event = Codec.object().put(StoreProtocol.PUT, key).put(StoreProtocol.KEY_REVISION, revision);
+        event.set(StoreProtocol.DATA, value);
+        events.add(event);
+    }
+
+    private void addDeletion(String key) {
+        events.add(Codec.object().put(StoreProtocol.DELETE, key).put(StoreProtocol.KEY_REVISION, revision));
+    }
+
+    /** Deletes the keys of a session; returns whether there were any. */
+    boolean deleteKeysOf(long session) {
+        List<String> deleted = new ArrayList<>();
+        entries.forEach((key, entry) -> {
+            if (entry.session == session) {
+                deleted.add(key);
+            }
+        });
+        if (!deleted.isEmpty()) {
+            revision++;
+            deleted.forEach(key -> {
+                entries.remove(key);
+                addDeletion(key);
+            });
+        }
+        return !deleted.isEmpty();
+    }
+
+    /** The answer to a watch: the changes under a prefix after a revision. */
+    ObjectNode changesAfter(String prefix, long after) {
+        ObjectNode answer = Codec.object().put(StoreProtocol.REVISION, revision);
+        ArrayNode changes = answer.putArray(StoreProtocol.EVENTS);
+        for (ObjectNode event : events) {
+            String key = event.has(StoreProtocol.PUT)
+                    ? event.get(StoreProtocol.PUT).asText()
+                    : event.get(StoreProtocol.DELETE).asText();
+            if (event.get(StoreProtocol.KEY_REVISION).asLong() > after && key.startsWith(prefix)) {
+                changes.add(event);
+            }
+        }
+        return answer;
+    }
+}
