--- a/src/main/java/org/hollypick/io/Codec.java
+++ b/src/main/java/org/hollypick/io/Codec.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import java.io.IOException;
 
-/** CBOR for the outside, JSON among the nodes; both as Jackson trees. */
+/** Encodes messages as Jackson trees: JSON among controllers, CBOR for everyone else. Stateless; any thread. */
 public final class Codec {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
     private static final ObjectMapper JSON = JsonMapper.builder()
@@ -20,14 +20,22 @@
 
     private Codec() {}
 
+    /** A new, empty map. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** A new, empty list. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
+    /** The media type of such a message, for the Content-Type header. */
+    static String contentType(boolean json) {
+        return json ? "application/json" : "application/cbor";
+    }
+
+    /** Encodes the tree, as JSON or else as CBOR. */
     public static byte[] write(JsonNode node, boolean json) {
         try {
             return (json ? JSON : CBOR).writeValueAsBytes(node);
@@ -36,7 +44,11 @@
         }
     }
 
-    /** The tree, or null when the bytes hold none. */
+    /**
+     * Decodes a message, from JSON or else from CBOR.
+     *
+     * @return the tree; null if the bytes hold none
+     */
     public static JsonNode read(byte[] bytes, boolean json) {
         if (bytes.length == 0) {
             return null;
@@ -45,10 +57,11 @@
             JsonNode node = (json ? JSON : CBOR).readTree(bytes);
             return node == null || node.isMissingNode() ? null : node;
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            return null; // garbage from outside must never harm the node
+            return null; // malformed input must never harm the controller
         }
     }
 
+    /** A streaming parser of a CBOR message. */
     public static JsonParser cborParser(byte[] bytes) throws IOException {
         return CBOR.createParser(bytes);
     }
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -9,6 +9,8 @@
 import io.undertow.util.AttachmentKey;
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
+import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 import org.hollypick.config.constants.NetworkConstants;
@@ -16,40 +18,48 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 
-/** Undertow in front of the node: the user and worker endpoint in CBOR, the mesh in JSON. */
+/** The HTTP server of a controller: one endpoint for users and agents in CBOR, one for peers in JSON. */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
+    private static final String HEALTH_PATH = "/ready";
+    private static final String HEARTBEAT_PATH = "/hello";
+    private static final int PARSE_TIMEOUT_MS = 10_000;
+
     /** What a connection is for, by its first request. */
     private static final AttachmentKey<ConnectionBudget.Kind> KIND = AttachmentKey.create(ConnectionBudget.Kind.class);
 
-    /** What answers a request; it may answer later, but always on the event loop. */
+    /** Answers requests, at once or later, always on the event loop. */
     public interface Service {
+        /** Answers one request; {@code target}: path and query. */
         void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder);
     }
 
     private HttpServer() {}
 
+    /** Opens both endpoints. Fails with an exception, and nothing open, if one of the addresses can't be bound. */
     public static Undertow start(
             XnioWorker worker,
             ByteBufferPool buffers,
-            ConnectionBudget sockets,
-            String publicAddr,
-            Service users,
-            String meshAddr,
-            Service mesh) {
-        HostAndPort open = HostAndPort.fromString(publicAddr);
-        HostAndPort inner = HostAndPort.fromString(meshAddr);
+            ConnectionBudget budget,
+            String publicAddress,
+            Service publicService,
+            String peerAddress,
+            Service peerService) {
+        HostAndPort publicEndpoint = HostAndPort.fromString(publicAddress);
+        HostAndPort peerEndpoint = HostAndPort.fromString(peerAddress);
         Undertow server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) NetworkConstants.MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetworkConstants.IDLE_CONNECTION_MS)
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, false)
-                .addHttpListener(open.getPort(), open.getHost(), handler(users, sockets, false))
-                .addHttpListener(inner.getPort(), inner.getHost(), handler(mesh, sockets, true))
+                .addHttpListener(
+                        publicEndpoint.getPort(), publicEndpoint.getHost(), new Endpoint(publicService, budget, false))
+                .addHttpListener(
+                        peerEndpoint.getPort(), peerEndpoint.getHost(), new Endpoint(peerService, budget, true))
                 .build();
         try {
             server.start();
@@ -60,58 +70,80 @@
         return server;
     }
 
-    private static HttpHandler handler(Service service, ConnectionBudget sockets, boolean json) {
-        return exchange -> {
-            count(exchange, sockets, json);
+    /** Receives the requests of one endpoint and sends the service's responses. Confined to the event loop. */
+    private static final class Endpoint implements HttpHandler {
+        private final Service service;
+        private final ConnectionBudget budget;
+        private final boolean isForPeers;
+
+        Endpoint(Service service, ConnectionBudget budget, boolean isForPeers) {
+            this.service = service;
+            this.budget = budget;
+            this.isForPeers = isForPeers;
+        }
+
+        @Override
+        public void handleRequest(HttpServerExchange exchange) {
+            countConnection(exchange);
             exchange.getRequestReceiver()
                     .receiveFullBytes(
-                            (x, body) -> x.dispatch(
-                                    SameThreadExecutor.INSTANCE, () -> serve(service, x, body, sockets, json)),
-                            (x, e) -> {
-                                LOG.debug("request not received path={} reason={}", x.getRequestPath(), e.toString());
-                                x.setStatusCode(400);
-                                x.setPersistent(false);
-                                x.endExchange();
-                            });
-        };
-    }
+                            (received, body) ->
+                                    received.dispatch(SameThreadExecutor.INSTANCE, () -> serve(received, body)),
+                            Endpoint::receiveFailed);
+        }
 
-    private static void count(HttpServerExchange x, ConnectionBudget sockets, boolean json) {
-        if (x.getConnection().getAttachment(KIND) == null) {
-            ConnectionBudget.Kind kind = json || x.getRequestPath().equals("/ready")
-                    ? ConnectionBudget.Kind.CONTROL
-                    : x.getRequestPath().equals("/hello") ? ConnectionBudget.Kind.REPORTS : ConnectionBudget.Kind.USERS;
-            x.getConnection().putAttachment(KIND, kind);
-            sockets.opened(kind);
-            x.getConnection().addCloseListener(c -> sockets.closed(kind));
+        /** Counts the connection in the budget until it is closed, at its first request. */
+        private void countConnection(HttpServerExchange exchange) {
+            if (exchange.getConnection().getAttachment(KIND) != null) {
+                return;
+            }
+            ConnectionBudget.Kind kind = kindOf(exchange.getRequestPath());
+            exchange.getConnection().putAttachment(KIND, kind);
+            budget.opened(kind);
+            exchange.getConnection().addCloseListener(closed -> budget.closed(kind));
         }
-    }
 
-    private static void serve(
-            Service service, HttpServerExchange x, byte[] body, ConnectionBudget sockets, boolean json) {
-        try {
-            String query = x.getQueryString();
-            String target = query.isEmpty() ? x.getRequestPath() : x.getRequestPath() + "?" + query;
-            service.handle(x.getRequestMethod().toString(), target, body, a -> send(x, a, sockets, json));
-        } catch (RuntimeException e) {
-            LOG.error("request failed path=" + x.getRequestPath(), e);
-            send(x, ServerResponse.retryLater("internal"), sockets, json);
+        private ConnectionBudget.Kind kindOf(String path) {
+            if (isForPeers || path.equals(HEALTH_PATH)) {
+                return ConnectionBudget.Kind.CONTROL;
+            }
+            return path.equals(HEARTBEAT_PATH) ? ConnectionBudget.Kind.HEARTBEATS : ConnectionBudget.Kind.USERS;
         }
-    }
 
-    private static void send(HttpServerExchange x, ServerResponse decided, ConnectionBudget sockets, boolean json) {
-        if (x.isResponseStarted()) {
-            return;
+        private static void receiveFailed(HttpServerExchange exchange, IOException cause) {
+            LOG.debug("request.receive_failed path={} reason={}", exchange.getRequestPath(), cause.toString());
+            exchange.setStatusCode(StatusCodes.BAD_REQUEST);
+            exchange.setPersistent(false);
+            exchange.endExchange();
         }
-        if (sockets.crowded(x.getConnection().getAttachment(KIND))) {
-            x.setPersistent(false); // the other side connects again when it has something to say
+
+        private void serve(HttpServerExchange exchange, byte[] body) {
+            String path = exchange.getRequestPath();
+            try {
+                String query = exchange.getQueryString();
+                String target = query.isEmpty() ? path : path + "?" + query;
+                service.handle(
+                        exchange.getRequestMethod().toString(), target, body, response -> send(exchange, response));
+            } catch (RuntimeException e) {
+                LOG.error("request.failed path=" + path, e);
+                send(exchange, ServerResponse.retryLater("internal"));
+            }
         }
-        ServerResponse a = decided.atSending();
-        x.setStatusCode(a.status());
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, json ? "application/json" : "application/cbor");
-        if (a.retryAfterS() > 0) {
-            x.getResponseHeaders().put(Headers.RETRY_AFTER, a.retryAfterS());
+
+        private void send(HttpServerExchange exchange, ServerResponse decided) {
+            if (exchange.isResponseStarted()) {
+                return;
+            }
+            if (budget.isCrowded(exchange.getConnection().getAttachment(KIND))) {
+                exchange.setPersistent(false); // the other side connects again with its next request
+            }
+            ServerResponse response = decided.atSending();
+            exchange.setStatusCode(response.status());
+            exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, Codec.contentType(isForPeers));
+            if (response.retryAfterS() > 0) {
+                exchange.getResponseHeaders().put(Headers.RETRY_AFTER, response.retryAfterS());
+            }
+            exchange.getResponseSender().send(ByteBuffer.wrap(Codec.write(response.body(), isForPeers)));
         }
-        x.getResponseSender().send(ByteBuffer.wrap(Codec.write(a.body(), json)));
     }
 }
--- a/src/main/java/org/hollypick/io/WireNames.java
+++ b/src/main/java/org/hollypick/io/WireNames.java
@@ -2,22 +2,22 @@
 
 /**
  * Field names that several protocols share and that differ from the names used in the code. They are part of the wire
- * format and of stored records, so they never change; everything else uses the constants. Immutable, any thread.
+ * format and of stored records, so they never change; everything else uses the constants. Immutable; any thread.
  */
 public final class WireNames {
-    /** The leader's fencing token: the revision of the leader record that it wrote. */
+    /** The leader's fencing token: the revision at which it wrote the leader record. */
     public static final String FENCING_TOKEN = "baton";
 
-    /** A worker's session: counts up with each of its lives. */
+    /** The incarnation of an agent: a number that grows with each of its starts. */
     public static final String WORKER_SESSION = "tenure";
 
-    /** A session with the state service, which the keys attached to it end with. */
+    /** A session with the key-value store: the keys attached to it are deleted when it ends. */
     public static final String STATE_SESSION = "tenancy";
 
     /** The revision of a key: the number of the change that wrote it last. */
     public static final String REVISION = "stamp";
 
-    /** The leader record, as one controller tells another of it. */
+    /** The leader record, in messages between controllers. */
     public static final String LEADER_RECORD = "roster";
 
     private WireNames() {}
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -37,12 +37,12 @@
             if (random.nextInt(5) == 0 && open.getOrDefault(k, 0) > 0) {
                 s.closed(k);
                 open.merge(k, -1, Integer::sum);
-            } else if (s.room(k)) {
+            } else if (s.hasRoom(k)) {
                 s.opened(k);
                 open.merge(k, 1, Integer::sum);
             }
             assertTrue(open.values().stream().mapToInt(n -> n).sum() <= sockets);
-            assertFalse(s.crowded(k), "what had room isn't too much");
+            assertFalse(s.isCrowded(k), "what had room isn't too much");
         }
         for (ConnectionBudget.Kind k : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(k, 0) > 0) {
@@ -50,7 +50,7 @@
                 open.merge(k, -1, Integer::sum);
             }
             for (int i = 0; i < sockets * NetworkConstants.CONTROL_SOCKET_SHARE; i++) {
-                assertTrue(s.room(k), k + " is refused its floor");
+                assertTrue(s.hasRoom(k), k + " is refused its floor");
                 s.opened(k);
                 open.merge(k, 1, Integer::sum);
             }
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -142,10 +142,10 @@
                             .allMatch(s ->
                                     s == Response.Failure.NOT_SENT.code() || s == Response.Failure.NO_RESPONSE.code()),
                     answers.toString());
-            for (int i = 0; i < 100 && connections.open(ConnectionBudget.Kind.ORDERS) > 0; i++) {
+            for (int i = 0; i < 100 && connections.open(ConnectionBudget.Kind.COMMANDS) > 0; i++) {
                 Thread.sleep(20);
             }
-            assertEquals(0, connections.open(ConnectionBudget.Kind.ORDERS));
+            assertEquals(0, connections.open(ConnectionBudget.Kind.COMMANDS));
             for (Socket s : fill) {
                 s.close();
             }
@@ -159,10 +159,10 @@
     @Test
     void aCallWithoutRoomIsToldApart() throws Exception {
         for (int i = 0; i < 100; i++) {
-            connections.opened(ConnectionBudget.Kind.REPORTS);
+            connections.opened(ConnectionBudget.Kind.HEARTBEATS);
         }
         for (int i = 0; i < 12; i++) {
-            connections.opened(ConnectionBudget.Kind.ORDERS);
+            connections.opened(ConnectionBudget.Kind.COMMANDS);
         }
         assertEquals(
                 Response.Failure.NO_CAPACITY.code(),
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -429,7 +429,7 @@
                 reporters.remove(from);
                 return false;
             }
-            sockets.opened(ConnectionBudget.Kind.REPORTS);
+            sockets.opened(ConnectionBudget.Kind.HEARTBEATS);
             return true;
         }
 
@@ -437,11 +437,13 @@
         void answered(String from) {
             if (sockets != null && reporters.containsKey(from)) {
                 long used = reporters.get(from);
-                at(sockets.crowded(ConnectionBudget.Kind.REPORTS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS, () -> {
-                    if (reporters.remove(from, used)) {
-                        sockets.closed(ConnectionBudget.Kind.REPORTS);
-                    }
-                });
+                at(
+                        sockets.isCrowded(ConnectionBudget.Kind.HEARTBEATS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS,
+                        () -> {
+                            if (reporters.remove(from, used)) {
+                                sockets.closed(ConnectionBudget.Kind.HEARTBEATS);
+                            }
+                        });
             }
         }
 
@@ -468,9 +470,9 @@
             }
             ConnectionBudget.Kind kind = call.toPeer() || call.address().endsWith(":1")
                     ? ConnectionBudget.Kind.CONTROL
-                    : ConnectionBudget.Kind.ORDERS;
+                    : ConnectionBudget.Kind.COMMANDS;
             if (sockets != null) {
-                if (kind == ConnectionBudget.Kind.ORDERS && !sockets.room(kind)) {
+                if (kind == ConnectionBudget.Kind.COMMANDS && !sockets.hasRoom(kind)) {
                     at(0, () -> awake(() -> callback.accept(Response.noCapacity())));
                     return;
                 }
