--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -27,7 +27,7 @@
             List<Command> commands,
             BooleanSupplier still,
             Consumer<Response> reply) {
-        ObjectNode body = AgentCodec.orders(token, commands).put(WireNames.WORKER_SESSION, session);
+        ObjectNode body = AgentCodec.orders(token, commands).put(WireNames.AGENT_INCARNATION, session);
         eventLoop.send(
                 Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
                         .onlyWhile(still),
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -38,7 +38,7 @@
                     case "flavour" -> f.type = text(p, value);
                     case "hall" -> f.zone = text(p, value);
                     case "lendable" -> f.spot = value == JsonToken.VALUE_TRUE;
-                    case WireNames.WORKER_SESSION -> {
+                    case WireNames.AGENT_INCARNATION -> {
                         f.hasSession = value == JsonToken.VALUE_NUMBER_INT;
                         f.session = u64(p, value);
                     }
@@ -126,7 +126,7 @@
         if (b == null
                 || !b.isObject()
                 || !b.path("bothy").isTextual()
-                || !b.path(WireNames.WORKER_SESSION).isIntegralNumber()
+                || !b.path(WireNames.AGENT_INCARNATION).isIntegralNumber()
                 || !b.path("tick").isIntegralNumber()) {
             return null;
         }
@@ -145,7 +145,7 @@
                 b.path("flavour").asText(""),
                 b.path("hall").asText(""),
                 b.path("lendable").asBoolean(),
-                Codec.u64(b.path(WireNames.WORKER_SESSION)),
+                Codec.u64(b.path(WireNames.AGENT_INCARNATION)),
                 Codec.u64(b.path("tick")),
                 Codec.u64(b.path(WireNames.FENCING_TOKEN)),
                 b.path("warning_s").isNumber() ? b.path("warning_s").asDouble() : Double.NaN,
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -98,7 +98,7 @@
     private static List<Request> requests(String usersAddress, String peersAddress) {
         ObjectNode heartbeat = Codec.object()
                 .put("bothy", "n-1")
-                .put(WireNames.WORKER_SESSION, 1)
+                .put(WireNames.AGENT_INCARNATION, 1)
                 .put("tick", 1);
         return List.of(
                 Request.of(usersAddress, "GET", "/ready", null, REQUEST_TIMEOUT_MS),
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -92,9 +92,9 @@
      */
     public void start() {
         store.get(StoreKeys.member(settings.node()), r -> {
-            if (r.ok() && r.body().path(WireNames.STATE_SESSION).isNumber()) {
+            if (r.ok() && r.body().path(WireNames.STORE_SESSION).isNumber()) {
                 endEarlier(
-                        Codec.u64(r.body().path(WireNames.STATE_SESSION)),
+                        Codec.u64(r.body().path(WireNames.STORE_SESSION)),
                         Codec.u64(r.body().path(WireNames.REVISION)));
             } else if (r.ok() || r.status() == 404) {
                 join();
@@ -163,7 +163,7 @@
                 eventLoop.after(ElectionConstants.SESSION_RETRY_MS, this::join);
                 return;
             }
-            stateSession = Codec.u64(r.body().path(WireNames.STATE_SESSION));
+            stateSession = Codec.u64(r.body().path(WireNames.STORE_SESSION));
             held = true;
             heldFrom(sent);
             enter(self);
@@ -207,7 +207,7 @@
                     if (self != incarnation) {
                         return;
                     }
-                    if (g.ok() && Codec.u64(g.body().path(WireNames.STATE_SESSION)) == stateSession) {
+                    if (g.ok() && Codec.u64(g.body().path(WireNames.STORE_SESSION)) == stateSession) {
                         entered(Codec.u64(g.body().path(WireNames.REVISION))); // an earlier try was applied after all
                     } else {
                         eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> enter(self));
--- a/src/main/java/org/hollypick/io/WireNames.java
+++ b/src/main/java/org/hollypick/io/WireNames.java
@@ -9,10 +9,10 @@
     public static final String FENCING_TOKEN = "baton";
 
     /** The incarnation of an agent: a number that grows with each of its starts. */
-    public static final String WORKER_SESSION = "tenure";
+    public static final String AGENT_INCARNATION = "tenure";
 
     /** A session with the key-value store: the keys attached to it are deleted when it ends. */
-    public static final String STATE_SESSION = "tenancy";
+    public static final String STORE_SESSION = "tenancy";
 
     /** The revision of a key: the number of the change that wrote it last. */
     public static final String REVISION = "stamp";
--- a/src/main/java/org/hollypick/store/StoreCodec.java
+++ b/src/main/java/org/hollypick/store/StoreCodec.java
@@ -46,7 +46,7 @@
         if (write instanceof CompareAndSwap.Put put) {
             encoded.put(PUT, put.key());
             if (put.sessionId() != null) {
-                encoded.put(WireNames.STATE_SESSION, put.sessionId());
+                encoded.put(WireNames.STORE_SESSION, put.sessionId());
             }
             return encoded.set(VALUE, put.value());
         }
