--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -149,12 +149,12 @@
     }
 
     private void refreshTypes() {
-        cloud.types(t -> {
-            if (t == null) {
+        cloud.listMachineTypes(listed -> {
+            if (listed.isEmpty()) {
                 runtime.after(1_000, this::refreshTypes);
                 return;
             }
-            types.putAll(t);
+            types.putAll(listed.get());
             leadership();
             runtime.after(ReconcileConstants.MACHINE_TYPE_REFRESH_MS, this::refreshTypes);
         });
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -1,107 +1,97 @@
 package org.hollypick.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Collection;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.MachineType;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 import org.hollypick.io.TokenBucket;
 
 /**
- * The cloud's protocol, inside its request limit. Over the limit a call isn't sent; the loops try again. {@code still}:
- * asked when it is sent.
+ * Client of the cloud's API, within its rate limit: over the limit a request fails without being sent, and callers try
+ * again by and by. Requests that change something are sent only while their {@code validWhile} holds at that moment.
+ * Confined to the event loop.
  */
 public final class CloudClient {
+    /** Part of the rate limit that is used: the cloud's count of a second may begin at another moment. */
+    private static final double RATE_LIMIT_SHARE = 0.8;
+
+    /** Machines in one page of the list. */
+    private static final int PAGE_SIZE = 500;
+
     private final EventLoop eventLoop;
     private final String address;
-    private final TokenBucket budget;
+    private final TokenBucket rateLimit;
 
+    /** A client of the cloud that the settings name. */
     public CloudClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
         this.address = settings.cloud();
-        this.budget = new TokenBucket(settings.cloudRps() * 0.8, eventLoop.now());
+        this.rateLimit = new TokenBucket(settings.cloudRps() * RATE_LIMIT_SHARE, eventLoop.now());
     }
 
-    private void send(Request call, Consumer<Response> reply) {
-        if (!budget.has(1, eventLoop.now())) {
-            reply.accept(Response.notSent());
-            return;
-        }
-        budget.take(1, eventLoop.now());
-        eventLoop.send(call, reply);
+    /** Lists the machine types by name; the callback gets nothing if the cloud didn't answer. */
+    public void listMachineTypes(Consumer<Optional<Map<String, MachineType>>> callback) {
+        get(
+                CloudCodec.PATH_MACHINE_TYPES,
+                response -> callback.accept(
+                        response.ok() ? Optional.of(CloudCodec.machineTypes(response.body())) : Optional.empty()));
     }
 
-    public void types(Consumer<Map<String, MachineType>> reply) {
-        send(Request.of(address, "GET", "/machine_types", null, NetworkConstants.CLOUD_TIMEOUT_MS), r -> {
-            if (!r.ok()) {
-                reply.accept(null);
-                return;
-            }
-            Map<String, MachineType> types = new LinkedHashMap<>();
-            for (JsonNode t : r.body().path("flavours")) {
-                Set<String> zones = new LinkedHashSet<>();
-                t.path("halls").forEach(z -> zones.add(z.asText()));
-                MachineType type = new MachineType(
-                        t.path("sku").asText(),
-                        t.path("cores").asDouble(),
-                        t.path("gpus").asDouble(),
-                        t.path("ram_gb").asDouble(),
-                        t.path("cache_gb").asDouble(),
-                        t.path("pull_gb_per_s").asDouble(1),
-                        t.path("price").asDouble(),
-                        t.path("market_price").asDouble(),
-                        t.path("ready_s").asDouble(),
-                        zones);
-                types.put(type.name(), type);
-            }
-            reply.accept(types);
-        });
+    /** Requests machines. */
+    public void scaleOut(ScaleOutRequest request, BooleanSupplier validWhile, Consumer<ScaleOutResult> callback) {
+        send(
+                Request.of(
+                                address,
+                                "POST",
+                                CloudCodec.PATH_INSTANCES,
+                                CloudCodec.scaleOut(request),
+                                NetworkConstants.CLOUD_TIMEOUT_MS)
+                        .onlyWhile(validWhile),
+                response -> callback.accept(CloudCodec.scaleOutResult(response)));
     }
 
-    public void hire(
-            String request,
-            String type,
-            String zone,
-            boolean spot,
-            int count,
-            BooleanSupplier still,
-            Consumer<Response> reply) {
-        ObjectNode body = Codec.object()
-                .put("hire", request)
-                .put("flavour", type)
-                .put("hall", zone)
-                .put("lendable", spot)
-                .put("number", count);
+    /** Terminates machines; the callback gets whether the cloud confirmed it for all of them. */
+    public void terminate(Collection<String> machineIds, BooleanSupplier validWhile, Consumer<Boolean> callback) {
         send(
-                Request.of(address, "POST", "/hosts", body, NetworkConstants.CLOUD_TIMEOUT_MS)
-                        .onlyWhile(still),
-                reply);
+                Request.of(
+                                address,
+                                "POST",
+                                CloudCodec.PATH_TERMINATE,
+                                CloudCodec.terminate(machineIds),
+                                NetworkConstants.CLOUD_TIMEOUT_MS)
+                        .onlyWhile(validWhile),
+                response -> callback.accept(response.ok()));
     }
 
-    public void giveBack(Collection<String> machines, BooleanSupplier still, Consumer<Response> reply) {
-        ObjectNode body = Codec.object();
-        ArrayNode names = body.putArray("bothies");
-        machines.forEach(names::add);
-        send(
-                Request.of(address, "POST", "/hosts/return", body, NetworkConstants.CLOUD_TIMEOUT_MS)
-                        .onlyWhile(still),
-                reply);
+    /**
+     * Lists a page of the machines; the callback gets nothing if the cloud didn't answer.
+     *
+     * @param after the machine id after which the page begins; null for the first page
+     */
+    public void listInstances(String after, Consumer<Optional<InstancePage>> callback) {
+        get(
+                CloudCodec.instancesPath(PAGE_SIZE, after),
+                response -> callback.accept(
+                        response.ok() ? Optional.of(CloudCodec.instancePage(response.body())) : Optional.empty()));
+    }
+
+    private void get(String path, Consumer<Response> callback) {
+        send(Request.of(address, "GET", path, null, NetworkConstants.CLOUD_TIMEOUT_MS), callback);
     }
 
-    public void list(String from, Consumer<Response> reply) {
-        String path = "/hosts?page=500" + (from == null ? "" : "&from=" + from);
-        send(Request.of(address, "GET", path, null, NetworkConstants.CLOUD_TIMEOUT_MS), reply);
+    private void send(Request request, Consumer<Response> callback) {
+        if (!rateLimit.has(1, eventLoop.now())) {
+            callback.accept(Response.notSent());
+            return;
+        }
+        rateLimit.take(1, eventLoop.now());
+        eventLoop.send(request, callback);
     }
 }
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -6,6 +6,7 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.control.machines.FailureDetector;
+import org.hollypick.control.provisioning.TerminationReason;
 import org.hollypick.core.Scheduler;
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.EventLoop;
@@ -101,14 +102,14 @@
         FailureDetector failureDetector = components.agentManager.failureDetector();
         scheduler.expireLeases(now);
         scheduler.outbox().requestCycleIf(fullCycleTimer.isDue(now));
-        components.provisioner.terminate(failureDetector.detectUnresponsive(now), "silent");
+        components.provisioner.terminate(failureDetector.detectUnresponsive(now), TerminationReason.UNRESPONSIVE);
         resignationPolicy.evaluate(now);
         components.agentManager.probeUnreconciled();
     }
 
     private void runPeriodicTasks(long now) {
         if (instanceListTimer.restartIfDue(now)) {
-            components.provisioner.list();
+            components.provisioner.reconcileInstances();
         }
         if (autoscalingTimer.restartIfDue(now)) {
             components.provisioner.scale(
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -73,16 +73,7 @@
                 eventLoop, settings, scheduler, context.machineTypes(), holdsLeaderLease, requestReconcile);
         this.agentManager = new AgentManager(term, context.agentClient(), localHealth);
         this.provisioner = new InstanceProvisioner(
-                eventLoop,
-                settings,
-                operatorSettings,
-                scheduler,
-                context.cloud(),
-                context.machineTypes(),
-                holdsLeaderLease,
-                context.membership()::reachesState,
-                requestReconcile,
-                firstTerm);
+                term, operatorSettings, context.cloud(), context.membership()::reachesState, firstTerm);
         this.machineRegistry = new MachineRegistry(eventLoop, replica, store, settings, token, scheduler::isTerminated);
         this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(eventLoop, replica, store, settings, token);
--- /dev/null
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -0,0 +1,95 @@
+package org.hollypick.control.provisioning;
+
+import java.util.List;
+import java.util.function.ObjLongConsumer;
+import org.hollypick.cloud.CloudClient;
+import org.hollypick.cloud.ScaleOutRequest;
+import org.hollypick.cloud.ScaleOutResult;
+import org.hollypick.control.TermContext;
+import org.hollypick.core.MachineType;
+import org.hollypick.core.Scheduler;
+import org.hollypick.core.autoscaling.Autoscaler;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Requests machines from the cloud and adds those that were started to the scheduler. A request without a response is
+ * repeated under the same id, so that it counts once. Confined to the event loop.
+ */
+final class ScaleOutRequester {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequester.class);
+
+    private static final long RETRY_MS = 1_000;
+
+    private final TermContext term;
+    private final Scheduler scheduler;
+    private final CloudClient cloud;
+    private final ObjLongConsumer<Autoscaler.Kind> onRefused;
+    private int inFlight;
+    /** Requests of this term, which makes their ids unique. */
+    private long requestCount;
+
+    /** {@code onRefused} gets each kind of which the cloud gave fewer than requested, and the time. */
+    ScaleOutRequester(TermContext term, CloudClient cloud, ObjLongConsumer<Autoscaler.Kind> onRefused) {
+        this.term = term;
+        this.scheduler = term.scheduler();
+        this.cloud = cloud;
+        this.onRefused = onRefused;
+    }
+
+    /** Sends the requests, unless earlier ones are in flight: the machines may be on their way already. */
+    void requestUnlessInFlight(List<Autoscaler.Rent> rents) {
+        if (inFlight > 0) {
+            return;
+        }
+        for (Autoscaler.Rent rent : rents) {
+            inFlight++;
+            send(rent.kind(), nextRequestId(), rent.count());
+        }
+    }
+
+    private String nextRequestId() {
+        return term.settings().node() + "-" + scheduler.token() + "-" + requestCount++;
+    }
+
+    private void send(Autoscaler.Kind kind, String requestId, int count) {
+        if (!term.holdsLeaderLease()) {
+            inFlight--;
+            return;
+        }
+        ScaleOutRequest request = new ScaleOutRequest(requestId, kind.type(), kind.zone(), kind.spot(), count);
+        cloud.scaleOut(request, term.leaderLease(), result -> completed(kind, request, result));
+    }
+
+    private void completed(Autoscaler.Kind kind, ScaleOutRequest request, ScaleOutResult result) {
+        LOG.info(
+                "scale_out.completed type={} zone={} spot={} requested={} status={} started={}",
+                kind.type(),
+                kind.zone(),
+                kind.spot(),
+                request.count(),
+                result.status(),
+                result.machineIds().size());
+        if (result.outcome() == ScaleOutResult.Outcome.NO_RESPONSE) {
+            term.eventLoop().after(RETRY_MS, () -> send(kind, request.requestId(), request.count()));
+            return;
+        }
+        inFlight--;
+        long now = term.now();
+        boolean granted = result.outcome() == ScaleOutResult.Outcome.GRANTED;
+        if (granted) {
+            result.machineIds().forEach(machineId -> addMachine(machineId, kind, now));
+        }
+        boolean tooFew = granted && result.machineIds().size() < request.count();
+        if (tooFew || result.outcome() == ScaleOutResult.Outcome.OUT_OF_CAPACITY) {
+            onRefused.accept(kind, now);
+        }
+    }
+
+    private void addMachine(String machineId, Autoscaler.Kind kind, long now) {
+        MachineType type = term.machineTypes().get(kind.type());
+        if (type != null && !scheduler.hasMachine(machineId) && !scheduler.isTerminated(machineId)) {
+            scheduler.addMachine(machineId, type, kind.zone(), kind.spot(), false, now);
+        }
+    }
+}
