--- /dev/null
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -0,0 +1,123 @@
+package org.hollypick;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.hollypick.agent.AgentClient;
+import org.hollypick.api.GraphApi;
+import org.hollypick.api.PeerCodec;
+import org.hollypick.api.UserApi;
+import org.hollypick.cluster.Membership;
+import org.hollypick.cluster.PeerMessageCodec;
+import org.hollypick.cluster.PeerMessages.RenewalGrantRequest;
+import org.hollypick.cluster.PeerReachability;
+import org.hollypick.config.constants.RelayConstants;
+import org.hollypick.control.LeaderTerm;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.peer.PeerRequestDispatcher;
+import org.hollypick.peer.RequestRouter;
+import org.hollypick.relay.HeartbeatRelay;
+import org.hollypick.relay.HeartbeatRelayCodec;
+
+/** Connects the requests at the peer address, of other controllers, to the parts that serve them. */
+final class PeerEndpoints {
+    private static final String GRAPH_PATH = "/graph";
+
+    private final EventLoop eventLoop;
+    private final Membership membership;
+    private final TermSupervisor terms;
+    private final PeerRequestDispatcher dispatcher = new PeerRequestDispatcher();
+    private UserApi users;
+
+    PeerEndpoints(EventLoop eventLoop, Membership membership, TermSupervisor terms) {
+        this.eventLoop = eventLoop;
+        this.membership = membership;
+        this.terms = terms;
+    }
+
+    /** Serves the requests about leader leases, workers' leases and relayed heartbeats. */
+    void serveLeases(HeartbeatRelay heartbeatRelay) {
+        dispatcher.on(
+                PeerMessageCodec.LEADER_LEASE_PATH,
+                (body, responder) -> responder.accept(ok(PeerMessageCodec.write(
+                        membership.leaderLeaseRequested(PeerMessageCodec.readLeaderLeaseRequest(body))))));
+        dispatcher.on(
+                PeerMessageCodec.RENEWAL_GRANT_PATH,
+                (body, responder) -> responder.accept(grantRenewal(PeerMessageCodec.readRenewalGrantRequest(body))));
+        dispatcher.on(PeerMessageCodec.RELEASE_PATH, (body, responder) -> {
+            long memberRevision = PeerMessageCodec.readReleaseRequest(body).memberRevision();
+            heartbeatRelay.release(memberRevision);
+            responder.accept(ok(PeerMessageCodec.writeReleaseResponse(memberRevision != 0)));
+        });
+        dispatcher.on(HeartbeatRelayCodec.PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
+    }
+
+    private ServerResponse grantRenewal(RenewalGrantRequest request) {
+        return terms.holdsLeaderLease()
+                        && request.token() == terms.currentTerm().token()
+                ? terms.currentTerm().grantPartitionedRenewal(request)
+                : ServerResponse.retryLater("not the leader under that token");
+    }
+
+    private ServerResponse relayedHeartbeats(JsonNode body) {
+        if (!terms.holdsLeaderLease()) {
+            return ServerResponse.retryLater("not the leader");
+        }
+        LeaderTerm term = terms.currentTerm();
+        return HeartbeatRelayCodec.take(body, term.token(), () -> relayValidityMs(term), terms::respond)
+                .onlyWhile(term::holdsLeaderLease);
+    }
+
+    /** For how many milliseconds a peer may relay this leader's responses: no longer than this leader may act. */
+    private long relayValidityMs(LeaderTerm term) {
+        long leaseMs = membership.leaderLeaseUntil(term.token()) - eventLoop.now();
+        return Math.min(RelayConstants.RELAY_VALIDITY_MS, leaseMs);
+    }
+
+    /** Serves the requests to the key-value store of peers that do not reach it. */
+    void serveRelayedStoreRequests(RequestRouter storeRequests) {
+        dispatcher.on(RequestRouter.PATH, storeRequests::pass);
+        dispatcher.on(RequestRouter.WATCH_PATH, storeRequests::pass);
+    }
+
+    /** Serves the requests which machines this controller reaches. */
+    void serveReachability(AgentClient agentClient) {
+        dispatcher.on(
+                PeerMessageCodec.REACHABILITY_PATH,
+                (body, responder) -> PeerReachability.respond(
+                        agentClient,
+                        PeerMessageCodec.readReachabilityRequest(body),
+                        membership.reachesStore(),
+                        report -> responder.accept(ok(PeerMessageCodec.write(report)))));
+    }
+
+    /** Serves the requests of users that came to a peer and need the leader. */
+    void serveUserRequests(UserApi userApi, boolean servesEstimates) {
+        users = userApi;
+        dispatcher.on(PeerCodec.STATUS_PATH, (body, responder) -> responder.accept(userApi.statusForPeer(body)));
+        if (servesEstimates) {
+            dispatcher.on(
+                    PeerCodec.ESTIMATE_PATH, (body, responder) -> responder.accept(userApi.estimateForPeer(body)));
+        }
+    }
+
+    /** Serves the requests about graphs that came to a peer and need the leader. */
+    void serveGraphs(GraphApi graphs) {
+        dispatcher.on(GRAPH_PATH, graphs::passed);
+    }
+
+    /** Answers a request of another controller. */
+    void handle(String method, String path, byte[] body, Consumer<ServerResponse> responder) {
+        Optional<String> cancelledJob = method.equals("POST") ? PeerCodec.cancelledJob(path) : Optional.empty();
+        if (cancelledJob.isPresent()) {
+            users.cancelForPeer(cancelledJob.get(), responder);
+        } else {
+            dispatcher.handle(method, path, body, responder);
+        }
+    }
+
+    private static ServerResponse ok(JsonNode body) {
+        return ServerResponse.of(200, body);
+    }
+}
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -69,7 +69,7 @@
             owned(method, path, body, answer);
             return;
         }
-        String leaderAddress = settings.meshAddr(membership.leader());
+        String leaderAddress = settings.meshAddr(membership.namedLeader());
         if (leaderAddress == null) {
             answer.accept(ServerResponse.retryLater("no leader"));
             return;
--- a/src/main/java/org/hollypick/api/LeaderClient.java
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -34,7 +34,7 @@
     Optional<String> leaderAddress() {
         return eventLoop.now() < unresponsiveUntil
                 ? Optional.empty()
-                : Optional.ofNullable(settings.meshAddr(membership.leader()));
+                : Optional.ofNullable(settings.meshAddr(membership.namedLeader()));
     }
 
     /** Asks for the status of several jobs; {@code revision} is the newest that this controller answered from. */
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -161,7 +161,7 @@
                         settings.publicAddr(),
                         node::handle,
                         settings.meshAddr(),
-                        node::handleMesh);
+                        node::handlePeerRequest);
                 network.after(0, node::start);
                 started.complete(server);
             } catch (RuntimeException e) {
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -1,15 +1,13 @@
 package org.hollypick.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.hollypick.agent.AgentClient;
+import org.hollypick.cluster.PeerMessages.ReachabilityReport;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.core.routing.CandidacyDelay;
@@ -17,151 +15,149 @@
 import org.hollypick.io.Response;
 
 /**
- * How well this controller could lead, measured when it matters: some machines of each zone are asked directly, and by
- * way of the others. One that reaches few leaves a free lead to others for a while; a leader gives it up only to one
- * that reaches what it reaches by all ways together.
+ * Measures how well this controller could lead: some machines of each zone are probed directly, and by way of the
+ * peers. A candidate that reaches few of them leaves a vacant leadership to others for a while; a leader resigns only
+ * if a peer alone reaches what this controller reaches by all ways together. Confined to the event loop.
  */
 public final class CandidacyEvaluation {
+    /** When an evaluation is complete. */
+    enum Scope {
+        /** As soon as most machines have answered directly: peers are asked only if that takes long. */
+        FIRST_ANSWERS,
+        /** When all machines have answered or timed out, directly and by way of all peers. */
+        ALL_PEERS
+    }
+
     /**
-     * Of the machines asked: how many answered this controller, how many only another, and how many the one that
-     * reached most.
+     * The outcome of an evaluation.
+     *
+     * @param probed how many machines were probed
+     * @param direct how many of them answered this controller
+     * @param byPeers how many of them answered only a peer
+     * @param bestPeer how many of them answered the peer that reached most
      */
-    public record Measured(int asked, int direct, int byPeers, int bestPeer) {
-        /** For how long a free lead is left to others. */
-        public long waitMs() {
-            return CandidacyDelay.waitMs(asked, direct, byPeers);
+    public record Result(int probed, int direct, int byPeers, int bestPeer) {
+        /** For how many milliseconds this controller leaves a vacant leadership to others. */
+        public long candidacyDelayMs() {
+            return CandidacyDelay.delayMs(probed, direct, byPeers);
         }
 
-        /** Nearly all machines are reached, by one way or another. */
+        /** Whether nearly all machines are reached, directly or by way of peers. */
         public boolean reachesNearlyAll() {
-            return CandidacyDelay.nearlyAll(asked, direct, byPeers);
+            return CandidacyDelay.reachesNearlyAll(probed, direct, byPeers);
+        }
+
+        /** Whether a peer would lead better. */
+        public boolean peerLeadsBetter() {
+            return CandidacyDelay.peerLeadsBetter(direct, byPeers, bestPeer);
         }
 
-        /**
-         * Another one would lead better: alone it reaches as many as this one with all others, and more than this one
-         * alone.
-         */
-        public boolean betterElsewhere() {
-            return CandidacyDelay.better(direct, byPeers, bestPeer);
+        /** The fields of a log line. */
+        @Override
+        public String toString() {
+            return "probed=" + probed + " direct=" + direct + " by_peers=" + byPeers + " best_peer=" + bestPeer;
         }
     }
 
-    private final EventLoop runtime;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final StoreReplica replica;
     private final AgentClient agentClient;
 
-    CandidacyEvaluation(EventLoop runtime, Settings settings, StoreReplica replica) {
-        this.runtime = runtime;
+    CandidacyEvaluation(EventLoop eventLoop, Settings settings, StoreReplica replica) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.replica = replica;
-        this.agentClient = new AgentClient(runtime);
+        this.agentClient = new AgentClient(eventLoop);
     }
 
-    /** One round of questions; {@code whole}: the others are asked too, even if most machines answer at once. */
-    void measure(boolean whole, Consumer<Measured> then) {
-        Map<String, String> asked = some();
-        if (asked.isEmpty()) {
-            then.accept(new Measured(0, 0, 0, 0));
+    /** Probes a sample of the machines, and calls back once with the outcome. */
+    void evaluate(Scope scope, Consumer<Result> evaluated) {
+        Map<String, String> addressByMachine = ProbeSample.choose(replica, eventLoop.now());
+        if (addressByMachine.isEmpty()) {
+            evaluated.accept(new Result(0, 0, 0, 0));
         } else {
-            new Round(asked, whole, then).begin();
+            new Round(addressByMachine, scope, evaluated).start();
         }
     }
 
-    /** Machines asked directly, and, if most leave that open for a moment, by way of the other controllers too. */
+    /** One evaluation: machines are probed directly, and by way of the peers if most of them do not answer soon. */
     private final class Round {
-        private final Map<String, String> asked;
-        private final Set<String> direct = new HashSet<>();
-        private final Set<String> byPeers = new HashSet<>();
-        private final boolean whole;
-        private final Consumer<Measured> then;
+        private final Map<String, String> probed;
+        private final Scope scope;
+        private final Consumer<Result> evaluated;
+        private final Set<String> reachedDirectly = new HashSet<>();
+        private final Set<String> reachedByPeers = new HashSet<>();
         private int bestPeer;
-        private int open;
+        private int openRequests;
         private boolean peersAsked;
-        private boolean told;
+        private boolean complete;
+
+        Round(Map<String, String> addressByMachine, Scope scope, Consumer<Result> evaluated) {
+            this.probed = new HashMap<>(addressByMachine);
+            this.scope = scope;
+            this.evaluated = evaluated;
+        }
 
-        Round(Map<String, String> asked, boolean whole, Consumer<Measured> then) {
-            this.asked = new HashMap<>(asked);
-            this.whole = whole;
-            this.then = then;
+        void start() {
+            openRequests = probed.size();
+            new HashMap<>(probed).forEach(this::probe);
+            eventLoop.after(ElectionConstants.CANDIDACY_ASK_PEERS_AFTER_MS, this::askPeers);
         }
 
-        void begin() {
-            open = asked.size();
-            new HashMap<>(asked)
-                    .forEach((id, addr) ->
-                            agentClient.inspect(id, addr, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, r -> {
-                                if (r.ok()) {
-                                    direct.add(id);
-                                } else if (r.failedWith(Response.Failure.NO_CAPACITY)) {
-                                    asked.remove(id); // it says nothing about the path
-                                }
-                                ended();
-                            }));
-            runtime.after(ElectionConstants.CANDIDACY_ASK_PEERS_AFTER_MS, this::askPeers);
+        private void probe(String machine, String address) {
+            agentClient.inspect(machine, address, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, response -> {
+                if (response.ok()) {
+                    reachedDirectly.add(machine);
+                } else if (response.failedWith(Response.Failure.NO_CAPACITY)) {
+                    probed.remove(machine); // it says nothing about the machine
+                }
+                requestCompleted();
+            });
         }
 
         private void askPeers() {
-            if (told || peersAsked) {
+            if (complete || peersAsked) {
                 return;
             }
             peersAsked = true;
-            for (Settings.Sibling sibling : settings.siblings()) {
-                open++;
-                PeerReachability.ask(runtime, sibling.addr(), asked, answered -> {
-                    if (answered != null) {
-                        byPeers.addAll(answered.reached());
-                        // One without a way to the state service can't lead, whatever it reaches.
-                        bestPeer = answered.reachesState()
-                                ? Math.max(bestPeer, answered.reached().size())
-                                : bestPeer;
-                    }
-                    ended();
-                });
+            for (Settings.Sibling peer : settings.siblings()) {
+                openRequests++;
+                PeerReachability.request(eventLoop, peer.addr(), probed, this::peerResponded);
             }
         }
 
-        private void ended() {
-            open--;
-            if (told) {
+        private void peerResponded(Optional<ReachabilityReport> report) {
+            report.ifPresent(answered -> {
+                reachedByPeers.addAll(answered.reached());
+                // A peer that does not reach the key-value store cannot lead, whatever machines it reaches.
+                if (answered.reachesStore()) {
+                    bestPeer = Math.max(bestPeer, answered.reached().size());
+                }
+            });
+            requestCompleted();
+        }
+
+        private void requestCompleted() {
+            openRequests--;
+            if (complete) {
                 return;
             }
-            if (!whole && CandidacyDelay.enough(asked.size(), direct.size())) {
-                told = true;
-                then.accept(new Measured(asked.size(), direct.size(), 0, 0));
-            } else if (open == 0 && !peersAsked) {
+            if (scope == Scope.FIRST_ANSWERS
+                    && CandidacyDelay.majorityAnswered(probed.size(), reachedDirectly.size())) {
+                complete(new Result(probed.size(), reachedDirectly.size(), 0, 0));
+            } else if (openRequests == 0 && !peersAsked) {
                 askPeers();
-            } else if (open == 0) {
-                told = true;
-                byPeers.removeAll(direct);
-                byPeers.retainAll(asked.keySet());
-                then.accept(new Measured(asked.size(), direct.size(), byPeers.size(), bestPeer));
+            } else if (openRequests == 0) {
+                reachedByPeers.removeAll(reachedDirectly);
+                reachedByPeers.retainAll(probed.keySet());
+                complete(new Result(probed.size(), reachedDirectly.size(), reachedByPeers.size(), bestPeer));
             }
         }
-    }
 
-    /** As many of each zone, not always the same: their addresses. */
-    private Map<String, String> some() {
-        Map<String, List<Map.Entry<String, JsonNode>>> byZone = new LinkedHashMap<>();
-        replica.entries().forEach((key, e) -> {
-            if (key.startsWith(StoreKeys.MACHINES)) {
-                e.data().fields().forEachRemaining(m -> {
-                    if (!m.getValue().path("addr").asText().isEmpty()) {
-                        byZone.computeIfAbsent(m.getValue().path("zone").asText(), z -> new ArrayList<>())
-                                .add(m);
-                    }
-                });
-            }
-        });
-        Map<String, String> some = new LinkedHashMap<>();
-        for (List<Map.Entry<String, JsonNode>> zone : byZone.values()) {
-            int count = Math.min(zone.size(), ElectionConstants.CANDIDACY_PROBED_MACHINES);
-            long from = Math.floorMod(runtime.now(), (long) zone.size());
-            for (int i = 0; i < count; i++) {
-                Map.Entry<String, JsonNode> m = zone.get((int) ((from + (long) i * zone.size() / count) % zone.size()));
-                some.put(m.getKey(), m.getValue().path("addr").asText());
-            }
+        private void complete(Result result) {
+            complete = true;
+            evaluated.accept(result);
         }
-        return some;
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/cluster/LeaderElection.java
@@ -0,0 +1,133 @@
+package org.hollypick.cluster;
+
+import java.util.TreeSet;
+import org.hollypick.config.Settings;
+import org.hollypick.config.constants.ElectionConstants;
+import org.hollypick.io.EventLoop;
+import org.hollypick.io.Response;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Campaigns for leadership whenever it is vacant, and rewrites the leader record for a leader that needs a new fencing
+ * token. At most one of these is under way. The states and transitions:
+ *
+ * <ul>
+ *   <li>{@code IDLE}: nothing under way. To {@code POSTPONED} or {@code EVALUATING} when leadership is vacant, to
+ *       {@code WRITING} when the leader asks for a new fencing token.
+ *   <li>{@code POSTPONED}: a lease granted to a leader, or a recent resignation, forbids candidacy for now. To
+ *       {@code IDLE} after a short wait, which looks again.
+ *   <li>{@code EVALUATING}: waits for this controller's turn in the candidacy order, probes machines, and waits longer
+ *       the fewer of them it reaches. To {@code WRITING} if leadership is still vacant then, else to {@code IDLE}.
+ *   <li>{@code WRITING}: a compare-and-swap of the leader record is in flight, or the replica has yet to show its
+ *       outcome. To {@code IDLE} after a short wait, which looks again.
+ * </ul>
+ *
+ * <p>Confined to the event loop.
+ */
+final class LeaderElection {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
+
+    private enum State {
+        IDLE,
+        POSTPONED,
+        EVALUATING,
+        WRITING
+    }
+
+    private final EventLoop eventLoop;
+    private final LeaderRecordWriter writer;
+    private final GroupMembership group;
+    private final PeerLeaderLease peerLease;
+    private final LeaderDirectory directory;
+    private final CandidacyEvaluation evaluation;
+    /** This controller's place among all controllers by name, so that campaigns rarely collide. */
+    private final int candidacyOrder;
+
+    private State state = State.IDLE;
+    private long noCandidacyAfterResignationUntil;
+
+    LeaderElection(
+            EventLoop eventLoop,
+            Settings settings,
+            LeaderRecordWriter writer,
+            GroupMembership group,
+            PeerLeaderLease peerLease,
+            LeaderDirectory directory,
+            CandidacyEvaluation evaluation) {
+        this.eventLoop = eventLoop;
+        this.writer = writer;
+        this.group = group;
+        this.peerLease = peerLease;
+        this.directory = directory;
+        this.evaluation = evaluation;
+        this.candidacyOrder = candidacyOrder(settings);
+    }
+
+    private static int candidacyOrder(Settings settings) {
+        TreeSet<String> controllers = new TreeSet<>();
+        controllers.add(settings.node());
+        settings.siblings().forEach(peer -> controllers.add(peer.node()));
+        return controllers.headSet(settings.node()).size();
+    }
+
+    /** Campaigns if nobody can lead under the leader record and no campaign is under way. */
+    void campaignIfVacant() {
+        if (state != State.IDLE || !directory.isLoaded() || !group.isRegistered() || !directory.isVacant()) {
+            return;
+        }
+        if (peerLease.forbidsCandidacy() || eventLoop.now() < noCandidacyAfterResignationUntil) {
+            state = State.POSTPONED;
+            returnToIdleAfter(ElectionConstants.CANDIDACY_STEP_MS);
+            return;
+        }
+        state = State.EVALUATING;
+        eventLoop.after(candidacyOrder * ElectionConstants.CANDIDACY_STEP_MS, this::evaluateCandidacy);
+    }
+
+    private void evaluateCandidacy() {
+        evaluation.evaluate(CandidacyEvaluation.Scope.FIRST_ANSWERS, result -> {
+            long delayMs = result.candidacyDelayMs();
+            if (delayMs > 0) {
+                LOG.info("candidacy.delayed delay_ms={} {}", delayMs, result);
+            }
+            eventLoop.after(delayMs, this::becomeLeader);
+        });
+    }
+
+    private void becomeLeader() {
+        if (!group.isRegistered() || !directory.isVacant() || peerLease.forbidsCandidacy()) {
+            state = State.IDLE;
+            return;
+        }
+        state = State.WRITING;
+        writer.replaceLeader(this::written);
+    }
+
+    /** Rewrites the leader record, which ends the validity of every command under the present fencing token. */
+    void fence(long token, boolean limitsKept) {
+        if (state == State.IDLE && group.isRegistered()) {
+            state = State.WRITING;
+            writer.fence(token, limitsKept, this::written);
+        }
+    }
+
+    private void written(Response response) {
+        // The replica brings the outcome, whatever the response was.
+        boolean outcomeKnown = response.ok() || response.status() == 409;
+        returnToIdleAfter(
+                outcomeKnown ? ElectionConstants.LEADER_RECORD_SETTLE_MS : ElectionConstants.SESSION_RETRY_MS);
+    }
+
+    private void returnToIdleAfter(long delayMs) {
+        eventLoop.after(delayMs, () -> {
+            state = State.IDLE;
+            campaignIfVacant();
+        });
+    }
+
+    /** Leaves leadership to the other controllers for a while. */
+    void suspendCandidacy() {
+        noCandidacyAfterResignationUntil = eventLoop.now() + ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
@@ -0,0 +1,72 @@
+package org.hollypick.cluster;
+
+import java.util.function.Consumer;
+import org.hollypick.config.Settings;
+import org.hollypick.io.Response;
+import org.hollypick.store.CompareAndSwap;
+import org.hollypick.store.KeyValueStoreClient;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Writes the leader record by compare-and-swap: to become leader, or to get a new fencing token as leader. The answer
+ * to a write may get lost; what counts is the record that the replica then shows. Confined to the event loop.
+ */
+final class LeaderRecordWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderRecordWriter.class);
+
+    private final KeyValueStoreClient store;
+    private final Settings settings;
+    private final StoreReplica replica;
+    private final GroupMembership group;
+    private final LeaderDirectory directory;
+    private final LimitsMark limitsMark;
+
+    LeaderRecordWriter(
+            KeyValueStoreClient store,
+            Settings settings,
+            StoreReplica replica,
+            GroupMembership group,
+            LeaderDirectory directory,
+            LimitsMark limitsMark) {
+        this.store = store;
+        this.settings = settings;
+        this.replica = replica;
+        this.group = group;
+        this.directory = directory;
+        this.limitsMark = limitsMark;
+    }
+
+    /** Makes this controller the leader, provided that the named leader's member key is as the replica shows it. */
+    void replaceLeader(Consumer<Response> written) {
+        String predecessor = directory.namedLeader();
+        CompareAndSwap transaction = transactionAfter(directory.leaderRecordRevision());
+        if (predecessor != null && !predecessor.equals(settings.node())) {
+            String predecessorKey = StoreKeys.member(predecessor);
+            transaction.expectRevision(predecessorKey, replica.revision(predecessorKey));
+        }
+        String cause = predecessor == null ? "first" : "failover predecessor=" + predecessor;
+        write(transaction, limitsMark.isKeptByAllLeaders(), cause, written);
+    }
+
+    /** Writes the record again as leader under this fencing token: its new revision is the new fencing token. */
+    void fence(long token, boolean limitsKept, Consumer<Response> written) {
+        write(transactionAfter(token), limitsKept, "fence", written);
+    }
+
+    private CompareAndSwap transactionAfter(long leaderRecordRevision) {
+        return new CompareAndSwap()
+                .expectRevision(StoreKeys.LEADER_RECORD, leaderRecordRevision)
+                .expectRevision(StoreKeys.member(settings.node()), group.memberRevision());
+    }
+
+    private void write(CompareAndSwap transaction, boolean limitsKept, String cause, Consumer<Response> written) {
+        LeaderRecord leaderRecord = new LeaderRecord(
+                settings.node(), group.memberRevision(), directory.term() + 1, limitsMark.next(limitsKept));
+        transaction.put(StoreKeys.LEADER_RECORD, ClusterRecordCodec.write(leaderRecord));
+        store.commitUrgently(transaction, response -> {
+            LOG.info("leader_record.written status={} cause={}", response.status(), cause);
+            written.accept(response);
+        });
+    }
+}
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -1,194 +1,195 @@
 package org.hollypick.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BooleanSupplier;
-import java.util.function.LongConsumer;
-import java.util.function.Predicate;
 import org.hollypick.agent.AgentCodec;
+import org.hollypick.cluster.PeerMessages.RenewalGrantRequest;
+import org.hollypick.cluster.PeerMessages.RenewalGrantResponse;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.config.constants.LeaseConstants;
 import org.hollypick.config.constants.NetworkConstants;
+import org.hollypick.core.ClockBounds;
 import org.hollypick.core.WorkerLeases;
 import org.hollypick.core.assignment.Assignment;
 import org.hollypick.core.assignment.Command;
 import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.core.assignment.TaskStatus;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 import org.hollypick.io.ServerResponse;
-import org.hollypick.io.WireNames;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the workers' leases alive on a controller that is cut off, with them, from the state service and the leader. It
- * has the leader's grant for that, for a while; it orders nothing but the end of tasks whose job is cancelled
- * (docs/safety.md, "Kept leases").
+ * Renews workers' leases on a controller that a network partition separates, together with them, from the key-value
+ * store and the leader. The leader grants the right to do so in advance, for a limited time; a leader that is separated
+ * itself has it for a limited time after its leader lease. The only commands sent meanwhile kill tasks of cancelled
+ * jobs (docs/safety.md). Confined to the event loop.
  */
 public final class PartitionedLeaseRenewal {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionedLeaseRenewal.class);
 
+    /** What this controller knows of its jobs and of its own term, if it leads. */
+    public interface TermInformation {
+        /** Whether that job is cancelled, or may be: its tasks are to be killed. */
+        boolean isCancelled(String jobId);
+
+        /** Whether this controller leads, and all its peers run a version that requests renewal grants. */
+        boolean allPeersRequestedGrants();
+
+        /** This controller, still named as leader, renewed leases without a valid leader lease. */
+        void leasesRenewedWithoutLeaderLease(long now);
+    }
+
     private final EventLoop eventLoop;
     private final Settings settings;
     private final StoreReplica replica;
     private final Membership membership;
-    private final Predicate<String> cancelled;
-    private final BooleanSupplier othersCount;
-    private final LongConsumer keptByLeader;
-    private final long windowMs;
+    private final TermInformation term;
+    /** For how long a grant holds, in milliseconds; 0 if the settings leave no time for it. */
+    private final long grantMs;
 
     private long grantedToken;
     private long grantedUntil;
-    /** When the leader last answered. */
-    private long contactAt;
-    /**
-     * The number of the leader's newest answer, and under which token: another leader's numbers mean nothing to this
-     * one.
-     */
-    private long echo;
+    private long leaderRespondedAt;
+    /** The number of the leader's newest response, and the fencing token of that leader: each counts its own. */
+    private long lastGrantNumber;
 
-    private long echoToken;
-    /** How many answers it has given, and of how many of them the leader knows. */
-    private long kept;
+    private long lastGrantToken;
+    /** How many heartbeats were answered here, and how many of these the leader knows of. */
+    private long renewals;
 
-    private long told;
-    private boolean announced;
+    private long acknowledgedRenewals;
+    private boolean loggedAsActive;
 
-    /**
-     * {@code cancelled}: jobs whose tasks are to end; {@code othersCount}: whether every other controller, as this
-     * leader's successor, would reckon with leases that it keeps; {@code keptByLeader}: hears of leases that a leader
-     * renewed without being entitled.
-     */
+    /** Creates an inactive renewal; {@link #start} begins to request grants. */
     public PartitionedLeaseRenewal(
-            EventLoop eventLoop,
-            Settings settings,
-            StoreReplica replica,
-            Membership membership,
-            Predicate<String> cancelled,
-            BooleanSupplier othersCount,
-            LongConsumer keptByLeader) {
+            EventLoop eventLoop, Settings settings, StoreReplica replica, Membership membership, TermInformation term) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
-        this.cancelled = cancelled;
-        this.othersCount = othersCount;
-        this.keptByLeader = keptByLeader;
-        this.windowMs = WorkerLeases.windowMs(settings);
-        this.contactAt = eventLoop.now();
+        this.term = term;
+        this.grantMs = WorkerLeases.renewalGrantMs(settings);
+        this.leaderRespondedAt = eventLoop.now();
     }
 
+    /** Requests grants from the leader, again and again, if the settings allow any. */
     public void start() {
-        if (windowMs > 0) {
-            ask();
+        if (grantMs > 0) {
+            requestGrant();
         }
     }
 
-    private void ask() {
+    private void requestGrant() {
         long token = membership.leaderRecordRevision();
-        String leaderAddress = settings.meshAddr(membership.leader());
+        String leaderAddress = settings.meshAddr(membership.namedLeader());
         if (leaderAddress != null && replica.loaded()) {
-            long sent = eventLoop.now();
-            long telling = kept;
-            ObjectNode body = Codec.object()
-                    .put("node", settings.node())
-                    .put(WireNames.FENCING_TOKEN, token)
-                    .put("epoch", replica.appliedRevision())
-                    .put("echo", echoToken == token ? echo : WorkerLeases.NO_ECHO)
-                    .put("kept", telling > told);
+            long sentAt = eventLoop.now();
+            long reportedRenewals = renewals;
+            RenewalGrantRequest request = new RenewalGrantRequest(
+                    settings.node(),
+                    token,
+                    replica.appliedRevision(),
+                    lastGrantToken == token ? lastGrantNumber : WorkerLeases.NO_GRANT_NUMBER,
+                    reportedRenewals > acknowledgedRenewals);
             eventLoop.send(
-                    new Request(leaderAddress, "POST", "/keep", body, NetworkConstants.PEER_TIMEOUT_MS, true),
-                    r -> answered(r, token, sent, telling));
+                    new Request(
+                            leaderAddress,
+                            "POST",
+                            PeerMessageCodec.RENEWAL_GRANT_PATH,
+                            PeerMessageCodec.write(request),
+                            NetworkConstants.PEER_TIMEOUT_MS,
+                            true),
+                    response -> grantReceived(response, token, sentAt, reportedRenewals));
         }
-        eventLoop.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::ask);
+        eventLoop.after(LeaseConstants.RENEWAL_GRANT_INTERVAL_MS, this::requestGrant);
     }
 
-    private void answered(Response r, long token, long sent, long telling) {
-        if (!r.ok() || Codec.u64(r.body().path(WireNames.FENCING_TOKEN)) != token) {
+    private void grantReceived(Response response, long token, long sentAt, long reportedRenewals) {
+        if (!response.ok()) {
+            return;
+        }
+        RenewalGrantResponse grant = PeerMessageCodec.readRenewalGrantResponse(response.body());
+        if (grant.token() != token) {
             return;
         }
-        contactAt = eventLoop.now();
-        echo = Codec.u64(r.body().path("number"));
-        echoToken = token;
-        told = Math.max(told, telling);
-        if (r.body().path("granted").asBoolean()) {
+        leaderRespondedAt = eventLoop.now();
+        lastGrantNumber = grant.number();
+        lastGrantToken = token;
+        acknowledgedRenewals = Math.max(acknowledgedRenewals, reportedRenewals);
+        if (grant.granted()) {
             grantedToken = token;
-            grantedUntil = sent + Membership.atLeast(windowMs);
+            grantedUntil = sentAt + ClockBounds.atLeast(grantMs);
         }
     }
 
-    /**
-     * Until when this node may keep leases under the leader record that it knows; for a leader: since it was last
-     * entitled.
-     */
-    private long until() {
-        long own = membership.token();
-        if (own != 0) {
-            // A leader of a version that doesn't know of kept leases may follow: it would take them for ended ones.
-            return othersCount.getAsBoolean()
-                    ? membership.leaderLeaseUntil(own) + Membership.atLeast(windowMs)
-                    : WorkerLeases.NEVER;
+    /** Until when this controller may renew leases under the leader record that it knows. */
+    private long grantedUntil() {
+        long ownToken = membership.fencingToken();
+        if (ownToken == 0) {
+            return grantedToken == membership.leaderRecordRevision() ? grantedUntil : WorkerLeases.NEVER;
         }
-        return grantedToken == membership.leaderRecordRevision() ? grantedUntil : WorkerLeases.NEVER;
+        // A successor of a version that does not know of these renewals would take the leases for expired ones.
+        return term.allPeersRequestedGrants()
+                ? membership.leaderLeaseUntil(ownToken) + ClockBounds.atLeast(grantMs)
+                : WorkerLeases.NEVER;
     }
 
-    private boolean mayKeep() {
-        return eventLoop.now() < until();
+    private boolean holdsGrant() {
+        return eventLoop.now() < grantedUntil();
     }
 
     /**
-     * Whether reports are to be answered here: the leader and the state service are both out of reach, and the right is
-     * there.
+     * Whether heartbeats are to be answered here: the leader and the key-value store are both out of reach, and the
+     * grant holds.
      */
-    public boolean keeping() {
-        boolean lost = membership.token() != 0 || eventLoop.now() - contactAt > LeaseConstants.LEADER_LOST_MS;
-        boolean keeping = windowMs > 0 && lost && !membership.reachesState() && mayKeep();
-        if (keeping != announced) {
-            announced = keeping;
-            LOG.info(
-                    "{} leases token={}", keeping ? "keeping" : "no longer keeping", membership.leaderRecordRevision());
+    public boolean isActive() {
+        boolean leaderLost =
+                membership.fencingToken() != 0 || eventLoop.now() - leaderRespondedAt > LeaseConstants.LEADER_LOST_MS;
+        boolean active = grantMs > 0 && leaderLost && !membership.reachesStore() && holdsGrant();
+        if (active != loggedAsActive) {
+            loggedAsActive = active;
+            String event = active ? "lease_renewal.started token={}" : "lease_renewal.stopped token={}";
+            LOG.info(event, membership.leaderRecordRevision());
         }
-        return keeping;
+        return active;
     }
 
     /**
-     * The answer to a worker that has nobody else; null if it has seen a newer token, since it would have to drop the
-     * answer.
+     * The response to a heartbeat that nobody else answers, to be sent only while the grant holds.
+     *
+     * @return null if the worker has seen a newer fencing token, since it would have to drop the response
      */
-    public ServerResponse answer(Heartbeat heartbeat) {
+    public ServerResponse respond(Heartbeat heartbeat) {
         long token = membership.leaderRecordRevision();
         if (Long.compareUnsigned(heartbeat.token(), token) > 0) {
             return null;
         }
-        kept++;
-        if (membership.token() != 0) {
-            keptByLeader.accept(eventLoop.now());
+        renewals++;
+        if (membership.fencingToken() != 0) {
+            term.leasesRenewedWithoutLeaderLease(eventLoop.now());
         }
+        return ServerResponse.of(200, AgentCodec.orders(token, killCancelled(heartbeat)))
+                .onlyWhile(this::holdsGrant);
+    }
+
+    private List<Command> killCancelled(Heartbeat heartbeat) {
         List<Command> commands = new ArrayList<>();
         for (TaskStatus status : heartbeat.tasks()) {
-            int slash = status.task().lastIndexOf('/');
-            if (status.state() != Assignment.State.EXITED
-                    && slash > 0
-                    && cancelled.test(status.task().substring(0, slash))
-                    && commands.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE) {
+            if (commands.size() < FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
+                    && status.state() != Assignment.State.EXITED
+                    && isOfCancelledJob(status.task())) {
                 commands.add(new Command(Command.Verb.KILL, status.task(), status.attempt(), 0));
             }
         }
-        return ServerResponse.of(200, AgentCodec.orders(token, commands)).onlyWhile(this::mayKeep);
+        return commands;
     }
 
-    /** The leader's answer to another controller that asks. */
-    public static ServerResponse told(long token, long number, boolean granted) {
-        JsonNode body = Codec.object()
-                .put(WireNames.FENCING_TOKEN, token)
-                .put("number", number)
-                .put("granted", granted);
-        return ServerResponse.of(200, body);
+    private boolean isOfCancelledJob(String task) {
+        int jobIdLength = task.lastIndexOf('/');
+        return jobIdLength > 0 && term.isCancelled(task.substring(0, jobIdLength));
     }
 }
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -1,85 +1,69 @@
 package org.hollypick.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.hollypick.agent.AgentClient;
+import org.hollypick.cluster.PeerMessages.ReachabilityReport;
+import org.hollypick.cluster.PeerMessages.ReachabilityRequest;
 import org.hollypick.config.constants.ReachabilityConstants;
-import org.hollypick.io.Codec;
+import org.hollypick.io.Countdown;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
-import org.hollypick.io.ServerResponse;
 
-/** The question of one controller to another which of some machines answer that one. */
+/** Both sides of the question which machines a peer reaches. Confined to the event loop. */
 public final class PeerReachability {
-    public static final String PATH = "/reach";
-
-    /** {@code tells}: it is of a version that says what it tried in vain. */
-    public record ReachabilityReport(boolean reachesState, List<String> reached, boolean tells, List<String> failed) {}
-
     private PeerReachability() {}
 
-    /** Asks one peer about machines, by their addresses; null if it didn't answer. */
-    public static void ask(
-            EventLoop eventLoop, String peer, Map<String, String> machines, Consumer<ReachabilityReport> then) {
-        ObjectNode body = Codec.object();
-        ObjectNode addresses = body.putObject("machines");
-        machines.forEach(addresses::put);
+    /** Asks a peer about machines, by their addresses; calls back with an empty report if it did not answer. */
+    public static void request(
+            EventLoop eventLoop,
+            String peerAddress,
+            Map<String, String> addressByMachine,
+            Consumer<Optional<ReachabilityReport>> reported) {
+        Request request = new Request(
+                peerAddress,
+                "POST",
+                PeerMessageCodec.REACHABILITY_PATH,
+                PeerMessageCodec.write(new ReachabilityRequest(addressByMachine)),
+                ReachabilityConstants.PEER_CHECK_TIMEOUT_MS,
+                true);
         eventLoop.send(
-                new Request(peer, "POST", PATH, body, ReachabilityConstants.PEER_CHECK_TIMEOUT_MS, true),
-                r -> then.accept(
-                        !r.ok()
-                                ? null
-                                : new ReachabilityReport(
-                                        r.body().path("reaches_state").asBoolean(),
-                                        names(r.body().path("reached")),
-                                        r.body().has("failed"),
-                                        names(r.body().path("failed")))));
-    }
-
-    private static List<String> names(JsonNode list) {
-        List<String> names = new ArrayList<>();
-        list.forEach(n -> names.add(n.asText()));
-        return names;
+                request,
+                response -> reported.accept(
+                        response.ok()
+                                ? Optional.of(PeerMessageCodec.readReachabilityReport(response.body()))
+                                : Optional.empty()));
     }
 
-    /** The asked one's side: it tries them all at once. */
-    public static void answer(
-            AgentClient agentClient, JsonNode body, boolean reachesState, Consumer<ServerResponse> responder) {
-        ObjectNode told = Codec.object().put("reaches_state", reachesState);
-        ArrayNode reached = told.putArray("reached");
-        ArrayNode failed = told.putArray("failed");
-        List<Map.Entry<String, JsonNode>> asked = new ArrayList<>();
-        if (body != null) {
-            body.path("machines").fields().forEachRemaining(f -> {
-                if (f.getValue().isTextual()
-                        && f.getValue().asText().contains(":")
-                        && asked.size() < ReachabilityConstants.PEER_CHECK_MAX_MACHINES) {
-                    asked.add(f);
-                }
-            });
-        }
-        int[] open = {asked.size()};
-        if (open[0] == 0) {
-            responder.accept(ServerResponse.of(200, told));
-        }
-        for (Map.Entry<String, JsonNode> m : asked) {
-            agentClient.inspect(
-                    m.getKey(), m.getValue().asText(), ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, r -> {
-                        if (r.ok()) {
-                            reached.add(m.getKey());
-                        } else if (!r.failedWith(Response.Failure.NO_CAPACITY)) {
-                            failed.add(m.getKey());
-                        }
-                        if (--open[0] == 0) {
-                            responder.accept(ServerResponse.of(200, told));
-                        }
-                    });
+    /** Probes the machines that a peer asks about, all at once, and calls back when each has answered or failed. */
+    public static void respond(
+            AgentClient agentClient,
+            ReachabilityRequest request,
+            boolean reachesStore,
+            Consumer<ReachabilityReport> responder) {
+        List<String> reached = new ArrayList<>();
+        List<String> failed = new ArrayList<>();
+        ReachabilityReport report = new ReachabilityReport(reachesStore, reached, true, failed);
+        if (request.addressByMachine().isEmpty()) {
+            responder.accept(report);
+            return;
         }
+        Countdown openProbes = new Countdown(request.addressByMachine().size());
+        request.addressByMachine()
+                .forEach((machine, address) -> agentClient.inspect(
+                        machine, address, ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, response -> {
+                            if (response.ok()) {
+                                reached.add(machine);
+                            } else if (!response.failedWith(Response.Failure.NO_CAPACITY)) {
+                                failed.add(machine);
+                            }
+                            if (openProbes.countDown()) {
+                                responder.accept(report);
+                            }
+                        }));
     }
 }
--- a/src/main/java/org/hollypick/cluster/StoreKeys.java
+++ b/src/main/java/org/hollypick/cluster/StoreKeys.java
@@ -1,71 +1,104 @@
 package org.hollypick.cluster;
 
-/** The names of this service's records in the state service. */
+/**
+ * The keys of this service's records in the key-value store. A key with a count in it is used once: no other record
+ * ever has it. Pure, any thread.
+ */
 public final class StoreKeys {
+    /** All keys begin with this. */
     public static final String PREFIX = "h/";
+
+    /** The leader record. */
     public static final String LEADER_RECORD = "h/roster";
-    private static final String MEMBER = "h/n/";
+
+    /** The prefix of the job records. */
     public static final String JOB = "h/j/";
+
+    /** The prefix of the checkpoints of completed tasks. */
     public static final String PROGRESS = "h/p/";
+
+    /** The prefix of the machine registry. */
     public static final String MACHINES = "h/m/";
+
+    /** The prefix of the records of the service that running tasks have attained. */
     public static final String SIZES = "h/s/";
-    /** Sorts behind the jobs: a read by pages that shows a job shows all that its record names here. */
-    private static final String AWAITED = "h/w/";
 
-    /** What a controller tells a leader that it doesn't reach. */
+    /** The prefix of the records by which controllers tell a leader that they cannot reach it. */
     public static final String LEADER_COMPLAINT = "h/l/";
 
+    /** The prefix of the runtime statistics. */
     public static final String LEARNED = "h/e/";
-    /** Sorts behind the jobs, as what they await does. */
+
+    /** The prefix of the logs of graphs. Sorts behind the jobs, as their dependencies do. */
     public static final String GRAPH_LOG = "h/x/";
 
+    /** The prefix of the member records. */
+    private static final String MEMBER = "h/n/";
+
+    /**
+     * The prefix of the dependencies of jobs. Sorts behind the jobs: a read by pages that shows a job shows all records
+     * that the job names here.
+     */
+    private static final String AWAITED = "h/w/";
+
     private StoreKeys() {}
 
-    public static String member(String node) {
-        return MEMBER + node;
+    /** The member record of a controller. */
+    public static String member(String controller) {
+        return MEMBER + controller;
     }
 
-    public static String job(String id) {
-        return JOB + id;
+    /** The record of a job. */
+    public static String job(String jobId) {
+        return JOB + jobId;
     }
 
+    /** A checkpoint of completed tasks. */
     public static String progress(int slot) {
         return PROGRESS + slot;
     }
 
-    /** A key that is used once: no other record of machines ever has it. */
-    public static String machines(String node, long token, long count) {
-        return MACHINES + node + "/" + Long.toUnsignedString(token) + "/" + count;
+    /** A record of the machine registry, used once. */
+    public static String machines(String controller, long token, long count) {
+        return MACHINES + usedOnce(controller, token, count);
     }
 
-    /** A key that is used once: what one job awaits, as far as its own record has no room for it. */
-    public static String awaited(String node, long member, long count) {
-        return AWAITED + node + "/" + Long.toUnsignedString(member) + "/" + count;
+    /** The dependencies of one job, as far as its own record has no room for them; used once. */
+    public static String awaited(String controller, long memberRevision, long count) {
+        return AWAITED + usedOnce(controller, memberRevision, count);
     }
 
+    /** A record of the runtime statistics. */
     public static String learned(int slot) {
         return LEARNED + slot;
     }
 
-    /** The beginning of the keys of a graph's log. */
-    public static String graphLog(String id) {
-        return GRAPH_LOG + id + "/";
+    /** The prefix of the log of one graph. */
+    public static String graphLog(String graphId) {
+        return GRAPH_LOG + graphId + "/";
     }
 
-    /** A key that is used once. */
-    public static String graphLog(String id, long token, long count) {
-        return graphLog(id) + Long.toUnsignedString(token) + "/" + count;
+    /** An entry of the log of a graph, used once. */
+    public static String graphLog(String graphId, long token, long count) {
+        return GRAPH_LOG + usedOnce(graphId, token, count);
     }
 
+    /** The count in the key of a log entry, by which the entries of one token are ordered. */
     public static long graphLogNumber(String key) {
         return Long.parseUnsignedLong(key.substring(key.lastIndexOf('/') + 1));
     }
 
-    public static String leaderComplaint(String node) {
-        return LEADER_COMPLAINT + node;
+    /** The record by which that controller tells the leader that it cannot reach it. */
+    public static String leaderComplaint(String controller) {
+        return LEADER_COMPLAINT + controller;
+    }
+
+    /** The record that a leader writes of the service that running tasks have attained. */
+    public static String sizes(String controller) {
+        return SIZES + controller;
     }
 
-    public static String sizes(String node) {
-        return SIZES + node;
+    private static String usedOnce(String owner, long revision, long count) {
+        return owner + "/" + Long.toUnsignedString(revision) + "/" + count;
     }
 }
--- a/src/main/java/org/hollypick/config/constants/ElectionConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ElectionConstants.java
@@ -32,6 +32,12 @@
     /** Milliseconds until a failed renewal is tried again: quick enough to catch the end of an outage. */
     public static final long SESSION_RETRY_MS = 500;
 
+    /** Milliseconds until a controller that starts tries again to read its member key or to end the session of it. */
+    public static final long JOIN_RETRY_MS = 300;
+
+    /** Milliseconds until a written leader record has reached the replica, usually: the watch takes some tens. */
+    public static final long LEADER_RECORD_SETTLE_MS = 200;
+
     /**
      * Milliseconds for which a node promises a leader that can't reach the state service not to claim its lead; also
      * how long a restarted node waits before it claims another's lead, since its earlier self may have promised.
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import org.hollypick.cluster.Membership;
-import org.hollypick.cluster.PartitionedLeaseRenewal;
+import org.hollypick.cluster.PeerMessageCodec;
+import org.hollypick.cluster.PeerMessages.RenewalGrantRequest;
+import org.hollypick.cluster.PeerMessages.RenewalGrantResponse;
 import org.hollypick.control.graphs.GraphService;
 import org.hollypick.control.jobs.JobTermination;
 import org.hollypick.core.Job;
@@ -120,22 +122,16 @@
         return components.agentManager.heartbeatReceived(heartbeat, via);
     }
 
-    /**
-     * Answers a controller that asks whether it may renew workers' leases by itself once it is partitioned.
-     *
-     * @param node the controller's name
-     * @param appliedRevision its replica holds every change up to this one
-     * @param echo the number of the last answer that it received
-     * @param renewedByItself whether it has renewed leases without asking since then
-     */
-    public ServerResponse grantPartitionedRenewal(
-            String node, long appliedRevision, long echo, boolean renewedByItself) {
+    /** Answers a peer that requests the right to renew workers' leases while it is partitioned from this leader. */
+    public ServerResponse grantPartitionedRenewal(RenewalGrantRequest request) {
         long now = eventLoop.now();
         WorkerLeases leases = components.scheduler.leases();
-        leases.asked(node, echo, renewedByItself, now);
-        boolean granted = leases.allAsked() && components.jobTermination.replicaShowsAllCancellations(appliedRevision);
-        return PartitionedLeaseRenewal.told(token(), leases.answer(node, granted, now), granted)
-                .onlyWhile(this::holdsLeaderLease);
+        leases.grantRequested(request.controller(), request.lastGrantNumber(), request.renewedLeases(), now);
+        boolean granted = leases.allPeersRequestedGrants()
+                && components.jobTermination.replicaShowsAllCancellations(request.appliedRevision());
+        long number = leases.responseSent(request.controller(), granted, now);
+        RenewalGrantResponse response = new RenewalGrantResponse(token(), number, granted);
+        return ServerResponse.of(200, PeerMessageCodec.write(response)).onlyWhile(this::holdsLeaderLease);
     }
 
     /** The records under {@code keys} changed in the replica. */
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
+import org.hollypick.cluster.LeaderLeaseSource;
 import org.hollypick.cluster.Membership;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReconcileConstants;
@@ -38,8 +39,8 @@
     private boolean stopped;
     private boolean reconcilePending;
     private long lastIterationAt;
-    /** What the leader lease rested on when it was last logged. */
-    private String loggedLeaseBasis = "";
+    /** What the leader lease rested on when it was last logged; null before that. */
+    private LeaderLeaseSource loggedLeaseSource;
 
     ReconcileLoop(ControllerContext context, TermComponents components, BooleanSupplier holdsLeaderLease) {
         this.eventLoop = context.eventLoop();
@@ -69,7 +70,7 @@
         }
         long now = eventLoop.now();
         recordLateness(now);
-        logLeaseBasis(now);
+        logLeaseSource(now);
         if (holdsLeaderLease.getAsBoolean()) {
             reconcileMachines(now);
             runPeriodicTasks(now);
@@ -89,12 +90,12 @@
         lastIterationAt = now;
     }
 
-    private void logLeaseBasis(long now) {
-        String basis = membership.right(components.token);
-        if (!basis.equals(loggedLeaseBasis)) {
-            loggedLeaseBasis = basis;
+    private void logLeaseSource(long now) {
+        LeaderLeaseSource source = membership.leaderLeaseSource(components.token);
+        if (source != loggedLeaseSource) {
+            loggedLeaseSource = source;
             long remainingMs = membership.leaderLeaseUntil(components.token) - now;
-            LOG.info("leader_lease.basis_changed by={} remaining_ms={} token={}", basis, remainingMs, components.token);
+            LOG.info("leader_lease.changed source={} remaining_ms={} token={}", source, remainingMs, components.token);
         }
     }
 
@@ -155,7 +156,7 @@
     private void reconcile() {
         schedule(eventLoop.now());
         components.agentManager.dispatchCommands();
-        components.writeChanges(membership.reachesState(), this::requestReconcile);
+        components.writeChanges(membership.reachesStore(), this::requestReconcile);
     }
 
     private void schedule(long now) {
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -40,7 +40,7 @@
      */
     void evaluate(long now) {
         if (failureDetector.isIsolated(now)
-                && (membership.resignationAllowed() || failureDetector.leasesAboutToExpire(now))) {
+                && (membership.isResignationAllowed() || failureDetector.leasesAboutToExpire(now))) {
             measureAndResignIfBetter();
         }
     }
@@ -54,11 +54,11 @@
             return;
         }
         measurementInProgress = true;
-        membership.measure(reachability -> {
+        membership.evaluateCandidacy(reachability -> {
             measurementInProgress = false;
             boolean peersMayDoBetter =
                     failureDetector.noPeerAnswers(eventLoop.now()) && !reachability.reachesNearlyAll();
-            if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.betterElsewhere())) {
+            if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.peerLeadsBetter())) {
                 LOG.info("leader.resigned token={} {} {}", token, failureDetector.summary(), reachability);
                 membership.resign();
             }
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -63,7 +63,7 @@
         OperatorSettings operatorSettings = context.operatorSettings();
         StoreReplica replica = context.replica();
         KeyValueStoreClient store = context.store();
-        boolean firstTerm = context.membership().terms() == 1;
+        boolean firstTerm = context.membership().term() == 1;
         BooleanSupplier holdsLeaderLease = callbacks::holdsLeaderLease;
         Runnable requestReconcile = callbacks::requestReconcile;
         this.token = token;
@@ -73,7 +73,7 @@
                 eventLoop, settings, scheduler, context.machineTypes(), holdsLeaderLease, requestReconcile);
         this.agentManager = new AgentManager(term, context.agentClient(), localHealth);
         this.provisioner = new InstanceProvisioner(
-                term, operatorSettings, context.cloud(), context.membership()::reachesState, firstTerm);
+                term, operatorSettings, context.cloud(), context.membership()::reachesStore, firstTerm);
         this.machineRegistry = new MachineRegistry(eventLoop, replica, store, settings, token, scheduler::isTerminated);
         this.completionStore = new CompletionStore(eventLoop, replica, store, settings, scheduler);
         this.dependentCancellation = new DependentCancellation(eventLoop, replica, store, settings, token);
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -138,13 +138,13 @@
         boolean seenThisToken = heartbeat.token() == scheduler.token();
         if (newIncarnation
                 && machine.heartbeatAcknowledgedAt > 0
-                && scheduler.leases().fresh(machine.heartbeatAcknowledgedAt, now)) {
+                && scheduler.leases().isValid(machine.heartbeatAcknowledgedAt, now)) {
             machine.validity.lapsed(now);
         }
         machine.validity.reported(heartbeat, seenThisToken, commands, now);
         if (machine.validity.unreachableInbound()
                 && !newIncarnation
-                && scheduler.leases().over(machine.incarnationSeenAt, now)) {
+                && scheduler.leases().isExpired(machine.incarnationSeenAt, now)) {
             machine.validity.acknowledged(); // had no answer reached it, its incarnation would have ended
         }
         if (!seenThisToken) {
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -6,7 +6,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
+import org.hollypick.cluster.PeerMessages.ReachabilityReport;
 import org.hollypick.cluster.PeerReachability;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.FailureDetectionConstants;
@@ -48,7 +50,7 @@
         firstRequestedAt = firstRequestedAt == 0 ? now : firstRequestedAt;
         requestsInFlight = settings.siblings().size();
         for (Settings.Sibling peer : settings.siblings()) {
-            PeerReachability.ask(eventLoop, peer.addr(), addresses, this::checked);
+            PeerReachability.request(eventLoop, peer.addr(), addresses, this::checked);
         }
     }
 
@@ -65,14 +67,15 @@
         return addresses;
     }
 
-    /** @param report a peer's answer; null if there was none */
-    private void checked(PeerReachability.ReachabilityReport report) {
+    /** A peer answered a check, or failed to. */
+    private void checked(Optional<ReachabilityReport> answer) {
         requestsInFlight--;
-        if (report == null) {
-            return;
-        }
+        answer.ifPresent(this::checked);
+    }
+
+    private void checked(ReachabilityReport report) {
         report.reached().forEach(this::reachedByPeer);
-        if (report.tells()) {
+        if (report.listsFailures()) {
             peerAnsweredAt = eventLoop.now();
             report.failed().forEach(this::peerCheckFailed);
         }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -54,7 +54,7 @@
         this.token = token;
         this.leases = leases;
         this.estimates = new Estimates(learnsRuntimes);
-        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStart());
+        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStartedAt());
         this.quotas = new TeamQuotas(this, settings);
         this.assignments = new AssignmentTable(this, quotas.usage());
         this.heartbeats = new HeartbeatProcessor(this, assignments, quotas.usage());
@@ -329,8 +329,8 @@
     private void expireLease(Machine machine, long now) {
         // What earlier leaders launched needs an incarnation that began before this term: all of those have expired,
         // whatever has begun since.
-        boolean earlierExpired = !machine.reconciled && leases.over(machine.heartbeatAcknowledgedAt, now);
-        boolean expired = machine.mayHoldLease() && leases.over(machine.leaseStartedAt(), now);
+        boolean earlierExpired = !machine.reconciled && leases.isExpired(machine.heartbeatAcknowledgedAt, now);
+        boolean expired = machine.mayHoldLease() && leases.isExpired(machine.leaseStartedAt(), now);
         if (earlierExpired || expired) {
             assignments.removeAll(machine);
             machine.reconciled = true;
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -5,154 +5,166 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.hollypick.config.Settings;
-import org.hollypick.config.constants.ClockConstants;
 import org.hollypick.config.constants.LeaseConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
 
 /**
- * When workers' leases have certainly ended, although other controllers may keep them alive while they reach neither
- * the state service nor the leader (docs/safety.md, "Kept leases"). Pure; one for each term. Every other controller
- * asks again and again; the answer, if it grants anything, lets it renew leases, under this token, for a while counted
- * from when it sent the question.
+ * Decides when a worker's lease has expired for certain, although peers of the leader may renew leases while a network
+ * partition separates them from the leader and the key-value store (docs/safety.md). Each peer keeps requesting the
+ * right to do so; a granted response lets it renew leases under this term's fencing token, for a time that is counted
+ * from when it sent the request.
+ *
+ * <p>One instance serves one term. All times are milliseconds of this leader's clock. Confined to the event loop.
  */
 public final class WorkerLeases {
-    /** Before any time that a clock tells, and far enough from the end of the numbers to be reckoned with. */
+    /** Earlier than any time of a clock, and far enough from the smallest number that durations can be subtracted. */
     public static final long NEVER = -(1L << 61);
 
-    /** What a controller names that has seen no answer of this leader since it began. */
-    public static final long NO_ECHO = 0;
-
-    /** What one other controller has told, and what it may do. Times are this leader's. */
-    private static final class Custodian {
-        /** Under older tokens it kept nothing after this. */
-        private long olderUntil;
-
-        private boolean asked;
-        /** The last answers to it, by number. */
-        private final Map<Long, Long> answers = new LinkedHashMap<>();
-        /** All that it kept before this is accounted for: it asked later than that, and told so. */
-        private long clear = NEVER;
-        /** The last time it may have kept anything, as far as it told. */
-        private long kept = NEVER;
-        /** The last time a grant still holds. */
-        private long granted = NEVER;
+    /** The number that a peer sends when it has received no response of this leader since it started. */
+    public static final long NO_GRANT_NUMBER = 0;
+
+    /** What one peer may have renewed, by what it requested and was granted. */
+    private static final class PeerRenewals {
+        /** After this it renewed nothing under older fencing tokens. */
+        private long olderTokensUntil;
+
+        private boolean requested;
+        /** When the last responses to it were sent, by their number, oldest first. */
+        private final Map<Long, Long> responseTimes = new LinkedHashMap<>();
+        /** All its renewals before this are accounted for: it received a response sent then, and reported later. */
+        private long accountedUntil = NEVER;
+        /** The last time at which it may have renewed leases by what it reported. */
+        private long lastRenewalAt = NEVER;
+        /** The last time at which a grant to it may hold. */
+        private long grantedUntil = NEVER;
+
+        private PeerRenewals(long olderTokensUntil) {
+            this.olderTokensUntil = olderTokensUntil;
+        }
+
+        private void requestReceived(long lastGrantNumber, boolean renewedLeases, long now) {
+            if (!requested) {
+                requested = true;
+                // It knows this term's fencing token, so it renews nothing under an older one from now on.
+                olderTokensUntil = Math.min(olderTokensUntil, now);
+            }
+            // A peer that has received no response of this leader may have restarted: it does not know what its earlier
+            // process renewed, which had ended by now.
+            if (renewedLeases || lastGrantNumber == NO_GRANT_NUMBER) {
+                lastRenewalAt = Math.max(lastRenewalAt, now);
+            }
+            Long responseTime = responseTimes.get(lastGrantNumber);
+            if (responseTime != null) {
+                accountedUntil = Math.max(accountedUntil, responseTime);
+            }
+        }
+
+        private void responseSent(long number, long now) {
+            responseTimes.put(number, now);
+            while (responseTimes.size() > LeaseConstants.REMEMBERED_GRANTS) {
+                responseTimes.remove(responseTimes.keySet().iterator().next());
+            }
+        }
     }
 
+    /** The longest time that a worker's lease may last on this leader's clock. */
     private final long leaseMs;
-    private final long windowMs;
-    private final long termStart;
-    private final Map<String, Custodian> custodians = new HashMap<>();
-    /** This node's own keeping, while it wasn't entitled. */
-    private long ownKept = NEVER;
-
-    private long numbers;
-
-    /** {@code nobodyBefore}: no older leader can have granted anything. */
-    public WorkerLeases(Settings settings, Collection<String> others, long termStart, boolean nobodyBefore) {
-        this.windowMs = windowMs(settings);
-        this.leaseMs = (long) (settings.leaseS() * 1000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO))
-                + ClockConstants.CLOCK_MARGIN_MS
-                + LeaseConstants.LEASE_MARGIN_MS;
-        this.termStart = termStart;
-        for (String other : others) {
-            Custodian k = new Custodian();
-            k.olderUntil = nobodyBefore ? NEVER : termStart + possibly(windowMs);
-            custodians.put(other, k);
+
+    private final long grantMs;
+    private final long termStartedAt;
+    private final Map<String, PeerRenewals> peers = new HashMap<>();
+    /** When this controller itself last renewed leases without a valid leader lease. */
+    private long ownRenewalAt = NEVER;
+
+    private long responses;
+
+    /** {@code firstTerm}: there was no leader before that can have granted anything. */
+    public WorkerLeases(Settings settings, Collection<String> peerNames, long termStartedAt, boolean firstTerm) {
+        this.grantMs = renewalGrantMs(settings);
+        this.leaseMs = ClockBounds.atMost(settings.leaseS() * 1000) + LeaseConstants.LEASE_MARGIN_MS;
+        this.termStartedAt = termStartedAt;
+        long olderTokensUntil = firstTerm ? NEVER : termStartedAt + ClockBounds.atMost(grantMs);
+        for (String peer : peerNames) {
+            peers.put(peer, new PeerRenewals(olderTokensUntil));
         }
     }
 
     /** When this term began. */
-    long termStart() {
-        return termStart;
+    long termStartedAt() {
+        return termStartedAt;
     }
 
     /**
-     * For how long leases may be kept, in milliseconds; 0 if not at all. A cancellation that the custodian doesn't know
-     * of was told after the grant, so whatever it keeps has to be gone, its lease included, within the time that a
-     * cancelled task has.
+     * For how many milliseconds a peer may renew leases; 0 if not at all. A cancellation that the peer does not know of
+     * was acknowledged after the grant, so every lease that the peer renews must expire within the time that a
+     * cancelled task has to end.
      */
-    public static long windowMs(Settings settings) {
-        long window = (long) ((settings.cancelS() - settings.leaseS()) * 1000) - LeaseConstants.RENEWAL_GRANT_MARGIN_MS;
-        return window < LeaseConstants.RENEWAL_GRANT_MIN_MS ? 0 : window;
-    }
-
-    private static long possibly(long ms) {
-        return (long) (ms * (1 + ClockConstants.CLOCK_DRIFT_RATIO)) + ClockConstants.CLOCK_MARGIN_MS;
+    public static long renewalGrantMs(Settings settings) {
+        long availableMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
+        long grantMs = availableMs - LeaseConstants.RENEWAL_GRANT_MARGIN_MS;
+        return grantMs < LeaseConstants.RENEWAL_GRANT_MIN_MS ? 0 : grantMs;
     }
 
     /**
-     * Another controller asks under this term's token. {@code echo}: the newest answer that it has seen; {@code kept}:
-     * it kept leases since it last told.
+     * A peer requests a grant under this term's fencing token.
+     *
+     * @param lastGrantNumber the number of the newest response that it received
+     * @param renewedLeases it renewed leases since the last request of it that was answered
      */
-    public void asked(String node, long echo, boolean kept, long now) {
-        Custodian k = custodians.get(node);
-        if (k == null) {
-            return;
-        }
-        if (!k.asked) {
-            k.asked = true;
-            k.olderUntil = Math.min(k.olderUntil, now); // it knows this token, so it keeps nothing under an older one
-        }
-        // One that has seen no answer of this leader may have begun again: it doesn't know what its earlier process
-        // kept, which had ended by now.
-        if (kept || echo == NO_ECHO) {
-            k.kept = Math.max(k.kept, now);
-        }
-        Long answered = k.answers.get(echo);
-        if (answered != null) {
-            k.clear = Math.max(k.clear, answered);
+    public void grantRequested(String peer, long lastGrantNumber, boolean renewedLeases, long now) {
+        PeerRenewals renewals = peers.get(peer);
+        if (renewals != null) {
+            renewals.requestReceived(lastGrantNumber, renewedLeases, now);
         }
     }
 
-    /** The number of the answer that goes out now. */
-    public long answer(String node, boolean granted, long now) {
-        long number = ++numbers;
-        Custodian k = custodians.get(node);
-        if (k != null) {
-            k.answers.put(number, now);
-            while (k.answers.size() > LeaseConstants.REMEMBERED_GRANTS) {
-                k.answers.remove(k.answers.keySet().iterator().next());
-            }
+    /** Records the response that is sent to a peer now, and returns its number. */
+    public long responseSent(String peer, boolean granted, long now) {
+        responses++;
+        PeerRenewals renewals = peers.get(peer);
+        if (renewals != null) {
+            renewals.responseSent(responses, now);
             if (granted) {
-                k.granted = Math.max(k.granted, now + possibly(windowMs));
+                renewals.grantedUntil = Math.max(renewals.grantedUntil, now + ClockBounds.atMost(grantMs));
             }
         }
-        return number;
+        return responses;
     }
 
-    /** All others have asked in this term: none of them is of a version that doesn't know of kept leases. */
-    public boolean allAsked() {
-        return custodians.values().stream().allMatch(k -> k.asked);
+    /** Whether all peers requested grants in this term: none of them runs a version that does not know of these. */
+    public boolean allPeersRequestedGrants() {
+        return peers.values().stream().allMatch(renewals -> renewals.requested);
     }
 
-    /** This node itself renewed leases while it wasn't entitled to act. */
-    public void keptByItself(long now) {
-        ownKept = Math.max(ownKept, now);
+    /** This controller itself renewed leases without a valid leader lease. */
+    public void renewedWithoutLeaderLease(long now) {
+        ownRenewalAt = Math.max(ownRenewalAt, now);
     }
 
     /**
-     * Whether a lease renewed then still holds, even if the report that renewed it was sent a while before: a session
-     * that ends now wasn't renewed by it.
+     * Whether a lease renewed then is still valid for certain, even if the worker sent the heartbeat that renewed it a
+     * while before.
      */
-    public boolean fresh(long renewed, long now) {
-        return now - renewed < leaseMs - ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS;
+    public boolean isValid(long renewedAt, long now) {
+        return now - renewedAt < leaseMs - ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS;
     }
 
-    /** Whether a lease is certainly over that this leader last renewed, or first heard of, at {@code renewed}. */
-    public boolean over(long renewed, long now) {
-        if (now - renewed <= leaseMs) {
-            return false; // by far the most common
+    /** Whether a lease has expired for certain that this leader last renewed, or first saw, at {@code renewedAt}. */
+    public boolean isExpired(long renewedAt, long now) {
+        if (now - renewedAt <= leaseMs) {
+            return false; // by far the most common case
         }
-        long last = Math.max(Math.max(renewed, termStart), ownKept);
-        long clear = now;
-        long mayBe = last;
-        for (Custodian k : custodians.values()) {
-            last = Math.max(last, Math.max(k.olderUntil, k.kept));
-            clear = Math.min(clear, k.clear);
-            mayBe = Math.max(mayBe, k.granted);
+        long lastRenewalAt = Math.max(Math.max(renewedAt, termStartedAt), ownRenewalAt);
+        long accountedUntil = now;
+        long grantedUntil = lastRenewalAt;
+        for (PeerRenewals peer : peers.values()) {
+            lastRenewalAt = Math.max(lastRenewalAt, Math.max(peer.olderTokensUntil, peer.lastRenewalAt));
+            accountedUntil = Math.min(accountedUntil, peer.accountedUntil);
+            grantedUntil = Math.max(grantedUntil, peer.grantedUntil);
         }
-        // Either it was over before anything could have been kept that isn't accounted for, or after all that may ever
-        // be.
-        return clear - last > leaseMs || now - Math.max(last, mayBe) > leaseMs;
+        // Either it expired before any renewal that is not accounted for, or after the last one that was ever possible.
+        boolean expiredWhileAccounted = accountedUntil - lastRenewalAt > leaseMs;
+        boolean expiredAfterAllGrants = now - Math.max(lastRenewalAt, grantedUntil) > leaseMs;
+        return expiredWhileAccounted || expiredAfterAllGrants;
     }
 }
--- a/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -3,41 +3,43 @@
 import org.hollypick.config.constants.ElectionConstants;
 
 /**
- * For how long a controller leaves a free lead to others: the longer, the fewer machines it reaches, by itself or by
- * way of another. Who reaches most claims first, and of two that reach the same the one that needs no other. Pure.
+ * How long a candidate leaves a vacant leadership to other controllers, by how many of the probed machines it reaches:
+ * the controller that reaches most becomes leader, and of two that reach the same the one that needs no peer for it.
+ *
+ * <p>Of the probed machines, {@code direct} answered this controller, {@code byPeers} answered only a peer, and
+ * {@code bestPeer} answered the peer that reached most. Pure, any thread.
  */
 public final class CandidacyDelay {
     private CandidacyDelay() {}
 
-    /**
-     * {@code direct}, {@code byPeers}: those of the machines asked that answered this controller, and those that
-     * answered only another.
-     */
-    public static long waitMs(int asked, int direct, int byPeers) {
-        if (enough(asked, direct) || asked == 0) {
+    /** The delay before the candidacy, in milliseconds. */
+    public static long delayMs(int probed, int direct, int byPeers) {
+        if (probed == 0 || majorityAnswered(probed, direct)) {
             return 0;
         }
-        double reached = (direct + byPeers) / (double) asked;
-        double wait = ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS * (1 - reached)
-                + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * byPeers / (double) asked;
-        return Math.round(wait + ElectionConstants.CANDIDACY_DELAY_MAX_MS * Math.max(0, 0.5 - reached) * 2);
+        double reachedShare = (direct + byPeers) / (double) probed;
+        double minorityShare = Math.max(0, 0.5 - reachedShare) * 2;
+        double delayMs = ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS * (1 - reachedShare)
+                + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * byPeers / (double) probed
+                + ElectionConstants.CANDIDACY_DELAY_MAX_MS * minorityShare;
+        return Math.round(delayMs);
     }
 
-    /** Nearly all machines are reached, by one way or another. */
-    public static boolean nearlyAll(int asked, int direct, int byPeers) {
-        return direct + byPeers >= asked * ElectionConstants.BETTER_LEADER_SHARE;
+    /** Whether nearly all machines are reached, directly or by way of peers. */
+    public static boolean reachesNearlyAll(int probed, int direct, int byPeers) {
+        return direct + byPeers >= probed * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
     /**
-     * Whether a lead should go over: one other reaches, alone, more than this controller does, and hardly less than it
-     * does with the help of all.
+     * Whether a peer would lead better: alone it reaches more machines than this controller does, and hardly fewer than
+     * this controller does with the help of all peers.
      */
-    public static boolean better(int direct, int byPeers, int bestPeer) {
+    public static boolean peerLeadsBetter(int direct, int byPeers, int bestPeer) {
         return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
-    /** More than half have answered: the rest needn't be waited for, since some machines always hang. */
-    public static boolean enough(int asked, int direct) {
-        return direct * 2 > asked;
+    /** Whether more than half of the machines answered: the rest need not be waited for, since some always hang. */
+    public static boolean majorityAnswered(int probed, int direct) {
+        return direct * 2 > probed;
     }
 }
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -9,13 +9,14 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.hollypick.agent.AgentCodec;
+import org.hollypick.cluster.Leader;
 import org.hollypick.cluster.Membership;
 import org.hollypick.cluster.PartitionedLeaseRenewal;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.config.constants.RelayConstants;
+import org.hollypick.core.ClockBounds;
 import org.hollypick.core.assignment.Heartbeat;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
@@ -86,9 +87,9 @@
     /** The answer that this node can give by itself, as leader or since it keeps leases; null if there is none. */
     private ServerResponse here(byte[] report) {
         ServerResponse now = own.apply(report);
-        if (now == null && !membership.peerKnowsNewerLeader() && leaseRenewal.keeping()) {
+        if (now == null && !membership.peerKnowsNewerLeader() && leaseRenewal.isActive()) {
             Heartbeat read = AgentCodec.report(report);
-            now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.answer(read);
+            now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.respond(read);
         }
         return now;
     }
@@ -128,8 +129,8 @@
                 hold(h);
             }
         }
-        Membership.Leader leads = membership.currentLeader();
-        String currentLeader = leads == null ? null : settings.meshAddr(leads.node());
+        Leader leads = membership.currentLeader();
+        String currentLeader = leads == null ? null : settings.meshAddr(leads.controller());
         while (currentLeader != null
                 && now >= notBefore
                 && open < RelayConstants.RELAY_BATCHES_IN_FLIGHT
@@ -142,11 +143,11 @@
     }
 
     private long token() {
-        Membership.Leader currentLeader = membership.currentLeader();
+        Leader currentLeader = membership.currentLeader();
         return currentLeader == null ? 0 : currentLeader.token();
     }
 
-    private void send(String currentLeader, Membership.Leader leads, long now) {
+    private void send(String currentLeader, Leader leads, long now) {
         long token = leads.token();
         List<Held> bundle = new ArrayList<>();
         List<byte[]> reports = new ArrayList<>();
@@ -177,21 +178,21 @@
                 });
     }
 
-    private void answered(List<Held> bundle, Membership.Leader by, long sent, Response r) {
+    private void answered(List<Held> bundle, Leader by, long sent, Response r) {
         long token = by.token();
         List<ServerResponse> answers = r.ok() ? HeartbeatRelayCodec.answers(r.body()) : List.of();
         if (r.ok() && answers.size() == bundle.size()) {
             failures = 0;
             leaderComplaint.handedOn();
             // the leader counted it from later on
-            long until = sent + Membership.atLeast(HeartbeatRelayCodec.rightMs(r.body()));
+            long until = sent + ClockBounds.atLeast(HeartbeatRelayCodec.rightMs(r.body()));
             for (int i = 0; i < answers.size(); i++) {
                 bundle.get(i)
                         .answer
                         .accept(answers.get(i)
                                 .onlyWhile(() -> eventLoop.now() < until
                                         && token() == token
-                                        && !released.contains(by.member())));
+                                        && !released.contains(by.memberRevision())));
             }
         } else if (r.status() == 404) {
             LOG.info("the leader takes no bundles of reports token={}", token);
@@ -223,14 +224,13 @@
      * What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or
      * has given up its lead.
      */
-    public ServerResponse release(long member) {
-        released.add(member);
-        return ServerResponse.of(200, Codec.object().put("released", member != 0));
+    public void release(long memberRevision) {
+        released.add(memberRevision);
     }
 
     private ServerResponse toLeader() {
-        Membership.Leader currentLeader = membership.currentLeader();
-        String leader = currentLeader == null ? membership.leader() : currentLeader.node();
+        Leader currentLeader = membership.currentLeader();
+        String leader = currentLeader == null ? membership.namedLeader() : currentLeader.controller();
         return leader == null || leader.equals(settings.node())
                 ? ServerResponse.retryLater("not entitled to act")
                 : HeartbeatRelayCodec.elsewhere(leader);
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -66,11 +66,11 @@
                         || now - heard.getLong(heard.firstKey()) > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
             heard.removeFirstLong();
         }
-        Long stateSession = membership.stateSession();
+        Long stateSession = membership.validSessionId();
         if (now - since < ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
                 || now - saidAt < ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS
                 || stateSession == null
-                || !membership.leaderRegistered()
+                || !membership.isLeaderRegistered()
                 || heard.isEmpty()) {
             return;
         }
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -45,7 +45,7 @@
             8,
             4,
             1000);
-    private static final long WINDOW_MS = WorkerLeases.windowMs(SETTINGS);
+    private static final long WINDOW_MS = WorkerLeases.renewalGrantMs(SETTINGS);
 
     /** What a custodian may do wrong. */
     private enum Fault {
@@ -118,13 +118,13 @@
                 double sent = clock();
                 long telling = kept;
                 int asking = life;
-                long seen = echo == WorkerLeases.NO_ECHO && fault == Fault.BEGINS_AGAIN_UNNOTICED ? -1 : echo;
+                long seen = echo == WorkerLeases.NO_GRANT_NUMBER && fault == Fault.BEGINS_AGAIN_UNNOTICED ? -1 : echo;
                 boolean tells = telling > told && fault != Fault.HIDES;
                 if (linked && random.nextInt(10) > 0) {
                     after(delay(), () -> {
-                        leases.asked(name, seen, tells, leaderTime());
-                        boolean granted = leases.allAsked() && random.nextInt(8) > 0;
-                        long number = leases.answer(name, granted, leaderTime());
+                        leases.grantRequested(name, seen, tells, leaderTime());
+                        boolean granted = leases.allPeersRequestedGrants() && random.nextInt(8) > 0;
+                        long number = leases.responseSent(name, granted, leaderTime());
                         if (linked && random.nextInt(10) > 0) {
                             after(delay(), () -> {
                                 if (asking == life) {
@@ -157,7 +157,7 @@
                 life++;
                 until = Double.NEGATIVE_INFINITY;
                 contactAt = clock();
-                echo = WorkerLeases.NO_ECHO;
+                echo = WorkerLeases.NO_GRANT_NUMBER;
                 kept = 0;
                 told = 0;
             }
@@ -246,7 +246,7 @@
             if (now * workerRate - sentAt > LEASE_MS) {
                 ended = true;
             }
-            if (overAt < 0 && leases.over(answeredAt, leaderTime())) {
+            if (overAt < 0 && leases.isExpired(answeredAt, leaderTime())) {
                 overAt = now;
                 if (!ended) {
                     wrong = "called over " + (LEASE_MS - (now * workerRate - sentAt)) + " ms early";
@@ -289,20 +289,20 @@
     @Test
     void withoutAnyWordItIsOverByAndBy() {
         WorkerLeases leases = new WorkerLeases(SETTINGS, KEEPERS, 0, false);
-        assertFalse(leases.over(0, LEASE_MS + 1_000), "an older leader's grant may still hold");
-        assertTrue(leases.over(0, WINDOW_MS + LEASE_MS + 2_000));
+        assertFalse(leases.isExpired(0, LEASE_MS + 1_000), "an older leader's grant may still hold");
+        assertTrue(leases.isExpired(0, WINDOW_MS + LEASE_MS + 2_000));
         WorkerLeases first = new WorkerLeases(SETTINGS, KEEPERS, 0, true);
-        assertTrue(first.over(0, LEASE_MS + 1_000), "nobody granted anything");
+        assertTrue(first.isExpired(0, LEASE_MS + 1_000), "nobody granted anything");
         for (String k : KEEPERS) {
-            first.asked(k, 0, false, 100);
-            first.answer(k, true, 100);
+            first.grantRequested(k, 0, false, 100);
+            first.responseSent(k, true, 100);
         }
-        assertFalse(first.over(0, LEASE_MS + 1_000), "they may keep from now on");
+        assertFalse(first.isExpired(0, LEASE_MS + 1_000), "they may keep from now on");
         for (long t = 1_100; t < 40_000; t += 1_000) {
             for (String k : KEEPERS) {
-                first.asked(k, first.answer(k, true, t) - 2, false, t);
+                first.grantRequested(k, first.responseSent(k, true, t) - 2, false, t);
             }
         }
-        assertTrue(first.over(0, 40_000), "both told all along that they kept nothing");
+        assertTrue(first.isExpired(0, 40_000), "both told all along that they kept nothing");
     }
 }
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -111,15 +111,17 @@
             @ForAll @IntRange(max = 40) int byPeers) {
         int d = Math.min(direct, asked);
         int p = Math.min(byPeers, asked - d);
-        long wait = CandidacyDelay.waitMs(asked, d, p);
+        long wait = CandidacyDelay.delayMs(asked, d, p);
         assertTrue(wait >= 0
                 && wait <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
-        assertTrue(d == asked || CandidacyDelay.waitMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
-        assertTrue(d + p == asked || CandidacyDelay.waitMs(asked, d, p + 1) <= wait || CandidacyDelay.enough(asked, d));
-        assertTrue(CandidacyDelay.waitMs(asked, d, 0) >= CandidacyDelay.waitMs(asked, d, asked - d)
-                || CandidacyDelay.enough(asked, d));
+        assertTrue(d == asked || CandidacyDelay.delayMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
+        assertTrue(d + p == asked
+                || CandidacyDelay.delayMs(asked, d, p + 1) <= wait
+                || CandidacyDelay.majorityAnswered(asked, d));
+        assertTrue(CandidacyDelay.delayMs(asked, d, 0) >= CandidacyDelay.delayMs(asked, d, asked - d)
+                || CandidacyDelay.majorityAnswered(asked, d));
         assertTrue(asked % 2 != 0
-                || CandidacyDelay.waitMs(asked, asked / 2, 0)
-                        > CandidacyDelay.waitMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
+                || CandidacyDelay.delayMs(asked, asked / 2, 0)
+                        > CandidacyDelay.delayMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
     }
 }
--- a/src/test/java/org/hollypick/sim/ControllerProcess.java
+++ b/src/test/java/org/hollypick/sim/ControllerProcess.java
@@ -31,7 +31,7 @@
 
             @Override
             public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-                node.handleMesh(method, path, body, a -> reply.accept(() -> reply(a.atSending())));
+                node.handlePeerRequest(method, path, body, a -> reply.accept(() -> reply(a.atSending())));
             }
         };
     }
