--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -1,7 +1,9 @@
 package org.hollypick.control.jobs;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Comparator;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import org.hollypick.cluster.StoreKeys;
 import org.hollypick.cluster.StoreReplica;
@@ -13,13 +15,21 @@
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
-/** Tyrex's partial sizes: one value a controller, written now and then, taken over by the next leader. */
+/**
+ * The durable copy of the live jobs' attained service, by which Tyrex ranks them: one record for each controller that
+ * led, written at an interval and read by the next leader. Confined to the event loop.
+ */
 public final class AttainedServiceStore {
+    /** The field with the attained service by job. */
+    private static final String SERVICE_BY_JOB = "sizes";
+    /** Quotes, colon and comma around an entry. */
+    private static final int ENTRY_OVERHEAD_BYTES = 4;
+
     private final StoreReplica replica;
     private final Settings settings;
     private final KeyValueStoreClient store;
     private final Scheduler scheduler;
-    private String last = "";
+    private String lastWrittenRecord = "";
 
     /** Reads from {@code replica} and writes under the scheduler's fencing token. */
     public AttainedServiceStore(
@@ -32,18 +42,18 @@
 
     /** Restores the attained service that earlier leaders recorded for the live jobs. */
     public void load() {
-        Map<String, Double> sizes = new HashMap<>();
-        replica.entries().forEach((key, e) -> {
+        Map<String, Double> recordedByJob = new HashMap<>();
+        replica.entries().forEach((key, entry) -> {
             if (key.startsWith(StoreKeys.SIZES)) {
-                e.data()
-                        .path("sizes")
+                entry.data()
+                        .path(SERVICE_BY_JOB)
                         .fields()
-                        .forEachRemaining(
-                                f -> sizes.put(f.getKey(), f.getValue().asDouble()));
+                        .forEachRemaining(field -> recordedByJob.put(
+                                field.getKey(), field.getValue().asDouble()));
             }
         });
         for (Job job : scheduler.jobs()) {
-            Double recorded = sizes.get(job.spec.id());
+            Double recorded = recordedByJob.get(job.spec.id());
             if (recorded != null) {
                 scheduler.restoreAttainedService(job, recorded);
             }
@@ -52,31 +62,41 @@
 
     /** Writes the attained service of the live jobs, if it changed since the last successful write. */
     public void write() {
+        ObjectNode record = encode(scheduler.attainedService());
+        String text = record.toString();
+        if (text.equals(lastWrittenRecord)) {
+            return;
+        }
+        CompareAndSwap transaction = new CompareAndSwap()
+                .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
+                .put(StoreKeys.sizes(settings.node()), record);
+        store.commit(transaction, response -> {
+            if (response.ok()) {
+                lastWrittenRecord = text;
+            }
+        });
+    }
+
+    /**
+     * The largest values that a record has room for, rounded to a tenth. A job that is left out starts at zero under
+     * the next leader.
+     */
+    private ObjectNode encode(Map<String, Double> serviceByJob) {
         ObjectNode record = Codec.object();
-        ObjectNode sizes = record.putObject("sizes");
-        // The value limit bounds it, the largest first; a size that is left out restarts at zero after a takeover.
-        int left = Records.room(settings) - Records.bytes(record);
-        for (Map.Entry<String, Double> e : scheduler.attainedService().entrySet().stream()
-                .sorted((x, y) -> Double.compare(Math.abs(y.getValue()), Math.abs(x.getValue())))
-                .toList()) {
-            double size = Math.round(e.getValue() * 10) / 10.0;
-            left -= e.getKey().length() + Double.toString(size).length() + 4; // quotes, colon and comma
-            if (left < 0) {
+        ObjectNode encoded = record.putObject(SERVICE_BY_JOB);
+        int remainingBytes = Records.room(settings) - Records.bytes(record);
+        List<Map.Entry<String, Double>> largestFirst = serviceByJob.entrySet().stream()
+                .sorted(Comparator.comparingDouble((Map.Entry<String, Double> entry) -> Math.abs(entry.getValue()))
+                        .reversed())
+                .toList();
+        for (Map.Entry<String, Double> entry : largestFirst) {
+            double rounded = Math.round(entry.getValue() * 10) / 10.0;
+            remainingBytes -= entry.getKey().length() + Double.toString(rounded).length() + ENTRY_OVERHEAD_BYTES;
+            if (remainingBytes < 0) {
                 break;
             }
-            sizes.put(e.getKey(), size);
-        }
-        String text = record.toString();
-        if (!text.equals(last)) {
-            store.commit(
-                    new CompareAndSwap()
-                            .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
-                            .put(StoreKeys.sizes(settings.node()), record),
-                    r -> {
-                        if (r.ok()) {
-                            last = text;
-                        }
-                    });
+            encoded.put(entry.getKey(), rounded);
         }
+        return record;
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
@@ -0,0 +1,53 @@
+package org.hollypick.control.jobs;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.hollypick.config.Settings;
+import org.hollypick.config.constants.NetworkConstants;
+
+/** The records that one transaction rewrites, and the completions that become durable with it. */
+final class CompletionBatch {
+    private static final int MAX_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
+
+    /** The completed tasks of a part, as of when they were added to the batch. */
+    record Completions(CompletionPart part, BitSet completed) {}
+
+    private final Set<CompletionRecord> records = new LinkedHashSet<>();
+    private final List<Completions> completions = new ArrayList<>();
+    private final Settings settings;
+
+    CompletionBatch(Settings settings) {
+        this.settings = settings;
+    }
+
+    /**
+     * Adds the part's completions, which belong into {@code record}; returns false if that has no room or has to wait.
+     */
+    boolean add(CompletionPart part, CompletionRecord record) {
+        boolean accepted = records.contains(record) || (!record.isRevisionUncertain() && hasRoomForRecord());
+        if (accepted) {
+            records.add(record);
+            completions.add(new Completions(part, part.slice(part.job().completedTasks)));
+        }
+        return accepted;
+    }
+
+    private boolean hasRoomForRecord() {
+        return records.size() < settings.txnOps() && (records.size() + 1) * settings.valueBytes() <= MAX_BYTES;
+    }
+
+    boolean isEmpty() {
+        return records.isEmpty();
+    }
+
+    Set<CompletionRecord> records() {
+        return records;
+    }
+
+    List<Completions> completions() {
+        return completions;
+    }
+}
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -26,24 +26,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What was learned of run times, kept for the next leader: kinds by hash in a few records, one written now and then
- * after everything else. Each write is conditional on the leader record and on the record that it replaces, so one that
- * is applied late takes nothing back.
+ * The durable copy of the run time statistics, for the next leader. The kinds of tasks are spread by hash over a few
+ * records, one of which is written at an interval, after everything that users wait for. Each write is conditional on
+ * the leader record and on the revision that it replaces, so one that is applied late undoes nothing. Confined to the
+ * event loop.
  */
 public final class RuntimeStatisticsStore {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatisticsStore.class);
 
+    /** The number of the record's format. */
+    private static final String FORMAT = "v";
+    /** The list of the record's kinds, the one with the latest run last. */
+    private static final String KINDS = "kinds";
+    /** In a kind: its name. */
+    private static final String KIND_NAME = "k";
+    /** In a kind: how many runs were seen of it in all. */
+    private static final String RUNS_SEEN = "n";
+    /** In a kind: its latest runs, {@link #NUMBERS_PER_RUN} numbers each. */
+    private static final String RUNS = "r";
+
+    private static final int NUMBERS_PER_RUN = 3;
+    /** Bytes of a record beside its kinds, at most. */
+    private static final int RECORD_OVERHEAD_BYTES = 32;
+
     private final EventLoop eventLoop;
     private final StoreReplica replica;
     private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
     private final Estimates estimates;
-    /** By record: its kinds, the one that learned last at the end, and whether one learned since the last write. */
-    private final List<LinkedHashMap<String, Boolean>> slots = new ArrayList<>();
+    /** For each record its kinds, the one with the latest run last, and whether it has runs that aren't written yet. */
+    private final List<LinkedHashMap<String, Boolean>> kindsByRecord = new ArrayList<>();
 
-    private long nextWrite;
-    private int nextSlot;
+    private long nextWriteAt;
+    private int nextRecord;
 
     /** Reads from {@code replica} and writes under the scheduler's fencing token. */
     public RuntimeStatisticsStore(
@@ -59,117 +75,133 @@
         this.token = scheduler.token();
         this.estimates = scheduler.estimates();
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
-            slots.add(new LinkedHashMap<>());
+            kindsByRecord.add(new LinkedHashMap<>());
         }
-        this.nextWrite = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
+        scheduleNextWrite();
     }
 
-    private static int slot(String kind) {
+    private void scheduleNextWrite() {
+        nextWriteAt = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
+    }
+
+    /** The number of the record that a kind belongs to. */
+    private static int recordOf(String kind) {
         return Hashing.consistentHash(
                 Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8),
                 EstimateConstants.STATISTICS_RECORDS);
     }
 
-    /** What earlier leaders learned. */
+    private static boolean hasNewerFormat(StoreReplica.Entry entry) {
+        return entry.data().path(FORMAT).asInt() > EstimateConstants.STATISTICS_FORMAT;
+    }
+
+    /** Restores the statistics that earlier leaders recorded. A record that can't be read is ignored. */
     public void load() {
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             StoreReplica.Entry entry = replica.get(StoreKeys.learned(i));
-            if (entry == null || entry.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT) {
-                continue;
-            }
-            try {
-                for (JsonNode k : entry.data().path("kinds")) {
-                    estimates.restore(read(k));
-                    slots.get(i).put(k.path("k").asText(), false);
-                }
-            } catch (RuntimeException x) { // learning goes on without it
-                LOG.error("what was learned can't be read key={} reason={}", StoreKeys.learned(i), x.toString());
+            if (entry != null && !hasNewerFormat(entry)) {
+                load(i, entry.data());
             }
         }
     }
 
-    private static Estimates.Kept read(JsonNode k) {
-        JsonNode runs = k.path("r");
-        if (!k.path("k").isTextual() || runs.size() % 3 != 0) {
-            throw new IllegalArgumentException("kind or runs");
-        }
-        short[][] read = new short[runs.size() / 3][];
-        for (int i = 0; i < read.length; i++) {
-            read[i] = new short[] {
-                (short) runs.path(3 * i).asInt(),
-                (short) runs.path(3 * i + 1).asInt(),
-                (short) runs.path(3 * i + 2).asInt()
-            };
+    private void load(int number, JsonNode record) {
+        try {
+            for (JsonNode encoded : record.path(KINDS)) {
+                Estimates.Kept kind = decode(encoded);
+                estimates.restore(kind);
+                kindsByRecord.get(number).put(kind.kind(), false);
+            }
+        } catch (RuntimeException e) { // the statistics are collected anew
+            LOG.error("runtime_statistics.record_rejected key={} reason={}", StoreKeys.learned(number), e.toString());
         }
-        return new Estimates.Kept(k.path("k").asText(), k.path("n").asLong(), read);
     }
 
-    /**
-     * Writes the next record with new statistics, if the write interval has passed and the store has capacity to spare.
-     */
+    /** Writes the next record with new statistics, once the write interval passed and the store has spare capacity. */
     public void flush() {
         for (String kind : estimates.takeDirty()) {
-            LinkedHashMap<String, Boolean> kinds = slots.get(slot(kind));
+            LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(recordOf(kind));
             kinds.remove(kind);
             kinds.put(kind, true);
         }
-        if (eventLoop.now() < nextWrite || !store.hasSpareWriteCapacity()) {
+        if (eventLoop.now() < nextWriteAt || !store.hasSpareWriteCapacity()) {
             return;
         }
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
-            int at = (nextSlot + i) % EstimateConstants.STATISTICS_RECORDS;
-            String key = StoreKeys.learned(at);
-            StoreReplica.Entry entry = replica.get(key);
-            boolean newer = entry != null && entry.data().path("v").asInt() > EstimateConstants.STATISTICS_FORMAT;
-            if (!newer && slots.get(at).containsValue(true)) {
-                nextSlot = at + 1;
-                nextWrite = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
-                write(at, key, entry == null ? 0 : entry.revision());
+            int number = (nextRecord + i) % EstimateConstants.STATISTICS_RECORDS;
+            StoreReplica.Entry entry = replica.get(StoreKeys.learned(number));
+            boolean writable = entry == null || !hasNewerFormat(entry);
+            if (writable && kindsByRecord.get(number).containsValue(true)) {
+                nextRecord = number + 1;
+                scheduleNextWrite();
+                write(number, entry == null ? 0 : entry.revision());
                 return;
             }
         }
     }
 
-    private void write(int at, String key, long stamp) {
-        LinkedHashMap<String, Boolean> kinds = slots.get(at);
-        ObjectNode record = Codec.object().put("v", EstimateConstants.STATISTICS_FORMAT);
-        ArrayDeque<ObjectNode> list = new ArrayDeque<>();
-        int left = Records.room(settings) - 32;
-        List<String> newestFirst = new ArrayList<>(kinds.keySet());
-        Collections.reverse(newestFirst);
-        for (String kind : newestFirst) {
+    private void write(int number, long revision) {
+        LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(number);
+        ObjectNode record = encode(kinds);
+        Map<String, Boolean> unwrittenBefore = new LinkedHashMap<>(kinds);
+        kinds.replaceAll((kind, unwritten) -> false);
+        String key = StoreKeys.learned(number);
+        CompareAndSwap transaction = new CompareAndSwap()
+                .expectRevision(StoreKeys.LEADER_RECORD, token)
+                .expectRevision(key, revision)
+                .put(key, record);
+        store.commit(transaction, response -> {
+            if (!response.ok()) {
+                unwrittenBefore.forEach((kind, unwritten) -> kinds.merge(kind, unwritten, Boolean::logicalOr));
+            }
+        });
+    }
+
+    /** The record's value; kinds that it has no room for are removed, those without a run for longest first. */
+    private ObjectNode encode(LinkedHashMap<String, Boolean> kinds) {
+        ArrayDeque<ObjectNode> latestLast = new ArrayDeque<>();
+        int remainingBytes = Records.room(settings) - RECORD_OVERHEAD_BYTES;
+        List<String> latestFirst = new ArrayList<>(kinds.keySet());
+        Collections.reverse(latestFirst);
+        for (String kind : latestFirst) {
             Estimates.Kept kept = estimates.keep(kind, EstimateConstants.STATISTICS_RUNS);
-            ObjectNode k = kept == null ? null : write(kept);
-            int bytes = k == null ? 0 : Records.bytes(k) + 1;
-            if (k == null || bytes > left) {
-                kinds.remove(kind); // the one that learned longest ago gives way
-                continue;
+            ObjectNode encoded = kept == null ? null : encode(kept);
+            int bytes = encoded == null ? 0 : Records.bytes(encoded) + 1;
+            if (encoded == null || bytes > remainingBytes) {
+                kinds.remove(kind);
+            } else {
+                remainingBytes -= bytes;
+                latestLast.addFirst(encoded);
             }
-            left -= bytes;
-            list.addFirst(k);
         }
-        ArrayNode out = record.putArray("kinds");
-        list.forEach(out::add);
-        Map<String, Boolean> written = new LinkedHashMap<>(kinds);
-        kinds.replaceAll((k, dirty) -> false);
-        store.commit(
-                new CompareAndSwap()
-                        .expectRevision(StoreKeys.LEADER_RECORD, token)
-                        .expectRevision(key, stamp)
-                        .put(key, record),
-                r -> {
-                    if (!r.ok()) {
-                        written.forEach((k, dirty) -> kinds.merge(k, dirty, Boolean::logicalOr));
-                    }
-                });
+        ObjectNode record = Codec.object().put(FORMAT, EstimateConstants.STATISTICS_FORMAT);
+        ArrayNode list = record.putArray(KINDS);
+        latestLast.forEach(list::add);
+        return record;
     }
 
-    private static ObjectNode write(Estimates.Kept kept) {
-        ObjectNode k = Codec.object().put("k", kept.kind()).put("n", kept.seen());
-        ArrayNode runs = k.putArray("r");
-        for (short[] run : kept.runs()) {
-            runs.add(run[0]).add(run[1]).add(run[2]);
+    private static ObjectNode encode(Estimates.Kept kind) {
+        ObjectNode encoded = Codec.object().put(KIND_NAME, kind.kind()).put(RUNS_SEEN, kind.seen());
+        ArrayNode runs = encoded.putArray(RUNS);
+        for (short[] run : kind.runs()) {
+            for (int i = 0; i < NUMBERS_PER_RUN; i++) {
+                runs.add(run[i]);
+            }
+        }
+        return encoded;
+    }
+
+    private static Estimates.Kept decode(JsonNode encoded) {
+        JsonNode numbers = encoded.path(RUNS);
+        if (!encoded.path(KIND_NAME).isTextual() || numbers.size() % NUMBERS_PER_RUN != 0) {
+            throw new IllegalArgumentException("kind or runs");
+        }
+        short[][] runs = new short[numbers.size() / NUMBERS_PER_RUN][NUMBERS_PER_RUN];
+        for (int i = 0; i < numbers.size(); i++) {
+            runs[i / NUMBERS_PER_RUN][i % NUMBERS_PER_RUN] =
+                    (short) numbers.path(i).asInt();
         }
-        return k;
+        return new Estimates.Kept(
+                encoded.path(KIND_NAME).asText(), encoded.path(RUNS_SEEN).asLong(), runs);
     }
 }
