--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -2,9 +2,7 @@
 
 import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
-import java.util.function.Supplier;
 import org.hollypick.agent.AgentClient;
 import org.hollypick.api.Admission;
 import org.hollypick.api.GraphApi;
@@ -19,11 +17,9 @@
 import org.hollypick.config.OperatorSettings;
 import org.hollypick.config.Settings;
 import org.hollypick.control.ControllerContext;
-import org.hollypick.control.LeaderTerm;
 import org.hollypick.control.graphs.GraphFactory;
 import org.hollypick.control.jobs.JobStore;
 import org.hollypick.core.JobDependencies;
-import org.hollypick.core.MachineType;
 import org.hollypick.core.graph.Graph;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.ServerResponse;
@@ -88,18 +84,18 @@
                 membership,
                 graphFactory));
         this.jobs = new JobStore(eventLoop, settings, store, replica, membership, dependencies);
-        Supplier<LeaderTerm> currentTerm = terms::currentTerm;
-        Supplier<Map<String, MachineType>> machineTypes = terms::machineTypes;
+        Admission admission = new Admission(settings, terms::machineTypes);
+        LocalJobState localJobs = new LocalJobState(replica, dependencies, terms::currentTerm);
         UserApi users = new UserApi(
                 eventLoop,
                 replica,
                 jobs,
                 dependencies,
-                new Admission(settings, machineTypes),
-                new LocalJobState(replica, dependencies, currentTerm),
+                admission,
+                localJobs,
                 new LeaderClient(eventLoop, settings, membership));
         GraphApi graphs = operator.graphs()
-                ? new GraphApi(eventLoop, settings, replica, membership, users, currentTerm, machineTypes)
+                ? new GraphApi(eventLoop, settings, replica, membership, users, localJobs, admission)
                 : null;
         this.leaseRenewal = new PartitionedLeaseRenewal(eventLoop, settings, replica, membership, terms);
         HeartbeatRelay heartbeatRelay = new HeartbeatRelay(
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -22,7 +22,6 @@
 
 /** Connects the requests at the peer address, of other controllers, to the parts that serve them. */
 final class PeerEndpoints {
-    private static final String GRAPH_PATH = "/graph";
 
     private final EventLoop eventLoop;
     private final Membership membership;
@@ -104,7 +103,7 @@
 
     /** Serves the requests about graphs that came to a peer and need the leader. */
     void serveGraphs(GraphApi graphs) {
-        dispatcher.on(GRAPH_PATH, graphs::passed);
+        dispatcher.on(GraphApi.PEER_PATH, graphs::handleForwarded);
     }
 
     /** Answers a request of another controller. */
--- /dev/null
+++ b/src/main/java/org/hollypick/api/GraphResponseCodec.java
@@ -0,0 +1,157 @@
+package org.hollypick.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Optional;
+import org.hollypick.config.constants.GraphConstants;
+import org.hollypick.control.graphs.GraphResponse;
+import org.hollypick.control.graphs.LiveGraph;
+import org.hollypick.core.graph.Graph;
+import org.hollypick.core.graph.GraphRejection;
+import org.hollypick.core.graph.NodeState;
+import org.hollypick.io.Codec;
+import org.hollypick.io.ServerResponse;
+import org.hollypick.records.GraphRecordCodec;
+
+/** Writes the responses to users' requests about graphs. */
+final class GraphResponseCodec {
+    /** A result that is small enough to be kept. */
+    static final String RESULT_VALUE = "value";
+    /** Where a result is stored that isn't kept. */
+    static final String RESULT_REFERENCE = "ref";
+
+    private static final String GRAPH_ID = "graph";
+    /** The task of each submitted node, by node id. */
+    private static final String TASKS = "tasks";
+
+    private static final String NODE = "node";
+    private static final String STATE = "state";
+    private static final String SEALED = "sealed";
+    private static final String NODE_COUNT = "nodes_count";
+    /** How many nodes are in each state. */
+    private static final String COUNTS = "counts";
+    /** One page of nodes. */
+    private static final String NODES = "nodes";
+    /** Index of the first node on the next page, if there is one. */
+    private static final String NEXT_PAGE = "from";
+
+    private static final String NODE_ID = "id";
+    private static final String TASK_ID = "task";
+    /** Why a node failed or was cancelled. */
+    private static final String REASON = "why";
+    /** The attempt that may be running. */
+    private static final String ATTEMPT = "try";
+
+    private static final int MAX_REASON_LENGTH = 160;
+
+    private GraphResponseCodec() {}
+
+    // ---- changes ----
+
+    /** The response to a request that changes a graph. */
+    static ServerResponse write(GraphResponse response) {
+        if (response instanceof GraphResponse.Accepted accepted) {
+            return write(accepted);
+        }
+        if (response instanceof GraphResponse.NodeCancelled cancelled) {
+            return ServerResponse.of(
+                    200, Codec.object().put(NODE, cancelled.nodeId()).put(STATE, stateName(cancelled.state())));
+        }
+        return write(((GraphResponse.Rejected) response).rejection());
+    }
+
+    private static ServerResponse write(GraphResponse.Accepted accepted) {
+        ObjectNode body = Codec.object().put(GRAPH_ID, accepted.graphId());
+        ObjectNode tasks = body.putObject(TASKS);
+        accepted.taskIds().forEach(tasks::put);
+        int status = switch (accepted.acceptance()) {
+            case CREATED -> 201;
+            case CREATED_PARTIALLY -> 202;
+            case ALREADY_KNOWN -> 200;
+        };
+        return ServerResponse.of(status, body);
+    }
+
+    private static ServerResponse write(GraphRejection rejection) {
+        return switch (rejection.reason()) {
+            case INVALID -> ServerResponse.error(422, rejection.message());
+            case CONFLICT -> ServerResponse.error(409, rejection.message());
+            case NOT_FOUND -> ServerResponse.error(404, rejection.message());
+            case RETRY_LATER -> ServerResponse.retryLater(rejection.message());
+        };
+    }
+
+    /** The name of a node's state in the users' protocol. */
+    static String stateName(NodeState state) {
+        return switch (state) {
+            case WAITING -> "waiting";
+            case READY -> "ready";
+            case DELEGATED -> "handed";
+            case DONE -> "done";
+            case FAILED -> "failed";
+            case CANCELLED -> "cancelled";
+        };
+    }
+
+    // ---- descriptions ----
+
+    /**
+     * A graph whose nodes are known, with a page of them.
+     *
+     * @param status of the graph's job
+     * @param firstNode index of the first node on the page
+     * @param endRecord what the graph's end left, if it has ended
+     */
+    static ObjectNode describe(LiveGraph live, String status, int firstNode, Optional<JsonNode> endRecord) {
+        Graph graph = live.graph();
+        ObjectNode body = Codec.object()
+                .put(GRAPH_ID, live.id())
+                .put(SEALED, graph.isSealed())
+                .put(NODE_COUNT, graph.count());
+        ObjectNode counts = body.putObject(COUNTS);
+        for (NodeState state : NodeState.values()) {
+            counts.put(stateName(state), graph.count(state));
+        }
+        ArrayNode nodes = body.putArray(NODES);
+        int end = Math.min(graph.durableNodes(), firstNode + GraphConstants.GRAPH_PAGE_NODES);
+        for (int node = firstNode; node < end; node++) {
+            nodes.add(describeNode(live, node));
+        }
+        if (end < graph.durableNodes()) {
+            body.put(NEXT_PAGE, end);
+        }
+        body.put(JobStatus.STATE, status);
+        endRecord.ifPresent(record -> addEndSummary(record, body));
+        return body;
+    }
+
+    private static ObjectNode describeNode(LiveGraph live, int node) {
+        Graph graph = live.graph();
+        ObjectNode body = Codec.object()
+                .put(NODE_ID, graph.id(node))
+                .put(TASK_ID, live.id() + "/" + node)
+                .put(STATE, stateName(graph.state(node)));
+        String reason = graph.terminationReason(node);
+        if (!reason.isEmpty()) {
+            body.put(REASON, reason.substring(0, Math.min(MAX_REASON_LENGTH, reason.length())));
+        }
+        live.job().map(job -> job.assignments.get(node)).ifPresent(assignment -> body.put(ATTEMPT, assignment.attempt));
+        return body;
+    }
+
+    /** A graph whose nodes aren't known here, as its job's status and, if it has ended, its record say. */
+    static ObjectNode describe(String graphId, JsonNode jobStatus, Optional<JsonNode> endRecord) {
+        ObjectNode body = jobStatus.deepCopy();
+        endRecord.ifPresent(record -> addEndSummary(record, body));
+        return body.put(GRAPH_ID, graphId);
+    }
+
+    private static void addEndSummary(JsonNode endRecord, ObjectNode body) {
+        for (String field : GraphRecordCodec.END_SUMMARY_FIELDS) {
+            if (!body.has(field)) {
+                body.set(field, endRecord.path(field));
+            }
+        }
+    }
+}
