--- a/src/main/java/org/hollypick/config/constants/ApiConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ApiConstants.java
@@ -2,10 +2,13 @@
 
 /** Status queries of users. Each number has its unit and the reason for its value. */
 public final class ApiConstants {
-    /** Milliseconds for which a node gathers users' polls before it asks the leader about all of them at once. */
+    /**
+     * Milliseconds for which a controller gathers users' status queries before it asks the leader about all of them at
+     * once.
+     */
     public static final long STATUS_BATCH_MS = 40;
 
-    /** Milliseconds for which a leader that left a question unanswered isn't asked: its record is read instead. */
+    /** Milliseconds for which a leader that left a status query unanswered isn't asked: the store is read instead. */
     public static final long SILENT_LEADER_MS = 3_000;
 
     private ApiConstants() {}
--- a/src/main/java/org/hollypick/config/constants/EstimateConstants.java
+++ b/src/main/java/org/hollypick/config/constants/EstimateConstants.java
@@ -2,10 +2,10 @@
 
 /** Run-time statistics behind completion estimates. Each number has its unit and the reason for its value. */
 public final class EstimateConstants {
-    /** Records of what was learned: with the smallest values some hundred kinds fit. */
+    /** Records of run-time statistics: with the smallest values some hundred classes fit. */
     public static final int STATISTICS_RECORDS = 8;
 
-    /** Runs of a kind that a record holds. */
+    /** Runs of a class of tasks that a record holds. */
     public static final int STATISTICS_RUNS = 32;
 
     /** Milliseconds between two such records: three changes a minute. */
--- a/src/main/java/org/hollypick/config/constants/LeaseConstants.java
+++ b/src/main/java/org/hollypick/config/constants/LeaseConstants.java
@@ -6,30 +6,30 @@
  */
 public final class LeaseConstants {
     /**
-     * Milliseconds between two questions of a controller to the leader whether it may keep leases: one small call a
-     * second.
+     * Milliseconds between a controller's requests to the leader for permission to renew worker leases in a partition:
+     * one small request a second.
      */
     public static final long RENEWAL_GRANT_INTERVAL_MS = 1_000;
 
     /**
-     * Milliseconds without an answer of the leader after which a controller counts as cut off from it: two questions
-     * and more.
+     * Milliseconds without a response of the leader after which a controller counts as partitioned from it: two
+     * requests and more.
      */
     public static final long LEADER_LOST_MS = 2_500;
 
     /**
-     * Milliseconds of a cancelled task's time that are left when a kept lease ends: to find and end what an order still
-     * under way started.
+     * Milliseconds of a cancelled task's time that are left when a lease renewed in a partition expires: to find and
+     * end what a command still in flight started.
      */
     public static final long RENEWAL_GRANT_MARGIN_MS = 3_000;
 
-    /** Milliseconds below which keeping isn't worth anything: workers report every few seconds. */
+    /** Milliseconds below which renewal in a partition isn't worthwhile: workers send a heartbeat every few seconds. */
     public static final long RENEWAL_GRANT_MIN_MS = 3_000;
 
-    /** Answers of a leader that it remembers the times of, by controller: more are never under way. */
+    /** Grants whose times the leader remembers, by controller: more are never in flight. */
     public static final int REMEMBERED_GRANTS = 8;
 
-    /** Milliseconds added to a worker's lease before it counts as over: its own clock's steps. */
+    /** Milliseconds added to a worker's lease before it counts as expired: steps of its own clock. */
     public static final long LEASE_MARGIN_MS = 500;
 
     private LeaseConstants() {}
--- a/src/main/java/org/hollypick/config/constants/NetworkConstants.java
+++ b/src/main/java/org/hollypick/config/constants/NetworkConstants.java
@@ -2,78 +2,77 @@
 
 /** Connections, timeouts and the limits of HTTP requests. Each number has its unit and the reason for its value. */
 public final class NetworkConstants {
-    /** Milliseconds until an address that is taken is tried again. */
+    /** Milliseconds until an address that is in use is tried again. */
     public static final long LISTEN_RETRY_MS = 500;
 
-    /** Times that it is tried: half a minute; then another program has it, and the end says so. */
+    /**
+     * Attempts to bind an address: half a minute; then another program holds it, and the process ends with that
+     * message.
+     */
     public static final int LISTEN_ATTEMPTS = 60;
 
-    /** Milliseconds for a call to the cloud. */
+    /** Milliseconds for a request to the cloud. */
     public static final long CLOUD_TIMEOUT_MS = 5_000;
 
-    /** Milliseconds for an order to a worker; after that its outcome is open. */
+    /** Milliseconds for a command to an agent; after that its outcome is unknown. */
     public static final long COMMAND_TIMEOUT_MS = 1_000;
 
-    /** Milliseconds for a question to another node; users wait 2 s for a poll. */
+    /** Milliseconds for a request to a peer; users wait 2 s for the response to a status query. */
     public static final long PEER_TIMEOUT_MS = 700;
 
     /**
-     * Milliseconds by which a call's end is put off once, so that what came in while this process was held up is read
-     * first.
+     * Milliseconds by which a request's timeout is put off once, so that what arrived while this process was paused is
+     * read first.
      */
     public static final long TIMEOUT_GRACE_MS = 30;
 
     /**
-     * Share of the sockets that are given out: connections made and not yet asked anything aren't counted, nor are
-     * listening sockets.
+     * Share of the sockets that is allotted: connections without a request yet and listening sockets aren't counted.
      */
     public static final double USABLE_SOCKET_SHARE = 0.95;
 
-    /**
-     * Share kept for the state service, the cloud, other controllers and health checks, and the least number: some
-     * connections to each.
-     */
+    /** Share reserved for the store, the cloud, peers and health checks. */
     public static final double CONTROL_SOCKET_SHARE = 0.03;
 
+    /** Sockets reserved for these at least: some connections to each. */
     public static final int MIN_CONTROL_SOCKETS = 40;
 
-    /** Share kept for calls to machines: all that may be under way at once, and some kept for later. */
+    /** Share reserved for direct calls to machines: all that may be in flight at once, and some idle ones. */
     public static final double COMMAND_SOCKET_SHARE = 0.12;
 
     /**
-     * Share kept for machines' reports; beyond their room connections are closed after the answer, which costs a
-     * connection a report.
+     * Share reserved for machines' heartbeats; beyond their reserve connections are closed after the response, which
+     * costs a connection for each heartbeat.
      */
     public static final double HEARTBEAT_SOCKET_SHARE = 0.40;
 
-    /** Share kept for users: polls and submissions come on connections of their own. */
+    /** Share reserved for users: status queries and submissions come on connections of their own. */
     public static final double USER_SOCKET_SHARE = 0.15;
 
-    /** Connections kept to one address at most; keeps sockets bounded. */
+    /** Connections to one address at most; bounds sockets. */
     public static final int CONNECTIONS_PER_ADDRESS = 6;
 
     /**
-     * Share of the sockets for connections that this node opened and keeps for later; workers and users need most of
-     * the rest.
+     * Share of the sockets for idle connections that this controller opened; workers and users need most of the rest.
      */
     public static final double IDLE_SOCKET_SHARE = 0.15;
 
-    /** Calls waiting for a connection to one address; beyond it the call fails at once. */
+    /** Requests that wait for a connection to one address at most; beyond it a request fails at once. */
     public static final int QUEUED_PER_ADDRESS = 200;
 
     /**
-     * Milliseconds after which a connection without a request is closed: three or four reports or polls; lost machines
-     * don't hang up.
+     * Milliseconds after which a connection without a request is closed: three or four heartbeats or status queries;
+     * lost machines don't close theirs.
      */
     public static final int IDLE_CONNECTION_MS = 20_000;
 
     /** Bytes of a request body, from the protocol. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** Seconds told in Retry-After: the shortest the protocol allows, since most refusals are brief. */
+    /** Seconds in the Retry-After header: the shortest the protocol allows, since most refusals are brief. */
     public static final int RETRY_AFTER_S = 1;
 
-    /** Seconds told at most to those refused in a crowd, each another number, so that they don't come back together. */
+    /** Different values of Retry-After while load is shed, so that the senders don't come back together. */
     public static final int RETRY_AFTER_SPREAD_S = 3;
 
     private NetworkConstants() {}
--- a/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
@@ -2,39 +2,37 @@
 
 /** How often the reconcile loops of a leader run. Each number has its unit and the reason for its value. */
 public final class ReconcileConstants {
-    /** Milliseconds between the leader's regular passes over machines and tasks. */
+    /** Milliseconds between the leader's regular reconciliations of machines and tasks. */
     public static final long RECONCILE_INTERVAL_MS = 250;
 
     /**
-     * Milliseconds by which the regular loop may come late before this node counts as held up: calls to machines take a
-     * second at most.
+     * Milliseconds by which the reconcile loop may be late before this process counts as paused: calls to machines take
+     * a second at most.
      */
     public static final long RECONCILE_LATE_MS = 400;
 
-    /** Milliseconds between placement passes after events: several events share one pass. */
+    /** Milliseconds between scheduling cycles after events: several events share one cycle. */
     public static final long SCHEDULING_CYCLE_GAP_MS = 20;
 
-    /**
-     * Milliseconds after which everything that waits is looked through again, for tasks that had to wait for a while.
-     */
+    /** Milliseconds after which all pending tasks are considered again, for tasks that had to wait for a while. */
     public static final long FULL_SCHEDULING_CYCLE_MS = 1_000;
 
-    /** Milliseconds between writes to the list of machines: those that come up close together share one. */
+    /** Milliseconds between writes to the machine registry: machines that come up close together share one. */
     public static final long REGISTRATION_GAP_MS = 200;
 
-    /** Milliseconds between looks at the cloud's machine list. */
+    /** Milliseconds between reads of the cloud's list of machines. */
     public static final long INSTANCE_LIST_INTERVAL_MS = 3_000;
 
     /** Milliseconds between refreshes of the machine types and their prices. */
     public static final long MACHINE_TYPE_REFRESH_MS = 60_000;
 
-    /** Milliseconds between fleet decisions. */
+    /** Milliseconds between autoscaling decisions. */
     public static final long AUTOSCALING_INTERVAL_MS = 1_000;
 
-    /** Milliseconds between writes of a controller's Tyrex sizes. */
+    /** Milliseconds between writes of the attained service that Tyrex needs. */
     public static final long ATTAINED_SERVICE_INTERVAL_MS = 10_000;
 
-    /** Milliseconds between log lines about the fleet as a whole. */
+    /** Milliseconds between log lines with metrics of the whole cluster. */
     public static final long METRICS_LOG_INTERVAL_MS = 10_000;
 
     private ReconcileConstants() {}
