--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -13,9 +13,23 @@
 import us.bpsm.edn.parser.Parser;
 import us.bpsm.edn.parser.Parsers;
 
-/** The operators' own, optional settings: one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. */
+/**
+ * The operators' own, optional settings: one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. Immutable.
+ *
+ * @param idleMs milliseconds for which an idle spot instance is kept
+ * @param warmCores cores kept free for services in each zone, at least
+ * @param firstShare share of the machines in Tyrex's first partition
+ * @param graphs whether task graphs are accepted
+ * @param graphKeepMs milliseconds for which the nodes and results of a terminal graph are kept
+ * @param estimates whether completion estimates are given
+ */
 public record OperatorSettings(
         long idleMs, double warmCores, double firstShare, boolean graphs, long graphKeepMs, boolean estimates) {
+    private static final double MAX_IDLE_S = 86_400;
+    private static final double MAX_WARM_CORES = 10_000;
+    private static final double MAX_GRAPH_RETENTION_S = 30 * 86_400;
+
+    /** The settings of a controller without a file of its operators. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(
                 AutoscalingConstants.IDLE_SPOT_MS,
@@ -26,6 +40,7 @@
                 false);
     }
 
+    /** Reads the file; fails with a {@link ConfigException} that names what is wrong. */
     public static OperatorSettings read(Path file) {
         try {
             return parse(Files.readString(file));
@@ -34,7 +49,17 @@
         }
     }
 
+    /** Reads the text of a file; fails with a {@link ConfigException} that names what is wrong. */
     public static OperatorSettings parse(String text) {
+        OperatorSettings settings = defaults();
+        for (Map.Entry<?, ?> entry : parseMap(text).entrySet()) {
+            String key = entry.getKey() instanceof Keyword keyword ? keyword.getName() : String.valueOf(entry.getKey());
+            settings = settings.with(key, entry.getValue());
+        }
+        return settings;
+    }
+
+    private static Map<?, ?> parseMap(String text) {
         Object value;
         try {
             Parseable source = Parsers.newParseable(text);
@@ -46,42 +71,50 @@
         } catch (EdnException e) {
             throw new ConfigException("operator settings: not EDN: " + e.getMessage());
         }
-        if (!(value instanceof Map<?, ?> map)) {
-            throw new ConfigException("operator settings: not a map");
-        }
-        OperatorSettings d = defaults();
-        long idle = d.idleMs;
-        double warm = d.warmCores;
-        double first = d.firstShare;
-        boolean graphs = d.graphs;
-        long keep = d.graphKeepMs;
-        boolean estimates = d.estimates;
-        for (Map.Entry<?, ?> e : map.entrySet()) {
-            String key = e.getKey() instanceof Keyword k ? k.getName() : String.valueOf(e.getKey());
-            switch (key) {
-                case "idle-s" -> idle = (long) (number(key, e.getValue(), 0, 86_400) * 1000);
-                case "warm-cores" -> warm = number(key, e.getValue(), 0, 10_000);
-                case "first-share" -> first = number(key, e.getValue(), 0, 1);
-                case "graphs" -> graphs = flag(key, e.getValue());
-                case "graph-keep-s" -> keep = (long) (number(key, e.getValue(), 0, 30 * 86_400) * 1000);
-                case "estimates" -> estimates = flag(key, e.getValue());
-                default -> throw new ConfigException("operator settings: unknown key :" + key);
-            }
+        if (value instanceof Map<?, ?> map) {
+            return map;
         }
-        return new OperatorSettings(idle, warm, first, graphs, keep, estimates);
+        throw new ConfigException("operator settings: not a map");
+    }
+
+    /** The same settings but for one. */
+    private OperatorSettings with(String key, Object value) {
+        return switch (key) {
+            case "idle-s" ->
+                new OperatorSettings(
+                        millis(key, value, MAX_IDLE_S), warmCores, firstShare, graphs, graphKeepMs, estimates);
+            case "warm-cores" ->
+                new OperatorSettings(
+                        idleMs, number(key, value, MAX_WARM_CORES), firstShare, graphs, graphKeepMs, estimates);
+            case "first-share" ->
+                new OperatorSettings(idleMs, warmCores, number(key, value, 1), graphs, graphKeepMs, estimates);
+            case "graphs" ->
+                new OperatorSettings(idleMs, warmCores, firstShare, flag(key, value), graphKeepMs, estimates);
+            case "graph-keep-s" ->
+                new OperatorSettings(
+                        idleMs, warmCores, firstShare, graphs, millis(key, value, MAX_GRAPH_RETENTION_S), estimates);
+            case "estimates" ->
+                new OperatorSettings(idleMs, warmCores, firstShare, graphs, graphKeepMs, flag(key, value));
+            default -> throw new ConfigException("operator settings: unknown key :" + key);
+        };
     }
 
     private static boolean flag(String key, Object value) {
-        if (value instanceof Boolean b) {
-            return b;
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         throw new ConfigException("operator settings: :" + key + " must be true or false");
     }
 
-    private static double number(String key, Object value, double low, double high) {
-        if (value instanceof Number n && n.doubleValue() >= low && n.doubleValue() <= high) {
-            return n.doubleValue();
+    private static long millis(String key, Object seconds, double maxSeconds) {
+        return (long) (number(key, seconds, maxSeconds) * 1000);
+    }
+
+    /** The value, if it is a number from 0 to {@code max}. */
+    private static double number(String key, Object value, double max) {
+        if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() <= max) {
+            return number.doubleValue();
         }
-        throw new ConfigException("operator settings: :" + key + " must be a number from " + low + " to " + high);
+        throw new ConfigException("operator settings: :" + key + " must be a number from 0.0 to " + max);
     }
 }
