--- a/src/main/java/org/hollypick/cluster/StoreKeys.java
+++ b/src/main/java/org/hollypick/cluster/StoreKeys.java
@@ -12,22 +12,22 @@
     public static final String LEADER_RECORD = "h/roster";
 
     /** The prefix of the job records. */
-    public static final String JOB = "h/j/";
+    public static final String JOBS = "h/j/";
 
     /** The prefix of the checkpoints of completed tasks. */
-    public static final String PROGRESS = "h/p/";
+    public static final String CHECKPOINTS = "h/p/";
 
     /** The prefix of the machine registry. */
     public static final String MACHINES = "h/m/";
 
     /** The prefix of the records of the service that running tasks have attained. */
-    public static final String SIZES = "h/s/";
+    public static final String ATTAINED_SERVICE = "h/s/";
 
     /** The prefix of the records by which controllers tell a leader that they cannot reach it. */
-    public static final String LEADER_COMPLAINT = "h/l/";
+    public static final String LEADER_COMPLAINTS = "h/l/";
 
     /** The prefix of the runtime statistics. */
-    public static final String LEARNED = "h/e/";
+    public static final String RUNTIME_STATISTICS = "h/e/";
 
     /** The prefix of the logs of graphs. Sorts behind the jobs, as their dependencies do. */
     public static final String GRAPH_LOG = "h/x/";
@@ -39,7 +39,7 @@
      * The prefix of the dependencies of jobs. Sorts behind the jobs: a read by pages that shows a job shows all records
      * that the job names here.
      */
-    private static final String AWAITED = "h/w/";
+    private static final String DEPENDENCIES = "h/w/";
 
     private StoreKeys() {}
 
@@ -50,12 +50,12 @@
 
     /** The record of a job. */
     public static String job(String jobId) {
-        return JOB + jobId;
+        return JOBS + jobId;
     }
 
     /** A checkpoint of completed tasks. */
-    public static String progress(int slot) {
-        return PROGRESS + slot;
+    public static String checkpoint(int slot) {
+        return CHECKPOINTS + slot;
     }
 
     /** A record of the machine registry, used once. */
@@ -64,13 +64,13 @@
     }
 
     /** The dependencies of one job, as far as its own record has no room for them; used once. */
-    public static String awaited(String controller, long memberRevision, long count) {
-        return AWAITED + usedOnce(controller, memberRevision, count);
+    public static String dependencies(String controller, long memberRevision, long count) {
+        return DEPENDENCIES + usedOnce(controller, memberRevision, count);
     }
 
     /** A record of the runtime statistics. */
-    public static String learned(int slot) {
-        return LEARNED + slot;
+    public static String runtimeStatistics(int slot) {
+        return RUNTIME_STATISTICS + slot;
     }
 
     /** The prefix of the log of one graph. */
@@ -84,18 +84,18 @@
     }
 
     /** The count in the key of a log entry, by which the entries of one token are ordered. */
-    public static long graphLogNumber(String key) {
+    public static long graphLogCount(String key) {
         return Long.parseUnsignedLong(key.substring(key.lastIndexOf('/') + 1));
     }
 
     /** The record by which that controller tells the leader that it cannot reach it. */
     public static String leaderComplaint(String controller) {
-        return LEADER_COMPLAINT + controller;
+        return LEADER_COMPLAINTS + controller;
     }
 
     /** The record that a leader writes of the service that running tasks have attained. */
-    public static String sizes(String controller) {
-        return SIZES + controller;
+    public static String attainedService(String controller) {
+        return ATTAINED_SERVICE + controller;
     }
 
     private static String usedOnce(String owner, long revision, long count) {
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -85,14 +85,14 @@
     void recordsChanged(Collection<String> keys) {
         components.machineRegistry.changed(keys);
         for (String key : keys) {
-            if (key.startsWith(StoreKeys.LEADER_COMPLAINT)) {
+            if (key.startsWith(StoreKeys.LEADER_COMPLAINTS)) {
                 complaintChanged(replica.get(key));
             }
         }
         for (String key : keys) {
-            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
+            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOBS) ? replica.get(key) : null;
             if (entry != null) {
-                jobRecordChanged(key.substring(StoreKeys.JOB.length()), entry);
+                jobRecordChanged(key.substring(StoreKeys.JOBS.length()), entry);
             }
         }
         applyDependencyChanges();
--- a/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
@@ -27,7 +27,7 @@
             }
         });
         keys.sort(Comparator.<String, Long>comparing(replica::revision, Long::compareUnsigned)
-                .thenComparingLong(StoreKeys::graphLogNumber));
+                .thenComparingLong(StoreKeys::graphLogCount));
         return keys;
     }
 
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -44,7 +44,7 @@
     public void load() {
         Map<String, Double> recordedByJob = new HashMap<>();
         replica.entries().forEach((key, entry) -> {
-            if (key.startsWith(StoreKeys.SIZES)) {
+            if (key.startsWith(StoreKeys.ATTAINED_SERVICE)) {
                 entry.data()
                         .path(SERVICE_BY_JOB)
                         .fields()
@@ -69,7 +69,7 @@
         }
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
-                .put(StoreKeys.sizes(settings.node()), record);
+                .put(StoreKeys.attainedService(settings.node()), record);
         store.commit(transaction, response -> {
             if (response.ok()) {
                 lastWrittenRecord = text;
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -59,7 +59,7 @@
     /** Restores what earlier leaders recorded about the live jobs. */
     public void load() {
         replica.entries().forEach((key, entry) -> {
-            if (key.startsWith(StoreKeys.PROGRESS)) {
+            if (key.startsWith(StoreKeys.CHECKPOINTS)) {
                 load(key, entry);
             }
         });
@@ -135,7 +135,7 @@
                 return record;
             }
         }
-        String key = StoreKeys.progress(records.size());
+        String key = StoreKeys.checkpoint(records.size());
         CompletionRecord record = new CompletionRecord(key, replica.revision(key));
         records.add(record);
         return record;
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -108,8 +108,8 @@
 
     private void separateConflictingJobs(Response conflict) {
         for (JsonNode key : conflict.body().path("failed")) {
-            if (key.asText().startsWith(StoreKeys.JOB)) {
-                writtenAlone.add(key.asText().substring(StoreKeys.JOB.length()));
+            if (key.asText().startsWith(StoreKeys.JOBS)) {
+                writtenAlone.add(key.asText().substring(StoreKeys.JOBS.length()));
             }
         }
     }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -52,9 +52,9 @@
     /** The records under {@code keys} changed in the replica. */
     public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
-            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOB) ? replica.get(key) : null;
+            StoreReplica.Entry entry = key.startsWith(StoreKeys.JOBS) ? replica.get(key) : null;
             if (entry != null) {
-                jobRecordChanged(key.substring(StoreKeys.JOB.length()), entry.data());
+                jobRecordChanged(key.substring(StoreKeys.JOBS.length()), entry.data());
             }
         }
     }
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -98,7 +98,7 @@
     /** Restores the statistics that earlier leaders recorded. A record that can't be read is ignored. */
     public void load() {
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
-            StoreReplica.Entry entry = replica.get(StoreKeys.learned(i));
+            StoreReplica.Entry entry = replica.get(StoreKeys.runtimeStatistics(i));
             if (entry != null && !hasNewerFormat(entry)) {
                 load(i, entry.data());
             }
@@ -113,7 +113,10 @@
                 kindsByRecord.get(number).put(kind.kind(), false);
             }
         } catch (RuntimeException e) { // the statistics are collected anew
-            LOG.error("runtime_statistics.record_rejected key={} reason={}", StoreKeys.learned(number), e.toString());
+            LOG.error(
+                    "runtime_statistics.record_rejected key={} reason={}",
+                    StoreKeys.runtimeStatistics(number),
+                    e.toString());
         }
     }
 
@@ -129,7 +132,7 @@
         }
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             int number = (nextRecord + i) % EstimateConstants.STATISTICS_RECORDS;
-            StoreReplica.Entry entry = replica.get(StoreKeys.learned(number));
+            StoreReplica.Entry entry = replica.get(StoreKeys.runtimeStatistics(number));
             boolean writable = entry == null || !hasNewerFormat(entry);
             if (writable && kindsByRecord.get(number).containsValue(true)) {
                 nextRecord = number + 1;
@@ -145,7 +148,7 @@
         ObjectNode record = encode(kinds);
         Map<String, Boolean> unwrittenBefore = new LinkedHashMap<>(kinds);
         kinds.replaceAll((kind, unwritten) -> false);
-        String key = StoreKeys.learned(number);
+        String key = StoreKeys.runtimeStatistics(number);
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, token)
                 .expectRevision(key, revision)
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -62,7 +62,7 @@
             writeJobRecord(spec, undecided, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, finished);
             return;
         }
-        String key = StoreKeys.awaited(settings.node(), membership.memberRevision(), dependencyListsWritten);
+        String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), dependencyListsWritten);
         dependencyListsWritten++;
         Records.More dependencyLists = new Records.More(key, split(undecided, maxBytes));
         if (Records.bytes(Records.live(spec, Long.MAX_VALUE, List.of(), dependencyLists)) > maxBytes) {
