--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -17,153 +17,153 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When a lease counts as over, against a plain model of a worker, two custodians, a leader and a network that loses and
- * holds back, on drifting clocks.
+ * When a lease counts as expired, against a plain model of a worker, two peers that renew leases, a leader and a
+ * network that loses and delays messages, on drifting clocks.
  */
 public class WorkerLeasesTest {
     private static final long LEASE_MS = 15_000;
-    private static final List<String> KEEPERS = List.of("k0", "k1");
+    private static final List<String> PEERS = List.of("k0", "k1");
     private static final Settings SETTINGS =
             new SettingsBuilder().leaseS(LEASE_MS / 1000.0).cancelS(35).build();
-    private static final long WINDOW_MS = WorkerLeases.renewalGrantMs(SETTINGS);
+    private static final long GRANT_MS = WorkerLeases.renewalGrantMs(SETTINGS);
 
-    /** What a custodian may do wrong. */
+    /** What a peer may do wrong. */
     private enum Fault {
         NONE,
-        HIDES,
-        KEEPS_LONGER,
-        COUNTS_FROM_THE_ANSWER,
-        BEGINS_AGAIN_UNNOTICED
+        HIDES_RENEWALS,
+        RENEWS_TOO_LONG,
+        COUNTS_FROM_RESPONSE,
+        RESTARTS_UNNOTICED
     }
 
-    /** One drawn stretch of time; events in the order of true time. */
+    /** One random run; events in the order of true time. */
     private static final class Model {
         private final Random random;
         private final Fault fault;
-        /** Keepers end and are back at once: in every second stretch, so that there are as many without as before. */
-        private final boolean beginsAgain;
+        /** Whether peers restart: in every second run of the model. */
+        private final boolean peersRestart;
 
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final WorkerLeases leases;
-        private final List<Custodian> custodians = new ArrayList<>();
+        private final List<PeerController> peers = new ArrayList<>();
         private final double leaderRate;
         private final double workerRate;
         private long now = 100_000;
-        private long seq;
-        /**
-         * The worker's: when the last answered report was sent, by its own clock, and whether that lease has run out
-         * since.
-         */
+        private long sequence;
+        /** By the worker's clock, when the heartbeat was sent that renewed its lease last. */
         private double sentAt;
 
-        private boolean ended;
-        private long answeredAt;
-        /** Who hears the worker: 0 the leader, else a custodian, -1 nobody. */
-        private int heardBy;
+        private boolean leaseEnded;
+        private long acknowledgedAt;
+        /** Which controller receives the heartbeats: 0 the leader, else a peer, -1 none. */
+        private int reachedController;
 
-        private long overAt = -1;
-        private String wrong;
+        private long expiredAt = -1;
+        private String violation;
 
-        private record Event(long at, long seq, Runnable run) implements Comparable<Event> {
+        private record Event(long at, long sequence, Runnable run) implements Comparable<Event> {
             @Override
             public int compareTo(Event o) {
-                return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+                return at != o.at ? Long.compare(at, o.at) : Long.compare(sequence, o.sequence);
             }
         }
 
-        private final class Custodian {
+        private final class PeerController {
             final String name;
             final double rate;
             boolean linked = true;
-            double until = Double.NEGATIVE_INFINITY;
-            double contactAt;
-            /** Counts its processes: an answer to an earlier one doesn't reach the present one. */
-            int life;
+            double grantedUntil = Double.NEGATIVE_INFINITY;
+            double leaderRespondedAt;
+            /** Counts its processes: a response to an earlier one does not reach the present one. */
+            int incarnation;
 
-            long echo;
-            long kept;
-            long told;
+            long lastGrantNumber;
+            long renewals;
+            long acknowledgedRenewals;
 
-            Custodian(String name, double rate) {
+            PeerController(String name, double rate) {
                 this.name = name;
                 this.rate = rate;
-                this.contactAt = now * rate;
+                this.leaderRespondedAt = now * rate;
             }
 
             double clock() {
                 return now * rate;
             }
 
-            void ask() {
+            void requestGrant() {
                 double sent = clock();
-                long telling = kept;
-                int asking = life;
-                long seen = echo == WorkerLeases.NO_GRANT_NUMBER && fault == Fault.BEGINS_AGAIN_UNNOTICED ? -1 : echo;
-                boolean tells = telling > told && fault != Fault.HIDES;
+                long reportedRenewals = renewals;
+                int requestIncarnation = incarnation;
+                long sentGrantNumber =
+                        lastGrantNumber == WorkerLeases.NO_GRANT_NUMBER && fault == Fault.RESTARTS_UNNOTICED
+                                ? -1
+                                : lastGrantNumber;
+                boolean reportsRenewals = reportedRenewals > acknowledgedRenewals && fault != Fault.HIDES_RENEWALS;
                 if (linked && random.nextInt(10) > 0) {
                     after(delay(), () -> {
-                        leases.grantRequested(name, seen, tells, leaderTime());
+                        leases.grantRequested(name, sentGrantNumber, reportsRenewals, leaderTime());
                         boolean granted = leases.allPeersRequestedGrants() && random.nextInt(8) > 0;
                         long number = leases.responseSent(name, granted, leaderTime());
                         if (linked && random.nextInt(10) > 0) {
                             after(delay(), () -> {
-                                if (asking == life) {
-                                    answered(sent, telling, number, granted);
+                                if (requestIncarnation == incarnation) {
+                                    grantReceived(sent, reportedRenewals, number, granted);
                                 }
                             });
                         }
                     });
                 }
-                after(1_000, this::ask);
+                after(1_000, this::requestGrant);
             }
 
-            void answered(double sent, long telling, long number, boolean granted) {
-                if (fault != Fault.COUNTS_FROM_THE_ANSWER && clock() - sent > NetworkConstants.PEER_TIMEOUT_MS) {
+            void grantReceived(double sent, long reportedRenewals, long number, boolean granted) {
+                if (fault != Fault.COUNTS_FROM_RESPONSE && clock() - sent > NetworkConstants.PEER_TIMEOUT_MS) {
                     return;
                 }
-                contactAt = clock();
-                echo = number;
-                told = Math.max(told, telling);
+                leaderRespondedAt = clock();
+                lastGrantNumber = number;
+                acknowledgedRenewals = Math.max(acknowledgedRenewals, reportedRenewals);
                 if (granted) {
-                    double from = fault == Fault.COUNTS_FROM_THE_ANSWER ? clock() : sent;
-                    until = from
-                            + WINDOW_MS * (fault == Fault.KEEPS_LONGER ? 2 : 1 - ClockConstants.CLOCK_DRIFT_RATIO)
+                    double from = fault == Fault.COUNTS_FROM_RESPONSE ? clock() : sent;
+                    grantedUntil = from
+                            + GRANT_MS * (fault == Fault.RENEWS_TOO_LONG ? 2 : 1 - ClockConstants.CLOCK_DRIFT_RATIO)
                             - ClockConstants.CLOCK_MARGIN_MS;
                 }
             }
 
-            /** It ends and is back at once, without knowing what it was granted, kept or told. */
-            void beginAgain() {
-                life++;
-                until = Double.NEGATIVE_INFINITY;
-                contactAt = clock();
-                echo = WorkerLeases.NO_GRANT_NUMBER;
-                kept = 0;
-                told = 0;
+            /** Restarts at once, without knowing what it was granted, renewed or reported. */
+            void restart() {
+                incarnation++;
+                grantedUntil = Double.NEGATIVE_INFINITY;
+                leaderRespondedAt = clock();
+                lastGrantNumber = WorkerLeases.NO_GRANT_NUMBER;
+                renewals = 0;
+                acknowledgedRenewals = 0;
             }
 
-            boolean keeps() {
-                return clock() - contactAt > LeaseConstants.LEADER_LOST_MS && clock() < until;
+            boolean renewsLeases() {
+                return clock() - leaderRespondedAt > LeaseConstants.LEADER_LOST_MS && clock() < grantedUntil;
             }
         }
 
         Model(long seed, Fault fault) {
             this.random = new Random(seed);
             this.fault = fault;
-            this.beginsAgain = fault == Fault.BEGINS_AGAIN_UNNOTICED || (fault == Fault.NONE && seed % 2 == 0);
+            this.peersRestart = fault == Fault.RESTARTS_UNNOTICED || (fault == Fault.NONE && seed % 2 == 0);
             this.leaderRate = rate();
             this.workerRate = rate();
             this.sentAt = now * workerRate;
-            this.answeredAt = leaderTime();
-            this.leases = new WorkerLeases(SETTINGS, KEEPERS, leaderTime(), random.nextBoolean());
-            for (String name : KEEPERS) {
-                Custodian k = new Custodian(name, rate());
-                custodians.add(k);
-                after(random.nextInt(1_000), k::ask);
+            this.acknowledgedAt = leaderTime();
+            this.leases = new WorkerLeases(SETTINGS, PEERS, leaderTime(), random.nextBoolean());
+            for (String name : PEERS) {
+                PeerController peer = new PeerController(name, rate());
+                peers.add(peer);
+                after(random.nextInt(1_000), peer::requestGrant);
             }
-            after(0, this::report);
-            after(0, this::look);
-            after(0, this::weather);
+            after(0, this::sendHeartbeat);
+            after(0, this::checkExpiry);
+            after(0, this::changeReachability);
         }
 
         private double rate() {
@@ -179,60 +179,60 @@
         }
 
         private void after(long ms, Runnable run) {
-            events.add(new Event(now + ms, seq++, run));
+            events.add(new Event(now + ms, sequence++, run));
         }
 
-        /** Now and then who reaches whom changes. */
-        private void weather() {
-            heardBy = random.nextInt(4) - 1;
-            for (Custodian k : custodians) {
-                k.linked = random.nextInt(3) > 0;
-                if (beginsAgain && random.nextInt(5) == 0) {
-                    after(random.nextInt(20_000), k::beginAgain);
+        /** Changes now and then which processes reach one another. */
+        private void changeReachability() {
+            reachedController = random.nextInt(4) - 1;
+            for (PeerController peer : peers) {
+                peer.linked = random.nextInt(3) > 0;
+                if (peersRestart && random.nextInt(5) == 0) {
+                    after(random.nextInt(20_000), peer::restart);
                 }
             }
-            after(1_000 + random.nextInt(25_000), this::weather);
+            after(1_000 + random.nextInt(25_000), this::changeReachability);
         }
 
-        private void report() {
+        private void sendHeartbeat() {
             double sent = now * workerRate;
             if (sent - sentAt > LEASE_MS) {
-                ended = true;
+                leaseEnded = true;
             }
-            int by = heardBy;
-            if (by >= 0 && !ended) {
+            int by = reachedController;
+            if (by >= 0 && !leaseEnded) {
                 after(random.nextInt(500), () -> {
-                    boolean answers = by == 0 || custodians.get(by - 1).keeps();
+                    boolean answers = by == 0 || peers.get(by - 1).renewsLeases();
                     if (answers) {
                         if (by == 0) {
-                            answeredAt = leaderTime();
+                            acknowledgedAt = leaderTime();
                         } else {
-                            custodians.get(by - 1).kept++;
+                            peers.get(by - 1).renewals++;
                         }
                         after(random.nextInt(500), () -> {
                             if (now * workerRate - sentAt > LEASE_MS) {
-                                ended = true;
-                            } else if (!ended) {
+                                leaseEnded = true;
+                            } else if (!leaseEnded) {
                                 sentAt = sent;
                             }
                         });
                     }
                 });
             }
-            after(1_000 + random.nextInt(2_000), this::report);
+            after(1_000 + random.nextInt(2_000), this::sendHeartbeat);
         }
 
-        private void look() {
+        private void checkExpiry() {
             if (now * workerRate - sentAt > LEASE_MS) {
-                ended = true;
+                leaseEnded = true;
             }
-            if (overAt < 0 && leases.isExpired(answeredAt, leaderTime())) {
-                overAt = now;
-                if (!ended) {
-                    wrong = "called over " + (LEASE_MS - (now * workerRate - sentAt)) + " ms early";
+            if (expiredAt < 0 && leases.isExpired(acknowledgedAt, leaderTime())) {
+                expiredAt = now;
+                if (!leaseEnded) {
+                    violation = "counted as expired " + (LEASE_MS - (now * workerRate - sentAt)) + " ms early";
                 }
             }
-            after(50, this::look);
+            after(50, this::checkExpiry);
         }
 
         Model play(long ms) {
@@ -247,42 +247,44 @@
     }
 
     @Property(tries = 3_000, seed = "20261201", shrinking = ShrinkingMode.OFF)
-    void aLeaseThatMayBeKeptNeverCountsAsOver(@ForAll long seed) {
+    void leaseThatMayBeRenewedNeverCountsAsExpired(@ForAll long seed) {
         Model m = new Model(seed, Fault.NONE).play(150_000);
-        assertTrue(m.wrong == null, m.wrong);
+        assertTrue(m.violation == null, m.violation);
     }
 
-    /** Each way of keeping more than was granted, or telling less, is noticed by the model. */
+    /** The model detects each way of renewing more than was granted, or of reporting less. */
     @Test
-    void theModelNoticesFaultyCustodians() {
-        for (Fault fault :
-                List.of(Fault.HIDES, Fault.KEEPS_LONGER, Fault.COUNTS_FROM_THE_ANSWER, Fault.BEGINS_AGAIN_UNNOTICED)) {
+    void modelDetectsFaultyPeers() {
+        for (Fault fault : List.of(
+                Fault.HIDES_RENEWALS, Fault.RENEWS_TOO_LONG, Fault.COUNTS_FROM_RESPONSE, Fault.RESTARTS_UNNOTICED)) {
             boolean noticed = false;
             for (int seed = 1; seed <= 3_000 && !noticed; seed++) {
-                noticed = new Model(seed, fault).play(150_000).wrong != null;
+                noticed = new Model(seed, fault).play(150_000).violation != null;
             }
             assertTrue(noticed, fault.name());
         }
     }
 
-    /** If it never counted as over, nothing lost would ever start again without the cloud. */
+    /**
+     * If a lease never counted as expired, no lost task would start again until the cloud reported the machine gone.
+     */
     @Test
-    void withoutAnyWordItIsOverByAndBy() {
-        WorkerLeases leases = new WorkerLeases(SETTINGS, KEEPERS, 0, false);
+    void leaseExpiresEventuallyWithoutRequests() {
+        WorkerLeases leases = new WorkerLeases(SETTINGS, PEERS, 0, false);
         assertFalse(leases.isExpired(0, LEASE_MS + 1_000), "an older leader's grant may still hold");
-        assertTrue(leases.isExpired(0, WINDOW_MS + LEASE_MS + 2_000));
-        WorkerLeases first = new WorkerLeases(SETTINGS, KEEPERS, 0, true);
-        assertTrue(first.isExpired(0, LEASE_MS + 1_000), "nobody granted anything");
-        for (String k : KEEPERS) {
-            first.grantRequested(k, 0, false, 100);
-            first.responseSent(k, true, 100);
+        assertTrue(leases.isExpired(0, GRANT_MS + LEASE_MS + 2_000));
+        WorkerLeases first = new WorkerLeases(SETTINGS, PEERS, 0, true);
+        assertTrue(first.isExpired(0, LEASE_MS + 1_000), "no grant was given");
+        for (String peer : PEERS) {
+            first.grantRequested(peer, 0, false, 100);
+            first.responseSent(peer, true, 100);
         }
-        assertFalse(first.isExpired(0, LEASE_MS + 1_000), "they may keep from now on");
+        assertFalse(first.isExpired(0, LEASE_MS + 1_000), "the peers may renew leases from now on");
         for (long t = 1_100; t < 40_000; t += 1_000) {
-            for (String k : KEEPERS) {
-                first.grantRequested(k, first.responseSent(k, true, t) - 2, false, t);
+            for (String peer : PEERS) {
+                first.grantRequested(peer, first.responseSent(peer, true, t) - 2, false, t);
             }
         }
-        assertTrue(first.isExpired(0, 40_000), "both told all along that they kept nothing");
+        assertTrue(first.isExpired(0, 40_000), "both peers reported all along that they renewed nothing");
     }
 }
