--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -122,7 +122,7 @@
         LOG.info("controller.started controller={} zone={}", settings.node(), settings.zone());
         membership.start();
         leaseRenewal.start();
-        replica.load();
+        replica.start();
         terms.start();
     }
 
@@ -146,7 +146,7 @@
     }
 
     private boolean isReady() {
-        return replica.loaded()
+        return replica.isLoaded()
                 && terms.machineTypes() != null
                 && membership.leaderRecordRevision() != 0
                 && !membership.isIsolated();
--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -86,7 +86,7 @@
 
     /** Ends the present term or starts one, as the leader record demands, and campaigns if nobody can lead. */
     void leadershipChanged() {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return;
         }
         long token = membership.fencingToken();
--- a/src/main/java/org/hollypick/api/CompletionEstimates.java
+++ b/src/main/java/org/hollypick/api/CompletionEstimates.java
@@ -58,7 +58,10 @@
             return;
         }
         leaderClient.estimate(
-                leaderAddress.get(), replica.revision(), id, answer -> responder.accept(leaderAnswered(id, answer)));
+                leaderAddress.get(),
+                replica.observedRevision(),
+                id,
+                answer -> responder.accept(leaderAnswered(id, answer)));
     }
 
     private ServerResponse leaderAnswered(String id, PeerCodec.ForwardedAnswer answer) {
@@ -66,10 +69,10 @@
         if (terminal.isPresent()) {
             return terminal.get().toResponse();
         }
-        if (answer.status() == 0 || answer.status() == 503 || !replica.mayAnswerFrom(answer.revision())) {
+        if (answer.status() == 0 || answer.status() == 503 || !replica.allowsAnswerAt(answer.revision())) {
             return ServerResponse.retryLater("leader");
         }
-        replica.answeredFrom(answer.revision());
+        replica.observe(answer.revision());
         return ServerResponse.of(answer.status(), answer.body()).onlyWhile(() -> !localJobs.isTerminal(id));
     }
 
@@ -80,7 +83,7 @@
                 .filter(term -> request != null)
                 .map(term -> estimate(PeerCodec.estimatedJob(request), term))
                 .orElseGet(() -> ServerResponse.retryLater("not the leader"));
-        return PeerCodec.forwardedAnswer(replica.revision(), response);
+        return PeerCodec.forwardedAnswer(replica.observedRevision(), response);
     }
 
     private ServerResponse estimate(String id, LeaderTerm term) {
--- a/src/main/java/org/hollypick/api/GraphForwarding.java
+++ b/src/main/java/org/hollypick/api/GraphForwarding.java
@@ -40,7 +40,7 @@
             return;
         }
         ObjectNode message = Codec.object().put(METHOD, method).put(TARGET, target);
-        message.put(PeerCodec.REVISION, replica.revision()).set(BODY, body);
+        message.put(PeerCodec.REVISION, replica.observedRevision()).set(BODY, body);
         Request request = new Request(
                 leaderAddress, "POST", GraphApi.PEER_PATH, message, GraphConstants.GRAPH_FORWARD_TIMEOUT_MS, true);
         eventLoop.send(request, response -> responder.accept(leaderResponse(method, response)));
@@ -52,17 +52,17 @@
      */
     private ServerResponse leaderResponse(String method, Response response) {
         PeerCodec.ForwardedAnswer answer = PeerCodec.forwardedAnswer(response);
-        boolean outdated = !replica.mayAnswerFrom(answer.revision());
+        boolean outdated = !replica.allowsAnswerAt(answer.revision());
         if (answer.status() == 0 || answer.status() == RETRY_LATER || (outdated && method.equals("GET"))) {
             return ServerResponse.retryLater("leader");
         }
-        replica.answeredFrom(answer.revision());
+        replica.observe(answer.revision());
         return ServerResponse.of(answer.status(), answer.body());
     }
 
     /** Reads a request that a peer forwarded; the newest revision that it answered from counts as answered here too. */
     GraphRequest receive(JsonNode message) {
-        replica.answeredFrom(PeerCodec.revision(message));
+        replica.observe(PeerCodec.revision(message));
         JsonNode body = message.path(BODY);
         return GraphRequest.parse(
                 message.path(METHOD).asText(), message.path(TARGET).asText(), body.isObject() ? body : null);
@@ -70,6 +70,6 @@
 
     /** Wraps the response to a forwarded request for the peer. */
     ServerResponse wrap(ServerResponse response) {
-        return PeerCodec.forwardedAnswer(replica.revision(), response);
+        return PeerCodec.forwardedAnswer(replica.observedRevision(), response);
     }
 }
--- a/src/main/java/org/hollypick/api/JobCancellation.java
+++ b/src/main/java/org/hollypick/api/JobCancellation.java
@@ -52,7 +52,7 @@
     private void cancelOwned(Job job, Consumer<ServerResponse> responder) {
         JobTermination termination = localJobs.activeTerm().orElseThrow().jobTermination();
         termination.cancel(job, durable -> {
-            replica.answeredFrom(termination.lastCancellationRevision());
+            replica.observe(termination.lastCancellationRevision());
             ServerResponse cancelled = JobStatus.cancelled(job.spec.id(), job.completedTasks.cardinality())
                     .toResponse();
             responder.accept(durable ? cancelled : UserResponses.storeUnavailable());
@@ -65,13 +65,13 @@
             answerWithoutLeader(id, responder);
             return;
         }
-        replica.answeredFrom(PeerCodec.revision(response.body()));
+        replica.observe(PeerCodec.revision(response.body()));
         responder.accept(status.get().toResponse());
     }
 
     /** Without the leader only a job that is terminal, or that never was, can be answered for. */
     private void answerWithoutLeader(String id, Consumer<ServerResponse> responder) {
-        replica.fresh(fresh -> {
+        replica.linearizableRead(fresh -> {
             Optional<JobStatus> terminal = localJobs.terminalStatus(id);
             if (fresh && !localJobs.hasRecord(id)) {
                 responder.accept(UserResponses.noSuchJob().onlyWhile(() -> !localJobs.hasRecord(id)));
@@ -90,13 +90,13 @@
                     id,
                     response -> responder.accept(
                             response.status() == 200
-                                    ? PeerCodec.withRevision(response, replica.revision())
+                                    ? PeerCodec.withRevision(response, replica.observedRevision())
                                     : response));
             return;
         }
         responder.accept(localJobs
                 .certainResponse(id)
-                .map(response -> PeerCodec.withRevision(response, replica.revision()))
+                .map(response -> PeerCodec.withRevision(response, replica.observedRevision()))
                 .orElseGet(() -> ServerResponse.error(404, "not owned here")));
     }
 }
--- a/src/main/java/org/hollypick/api/JobSubmission.java
+++ b/src/main/java/org/hollypick/api/JobSubmission.java
@@ -65,7 +65,7 @@
     }
 
     private void admit(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
-        if (!admission.isReady() || !replica.loaded()) {
+        if (!admission.isReady() || !replica.isLoaded()) {
             responder.accept(ServerResponse.retryLater("starting"));
             return;
         }
@@ -83,7 +83,7 @@
 
     /** The replica may not show yet what another controller has just accepted. */
     private void createAfterRead(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
-        replica.fresh(fresh -> {
+        replica.linearizableRead(fresh -> {
             if (!fresh) {
                 responder.accept(UserResponses.storeUnavailable());
             } else if (localJobs.hasRecord(spec.id())) {
@@ -132,7 +132,7 @@
     }
 
     private void refuseUnlessAccepted(String id, ServerResponse refusal, Consumer<ServerResponse> responder) {
-        replica.fresh(fresh -> {
+        replica.linearizableRead(fresh -> {
             if (!fresh) {
                 responder.accept(UserResponses.storeUnavailable());
             } else if (localJobs.hasRecord(id)) {
--- a/src/main/java/org/hollypick/api/LocalJobState.java
+++ b/src/main/java/org/hollypick/api/LocalJobState.java
@@ -64,7 +64,7 @@
             return Optional.empty();
         }
         if (Records.isOver(entry.data())) {
-            replica.answeredFrom(entry.revision());
+            replica.observe(entry.revision());
             JsonNode record = entry.data();
             JobStatus.State state = Records.status(record) == TerminalStatus.COMPLETED
                     ? JobStatus.State.DONE
@@ -72,7 +72,7 @@
             return Optional.of(new JobStatus(id, state, Records.completedTasks(record), 0));
         }
         if (dependencies.isCancelled(id)) {
-            replica.answeredFrom(replica.appliedRevision());
+            replica.observe(replica.appliedRevision());
             return Optional.of(JobStatus.cancelled(id, 0));
         }
         return Optional.empty();
--- a/src/main/java/org/hollypick/api/StatusQueries.java
+++ b/src/main/java/org/hollypick/api/StatusQueries.java
@@ -68,7 +68,7 @@
         }
         leaderClient.queryStatus(
                 leaderAddress.get(),
-                replica.revision(),
+                replica.observedRevision(),
                 batch.keySet(),
                 answer -> batch.forEach(
                         (id, responders) -> responders.forEach(responder -> leaderAnswered(id, answer, responder))));
@@ -85,18 +85,18 @@
             return;
         }
         JobStatus status = answer.jobs().get(id);
-        if (status == null || !(status.state().isTerminal() || replica.mayAnswerFrom(answer.revision()))) {
+        if (status == null || !(status.state().isTerminal() || replica.allowsAnswerAt(answer.revision()))) {
             answerFromStore(id, responder);
             return;
         }
-        replica.answeredFrom(answer.revision());
+        replica.observe(answer.revision());
         boolean isTerminal = status.state().isTerminal();
         responder.accept(status.toResponse().onlyWhile(() -> isTerminal || !localJobs.isTerminal(id)));
     }
 
     /** Answers from the replica once that is as new as the store. */
     private void answerFromStore(String id, Consumer<ServerResponse> responder) {
-        replica.fresh(fresh -> {
+        replica.linearizableRead(fresh -> {
             Optional<JobStatus> terminal = localJobs.terminalStatus(id);
             if (!fresh) {
                 responder.accept(UserResponses.storeUnavailable());
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -66,7 +66,7 @@
     /** Answers a peer's {@link PeerCodec#STATUS_PATH} with the jobs that this controller is certain of. */
     public ServerResponse statusForPeer(JsonNode request) {
         learnRevision(request);
-        long revision = replica.revision();
+        long revision = replica.observedRevision();
         Map<String, JobStatus> jobs = new LinkedHashMap<>();
         if (request != null) {
             PeerCodec.requestedJobs(request)
@@ -89,7 +89,7 @@
     /** The newest revision that answers of the peer were built on counts as answered from here too. */
     private void learnRevision(JsonNode request) {
         if (request != null) {
-            replica.answeredFrom(PeerCodec.revision(request));
+            replica.observe(PeerCodec.revision(request));
         }
     }
 }
--- a/src/main/java/org/hollypick/cluster/GroupMembership.java
+++ b/src/main/java/org/hollypick/cluster/GroupMembership.java
@@ -4,11 +4,10 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.RelayConstants;
 import org.hollypick.core.ClockBounds;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.WireNames;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
+import org.hollypick.store.StoreStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -70,11 +69,11 @@
      * an earlier process that is dead: its session is ended first.
      */
     void start() {
-        store.get(StoreKeys.member(settings.node()), response -> {
-            if (response.ok() && response.body().path(WireNames.STORE_SESSION).isNumber()) {
-                long earlierSession = Codec.u64(response.body().path(WireNames.STORE_SESSION));
-                endEarlierSession(earlierSession, Codec.u64(response.body().path(WireNames.REVISION)));
-            } else if (response.ok() || response.status() == 404) {
+        store.get(StoreKeys.member(settings.node()), result -> {
+            if (result.ok() && result.value().sessionId().isPresent()) {
+                long earlierSession = result.value().sessionId().getAsLong();
+                endEarlierSession(earlierSession, result.value().revision());
+            } else if (result.ok() || result.status() == StoreStatus.NOT_FOUND) {
                 session.reopen();
             } else {
                 eventLoop.after(ElectionConstants.JOIN_RETRY_MS, this::start);
@@ -88,12 +87,12 @@
         relayRelease.await(
                 memberRevision,
                 expiresInMs,
-                () -> store.endSession(earlierSession, response -> {
+                () -> store.endSession(earlierSession, status -> {
                     LOG.info(
                             "session.ended session={} status={} cause=restart",
                             Long.toUnsignedString(earlierSession),
-                            response.status());
-                    if (response.status() == 200 || response.status() == 204 || response.status() == 404) {
+                            status);
+                    if (status == StoreStatus.OK || status == StoreStatus.NOT_FOUND) {
                         session.reopen();
                     } else {
                         eventLoop.after(ElectionConstants.JOIN_RETRY_MS, this::start);
@@ -111,10 +110,10 @@
                 ClockBounds.atMost(RelayConstants.RELAY_VALIDITY_MS),
                 () -> store.endSession(
                         endedSession,
-                        response -> LOG.info(
+                        status -> LOG.info(
                                 "session.ended session={} status={} cause=resignation",
                                 Long.toUnsignedString(endedSession),
-                                response.status())));
+                                status)));
     }
 
     private void register() {
@@ -133,15 +132,15 @@
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectAbsent(key)
                 .putWithLease(key, ClusterRecordCodec.write(member), session.id());
-        store.commitUrgently(transaction, response -> {
+        store.commitUrgently(transaction, result -> {
             if (incarnation != session.incarnation()) {
                 return;
             }
-            if (response.ok()) {
-                registered(Codec.u64(response.body().path("epoch")));
-            } else if (response.status() == 409) {
+            if (result.committed()) {
+                registered(result.revision());
+            } else if (result.conflicted()) {
                 adoptMemberKey(incarnation);
-            } else if (response.status() == 400) {
+            } else if (result.invalid()) {
                 session.reopen();
             } else {
                 retryCreateMemberKey(incarnation);
@@ -153,12 +152,12 @@
      * The key exists already: it is this incarnation's own if an earlier try was applied although it seemed to fail.
      */
     private void adoptMemberKey(int incarnation) {
-        store.get(StoreKeys.member(settings.node()), response -> {
+        store.get(StoreKeys.member(settings.node()), result -> {
             if (incarnation != session.incarnation()) {
                 return;
             }
-            if (response.ok() && Codec.u64(response.body().path(WireNames.STORE_SESSION)) == session.id()) {
-                registered(Codec.u64(response.body().path(WireNames.REVISION)));
+            if (result.ok() && result.value().sessionId().orElse(0) == session.id()) {
+                registered(result.value().revision());
             } else {
                 retryCreateMemberKey(incarnation);
             }
--- a/src/main/java/org/hollypick/cluster/LeaderDirectory.java
+++ b/src/main/java/org/hollypick/cluster/LeaderDirectory.java
@@ -24,7 +24,7 @@
 
     /** Whether the replica was loaded, so that the leader record can be relied on. */
     boolean isLoaded() {
-        return replica.loaded();
+        return replica.isLoaded();
     }
 
     /**
@@ -43,7 +43,7 @@
 
     /** The revision of the leader record in the replica, the fencing token of that leader; 0 if there is none. */
     long leaderRecordRevision() {
-        return replica.revision(StoreKeys.LEADER_RECORD);
+        return replica.revisionOf(StoreKeys.LEADER_RECORD);
     }
 
     /** The controller that the leader record names, which may be dead; null without a leader record. */
@@ -62,7 +62,7 @@
     boolean isVacant() {
         LeaderRecord leaderRecord = leaderRecord();
         return leaderRecord == null
-                || replica.revision(StoreKeys.member(leaderRecord.leader())) != leaderRecord.memberRevision();
+                || replica.revisionOf(StoreKeys.member(leaderRecord.leader())) != leaderRecord.memberRevision();
     }
 
     /** The fencing token if the leader record names that incarnation of this controller, else 0. */
--- a/src/main/java/org/hollypick/cluster/LeaderElection.java
+++ b/src/main/java/org/hollypick/cluster/LeaderElection.java
@@ -4,7 +4,7 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.Response;
+import org.hollypick.store.CommitResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -112,9 +112,9 @@
         }
     }
 
-    private void written(Response response) {
-        // The replica brings the outcome, whatever the response was.
-        boolean outcomeKnown = response.ok() || response.status() == 409;
+    private void written(CommitResult result) {
+        // The replica brings the outcome, whatever the result was.
+        boolean outcomeKnown = result.committed() || result.conflicted();
         returnToIdleAfter(
                 outcomeKnown ? ElectionConstants.LEADER_RECORD_SETTLE_MS : ElectionConstants.SESSION_RETRY_MS);
     }
--- a/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
+++ b/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
-import org.hollypick.io.Response;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
@@ -38,19 +38,19 @@
     }
 
     /** Makes this controller the leader, provided that the named leader's member key is as the replica shows it. */
-    void replaceLeader(Consumer<Response> written) {
+    void replaceLeader(Consumer<CommitResult> written) {
         String predecessor = directory.namedLeader();
         CompareAndSwap transaction = transactionAfter(directory.leaderRecordRevision());
         if (predecessor != null && !predecessor.equals(settings.node())) {
             String predecessorKey = StoreKeys.member(predecessor);
-            transaction.expectRevision(predecessorKey, replica.revision(predecessorKey));
+            transaction.expectRevision(predecessorKey, replica.revisionOf(predecessorKey));
         }
         String cause = predecessor == null ? "first" : "failover predecessor=" + predecessor;
         write(transaction, limitsMark.isKeptByAllLeaders(), cause, written);
     }
 
     /** Writes the record again as leader under this fencing token: its new revision is the new fencing token. */
-    void fence(long token, boolean limitsKept, Consumer<Response> written) {
+    void fence(long token, boolean limitsKept, Consumer<CommitResult> written) {
         write(transactionAfter(token), limitsKept, "fence", written);
     }
 
@@ -60,13 +60,13 @@
                 .expectRevision(StoreKeys.member(settings.node()), group.memberRevision());
     }
 
-    private void write(CompareAndSwap transaction, boolean limitsKept, String cause, Consumer<Response> written) {
+    private void write(CompareAndSwap transaction, boolean limitsKept, String cause, Consumer<CommitResult> written) {
         LeaderRecord leaderRecord = new LeaderRecord(
                 settings.node(), group.memberRevision(), directory.term() + 1, limitsMark.next(limitsKept));
         transaction.put(StoreKeys.LEADER_RECORD, ClusterRecordCodec.write(leaderRecord));
-        store.commitUrgently(transaction, response -> {
-            LOG.info("leader_record.written status={} cause={}", response.status(), cause);
-            written.accept(response);
+        store.commitUrgently(transaction, result -> {
+            LOG.info("leader_record.written status={} cause={}", result.status(), cause);
+            written.accept(result);
         });
     }
 }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -86,7 +86,7 @@
     private void requestGrant() {
         long token = membership.leaderRecordRevision();
         String leaderAddress = settings.meshAddr(membership.namedLeader());
-        if (leaderAddress != null && replica.loaded()) {
+        if (leaderAddress != null && replica.isLoaded()) {
             long sentAt = eventLoop.now();
             long reportedRenewals = renewals;
             RenewalGrantRequest request = new RenewalGrantRequest(
--- a/src/main/java/org/hollypick/cluster/StoreSession.java
+++ b/src/main/java/org/hollypick/cluster/StoreSession.java
@@ -3,10 +3,9 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.core.ClockBounds;
 import org.hollypick.core.WorkerLeases;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.WireNames;
 import org.hollypick.store.KeyValueStoreClient;
+import org.hollypick.store.StoreStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,12 +48,12 @@
         int requested = incarnation;
         open = false;
         long sentAt = eventLoop.now();
-        store.grantSession(ElectionConstants.SESSION_TTL_MS, response -> {
-            if (!response.ok()) {
+        store.grantSession(ElectionConstants.SESSION_TTL_MS, result -> {
+            if (!result.ok()) {
                 eventLoop.after(ElectionConstants.SESSION_RETRY_MS, this::reopen);
                 return;
             }
-            id = Codec.u64(response.body().path(WireNames.STORE_SESSION));
+            id = result.value();
             open = true;
             extendValidity(sentAt);
             granted.run();
@@ -67,16 +66,16 @@
             return;
         }
         long sentAt = eventLoop.now();
-        store.renewSession(id, response -> {
+        store.renewSession(id, status -> {
             if (renewed != incarnation) {
                 return;
             }
-            if (response.ok()) {
+            if (status == StoreStatus.OK) {
                 // A session that could be renewed never ended, so the keys attached to it still exist.
                 extendValidity(sentAt);
                 eventLoop.after(ElectionConstants.SESSION_RENEWAL_INTERVAL_MS, () -> renew(renewed));
                 changed.run();
-            } else if (response.status() == 404) {
+            } else if (status == StoreStatus.NOT_FOUND) {
                 LOG.info("session.expired session={}", Long.toUnsignedString(id));
                 reopen();
                 changed.run();
--- a/src/main/java/org/hollypick/config/constants/StoreConstants.java
+++ b/src/main/java/org/hollypick/config/constants/StoreConstants.java
@@ -14,6 +14,9 @@
     /** Milliseconds between two watch requests of one controller: bounds the requests that a busy stream costs. */
     public static final long WATCH_GAP_MS = 60;
 
+    /** Milliseconds until a listing or watch that failed is sent again. */
+    public static final long WATCH_RETRY_MS = 300;
+
     /**
      * Milliseconds within which the watch has to deliver what a read has shown; users wait 2 s for the response to a
      * status query.
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -1,6 +1,5 @@
 package org.hollypick.control.graphs;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,10 +8,10 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.GraphConstants;
 import org.hollypick.config.constants.NetworkConstants;
-import org.hollypick.io.Response;
 import org.hollypick.records.GraphLogCodec;
 import org.hollypick.records.GraphLogEntry;
 import org.hollypick.records.Records;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.CompareAndSwap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -167,14 +166,14 @@
 
     /** Sends the same keys until the outcome is known: an entry must never be stored twice. */
     private void commit(CompareAndSwap changes, Batch batch, Runnable onWritten) {
-        context.store().commit(changes, response -> {
-            if (response.ok() || wasWrittenByEarlierTry(response)) {
+        context.store().commit(changes, result -> {
+            if (result.committed() || wasWrittenByEarlierTry(result)) {
                 writeInFlight = false;
                 nextWriteNotBefore = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
                 complete(batch);
                 onWritten.run();
-            } else if (response.status() == 409 || response.status() == 400) {
-                writeRejected(response);
+            } else if (result.conflicted() || result.invalid()) {
+                writeRejected(result);
             } else {
                 context.eventLoop().after(ElectionConstants.SESSION_RETRY_MS, () -> commit(changes, batch, onWritten));
             }
@@ -188,8 +187,8 @@
         }
     }
 
-    private void writeRejected(Response response) {
-        if (response.status() == 400) {
+    private void writeRejected(CommitResult result) {
+        if (result.invalid()) {
             LOG.error("graph.log_record_rejected graph={}", graphId);
         }
         rejected = true;
@@ -197,15 +196,8 @@
     }
 
     /** Only the keys that the transaction creates stand in its way: an earlier try was carried out after all. */
-    private static boolean wasWrittenByEarlierTry(Response response) {
-        if (response.status() != 409) {
-            return false;
-        }
-        for (JsonNode failedKey : response.body().path("failed")) {
-            if (!failedKey.asText().startsWith(StoreKeys.GRAPH_LOG)) {
-                return false;
-            }
-        }
-        return true;
+    private static boolean wasWrittenByEarlierTry(CommitResult result) {
+        return result.conflicted()
+                && result.conflictingKeys().stream().allMatch(key -> key.startsWith(StoreKeys.GRAPH_LOG));
     }
 }
--- a/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
@@ -26,7 +26,7 @@
                 keys.add(key);
             }
         });
-        keys.sort(Comparator.<String, Long>comparing(replica::revision, Long::compareUnsigned)
+        keys.sort(Comparator.<String, Long>comparing(replica::revisionOf, Long::compareUnsigned)
                 .thenComparingLong(StoreKeys::graphLogCount));
         return keys;
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -13,7 +13,6 @@
 import org.hollypick.core.Job;
 import org.hollypick.core.graph.GraphOptions;
 import org.hollypick.core.graph.NodeState;
-import org.hollypick.io.Codec;
 import org.hollypick.records.GraphRecordCodec;
 import org.hollypick.records.JobCodec;
 import org.hollypick.records.Records;
@@ -89,15 +88,14 @@
                 .expectAbsent(key)
                 .expectRevision(StoreKeys.LEADER_RECORD, context.fencingToken())
                 .put(key, GraphRecordCodec.live(created.options(), context.fencingToken()));
-        context.store().commit(changes, response -> {
-            if (response.ok()) {
+        context.store().commit(changes, result -> {
+            if (result.committed()) {
                 LOG.info("graph.accepted graph={} token={}", created.id(), context.fencingToken());
-                long revision = Codec.u64(response.body().path("epoch"));
-                attachJob(created, revision, context.fencingToken());
+                attachJob(created, result.revision(), context.fencingToken());
             } else {
                 creationFailed(created);
             }
-            onOutcome.accept(response.ok());
+            onOutcome.accept(result.committed());
         });
     }
 
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -70,8 +70,8 @@
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
                 .put(StoreKeys.attainedService(settings.node()), record);
-        store.commit(transaction, response -> {
-            if (response.ok()) {
+        store.commit(transaction, result -> {
+            if (result.committed()) {
                 lastWrittenRecord = text;
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -10,10 +10,9 @@
 import org.hollypick.config.constants.JobConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.Response;
 import org.hollypick.records.Records;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
@@ -136,7 +135,7 @@
             }
         }
         String key = StoreKeys.checkpoint(records.size());
-        CompletionRecord record = new CompletionRecord(key, replica.revision(key));
+        CompletionRecord record = new CompletionRecord(key, replica.revisionOf(key));
         records.add(record);
         return record;
     }
@@ -149,12 +148,12 @@
         }
         requestInFlight = true;
         nextWriteNotBefore = eventLoop.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
-        store.commit(transaction, response -> {
+        store.commit(transaction, result -> {
             requestInFlight = false;
-            if (response.ok()) {
-                written(batch, Codec.u64(response.body().path("epoch")));
+            if (result.committed()) {
+                written(batch, result.revision());
             } else {
-                writeFailed(batch, response);
+                writeFailed(batch, result);
             }
         });
     }
@@ -179,8 +178,8 @@
         }
     }
 
-    private void writeFailed(CompletionBatch batch, Response response) {
-        if (!response.wasNeverSent()) {
+    private void writeFailed(CompletionBatch batch, CommitResult result) {
+        if (!result.wasNeverSent()) {
             batch.records().forEach(CompletionRecord::markRevisionUncertain);
         }
         batch.completions()
@@ -208,10 +207,10 @@
             return;
         }
         requestInFlight = true;
-        replica.fresh(fresh -> {
+        replica.linearizableRead(fresh -> {
             requestInFlight = false;
             if (fresh) {
-                uncertain.forEach(record -> record.revisionLookedUp(replica.revision(record.key())));
+                uncertain.forEach(record -> record.revisionLookedUp(replica.revisionOf(record.key())));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -67,10 +67,10 @@
                     .put(StoreKeys.job(id), Records.over(TerminalStatus.CANCELLED, 0));
         }
         writeInFlight = true;
-        store.commit(transaction, response -> {
+        store.commit(transaction, result -> {
             writeInFlight = false;
-            LOG.info("jobs.cancelled_by_dependency jobs={} response={} token={}", jobIds, response.status(), token);
-            if (response.ok()) {
+            LOG.info("jobs.cancelled_by_dependency jobs={} status={} token={}", jobIds, result.status(), token);
+            if (result.committed()) {
                 pendingRevisions.keySet().removeAll(jobIds);
             } else {
                 // by then the replica shows what was written otherwise
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -1,6 +1,5 @@
 package org.hollypick.control.jobs;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -11,14 +10,13 @@
 import org.hollypick.config.constants.NetworkConstants;
 import org.hollypick.core.Job;
 import org.hollypick.core.Scheduler;
-import org.hollypick.io.Response;
 import org.hollypick.records.Records;
 import org.hollypick.records.TerminalStatus;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.KeyValueStoreClient;
 
 /** Writes the terminal records of jobs whose tasks have all ended, in batches. Confined to the event loop. */
 final class FinishedJobWriter {
-    private static final int CONFLICT = 409;
     private static final int MAX_BATCH_BYTES = NetworkConstants.MAX_BODY_BYTES / 2;
 
     private final Scheduler scheduler;
@@ -97,19 +95,17 @@
             scheduler.outbox().removeNewCompletions(write.job());
             write.job().terminalWriteInFlight = true;
         }
-        recordWriter.commit(batch, response -> {
+        recordWriter.commit(batch, result -> {
             batchesInFlight--;
-            if (response.status() == CONFLICT) {
-                separateConflictingJobs(response);
-            }
-            batch.forEach(write -> writeFinished(write, response.ok()));
+            separateConflictingJobs(result);
+            batch.forEach(write -> writeFinished(write, result.committed()));
         });
     }
 
-    private void separateConflictingJobs(Response conflict) {
-        for (JsonNode key : conflict.body().path("failed")) {
-            if (key.asText().startsWith(StoreKeys.JOBS)) {
-                writtenAlone.add(key.asText().substring(StoreKeys.JOBS.length()));
+    private void separateConflictingJobs(CommitResult result) {
+        for (String key : result.conflictingKeys()) {
+            if (key.startsWith(StoreKeys.JOBS)) {
+                writtenAlone.add(key.substring(StoreKeys.JOBS.length()));
             }
         }
     }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -84,7 +84,7 @@
     }
 
     private void recordExists(String id, long revision) {
-        replica.answeredFrom(revision);
+        replica.observe(revision);
         if (replica.get(StoreKeys.job(id)) == null) {
             durableAheadOfReplica.add(id);
         }
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -12,7 +12,6 @@
 import org.hollypick.core.Job;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.Scheduler;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.KeyValueStoreClient;
@@ -197,14 +196,14 @@
     private void writeCancellation(PendingCancellation cancellation) {
         Job job = cancellation.job();
         cancellation.writeStarted(eventLoop.now());
-        recordWriter.commit(List.of(recordWriter.prepare(job, TerminalStatus.CANCELLED)), response -> {
+        recordWriter.commit(List.of(recordWriter.prepare(job, TerminalStatus.CANCELLED)), result -> {
             cancellation.writeFinished();
-            LOG.info("job.cancellation_written job={} response={} token={}", job.spec.id(), response.status(), token);
-            if (response.ok()) {
-                cancellationDurableAt(Codec.u64(response.body().path("epoch")));
+            LOG.info("job.cancellation_written job={} status={} token={}", job.spec.id(), result.status(), token);
+            if (result.committed()) {
+                cancellationDurableAt(result.revision());
                 markTerminalByResponse(job, TerminalStatus.CANCELLED);
             }
-            cancellation.answerCallers(response.ok());
+            cancellation.answerCallers(result.committed());
         });
     }
 
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -153,8 +153,8 @@
                 .expectRevision(StoreKeys.LEADER_RECORD, token)
                 .expectRevision(key, revision)
                 .put(key, record);
-        store.commit(transaction, response -> {
-            if (!response.ok()) {
+        store.commit(transaction, result -> {
+            if (!result.committed()) {
                 unwrittenBefore.forEach((kind, unwritten) -> kinds.merge(kind, unwritten, Boolean::logicalOr));
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -1,6 +1,5 @@
 package org.hollypick.control.jobs;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -13,9 +12,7 @@
 import org.hollypick.config.constants.StoreConstants;
 import org.hollypick.core.JobDependencies;
 import org.hollypick.core.JobSpec;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.Response;
 import org.hollypick.records.Records;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
@@ -26,7 +23,6 @@
  * the event loop.
  */
 final class SubmissionWriter {
-    private static final int CONFLICT = 409;
     /** Quotes and comma around an id in a list. */
     private static final int LIST_ELEMENT_OVERHEAD_BYTES = 3;
 
@@ -122,8 +118,8 @@
                     .expectAbsent(key)
                     .put(key, Records.part(dependencyLists.parts().get(i)));
         }
-        store.commit(transaction, response -> {
-            if (response.ok()) {
+        store.commit(transaction, result -> {
+            if (result.committed()) {
                 writeDependencyLists(spec, dependencyLists, to, finished);
             } else {
                 finished.accept(SubmissionOutcome.RETRY_LATER);
@@ -151,12 +147,12 @@
                 .expectAbsent(key)
                 .expectRevision(StoreKeys.LEADER_RECORD, leaderRecordRevision)
                 .put(key, Records.live(spec, leaderRecordRevision, dependencyIds, dependencyLists));
-        store.commit(transaction, response -> {
-            boolean existed = response.status() == CONFLICT && hasConflictOn(key, response);
-            if (response.ok() || existed) {
-                recordExists.accept(spec.id(), Codec.u64(response.body().path("epoch")));
+        store.commit(transaction, result -> {
+            boolean existed = result.conflictingKeys().contains(key);
+            if (result.committed() || existed) {
+                recordExists.accept(spec.id(), result.revision());
                 finished.accept(existed ? SubmissionOutcome.ALREADY_EXISTS : SubmissionOutcome.CREATED);
-            } else if (response.status() == CONFLICT && attempts > 1) {
+            } else if (result.conflicted() && attempts > 1) {
                 eventLoop.after(
                         2 * StoreConstants.WATCH_GAP_MS,
                         () -> writeJobRecord(spec, dependencyIds, dependencyLists, attempts - 1, finished));
@@ -165,13 +161,4 @@
             }
         });
     }
-
-    private static boolean hasConflictOn(String key, Response conflict) {
-        for (JsonNode failed : conflict.body().path("failed")) {
-            if (failed.asText().equals(key)) {
-                return true;
-            }
-        }
-        return false;
-    }
 }
--- a/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
@@ -9,8 +9,8 @@
 import org.hollypick.cluster.StoreKeys;
 import org.hollypick.core.Job;
 import org.hollypick.core.JobDependencies;
-import org.hollypick.io.Response;
 import org.hollypick.records.TerminalStatus;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 
@@ -43,7 +43,7 @@
     }
 
     /** Commits all the writes in one transaction. Only a missing response leaves them unresolved. */
-    void commit(List<TerminalWrite> writes, Consumer<Response> responseReceived) {
+    void commit(List<TerminalWrite> writes, Consumer<CommitResult> onResult) {
         CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         for (TerminalWrite write : writes) {
             write.job().unresolvedTerminalWrites++;
@@ -53,11 +53,11 @@
             String key = StoreKeys.job(write.jobId());
             transaction.expectRevision(key, write.job().arrivalRevision).put(key, write.record());
         }
-        store.commit(transaction, response -> {
-            if (!response.failedWith(Response.Failure.NO_RESPONSE)) {
+        store.commit(transaction, result -> {
+            if (!result.wasUnanswered()) {
                 writes.forEach(this::resolve);
             }
-            responseReceived.accept(response);
+            onResult.accept(result);
         });
     }
 
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -22,8 +22,8 @@
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.Response;
 import org.hollypick.records.Records;
+import org.hollypick.store.CommitResult;
 import org.hollypick.store.CompareAndSwap;
 import org.hollypick.store.KeyValueStoreClient;
 import org.slf4j.Logger;
@@ -44,8 +44,6 @@
     /** Bytes of the braces around a record. */
     private static final int BRACE_BYTES = 2;
 
-    private static final int STATUS_BAD_REQUEST = 400;
-
     private final EventLoop eventLoop;
     private final StoreReplica replica;
     private final KeyValueStoreClient store;
@@ -152,13 +150,13 @@
         }
         writeInFlight = true;
         nextWriteAt = eventLoop.now() + ReconcileConstants.REGISTRATION_GAP_MS;
-        store.commit(compareAndSwap, response -> {
+        store.commit(compareAndSwap, result -> {
             writeInFlight = false;
-            if (response.ok()) {
+            if (result.committed()) {
                 written(addedKeys, removed);
                 onRegistered.accept(added);
             } else {
-                logRejection(response, compareAndSwap, addedKeys.size());
+                logRejection(result, compareAndSwap, addedKeys.size());
             }
         });
     }
@@ -173,8 +171,8 @@
         index.removeMachines(removed);
     }
 
-    private static void logRejection(Response response, CompareAndSwap compareAndSwap, int machineCount) {
-        if (response.status() == STATUS_BAD_REQUEST) {
+    private static void logRejection(CommitResult result, CompareAndSwap compareAndSwap, int machineCount) {
+        if (result.invalid()) {
             LOG.error("machine_record.rejected writes={} machines={}", compareAndSwap.writeCount(), machineCount);
         }
     }
--- a/src/main/java/org/hollypick/store/KeyValueStoreClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -1,321 +1,190 @@
 package org.hollypick.store;
 
-import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import org.hollypick.config.Settings;
-import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.StoreConstants;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
-import org.hollypick.io.TokenBucket;
 import org.hollypick.peer.RequestRouter;
 
-/** The state service's protocol, inside this node's share of its limits. Leases never wait in the queue. */
+/**
+ * Client of the consensus-backed key-value store. Reads and commits wait in a queue for this controller's share of the
+ * store's rate limits; sessions, watches and urgent commits are sent at once and charged to the budget afterwards. Each
+ * callback runs exactly once. Confined to the event loop.
+ */
 public final class KeyValueStoreClient {
-    /** Nothing is ever written here: the answer tells the epoch, and that there is a way. */
-    private static final String NEVER = "h/never";
-
     private final EventLoop eventLoop;
-    private final RequestRouter routes;
-    private final String address;
     private final Settings settings;
-    private final TokenBucket requests;
-    private final TokenBucket writes;
-    /** Requests that change nothing: they need no share of the changes and so never wait behind one that does. */
-    private final ArrayDeque<Queued> reads = new ArrayDeque<>();
-
-    private final ArrayDeque<Queued> commits = new ArrayDeque<>();
+    private final StoreRequests requests;
+    private final RequestRouter router;
+    private final StoreRateBudget budget;
     private final StoreUsage usage = new StoreUsage();
-    private int queuedPuts;
-    /** Null unless this controller leads. */
-    private WriteShare leaderShare;
-    /** The queues will be looked at again shortly. */
-    private boolean wakes;
-
-    private record Queued(
-            Request call, RequestRouter.Kind kind, CompareAndSwap txn, long since, Consumer<Response> reply) {
-        int puts() {
-            return txn == null ? 0 : txn.writeCount();
-        }
-
-        boolean late(long now) {
-            return now >= since + StoreConstants.STORE_QUEUE_TIMEOUT_MS;
-        }
-    }
+    private final StoreRequestQueue queue;
 
+    /**
+     * A client of the store that the settings name; it starts with the write share of a controller that doesn't lead.
+     */
     public KeyValueStoreClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
-        this.address = settings.state();
-        this.routes = new RequestRouter(
-                eventLoop,
-                settings.siblings(),
-                Request.of(address, "GET", "/keys/" + NEVER, null, ReachabilityConstants.ROUTE_RETRY_MS));
         this.settings = settings;
-        int nodes = settings.siblings().size() + 1;
-        this.requests = new TokenBucket(settings.stateRps() * StoreConstants.STORE_RATE_SHARE / nodes, eventLoop.now());
-        this.writes = new TokenBucket(1, eventLoop.now());
-        setLeader(false);
-        eventLoop.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, this::logUsage);
+        this.requests = new StoreRequests(settings.state());
+        this.router = new RequestRouter(eventLoop, settings.siblings(), requests.probe());
+        this.budget = new StoreRateBudget(settings, eventLoop.now());
+        this.queue = new StoreRequestQueue(eventLoop, budget, usage, this::sendQueued);
+        scheduleUsageReport();
     }
 
-    private void logUsage() {
-        usage.log();
-        eventLoop.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, this::logUsage);
+    private void scheduleUsageReport() {
+        eventLoop.after(ReconcileConstants.METRICS_LOG_INTERVAL_MS, () -> {
+            usage.report();
+            scheduleUsageReport();
+        });
     }
 
-    /** How calls get there; other controllers' too. */
+    /** The router of the requests to the store, which also forwards those of other controllers. */
     public RequestRouter router() {
-        return routes;
+        return router;
     }
 
-    /**
-     * The leader's share of the writes is larger: progress and machines are its to record. It also has what the others
-     * leave unused.
-     */
+    /** Follows this controller's role: the leader's share of the writes is larger. */
     public void setLeader(boolean leader) {
-        int others = Math.max(1, settings.siblings().size());
-        double all = settings.stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
-        double own = settings.siblings().isEmpty() ? all : all * StoreConstants.LEADER_WRITE_SHARE;
-        leaderShare = leader ? new WriteShare(all, own, eventLoop.now()) : null;
-        writes.setRate(
-                settings.siblings().isEmpty() || leader ? own : all * (1 - StoreConstants.LEADER_WRITE_SHARE) / others);
+        budget.setLeader(leader, eventLoop.now());
     }
 
-    private void followShare() {
-        if (leaderShare != null) {
-            writes.setRate(leaderShare.rate(eventLoop.now()), writes.size());
-        }
-    }
-
-    /** The watch showed so many changes, of whichever controller. */
-    private void seen(Response events) {
-        if (leaderShare != null && events.ok()) {
-            leaderShare.seen(events.body().path("events").size(), eventLoop.now());
-            followShare();
-        }
-    }
-
-    private void own(CompareAndSwap txn, Response reply) {
-        if (leaderShare != null && reply.ok()) {
-            leaderShare.own(txn.writeCount(), eventLoop.now());
-            followShare();
-        }
-    }
-
-    /** Whether a new write would wait here for longer than it may: whoever wants it is told so at once. */
+    /**
+     * Whether a new write should be rejected at once, since it would wait here for too long. Counts such rejections.
+     */
     public boolean shouldShedWrite() {
-        boolean crowded = full()
-                || queuedPuts
-                        > Math.max(
-                                1,
-                                writes.rate()
-                                        * StoreConstants.STORE_QUEUE_TIMEOUT_MS
-                                        / 1000.0
-                                        * StoreConstants.ADMITTED_QUEUE_SHARE);
-        if (crowded) {
-            usage.refused();
+        boolean overloaded = queue.isOverloaded();
+        if (overloaded) {
+            usage.writeShed();
         }
-        return crowded;
-    }
-
-    private boolean full() {
-        return commits.size() >= StoreConstants.STORE_QUEUE_LENGTH;
+        return overloaded;
     }
 
-    /**
-     * Whether there is room for writes that can wait: nothing is queued, and half a second's worth is left for what
-     * users wait for.
-     */
+    /** Whether there is room for writes that can be deferred: no request waits, and the write budget is half full. */
     public boolean hasSpareWriteCapacity() {
-        return areQueuesEmpty() && writes.has(writes.size() / 2, eventLoop.now());
+        return areQueuesEmpty() && budget.hasSpareWrites(eventLoop.now());
     }
 
     /** Whether every request so far was sent as soon as it came. */
     public boolean areQueuesEmpty() {
-        return reads.isEmpty() && commits.isEmpty();
+        return queue.isEmpty();
     }
 
-    /** Changes to put into one transaction at most, if there are many. */
+    /** How many writes to put into one transaction at most, if there are many. */
     public int maxBatchWrites() {
-        return (int) Math.max(1, Math.min(settings.txnOps(), writes.rate() * StoreConstants.WRITE_BATCH_S));
-    }
-
-    public void get(String key, Consumer<Response> reply) {
-        submit(
-                Request.of(address, "GET", "/keys/" + key, null, StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.REPEATABLE,
-                null,
-                reply);
+        return (int) Math.max(1, Math.min(settings.txnOps(), budget.writesPerSecond() * StoreConstants.WRITE_BATCH_S));
     }
 
-    /** The answer is 404 and tells the epoch. */
-    public void readRevision(Consumer<Response> reply) {
-        get(NEVER, reply);
+    /** Reads one key. */
+    public void get(String key, Consumer<StoreResult<KeyValue>> callback) {
+        queue.addRead(requests.get(key), response -> callback.accept(StoreCodec.decodeGet(response)));
     }
 
-    public void listPage(String prefix, String from, Consumer<Response> reply) {
-        String path = "/keys?prefix=" + prefix + (from == null ? "" : "&from=" + from) + "&page=500";
-        submit(
-                Request.of(address, "GET", path, null, StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.REPEATABLE,
-                null,
-                reply);
+    /** Reads the store's revision, which is at least that of every write answered before this call. */
+    public void readRevision(Consumer<StoreResult<Long>> callback) {
+        queue.addRead(requests.readRevision(), response -> callback.accept(StoreCodec.decodeRevision(response)));
     }
 
-    public void commit(CompareAndSwap txn, Consumer<Response> reply) {
-        submit(
-                Request.of(address, "POST", "/commit", StoreCodec.encode(txn), StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.ONCE,
-                txn,
-                reply);
-    }
-
-    /** Leadership and membership: ahead of the queue, like leases. */
-    public void commitUrgently(CompareAndSwap txn, Consumer<Response> reply) {
-        writes.take(txn.writeCount(), eventLoop.now());
-        usage.writesSent(txn);
-        urgent(
-                Request.of(address, "POST", "/commit", StoreCodec.encode(txn), StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.ONCE,
-                StoreUsage.Request.COMMIT,
-                r -> {
-                    own(txn, r);
-                    reply.accept(r);
-                });
+    /**
+     * Reads some of the keys under a prefix with their values.
+     *
+     * @param afterKey the last key of the page before; null for the first page
+     */
+    public void listPage(String prefix, String afterKey, Consumer<StoreResult<KeyValuePage>> callback) {
+        queue.addRead(
+                requests.listPage(prefix, afterKey), response -> callback.accept(StoreCodec.decodePage(response)));
+    }
+
+    /** Commits a transaction when its turn comes. */
+    public void commit(CompareAndSwap transaction, Consumer<CommitResult> callback) {
+        queue.addCommit(
+                requests.commit(transaction),
+                transaction,
+                response -> callback.accept(StoreCodec.decodeCommit(response)));
+    }
+
+    /** Commits a transaction ahead of the queue: for leadership and membership, which must not wait. */
+    public void commitUrgently(CompareAndSwap transaction, Consumer<CommitResult> callback) {
+        budget.writesSent(transaction.writeCount(), eventLoop.now());
+        usage.writesSent(transaction);
+        sendUrgently(requests.commit(transaction), RequestRouter.Kind.ONCE, StoreUsage.RequestKind.COMMIT, response -> {
+            countCommitted(transaction, response);
+            callback.accept(StoreCodec.decodeCommit(response));
+        });
     }
 
-    /** Asked twice, one of two state sessions is never used and ends by itself. */
-    public void grantSession(long lifeMs, Consumer<Response> reply) {
-        urgent(
-                Request.of(
-                        address,
-                        "POST",
-                        "/holds",
-                        Codec.object().put("life_ms", lifeMs),
-                        StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.REPEATABLE,
-                StoreUsage.Request.HOLD,
-                reply);
+    /**
+     * Opens a session, which keeps the keys that were put with it for as long as it is renewed. The result is its id.
+     * Repeating the request is harmless: a session that nobody uses expires.
+     */
+    public void grantSession(long ttlMillis, Consumer<StoreResult<Long>> callback) {
+        sendSessionRequest(
+                requests.grantSession(ttlMillis), response -> callback.accept(StoreCodec.decodeSessionGrant(response)));
     }
 
-    public void renewSession(long stateSession, Consumer<Response> reply) {
-        urgent(
-                Request.of(
-                        address,
-                        "POST",
-                        "/holds/" + Long.toUnsignedString(stateSession) + "/extend",
-                        Codec.object(),
-                        StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.REPEATABLE,
-                StoreUsage.Request.HOLD,
-                reply);
+    /** Renews a session; {@link StoreStatus#NOT_FOUND} if it has expired. */
+    public void renewSession(long sessionId, Consumer<StoreStatus> callback) {
+        sendSessionRequest(
+                requests.renewSession(sessionId),
+                response -> callback.accept(StoreCodec.decodeSessionRenewal(response)));
     }
 
-    public void endSession(long stateSession, Consumer<Response> reply) {
-        urgent(
-                Request.of(
-                        address,
-                        "DELETE",
-                        "/holds/" + Long.toUnsignedString(stateSession),
-                        null,
-                        StoreConstants.STORE_TIMEOUT_MS),
-                RequestRouter.Kind.REPEATABLE,
-                StoreUsage.Request.HOLD,
-                reply);
+    /** Ends a session and deletes its keys; {@link StoreStatus#NOT_FOUND} if it had expired. */
+    public void endSession(long sessionId, Consumer<StoreStatus> callback) {
+        sendSessionRequest(
+                requests.endSession(sessionId), response -> callback.accept(StoreCodec.decodeSessionEnd(response)));
     }
 
-    public void watch(String prefix, long from, Consumer<Response> reply) {
-        urgent(
-                Request.of(
-                        address,
-                        "GET",
-                        "/watch?prefix=" + prefix + "&from=" + Long.toUnsignedString(from) + "&wait_ms="
-                                + StoreConstants.WATCH_WAIT_MS,
-                        null,
-                        StoreConstants.WATCH_WAIT_MS + StoreConstants.STORE_TIMEOUT_MS),
+    /** Waits for changes under a prefix after that revision, for some seconds at most. */
+    public void watch(String prefix, long afterRevision, Consumer<StoreResult<WatchResponse>> callback) {
+        sendUrgently(
+                requests.watch(prefix, afterRevision),
                 RequestRouter.Kind.WATCH,
-                StoreUsage.Request.WATCH,
-                r -> {
-                    seen(r);
-                    reply.accept(r);
+                StoreUsage.RequestKind.WATCH,
+                response -> {
+                    StoreResult<WatchResponse> result = StoreCodec.decodeWatch(response);
+                    if (result.ok()) {
+                        budget.writesObserved(result.value().changes().size(), eventLoop.now());
+                    }
+                    callback.accept(result);
                 });
     }
 
-    private void urgent(Request call, RequestRouter.Kind kind, StoreUsage.Request counted, Consumer<Response> reply) {
-        requests.take(1, eventLoop.now());
-        usage.sent(counted);
-        routes.call(call, kind, reply);
+    private void sendSessionRequest(Request request, Consumer<Response> callback) {
+        sendUrgently(request, RequestRouter.Kind.REPEATABLE, StoreUsage.RequestKind.SESSION, callback);
     }
 
-    private void submit(Request call, RequestRouter.Kind kind, CompareAndSwap txn, Consumer<Response> reply) {
-        ArrayDeque<Queued> queue = txn == null ? reads : commits;
-        if (queue.size() >= StoreConstants.STORE_QUEUE_LENGTH) {
-            usage.notSent();
-            reply.accept(Response.notSent());
-            return;
-        }
-        Queued next = new Queued(call, kind, txn, eventLoop.now(), reply);
-        queuedPuts += next.puts();
-        queue.add(next);
-        usage.queued(reads.size() + commits.size());
-        drain();
-    }
-
-    private void drain() {
-        long now = eventLoop.now();
-        dropLate(reads, now);
-        dropLate(commits, now);
-        for (ArrayDeque<Queued> queue = sendable(now); queue != null; queue = sendable(now)) {
-            send(queue.poll(), now);
-        }
-        if (!wakes && !(reads.isEmpty() && commits.isEmpty())) {
-            wakes = true;
-            eventLoop.after(StoreConstants.STORE_QUEUE_POLL_MS, () -> {
-                wakes = false;
-                drain();
-            });
-        }
-    }
-
-    /** The queue whose first request has waited longest of those that the limits allow now; null if they allow none. */
-    private ArrayDeque<Queued> sendable(long now) {
-        if (!requests.has(1, now)) {
-            return null;
-        }
-        Queued read = reads.peek();
-        Queued commit = commits.peek();
-        if (commit == null || !writes.has(commit.puts(), now)) {
-            return read == null ? null : reads;
-        }
-        return read == null || commit.since <= read.since ? commits : reads;
+    private void sendUrgently(
+            Request request,
+            RequestRouter.Kind routing,
+            StoreUsage.RequestKind countedAs,
+            Consumer<Response> callback) {
+        budget.requestSent(eventLoop.now());
+        usage.requestSent(countedAs);
+        router.call(request, routing, callback);
     }
 
-    private void dropLate(ArrayDeque<Queued> queue, long now) {
-        while (!queue.isEmpty() && queue.peek().late(now)) {
-            Queued late = queue.poll();
-            queuedPuts -= late.puts();
-            usage.notSent();
-            late.reply.accept(Response.notSent());
+    private void sendQueued(StoreRequestQueue.Item item) {
+        if (!item.isCommit()) {
+            usage.requestSent(StoreUsage.RequestKind.READ);
+            router.call(item.request(), RequestRouter.Kind.REPEATABLE, item.callback());
+            return;
         }
+        usage.requestSent(StoreUsage.RequestKind.COMMIT);
+        usage.writesSent(item.transaction());
+        router.call(item.request(), RequestRouter.Kind.ONCE, response -> {
+            countCommitted(item.transaction(), response);
+            item.callback().accept(response);
+        });
     }
 
-    private void send(Queued next, long now) {
-        queuedPuts -= next.puts();
-        requests.take(1, now);
-        writes.take(next.puts(), now);
-        usage.sent(next.txn == null ? StoreUsage.Request.READ : StoreUsage.Request.COMMIT);
-        usage.waited(now - next.since);
-        if (next.txn != null) {
-            usage.writesSent(next.txn);
+    private void countCommitted(CompareAndSwap transaction, Response response) {
+        if (response.ok()) {
+            budget.ownWritesCommitted(transaction.writeCount(), eventLoop.now());
         }
-        routes.call(next.call, next.kind, r -> {
-            if (next.txn != null) {
-                own(next.txn, r);
-            }
-            next.reply.accept(r);
-        });
     }
 }
--- a/src/main/java/org/hollypick/store/StoreUsage.java
+++ b/src/main/java/org/hollypick/store/StoreUsage.java
@@ -8,38 +8,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts what this controller asks of the state service, by kind, so that its log shows which limit binds and who uses
- * it.
+ * Counts this controller's requests and writes to the key-value store between two reports to the log, which show what
+ * limit binds and which records use it up. Confined to the event loop.
  */
 final class StoreUsage {
-    /** Kinds of requests; each counts once against the limit of requests a second. */
-    enum Request {
+    /** Kinds of requests; each request counts once against the limit of requests a second. */
+    enum RequestKind {
         READ,
         COMMIT,
-        HOLD,
+        SESSION,
         WATCH
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(StoreUsage.class);
 
-    private final Map<Request, Integer> requests = new EnumMap<>(Request.class);
-    /** Puts and deletes sent, by the prefix of their key; a record that is written for the first time counts apart. */
-    private final Map<String, Integer> changes = new TreeMap<>();
-    /** Milliseconds that requests waited in the queue before they were sent. */
-    private final Histogram waited = new Histogram(2);
+    /** Marks the prefix of a key that a write creates. */
+    private static final String CREATED_MARK = "+";
 
-    private int notSent;
-    private int refused;
+    private static final int SIGNIFICANT_DIGITS = 2;
+
+    private final Map<RequestKind, Integer> requests = new EnumMap<>(RequestKind.class);
+    /** Writes sent, by the prefix of their key; writes that create the key count apart. */
+    private final Map<String, Integer> writesByPrefix = new TreeMap<>();
+
+    private final Histogram queueWaitMillis = new Histogram(SIGNIFICANT_DIGITS);
+    private int droppedRequests;
+    private int shedWrites;
     private int longestQueue;
 
-    void sent(Request kind) {
+    /** A request was sent. */
+    void requestSent(RequestKind kind) {
         requests.merge(kind, 1, Integer::sum);
     }
 
     /** The writes of that transaction were sent. */
     void writesSent(CompareAndSwap transaction) {
         for (CompareAndSwap.Write write : transaction.writes()) {
-            changes.merge(prefix(write.key()) + (transaction.creates(write) ? "+" : ""), 1, Integer::sum);
+            String mark = transaction.creates(write) ? CREATED_MARK : "";
+            writesByPrefix.merge(prefix(write.key()) + mark, 1, Integer::sum);
         }
     }
 
@@ -49,40 +55,47 @@
         return end < 0 ? key : key.substring(0, end);
     }
 
-    void waited(long ms) {
-        waited.recordValue(Math.max(0, ms));
+    /** A request waited that long in the queue before it was sent. */
+    void queueWaitObserved(long millis) {
+        queueWaitMillis.recordValue(Math.max(0, millis));
     }
 
-    /** A request was given up unsent, since the queue was full or its turn came too late. */
-    void notSent() {
-        notSent++;
+    /** A request was dropped unsent, since the queue was full or its turn came too late. */
+    void requestDropped() {
+        droppedRequests++;
     }
 
-    /** A new write was refused, since it would have had to wait for too long. */
-    void refused() {
-        refused++;
+    /** A new write was rejected, since it would have had to wait for too long. */
+    void writeShed() {
+        shedWrites++;
     }
 
-    void queued(int length) {
+    /** That many requests are in the queue. */
+    void queueLengthObserved(int length) {
         longestQueue = Math.max(longestQueue, length);
     }
 
-    /** Logs the counts since the last time and starts over. */
-    void log() {
+    /** Logs the counts since the last report and starts over. */
+    void report() {
         LOG.info(
-                "state requests={} changes={} waited_p50={} waited_p99={} longest_queue={} not_sent={} refused={}",
+                "store.usage.reported requests={} writes={} queue_wait_p50_ms={} queue_wait_p99_ms={} longest_queue={}"
+                        + " dropped={} shed={}",
                 requests,
-                changes,
-                waited.getValueAtPercentile(50),
-                waited.getValueAtPercentile(99),
+                writesByPrefix,
+                queueWaitMillis.getValueAtPercentile(50),
+                queueWaitMillis.getValueAtPercentile(99),
                 longestQueue,
-                notSent,
-                refused);
+                droppedRequests,
+                shedWrites);
+        reset();
+    }
+
+    private void reset() {
         requests.clear();
-        changes.clear();
-        waited.reset();
-        notSent = 0;
-        refused = 0;
+        writesByPrefix.clear();
+        queueWaitMillis.reset();
+        droppedRequests = 0;
+        shedWrites = 0;
         longestQueue = 0;
     }
 }
--- a/src/main/java/org/hollypick/store/WriteShare.java
+++ b/src/main/java/org/hollypick/store/WriteShare.java
@@ -3,70 +3,79 @@
 import org.hollypick.config.constants.StoreConstants;
 
 /**
- * How many changes a second a leader may make: its own share, and what the other controllers leave unused of theirs.
- * What they use is told by the watch, which shows every change; theirs are those that aren't the leader's own. The
- * others keep to their shares, and get them back within {@link StoreConstants#WRITE_SHARE_WINDOWS} seconds.
+ * How many writes a second a leader may make: its own share, and what the other controllers leave unused of theirs. A
+ * watch shows the leader every write; the others' are those that aren't its own. The others keep to their shares, and
+ * get them back within {@link StoreConstants#WRITE_SHARE_WINDOWS} windows. Confined to the event loop.
  */
 final class WriteShare {
-    private final double all;
-    private final double least;
-    /** Changes of the other controllers in the last seconds in which any change was seen. */
-    private final int[] others = new int[StoreConstants.WRITE_SHARE_WINDOWS];
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    private int windows;
-    private long windowSince;
-    private int seen;
-    private int own;
+    private final double plannedWritesPerSecond;
+    private final double minimumWritesPerSecond;
+    /** Writes of the other controllers in the last windows in which any write was observed; a ring. */
+    private final int[] othersWritesByWindow = new int[StoreConstants.WRITE_SHARE_WINDOWS];
+
+    private int countedWindows;
+    private long windowStartedAtMillis;
+    private int observedInWindow;
+    private int ownInWindow;
 
     /**
-     * {@code all}: changes a second that all controllers plan to make; {@code least}: the leader's own share of them.
+     * {@code plannedWritesPerSecond}: what all controllers plan to write together; {@code minimumWritesPerSecond}: the
+     * leader's own share of that.
      */
-    WriteShare(double all, double least, long now) {
-        this.all = all;
-        this.least = least;
-        this.windowSince = now;
+    WriteShare(double plannedWritesPerSecond, double minimumWritesPerSecond, long nowMillis) {
+        this.plannedWritesPerSecond = plannedWritesPerSecond;
+        this.minimumWritesPerSecond = minimumWritesPerSecond;
+        this.windowStartedAtMillis = nowMillis;
     }
 
-    /** The watch showed so many changes, of whichever controller. */
-    void seen(int changes, long now) {
-        roll(now);
-        seen += changes;
+    /** A watch showed that many writes, of any controller. */
+    void writesObserved(int count, long nowMillis) {
+        closeElapsedWindow(nowMillis);
+        observedInWindow += count;
     }
 
-    /** So many changes of this controller were carried out. */
-    void own(int changes, long now) {
-        roll(now);
-        own += changes;
+    /** That many writes of this controller were committed. */
+    void ownWritesCommitted(int count, long nowMillis) {
+        closeElapsedWindow(nowMillis);
+        ownInWindow += count;
     }
 
-    private void roll(long now) {
-        if (now - windowSince < StoreConstants.WRITE_SHARE_WINDOW_MS) {
+    private void closeElapsedWindow(long nowMillis) {
+        long elapsedMillis = nowMillis - windowStartedAtMillis;
+        if (elapsedMillis < StoreConstants.WRITE_SHARE_WINDOW_MS) {
             return;
         }
-        // Without any, or after a long pause, the watch may have been held up, as in an outage: that tells nothing of
-        // the others.
-        boolean whole = now - windowSince < 2 * StoreConstants.WRITE_SHARE_WINDOW_MS;
-        if (seen > 0) {
-            if (whole) {
-                others[windows++ % others.length] = seen - own;
+        // A window without any write, or one that lasted too long, may be due to a watch that was held up, as in an
+        // outage: it shows nothing about the others.
+        boolean onTime = elapsedMillis < 2 * StoreConstants.WRITE_SHARE_WINDOW_MS;
+        if (observedInWindow > 0) {
+            if (onTime) {
+                othersWritesByWindow[countedWindows++ % othersWritesByWindow.length] = observedInWindow - ownInWindow;
             }
-            seen = 0;
-            own = 0;
+            observedInWindow = 0;
+            ownInWindow = 0;
         }
-        windowSince = now;
+        windowStartedAtMillis = nowMillis;
     }
 
-    /** Changes a second that the leader may make now. */
-    double rate(long now) {
-        roll(now);
-        if (windows < others.length) {
-            return least;
+    /** Writes a second that the leader may make now. */
+    double writesPerSecond(long nowMillis) {
+        closeElapsedWindow(nowMillis);
+        if (countedWindows < othersWritesByWindow.length) {
+            return minimumWritesPerSecond;
         }
+        return Math.max(minimumWritesPerSecond, plannedWritesPerSecond - othersWritesPerSecond());
+    }
+
+    private double othersWritesPerSecond() {
         double sum = 0;
-        for (int changes : others) {
-            sum += changes;
+        for (int writes : othersWritesByWindow) {
+            sum += writes;
         }
-        double used = Math.max(0, sum) * 1000 / (others.length * StoreConstants.WRITE_SHARE_WINDOW_MS);
-        return Math.max(least, all - used);
+        return Math.max(0, sum)
+                * MILLIS_PER_SECOND
+                / (othersWritesByWindow.length * StoreConstants.WRITE_SHARE_WINDOW_MS);
     }
 }
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -110,7 +110,7 @@
 
     /**
      * Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may
-     * spell it out: KeyValueStoreClient names a key that is never written.
+     * spell it out: StoreRequests names a key that is never written.
      */
     private static final Map<String, List<String>> WIRE_NAMES = Map.of(
             "\"baton\"", List.of("io/WireNames.java"),
@@ -118,7 +118,9 @@
             "\"tenancy\"", List.of("io/WireNames.java"),
             "\"stamp\"", List.of("io/WireNames.java"),
             "\"roster\"", List.of("io/WireNames.java"),
-            "\"h/", List.of("cluster/StoreKeys.java", "store/KeyValueStoreClient.java"));
+            "\"drop\"", List.of("store/StoreCodec.java"),
+            "\"life_ms\"", List.of("store/StoreCodec.java"),
+            "\"h/", List.of("cluster/StoreKeys.java", "store/StoreRequests.java"));
 
     @Test
     void wireNamesStandInTheirCodecsOnly() throws IOException {
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -115,30 +115,30 @@
     void aLeaderMayMakeTheChangesThatOthersLeaveUnused() {
         WriteShare share = new WriteShare(ALL, LEAST, 0);
         for (long now = 100; now <= 5_000; now += 100) {
-            share.own(1, now);
-            share.seen(1, now);
+            share.ownWritesCommitted(1, now);
+            share.writesObserved(1, now);
         }
-        assertEquals(ALL, share.rate(5_000), 0.01);
+        assertEquals(ALL, share.writesPerSecond(5_000), 0.01);
         for (long now = 5_100; now <= 10_000; now += 100) {
-            share.own(1, now);
-            share.seen(2, now);
+            share.ownWritesCommitted(1, now);
+            share.writesObserved(2, now);
         }
-        assertEquals(ALL - 10, share.rate(10_000), 0.01);
+        assertEquals(ALL - 10, share.writesPerSecond(10_000), 0.01);
         for (long now = 10_100; now <= 15_000; now += 100) {
-            share.seen(2, now);
+            share.writesObserved(2, now);
         }
-        assertEquals(LEAST, share.rate(15_000), 0.01, "the others use all of theirs");
+        assertEquals(LEAST, share.writesPerSecond(15_000), 0.01, "the others use all of theirs");
     }
 
     @Test
     void aWatchThatShowsNothingTellsNothingOfTheOthers() {
         WriteShare share = new WriteShare(ALL, LEAST, 0);
-        assertEquals(LEAST, share.rate(4_000), 0.01, "not known yet");
+        assertEquals(LEAST, share.writesPerSecond(4_000), 0.01, "not known yet");
         for (long now = 4_100; now <= 9_000; now += 100) {
-            share.seen(1, now);
+            share.writesObserved(1, now);
         }
-        assertEquals(ALL - 10, share.rate(9_000), 0.01);
-        assertEquals(ALL - 10, share.rate(60_000), 0.01);
+        assertEquals(ALL - 10, share.writesPerSecond(9_000), 0.01);
+        assertEquals(ALL - 10, share.writesPerSecond(60_000), 0.01);
     }
 
     /** The leader's queue empties at the rate of all controllers while the others change nothing. */
