--- a/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
@@ -208,7 +208,7 @@
     }
 
     private static boolean isRunning(Assignment assignment, long attempt) {
-        return assignment.attempt == attempt && assignment.mayExist() && !assignment.stopRequested;
+        return assignment.attempt == attempt && assignment.mayExist() && !assignment.stopRequested();
     }
 
     /** Why nothing may be added to the graph now. */
--- a/src/main/java/org/hollypick/control/jobs/CompletionPart.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionPart.java
@@ -74,22 +74,22 @@
 
     /** Whether tasks completed that aren't durable as completed. */
     boolean hasNewCompletions() {
-        return !slice(job.completedTasks).equals(slice(job.durablyCompleted));
+        return !slice(job.completedTasks).equals(slice(job.durablyCompleted()));
     }
 
     boolean isLive() {
-        return job.status == Job.Status.LIVE;
+        return job.isLive();
     }
 
     /** Takes in what a record says: these tasks completed, and that is durable. */
     void restore(BitSet completed) {
         completed.stream().forEach(i -> job.completedTasks.set(from + i));
-        job.durablyCompleted = (BitSet) job.completedTasks.clone();
+        job.markCompletionsDurable();
         job.pendingTasks.andNot(job.completedTasks);
     }
 
     /** These tasks, of a {@link #slice}, are durable as completed now. */
     void markDurable(BitSet completed) {
-        completed.stream().forEach(i -> job.durablyCompleted.set(from + i));
+        completed.stream().forEach(i -> job.durablyCompleted().set(from + i));
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -87,8 +87,8 @@
         }
         CompletionBatch batch = new CompletionBatch(settings);
         for (Job job : new ArrayList<>(scheduler.outbox().jobsWithNewCompletions())) {
-            boolean terminalRecordFollows = job.terminalWriteInFlight || job.finished();
-            if (job.status != Job.Status.LIVE) {
+            boolean terminalRecordFollows = job.terminalWriteInFlight() || job.finished();
+            if (job.status() != Job.Status.LIVE) {
                 scheduler.outbox().removeNewCompletions(job);
             } else if (!terminalRecordFollows && addAllParts(job, batch)) {
                 scheduler.outbox().removeNewCompletions(job);
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -50,7 +50,7 @@
     void writeFinishedJobs() {
         List<Job> finishedJobs = new ArrayList<>();
         for (Job job : scheduler.outbox().jobsWithNewCompletions()) {
-            if (job.finished() && !job.terminalWriteInFlight) {
+            if (job.finished() && !job.terminalWriteInFlight()) {
                 finishedJobs.add(job);
             }
         }
@@ -93,7 +93,7 @@
         batchesInFlight++;
         for (TerminalWrite write : batch) {
             scheduler.outbox().removeNewCompletions(write.job());
-            write.job().terminalWriteInFlight = true;
+            write.job().beginTerminalWrite();
         }
         recordWriter.commit(batch, result -> {
             batchesInFlight--;
@@ -112,10 +112,10 @@
 
     private void writeFinished(TerminalWrite write, boolean durable) {
         Job job = write.job();
-        job.terminalWriteInFlight = false;
+        job.endTerminalWrite();
         if (durable) {
             becameDurable.accept(write);
-        } else if (job.status == Job.Status.LIVE) {
+        } else if (job.isLive()) {
             scheduler.outbox().addNewCompletions(job);
         }
     }
--- a/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
@@ -46,7 +46,7 @@
     void commit(List<TerminalWrite> writes, Consumer<CommitResult> onResult) {
         CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         for (TerminalWrite write : writes) {
-            write.job().unresolvedTerminalWrites++;
+            write.job().terminalWriteSent();
             if (write.status() == TerminalStatus.CANCELLED) {
                 unresolvedCancellations.add(write.jobId());
             }
@@ -63,8 +63,8 @@
 
     private void resolve(TerminalWrite write) {
         Job job = write.job();
-        job.unresolvedTerminalWrites--;
-        if (job.unresolvedTerminalWrites == 0) {
+        job.terminalWriteResolved();
+        if (!job.hasUnresolvedTerminalWrites()) {
             unresolvedCancellations.remove(write.jobId());
         }
     }
@@ -80,7 +80,7 @@
 
     /** Whether the job may be terminal by a write that is unresolved: its own, or the cancellation of a dependency. */
     boolean hasUnresolvedWrite(Job job) {
-        return job.unresolvedTerminalWrites > 0
+        return job.hasUnresolvedTerminalWrites()
                 || (hasUnresolvedCancellations() && dependencies.needsAny(job.spec.id(), unresolvedCancellations));
     }
 }
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -14,7 +14,6 @@
  * that nothing of it is on its machine. Confined to the event loop.
  */
 public final class AssignmentTable {
-    private static final char TASK_INDEX_SEPARATOR = '/';
     private static final int NO_TASK_INDEX = -1;
     private static final String REASON_DONE = "done";
     private static final String REASON_ERROR = "error";
@@ -48,11 +47,9 @@
      * @param graceS seconds to save a checkpoint; with 0 the task's resources count as free at once
      */
     public void stop(Assignment assignment, double graceS) {
-        if (assignment.stopRequested && graceS >= assignment.graceS) {
+        if (!assignment.requestStop(graceS)) {
             return;
         }
-        assignment.stopRequested = true;
-        assignment.graceS = graceS;
         if (graceS == 0) {
             assignment.machine.release(assignment);
             scheduler.outbox().addFreedRoom(assignment.machine);
@@ -99,7 +96,7 @@
         if (!exited) {
             job.assign(assignment);
             teamUsage.add(assignment.spec, 1);
-            if (job.cancellationRequested) {
+            if (job.cancellationRequested()) {
                 stop(assignment, 0);
             }
         }
@@ -108,14 +105,14 @@
 
     /** @return null if the job isn't live, or the name isn't one of a task */
     private Job liveJobOf(String taskId) {
-        int separator = taskId.lastIndexOf(TASK_INDEX_SEPARATOR);
+        int separator = taskId.lastIndexOf(Assignment.TASK_INDEX_SEPARATOR);
         Job job = separator < 0 ? null : scheduler.job(taskId.substring(0, separator));
-        return job != null && job.status == Job.Status.LIVE ? job : null;
+        return job != null && job.isLive() ? job : null;
     }
 
     private static int taskIndexOf(String taskId) {
         try {
-            return Integer.parseInt(taskId.substring(taskId.lastIndexOf(TASK_INDEX_SEPARATOR) + 1));
+            return Integer.parseInt(taskId.substring(taskId.lastIndexOf(Assignment.TASK_INDEX_SEPARATOR) + 1));
         } catch (NumberFormatException e) {
             return NO_TASK_INDEX;
         }
@@ -153,13 +150,10 @@
             return;
         }
         State next = status.state();
-        if (next == State.RUNNING && assignment.state() != State.RUNNING) {
-            assignment.runningAt = now;
-        }
         if (next == State.RUNNING || next == State.CHECKPOINTING) {
             assignment.machine.images.put(assignment.spec.image(), now);
         }
-        assignment.transitionTo(next);
+        assignment.transitionTo(next, now);
         if (next == State.EXITED) {
             assignment.machine.release(assignment);
             if (completesTask(assignment.job, status)) {
@@ -181,8 +175,8 @@
         if (other != null && other != assignment) {
             stop(other, 0);
         }
-        if (job.durablyCompleted.get(index)) {
-            assignment.removable = true;
+        if (job.durablyCompleted().get(index)) {
+            assignment.markRemovable();
         } else {
             job.uncommittedAssignments.add(assignment);
         }
@@ -195,20 +189,18 @@
 
     /** Adds a completed task's runtime to the estimates and to the attained service that Tyrex orders jobs by. */
     private void accountRuntime(Assignment assignment, long now) {
-        boolean observed = assignment.runningAt > 0;
-        double runtimeS = observed ? (now - assignment.runningAt) / 1000.0 : assignment.spec.estimateS();
-        assignment.job.attainedServiceS += runtimeS;
-        if (observed) {
+        double runtimeS = assignment.hasRun() ? assignment.runtimeS(now) : assignment.spec.estimateS();
+        assignment.job.addAttainedService(runtimeS);
+        if (assignment.hasRun()) {
             scheduler.estimates().observe(assignment.spec, assignment.machine.id, runtimeS, false);
         }
         for (Job mover : Tyrex.movers(scheduler.jobs())) {
-            mover.inSecondPartitionByTyrex = true;
-            mover.attainedServiceS = 0;
+            mover.moveToSecondPartition();
         }
     }
 
     private void exitedIncomplete(Assignment assignment, String reason, long now) {
-        assignment.removable = true;
+        assignment.markRemovable();
         observeInterrupted(assignment, now);
         faultAttribution.ended(assignment.machine, assignment.job, assignment.index, reason, now);
         if (REASON_ERROR.equals(reason)) {
@@ -236,16 +228,15 @@
         assignment.machine.release(assignment);
         assignment.job.uncommittedAssignments.remove(assignment);
         if (assignment.mayExist()) {
-            assignment.transitionTo(State.EXITED);
+            assignment.transitionTo(State.EXITED, scheduler.lastEventAt());
             freeTask(assignment);
         }
     }
 
     /** The task would have run for longer: a censored observation for the estimates. */
     private void observeInterrupted(Assignment assignment, long now) {
-        if (assignment.runningAt > 0) {
-            double runtimeS = (now - assignment.runningAt) / 1000.0;
-            scheduler.estimates().observe(assignment.spec, assignment.machine.id, runtimeS, true);
+        if (assignment.hasRun()) {
+            scheduler.estimates().observe(assignment.spec, assignment.machine.id, assignment.runtimeS(now), true);
         }
     }
 
@@ -270,8 +261,8 @@
     public void completionsCommitted(Job job) {
         for (Iterator<Assignment> i = job.uncommittedAssignments.iterator(); i.hasNext(); ) {
             Assignment assignment = i.next();
-            if (job.durablyCompleted.get(assignment.index)) {
-                assignment.removable = true; // cleared with the response to the machine's next heartbeat
+            if (job.durablyCompleted().get(assignment.index)) {
+                assignment.markRemovable(); // cleared with the response to the machine's next heartbeat
                 i.remove();
             }
         }
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -37,7 +37,7 @@
                 // it belongs to nobody.
                 commands.add(new Command(Verb.KILL, status.task(), status.attempt(), NO_GRACE_S));
             } else if (needsKill(assignment, status)) {
-                commands.add(new Command(Verb.KILL, status.task(), status.attempt(), assignment.graceS));
+                commands.add(new Command(Verb.KILL, status.task(), status.attempt(), assignment.graceS()));
             }
         }
         commands.addAll(clears);
@@ -49,12 +49,13 @@
 
     /** A task that already saves its checkpoint isn't killed again, unless it has to go at once. */
     private static boolean needsKill(Assignment assignment, TaskStatus status) {
-        return assignment.stopRequested && (status.state() != State.CHECKPOINTING || assignment.graceS == NO_GRACE_S);
+        return assignment.stopRequested()
+                && (status.state() != State.CHECKPOINTING || assignment.graceS() == NO_GRACE_S);
     }
 
     private static void addLaunches(Machine machine, List<Command> commands) {
         for (Assignment assignment : machine.assignments.values()) {
-            if (assignment.state() == State.LAUNCHING && !assignment.stopRequested) {
+            if (assignment.state() == State.LAUNCHING && !assignment.stopRequested()) {
                 commands.add(new Command(Verb.LAUNCH, assignment.taskId, assignment.attempt, NO_GRACE_S));
             }
         }
@@ -65,7 +66,7 @@
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
-                assignment.launchInHeartbeatResponse = true;
+                assignment.launchSentInHeartbeatResponse();
             }
         }
     }
@@ -76,7 +77,7 @@
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
-                assignment.directLaunchInFlight = true;
+                assignment.launchSentDirectly();
             }
         }
     }
@@ -93,8 +94,7 @@
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
-                assignment.directLaunchInFlight = false;
-                assignment.directLaunchUnacknowledged |= mayExecuteLate;
+                assignment.directLaunchCompleted(mayExecuteLate);
             }
         }
     }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -15,7 +15,7 @@
     void ended(Machine machine, Job job, int index, String why, long now) {
         switch (why) {
             case "error" -> {
-                job.failures++;
+                job.recordFailure();
                 charge(machine, job, now);
                 back(job, index, now);
             }
@@ -30,8 +30,7 @@
         if (startedAt > machine.failedAt) {
             machine.failedJobs.clear();
         }
-        job.failures = 0;
-        job.failedMachines.clear();
+        job.recordSuccess();
     }
 
     /** Whether the machine's quarantine ends now. */
@@ -56,8 +55,8 @@
 
     private static void back(Job job, int index, long now) {
         long wait = Math.min(
-                FaultConstants.TASK_BACKOFF_MAX_MS, FaultConstants.TASK_BACKOFF_MS << Math.min(job.failures, 5));
-        job.retryNotBefore.put(index, now + (job.failures <= 1 ? 0 : wait));
+                FaultConstants.TASK_BACKOFF_MAX_MS, FaultConstants.TASK_BACKOFF_MS << Math.min(job.failures(), 5));
+        job.retryNotBefore.put(index, now + (job.failures() <= 1 ? 0 : wait));
     }
 
     /**
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -96,7 +96,7 @@
 
     private void removeUnlistedAssignments(Machine machine) {
         for (Assignment assignment : machine.unlistedAssignments()) {
-            boolean launchCancelled = assignment.stopRequested && !assignment.launchMayStillExecute();
+            boolean launchCancelled = assignment.stopRequested() && !assignment.launchMayStillExecute();
             if (assignment.state() != State.LAUNCHING || launchCancelled) {
                 assignments.remove(assignment);
             }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -14,8 +14,12 @@
 import org.hollypick.config.constants.FaultConstants;
 import org.hollypick.core.assignment.Assignment;
 
-/** A live job, owned by this controller. */
+/**
+ * A live job as the leader knows it: which of its tasks are pending, assigned, completed and durably completed, and how
+ * often they failed. Confined to the event loop.
+ */
 public final class Job {
+    /** Whether a job is live, or how it ended, durably. */
     public enum Status {
         LIVE,
         DONE,
@@ -23,55 +27,47 @@
     }
 
     public final JobSpec spec;
-    /** Arrival order: the stamp of the job's record. */
+    /** The revision of the job's record: the order of arrival. */
     public final long arrivalRevision;
-    /** The leader record stamp that the record's creation was conditional on. */
+    /** The revision of the leader record that the creation of the job's record depended on. */
     public final long createdUnderToken;
 
-    public Status status = Status.LIVE;
-    /** All that it awaits is durably done; before that nothing of it starts, and it counts for nothing. */
-    public boolean ready;
-    /** Its own rank, or a higher one of a job that needs it. */
-    public JobSpec.Priority priority;
-    /** Its user asked to cancel it: nothing of it starts any more, whether that is durable yet or not. */
-    public boolean cancellationRequested;
-
+    /** Tasks that were completed, durably or not. */
     public final BitSet completedTasks = new BitSet();
-    /** Progress that is durable already. */
-    public BitSet durablyCompleted = new BitSet();
-    /** Tasks with nothing anywhere. */
+    /** Tasks that have to start and are nowhere. */
     public final BitSet pendingTasks = new BitSet();
-    /** Tasks that may be somewhere. */
+    /** By task index: the attempt that may be on a machine. */
     public final Int2ObjectOpenHashMap<Assignment> assignments = new Int2ObjectOpenHashMap<>();
-
-    private final Object2IntOpenHashMap<String> inZone = new Object2IntOpenHashMap<>();
-    /** Tasks that were last reported as running or saving. */
-    public int running;
-    /** Attempts that ended with done and whose progress isn't durable yet. */
+    /** Attempts that completed their task, which isn't durable yet. */
     public final List<Assignment> uncommittedAssignments = new ArrayList<>();
-
+    /** By task index: when a task that failed may start again, in milliseconds. */
     public final Int2LongOpenHashMap retryNotBefore = new Int2LongOpenHashMap();
-    public int failures;
-    /** Machines on which its tasks failed since one last succeeded; more than one speaks against the job. */
+    /** Machines on which its tasks failed since one was last completed; several of them speak against the job. */
     public final Set<String> failedMachines = new HashSet<>();
-    /** Tyrex: moved on to the second partition. */
-    public boolean inSecondPartitionByTyrex;
-    /** Tyrex: run time, in seconds, of tasks finished in the present partition. */
-    public double attainedServiceS;
-    /** A write of the done state is on its way. */
-    public boolean terminalWriteInFlight;
-    /** Writes of an end that went out and may be, or become, true: another node may tell it before this one knows. */
-    public int unresolvedTerminalWrites;
-
-    /** Null: all tasks are as {@code spec} says. */
+
+    /** Null if all tasks are as {@link #spec} says. */
     private final TaskSet set;
 
+    private final Object2IntOpenHashMap<String> assignedByZone = new Object2IntOpenHashMap<>();
+    private Status status = Status.LIVE;
+    private boolean ready;
+    private JobSpec.Priority priority;
+    private boolean cancellationRequested;
+    private BitSet durablyCompleted = new BitSet();
+    private int running;
+    private int failures;
+    private boolean inSecondPartitionByTyrex;
+    private double attainedServiceS;
+    private boolean terminalWriteInFlight;
+    private int unresolvedTerminalWrites;
+
+    /** A job whose tasks are all alike and all pending. */
     public Job(JobSpec spec, long arrivalRevision, long createdUnderToken, boolean ready, JobSpec.Priority priority) {
         this(spec, null, arrivalRevision, createdUnderToken, ready, priority);
         pendingTasks.set(0, spec.tasks());
     }
 
-    /** A job whose tasks aren't all alike: what of it waits is told by and by ({@link Scheduler#release}). */
+    /** A job whose tasks differ; each becomes pending by {@link Scheduler#release}. */
     public Job(
             JobSpec spec,
             TaskSet set,
@@ -87,31 +83,118 @@
         this.createdUnderToken = createdUnderToken;
     }
 
-    /** What that task takes and where it may go. */
+    // ---- status ----
+
+    /** Live, or how the job ended, durably. */
+    public Status status() {
+        return status;
+    }
+
+    /** Whether the job hasn't ended. */
+    public boolean isLive() {
+        return status == Status.LIVE;
+    }
+
+    /** Whether all jobs that it depends on are durably done; nothing of it starts before that, nor counts. */
+    public boolean ready() {
+        return ready;
+    }
+
+    void markReady() {
+        ready = true;
+    }
+
+    /** Its own priority, or a higher one of a job that depends on it. */
+    public JobSpec.Priority priority() {
+        return priority;
+    }
+
+    void setPriority(JobSpec.Priority priority) {
+        this.priority = priority;
+    }
+
+    /** Whether its user asked to cancel it: nothing of it starts any more, whether that is durable yet or not. */
+    public boolean cancellationRequested() {
+        return cancellationRequested;
+    }
+
+    /** No task is pending any more; assigned ones are stopped by the caller. */
+    void requestCancellation() {
+        cancellationRequested = true;
+        pendingTasks.clear();
+    }
+
+    /** The cancellation is durable. */
+    void markCancelled() {
+        status = Status.CANCELLED;
+    }
+
+    /** The job's completion, and with it that of its tasks, is durable. */
+    void markDone() {
+        status = Status.DONE;
+        durablyCompleted = completedTasks;
+    }
+
+    // ---- writes of the terminal status ----
+
+    /** Whether a write of the job's completion is in flight. */
+    public boolean terminalWriteInFlight() {
+        return terminalWriteInFlight;
+    }
+
+    /** A write of the job's completion goes out. */
+    public void beginTerminalWrite() {
+        terminalWriteInFlight = true;
+    }
+
+    /** The write of the job's completion ended. */
+    public void endTerminalWrite() {
+        terminalWriteInFlight = false;
+    }
+
+    /** A write of a terminal status goes out: from now on another controller may see it before this one knows. */
+    public void terminalWriteSent() {
+        unresolvedTerminalWrites++;
+    }
+
+    /** The outcome of one such write is known. */
+    public void terminalWriteResolved() {
+        unresolvedTerminalWrites--;
+    }
+
+    /** Whether a write of a terminal status went out whose outcome is unknown. */
+    public boolean hasUnresolvedTerminalWrites() {
+        return unresolvedTerminalWrites > 0;
+    }
+
+    // ---- tasks ----
+
+    /** What the task requires and where it may run. */
     public JobSpec spec(int index) {
         return set == null ? spec : set.spec(index);
     }
 
+    /** The number of tasks, as far as it is known. */
     public int tasks() {
         return set == null ? spec.tasks() : set.count();
     }
 
-    /** Tasks that wait for others of the same job. */
+    /** The number of tasks that wait for others of the same job. */
     public int unreleasedTasks() {
         return set == null ? 0 : set.unreleasedTasks();
     }
 
-    /** Whether its tasks may become more. */
+    /** Whether tasks may be added. */
     public boolean mayGrow() {
         return set != null;
     }
 
-    /** Whether its tasks differ in what they take. */
+    /** Whether its tasks differ in what they require. */
     public boolean heterogeneous() {
         return set != null && set.heterogeneous();
     }
 
-    /** Whether that task may still start. */
+    /** Whether the task may still start. */
     boolean mayStart(int index) {
         return status == Status.LIVE
                 && !cancellationRequested
@@ -119,14 +202,24 @@
                 && (set == null || set.mayStart(index));
     }
 
-    /** {@code durablyCompleted} holds more than before. */
+    /** The tasks whose completion is durable; a task added here is followed by {@link #completionsCommitted}. */
+    public BitSet durablyCompleted() {
+        return durablyCompleted;
+    }
+
+    /** The completed tasks were read from durable records, or all written there. */
+    public void markCompletionsDurable() {
+        durablyCompleted = (BitSet) completedTasks.clone();
+    }
+
+    /** {@link #durablyCompleted} holds more than before. */
     void completionsCommitted() {
         if (set != null) {
             set.completionsCommitted(durablyCompleted);
         }
     }
 
-    /** Finished, and all of its tasks were done. */
+    /** Whether the finished job completed all of its tasks. */
     public boolean successful() {
         return set == null || set.successful();
     }
@@ -137,7 +230,7 @@
         }
     }
 
-    /** How many tasks of each description wait. */
+    /** Passes on the number of pending tasks of each kind. */
     public void forEachWaiting(ObjIntConsumer<JobSpec> each) {
         if (!heterogeneous()) {
             if (!pendingTasks.isEmpty()) {
@@ -150,31 +243,78 @@
         counts.forEach((spec, count) -> each.accept(spec, count[0]));
     }
 
-    /** It starts now, or was found, on that machine. */
+    /** The task isn't pending any more: it starts on a machine, or was found there. */
     public void assign(Assignment assignment) {
         assignments.put(assignment.index, assignment);
         pendingTasks.clear(assignment.index);
-        inZone.addTo(assignment.machine.zone, 1);
+        assignedByZone.addTo(assignment.machine.zone, 1);
     }
 
-    /** That attempt can't be anywhere any more; whether the task waits again is up to the caller. */
+    /**
+     * The attempt can't be on its machine any more; whether the task is pending again is up to the caller.
+     *
+     * @return false if it wasn't the task's present attempt
+     */
     public boolean unassign(Assignment assignment) {
         if (assignments.get(assignment.index) != assignment) {
             return false;
         }
         assignments.remove(assignment.index);
-        inZone.addTo(assignment.machine.zone, -1);
+        assignedByZone.addTo(assignment.machine.zone, -1);
         return true;
     }
 
+    /** Tasks that were last reported as running or saving a checkpoint. */
+    public int running() {
+        return running;
+    }
+
+    /** A task began ({@code 1}) or ceased ({@code -1}) to run; 0 changes nothing. */
+    public void countRunning(int change) {
+        running += change;
+    }
+
+    // ---- failures ----
+
+    /** Failures since a task was last completed. */
+    public int failures() {
+        return failures;
+    }
+
+    void recordFailure() {
+        failures++;
+    }
+
+    void recordSuccess() {
+        failures = 0;
+        failedMachines.clear();
+    }
+
     /**
-     * It failed on several machines and succeeded on none since: one task at a time is enough to find out when that is
-     * over.
+     * Whether it failed on several machines and completed no task since: one task at a time is enough to find out when
+     * that is over.
      */
     public boolean failsEverywhere() {
         return failedMachines.size() >= FaultConstants.JOB_ERRORS;
     }
 
+    // ---- Tyrex ----
+
+    /** The runtime, in seconds, of the tasks completed in the present Tyrex partition. */
+    public double attainedServiceS() {
+        return attainedServiceS;
+    }
+
+    void addAttainedService(double seconds) {
+        attainedServiceS += seconds;
+    }
+
+    /** Its attained service exceeds the cutoff of the first partition; it counts anew in the second. */
+    void moveToSecondPartition() {
+        inSecondPartitionByTyrex = true;
+        attainedServiceS = 0;
+    }
+
     /** Whether it has attained service to record. */
     boolean hasAttainedService() {
         return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || inSecondPartitionByTyrex);
@@ -191,19 +331,22 @@
         attainedServiceS = recorded < 0 ? -1 - recorded : recorded;
     }
 
+    /** Whether it is scheduled in the second Tyrex partition, as all services are. */
     public boolean inSecondPartition() {
         return spec.service() || inSecondPartitionByTyrex;
     }
 
+    /** The number of its tasks that may be in the zone. */
     public int inZone(String zone) {
-        return inZone.getInt(zone);
+        return assignedByZone.getInt(zone);
     }
 
-    /** Something of it waits to be started, and may. */
+    /** Whether a task is pending and may start. */
     public boolean hasPendingTasks() {
         return status == Status.LIVE && ready && !pendingTasks.isEmpty();
     }
 
+    /** Whether all tasks of an array ended; services never finish. */
     public boolean finished() {
         return !spec.service()
                 && (set == null ? completedTasks.cardinality() == spec.tasks() : set.finished(completedTasks));
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -124,7 +124,7 @@
         return jobs.values();
     }
 
-    /** The live job with this id; null if there is none. */
+    /** Returns the live job with this id, or null if there is none. */
     public Job job(String id) {
         return jobs.get(id);
     }
@@ -173,9 +173,9 @@
 
     /** The jobs that it depends on, or that depend on it, changed. */
     public void updateDependencies(Job job, boolean ready, JobSpec.Priority priority) {
-        job.priority = priority;
-        if (ready && !job.ready) {
-            job.ready = true;
+        job.setPriority(priority);
+        if (ready && !job.ready()) {
+            job.markReady();
             countArrival(job);
         }
     }
@@ -231,8 +231,7 @@
      * leader does. Nothing of the job starts from here on, and all of it is stopped.
      */
     public void cancel(Job job) {
-        job.cancellationRequested = true;
-        job.pendingTasks.clear();
+        job.requestCancellation();
         stopAll(job);
         outbox.requestCycle();
     }
@@ -240,13 +239,12 @@
     /** The cancellation is durable. */
     public void markCancelled(Job job) {
         cancel(job);
-        job.status = Job.Status.CANCELLED;
+        job.markCancelled();
     }
 
     /** The job's completion is durable. */
     public void markDone(Job job) {
-        job.status = Job.Status.DONE;
-        job.durablyCompleted = job.completedTasks;
+        job.markDone();
         stopAll(job);
         assignments.completionsCommitted(job);
     }
@@ -264,7 +262,7 @@
         return machines.values();
     }
 
-    /** The machine with this id; null if it is not known or was terminated. */
+    /** Returns the machine with this id, or null if none is known or it was terminated. */
     public Machine machine(String id) {
         return machines.get(id);
     }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -20,7 +20,7 @@
      * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
      * holds among jobs of one rank.
      */
-    private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority)
+    private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority())
             .thenComparing((a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision));
 
     private final Scheduler scheduler;
--- a/src/main/java/org/hollypick/core/assignment/Heartbeat.java
+++ b/src/main/java/org/hollypick/core/assignment/Heartbeat.java
@@ -2,7 +2,19 @@
 
 import java.util.List;
 
-/** A worker's report; {@code noticeS} is NaN when the cloud doesn't take the machine. Integers are unsigned. */
+/**
+ * A heartbeat of an agent, with the status of its machine. Numbers are unsigned.
+ *
+ * @param machine the machine's id
+ * @param address where the agent takes direct calls; empty if unknown
+ * @param type the machine type's name
+ * @param spot whether the cloud may preempt the machine
+ * @param incarnation of the agent: grows with each of its lives
+ * @param sequence grows with each heartbeat of an incarnation
+ * @param token the highest fencing token that the agent has seen
+ * @param noticeS seconds until the cloud takes the machine; NaN unless it announced that
+ * @param tasks all tasks on the machine
+ */
 public record Heartbeat(
         String machine,
         String address,
@@ -14,9 +26,10 @@
         long token,
         double noticeS,
         List<TaskStatus> tasks) {
-    public boolean newerThan(long otherSession, long otherTick) {
-        int c = Long.compareUnsigned(incarnation, otherSession);
-        return c > 0 || (c == 0 && Long.compareUnsigned(sequence, otherTick) > 0);
+    /** Whether it follows the heartbeat with this incarnation and sequence number. */
+    public boolean newerThan(long otherIncarnation, long otherSequence) {
+        int byIncarnation = Long.compareUnsigned(incarnation, otherIncarnation);
+        return byIncarnation > 0 || (byIncarnation == 0 && Long.compareUnsigned(sequence, otherSequence) > 0);
     }
 
     /** Whether the cloud announced that it takes the machine. */
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -227,7 +227,7 @@
      */
     public void heartbeatRequestReceived() {
         for (Assignment assignment : assignments.values()) {
-            assignment.launchInHeartbeatResponse = false;
+            assignment.heartbeatResponseSettled();
         }
         awaitsHeartbeat = false;
         heartbeatInIncarnation = true;
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -282,9 +282,9 @@
         for (Assignment assignment : from.liveAssignments()) {
             if (moves.size() < AutoscalingConstants.MAX_MOVES
                     && assignment.job.spec.service()
-                    && !assignment.stopRequested
+                    && !assignment.stopRequested()
                     && assignment.state() == Assignment.State.RUNNING
-                    && now - assignment.runningAt > AutoscalingConstants.MOVE_AFTER_MS
+                    && now - assignment.runningAt() > AutoscalingConstants.MOVE_AFTER_MS
                     && MachineSelector.canMove(assignment, machines, now)) {
                 moves.add(assignment);
             }
@@ -306,11 +306,12 @@
         Demand d = new Demand();
         for (Job job : scheduler.jobs()) {
             JobSpec s = job.spec;
-            if (!job.ready) {
+            if (!job.ready()) {
                 continue;
             }
-            int pending =
-                    job.failures > 2 ? 0 : job.pendingTasks.cardinality(); // a job that fails everywhere rents nothing
+            int pending = job.failures() > 2
+                    ? 0
+                    : job.pendingTasks.cardinality(); // a job that fails everywhere rents nothing
             if (s.service() || !s.spot()) {
                 d.service = job;
                 d.teamServices.addTo(s.team(), (pending + job.assignments.size()) * s.cpus());
@@ -330,7 +331,7 @@
             }
             for (Assignment assignment : job.assignments.values()) {
                 double runs = scheduler.expectedRunS(assignment.spec);
-                double ran = assignment.runningAt > 0 ? (now - assignment.runningAt) / 1000.0 : 0;
+                double ran = assignment.runningAt() > 0 ? (now - assignment.runningAt()) / 1000.0 : 0;
                 d.arrayWork += assignment.spec.cpus() * Math.max(runs - ran, runs * 0.1);
                 d.arrayCores += assignment.spec.cpus();
                 d.teamArrays.addTo(s.team(), assignment.spec.cpus());
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -96,7 +96,7 @@
         PredictionInterval runTime = estimates.interval(spec, 0);
         PredictionInterval completion = new PredictionInterval(
                 samples[SAMPLES / 10], samples[SAMPLES / 2], samples[SAMPLES * 9 / 10], runTime.runs(), runTime.from());
-        return new Answer(completion, job.ready ? bottleneck : Bottleneck.DEPENDENCIES);
+        return new Answer(completion, job.ready() ? bottleneck : Bottleneck.DEPENDENCIES);
     }
 
     /** The job's dependencies and the job, in topological order; iterative, since chains may be long. */
@@ -210,7 +210,7 @@
 
     private double remainingSeconds(
             Assignment assignment, RemainingWork work, StartDelay delay, UniformRandomProvider random) {
-        double elapsedS = assignment.runningAt > 0 ? (nowMillis - assignment.runningAt) / 1000.0 : 0;
+        double elapsedS = assignment.runningAt() > 0 ? (nowMillis - assignment.runningAt()) / 1000.0 : 0;
         double totalS = work.sampler(assignment.spec).draw(random, elapsedS);
         return totalS - elapsedS + (assignment.starting() ? delay.imageFetchS : 0);
     }
@@ -231,7 +231,7 @@
         if (!other.hasPendingTasks() || other.spec.service() || other.inSecondPartition() != job.inSecondPartition()) {
             return false;
         }
-        int byPriority = other.priority.compareTo(job.priority);
+        int byPriority = other.priority().compareTo(job.priority());
         return byPriority < 0
                 || (byPriority == 0 && Long.compareUnsigned(other.arrivalRevision, job.arrivalRevision) < 0);
     }
--- a/src/main/java/org/hollypick/core/graph/NodeTable.java
+++ b/src/main/java/org/hollypick/core/graph/NodeTable.java
@@ -141,7 +141,7 @@
         for (int dependency : dependencies[node]) {
             if (states[dependency] != NodeState.DONE) {
                 unmetDependencies[node]++;
-                addDependent(dependency, node);
+                addDependent(/* node= */ dependency, /* dependent= */ node);
             }
         }
     }
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -149,7 +149,7 @@
             }
             double lost = 0;
             for (Assignment p : victims) {
-                lost += p.state() == Assignment.State.RUNNING ? (now - p.runningAt) / 1000.0 * p.spec.cpus() : 0;
+                lost += p.state() == Assignment.State.RUNNING ? p.runtimeS(now) * p.spec.cpus() : 0;
             }
             score -= lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
@@ -165,13 +165,13 @@
         List<Assignment> lower = new ArrayList<>();
         for (Assignment p : m.assignments.values()) {
             if (p.mayExist()
-                    && !p.stopRequested
+                    && !p.stopRequested()
                     && !(p.state() == Assignment.State.LAUNCHING && p.launchMayStillExecute())
-                    && p.job.priority.compareTo(job.priority) > 0) {
+                    && p.job.priority().compareTo(job.priority()) > 0) {
                 lower.add(p);
             }
         }
-        lower.sort(Comparator.comparing((Assignment p) -> p.job.priority)
+        lower.sort(Comparator.comparing((Assignment p) -> p.job.priority())
                 .reversed()
                 .thenComparingLong(p -> -p.startedAt));
         double cpus = m.type.cpus() - m.usedCpus;
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -19,9 +19,9 @@
         List<Job> first = new ArrayList<>();
         int nonzero = 0;
         for (Job job : jobs) {
-            if (job.status == Job.Status.LIVE && job.ready && !job.inSecondPartition() && !job.failsEverywhere()) {
+            if (job.isLive() && job.ready() && !job.inSecondPartition() && !job.failsEverywhere()) {
                 first.add(job);
-                if (job.attainedServiceS > 0) {
+                if (job.attainedServiceS() > 0) {
                     nonzero++;
                 }
             }
@@ -29,7 +29,7 @@
         if (nonzero < 2) {
             return List.of();
         }
-        double[] sizes = first.stream().mapToDouble(j -> j.attainedServiceS).toArray();
+        double[] sizes = first.stream().mapToDouble(j -> j.attainedServiceS()).toArray();
         if (!(Cutoff.cv2(sizes) > SchedulingConstants.UNBALANCED_CV2)) {
             return List.of();
         }
@@ -38,7 +38,7 @@
             return List.of();
         }
         double p = cutoff.getAsDouble();
-        first.removeIf(j -> j.attainedServiceS <= p);
+        first.removeIf(j -> j.attainedServiceS() <= p);
         return first;
     }
 }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -342,7 +342,7 @@
                         true,
                         100);
         assertTrue(machine.faulty);
-        assertFalse(running.stopRequested);
+        assertFalse(running.stopRequested());
         scheduler.expireLeases(200_000);
         assertFalse(machine.faulty);
     }
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -206,7 +206,7 @@
                             Double.NaN),
                     900 + i,
                     5);
-            job.attainedServiceS = ran[i];
+            job.restoreAttainedService(ran[i]);
             jobs.add(job);
         }
         assertEquals(6.2, Cutoff.balanced(ran).orElse(0), 0.1);
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -40,7 +40,9 @@
             for (int i = 0; i < 3 + random.nextInt(6); i++) {
                 JobSpec spec = drawJob(random, "req-" + round + i);
                 Job job = scheduler.addJob(spec, round * 100 + i, 5);
-                job.inSecondPartitionByTyrex = !spec.service() && random.nextInt(3) == 0;
+                if (!spec.service() && random.nextInt(3) == 0) {
+                    job.moveToSecondPartition();
+                }
             }
             if (round == 0) {
                 scheduler.runSchedulingCycle(10);
@@ -182,7 +184,7 @@
         s.machines()
                 .forEach(m -> m.assignments
                         .values()
-                        .forEach(p -> where.put(p.taskId, m.id + (p.stopRequested ? " stopped" : ""))));
+                        .forEach(p -> where.put(p.taskId, m.id + (p.stopRequested() ? " stopped" : ""))));
         return where;
     }
 
@@ -277,7 +279,7 @@
         }
         for (Machine m : possible(s, job)) {
             List<Assignment> lower = new ArrayList<>(m.liveAssignments().stream()
-                    .filter(p -> !p.stopRequested
+                    .filter(p -> !p.stopRequested()
                             && !(p.state() == State.LAUNCHING && p.launchMayStillExecute())
                             && p.job.spec.priority().ordinal()
                                     > job.spec.priority().ordinal())
@@ -292,7 +294,7 @@
                 if (room + 1e-6 < job.spec.cpus()) {
                     victims.add(p);
                     room += p.job.spec.cpus();
-                    lost += p.state() == State.RUNNING ? (now - p.runningAt) / 1000.0 * p.job.spec.cpus() : 0;
+                    lost += p.state() == State.RUNNING ? (now - p.runningAt()) / 1000.0 * p.job.spec.cpus() : 0;
                 }
             }
             if (room + 1e-6 < job.spec.cpus()) {
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -209,7 +209,7 @@
                                 true,
                                 now);
             }
-            job.durablyCompleted = (BitSet) job.completedTasks.clone();
+            job.markCompletionsDurable();
             s.assignments().completionsCommitted(job);
         }
         return passes;
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
@@ -147,7 +146,7 @@
                 List<TaskStatus> tasks = new ArrayList<>();
                 for (Assignment assignment : List.copyOf(machine.assignments.values())) {
                     int what = random.nextInt(10);
-                    if (assignment.stopRequested && assignment.mayExist()) {
+                    if (assignment.stopRequested() && assignment.mayExist()) {
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "stopped"));
                     } else if (assignment.state() == State.RUNNING && what < 4) {
                         tasks.add(new TaskStatus(
@@ -159,7 +158,7 @@
                 report(machine, tasks);
             }
             for (Job job : jobs) { // what is done becomes durable
-                job.durablyCompleted = (BitSet) job.completedTasks.clone();
+                job.markCompletionsDurable();
                 scheduler.assignments().completionsCommitted(job);
             }
         }
