--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -415,7 +415,7 @@
      * were heard, and half of all work ended.
      */
     @Test
-    void aTeamsEndedTasksMakeRoomBeforeAllIsHeard() {
+    void completedTasksOfATeamFreeItsQuotaBeforeReconciliationCompletes() {
         Scheduler s = halfHeard(true, 5);
         Job waiting = s.job("req-000002");
         assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
@@ -503,7 +503,7 @@
      * services waited beside free room.
      */
     @Test
-    void servicesComeFirstWhereOnlyTheLimitKeepsThem() {
+    void servicesComeFirstWhereOnlyTheQuotaBlocksThem() {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -156,7 +156,7 @@
      * Two broken jobs whose first failures fell on the same sound machine kept it from work for a minute and a half.
      */
     @Property(tries = 30, seed = "20261202")
-    void brokenJobsKeepNoSoundMachineFromWork(
+    void failingJobsLeaveHealthyMachinesSchedulable(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 40) int percent) {
         Stretch s = new Stretch(seed, 0, percent);
         assertTrue(
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -254,7 +254,7 @@
      * A third of all machines stood idle: what waited for nothing but its team's limit was rented for, again and again.
      */
     @Test
-    void whatATeamsLimitKeepsFromRunningRentsNothing() {
+    void tasksBeyondATeamsQuotaCauseNoScaleOut() {
         Settings limited = new SettingsBuilder().zones(ZONES).team("team", 64).build();
         Scheduler few = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
         JobSpec array = new JobSpec(
@@ -365,7 +365,7 @@
     /** Room for the mean load was rented far beyond what the limits let run: twice the limits, a third of it idle. */
     @Test
     @Tag("known-red")
-    void roomForArraysToComeKeepsWithinTheLimits() {
+    void headroomForFutureArraysStaysWithinTheQuotas() {
         Scheduler limited = withLimit(320);
         Autoscaler rents = new Autoscaler(OperatorSettings.defaults(), true);
         long now = followArrays(rents, limited);
@@ -383,7 +383,7 @@
     /** What services await beyond their team's limit can't start either. */
     @Test
     @Tag("known-red")
-    void servicesAwaitedBeyondTheLimitRentNothing() {
+    void pendingServicesBeyondTheQuotaCauseNoScaleOut() {
         Scheduler limited = withLimit(320);
         addService(limited, "req-1", 400);
         assertEquals(
--- a/src/test/java/org/hollypick/core/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void chainsAndFansOfAHundredThousandAreNoTrouble() {
+    void chainsAndFansOfAHundredThousandNodesAreProcessed() {
         List<NodeSpec> chain = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
             chain.add(i == 0 ? node("0") : node(Integer.toString(i), Integer.toString(i - 1)));
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -135,7 +135,7 @@
 
     /** One slow machine among many says nothing about this node; many do, and for a while after. */
     @Test
-    void manySlowAnswersAreThisNodesOwnTrouble() {
+    void manySlowAnswersAreAttributedToThisController() {
         LocalHealth own = new LocalHealth(0);
         assertFalse(own.sound(1_000), "just begun");
         assertTrue(own.sound(FailureDetectionConstants.FAILOVER_GRACE_MS));
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -44,7 +44,7 @@
      * nothing.
      */
     @Property(tries = 300, seed = "20261202")
-    void deafIsWhoTookNoneOfTheLastAnswers(
+    void anAgentIsUnreachableIfItAcceptedNoneOfTheLastResponses(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
         Random random = new Random(seed);
         HeartbeatValidity validity = new HeartbeatValidity();
@@ -194,7 +194,7 @@
      * the task ran there and elsewhere.
      */
     @Test
-    void nothingIsToldUnderASessionThatIsOver() {
+    void heartbeatsOfAnExpiredIncarnationAreIgnored() {
         Machine machine = machine("n-1", true);
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -122,7 +122,7 @@
      * Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left.
      */
     @Test
-    void anAttemptThatIsGivenUpKeepsNoSocket() throws Exception {
+    void anAbandonedConnectionAttemptHoldsNoSocket() throws Exception {
         try (ServerSocket dark = new ServerSocket(0, 1)) {
             // Nobody accepts: beyond the backlog connections hang without an error.
             List<Socket> fill = new ArrayList<>();
@@ -157,7 +157,7 @@
      * all the same.
      */
     @Test
-    void aCallWithoutRoomIsToldApart() throws Exception {
+    void aRequestWithoutCapacityIsReportedAsSuch() throws Exception {
         for (int i = 0; i < 100; i++) {
             connections.opened(ConnectionBudget.Kind.HEARTBEATS);
         }
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -41,7 +41,7 @@
     private static final int FIRST = Integer.getInteger("answers.first", 1);
 
     @Test
-    void drawnDaysOfCloseLooksKeepTheOrder() {
+    void randomProbesSeeAnswersInOrder() {
         Map<Integer, List<String>> broken = new TreeMap<>();
         int compared = 0;
         int overtaken = 0;
@@ -122,7 +122,7 @@
 
     /** Any reading of the epoch seems to say that this node's copy of the records is fresh. */
     @Test
-    void theCheckerNoticesAnswersFromMemoryWithoutTheRevision() {
+    void checkerDetectsAnswersFromMemoryWithoutTheRevision() {
         Response old = new Response(404, Codec.object().put("epoch", 0));
         var version = answered((call, r) -> call.path().equals("/keys/h/never") ? old : r);
         assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
@@ -130,7 +130,7 @@
 
     /** A transaction without an answer is taken for one that wasn't carried out. */
     @Test
-    void theCheckerNoticesThatNoAnswerIsTakenForARefusal() {
+    void checkerDetectsThatNoAnswerIsTakenForARefusal() {
         Response refusal = new Response(503, Codec.object());
         var version = answered((call, r) ->
                 call.path().equals("/commit") && r != null && r.failedWith(Response.Failure.NO_RESPONSE) ? refusal : r);
@@ -139,7 +139,7 @@
 
     /** A controller that gives an answer once more for some milliseconds. */
     @Test
-    void theCheckerNoticesAnswersThatAreGivenOnceMore() {
+    void checkerDetectsAnswersThatAreGivenOnceMore() {
         assertTrue(noticed("went_back (same controller)", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
             Map<String, Response> known = new HashMap<>();
@@ -159,7 +159,7 @@
 
     /** What can't run, or lacks a field, is accepted. */
     @Test
-    void theCheckerNoticesThatWhatCantRunIsAccepted() {
+    void checkerDetectsThatWhatCantRunIsAccepted() {
         assertTrue(noticed("accepted req-8", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
             scenario.responseFault = (q, r) ->
@@ -196,7 +196,7 @@
 
     /** Of every second transaction of a kind only the answer is lost, while users look closely and the leader ends. */
     @Test
-    void whatIsCarriedOutWithoutAnAnswerIsToldByNobodyAndThenTakenBack() {
+    void unconfirmedTransactionsAreNeverReportedAndThenReversed() {
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
             ClusterScenario scenario = lostAnswers(3, kind, NEW);
             assertEquals(List.of(), scenario.checker.violations, kind);
@@ -244,7 +244,7 @@
      * older.
      */
     @Test
-    void theEndOfANodeThatIsNotDurableIsNotTold() {
+    void theTerminationOfANodeIsNotReportedBeforeItIsDurable() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
         scenario.advance(5_000);
         new GraphUser(scenario, "req-700000", 2, 2).start();
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -201,7 +201,7 @@
 
     /** A successor that doesn't know of the machines takes their silence for room under the limit. */
     @Test
-    void theCheckerNoticesALimitThatIsFreedOnSilence() {
+    void checkerDetectsAQuotaThatIsFreedWithoutAHeartbeat() {
         Consumer<ClusterScenario> forgets = day -> day.store.hiddenKeys = key -> key.startsWith("h/m/");
         ClusterScenario day = atTheLimit(1, Change.BACK_AT_ONCE, Loss.CUT, 1_000, forgets);
         assertTrue(
@@ -233,7 +233,7 @@
 
     /** As it was: only a launch that no report had shown kept a cancellation from being told. */
     @Test
-    void theCheckerNoticesACancellationThatIsToldWhileAMachineFetches() {
+    void checkerDetectsACancellationConfirmedWhileAMachineFetches() {
         ClusterScenario day = whileFetching(1, Loss.CUT, w -> w.reportFetchingAsRunning());
         assertFalse(day.checker.tasks.startsAfterCancellation.isEmpty());
     }
@@ -320,7 +320,7 @@
 
     /** A machine that isn't told to end a cancelled task goes on with it, also after it hung. */
     @Test
-    void theCheckerNoticesACancelledTaskThatNobodyEnds() {
+    void checkerDetectsACancelledTaskThatNobodyEnds() {
         ClusterScenario day = refusedThenOut(1, w -> {
             w.ignoreCommands("kill");
             w.hangLater(45_000, 2_000);
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -47,7 +47,7 @@
      * on by the promises of the others and answers the workers.
      */
     @Test
-    void whatAnotherControllerToldAsCancelledIsGoneThoughTheLeaderCantKnow() {
+    void aCancellationConfirmedByAnotherControllerHoldsThoughTheLeaderCannotKnow() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void theCheckerNoticesAnOldLeaderThatKeepsLeasesForLonger() {
+    void checkerDetectsAFormerLeaderThatHoldsLeasesTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy =
                 (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 60) : s);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
@@ -132,7 +132,7 @@
      * more: it was carried out and is known, the machine is gone, or it refuses the token.
      */
     @Test
-    void aLaunchThatIsHeldUpKeepsTheCancellationFromBeingTold() {
+    void aDelayedLaunchDelaysTheConfirmationOfTheCancellation() {
         int waited = 0;
         int fenced = 0;
         for (int seed = 1; seed <= 12; seed++) {
@@ -204,7 +204,7 @@
 
     /** A successor that doesn't find what was done starts it once more. */
     @Test
-    void theCheckerNoticesALeaderThatForgetsWhatIsDone() {
+    void checkerDetectsALeaderThatForgetsCompletions() {
         boolean noticed = false;
         for (int seed = 1; seed <= 8 && !noticed; seed++) {
             noticed = !twice(smallJobs(seed, k -> k.startsWith("h/p/"))).isEmpty();
@@ -239,7 +239,7 @@
      * of reports and users who cancel.
      */
     @Test
-    void theLeadGoesOverAndBack() {
+    void leadershipMovesToAnotherControllerAndBack() {
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             scenario.users.cancelOneIn = 2;
@@ -278,7 +278,7 @@
 
     /** Without the machines' records nobody waits for those that don't answer. */
     @Test
-    void theCheckerNoticesASuccessorThatDoesNotWait() {
+    void checkerDetectsASuccessorThatDoesNotAwaitLeaseExpiry() {
         boolean noticed = false;
         for (int seed = 1; seed <= 12 && !noticed; seed++) {
             noticed = outOfReach(seed, k -> k.startsWith("h/m/")).checker.violations.stream()
@@ -315,7 +315,7 @@
      * Copies of reports, of earlier sessions and lives too, at any controller, before and after a change of the lead.
      */
     @Test
-    void oldReportsSayNothingToAnyLeader() {
+    void staleHeartbeatsAreIgnoredByEveryLeader() {
         for (int seed = 1; seed <= 20; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
             scenario.workload.durationFactor = 3;
@@ -357,7 +357,7 @@
 
     /** A service that doesn't look at conditions carries out what was true once. */
     @Test
-    void theCheckerNoticesTransactionsWithoutConditions() {
+    void checkerDetectsTransactionsWithoutConditions() {
         boolean noticed = false;
         for (int seed = 1; seed <= 8 && !noticed; seed++) {
             noticed = !lateTransactions(seed, "h/", true).checker.violations.isEmpty();
@@ -436,7 +436,7 @@
     }
 
     @Test
-    void drawnDaysOfMeetingTroublesKeepTheRules() {
+    void randomCombinedFaultsViolateNoInvariant() {
         Map<Integer, List<String>> broken = new TreeMap<>();
         for (int seed = FIRST_DAY; seed < FIRST_DAY + DAYS; seed++) {
             List<String> rules = drawn(seed).checker.violations;
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aCrashOfAllIsOneChangeOfLead() {
+    void aCrashOfAllControllersIsOneFailover() {
         for (int seed = 1; seed <= 4; seed++) {
             Watched w = crashOfAll(seed, NEW, SOCKETS);
             assertTrue(
@@ -101,7 +101,7 @@
      * as there are faults, at most.
      */
     @Test
-    void troublesInARowDoNotFeedThemselves() {
+    void consecutiveFaultsDoNotAmplifyThemselves() {
         for (int seed = 1; seed <= 3; seed++) {
             Watched w = new Watched(seed, NEW, SOCKETS);
             for (int node = 0; node < 3; node++) {
--- a/src/test/java/org/hollypick/sim/DeterminismTest.java
+++ b/src/test/java/org/hollypick/sim/DeterminismTest.java
@@ -11,7 +11,7 @@
 /** A seed tells the whole day: without that, no failure that was found could be looked at again. */
 class DeterminismTest {
     @Test
-    void theSameSeedPlaysTheSameDay() {
+    void theSameSeedGivesTheSameScenario() {
         List<String> first = digests();
         assertEquals(first, digests());
         System.out.println("days " + first);
--- a/src/test/java/org/hollypick/sim/GraphDaysTest.java
+++ b/src/test/java/org/hollypick/sim/GraphFaultsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Graphs that grow, hand on and are cancelled, on days with faults; each rule of the jobs holds, and their own. */
-class GraphDaysTest {
+class GraphFaultsTest {
     private static final OperatorSettings ON = OperatorSettings.parse("{:graphs true}");
     private static final BiFunction<EventLoop, Settings, Controller> NEW = (r, s) -> new Controller(r, s, ON);
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void graphsOfAQuietDayAreDone() {
+    void graphsCompleteWithoutFaults() {
         for (int seed = 1; seed <= 20; seed++) {
             List<GraphUser> users = new ArrayList<>();
             ClusterScenario scenario = day(seed, NEW, users, false, d -> {});
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void growthCancellationsAndFaultsKeepTheRules() {
+    void growingGraphsWithCancellationsAndFaultsViolateNoInvariant() {
         int over = 0;
         int refused = 0;
         for (int seed = 1; seed <= 150; seed++) {
@@ -100,7 +100,7 @@
 
     /** Children that are told before they are durable are lost with the leader. */
     @Test
-    void theCheckerNoticesChildrenThatAreToldTooEarly() {
+    void checkerDetectsChildrenConfirmedTooEarly() {
         assertTrue(breaks(
                 "too_early",
                 (r, s) -> new Controller(
@@ -135,7 +135,7 @@
 
     /** If a cancelled node counts as done, what needs it runs for nothing, and the graph is called done without it. */
     @Test
-    void theCheckerNoticesACancelledNodeThatCountsAsDone() {
+    void checkerDetectsACancelledNodeThatCountsAsDone() {
         assertTrue(breaks(
                 "lost",
                 with((retries, release) -> new Graph(retries, release) {
@@ -154,7 +154,7 @@
 
     /** A parent that runs again submits its children again: if they aren't known again, each is run twice. */
     @Test
-    void theCheckerNoticesChildrenThatRunTwice() {
+    void checkerDetectsChildrenThatRunTwice() {
         assertTrue(breaks(
                 "doubled",
                 with((retries, release) -> new Graph(retries, release) {
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -57,7 +57,7 @@
 
     /** Without the bound that the leader tells, its orders would reach machines while another one leads. */
     @Test
-    void theCheckerNoticesAnswersPassedOnForTooLong() {
+    void checkerDetectsAnswersPassedOnForTooLong() {
         BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
@@ -95,7 +95,7 @@
      * still rest on.
      */
     @Test
-    void theCheckerNoticesAnEarlierSelfsHoldThatEndsAtOnce() {
+    void checkerDetectsAStoreSessionOfAnEarlierIncarnationThatEndsAtOnce() {
         BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -54,7 +54,7 @@
      * started for as long as they reported.
      */
     @Test
-    void aDeafZoneHoldsUpATakeoverForALeaseAtMost() {
+    void aZoneWithoutInboundTrafficDelaysAFailoverForALeaseAtMost() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed, 5);
             day.workload.submitBatchJobs(12, 1_000);
@@ -122,7 +122,7 @@
 
     /** A third of all, for less than a lease: what runs there goes on, and none is returned. */
     @Test
-    void aShortTroubleOfManyCostsNothing() {
+    void aShortLossOfInboundTrafficOfManyCostsNothing() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed, 5);
             List<FakeAgent> some = zone(day);
@@ -144,7 +144,7 @@
 
     /** Every second machine deaf to one controller only: it tries the next, and its work goes on. */
     @Test
-    void oneDeafPathCostsNothing() {
+    void oneBrokenInboundPathCostsNothing() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario day = day(seed);
             int lost = day.checker.tasks.lostWithLease;
@@ -233,7 +233,7 @@
 
     /** All of it together with the older faults. */
     @Test
-    void afterAllTroublesNothingIsForgotten() {
+    void noJobIsLostAfterAllFaults() {
         List<Long> first = new ArrayList<>();
         for (int seed = 1; seed <= 60; seed++) {
             ClusterScenario day = drawn(seed, null);
@@ -258,7 +258,7 @@
 
     /** One job's answers withheld while all others are served. */
     @Test
-    void theCheckerNoticesAJobThatIsForgotten() {
+    void checkerDetectsAJobThatIsForgotten() {
         assertTrue(
                 drawn(1, "req-000003").checker.violations.stream().anyMatch(b -> b.startsWith("forgotten req-000003")));
     }
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -11,7 +11,7 @@
     private static final int DAYS = 600;
 
     @Test
-    void aQuietDayRunsEverything() {
+    void everyJobCompletesWithoutFaults() {
         ClusterScenario scenario = new ClusterScenario(1);
         scenario.workload.submitJobs(40, 60_000);
         scenario.advance(200_000);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void drawnDaysWithFaultsKeepTheRules() {
+    void randomFaultsViolateNoInvariant() {
         int starts = 0;
         for (int seed = 100; seed < 100 + DAYS; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
@@ -80,7 +80,7 @@
 
     /** Hundreds of tasks on dozens of machines, so that records hold many machines and jobs, and come and go. */
     @Test
-    void largeDaysWithFaultsKeepTheRules() {
+    void randomFaultsInALargeClusterViolateNoInvariant() {
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed, 12);
             scenario.workload.submitJobs(40, 100_000);
@@ -94,7 +94,7 @@
 
     /** A leader that no machine reaches kept its lead, and the leases of all of them ran out. */
     @Test
-    void aLeaderCutOffFromTheMachinesLeavesTheLeadToAnother() {
+    void aLeaderPartitionedFromTheMachinesIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         int before = scenario.leaderIndex();
         int lost = scenario.checker.tasks.lostWithLease;
@@ -156,7 +156,7 @@
 
     /** Without the durable machine records a new leader doesn't wait for machines it can't reach. */
     @Test
-    void theCheckerNoticesALeaderThatDoesNotWait() {
+    void checkerDetectsALeaderThatDoesNotWait() {
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
@@ -181,7 +181,7 @@
 
     /** If state sessions end before their time, a deposed leader still answers, from what was true once. */
     @Test
-    void theCheckerNoticesAHoldThatEndsEarly() {
+    void checkerDetectsAStoreSessionThatExpiresEarly() {
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -109,7 +109,7 @@
 
     /** From one pattern to the next while jobs come and go, controllers end, and messages are late. */
     @Test
-    void linksThatChangeAllTheTimeKeepTheRules() {
+    void changingLinksViolateNoInvariant() {
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
@@ -135,7 +135,7 @@
      * remain.
      */
     @Test
-    void linksThatFlapMoveTheLeadSeldom() {
+    void flappingLinksCauseFewFailovers() {
         for (int seed = 1; seed <= 3; seed++) {
             ClusterScenario scenario = running(seed);
             int lost = scenario.checker.tasks.lostWithLease;
@@ -170,7 +170,7 @@
      * second of being given up.
      */
     @Test
-    void theLeadGoesToWhoeverReachesTheMachines() {
+    void leadershipMovesToTheControllerThatReachesTheMachines() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = running(seed);
             int lost = scenario.checker.tasks.lostWithLease;
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void aGraphOutlivesItsLeaderAndKeepsItsResults() {
+    void aGraphSurvivesAFailoverWithItsResults() {
         work = (node, self) -> node.equals("first")
                 ? self.result(List.of("a", 1))
                         .thenCompose(v -> self.child("more", TASK).submit())
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -157,7 +157,7 @@
      * report, its registration and the leader's end come.
      */
     @Test
-    void newMachinesKeepTheRulesInEveryOrderOfEvents() {
+    void newMachinesViolateNoInvariantInAnyOrderOfEvents() {
         List<String> broken = new ArrayList<>();
         int starts = 0;
         int days = 0;
@@ -177,7 +177,7 @@
 
     /** A leader that takes a registration for durable when it sends it, while that takes seconds. */
     @Test
-    void theCheckerNoticesALaunchBeforeTheRegistrationIsDurable() {
+    void checkerDetectsALaunchBeforeTheRegistrationIsDurable() {
         BiFunction<EventLoop, Settings, Controller> hasty = (r, s) -> NEW.apply(
                 new DelegatingEventLoop(r) {
                     @Override
@@ -344,7 +344,7 @@
      * in which a held-back report comes before the machine's own are played with further seeds until one does.
      */
     @Test
-    void theCheckerNoticesAnOldReportThatIsTakenForTheFirstWord() {
+    void checkerDetectsAStaleHeartbeatTakenForTheFirst() {
         BiConsumer<ClusterScenario, ObjectNode> asIfNew =
                 (day, body) -> body.put("baton", day.store.revisionOf("h/roster"));
         List<OldReports> early = oldReports().stream()
@@ -439,7 +439,7 @@
      * session.
      */
     @Test
-    void lateCommandsAndMuteMachinesKeepTheRules() {
+    void lateCommandsAndLostHeartbeatsViolateNoInvariant() {
         List<String> broken = new ArrayList<>();
         for (LateCommands order : lateCommands()) {
             if (order.seed % EVERY == 0) {
@@ -458,7 +458,7 @@
      * to stop is held up for longer than the fetch takes. It started after its user had been told.
      */
     @Test
-    void aTaskThatWaitsForItsImageIsStoppedBeforeItsCancellationIsTold() {
+    void aTaskFetchingItsImageIsStoppedBeforeItsCancellationIsConfirmed() {
         for (int seed = 1; seed <= 8; seed++) {
             ClusterScenario day = new ClusterScenario(seed);
             day.advance(20_000);
@@ -484,7 +484,7 @@
      * lease.
      */
     @Test
-    void mutedMachinesGetNoWorkOnceTheirLeaseHasEnded() {
+    void machinesWithoutHeartbeatsGetNoTasksAfterLeaseExpiry() {
         int lost = 0;
         for (int seed = 1; seed <= 5; seed++) {
             ClusterScenario day = new ClusterScenario(seed);
@@ -507,7 +507,7 @@
 
     /** Workers that carry out whatever arrives, of an ended session or of an older leader too. */
     @Test
-    void theCheckerNoticesWorkersThatCarryOutLateCommands() {
+    void checkerDetectsWorkersThatCarryOutLateCommands() {
         assertTrue(lateCommands().stream()
                 .anyMatch(o -> play(o, w -> w.ignoresFencing = true).checker.violations.stream()
                         .anyMatch(b -> b.startsWith("ran_twice"))));
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theCheckerNoticesAJobWithoutRecordAfterAllControllersWereAway() {
+    void checkerDetectsAJobWithoutRecordAfterAllControllersWereAway() {
         notices("forgotten", seed -> allAway(seed, key -> key.equals("h/j/req-000003")));
     }
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void theCheckerNoticesAZoneThatKeepsLeasesForLonger() {
+    void checkerDetectsAZoneThatHoldsLeasesTooLong() {
         // Only the controller that leads, inside, is greedy: the others reckon with the rights that there should be.
         notices(
                 "ran_cancelled",
@@ -160,7 +160,7 @@
 
     /** A new leader that doesn't know of machines out of reach takes what runs there for gone. */
     @Test
-    void theCheckerNoticesPlacesChosenWithoutTheMachinesOutOfReach() {
+    void checkerDetectsPlacesChosenWithoutTheMachinesOutOfReach() {
         notices("wrong_place", seed -> boundToAZone(seed, key -> key.startsWith("h/m/")));
     }
 
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void theCheckerNoticesALeaderThatTakesLeasesForOverTooEarly() {
+    void checkerDetectsALeaderThatTakesLeasesForExpiredTooEarly() {
         notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, ClusterScenario.withShorterLease(s, 4))));
     }
 
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void theCheckerNoticesAJobThatNobodyStarts() {
+    void checkerDetectsAJobThatNobodyStarts() {
         notices("neglected req-000020", seed -> moreThanRoom(seed, key -> key.equals("h/j/req-000020")));
     }
 
@@ -263,7 +263,7 @@
 
     /** Another one leads while the one before is still sure of its state session. */
     @Test
-    void theCheckerNoticesHoldsThatEndEarly() {
+    void checkerDetectsStoreSessionsThatExpireEarly() {
         notices("without_right", seed -> tenChanges(seed, 0.3));
     }
 
@@ -295,7 +295,7 @@
 
     /** It takes its cancellations for durable as soon as it has sent them. */
     @Test
-    void theCheckerNoticesACancellationToldBeforeItIsDurable() {
+    void checkerDetectsACancellationConfirmedBeforeItIsDurable() {
         notices(
                 "ran_cancelled",
                 seed -> refusalThenOutage(
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -102,14 +102,14 @@
 
     /** A cut longer than anyone may keep leases: the work there ends, and starts again once it may. */
     @Test
-    void keepingEndsInTimeForWhatIsCancelledMeanwhile() {
+    void partitionedRenewalEndsInTimeForCancelledTasks() {
         for (int seed = 1; seed <= 20; seed++) {
             assertEquals(List.of(), longCut(seed, NEW).checker.violations, "seed " + seed);
         }
     }
 
     @Test
-    void drawnDaysWithCutZonesKeepTheRules() {
+    void randomZonePartitionsViolateNoInvariant() {
         for (int seed = 1; seed <= 150; seed++) {
             ClusterScenario scenario = drawn(seed, NEW);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
@@ -143,7 +143,7 @@
 
     /** One that keeps leases for longer keeps tasks alive whose cancellation was told long ago. */
     @Test
-    void theCheckerNoticesLeasesKeptForTooLong() {
+    void checkerDetectsLeasesHeldForTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy =
                 (r, s) -> NEW.apply(r, ClusterScenario.withLongerCancellation(s, 60));
         boolean noticed = false;
--- a/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -21,7 +21,7 @@
      * (inc-fd28).
      */
     @Test
-    void machinesThatOthersReachAreNotReturnedAndEndTheLead() {
+    void machinesReachableFromPeersAreNotTerminatedAndEndTheLeadership() {
         for (int seed = 1; seed <= 8; seed++) {
             ClusterScenario scenario = day(seed);
             int before = scenario.leaderIndex();
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -43,7 +43,7 @@
      * things fail.
      */
     @Test
-    void pipelinesKeepTheRulesWhileLimitsTighten() {
+    void pipelinesViolateNoInvariantWhileLimitsTighten() {
         int starts = 0;
         for (int seed = 1; seed <= DAYS; seed++) {
             ClusterScenario day = day(seed, NEW);
@@ -64,7 +64,7 @@
      * are new.
      */
     @Test
-    void theRollFromProductionKeepsTheRules() throws Exception {
+    void rollingUpgradeFromProductionViolatesNoInvariant() throws Exception {
         ProductionVersion production = ProductionVersion.load();
         for (int seed = 1; seed <= 60; seed++) {
             int size = seed % 10 == 0 ? 12 : 1;
@@ -107,7 +107,7 @@
 
     /** A task's end that isn't durable yet is no reason to start: a cancellation may still win the record. */
     @Test
-    void theCheckerNoticesAStartBeforeTheEndIsDurable() {
+    void checkerDetectsAStartBeforeTheEndIsDurable() {
         ClusterScenario[] playing = {null};
         assertTrue(breaks(
                 "too_early",
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void theCheckerNoticesThatNothingFollowsACancellation() {
+    void checkerDetectsThatNothingFollowsACancellation() {
         assertTrue(breaks(
                 "orphaned",
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
@@ -157,7 +157,7 @@
 
     /** If only the leader knew, others would call a job pending that it has called cancelled. */
     @Test
-    void theCheckerNoticesACascadeThatOnlyTheLeaderKnows() {
+    void checkerDetectsACascadeThatOnlyTheLeaderKnows() {
         ClusterScenario[] playing = {null};
         assertTrue(breaks(
                 "went_back",
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -56,7 +56,7 @@
 
     /** Checked only when it is decided, an order goes out that nobody has the right to give any more. */
     @Test
-    void theCheckerNoticesARightThatIsOnlyCheckedAtTheDecision() {
+    void checkerDetectsALeaderLeaseThatIsOnlyCheckedAtTheDecision() {
         for (Predicate<Request> kind : KINDS) {
             boolean noticed = false;
             for (int seed = 1; seed <= 6 && !noticed; seed++) {
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -47,7 +47,7 @@
 
     /** The others are back in the same moment and have nothing to pass on: they say so at once. */
     @Test
-    void allThatAreBackAtOnceLeadAgainAtOnce() {
+    void controllersThatRestartAtOnceElectALeaderAtOnce() {
         for (int seed = 1; seed <= 4; seed++) {
             ClusterScenario scenario = running(seed);
             for (int node = 0; node < 3; node++) {
@@ -64,7 +64,7 @@
      * back.
      */
     @Test
-    void endsUponEndsKeepTheRules() {
+    void repeatedCrashesViolateNoInvariant() {
         int starts = 0;
         for (int seed = 1; seed <= 120; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
