--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -136,7 +136,7 @@
      * @param controller the controller that received the heartbeat from the worker
      */
     ServerResponse respond(byte[] heartbeat, String controller) {
-        Heartbeat decoded = AgentCodec.report(heartbeat);
+        Heartbeat decoded = AgentCodec.decodeHeartbeat(heartbeat);
         return decoded == null
                 ? ServerResponse.error(400, "not a report")
                 : term.heartbeatReceived(decoded, controller);
--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -1,6 +1,5 @@
 package org.hollypick.agent;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -9,36 +8,51 @@
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
-import org.hollypick.io.WireNames;
 
-/** Orders and questions straight to a worker's address. */
+/** Client of the agents, called at their own addresses. Confined to the event loop. */
 public final class AgentClient {
     private final EventLoop eventLoop;
 
+    /** A client that sends its requests through the event loop. */
     public AgentClient(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
-    /** {@code still}: whether this node may order anything, asked when the order is sent. */
-    public void command(
-            String addr,
+    /**
+     * Sends commands; with none it only asks for the agent's state.
+     *
+     * @param token the leader's fencing token
+     * @param incarnation the agent's incarnation that the commands are for
+     * @param validWhile whether this controller may send commands, checked at the moment of sending
+     */
+    public void sendCommands(
+            String address,
             long token,
-            long session,
+            long incarnation,
             List<Command> commands,
-            BooleanSupplier still,
-            Consumer<Response> reply) {
-        ObjectNode body = AgentCodec.orders(token, commands).put(WireNames.AGENT_INCARNATION, session);
-        eventLoop.send(
-                Request.of(addr, "POST", "/commands", body, NetworkConstants.COMMAND_TIMEOUT_MS)
-                        .onlyWhile(still),
-                reply);
+            BooleanSupplier validWhile,
+            Consumer<AgentResponse> callback) {
+        Request request = Request.of(
+                address,
+                "POST",
+                AgentCodec.PATH_COMMANDS,
+                AgentCodec.encodeCommands(token, incarnation, commands),
+                NetworkConstants.COMMAND_TIMEOUT_MS);
+        eventLoop.send(request.onlyWhile(validWhile), response -> callback.accept(AgentResponse.of(response)));
     }
 
-    /** Whether that machine answers: its report. */
-    public void inspect(String machine, String addr, long timeoutMs, Consumer<Response> reply) {
+    /** Probes whether the machine's agent answers at the address. */
+    public void probe(String machineId, String address, long timeoutMs, Consumer<ProbeResult> callback) {
         eventLoop.send(
-                Request.of(addr, "GET", "/inspect", null, timeoutMs),
-                r -> reply.accept(
-                        r.ok() && !r.body().path("bothy").asText().equals(machine) ? Response.noResponse() : r));
+                Request.of(address, "GET", AgentCodec.PATH_INSPECT, null, timeoutMs),
+                response -> callback.accept(probeResult(machineId, response)));
+    }
+
+    private static ProbeResult probeResult(String machineId, Response response) {
+        if (response.failedWith(Response.Failure.NO_CAPACITY)) {
+            return ProbeResult.NOT_ATTEMPTED;
+        }
+        boolean reached = response.ok() && AgentCodec.isHeartbeatOf(machineId, response.body());
+        return reached ? ProbeResult.REACHED : ProbeResult.NOT_REACHED;
     }
 }
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -1,12 +1,10 @@
 package org.hollypick.agent;
 
 import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 import org.hollypick.core.assignment.Assignment.State;
 import org.hollypick.core.assignment.Command;
@@ -15,155 +13,140 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.WireNames;
 
-/** The workers' wire names. */
+/** The messages between controllers and agents. Their field names differ from the code's and stand only here. */
 public final class AgentCodec {
+    /** Paths of the agent's API. */
+    static final String PATH_COMMANDS = "/commands";
+
+    static final String PATH_INSPECT = "/inspect";
+
+    /** The id of the machine that sends a heartbeat. */
+    static final String MACHINE_ID = "bothy";
+    /** Where the agent listens. */
+    static final String ADDRESS = "addr";
+
+    static final String MACHINE_TYPE = "flavour";
+    static final String ZONE = "hall";
+    /** Whether the machine is a spot instance. */
+    static final String SPOT = "lendable";
+    /** The sequence number within the agent's incarnation: counts heartbeats and answers to direct calls. */
+    static final String SEQUENCE = "tick";
+    /** Seconds until the cloud takes the machine; null if it doesn't. */
+    static final String NOTICE_SECONDS = "warning_s";
+    /** The tasks on the machine. */
+    static final String TASKS = "shards";
+
+    /** The id of a task: its job and index. */
+    static final String TASK = "shard";
+    /** The number of an attempt to run a task, never used twice. */
+    static final String ATTEMPT = "try";
+
+    static final String TASK_STATE = "status";
+    /** Why a task exited. */
+    static final String EXIT_REASON = "cause";
+
+    private static final String STATE_PULLING_IMAGE = "fetching";
+    private static final String STATE_CHECKPOINTING = "saving";
+    private static final String STATE_EXITED = "exited";
+
+    /** The commands in an answer to a heartbeat or in a direct call. */
+    private static final String COMMANDS = "orders";
+
+    private static final String VERB = "verb";
+    private static final String VERB_LAUNCH = "launch";
+    private static final String VERB_KILL = "kill";
+    private static final String VERB_CLEAR = "clear";
+    /** Seconds that a killed task has to write a checkpoint. */
+    private static final String GRACE_SECONDS = "leeway_s";
+
     private AgentCodec() {}
 
     /**
-     * The report in a request's body, or null if it isn't one. Read as a stream: reports are most of what a busy leader
-     * reads.
+     * Decodes the heartbeat in a request's body.
+     *
+     * @return null if the bytes aren't a heartbeat
      */
-    public static Heartbeat report(byte[] cbor) {
-        try (JsonParser p = Codec.cborParser(cbor)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
-                return null;
-            }
-            Fields f = new Fields();
-            while (p.nextToken() == JsonToken.FIELD_NAME) {
-                String name = p.currentName();
-                JsonToken value = p.nextToken();
-                switch (name) {
-                    case "bothy" -> f.machine = text(p, value);
-                    case "addr" -> f.addr = text(p, value);
-                    case "flavour" -> f.type = text(p, value);
-                    case "hall" -> f.zone = text(p, value);
-                    case "lendable" -> f.spot = value == JsonToken.VALUE_TRUE;
-                    case WireNames.AGENT_INCARNATION -> {
-                        f.hasSession = value == JsonToken.VALUE_NUMBER_INT;
-                        f.session = u64(p, value);
-                    }
-                    case "tick" -> {
-                        f.hasTick = value == JsonToken.VALUE_NUMBER_INT;
-                        f.tick = u64(p, value);
-                    }
-                    case WireNames.FENCING_TOKEN -> f.token = u64(p, value);
-                    case "warning_s" -> f.noticeS = value.isNumeric() ? p.getDoubleValue() : Double.NaN;
-                    case "shards" -> tasks(p, value, f.tasks);
-                    default -> p.skipChildren();
-                }
-            }
-            return f.machine.isEmpty() || !f.hasSession || !f.hasTick
-                    ? null
-                    : new Heartbeat(
-                            f.machine, f.addr, f.type, f.zone, f.spot, f.session, f.tick, f.token, f.noticeS, f.tasks);
+    public static Heartbeat decodeHeartbeat(byte[] cbor) {
+        try (JsonParser parser = Codec.cborParser(cbor)) {
+            return new HeartbeatStreamReader(parser).read();
         } catch (IOException | RuntimeException e) {
-            return null; // garbage from outside must never harm the node
+            return null; // malformed input from outside must never harm the controller
         }
     }
 
-    /** What has been read of a report so far. */
-    private static final class Fields {
-        private String machine = "";
-        private String addr = "";
-        private String type = "";
-        private String zone = "";
-        private boolean spot;
-        private boolean hasSession;
-        private boolean hasTick;
-        private long session;
-        private long tick;
-        private long token;
-        private double noticeS = Double.NaN;
-        private final List<TaskStatus> tasks = new ArrayList<>();
+    /**
+     * Decodes the heartbeat in an agent's answer.
+     *
+     * @return null if it isn't one
+     */
+    public static Heartbeat decodeHeartbeat(JsonNode body) {
+        if (!isHeartbeat(body)) {
+            return null;
+        }
+        HeartbeatBuilder heartbeat = new HeartbeatBuilder();
+        heartbeat.machine = body.path(MACHINE_ID).asText();
+        heartbeat.address = body.path(ADDRESS).asText("");
+        heartbeat.type = body.path(MACHINE_TYPE).asText("");
+        heartbeat.zone = body.path(ZONE).asText("");
+        heartbeat.spot = body.path(SPOT).asBoolean();
+        heartbeat.incarnation = Codec.u64(body.path(WireNames.AGENT_INCARNATION));
+        heartbeat.sequence = Codec.u64(body.path(SEQUENCE));
+        heartbeat.token = Codec.u64(body.path(WireNames.FENCING_TOKEN));
+        JsonNode notice = body.path(NOTICE_SECONDS);
+        heartbeat.noticeSeconds = notice.isNumber() ? notice.asDouble() : Double.NaN;
+        body.path(TASKS).forEach(task -> heartbeat.tasks.add(taskStatus(task)));
+        return heartbeat.build();
     }
 
-    private static void tasks(JsonParser p, JsonToken list, List<TaskStatus> tasks) throws IOException {
-        if (list != JsonToken.START_ARRAY) {
-            p.skipChildren();
-            return;
-        }
-        while (p.nextToken() == JsonToken.START_OBJECT) {
-            String task = "";
-            long attempt = 0;
-            State state = State.RUNNING;
-            String why = "";
-            while (p.nextToken() == JsonToken.FIELD_NAME) {
-                String name = p.currentName();
-                JsonToken value = p.nextToken();
-                switch (name) {
-                    case "shard" -> task = text(p, value);
-                    case "try" -> attempt = u64(p, value);
-                    case "status" -> state = state(text(p, value));
-                    case "cause" -> why = text(p, value);
-                    default -> p.skipChildren();
-                }
-            }
-            tasks.add(new TaskStatus(task, attempt, state, why));
-        }
+    private static boolean isHeartbeat(JsonNode body) {
+        return body != null
+                && body.isObject()
+                && body.path(MACHINE_ID).isTextual()
+                && body.path(WireNames.AGENT_INCARNATION).isIntegralNumber()
+                && body.path(SEQUENCE).isIntegralNumber();
     }
 
-    private static String text(JsonParser p, JsonToken value) throws IOException {
-        p.skipChildren();
-        return value == JsonToken.VALUE_STRING ? p.getText() : "";
+    private static TaskStatus taskStatus(JsonNode task) {
+        return new TaskStatus(
+                task.path(TASK).asText(),
+                Codec.u64(task.path(ATTEMPT)),
+                state(task.path(TASK_STATE).asText()),
+                task.path(EXIT_REASON).asText(""));
     }
 
-    private static long u64(JsonParser p, JsonToken value) throws IOException {
-        p.skipChildren();
-        return value == JsonToken.VALUE_NUMBER_INT ? p.getNumberValue().longValue() : 0;
+    /** Whether the body, whatever else it holds, names that machine. */
+    static boolean isHeartbeatOf(String machineId, JsonNode body) {
+        return body.path(MACHINE_ID).asText().equals(machineId);
     }
 
-    private static State state(String status) {
-        return switch (status) {
-            case "fetching" -> State.PULLING_IMAGE;
-            case "saving" -> State.CHECKPOINTING;
-            case "exited" -> State.EXITED;
+    static State state(String text) {
+        return switch (text) {
+            case STATE_PULLING_IMAGE -> State.PULLING_IMAGE;
+            case STATE_CHECKPOINTING -> State.CHECKPOINTING;
+            case STATE_EXITED -> State.EXITED;
             default -> State.RUNNING;
         };
     }
 
-    /** The report in a worker's answer, or null if it isn't one. */
-    public static Heartbeat report(JsonNode b) {
-        if (b == null
-                || !b.isObject()
-                || !b.path("bothy").isTextual()
-                || !b.path(WireNames.AGENT_INCARNATION).isIntegralNumber()
-                || !b.path("tick").isIntegralNumber()) {
-            return null;
-        }
-        List<TaskStatus> tasks = new ArrayList<>();
-        for (JsonNode t : b.path("shards")) {
-            State state = state(t.path("status").asText());
-            tasks.add(new TaskStatus(
-                    t.path("shard").asText(),
-                    Codec.u64(t.path("try")),
-                    state,
-                    t.path("cause").asText("")));
-        }
-        return new Heartbeat(
-                b.path("bothy").asText(),
-                b.path("addr").asText(""),
-                b.path("flavour").asText(""),
-                b.path("hall").asText(""),
-                b.path("lendable").asBoolean(),
-                Codec.u64(b.path(WireNames.AGENT_INCARNATION)),
-                Codec.u64(b.path("tick")),
-                Codec.u64(b.path(WireNames.FENCING_TOKEN)),
-                b.path("warning_s").isNumber() ? b.path("warning_s").asDouble() : Double.NaN,
-                tasks);
+    /** Encodes the answer to a heartbeat: the leader's fencing token and commands. */
+    public static ObjectNode encodeCommands(long token, List<Command> commands) {
+        ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
+        ArrayNode list = body.putArray(COMMANDS);
+        commands.forEach(command -> encode(command, list.addObject()));
+        return body;
     }
 
-    public static ObjectNode orders(long token, List<Command> commands) {
-        ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
-        ArrayNode list = body.putArray("orders");
-        for (Command command : commands) {
-            ObjectNode n = list.addObject();
-            switch (command.verb()) {
-                case LAUNCH -> n.put("verb", "launch");
-                case KILL -> n.put("verb", "kill").put("leeway_s", command.graceS());
-                case CLEAR -> n.put("verb", "clear");
-            }
-            n.put("shard", command.task()).put("try", command.attempt());
+    /** Encodes a direct call: commands for one incarnation of the agent. */
+    static ObjectNode encodeCommands(long token, long incarnation, List<Command> commands) {
+        return encodeCommands(token, commands).put(WireNames.AGENT_INCARNATION, incarnation);
+    }
+
+    private static void encode(Command command, ObjectNode node) {
+        switch (command.verb()) {
+            case LAUNCH -> node.put(VERB, VERB_LAUNCH);
+            case KILL -> node.put(VERB, VERB_KILL).put(GRACE_SECONDS, command.graceS());
+            case CLEAR -> node.put(VERB, VERB_CLEAR);
         }
-        return body;
+        node.put(TASK, command.task()).put(ATTEMPT, command.attempt());
     }
 }
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.hollypick.agent.AgentClient;
+import org.hollypick.agent.ProbeResult;
 import org.hollypick.cluster.PeerMessages.ReachabilityReport;
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.core.routing.CandidacyDelay;
 import org.hollypick.io.EventLoop;
-import org.hollypick.io.Response;
 
 /**
  * Measures how well this controller could lead: some machines of each zone are probed directly, and by way of the
@@ -106,10 +106,10 @@
         }
 
         private void probe(String machine, String address) {
-            agentClient.inspect(machine, address, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, response -> {
-                if (response.ok()) {
+            agentClient.probe(machine, address, ElectionConstants.CANDIDACY_PROBE_TIMEOUT_MS, result -> {
+                if (result == ProbeResult.REACHED) {
                     reachedDirectly.add(machine);
-                } else if (response.failedWith(Response.Failure.NO_CAPACITY)) {
+                } else if (result == ProbeResult.NOT_ATTEMPTED) {
                     probed.remove(machine); // it says nothing about the machine
                 }
                 requestCompleted();
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -172,7 +172,7 @@
         if (membership.fencingToken() != 0) {
             term.leasesRenewedWithoutLeaderLease(eventLoop.now());
         }
-        return ServerResponse.of(200, AgentCodec.orders(token, killCancelled(heartbeat)))
+        return ServerResponse.of(200, AgentCodec.encodeCommands(token, killCancelled(heartbeat)))
                 .onlyWhile(this::holdsGrant);
     }
 
--- a/src/main/java/org/hollypick/cluster/PeerReachability.java
+++ b/src/main/java/org/hollypick/cluster/PeerReachability.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.hollypick.agent.AgentClient;
+import org.hollypick.agent.ProbeResult;
 import org.hollypick.cluster.PeerMessages.ReachabilityReport;
 import org.hollypick.cluster.PeerMessages.ReachabilityRequest;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.io.Countdown;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
-import org.hollypick.io.Response;
 
 /** Both sides of the question which machines a peer reaches. Confined to the event loop. */
 public final class PeerReachability {
@@ -54,11 +54,11 @@
         }
         Countdown openProbes = new Countdown(request.addressByMachine().size());
         request.addressByMachine()
-                .forEach((machine, address) -> agentClient.inspect(
-                        machine, address, ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, response -> {
-                            if (response.ok()) {
+                .forEach((machine, address) -> agentClient.probe(
+                        machine, address, ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS, result -> {
+                            if (result == ProbeResult.REACHED) {
                                 reached.add(machine);
-                            } else if (!response.failedWith(Response.Failure.NO_CAPACITY)) {
+                            } else if (result == ProbeResult.NOT_REACHED) {
                                 failed.add(machine);
                             }
                             if (openProbes.countDown()) {
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.hollypick.agent.AgentClient;
-import org.hollypick.agent.AgentCodec;
+import org.hollypick.agent.AgentResponse;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.control.TermContext;
 import org.hollypick.core.Scheduler;
@@ -12,7 +12,6 @@
 import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.core.health.LocalHealth;
-import org.hollypick.io.Response;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,10 +22,6 @@
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    private static final int STATUS_OK = 200;
-    private static final int STATUS_BAD_REQUEST = 400;
-    /** The agent has another incarnation or a higher token; its answer shows them. */
-    private static final int STATUS_CONFLICT = 409;
     /** Sent when no incarnation is known: agents count theirs from 1. */
     private static final long FIRST_INCARNATION = 1;
 
@@ -106,7 +101,7 @@
                 term.now());
         scheduler.commands().sentDirectly(machine, commands);
         limiter.started(toUnresponsive);
-        agentClient.command(
+        agentClient.sendCommands(
                 machine.address,
                 scheduler.token(),
                 call.incarnation(),
@@ -129,23 +124,22 @@
                 : List.of();
     }
 
-    private void completed(DirectCall call, Response response) {
+    private void completed(DirectCall call, AgentResponse response) {
         long now = term.now();
         limiter.completed(call.toUnresponsive(), response, now - call.startedAt(), now);
-        int status = response.status();
-        boolean acknowledged = status == STATUS_OK || status == STATUS_CONFLICT;
-        boolean settled = acknowledged || status == STATUS_BAD_REQUEST || response.wasNeverSent();
-        scheduler.commands().directCallCompleted(call.machine(), call.commands(), call.incarnation(), settled);
-        if (acknowledged) {
-            acknowledged(call, AgentCodec.report(response.body()));
+        scheduler
+                .commands()
+                .directCallCompleted(call.machine(), call.commands(), call.incarnation(), response.isSettled());
+        if (response.outcome() == AgentResponse.Outcome.ACKNOWLEDGED) {
+            acknowledged(call, response.heartbeat());
         } else {
             unacknowledged(call.machine(), response, now);
         }
         onCallCompleted.run();
     }
 
-    private void unacknowledged(Machine machine, Response response, long now) {
-        if (!response.failedWith(Response.Failure.NO_CAPACITY)) {
+    private void unacknowledged(Machine machine, AgentResponse response, long now) {
+        if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
             machine.unacknowledgedCalls++;
             if (localHealth.sound(now)) {
                 machine.validity.unanswered(); // while this controller is overloaded, silence proves nothing
--- a/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -1,9 +1,9 @@
 package org.hollypick.control.machines;
 
+import org.hollypick.agent.AgentResponse;
 import org.hollypick.config.constants.FailureDetectionConstants;
 import org.hollypick.core.health.AdaptiveWindow;
 import org.hollypick.core.health.LocalHealth;
-import org.hollypick.io.Response;
 
 /**
  * Bounds the direct calls in flight: all of them by a window that adapts to response times, and those to unresponsive
@@ -37,10 +37,10 @@
     }
 
     /** Counts a call that ended after {@code tookMillis}. */
-    void completed(boolean toUnresponsive, Response response, long tookMillis, long now) {
+    void completed(boolean toUnresponsive, AgentResponse response, long tookMillis, long now) {
         inFlight--;
         inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
-        if (response.failedWith(Response.Failure.NO_CAPACITY)) {
+        if (response.outcome() == AgentResponse.Outcome.NO_CAPACITY) {
             localHealth.lacked(now);
             window.lacked(now);
         } else if (response.isAnswered() && !toUnresponsive) {
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -175,7 +175,7 @@
             scheduler.outbox().commandsDelivered(machine);
         }
         term.requestReconcile();
-        return ServerResponse.of(200, AgentCodec.orders(scheduler.token(), commands))
+        return ServerResponse.of(200, AgentCodec.encodeCommands(scheduler.token(), commands))
                 .onlyWhile(term.leaderLease());
     }
 }
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -88,7 +88,7 @@
     private ServerResponse here(byte[] report) {
         ServerResponse now = own.apply(report);
         if (now == null && !membership.peerKnowsNewerLeader() && leaseRenewal.isActive()) {
-            Heartbeat read = AgentCodec.report(report);
+            Heartbeat read = AgentCodec.decodeHeartbeat(report);
             now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.respond(read);
         }
         return now;
@@ -211,8 +211,9 @@
     private static Set<String> machines(List<Held> bundle) {
         Set<String> names = new LinkedHashSet<>();
         for (Held h : bundle) {
-            Heartbeat read =
-                    names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES ? AgentCodec.report(h.report) : null;
+            Heartbeat read = names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                    ? AgentCodec.decodeHeartbeat(h.report)
+                    : null;
             if (read != null) {
                 names.add(read.machine());
             }
--- a/src/test/java/org/hollypick/records/CodecTest.java
+++ b/src/test/java/org/hollypick/records/CodecTest.java
@@ -55,8 +55,8 @@
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
             ObjectNode b = drawn(random);
-            Heartbeat streamed = AgentCodec.report(Codec.write(b, false));
-            assertEquals(AgentCodec.report(b), streamed);
+            Heartbeat streamed = AgentCodec.decodeHeartbeat(Codec.write(b, false));
+            assertEquals(AgentCodec.decodeHeartbeat(b), streamed);
         }
     }
 
@@ -66,12 +66,12 @@
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = Codec.write(drawn(random), false);
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
-            assertNull(AgentCodec.report(cut));
+            assertNull(AgentCodec.decodeHeartbeat(cut));
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
-            AgentCodec.report(bytes); // may still be a report, but never an exception
+            AgentCodec.decodeHeartbeat(bytes); // may still be a report, but never an exception
         }
-        assertNull(AgentCodec.report(Codec.write(Codec.object().put("bothy", "n-1"), false)));
-        assertNull(AgentCodec.report(Codec.write(Codec.array(), false)));
+        assertNull(AgentCodec.decodeHeartbeat(Codec.write(Codec.object().put("bothy", "n-1"), false)));
+        assertNull(AgentCodec.decodeHeartbeat(Codec.write(Codec.array(), false)));
     }
 
     /** Its record named an empty team, which no reader took: a job without a team was accepted and never ran. */
