--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -68,12 +68,12 @@
             return;
         }
         if (!acceptsJobs.getAsBoolean()) {
-            autoscaler.closed(now);
+            autoscaler.submissionsUnavailable(now);
         }
         Autoscaler.Plan plan =
                 autoscaler.plan(scheduler, term.machineTypes(), term.settings().zones(), partitionedZones, now);
-        scaleOutRequester.requestUnlessInFlight(plan.rents());
-        terminator.terminate(plan.returns(), TerminationReason.IDLE);
+        scaleOutRequester.requestUnlessInFlight(plan.scaleOut());
+        terminator.terminate(plan.scaleIn(), TerminationReason.IDLE);
         plan.moves().forEach(this::move);
         term.requestReconcile();
     }
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -38,11 +38,11 @@
     }
 
     /** Sends the requests, unless earlier ones are in flight: the machines may be on their way already. */
-    void requestUnlessInFlight(List<Autoscaler.Rent> rents) {
+    void requestUnlessInFlight(List<Autoscaler.ScaleOut> rents) {
         if (inFlight > 0) {
             return;
         }
-        for (Autoscaler.Rent rent : rents) {
+        for (Autoscaler.ScaleOut rent : rents) {
             inFlight++;
             send(rent.kind(), nextRequestId(), rent.count());
         }
--- a/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -2,38 +2,42 @@
 
 import org.hollypick.config.constants.AutoscalingConstants;
 
-/** Follows the mean of something that arrives, per second, forgetting it over a window. */
+/** An exponentially weighted mean of arrivals per second. */
 final class ArrivalMean {
+    private static final double MIN_INTERVAL_S = 0.001;
+
     private final double windowS;
     private double mean;
-    /** How much of the window has been seen; corrects the mean while it is young. */
-    private double seen;
+    /** The share of the window that has been observed; corrects the mean while it is young. */
+    private double observedShare;
 
-    private long at;
+    private long updatedAt;
     private double observedS;
 
+    /** {@code windowS}: seconds over which past arrivals are forgotten. */
     ArrivalMean(double windowS) {
         this.windowS = windowS;
     }
 
+    /** So much has arrived since the last call. */
     void arrived(double amount, long now) {
-        if (at > 0) {
-            double s = Math.max(0.001, (now - at) / 1000.0);
-            observedS += s;
-            double weight = Math.min(1, s / windowS);
-            seen += weight * (1 - seen);
-            mean += weight * (amount / s - mean);
+        if (updatedAt > 0) {
+            double intervalS = Math.max(MIN_INTERVAL_S, (now - updatedAt) / 1000.0);
+            observedS += intervalS;
+            double weight = Math.min(1, intervalS / windowS);
+            observedShare += weight * (1 - observedShare);
+            mean += weight * (amount / intervalS - mean);
         }
-        at = now;
+        updatedAt = now;
     }
 
-    /** Nothing arrives any more; one that comes later is a single one, and no crowd's beginning. */
-    void forget() {
+    /** Sets the mean to 0; the time that has been observed stays, so that a single later arrival counts as one. */
+    void reset() {
         mean = 0;
     }
 
-    /** 0 until it was watched for long enough to tell anything. */
+    /** The mean; 0 until enough time was observed. */
     double perSecond() {
-        return observedS >= AutoscalingConstants.MEAN_MIN_S ? mean / seen : 0;
+        return observedS >= AutoscalingConstants.MEAN_MIN_S ? mean / observedShare : 0;
     }
 }
--- /dev/null
+++ b/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
@@ -0,0 +1,69 @@
+package org.hollypick.core.autoscaling;
+
+import org.hollypick.config.constants.AutoscalingConstants;
+import org.hollypick.core.Arrivals;
+import org.hollypick.core.Scheduler;
+
+/**
+ * Estimates the load from the jobs that arrive. What was there when the term began, and the many submissions when a
+ * cluster starts, say nothing about what follows and aren't counted. Confined to the event loop.
+ */
+final class LoadEstimate {
+    private final long warmUpMillis;
+    private final ArrivalMean arrayJobs = new ArrivalMean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final ArrivalMean arrayCoreSeconds = new ArrivalMean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final ArrivalMean serviceCores = new ArrivalMean(AutoscalingConstants.SERVICE_WINDOW_S);
+    private long startedAt;
+    private long lastArrayArrivedAt;
+    /** Job arrays a second until the last one arrived, as far as that could be trusted. */
+    private double arrayRateAtLastArrival;
+
+    /** {@code warmUpMillis}: how long after the first update nothing is counted. */
+    LoadEstimate(long warmUpMillis) {
+        this.warmUpMillis = warmUpMillis;
+    }
+
+    /** Takes what has arrived since the last update. */
+    void update(Scheduler scheduler, long now) {
+        Arrivals arrivals = scheduler.takeArrivals();
+        if (startedAt == 0) {
+            startedAt = now;
+        }
+        if (now - startedAt > warmUpMillis) { // never at the first update: that is what the term finds
+            arrayCoreSeconds.arrived(arrivals.arrayCoreSeconds(), now);
+            arrayJobs.arrived(arrivals.arrayJobs(), now);
+            serviceCores.arrived(arrivals.serviceCores(), now);
+        }
+        if (arrivals.arrayJobs() > 0) {
+            lastArrayArrivedAt = now;
+            arrayRateAtLastArrival = arrayJobs.perSecond() * confidence();
+        } else if ((now - lastArrayArrivedAt) / 1000.0 * arrayRateAtLastArrival
+                > AutoscalingConstants.MISSED_ARRIVALS) {
+            // So many arrivals are missing that the mean is outdated, and the capacity kept for it is wasted.
+            arrayCoreSeconds.reset();
+            arrayJobs.reset();
+            arrayRateAtLastArrival = 0;
+        }
+    }
+
+    /** Users can't submit jobs now, so missing arrivals don't mean a lower load. */
+    void submissionsUnavailable(long now) {
+        lastArrayArrivedAt = now;
+    }
+
+    /** Mean cores that arriving job arrays keep busy. */
+    double arrayCores() {
+        return arrayCoreSeconds.perSecond();
+    }
+
+    /** Cores of services that arrive in a second. */
+    double serviceCoresPerSecond() {
+        return serviceCores.perSecond();
+    }
+
+    /** How far the mean of job arrays can be trusted, up to 1: the mean of many jobs more than that of a few. */
+    double confidence() {
+        double jobs = arrayJobs.perSecond() * AutoscalingConstants.LOAD_WINDOW_S;
+        return jobs / (jobs + AutoscalingConstants.LOAD_DOUBT_JOBS);
+    }
+}
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -100,9 +100,9 @@
     }
 
     private static int rented(Autoscaler.Plan plan, String zone, boolean spot) {
-        return plan.rents().stream()
+        return plan.scaleOut().stream()
                 .filter(r -> r.kind().zone().equals(zone) && r.kind().spot() == spot)
-                .mapToInt(Autoscaler.Rent::count)
+                .mapToInt(Autoscaler.ScaleOut::count)
                 .sum();
     }
 
@@ -142,7 +142,7 @@
         service("req-1", 8);
         scheduler.addMachine("n-a", TYPE, "a", false, false, 0);
         scheduler.addMachine("n-b", TYPE, "b", false, false, 0);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, 1_000).rents().isEmpty());
+        assertTrue(fleet.plan(scheduler, TYPES, ZONES, 1_000).scaleOut().isEmpty());
         assertEquals(1, rented(fleet.plan(scheduler, TYPES, ZONES, 90_000), "a", false));
     }
 
@@ -154,10 +154,10 @@
         Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(
                 rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0,
-                plan.rents().toString());
+                plan.scaleOut().toString());
         assertTrue(
                 Math.abs(rented(plan, "a", true) - rented(plan, "b", true)) <= 50,
-                plan.rents().toString());
+                plan.scaleOut().toString());
     }
 
     /** All that waited at a term's start was taken for the usual load, and far too much was kept. */
@@ -191,18 +191,18 @@
         for (; now < 200_000; now += 1_000) {
             scheduler.jobs().clear();
             array("req-" + now, 1);
-            assertTrue(fleet.plan(scheduler, TYPES, ZONES, now).returns().isEmpty() || now < 60_000);
+            assertTrue(fleet.plan(scheduler, TYPES, ZONES, now).scaleIn().isEmpty() || now < 60_000);
         }
         scheduler.jobs().clear();
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 8_000).returns().isEmpty(), "a pause");
-        fleet.closed(now + 20_000);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size() < 4, "nobody could submit");
+        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 8_000).scaleIn().isEmpty(), "a pause");
+        fleet.submissionsUnavailable(now + 20_000);
+        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size() < 4, "nobody could submit");
         now += 20_000;
         assertEquals(
-                4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).returns().size());
+                4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size());
         // A single late one brought all that room back, booting machines for nothing.
         array("req-late", 1);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 31_000).rents().isEmpty());
+        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 31_000).scaleOut().isEmpty());
     }
 
     /** Services end one by one: without moves all machines stay, each nearly empty. */
@@ -280,10 +280,11 @@
                 Double.NaN);
         few.addJob(array, 1, 5);
         Autoscaler.Plan plan = new Autoscaler(OperatorSettings.defaults(), true).plan(few, TYPES, ZONES, 1_000);
-        assertEquals(4, plan.rents().stream().mapToInt(Autoscaler.Rent::count).sum(), "64 cores");
+        assertEquals(
+                4, plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum(), "64 cores");
         scheduler.addJob(array, 1, 5);
         plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
-        assertTrue(plan.rents().stream().mapToInt(Autoscaler.Rent::count).sum() > 4, "without a limit");
+        assertTrue(plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum() > 4, "without a limit");
     }
 
     /** A scheduler whose only team may use that many cores. */
@@ -348,7 +349,9 @@
     }
 
     private static double rentedCores(Autoscaler.Plan plan) {
-        return plan.rents().stream().mapToDouble(r -> r.count() * TYPE.cpus()).sum();
+        return plan.scaleOut().stream()
+                .mapToDouble(r -> r.count() * TYPE.cpus())
+                .sum();
     }
 
     /** Plans until the mean load of arrays is known: one of 30 tasks, 1,800 core-seconds, arrives each second. */
