--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -44,7 +44,7 @@
         private int startingTasks;
 
         private void add(Machine machine) {
-            if (!machine.heartbeatReceived) {
+            if (!machine.heartbeatReceived()) {
                 bootingCores += machine.type.cpus();
             } else if (machine.spot) {
                 spotCores += machine.type.cpus();
@@ -53,7 +53,7 @@
             }
             usedCores += machine.usedCpus;
             serviceCores += machine.serviceCpus();
-            idleMachines += machine.heartbeatReceived && machine.idle() ? 1 : 0;
+            idleMachines += machine.heartbeatReceived() && machine.idle() ? 1 : 0;
             startingTasks += machine.startingTasks();
         }
     }
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -84,19 +84,19 @@
         }
         List<Command> commands = commandsFor(machine);
         boolean canWaitForHeartbeat = commands.stream().allMatch(command -> command.verb() == Command.Verb.CLEAR);
-        if (machine.reconciled && !isProbe && canWaitForHeartbeat) {
+        if (machine.reconciled() && !isProbe && canWaitForHeartbeat) {
             return;
         }
         boolean toUnresponsive = machine.unacknowledgedCalls > 0 || machine.validity.doubted();
         if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
             return;
         }
-        boolean known = machine.heartbeatReceived;
+        boolean known = machine.heartbeatReceived();
         DirectCall call = new DirectCall(
                 machine,
                 commands,
-                known ? machine.incarnation : FIRST_INCARNATION,
-                known ? OptionalLong.of(machine.heartbeatSequence) : OptionalLong.empty(),
+                known ? machine.incarnation() : FIRST_INCARNATION,
+                known ? OptionalLong.of(machine.heartbeatSequence()) : OptionalLong.empty(),
                 toUnresponsive,
                 term.now());
         scheduler.commands().sentDirectly(machine, commands);
@@ -112,14 +112,14 @@
 
     private boolean mayCall(Machine machine) {
         return term.holdsLeaderLease()
-                && !machine.directCallInFlight
+                && !machine.directCallInFlight()
                 && !machine.address.isEmpty()
                 && machine.directCallNotBefore <= term.now()
                 && !machine.scalingIn;
     }
 
     private List<Command> commandsFor(Machine machine) {
-        return machine.heartbeatReceived && !machine.incarnationExpired()
+        return machine.heartbeatReceived() && !machine.incarnationExpired()
                 ? limitToMessage(scheduler.commands().pendingCommands(machine))
                 : List.of();
     }
@@ -158,7 +158,7 @@
             return;
         }
         long now = term.now();
-        boolean wasReconciled = machine.reconciled;
+        boolean wasReconciled = machine.reconciled();
         machine.validity.acknowledged();
         scheduler.heartbeats().confirmLive(machine);
         HeartbeatHandler.apply(scheduler, machine, heartbeat, false, now);
@@ -172,7 +172,7 @@
                     call.knownSequence().getAsLong());
             scheduler.heartbeats().incarnationRestarted(machine, heartbeat, now);
         }
-        if (!wasReconciled && !machine.reconciled) {
+        if (!wasReconciled && !machine.reconciled()) {
             call(machine, true);
         }
     }
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -95,10 +95,10 @@
 
     /** {@code isNew}: false for the newest heartbeat once more, while its agent may still wait for the answer. */
     private ServerResponse handleCurrent(Machine machine, Heartbeat heartbeat, boolean isNew, String relay, long now) {
-        boolean firstOfTerm = !machine.heartbeatReceived;
-        boolean newIncarnation = !firstOfTerm && heartbeat.incarnation() != machine.incarnation;
+        boolean firstOfTerm = !machine.heartbeatReceived();
+        boolean newIncarnation = !firstOfTerm && heartbeat.incarnation() != machine.incarnation();
         boolean applied = apply(scheduler, machine, heartbeat, true, now);
-        if (!applied && (!machine.heartbeatReceived || heartbeat.incarnation() != machine.incarnation)) {
+        if (!applied && (!machine.heartbeatReceived() || heartbeat.incarnation() != machine.incarnation())) {
             return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
         }
         if (firstOfTerm) {
@@ -112,7 +112,7 @@
                 CommandDispatcher.limitToMessage(scheduler.commands().pendingCommands(machine));
         if (isNew) {
             updateValidity(machine, heartbeat, newIncarnation, commands, now);
-            if (machine.validity.unreachableInbound() && !(machine.reconciled && machine.idle())) {
+            if (machine.validity.unreachableInbound() && !(machine.reconciled() && machine.idle())) {
                 // An answer would only lengthen a lease that the agent itself lets expire.
                 return ServerResponse.retryLater(REJECTED_UNREACHABLE_INBOUND);
             }
@@ -126,7 +126,7 @@
                 machine.id,
                 heartbeat.incarnation(),
                 heartbeat.tasks().size());
-        if (!machine.confirmedLive) {
+        if (!machine.confirmedLive()) {
             probe.accept(machine);
         }
     }
@@ -144,7 +144,7 @@
         machine.validity.reported(heartbeat, seenThisToken, commands, now);
         if (machine.validity.unreachableInbound()
                 && !newIncarnation
-                && scheduler.leases().isExpired(machine.incarnationSeenAt, now)) {
+                && scheduler.leases().isExpired(machine.incarnationSeenAt(), now)) {
             machine.validity.acknowledged(); // had no answer reached it, its incarnation would have ended
         }
         if (!seenThisToken) {
@@ -162,7 +162,7 @@
     }
 
     private ServerResponse respond(Machine machine, List<Command> commands, String relay, long now) {
-        String otherRelay = commands.isEmpty() && machine.reconciled
+        String otherRelay = commands.isEmpty() && machine.reconciled()
                 ? scheduler.heartbeatBalancer().elsewhere(relay, now)
                 : null;
         if (otherRelay != null) {
@@ -171,7 +171,7 @@
         machine.heartbeatAcknowledgedAt = machine.validity.takenAt();
         machine.validity.told(commands);
         scheduler.commands().sentInHeartbeatResponse(machine, commands);
-        if (machine.reconciled) {
+        if (machine.reconciled()) {
             scheduler.outbox().commandsDelivered(machine);
         }
         term.requestReconcile();
--- a/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
+++ b/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
@@ -26,7 +26,7 @@
         }
         long now = term.now();
         for (Machine machine : term.scheduler().machines()) {
-            if (!machine.reconciled && !isHeartbeatExpected(machine, now)) {
+            if (!machine.reconciled() && !isHeartbeatExpected(machine, now)) {
                 probe.accept(machine);
             }
         }
@@ -34,7 +34,7 @@
 
     /** Its last heartbeat was just answered with a new token, so the agent sends the next one at once. */
     private static boolean isHeartbeatExpected(Machine machine, long now) {
-        return machine.heartbeatReceived
+        return machine.heartbeatReceived()
                 && now - machine.heartbeatAcknowledgedAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS;
     }
 }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -53,7 +53,7 @@
         this.probeAfterMillis = (long) (settings.reportS() * 1_250) + FailureDetectionConstants.PROBE_SLACK_MS;
         this.earlyProbeAfterMillis = (long) (settings.reportS() * 1_000 * FailureDetectionConstants.PROBE_SHARE);
         for (Machine machine : machines) {
-            if (!machine.scalingIn && (machine.heartbeatReceived || machine.registered)) {
+            if (!machine.scalingIn && (machine.heartbeatReceived() || machine.registered)) {
                 count(machine);
                 classify(machine);
             }
@@ -91,11 +91,11 @@
 
     /** It can be given nothing and has nothing to finish, for long enough to be replaced. */
     private boolean isUnreachableWithoutWork(Machine machine) {
-        if (!machine.unreachable() || !machine.reconciled || !machine.idle()) {
+        if (!machine.unreachable() || !machine.reconciled() || !machine.idle()) {
             return false;
         }
-        long unreachableSince = Math.max(machine.incarnationExpiredAt, machine.validity.unreachableInboundSince());
-        return now - Math.max(machine.idleSince, unreachableSince) > ReachabilityConstants.UNREACHABLE_RETURN_MS;
+        long unreachableSince = Math.max(machine.incarnationExpiredAt(), machine.validity.unreachableInboundSince());
+        return now - Math.max(machine.idleSince(), unreachableSince) > ReachabilityConstants.UNREACHABLE_RETURN_MS;
     }
 
     private boolean isSilent(Machine machine) {
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -123,7 +123,7 @@
         if (status == Instance.Status.FAILED) {
             return true;
         }
-        if (machine.heartbeatReceived || machine.registered) {
+        if (machine.heartbeatReceived() || machine.registered) {
             return false;
         }
         if (status == Instance.Status.RUNNING) {
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.Iterator;
-import java.util.List;
 import org.hollypick.core.assignment.Assignment;
 import org.hollypick.core.assignment.Assignment.State;
 import org.hollypick.core.assignment.Machine;
@@ -215,8 +214,7 @@
         for (Assignment assignment : new ArrayList<>(machine.assignments.values())) {
             remove(assignment);
         }
-        machine.reportedTasks = List.of();
-        machine.hasOrphanedTasks = false;
+        machine.clearReportedTasks();
     }
 
     /** Nothing of the assignment can be on its machine any more. */
@@ -252,7 +250,7 @@
         }
         Machine machine = assignment.machine;
         if (machine.idle()) {
-            machine.idleSince = Math.max(machine.idleSince, scheduler.lastEventAt());
+            machine.becameIdle(scheduler.lastEventAt());
         }
         scheduler.outbox().addFreedRoom(machine);
     }
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -26,7 +26,7 @@
     public List<Command> pendingCommands(Machine machine) {
         List<Command> commands = new ArrayList<>();
         List<Command> clears = new ArrayList<>();
-        for (TaskStatus status : machine.reportedTasks) {
+        for (TaskStatus status : machine.reportedTasks()) {
             Assignment assignment = machine.assignmentOf(status.task(), status.attempt());
             if (status.state() == State.EXITED) {
                 if (assignment == null || assignment.mayBeCleared()) {
@@ -73,7 +73,7 @@
 
     /** Records that the commands go out in a direct call, the only one in flight to this machine. */
     public void sentDirectly(Machine machine, List<Command> commands) {
-        machine.directCallInFlight = true;
+        machine.beginDirectCall();
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
@@ -89,8 +89,8 @@
      * @param settled true if the commands were executed, refused or never sent; otherwise they may be executed late
      */
     public void directCallCompleted(Machine machine, List<Command> commands, long incarnation, boolean settled) {
-        machine.directCallInFlight = false;
-        boolean mayExecuteLate = !settled && machine.incarnation == incarnation;
+        machine.endDirectCall();
+        boolean mayExecuteLate = !settled && machine.incarnation() == incarnation;
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -27,7 +27,7 @@
 
     /** A task was done there: what was started since the last failure shows that the machine is well. */
     static void cleared(Machine machine, Job job, long startedAt) {
-        if (startedAt > machine.failedAt) {
+        if (startedAt > machine.failedAt()) {
             machine.failedJobs.clear();
         }
         job.recordSuccess();
@@ -35,9 +35,9 @@
 
     /** Whether the machine's quarantine ends now. */
     static boolean pardon(Machine machine, long now) {
-        boolean ends = machine.faulty && now >= machine.faultyUntil;
+        boolean ends = machine.quarantineOver(now);
         if (ends) {
-            machine.faulty = false;
+            machine.endQuarantine();
             machine.failedJobs.clear();
         }
         return ends;
@@ -66,20 +66,18 @@
      * may be as good as any.
      */
     private void charge(Machine machine, Job job, long now) {
-        machine.failedAt = now;
-        machine.failedJobs.add(job.spec.id());
+        machine.recordFailure(job.spec.id(), now);
         if (job.failedMachines.add(machine.id) && job.failedMachines.size() == 2) {
             job.failedMachines.forEach(id -> acquit(scheduler.machine(id)));
         }
         if (own(machine) >= FaultConstants.MACHINE_ERRORS) {
-            machine.faulty = true;
-            machine.faultyUntil = now + FaultConstants.QUARANTINE_MS;
+            machine.quarantine(now + FaultConstants.QUARANTINE_MS);
         }
     }
 
     private void acquit(Machine machine) {
-        if (machine != null && machine.faulty && own(machine) < FaultConstants.MACHINE_ERRORS) {
-            machine.faulty = false;
+        if (machine != null && machine.faulty() && own(machine) < FaultConstants.MACHINE_ERRORS) {
+            machine.endQuarantine();
         }
     }
 }
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -38,13 +38,13 @@
         beginIncarnationIfNew(machine, heartbeat, now);
         machine.recordHeartbeat(heartbeat);
         if (sentByAgent) {
-            scheduler.outbox().requestCycleIf(machine.awaitsHeartbeat);
+            scheduler.outbox().requestCycleIf(machine.awaitsHeartbeat());
             machine.heartbeatRequestReceived();
         }
         applyListedTasks(machine, heartbeat, now);
         removeUnlistedAssignments(machine);
         reconcileIfUnderToken(machine, heartbeat);
-        if (heartbeat.hasEvictionNotice() && !machine.draining) {
+        if (heartbeat.hasEvictionNotice() && !machine.draining()) {
             beginGracefulEviction(machine, heartbeat.noticeS());
         }
         scheduler.outbox().addPendingCommands(machine);
@@ -53,10 +53,10 @@
 
     /** A new incarnation starts without tasks, and late commands to the old one are refused by the agent. */
     private void beginIncarnationIfNew(Machine machine, Heartbeat heartbeat, long now) {
-        if (machine.heartbeatReceived && heartbeat.incarnation() == machine.incarnation) {
+        if (machine.heartbeatReceived() && heartbeat.incarnation() == machine.incarnation()) {
             return;
         }
-        if (machine.heartbeatReceived) {
+        if (machine.heartbeatReceived()) {
             assignments.removeAll(machine);
             machine.endIncarnation();
         } else if (!machine.registered) {
@@ -79,8 +79,8 @@
                 orphanedTasks = true;
             }
         }
-        scheduler.outbox().requestCycleIf(machine.hasOrphanedTasks && !orphanedTasks);
-        machine.hasOrphanedTasks = orphanedTasks;
+        scheduler.outbox().requestCycleIf(machine.hasOrphanedTasks() && !orphanedTasks);
+        machine.setOrphanedTasks(orphanedTasks);
     }
 
     private void applyListedTask(Assignment assignment, TaskStatus status, Heartbeat heartbeat, long now) {
@@ -105,16 +105,16 @@
 
     /** Only a heartbeat made under this token is final: the agent refuses older direct commands from then on. */
     private void reconcileIfUnderToken(Machine machine, Heartbeat heartbeat) {
-        if (heartbeat.token() == scheduler.token() && !(machine.reconciled && machine.confirmedLive)) {
-            machine.reconciled = true;
+        if (heartbeat.token() == scheduler.token() && !(machine.reconciled() && machine.confirmedLive())) {
+            machine.markReconciled();
             confirmLive(machine);
         }
     }
 
     /** Records that the machine is present, and not only a delayed heartbeat of it. */
     public void confirmLive(Machine machine) {
-        scheduler.outbox().requestCycleIf(!machine.confirmedLive);
-        machine.confirmedLive = true;
+        scheduler.outbox().requestCycleIf(!machine.confirmedLive());
+        machine.markConfirmedLive();
     }
 
     /**
@@ -141,7 +141,7 @@
 
     /** The cloud takes the machine: stops what can save a checkpoint, has to move, or can't finish in time. */
     private void beginGracefulEviction(Machine machine, double noticeS) {
-        machine.draining = true;
+        machine.beginDraining();
         for (Assignment assignment : machine.liveAssignments()) {
             JobSpec spec = assignment.spec;
             if (spec.checkpointS() > 0 && !spec.service()) {
--- a/src/main/java/org/hollypick/core/ReconciliationProgress.java
+++ b/src/main/java/org/hollypick/core/ReconciliationProgress.java
@@ -41,7 +41,7 @@
     boolean allReconciled(long now) {
         if (!allReconciled && allReconciledCheckedAt != now) {
             allReconciledCheckedAt = now;
-            allReconciled = machines.stream().allMatch(machine -> machine.reconciled);
+            allReconciled = machines.stream().allMatch(machine -> machine.reconciled());
         }
         return allReconciled;
     }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -285,7 +285,9 @@
     public Machine addMachine(String id, MachineType type, String zone, boolean spot, boolean registered, long now) {
         Machine machine = new Machine(id, type, zone, spot, now);
         machine.registered = registered;
-        machine.reconciled = !registered;
+        if (!registered) {
+            machine.markReconciled();
+        }
         machines.put(id, machine);
         reconciliation.machineAdded(machine);
         return machine;
@@ -327,11 +329,11 @@
     private void expireLease(Machine machine, long now) {
         // What earlier leaders launched needs an incarnation that began before this term: all of those have expired,
         // whatever has begun since.
-        boolean earlierExpired = !machine.reconciled && leases.isExpired(machine.heartbeatAcknowledgedAt, now);
+        boolean earlierExpired = !machine.reconciled() && leases.isExpired(machine.heartbeatAcknowledgedAt, now);
         boolean expired = machine.mayHoldLease() && leases.isExpired(machine.leaseStartedAt(), now);
         if (earlierExpired || expired) {
             assignments.removeAll(machine);
-            machine.reconciled = true;
+            machine.markReconciled();
             outbox.requestCycle();
         }
         if (expired) {
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -10,7 +10,10 @@
 import org.hollypick.core.MachineType;
 import org.hollypick.core.health.HeartbeatValidity;
 
-/** A machine and everything that may be on it. */
+/**
+ * A machine, its agent's incarnation and lease as far as they are known, and everything that may be on it. Times are
+ * milliseconds of the event loop's clock. Confined to the event loop.
+ */
 public final class Machine {
     public final String id;
     public String address = "";
@@ -18,45 +21,34 @@
     public final String zone;
     public final boolean spot;
 
-    /** Durably recorded; before that nothing may be launched here. */
+    /** Whether its record is durable; before that, nothing may be launched on it. */
     public boolean registered;
-    /** It has reported under the current token, or nothing older can be on it. */
-    public boolean reconciled;
-    /**
-     * It reported a task that isn't accounted for: of a job that is over, or a second attempt. It is told to end that.
-     */
-    public boolean hasOrphanedTasks;
-    /** Its worker has reported at least once in this term. */
-    public boolean heartbeatReceived;
-    /**
-     * It has seen this term's token, or answered a question: a report alone may be a late copy of a machine that is
-     * gone.
-     */
-    public boolean confirmedLive;
-    /**
-     * Since when the session that is known of is over; nothing may be told to it until the next one is heard of. 0: it
-     * isn't.
-     */
-    public long incarnationExpiredAt;
-    /** Whether a report, not only answers to direct commands, came in the session that is known. */
-    public boolean heartbeatInIncarnation;
+
+    private boolean reconciled;
+    private boolean hasOrphanedTasks;
+    private boolean heartbeatReceived;
+    private boolean confirmedLive;
+    /** No command may go out from then on, until the next incarnation is heard of. */
+    private long incarnationExpiredAt;
+    /** Whether a heartbeat request, not only responses to direct calls, came in the known incarnation. */
+    private boolean heartbeatInIncarnation;
     /**
-     * Its last session ended without any report, and none came since: it reaches no controller. Direct commands may
-     * reach it, but don't renew its lease: what it is given would end with that.
+     * It reaches no controller: direct commands may reach it, but don't renew its lease, with which all it is given
+     * would end.
      */
-    public boolean awaitsHeartbeat;
-    /** Whether what it is told reaches it. */
+    private boolean awaitsHeartbeat;
+    /** Whether responses and commands reach the agent. */
     public final HeartbeatValidity validity = new HeartbeatValidity();
 
-    public long incarnation;
-    public long heartbeatSequence;
-    /** The highest token that it has shown: larger counts beside a lower one are an earlier life's. */
-    public long seenToken;
-    /** Reports of older sessions tell nothing any more. */
-    public long minIncarnation;
-    /** When this session was first heard of; it began before that. */
-    public long incarnationSeenAt;
-    /** When the last report was answered with 200; its lease can't have been renewed later. */
+    private long incarnation;
+    private long heartbeatSequence;
+    /** The highest token that it has shown: a larger sequence number beside a lower one is an earlier incarnation's. */
+    private long seenToken;
+    /** Heartbeats of earlier incarnations are outdated. */
+    private long minIncarnation;
+
+    private long incarnationSeenAt;
+    /** When the last heartbeat was acknowledged, in milliseconds; the lease can't have been renewed later. */
     public long heartbeatAcknowledgedAt;
     /**
      * When a placement was last listed for the first time. A worker that begins again within its lease, its counts
@@ -67,15 +59,14 @@
 
     public long lastHeartbeatAt;
     public long createdAt;
-    public long idleSince;
+    private long idleSince;
     public boolean scalingIn;
-    /** Gets no new tasks: on notice, faulty, or chosen to be returned. */
-    public boolean draining;
+    private boolean draining;
 
-    public boolean faulty;
-    public long faultyUntil;
+    private boolean faulty;
+    private long faultyUntil;
     public long noRoomUntil;
-    /** Direct calls left unanswered since its last word. */
+    /** Direct calls without a response since its last heartbeat. */
     public int unacknowledgedCalls;
     /**
      * When another controller last reached it while this one didn't, since when without a break, and when that was last
@@ -96,17 +87,16 @@
     /** In the first Tyrex partition. */
     public boolean inFirstPartition;
 
-    public boolean directCallInFlight;
-    /** No direct call before this time; the last one was left unanswered. */
+    private boolean directCallInFlight;
+    /** No direct call goes out before this time, in milliseconds: the last one got no response. */
     public long directCallNotBefore;
     /** By attempt: those never repeat, whatever the task. */
     public final Long2ObjectLinkedOpenHashMap<Assignment> assignments = new Long2ObjectLinkedOpenHashMap<>();
 
-    public List<TaskStatus> reportedTasks = List.of();
+    private List<TaskStatus> reportedTasks = List.of();
     public final Object2LongOpenHashMap<String> images = new Object2LongOpenHashMap<>();
     public final Set<String> failedJobs = new HashSet<>();
-    /** When a task last failed on it. */
-    public long failedAt;
+    private long failedAt;
 
     public double usedCpus;
     public double usedGpus;
@@ -153,6 +143,148 @@
         return reconciled && !hasOrphanedTasks;
     }
 
+    // ---- heartbeats and incarnations ----
+
+    /** Whether it was reconciled under the current token, or nothing of earlier terms can be on it. */
+    public boolean reconciled() {
+        return reconciled;
+    }
+
+    /** It reported under the current token, or nothing of earlier terms can be on it any more. */
+    public void markReconciled() {
+        reconciled = true;
+    }
+
+    /** Whether a heartbeat was received in this term. */
+    public boolean heartbeatReceived() {
+        return heartbeatReceived;
+    }
+
+    /** Whether it showed the current token or answered a call: a heartbeat alone may be a delayed copy. */
+    public boolean confirmedLive() {
+        return confirmedLive;
+    }
+
+    /** It showed the current token, or answered a call. */
+    public void markConfirmedLive() {
+        confirmedLive = true;
+    }
+
+    /** Since when the known incarnation is over, in milliseconds; 0 while it isn't. */
+    public long incarnationExpiredAt() {
+        return incarnationExpiredAt;
+    }
+
+    /** Whether its last incarnation ended without a heartbeat, and none came since. */
+    public boolean awaitsHeartbeat() {
+        return awaitsHeartbeat;
+    }
+
+    /** The agent's known incarnation. */
+    public long incarnation() {
+        return incarnation;
+    }
+
+    /** The sequence number of the newest heartbeat. */
+    public long heartbeatSequence() {
+        return heartbeatSequence;
+    }
+
+    /** When the known incarnation was first heard of, in milliseconds; it began before that. */
+    public long incarnationSeenAt() {
+        return incarnationSeenAt;
+    }
+
+    /** Whether it reported a task that isn't assigned to it: of a job that ended, or a second attempt. */
+    public boolean hasOrphanedTasks() {
+        return hasOrphanedTasks;
+    }
+
+    /** Whether the newest heartbeat lists a task that isn't assigned to it. */
+    public void setOrphanedTasks(boolean orphanedTasks) {
+        hasOrphanedTasks = orphanedTasks;
+    }
+
+    /** The tasks that the newest heartbeat lists. */
+    public List<TaskStatus> reportedTasks() {
+        return reportedTasks;
+    }
+
+    /** Nothing that was reported can be on it any more. */
+    public void clearReportedTasks() {
+        reportedTasks = List.of();
+        hasOrphanedTasks = false;
+    }
+
+    /** Whether a direct call is in flight: there is one at a time. */
+    public boolean directCallInFlight() {
+        return directCallInFlight;
+    }
+
+    /** A direct call goes out. */
+    public void beginDirectCall() {
+        directCallInFlight = true;
+    }
+
+    /** The direct call ended. */
+    public void endDirectCall() {
+        directCallInFlight = false;
+    }
+
+    /** Since when it holds nothing, in milliseconds; meaningless unless {@link #idle}. */
+    public long idleSince() {
+        return idleSince;
+    }
+
+    /** It holds nothing from now on, if it didn't before. */
+    public void becameIdle(long now) {
+        idleSince = Math.max(idleSince, now);
+    }
+
+    // ---- draining and quarantine ----
+
+    /** Whether the cloud announced that it takes the machine. */
+    public boolean draining() {
+        return draining;
+    }
+
+    /** The cloud announced that it takes the machine. */
+    public void beginDraining() {
+        draining = true;
+    }
+
+    /** Whether it is quarantined: its failures are the machine's own, and it gets no new tasks for a while. */
+    public boolean faulty() {
+        return faulty;
+    }
+
+    /** Begins the quarantine, or prolongs it. */
+    public void quarantine(long until) {
+        faulty = true;
+        faultyUntil = until;
+    }
+
+    /** Ends the quarantine. */
+    public void endQuarantine() {
+        faulty = false;
+    }
+
+    /** Whether it is quarantined, and has been for long enough. */
+    public boolean quarantineOver(long now) {
+        return faulty && now >= faultyUntil;
+    }
+
+    /** A task of the job failed on it. */
+    public void recordFailure(String jobId, long now) {
+        failedAt = now;
+        failedJobs.add(jobId);
+    }
+
+    /** When a task last failed on it, in milliseconds. */
+    public long failedAt() {
+        return failedAt;
+    }
+
     /** Whether the heartbeat is a duplicate of the newest one that was processed, or older. */
     public boolean hasProcessed(Heartbeat heartbeat) {
         return heartbeatReceived && !heartbeat.newerThan(incarnation, heartbeatSequence);
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -151,9 +151,9 @@
 
     private static boolean isUsable(Machine machine, Set<String> partitionedZones, long now) {
         double maxBootMillis = AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * machine.type.bootS();
-        boolean isSlowToBoot = !machine.heartbeatReceived && now - machine.createdAt > maxBootMillis;
+        boolean isSlowToBoot = !machine.heartbeatReceived() && now - machine.createdAt > maxBootMillis;
         boolean isLost = machine.unreachable() && !partitionedZones.contains(machine.zone);
-        return !machine.scalingIn && !machine.draining && !machine.faulty && !isSlowToBoot && !isLost;
+        return !machine.scalingIn && !machine.draining() && !machine.faulty() && !isSlowToBoot && !isLost;
     }
 
     /** Cores that services need in a zone, with the standby for services to come. */
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -58,10 +58,10 @@
         List<Machine> terminated = new ArrayList<>();
         List<Machine> expendable = new ArrayList<>();
         for (Machine machine : machines) {
-            if (machine.scalingIn || !machine.reconciled || !machine.idle()) {
+            if (machine.scalingIn || !machine.reconciled() || !machine.idle()) {
                 continue;
             }
-            if (machine.faulty) {
+            if (machine.faulty()) {
                 terminated.add(machine);
             } else if (isExpendable(machine, now)) {
                 expendable.add(machine);
@@ -85,7 +85,7 @@
     }
 
     private boolean isExpendable(Machine machine, long now) {
-        return machine.heartbeatReceived && !machine.draining && now - machine.idleSince > maxIdleMillis(machine);
+        return machine.heartbeatReceived() && !machine.draining() && now - machine.idleSince() > maxIdleMillis(machine);
     }
 
     private long maxIdleMillis(Machine machine) {
