--- a/src/test/java/org/hollypick/model/FailoverModelTest.java
+++ b/src/test/java/org/hollypick/model/FailoverModelTest.java
@@ -12,143 +12,260 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen when a leader gives up its lead, or ends and is started again at once, while two other
- * controllers pass its answers on: every order of messages, each of them lost, late or doubled, one controller standing
- * still at any moment, up to a number of ticks of time. The clocks run alike: drift is taken off and added where rights
- * are counted, and {@code WorkerLeasesTest} and {@code FreezeTest} are about that. What must hold (docs/safety.md): no
- * answer of the old leader reaches a machine once its successor has begun.
+ * Explores all that can happen when a leader resigns, or crashes and is restarted at once, while two other controllers
+ * relay its answers: every order of messages, each of them lost, late or duplicated, one controller frozen at any
+ * moment, up to a number of ticks of time. The clocks run alike: drift is accounted for where lease grants are counted,
+ * and {@code WorkerLeasesTest} and {@code ProcessPauseTest} are about that. The invariant (docs/safety.md): no answer
+ * of the old leader reaches a machine once its successor acts.
  */
 class FailoverModelTest {
     private static final int TICKS = 6;
-    /** For how long an answer may be passed on, by the leader's word. */
-    private static final int RIGHT = 2;
+    /** For how long an answer may be relayed under a grant of the leader. */
+    private static final int GRANT = 2;
 
     private static final int RELAYS = 2;
+    private static final int NEVER = -1;
+    private static final int NOBODY = -1;
+    /** One was frozen already and runs again: none freezes any more. */
+    private static final int THAWED = RELAYS;
 
     private enum Fault {
         NONE,
         COUNTS_FROM_THE_ANSWER,
-        ENDS_AT_ONCE,
-        ONE_WORD_IS_ENOUGH,
-        SAYS_SO_AND_DOES_NOT,
-        FORGETS_WHAT_COMES_LATER
+        ENDS_SESSION_AT_ONCE,
+        ONE_CONFIRMATION_IS_ENOUGH,
+        CONFIRMS_WITHOUT_RELEASING,
+        GRANT_UNDOES_RELEASE
     }
 
-    /** A controller that passes on: -1 for times that there aren't. */
+    /**
+     * A controller that relays answers under a grant of the leader; {@link #NEVER} for times that there aren't.
+     *
+     * @param sentAt when it asked for a grant
+     * @param isAsking whether its question is in flight
+     * @param grant how long the leader grants
+     * @param isGrantInFlight whether the leader's answer is in flight
+     * @param until when the grant that it got ends
+     * @param hasReleased whether it relays nothing any more
+     * @param hasConfirmed whether it confirmed that
+     */
     private record Relay(
-            int sentAt, boolean asks, int right, boolean answerUnderWay, int until, boolean released, boolean saidSo) {}
+            int sentAt,
+            boolean isAsking,
+            int grant,
+            boolean isGrantInFlight,
+            int until,
+            boolean hasReleased,
+            boolean hasConfirmed) {
+        Relay ask(int now) {
+            return new Relay(now, true, NEVER, false, NEVER, hasReleased, hasConfirmed);
+        }
+
+        Relay grantSent() {
+            return new Relay(sentAt, true, GRANT, true, until, hasReleased, hasConfirmed);
+        }
+
+        Relay grantReceived(int from, boolean staysReleased) {
+            return new Relay(sentAt, isAsking, grant, true, from + grant, staysReleased, hasConfirmed);
+        }
+
+        Relay confirmRelease(boolean releases) {
+            return new Relay(sentAt, isAsking, grant, isGrantInFlight, until, releases, true);
+        }
+    }
 
     /**
-     * {@code gaveUpAt}: the leader's, -1 while it acts; {@code asked}, {@code told}: release asked of that relay, and
-     * its word, under way or there.
+     * The state of the leader, its relays and its successor.
+     *
+     * @param resignedAt when the leader resigned; {@link #NEVER} while it acts
+     * @param sessionEnded whether its store session has ended
+     * @param successorActs whether another controller leads
+     * @param isViolated whether an answer of the old leader was relayed then
+     * @param frozen the relay that is frozen, {@link #NOBODY} or {@link #THAWED}
+     * @param releaseRequests relays that were asked to release, as bits
+     * @param confirmations relays whose confirmation the old leader got, as bits
      */
     private record State(
             int now,
-            int gaveUpAt,
-            boolean holdEnded,
-            boolean begun,
-            boolean wrong,
+            int resignedAt,
+            boolean sessionEnded,
+            boolean successorActs,
+            boolean isViolated,
             int frozen,
             List<Relay> relays,
-            int asked,
-            int told) {}
-
-    private static State with(State s, int i, Relay r) {
-        List<Relay> relays = new ArrayList<>(s.relays);
-        relays.set(i, r);
-        return new State(
-                s.now, s.gaveUpAt, s.holdEnded, s.begun, s.wrong, s.frozen, List.copyOf(relays), s.asked, s.told);
+            int releaseRequests,
+            int confirmations) {
+        boolean hasResigned() {
+            return resignedAt != NEVER;
+        }
+
+        boolean isReleaseRequested(int relay) {
+            return (releaseRequests >> relay & 1) == 1;
+        }
+
+        State at(int time) {
+            return new State(
+                    time,
+                    resignedAt,
+                    sessionEnded,
+                    successorActs,
+                    isViolated,
+                    frozen,
+                    relays,
+                    releaseRequests,
+                    confirmations);
+        }
+
+        State withFrozen(int relay) {
+            return new State(
+                    now,
+                    resignedAt,
+                    sessionEnded,
+                    successorActs,
+                    isViolated,
+                    relay,
+                    relays,
+                    releaseRequests,
+                    confirmations);
+        }
+
+        State with(int index, Relay relay) {
+            List<Relay> changed = new ArrayList<>(relays);
+            changed.set(index, relay);
+            return new State(
+                    now,
+                    resignedAt,
+                    sessionEnded,
+                    successorActs,
+                    isViolated,
+                    frozen,
+                    List.copyOf(changed),
+                    releaseRequests,
+                    confirmations);
+        }
+
+        State resign(boolean endsSession) {
+            int allRelays = (1 << RELAYS) - 1;
+            return new State(now, now, endsSession, successorActs, isViolated, frozen, relays, allRelays, 0);
+        }
+
+        State endSession() {
+            return new State(
+                    now, resignedAt, true, successorActs, isViolated, frozen, relays, releaseRequests, confirmations);
+        }
+
+        State startSuccessor() {
+            return new State(now, resignedAt, true, true, isViolated, frozen, relays, releaseRequests, confirmations);
+        }
+
+        State violate() {
+            return new State(now, resignedAt, sessionEnded, true, true, frozen, relays, releaseRequests, confirmations);
+        }
+
+        State confirmed(int relay) {
+            return new State(
+                    now,
+                    resignedAt,
+                    sessionEnded,
+                    successorActs,
+                    isViolated,
+                    frozen,
+                    relays,
+                    releaseRequests,
+                    confirmations | 1 << relay);
+        }
     }
 
-    private static void next(State s, Fault fault, Consumer<State> to) {
-        if (s.now < TICKS) {
-            to.accept(new State(
-                    s.now + 1, s.gaveUpAt, s.holdEnded, s.begun, s.wrong, s.frozen, s.relays, s.asked, s.told));
+    private static void next(State state, Fault fault, Consumer<State> successors) {
+        if (state.now < TICKS) {
+            successors.accept(state.at(state.now + 1));
         }
-        // One stands still for as long as it likes; nothing of it happens meanwhile.
-        if (s.frozen < 0) {
-            for (int i = 0; i < RELAYS; i++) {
-                to.accept(new State(s.now, s.gaveUpAt, s.holdEnded, s.begun, s.wrong, i, s.relays, s.asked, s.told));
+        freezeOrThaw(state, successors);
+        for (int i = 0; i < RELAYS; i++) {
+            grant(state, i, successors);
+            if (state.frozen != i) {
+                relay(state, fault, i, successors);
+                release(state, fault, i, successors);
             }
-        } else if (s.frozen < RELAYS) {
-            to.accept(new State(s.now, s.gaveUpAt, s.holdEnded, s.begun, s.wrong, RELAYS, s.relays, s.asked, s.told));
         }
-        for (int i = 0; i < RELAYS; i++) {
-            relay(s, fault, i, to);
-        }
-        if (s.gaveUpAt < 0) {
-            to.accept(new State(
-                    s.now,
-                    s.now,
-                    fault == Fault.ENDS_AT_ONCE,
-                    s.begun,
-                    s.wrong,
-                    s.frozen,
-                    s.relays,
-                    (1 << RELAYS) - 1,
-                    0));
-        } else if (!s.holdEnded) {
-            int words = Integer.bitCount(s.told);
-            if (words == RELAYS || (fault == Fault.ONE_WORD_IS_ENOUGH && words > 0) || s.now >= s.gaveUpAt + RIGHT) {
-                to.accept(new State(s.now, s.gaveUpAt, true, s.begun, s.wrong, s.frozen, s.relays, s.asked, s.told));
+        leader(state, fault, successors);
+    }
+
+    /** One is frozen for as long as it likes; nothing of it happens meanwhile. */
+    private static void freezeOrThaw(State state, Consumer<State> successors) {
+        if (state.frozen == NOBODY) {
+            for (int i = 0; i < RELAYS; i++) {
+                successors.accept(state.withFrozen(i));
             }
-        } else if (!s.begun) {
-            to.accept(new State(s.now, s.gaveUpAt, true, true, s.wrong, s.frozen, s.relays, s.asked, s.told));
+        } else if (state.frozen != THAWED) {
+            successors.accept(state.withFrozen(THAWED));
+        }
+    }
+
+    /** The leader grants, while it acts. The question may arrive a second time: it stays in flight. */
+    private static void grant(State state, int index, Consumer<State> successors) {
+        Relay relay = state.relays.get(index);
+        if (relay.isAsking && !state.hasResigned() && !relay.isGrantInFlight) {
+            successors.accept(state.with(index, relay.grantSent()));
+        }
+    }
+
+    private static void relay(State state, Fault fault, int index, Consumer<State> successors) {
+        Relay relay = state.relays.get(index);
+        if (!relay.isAsking) {
+            successors.accept(state.with(index, relay.ask(state.now)));
+        }
+        if (relay.isGrantInFlight && relay.until < 0) {
+            int from = fault == Fault.COUNTS_FROM_THE_ANSWER ? state.now : relay.sentAt;
+            boolean staysReleased = relay.hasReleased && fault != Fault.GRANT_UNDOES_RELEASE;
+            successors.accept(state.with(index, relay.grantReceived(from, staysReleased)));
+        }
+        if (relay.until > state.now && !relay.hasReleased && state.successorActs) {
+            successors.accept(state.violate());
+        }
+    }
+
+    /** The request stays in flight, since it may come again; the confirmation may get lost, or come at any time. */
+    private static void release(State state, Fault fault, int index, Consumer<State> successors) {
+        Relay relay = state.relays.get(index);
+        if (state.isReleaseRequested(index)) {
+            boolean releases = fault != Fault.CONFIRMS_WITHOUT_RELEASING;
+            successors.accept(state.with(index, relay.confirmRelease(releases)));
+        }
+        if (relay.hasConfirmed) {
+            successors.accept(state.confirmed(index));
         }
     }
 
-    private static void relay(State s, Fault fault, int i, Consumer<State> to) {
-        Relay r = s.relays.get(i);
-        if (r.asks && s.gaveUpAt < 0 && !r.answerUnderWay) {
-            // The leader answers, and may act until then at most. The question may come a second time: it stays under
-            // way.
-            to.accept(with(s, i, new Relay(r.sentAt, true, RIGHT, true, r.until, r.released, r.saidSo)));
-        }
-        if (s.frozen == i) {
-            return;
-        }
-        if (!r.asks) {
-            to.accept(with(s, i, new Relay(s.now, true, -1, false, -1, r.released, r.saidSo)));
-        }
-        if (r.answerUnderWay && r.until < 0) {
-            int from = fault == Fault.COUNTS_FROM_THE_ANSWER ? s.now : r.sentAt;
-            boolean released = r.released && fault != Fault.FORGETS_WHAT_COMES_LATER;
-            to.accept(with(s, i, new Relay(r.sentAt, true, r.right, true, from + r.right, released, r.saidSo)));
-        }
-        if (r.until > s.now && !r.released && s.begun) {
-            to.accept(new State(s.now, s.gaveUpAt, s.holdEnded, true, true, s.frozen, s.relays, s.asked, s.told));
-        }
-        if ((s.asked >> i & 1) == 1) {
-            State said = with(
-                    s,
-                    i,
-                    new Relay(
-                            r.sentAt,
-                            r.asks,
-                            r.right,
-                            r.answerUnderWay,
-                            r.until,
-                            fault != Fault.SAYS_SO_AND_DOES_NOT,
-                            true));
-            // The question stays under way, since it may come again; the word may get lost, or come at any later
-            // moment.
-            to.accept(said);
-        }
-        if (r.saidSo) {
-            to.accept(new State(
-                    s.now, s.gaveUpAt, s.holdEnded, s.begun, s.wrong, s.frozen, s.relays, s.asked, s.told | 1 << i));
+    /** The leader resigns, ends its store session once all relays have released, and another one acts. */
+    private static void leader(State state, Fault fault, Consumer<State> successors) {
+        if (!state.hasResigned()) {
+            successors.accept(state.resign(fault == Fault.ENDS_SESSION_AT_ONCE));
+        } else if (!state.sessionEnded) {
+            int confirmations = Integer.bitCount(state.confirmations);
+            if (confirmations == RELAYS
+                    || (fault == Fault.ONE_CONFIRMATION_IS_ENOUGH && confirmations > 0)
+                    || state.now >= state.resignedAt + GRANT) {
+                successors.accept(state.endSession());
+            }
+        } else if (!state.successorActs) {
+            successors.accept(state.startSuccessor());
         }
     }
 
     private static StateSearch.Result<State> search(Fault fault) {
-        Relay fresh = new Relay(-1, false, -1, false, -1, false, false);
-        State first = new State(0, -1, false, false, false, -1, List.of(fresh, fresh), 0, 0);
+        Relay idle = new Relay(NEVER, false, NEVER, false, NEVER, false, false);
+        State initial = new State(0, NEVER, false, false, false, NOBODY, List.of(idle, idle), 0, 0);
         Set<State> seen = new HashSet<>();
-        return StateSearch.run(List.of(first), (s, to) -> next(s, fault, t -> to.add("", t)), s -> s.wrong, seen::add);
+        return StateSearch.run(
+                List.of(initial),
+                (state, successors) -> next(state, fault, successor -> successors.add("", successor)),
+                State::isViolated,
+                seen::add);
     }
 
     @Test
-    void nothingOfTheOldLeaderIsPassedOnOnceAnotherHasBegun() {
+    void nothingOfTheOldLeaderIsRelayedOnceItsSuccessorActs() {
         StateSearch.Result<State> result = search(Fault.NONE);
         assertFalse(result.broken(), () -> "" + result.trace());
         assertTrue(result.states() > 50_000, "states " + result.states());
@@ -160,7 +277,7 @@
         for (Fault fault : Fault.values()) {
             StateSearch.Result<State> result = search(fault);
             assertEquals(fault != Fault.NONE, result.broken(), fault.toString());
-            assertTrue(fault == Fault.NONE || result.last().wrong, fault.toString());
+            assertTrue(fault == Fault.NONE || result.last().isViolated, fault.toString());
         }
     }
 }
