--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -87,7 +87,7 @@
         if (machine.reconciled() && !isProbe && canWaitForHeartbeat) {
             return;
         }
-        boolean toUnresponsive = machine.unacknowledgedCalls > 0 || machine.validity.doubted();
+        boolean toUnresponsive = machine.unacknowledgedCalls > 0 || machine.validity.isDoubtful();
         if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
             return;
         }
@@ -141,8 +141,9 @@
     private void unacknowledged(Machine machine, AgentResponse response, long now) {
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
             machine.unacknowledgedCalls++;
-            if (localHealth.sound(now)) {
-                machine.validity.unanswered(); // while this controller is overloaded, silence proves nothing
+            if (localHealth.isHealthy(now)) {
+                machine.validity
+                        .directCallUnacknowledged(); // while this controller is overloaded, silence proves nothing
             }
         }
         machine.directCallNotBefore = now + FailureDetectionConstants.DIRECT_RETRY_MS;
@@ -159,7 +160,7 @@
         }
         long now = term.now();
         boolean wasReconciled = machine.reconciled();
-        machine.validity.acknowledged();
+        machine.validity.deliveryConfirmed();
         scheduler.heartbeats().confirmLive(machine);
         HeartbeatHandler.apply(scheduler, machine, heartbeat, false, now);
         if (showsRestart(call, heartbeat) && !machine.incarnationExpired()) {
--- a/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -22,7 +22,7 @@
 
     /** How many more calls the window has room for; negative after it shrank. */
     int room() {
-        return window.window() - inFlight;
+        return window.size() - inFlight;
     }
 
     /** Whether another call to an unresponsive machine may be made. */
@@ -41,11 +41,11 @@
         inFlight--;
         inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
         if (response.outcome() == AgentResponse.Outcome.NO_CAPACITY) {
-            localHealth.lacked(now);
-            window.lacked(now);
+            localHealth.capacityMissing(now);
+            window.capacityMissing(now);
         } else if (response.isAnswered() && !toUnresponsive) {
-            localHealth.answered(tookMillis, now);
-            window.answered(tookMillis, now);
+            localHealth.callAnswered(tookMillis, now);
+            window.callAnswered(tookMillis, now);
         }
     }
 }
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -67,7 +67,7 @@
         reachability.requestChecks(survey.unacknowledged());
         updateReachedByPeers(survey, now);
         updateIsolation(survey, now);
-        return localHealth.sound(now) && now >= recoveringUntil ? withinBudget(survey.lost(), now) : List.of();
+        return localHealth.isHealthy(now) && now >= recoveringUntil ? withinBudget(survey.lost(), now) : List.of();
     }
 
     private void updateReachedByPeers(ResponsivenessSurvey survey, long now) {
@@ -152,7 +152,7 @@
      * is neither overload here nor a term that has just begun. False when peers reach no more than this one.
      */
     public boolean isIsolated(long now) {
-        if (!localHealth.sound(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
+        if (!localHealth.isHealthy(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
         int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -56,8 +56,8 @@
             return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
         }
         return switch (machine.validity.freshness(heartbeat, now)) {
-            case COPY -> ServerResponse.retryLater(REJECTED_OLDER_HEARTBEAT);
-            case AGAIN -> handleCurrent(machine, heartbeat, false, relay, now);
+            case OUTDATED -> ServerResponse.retryLater(REJECTED_OLDER_HEARTBEAT);
+            case REPEATED -> handleCurrent(machine, heartbeat, false, relay, now);
             case NEW -> handleCurrent(machine, heartbeat, true, relay, now);
         };
     }
@@ -112,7 +112,7 @@
                 CommandDispatcher.limitToMessage(scheduler.commands().pendingCommands(machine));
         if (isNew) {
             updateValidity(machine, heartbeat, newIncarnation, commands, now);
-            if (machine.validity.unreachableInbound() && !(machine.reconciled() && machine.idle())) {
+            if (machine.validity.isUnreachableInbound() && !(machine.reconciled() && machine.idle())) {
                 // An answer would only lengthen a lease that the agent itself lets expire.
                 return ServerResponse.retryLater(REJECTED_UNREACHABLE_INBOUND);
             }
@@ -134,23 +134,23 @@
     /** Draws from a new heartbeat whether the answers before it reached the agent. */
     private void updateValidity(
             Machine machine, Heartbeat heartbeat, boolean newIncarnation, List<Command> commands, long now) {
-        boolean wasUnreachable = machine.validity.unreachableInbound();
+        boolean wasUnreachable = machine.validity.isUnreachableInbound();
         boolean seenThisToken = heartbeat.token() == scheduler.token();
         if (newIncarnation
                 && machine.heartbeatAcknowledgedAt > 0
                 && scheduler.leases().isValid(machine.heartbeatAcknowledgedAt, now)) {
-            machine.validity.lapsed(now);
+            machine.validity.markUnreachableInbound(now);
         }
-        machine.validity.reported(heartbeat, seenThisToken, commands, now);
-        if (machine.validity.unreachableInbound()
+        machine.validity.heartbeatReceived(heartbeat, seenThisToken, commands, now);
+        if (machine.validity.isUnreachableInbound()
                 && !newIncarnation
                 && scheduler.leases().isExpired(machine.incarnationSeenAt(), now)) {
-            machine.validity.acknowledged(); // had no answer reached it, its incarnation would have ended
+            machine.validity.deliveryConfirmed(); // had no answer reached it, its incarnation would have ended
         }
         if (!seenThisToken) {
             machine.heartbeatAcknowledgedAt = 0; // no answer of this term reached it
         }
-        if (machine.validity.unreachableInbound() != wasUnreachable) {
+        if (machine.validity.isUnreachableInbound() != wasUnreachable) {
             LOG.info(
                     "{} machine={} incarnation={} token={}",
                     wasUnreachable ? "machine.became_reachable_inbound" : "machine.became_unreachable_inbound",
@@ -168,8 +168,8 @@
         if (otherRelay != null) {
             return HeartbeatRelayCodec.elsewhere(otherRelay);
         }
-        machine.heartbeatAcknowledgedAt = machine.validity.takenAt();
-        machine.validity.told(commands);
+        machine.heartbeatAcknowledgedAt = machine.validity.newestReceivedAt();
+        machine.validity.heartbeatAnswered(commands);
         scheduler.commands().sentInHeartbeatResponse(machine, commands);
         if (machine.reconciled()) {
             scheduler.outbox().commandsDelivered(machine);
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -63,7 +63,7 @@
 
     private void count(Machine machine) {
         Tally zone = byZone.computeIfAbsent(machine.zone, name -> new Tally());
-        boolean doubted = machine.validity.doubted();
+        boolean doubted = machine.validity.isDoubtful();
         if (silenceMillis(machine) < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
             total.responsive++;
             zone.responsive++;
@@ -99,7 +99,7 @@
     }
 
     private boolean isSilent(Machine machine) {
-        long limitMillis = machine.validity.doubted()
+        long limitMillis = machine.validity.isDoubtful()
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
         return silenceMillis(machine) > limitMillis
@@ -109,7 +109,7 @@
     private boolean isOverdue(Machine machine) {
         // Only the loss of services is worth probing more often.
         boolean early = machine.unacknowledgedCalls > 0 || machine.serviceCpus() > 0;
-        return machine.validity.doubted()
+        return machine.validity.isDoubtful()
                 || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
 
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -424,7 +424,7 @@
                 && confirmedLive
                 && !incarnationExpired()
                 && !awaitsHeartbeat
-                && !validity.unreachableInbound()
+                && !validity.isUnreachableInbound()
                 && !draining
                 && !scalingIn
                 && !faulty
@@ -437,7 +437,7 @@
 
     /** It can't be given anything, and may never be again: deaf, or begun again under a session that is over. */
     public boolean unreachable() {
-        return validity.unreachableInbound() || incarnationExpired();
+        return validity.isUnreachableInbound() || incarnationExpired();
     }
 
     public boolean incarnationExpired() {
--- a/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
+++ b/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
@@ -3,29 +3,31 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 
 /**
- * How many calls to machines may be under way: one more with each answer that comes quickly, half as many when answers
- * are slow, as they are when this node has more to do than it can (additive increase, multiplicative decrease). So a
- * takeover's load is bounded whatever the number of machines. Pure.
+ * How many calls to machines may be in flight: one more with each answer that comes quickly, half as many when answers
+ * are slow, as they are when this controller is overloaded (additive increase, multiplicative decrease). So the load
+ * after a failover is bounded whatever the number of machines. Times are milliseconds. Confined to the event loop.
  */
 public final class AdaptiveWindow {
-    private double window = FailureDetectionConstants.MAX_DIRECT_CALLS;
+    private double size = FailureDetectionConstants.MAX_DIRECT_CALLS;
     private long shrunkAt = -FailureDetectionConstants.ADAPTIVE_WINDOW_MS;
 
-    public void answered(long tookMs, long now) {
-        if (tookMs <= FailureDetectionConstants.SLOW_CALL_MS) {
-            window = Math.min(FailureDetectionConstants.MAX_DIRECT_CALLS, window + 1 / window);
+    /** A call was answered after {@code tookMillis}. */
+    public void callAnswered(long tookMillis, long now) {
+        if (tookMillis <= FailureDetectionConstants.SLOW_CALL_MS) {
+            size = Math.min(FailureDetectionConstants.MAX_DIRECT_CALLS, size + 1 / size);
         } else if (now - shrunkAt >= FailureDetectionConstants.ADAPTIVE_WINDOW_MS) {
             shrunkAt = now;
-            window = Math.max(FailureDetectionConstants.MIN_DIRECT_CALLS, window / 2);
+            size = Math.max(FailureDetectionConstants.MIN_DIRECT_CALLS, size / 2);
         }
     }
 
-    /** There was no room for another one. */
-    public void lacked(long now) {
-        answered(Long.MAX_VALUE, now);
+    /** A call wasn't sent for want of capacity here, which counts as a slow answer. */
+    public void capacityMissing(long now) {
+        callAnswered(Long.MAX_VALUE, now);
     }
 
-    public int window() {
-        return (int) window;
+    /** How many calls may be in flight now. */
+    public int size() {
+        return (int) size;
     }
 }
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -9,84 +9,90 @@
 import org.hollypick.core.assignment.TaskStatus;
 
 /**
- * Whether a machine's reports are new, and whether what it is told reaches it (docs/hearing.md). A worker has one
- * report in flight at a time: a newer one that still lacks what the answer before told shows that this answer wasn't
- * taken. Pure; one for each machine in one term.
+ * Whether a machine's heartbeats are new, and whether the answers to them reach it (docs/hearing.md). An agent has one
+ * heartbeat in flight at a time: a newer one that still lacks the effect of the last answer's commands shows that this
+ * answer didn't reach it. One for each machine in one term. Confined to the event loop.
  */
 public final class HeartbeatValidity {
-    /** {@code AGAIN}: the newest one once more, while its worker may still wait for the answer. */
+    /** What a heartbeat is beside those received before. */
     public enum Freshness {
+        /** Newer than all before. */
         NEW,
-        AGAIN,
-        COPY
+        /** The newest one once more, while its agent may still wait for the answer. */
+        REPEATED,
+        /** Older than the newest, or a copy of it that nobody waits for any more. */
+        OUTDATED
     }
 
-    /** The newest that came as a report. */
-    private boolean reported;
+    private boolean anyReceived;
+    /** Incarnation, sequence number and arrival of the newest heartbeat. */
+    private long newestIncarnation;
 
-    private long session;
-    private long tick;
-    private long takenAt;
-    /** That one was answered, with these orders. */
+    private long newestSequence;
+    private long newestReceivedAt;
+
+    /** Whether the newest heartbeat was answered, with which commands, and for which incarnation. */
     private boolean answered;
 
-    private List<Command> told = List.of();
-    private long toldSession;
-    /** It had seen this term's token by then. */
-    private boolean knewToken;
+    private List<Command> answeredCommands = List.of();
+    private long answeredIncarnation;
+    /** Whether the agent had seen this term's token by the newest heartbeat. */
+    private boolean tokenSeen;
 
-    private int unacknowledged;
-    private int unanswered;
-    /** Since when it counts as unreachable inbound; 0: it doesn't. */
+    private int unacknowledgedAnswers;
+    private int unacknowledgedCalls;
+    /** Since when the machine counts as unreachable inbound; 0 if it doesn't. */
     private long unreachableInboundSince;
 
-    /** What this report is, beside those that came before. */
+    /** Compares a heartbeat with those before; a new one becomes the newest. */
     public Freshness freshness(Heartbeat heartbeat, long now) {
-        if (!reported || heartbeat.newerThan(session, tick)) {
-            reported = true;
-            session = heartbeat.incarnation();
-            tick = heartbeat.sequence();
-            takenAt = now;
+        if (!anyReceived || heartbeat.newerThan(newestIncarnation, newestSequence)) {
+            anyReceived = true;
+            newestIncarnation = heartbeat.incarnation();
+            newestSequence = heartbeat.sequence();
+            newestReceivedAt = now;
             return Freshness.NEW;
         }
-        boolean same = heartbeat.incarnation() == session && heartbeat.sequence() == tick;
-        return same && now - takenAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
-                ? Freshness.AGAIN
-                : Freshness.COPY;
+        boolean same = heartbeat.incarnation() == newestIncarnation && heartbeat.sequence() == newestSequence;
+        boolean awaitsAnswer = now - newestReceivedAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS;
+        return same && awaitsAnswer ? Freshness.REPEATED : Freshness.OUTDATED;
     }
 
-    /** When the newest report came first. */
-    public long takenAt() {
-        return takenAt;
+    /** When the newest heartbeat was first received. */
+    public long newestReceivedAt() {
+        return newestReceivedAt;
     }
 
     /**
-     * A new report: what it shows of the answer before. {@code wanted}: what it would be told now; {@code knows}: it
-     * has seen this term's token.
+     * Draws from a new heartbeat whether the last answer reached the agent.
+     *
+     * @param seenThisToken whether the agent has seen this term's token
+     * @param pendingCommands what the machine would be sent now
      */
-    public void reported(Heartbeat heartbeat, boolean knows, List<Command> wanted, long now) {
+    public void heartbeatReceived(Heartbeat heartbeat, boolean seenThisToken, List<Command> pendingCommands, long now) {
         if (answered) {
-            if (!knows || anyAgain(wanted)) {
-                if (++unacknowledged >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
-                    lapsed(now);
+            if (!seenThisToken || anyStillPending(pendingCommands)) {
+                unacknowledgedAnswers++;
+                if (unacknowledgedAnswers >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
+                    markUnreachableInbound(now);
                 }
-            } else if (!knewToken || (heartbeat.incarnation() == toldSession && anyShown(heartbeat))) {
-                acknowledged();
+            } else if (!tokenSeen || (heartbeat.incarnation() == answeredIncarnation && anyEffectShown(heartbeat))) {
+                deliveryConfirmed();
             }
         }
-        knewToken = knows;
+        tokenSeen = seenThisToken;
         answered = false;
-        told = List.of();
+        answeredCommands = List.of();
     }
 
     /**
-     * Whether something that was told would be told again. With hundreds of reports a second, attempts are compared
-     * before names.
+     * Whether a command of the last answer would be sent again. Attempts are compared before task names: this runs for
+     * hundreds of heartbeats a second.
      */
-    private boolean anyAgain(List<Command> wanted) {
-        for (Command command : told) {
-            for (Command w : wanted) {
-                if (command.attempt() == w.attempt() && command.equals(w)) {
+    private boolean anyStillPending(List<Command> pendingCommands) {
+        for (Command sent : answeredCommands) {
+            for (Command pending : pendingCommands) {
+                if (sent.attempt() == pending.attempt() && sent.equals(pending)) {
                     return true;
                 }
             }
@@ -94,22 +100,22 @@
         return false;
     }
 
-    private boolean anyShown(Heartbeat heartbeat) {
-        for (Command command : told) {
-            if (shows(heartbeat, command)) {
+    private boolean anyEffectShown(Heartbeat heartbeat) {
+        for (Command command : answeredCommands) {
+            if (showsEffect(heartbeat, command)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether the report is as it would be after that order. */
-    private static boolean shows(Heartbeat heartbeat, Command command) {
+    /** Whether the heartbeat is as it would be after the command. */
+    private static boolean showsEffect(Heartbeat heartbeat, Command command) {
         Assignment.State state = null;
         for (TaskStatus status : heartbeat.tasks()) {
-            state = status.attempt() == command.attempt() && status.task().equals(command.task())
-                    ? status.state()
-                    : state;
+            if (status.attempt() == command.attempt() && status.task().equals(command.task())) {
+                state = status.state();
+            }
         }
         return switch (command.verb()) {
             case LAUNCH -> state != null;
@@ -118,48 +124,51 @@
         };
     }
 
-    /** The newest report is answered with that. */
-    public void told(List<Command> commands) {
+    /** The newest heartbeat is answered with these commands. */
+    public void heartbeatAnswered(List<Command> commands) {
         answered = true;
-        told = commands;
-        toldSession = session;
+        answeredCommands = commands;
+        answeredIncarnation = newestIncarnation;
     }
 
-    /** None of the last answers was taken: so it has shown, or its session ended although it was answered lately. */
-    public void lapsed(long now) {
+    /** No recent answer reached the machine, by its heartbeats or since its lease expired though it was answered. */
+    public void markUnreachableInbound(long now) {
         unreachableInboundSince = unreachableInboundSince == 0 ? now : unreachableInboundSince;
     }
 
-    /** It is shown that an answer, or a direct call, was taken. */
-    public void acknowledged() {
-        unacknowledged = 0;
-        unanswered = 0;
+    /** An answer or a direct call certainly reached the agent. */
+    public void deliveryConfirmed() {
+        unacknowledgedAnswers = 0;
+        unacknowledgedCalls = 0;
         unreachableInboundSince = 0;
     }
 
-    /** A direct call was left open. */
-    public void unanswered() {
-        unanswered++;
+    /** A direct call got no answer. */
+    public void directCallUnacknowledged() {
+        unacknowledgedCalls++;
     }
 
-    /** It is to get no work, nor an answer while anything may be there. */
-    public boolean unreachableInbound() {
+    /** Whether the machine gets no work, and no answer while tasks may be on it. */
+    public boolean isUnreachableInbound() {
         return unreachableInboundSince > 0;
     }
 
-    /** Since when; 0 if it isn't. */
+    /** Since when it is unreachable inbound; 0 if it isn't. */
     public long unreachableInboundSince() {
         return unreachableInboundSince;
     }
 
-    /** Its reports come, and what it is told seems not to arrive by any way. */
-    public boolean doubted() {
-        return unreachableInbound()
-                || (unacknowledged > 0 && unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
+    /** Whether heartbeats arrive but neither answers nor direct calls seem to reach the machine. */
+    public boolean isDoubtful() {
+        return isUnreachableInbound()
+                || (unacknowledgedAnswers > 0 && unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
     }
 
-    /** Direct calls don't reach it, and no answer has been shown to since. One task is enough to find out. */
-    public boolean onTrial() {
-        return unanswered >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
+    /**
+     * Whether direct calls don't reach the machine and no answer has been shown to since. One task at a time is enough
+     * to find out.
+     */
+    public boolean isOnTrial() {
+        return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 }
--- a/src/main/java/org/hollypick/core/health/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/health/LocalHealth.java
@@ -3,52 +3,55 @@
 import org.hollypick.config.constants.FailureDetectionConstants;
 
 /**
- * Whether this leader's own state may explain that it hears nothing. What it didn't get to ask, and what it was too
- * busy to read, proves nothing about a machine or a path (docs/many-machines.md). Pure.
+ * Whether this controller is well enough for missing answers to count against machines: what it couldn't send, or was
+ * too busy to read, proves nothing about a machine or the network. Times are milliseconds. Confined to the event loop.
  */
 public final class LocalHealth {
-    private long at;
-    /** Answers in the present stretch of time, and those of them that took long. */
-    private long stretch;
+    private long lastDisturbedAt;
+    private long windowStartedAt;
+    /** Answers in the present window, and the slow ones among them. */
+    private int answeredCalls;
 
-    private int answered;
-    private int slow;
+    private int slowCalls;
 
-    /** It isn't known to be well before it has been watched for a while. */
+    /** Counts as disturbed at first: its health isn't known before it has been watched for a while. */
     public LocalHealth(long now) {
-        at = now;
-        stretch = now;
+        lastDisturbedAt = now;
+        windowStartedAt = now;
     }
 
-    /** The loop stood still, or the right to act was away. */
-    public void seen(long now) {
-        at = now;
+    /** The event loop was held up, or this controller didn't hold the leader lease. */
+    public void markDisturbed(long now) {
+        lastDisturbedAt = now;
     }
 
     /**
-     * A call wasn't sent for want of something here: as if its answer had been slow, since one now and then is what
-     * finds the limit.
+     * A call wasn't sent for want of capacity here. Counts as a slow answer, since one now and then is what finds the
+     * limit.
      */
-    public void lacked(long now) {
-        answered(Long.MAX_VALUE, now);
+    public void capacityMissing(long now) {
+        callAnswered(Long.MAX_VALUE, now);
     }
 
-    /** A machine answered a call after that long. */
-    public void answered(long tookMs, long now) {
-        if (now - stretch >= FailureDetectionConstants.SLOW_WINDOW_MS) {
-            stretch = now;
-            answered = 0;
-            slow = 0;
+    /**
+     * A machine answered a call after {@code tookMillis}; many slow answers mean that this controller is overloaded.
+     */
+    public void callAnswered(long tookMillis, long now) {
+        if (now - windowStartedAt >= FailureDetectionConstants.SLOW_WINDOW_MS) {
+            windowStartedAt = now;
+            answeredCalls = 0;
+            slowCalls = 0;
         }
-        answered++;
-        slow += tookMs > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
-        if (slow >= FailureDetectionConstants.SLOW_CALLS && slow > answered * FailureDetectionConstants.SLOW_SHARE) {
-            at = now;
+        answeredCalls++;
+        slowCalls += tookMillis > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
+        if (slowCalls >= FailureDetectionConstants.SLOW_CALLS
+                && slowCalls > answeredCalls * FailureDetectionConstants.SLOW_SHARE) {
+            lastDisturbedAt = now;
         }
     }
 
-    /** Nothing was wrong here for long enough that two questions to a machine would have been asked and answered. */
-    public boolean sound(long now) {
-        return now - at >= FailureDetectionConstants.FAILOVER_GRACE_MS;
+    /** Whether nothing disturbed this controller for as long as two calls to a machine take to be sent and answered. */
+    public boolean isHealthy(long now) {
+        return now - lastDisturbedAt >= FailureDetectionConstants.FAILOVER_GRACE_MS;
     }
 }
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -32,7 +32,7 @@
 
     /** Whether the machine gets new tasks at all now. */
     public static boolean takesTasks(Machine m, long now) {
-        return m.schedulable() && now >= m.noRoomUntil && !(m.validity.onTrial() && m.startingTasks() > 0);
+        return m.schedulable() && now >= m.noRoomUntil && !(m.validity.isOnTrial() && m.startingTasks() > 0);
     }
 
     private static boolean possible(Job job, JobSpec spec, Machine m, long now) {
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -118,37 +118,37 @@
     void slowAnswersHalveTheCallsUnderWayOnceAStretch() {
         AdaptiveWindow probeWindow = new AdaptiveWindow();
         for (int i = 0; i < 50; i++) {
-            probeWindow.answered(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
+            probeWindow.callAnswered(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
         }
-        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS / 2, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS / 2, probeWindow.size());
         for (int i = 0; i < 20; i++) {
-            probeWindow.answered(
+            probeWindow.callAnswered(
                     FailureDetectionConstants.SLOW_CALL_MS + 1,
                     2_000 + i * FailureDetectionConstants.ADAPTIVE_WINDOW_MS);
         }
-        assertEquals(FailureDetectionConstants.MIN_DIRECT_CALLS, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MIN_DIRECT_CALLS, probeWindow.size());
         for (int i = 0; i < 10_000; i++) {
-            probeWindow.answered(10, 60_000);
+            probeWindow.callAnswered(10, 60_000);
         }
-        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS, probeWindow.window());
+        assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS, probeWindow.size());
     }
 
     /** One slow machine among many says nothing about this node; many do, and for a while after. */
     @Test
     void manySlowAnswersAreAttributedToThisController() {
         LocalHealth own = new LocalHealth(0);
-        assertFalse(own.sound(1_000), "just begun");
-        assertTrue(own.sound(FailureDetectionConstants.FAILOVER_GRACE_MS));
+        assertFalse(own.isHealthy(1_000), "just begun");
+        assertTrue(own.isHealthy(FailureDetectionConstants.FAILOVER_GRACE_MS));
         for (int i = 0; i < 100; i++) {
-            own.answered(i % 10 == 0 ? 900 : 20, 5_000);
+            own.callAnswered(i % 10 == 0 ? 900 : 20, 5_000);
         }
-        assertTrue(own.sound(5_000));
+        assertTrue(own.isHealthy(5_000));
         for (int i = 0; i < 100; i++) {
-            own.answered(i % 2 == 0 ? 900 : 20, 8_000);
+            own.callAnswered(i % 2 == 0 ? 900 : 20, 8_000);
         }
-        assertFalse(own.sound(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS - 1));
-        assertTrue(own.sound(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS));
-        own.seen(20_000);
-        assertFalse(own.sound(20_001), "a gap, or a call not sent");
+        assertFalse(own.isHealthy(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS - 1));
+        assertTrue(own.isHealthy(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS));
+        own.markDisturbed(20_000);
+        assertFalse(own.isHealthy(20_001), "a gap, or a call not sent");
     }
 }
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -59,23 +59,23 @@
             Heartbeat heartbeat = report(1, tick, token, tasks.toArray(new TaskStatus[0]));
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
                 assertEquals(
-                        HeartbeatValidity.Freshness.COPY,
+                        HeartbeatValidity.Freshness.OUTDATED,
                         validity.freshness(sent.get(random.nextInt(sent.size())), now));
             }
             assertEquals(HeartbeatValidity.Freshness.NEW, validity.freshness(heartbeat, now));
-            assertEquals(HeartbeatValidity.Freshness.AGAIN, validity.freshness(heartbeat, now + 1_000));
+            assertEquals(HeartbeatValidity.Freshness.REPEATED, validity.freshness(heartbeat, now + 1_000));
             assertEquals(
-                    HeartbeatValidity.Freshness.COPY,
+                    HeartbeatValidity.Freshness.OUTDATED,
                     validity.freshness(heartbeat, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
             sent.add(heartbeat);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
-            validity.reported(heartbeat, token == TOKEN, wanted, now);
+            validity.heartbeatReceived(heartbeat, token == TOKEN, wanted, now);
             assertEquals(
                     missed >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
-                    validity.unreachableInbound(),
+                    validity.isUnreachableInbound(),
                     "after " + missed + " lost answers");
             wanted.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
-            validity.told(List.copyOf(wanted));
+            validity.heartbeatAnswered(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
                 token = TOKEN;
                 wanted.forEach(o -> tasks.add(new TaskStatus(o.task(), o.attempt(), Assignment.State.RUNNING, "")));
