--- a/src/main/java/org/hollypick/core/JobDependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -11,142 +11,166 @@
 import org.hollypick.core.JobSpec.Priority;
 
 /**
- * Which job needs which, as far as it is durable: what may start, what never can, and how urgent each is for those that
- * need it. Every node follows the records with it. Fed in any order: a job that is awaited before it is known counts as
- * not done. Chains may be thousands of jobs long, so nothing here recurses. Not final: tests put faulty ones in its
- * place.
+ * The dependency graph of the jobs, from their durable records: which jobs may start, which are cancelled with a
+ * dependency, and how urgent each is for those that depend on it. Every controller keeps one up to date with its
+ * replica. Records may come in any order: a dependency whose record is unknown counts as not completed. Chains may be
+ * thousands of jobs long, so nothing here recurses. Not final: tests replace methods by faulty ones. Confined to the
+ * event loop.
  */
 public class JobDependencies {
-    private enum Fate {
+    private enum State {
         LIVE,
-        DONE,
+        COMPLETED,
         CANCELLED
     }
 
     private static final class Vertex {
         private final String id;
-        private Fate fate = Fate.LIVE;
-        /** Its own record was seen, so that it is known what it awaits. */
-        private boolean known;
-        /** How many of the jobs that it awaits aren't done. */
-        private int missing;
-
-        private List<Vertex> awaited = List.of();
-        private final List<Vertex> neededBy = new ArrayList<>(0);
-        /** The highest of its own and of those that need it. */
+        private State state = State.LIVE;
+        /** The job's own record was seen, so that its dependencies are known. */
+        private boolean recordSeen;
+        /** How many of its dependencies aren't completed. */
+        private int incompleteDependencies;
+
+        private List<Vertex> dependencies = List.of();
+        private final List<Vertex> dependents = new ArrayList<>(0);
+        /** The highest of its own priority and those of its dependents. */
         private Priority priority = Priority.LOW;
 
         private Vertex(String id) {
             this.id = id;
         }
+
+        private boolean isLive() {
+            return state == State.LIVE;
+        }
     }
 
-    private static final Vertex DONE = ended(Fate.DONE);
-    private static final Vertex CANCELLED = ended(Fate.CANCELLED);
+    /** Stand for all jobs that are terminal: nothing else is kept of them. */
+    private static final Vertex COMPLETED = terminalVertex(State.COMPLETED);
+
+    private static final Vertex CANCELLED = terminalVertex(State.CANCELLED);
 
     private final Map<String, Vertex> vertices = new HashMap<>();
-    private Set<String> changed = new LinkedHashSet<>();
+    private Set<String> changedJobs = new LinkedHashSet<>();
 
-    private static Vertex ended(Fate fate) {
-        Vertex v = new Vertex("");
-        v.fate = fate;
-        return v;
+    private static Vertex terminalVertex(State state) {
+        Vertex vertex = new Vertex("");
+        vertex.state = state;
+        return vertex;
     }
 
     private Vertex vertex(String id) {
         return vertices.computeIfAbsent(id, Vertex::new);
     }
 
-    /** The job's record is there and it isn't over. */
-    public void addLive(String id, Priority priority, Collection<String> awaits) {
+    // ---- changes of the records ----
+
+    /** The job has a live record; {@code dependencyIds}: the jobs that have to complete before it starts. */
+    public void addLive(String id, Priority priority, Collection<String> dependencyIds) {
         Vertex job = vertex(id);
-        if (job.known || job.fate != Fate.LIVE) {
+        if (job.recordSeen || !job.isLive()) {
             return;
         }
-        job.known = true;
-        job.awaited = new ArrayList<>(awaits.size());
-        boolean cancelled = false;
-        for (String other : awaits) {
-            Vertex awaited = vertex(other);
-            cancelled |= awaited.fate == Fate.CANCELLED;
-            if (awaited.fate == Fate.LIVE) {
-                job.awaited.add(awaited);
-                job.missing++;
-                awaited.neededBy.add(job);
+        job.recordSeen = true;
+        job.dependencies = new ArrayList<>(dependencyIds.size());
+        boolean dependencyCancelled = false;
+        for (String dependencyId : dependencyIds) {
+            Vertex dependency = vertex(dependencyId);
+            dependencyCancelled |= dependency.state == State.CANCELLED;
+            if (dependency.isLive()) {
+                addDependency(job, dependency);
             }
         }
-        if (cancelled) {
+        if (dependencyCancelled) {
             cancelled(id);
         } else {
-            raise(job, priority);
-            raiseAwaited(job);
-            changed.add(id);
+            raisePriority(job, priority);
+            raisePriorityOfDependencies(job);
+            changedJobs.add(id);
         }
     }
 
-    /** It is durable that the job is done. */
+    private static void addDependency(Vertex job, Vertex dependency) {
+        job.dependencies.add(dependency);
+        job.incompleteDependencies++;
+        dependency.dependents.add(job);
+    }
+
+    /** It is durable that the job completed. */
     public void done(String id) {
         Vertex job = vertex(id);
-        if (job.fate == Fate.LIVE) {
-            end(job, DONE);
-            for (Vertex v : job.neededBy) {
-                if (v.fate == Fate.LIVE && --v.missing == 0) {
-                    changed.add(v.id);
-                }
+        if (!job.isLive()) {
+            return;
+        }
+        terminate(job, COMPLETED);
+        for (Vertex dependent : job.dependents) {
+            if (dependent.isLive()) {
+                dependencyCompleted(dependent);
             }
         }
     }
 
-    /** It is durable that the job is cancelled, and with it all that needs it, directly or through others. */
+    private void dependencyCompleted(Vertex job) {
+        job.incompleteDependencies--;
+        if (job.incompleteDependencies == 0) {
+            changedJobs.add(job.id);
+        }
+    }
+
+    /** It is durable that the job is cancelled, and with it all jobs that depend on it, directly or indirectly. */
     public void cancelled(String id) {
-        ArrayDeque<Vertex> todo = new ArrayDeque<>();
-        todo.add(vertex(id));
-        while (!todo.isEmpty()) {
-            Vertex job = todo.poll();
-            if (job.fate == Fate.LIVE) {
-                end(job, CANCELLED);
-                changed.add(job.id);
-                todo.addAll(job.neededBy);
+        ArrayDeque<Vertex> queue = new ArrayDeque<>();
+        queue.add(vertex(id));
+        while (!queue.isEmpty()) {
+            Vertex job = queue.poll();
+            if (job.isLive()) {
+                terminate(job, CANCELLED);
+                changedJobs.add(job.id);
+                queue.addAll(job.dependents);
             }
         }
     }
 
-    private void end(Vertex job, Vertex as) {
-        job.fate = as.fate;
-        job.awaited = List.of();
-        vertices.put(job.id, as);
+    private void terminate(Vertex job, Vertex terminalVertex) {
+        job.state = terminalVertex.state;
+        job.dependencies = List.of();
+        vertices.put(job.id, terminalVertex);
     }
 
-    private void raise(Vertex job, Priority priority) {
+    private void raisePriority(Vertex job, Priority priority) {
         if (priority.compareTo(job.priority) < 0) {
             job.priority = priority;
-            changed.add(job.id);
+            changedJobs.add(job.id);
         }
     }
 
-    /** What is awaited is as urgent as what awaits it. */
-    private void raiseAwaited(Vertex from) {
-        ArrayDeque<Vertex> todo = new ArrayDeque<>();
-        todo.add(from);
-        while (!todo.isEmpty()) {
-            Vertex job = todo.poll();
-            for (Vertex awaited : job.awaited) {
-                if (awaited.fate == Fate.LIVE && job.priority.compareTo(awaited.priority) < 0) {
-                    raise(awaited, job.priority);
-                    todo.add(awaited);
+    /** A job is at least as urgent as the jobs that depend on it. */
+    private void raisePriorityOfDependencies(Vertex start) {
+        ArrayDeque<Vertex> queue = new ArrayDeque<>();
+        queue.add(start);
+        while (!queue.isEmpty()) {
+            Vertex job = queue.poll();
+            for (Vertex dependency : job.dependencies) {
+                if (dependency.isLive() && job.priority.compareTo(dependency.priority) < 0) {
+                    raisePriority(dependency, job.priority);
+                    queue.add(dependency);
                 }
             }
         }
     }
 
-    /** All that the job awaits is durably done. */
+    // ---- queries ----
+
+    /** Whether the job is live and all its dependencies are durably completed. */
     public boolean ready(String id) {
         Vertex job = vertices.get(id);
-        return job != null && job.known && job.fate == Fate.LIVE && job.missing == 0;
+        return job != null && job.recordSeen && job.isLive() && job.incompleteDependencies == 0;
     }
 
-    public boolean anyCancelled(Collection<String> anyOf) {
-        for (String id : anyOf) {
+    /** Whether one of the jobs is durably cancelled. */
+    public boolean anyCancelled(Collection<String> ids) {
+        for (String id : ids) {
             if (isCancelled(id)) {
                 return true;
             }
@@ -154,61 +178,64 @@
         return false;
     }
 
-    /** Durably cancelled, itself or a job that it needs: it can never be done. Once so, it stays so. */
+    /** Whether the job, or one that it depends on, is durably cancelled: it never completes. This is final. */
     public boolean isCancelled(String id) {
         Vertex job = vertices.get(id);
-        return job != null && job.fate == Fate.CANCELLED;
+        return job != null && job.state == State.CANCELLED;
     }
 
+    /** Whether the job is durably completed. This is final. */
     public boolean isDone(String id) {
         Vertex job = vertices.get(id);
-        return job != null && job.fate == Fate.DONE;
+        return job != null && job.state == State.COMPLETED;
     }
 
-    /** The jobs that it awaits and that aren't over. */
+    /** The job's direct dependencies that are live. */
     public List<String> awaited(String id) {
         Vertex job = vertices.get(id);
-        List<String> open = new ArrayList<>();
+        List<String> liveDependencies = new ArrayList<>();
         if (job != null) {
-            for (Vertex v : job.awaited) {
-                if (v.fate == Fate.LIVE) {
-                    open.add(v.id);
+            for (Vertex dependency : job.dependencies) {
+                if (dependency.isLive()) {
+                    liveDependencies.add(dependency.id);
                 }
             }
         }
-        return open;
+        return liveDependencies;
     }
 
-    /** The highest rank of the job and of the known jobs that need it. */
+    /** The highest priority of the job and of the known jobs that depend on it, directly or indirectly. */
     public Priority priority(String id) {
         Vertex job = vertices.get(id);
         return job == null ? Priority.LOW : job.priority;
     }
 
-    /** Whether the job needs one of those, directly or through others. */
-    public boolean needsAny(String id, Set<String> those) {
-        Set<Vertex> seen = new LinkedHashSet<>();
-        ArrayDeque<Vertex> todo = new ArrayDeque<>();
+    /** Whether the job depends on one of {@code ids}, directly or indirectly. */
+    public boolean needsAny(String id, Set<String> ids) {
+        Set<Vertex> visited = new LinkedHashSet<>();
+        ArrayDeque<Vertex> queue = new ArrayDeque<>();
         if (vertices.containsKey(id)) {
-            todo.add(vertices.get(id));
+            queue.add(vertices.get(id));
         }
-        while (!todo.isEmpty()) {
-            for (Vertex awaited : todo.poll().awaited) {
-                if (awaited.fate == Fate.LIVE && seen.add(awaited)) {
-                    if (those.contains(awaited.id)) {
+        while (!queue.isEmpty()) {
+            for (Vertex dependency : queue.poll().dependencies) {
+                if (dependency.isLive() && visited.add(dependency)) {
+                    if (ids.contains(dependency.id)) {
                         return true;
                     }
-                    todo.add(awaited);
+                    queue.add(dependency);
                 }
             }
         }
         return false;
     }
 
-    /** Jobs that became ready, were cancelled or became more urgent since the last time. */
+    /**
+     * Returns, once each, the jobs that became known, ready or cancelled or whose priority rose since the last call.
+     */
     public Set<String> takeChanged() {
-        Set<String> taken = changed;
-        changed = new LinkedHashSet<>();
+        Set<String> taken = changedJobs;
+        changedJobs = new LinkedHashSet<>();
         return taken;
     }
 }
