--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -183,7 +183,7 @@
             scheduler.outbox().addNewCompletions(job);
             accountRuntime(assignment, now);
         }
-        FaultAttribution.cleared(assignment.machine, job, assignment.startedAt);
+        FaultAttribution.taskCompleted(assignment.machine, job, assignment.startedAt);
     }
 
     /** Adds a completed task's runtime to the estimates and to the attained service that Tyrex orders jobs by. */
@@ -201,7 +201,7 @@
     private void exitedIncomplete(Assignment assignment, String reason, long now) {
         assignment.markRemovable();
         observeInterrupted(assignment, now);
-        faultAttribution.ended(assignment.machine, assignment.job, assignment.index, reason, now);
+        faultAttribution.taskFailed(assignment.machine, assignment.job, assignment.index, reason, now);
         if (REASON_ERROR.equals(reason)) {
             assignment.job.taskFailed(assignment.index);
         }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -321,7 +321,7 @@
     public void expireLeases(long now) {
         lastEventAt = now;
         for (Machine machine : machines.values()) {
-            outbox.requestCycleIf(FaultAttribution.pardon(machine, now));
+            outbox.requestCycleIf(FaultAttribution.endQuarantineIfOver(machine, now));
             expireLease(machine, now);
         }
     }
