--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -19,7 +19,7 @@
  * Confined to the event loop.
  */
 public final class CloudClient {
-    /** Part of the rate limit that is used: the cloud's count of a second may begin at another moment. */
+    /** Part of the cloud's rate limit that is used. */
     private static final double RATE_LIMIT_SHARE = 0.8;
 
     /** Machines in one page of the list. */
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -22,7 +22,7 @@
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    /** Sent when no incarnation is known: agents count theirs from 1. */
+    /** Sent with a call that carries no commands, when no incarnation is known. */
     private static final long FIRST_INCARNATION = 1;
 
     private final TermContext term;
