--- a/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
+++ b/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
@@ -20,7 +20,11 @@
         this.parser = parser;
     }
 
-    /** @return null if the stream doesn't hold a heartbeat */
+    /**
+     * Reads one heartbeat.
+     *
+     * @return null if the stream doesn't hold a heartbeat
+     */
     Heartbeat read() throws IOException {
         if (parser.nextToken() != JsonToken.START_OBJECT) {
             return null;
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -160,8 +160,10 @@
         });
     }
 
-    /** The record's value; kinds that it has no room for are removed, those without a run for longest first. */
-    private ObjectNode encode(LinkedHashMap<String, Boolean> kinds) {
+    /**
+     * The record's value; {@code kinds}, in the order of their runs, lose what it has no room for, the oldest first.
+     */
+    private ObjectNode encode(Map<String, Boolean> kinds) {
         ArrayDeque<ObjectNode> latestLast = new ArrayDeque<>();
         int remainingBytes = RecordSize.limitBytes(settings) - RECORD_OVERHEAD_BYTES;
         List<String> latestFirst = new ArrayList<>(kinds.keySet());
--- a/src/test/java/org/hollypick/sim/VersionedKeys.java
+++ b/src/test/java/org/hollypick/sim/VersionedKeys.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import org.hollypick.io.Codec;
 
@@ -27,7 +28,7 @@
     }
 
     /** All keys and what is stored there, in the order of the keys. */
-    TreeMap<String, Entry> entries() {
+    NavigableMap<String, Entry> entries() {
         return entries;
     }
 
