--- a/src/main/java/org/hollypick/cluster/LeaderDirectory.java
+++ b/src/main/java/org/hollypick/cluster/LeaderDirectory.java
@@ -3,13 +3,13 @@
 import org.hollypick.config.Settings;
 
 /**
- * Who leads, as far as this controller knows: by the leader record in its replica, or by a newer one that a peer told
- * it of while the replica cannot be updated. Confined to the event loop.
+ * Who leads, as far as this controller knows: by the leader record in its replica, or by a newer one that a peer
+ * reported while the replica cannot be updated. Confined to the event loop.
  */
 final class LeaderDirectory {
     private final Settings settings;
     private final StoreReplica replica;
-    /** The newest leader that a peer told of; null if none did. */
+    /** The newest leader that a peer reported; null if none did. */
     private Leader leaderKnownToPeer;
 
     /** The entry that {@link #decoded} was read from: the record is read on each heartbeat and seldom changes. */
@@ -87,12 +87,12 @@
         return new Leader(leaderRecord.leader(), leaderRecord.memberRevision(), leaderRecordRevision());
     }
 
-    /** Whether a peer told of a newer leader record than the replica shows. */
+    /** Whether a peer reported a newer leader record than the replica shows. */
     boolean peerKnowsNewerLeader() {
         return leaderKnownToPeer != null && Long.compareUnsigned(leaderKnownToPeer.token(), leaderRecordRevision()) > 0;
     }
 
-    /** Takes note of a leader that a peer told of. */
+    /** Takes note of a leader that a peer reported. */
     void learn(Leader leader) {
         if (leaderKnownToPeer == null || Long.compareUnsigned(leader.token(), leaderKnownToPeer.token()) > 0) {
             leaderKnownToPeer = leader;
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Whether a peer told of a newer leader record than the replica shows. Heartbeats are relayed to that leader;
+     * Whether a peer reported a newer leader record than the replica shows. Heartbeats are relayed to that leader;
      * everything else waits for the replica.
      */
     public boolean peerKnowsNewerLeader() {
--- a/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
+++ b/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
@@ -83,7 +83,10 @@
         return grantedToken == token ? validUntil : WorkerLeases.NEVER;
     }
 
-    /** Answers a peer that asks for the lease: it is also told who leads, since it cannot read the store itself. */
+    /**
+     * Answers a peer that asks for the lease: the response also names the leader, since the peer cannot read the store
+     * itself.
+     */
     LeaderLeaseResponse respond(LeaderLeaseRequest request) {
         boolean granted = mayGrant(request.token());
         if (granted) {
