--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -76,8 +76,8 @@
 
     /** Serves the requests to the key-value store of peers that do not reach it. */
     void serveRelayedStoreRequests(RequestRouter storeRequests) {
-        dispatcher.on(RequestRouter.PATH, storeRequests::pass);
-        dispatcher.on(RequestRouter.WATCH_PATH, storeRequests::pass);
+        dispatcher.on(RequestRouter.PATH, storeRequests::forward);
+        dispatcher.on(RequestRouter.WATCH_PATH, storeRequests::forward);
     }
 
     /** Serves the requests which machines this controller reaches. */
--- a/src/main/java/org/hollypick/core/routing/RouteSelector.java
+++ b/src/main/java/org/hollypick/core/routing/RouteSelector.java
@@ -4,72 +4,82 @@
 import org.hollypick.config.constants.ReachabilityConstants;
 
 /**
- * Which way calls to a service go: directly, or by way of another controller that reaches it. Judged by how earlier
- * calls fared alone, since nobody tells of a cut (docs/links.md). Pure.
+ * Selects the route of requests to a service: direct, or by way of a peer that reaches it. Judges only by the outcome
+ * of earlier requests, since nothing else shows a partition (docs/links.md). Peers are numbered from 0. Times are
+ * milliseconds of the steady clock. Pure; not thread-safe.
  */
 public final class RouteSelector {
-    /** When the newest answer over the direct way came. */
-    private long answeredAt;
+    /** Stands in the place of a peer for the direct route. */
+    public static final int DIRECT = -1;
+
+    private static final int NO_PEER = -1;
+
+    /** When the newest response on the direct route came. */
+    private long directAnsweredAtMillis;
 
     private boolean direct = true;
-    /** Until when each peer isn't asked, after it was asked in vain. */
-    private final long[] notBefore;
+    /** Until when each peer isn't selected, after a request by way of it failed. */
+    private final long[] notBeforeMillis;
 
-    private int preferred;
-    /** The peer that the last call went by, and with success; -1: none. */
-    private int proven = -1;
+    private int preferredPeer;
+    /** The peer by way of which the newest request succeeded. */
+    private int provenPeer = NO_PEER;
 
-    public RouteSelector(int peers, long now) {
-        notBefore = new long[peers];
-        Arrays.fill(notBefore, now);
-        answeredAt = now;
+    /** Starts with the direct route. */
+    public RouteSelector(int peerCount, long nowMillis) {
+        notBeforeMillis = new long[peerCount];
+        Arrays.fill(notBeforeMillis, nowMillis);
+        directAnsweredAtMillis = nowMillis;
     }
 
-    public boolean direct() {
+    /** Whether the direct route counts as up. */
+    public boolean isDirect() {
         return direct;
     }
 
-    /** The service answered a direct call. */
-    public void answered(long now) {
-        answeredAt = now;
+    /** The service answered a request on the direct route. */
+    public void directAnswered(long nowMillis) {
+        directAnsweredAtMillis = nowMillis;
         direct = true;
     }
 
     /**
-     * A direct call sent then was refused, or isn't answered yet though it should be. True if the way is bad from now
-     * on and wasn't before.
+     * A direct request that was sent at that time failed, or has no response yet though it should. A response that came
+     * since outweighs it.
+     *
+     * @return whether the direct route counts as down from now on and didn't before
      */
-    public boolean failed(long sentAt) {
-        boolean turned = direct && answeredAt <= sentAt; // what was answered since outweighs one call
-        direct &= !turned;
-        return turned;
+    public boolean directFailed(long sentAtMillis) {
+        boolean wentDown = direct && directAnsweredAtMillis <= sentAtMillis;
+        direct &= !wentDown;
+        return wentDown;
     }
 
-    /** The peer to go by; -1: none, the direct way is as good as any. */
-    public int peer(long now) {
-        for (int i = 0; !direct && i < notBefore.length; i++) {
-            int peer = (preferred + i) % notBefore.length;
-            if (now >= notBefore[peer]) {
-                preferred = peer;
+    /** The peer to send a request by; {@link #DIRECT} if the direct route is up, or no peer is any better. */
+    public int peer(long nowMillis) {
+        for (int i = 0; !direct && i < notBeforeMillis.length; i++) {
+            int peer = (preferredPeer + i) % notBeforeMillis.length;
+            if (nowMillis >= notBeforeMillis[peer]) {
+                preferredPeer = peer;
                 return peer;
             }
         }
-        return -1;
+        return DIRECT;
     }
 
-    /** A call went by that peer. */
+    /** The service answered a request by way of that peer. */
     public void peerAnswered(int peer) {
-        proven = peer;
+        provenPeer = peer;
     }
 
-    /** Whether what takes long, and so can't show by itself that it goes nowhere, may go by that peer. */
-    public boolean proven(int peer) {
-        return proven == peer;
+    /** Whether the newest request that succeeded by way of a peer went by that one, and none has failed there since. */
+    public boolean isProven(int peer) {
+        return provenPeer == peer;
     }
 
-    /** That peer doesn't reach the service either, or isn't reached. */
-    public void peerFailed(int peer, long now) {
-        proven = proven == peer ? -1 : proven;
-        notBefore[peer] = now + ReachabilityConstants.ROUTE_RETRY_MS;
+    /** That peer isn't reached, or doesn't reach the service. */
+    public void peerFailed(int peer, long nowMillis) {
+        provenPeer = provenPeer == peer ? NO_PEER : provenPeer;
+        notBeforeMillis[peer] = nowMillis + ReachabilityConstants.ROUTE_RETRY_MS;
     }
 }
--- a/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
+++ b/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
@@ -7,25 +7,30 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.ServerResponse;
 
-/** What other controllers ask this one: JSON by POST, each kind of question with a path and someone who answers it. */
+/**
+ * Dispatches the requests of other controllers, JSON by POST, to a handler for each path. Confined to the event loop.
+ */
 public final class PeerRequestDispatcher {
-    /** {@code body}: null if it isn't JSON. */
-    public interface Question {
-        void ask(JsonNode body, Consumer<ServerResponse> responder);
+    /** Handles the requests to one path. */
+    public interface Handler {
+        /** Answers one request, now or later; {@code body}: null if it isn't JSON. */
+        void handle(JsonNode body, Consumer<ServerResponse> responder);
     }
 
-    private final Map<String, Question> questions = new HashMap<>();
+    private final Map<String, Handler> handlers = new HashMap<>();
 
-    public void on(String path, Question question) {
-        questions.put(path, question);
+    /** Registers the handler of a path. */
+    public void on(String path, Handler handler) {
+        handlers.put(path, handler);
     }
 
+    /** Answers a request: by the handler of its path, or with 404 if there is none. */
     public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> responder) {
-        Question question = method.equals("POST") ? questions.get(path) : null;
-        if (question == null) {
+        Handler handler = method.equals("POST") ? handlers.get(path) : null;
+        if (handler == null) {
             responder.accept(ServerResponse.error(404, "no such path"));
         } else {
-            question.ask(Codec.read(bytes, true), responder);
+            handler.handle(Codec.read(bytes, true), responder);
         }
     }
 }
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -1,7 +1,6 @@
 package org.hollypick.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -10,7 +9,6 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.ReachabilityConstants;
 import org.hollypick.core.routing.RouteSelector;
-import org.hollypick.io.Codec;
 import org.hollypick.io.EventLoop;
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
@@ -19,23 +17,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls to the state service: directly, or, while that way is cut, by way of another controller that reaches it. To the
- * service and to whoever calls it is a longer path, nothing else: calls may be lost, late or carried out unheard on it
- * as on any other (docs/safety.md, "By way of a peer").
+ * Routes requests to the key-value store: directly, or, while the direct route is down, by way of a peer that reaches
+ * the store. Forwarding changes no guarantee: on either route a request may be lost, late, or executed without a
+ * response (docs/safety.md, "By way of a peer"). Confined to the event loop.
  */
 public final class RequestRouter {
-    /** What other controllers are asked to pass on; watches have connections of their own. */
+    /** The path by which peers are asked to forward a request. */
     public static final String PATH = "/state";
 
+    /** The path by which peers are asked to forward a watch; watches have connections of their own. */
     public static final String WATCH_PATH = "/watch";
 
-    private static final int DIRECT = -1;
+    private static final int HTTP_UNAVAILABLE = 503;
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
-    /** Whether a call may be sent a second time while the first may still be carried out. */
+    /** Whether a request may be sent a second time while the first may still be executed. */
     public enum Kind {
+        /** It must not be sent again. */
         ONCE,
+        /** It may be sent again by another route. */
         REPEATABLE,
+        /** It takes long without showing whether its route works; it is ended when its route turns out to be down. */
         WATCH
     }
 
@@ -43,12 +45,12 @@
     private final Request probe;
     private final List<Settings.Sibling> peers;
     private final RouteSelector route;
-    /** Calls that went the direct way and watches, as long as they aren't answered. */
-    private final Set<Pending> waiting = new LinkedHashSet<>();
-    /** Calls of others that are under way from here. */
-    private int passing;
+    /** Requests on the direct route, and watches on any, that have no response yet. */
+    private final Set<RoutedRequest> inFlight = new LinkedHashSet<>();
+    /** Requests of peers that are being forwarded from here. */
+    private int forwardedInFlight;
 
-    /** {@code probe}: a small call that shows whether the service answers directly. */
+    /** {@code probe}: a small request that shows whether the store answers directly. */
     public RequestRouter(EventLoop eventLoop, List<Settings.Sibling> peers, Request probe) {
         this.eventLoop = eventLoop;
         this.peers = peers;
@@ -56,156 +58,181 @@
         this.route = new RouteSelector(peers.size(), eventLoop.now());
     }
 
-    private final class Pending {
-        private final Request call;
+    /** A request on its way, maybe by several routes; its first response counts. */
+    private final class RoutedRequest {
+        private final Request request;
         private final Kind kind;
         private Consumer<Response> callback;
-        private int peer = DIRECT;
+        private int peer = RouteSelector.DIRECT;
 
-        Pending(Request call, Kind kind, Consumer<Response> callback) {
-            this.call = call;
+        RoutedRequest(Request request, Kind kind, Consumer<Response> callback) {
+            this.request = request;
             this.kind = kind;
             this.callback = callback;
         }
 
-        /** The first answer counts. */
-        void end(Response r) {
-            waiting.remove(this);
+        boolean isWatch() {
+            return kind == Kind.WATCH;
+        }
+
+        void complete(Response response) {
+            inFlight.remove(this);
             if (callback != null) {
-                Consumer<Response> to = callback;
+                Consumer<Response> receiver = callback;
                 callback = null;
-                to.accept(r);
+                receiver.accept(response);
             }
         }
 
-        boolean over() {
+        boolean isComplete() {
             return callback == null;
         }
     }
 
-    public void call(Request call, Kind kind, Consumer<Response> callback) {
-        send(new Pending(call, kind, callback));
+    /** Sends a request by the best route; the callback runs exactly once. */
+    public void call(Request request, Kind kind, Consumer<Response> callback) {
+        send(new RoutedRequest(request, kind, callback));
     }
 
-    private void send(Pending p) {
+    private void send(RoutedRequest routed) {
         int peer = route.peer(eventLoop.now());
-        if (peer < 0) {
-            direct(p);
-        } else if (p.kind == Kind.WATCH && !route.proven(peer)) {
-            call(probe, Kind.REPEATABLE, r -> {
-                if (r.isAnswered() && !p.over()) {
-                    send(p);
-                } else {
-                    p.end(Response.noResponse());
-                }
-            });
+        if (peer == RouteSelector.DIRECT) {
+            sendDirectly(routed);
+        } else if (routed.isWatch() && !route.isProven(peer)) {
+            probeBeforeWatch(routed);
         } else {
-            by(peer, p);
+            new ForwardedAttempt(routed, peer).send();
         }
     }
 
-    private void direct(Pending p) {
-        long sent = eventLoop.now();
-        p.peer = DIRECT;
-        waiting.add(p);
-        eventLoop.send(p.call, r -> {
-            heard(r, sent);
-            p.end(r);
+    /** A watch takes a route only after a small request has shown that the route works. */
+    private void probeBeforeWatch(RoutedRequest watch) {
+        call(probe, Kind.REPEATABLE, response -> {
+            if (response.isAnswered() && !watch.isComplete()) {
+                send(watch);
+            } else {
+                watch.complete(Response.noResponse());
+            }
+        });
+    }
+
+    private void sendDirectly(RoutedRequest routed) {
+        long sentAtMillis = eventLoop.now();
+        routed.peer = RouteSelector.DIRECT;
+        inFlight.add(routed);
+        eventLoop.send(routed.request, response -> {
+            directRequestCompleted(response, sentAtMillis);
+            routed.complete(response);
         });
-        if (p.kind != Kind.WATCH) {
+        if (!routed.isWatch()) {
             eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
-                if (waiting.contains(p) && p.peer == DIRECT) {
-                    bad(sent);
+                if (inFlight.contains(routed) && routed.peer == RouteSelector.DIRECT) {
+                    directRouteFailed(sentAtMillis);
                 }
             });
         }
     }
 
-    /** What a direct call's answer, or its want, says of the way. */
-    private void heard(Response r, long sent) {
-        if (r.isAnswered() && r.status() != 503) {
-            if (!route.direct()) {
-                LOG.info("the state service is reached directly again");
+    private void directRequestCompleted(Response response, long sentAtMillis) {
+        if (response.isAnswered() && response.status() != HTTP_UNAVAILABLE) {
+            if (!route.isDirect()) {
+                LOG.info("store.route.restored");
             }
-            route.answered(eventLoop.now());
-        } else if (!r.failedWith(Response.Failure.NO_CAPACITY)) {
-            bad(sent);
+            route.directAnswered(eventLoop.now());
+        } else if (!response.failedWith(Response.Failure.NO_CAPACITY)) {
+            directRouteFailed(sentAtMillis);
         }
     }
 
-    private void bad(long sent) {
-        if (!peers.isEmpty() && route.failed(sent)) {
-            LOG.info("the state service isn't reached directly, going by other controllers");
-            probeAgain();
-            endWatches(DIRECT);
-            for (Pending p : new ArrayList<>(waiting)) {
-                if (p.kind == Kind.REPEATABLE && p.peer == DIRECT && route.peer(eventLoop.now()) >= 0) {
-                    send(p);
-                }
+    private void directRouteFailed(long sentAtMillis) {
+        if (peers.isEmpty() || !route.directFailed(sentAtMillis)) {
+            return;
+        }
+        LOG.info("store.route.failed_over");
+        scheduleProbe();
+        endWatches(RouteSelector.DIRECT);
+        for (RoutedRequest routed : new ArrayList<>(inFlight)) {
+            if (routed.kind == Kind.REPEATABLE
+                    && routed.peer == RouteSelector.DIRECT
+                    && route.peer(eventLoop.now()) != RouteSelector.DIRECT) {
+                send(routed);
             }
         }
     }
 
-    private void probeAgain() {
+    private void scheduleProbe() {
         eventLoop.after(ReachabilityConstants.ROUTE_RETRY_MS, () -> {
-            if (!route.direct()) {
-                long sent = eventLoop.now();
-                eventLoop.send(probe, r -> heard(r, sent));
-                probeAgain();
+            if (!route.isDirect()) {
+                long sentAtMillis = eventLoop.now();
+                eventLoop.send(probe, response -> directRequestCompleted(response, sentAtMillis));
+                scheduleProbe();
             }
         });
     }
 
-    private void by(int peer, Pending p) {
-        ObjectNode body = Codec.object()
-                .put("method", p.call.method())
-                .put("path", p.call.path())
-                .put("timeout_ms", p.call.timeoutMs());
-        body.set("body", p.call.body());
-        boolean[] answered = {false};
-        p.peer = peer;
-        if (p.kind == Kind.WATCH) {
-            waiting.add(p);
-        }
-        eventLoop.send(
-                new Request(
-                        peers.get(peer).addr(),
-                        "POST",
-                        p.kind == Kind.WATCH ? WATCH_PATH : PATH,
-                        body,
-                        p.call.timeoutMs(),
-                        true),
-                r -> {
-                    answered[0] = true;
-                    if (p.over()) {
-                        return;
-                    }
-                    if (r.ok()) {
-                        int status = r.body().path("status").asInt();
-                        if (status <= 0 || status == 503) {
-                            peerFailed(peer);
-                        } else {
-                            route.peerAnswered(peer);
-                        }
-                        p.end(new Response(status, r.body().path("body")));
-                    } else {
-                        peerFailed(peer);
-                        if (r.failedWith(Response.Failure.NO_RESPONSE)) {
-                            p.end(r);
-                        } else {
-                            send(p); // it wasn't passed on
-                        }
-                    }
-                });
-        if (p.kind != Kind.WATCH) {
-            eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, () -> {
-                if (!answered[0] && !p.over()) {
-                    peerFailed(peer);
-                    if (p.kind == Kind.REPEATABLE) {
-                        send(p);
-                    }
-                }
-            });
+    /** One try to send a request by way of a peer. */
+    private final class ForwardedAttempt {
+        private final RoutedRequest routed;
+        private final int peer;
+        private boolean peerResponded;
+
+        ForwardedAttempt(RoutedRequest routed, int peer) {
+            this.routed = routed;
+            this.peer = peer;
+        }
+
+        void send() {
+            Request request = new Request(
+                    peers.get(peer).addr(),
+                    "POST",
+                    routed.isWatch() ? WATCH_PATH : PATH,
+                    ForwardingCodec.encode(routed.request),
+                    routed.request.timeoutMs(),
+                    true);
+            routed.peer = peer;
+            if (routed.isWatch()) {
+                inFlight.add(routed);
+            }
+            eventLoop.send(request, this::responded);
+            if (!routed.isWatch()) {
+                eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, this::failOverIfSilent);
+            }
+        }
+
+        private void responded(Response response) {
+            peerResponded = true;
+            if (routed.isComplete()) {
+                return;
+            }
+            if (response.ok()) {
+                forwarded(ForwardingCodec.decodeResponse(response.body()));
+                return;
+            }
+            peerFailed(peer);
+            if (response.failedWith(Response.Failure.NO_RESPONSE)) {
+                routed.complete(response);
+            } else {
+                RequestRouter.this.send(routed); // the peer didn't forward it
+            }
+        }
+
+        private void forwarded(Response storeResponse) {
+            if (!storeResponse.isAnswered() || storeResponse.status() == HTTP_UNAVAILABLE) {
+                peerFailed(peer);
+            } else {
+                route.peerAnswered(peer);
+            }
+            routed.complete(storeResponse);
+        }
+
+        private void failOverIfSilent() {
+            if (peerResponded || routed.isComplete()) {
+                return;
+            }
+            peerFailed(peer);
+            if (routed.kind == Kind.REPEATABLE) {
+                RequestRouter.this.send(routed);
+            }
         }
     }
 
@@ -214,39 +241,31 @@
         endWatches(peer);
     }
 
-    /** Whoever watches begins again, on another way. */
+    /** Ends the watches on that route; whoever watches begins again, by another one. */
     private void endWatches(int peer) {
-        for (Pending p : new ArrayList<>(waiting)) {
-            if (p.kind == Kind.WATCH && p.peer == peer) {
-                p.end(Response.noResponse());
+        for (RoutedRequest routed : new ArrayList<>(inFlight)) {
+            if (routed.isWatch() && routed.peer == peer) {
+                routed.complete(Response.noResponse());
             }
         }
     }
 
     /**
-     * Another controller asks this one to pass a call on. Only what can be sent directly is: so no call goes in
-     * circles.
+     * Forwards a peer's request to the store, on the direct route only: so no request goes in circles.
+     *
+     * @param body the peer's message; null if it isn't JSON
      */
-    public void pass(JsonNode body, Consumer<ServerResponse> responder) {
-        if (body == null || !route.direct() || passing >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
+    public void forward(JsonNode body, Consumer<ServerResponse> responder) {
+        if (body == null || !route.isDirect() || forwardedInFlight >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
             responder.accept(ServerResponse.retryLater("no way from here"));
             return;
         }
-        passing++;
-        JsonNode content = body.path("body");
-        Request call = Request.of(
-                probe.address(),
-                body.path("method").asText(),
-                body.path("path").asText(),
-                content.isNull() || content.isMissingNode() ? null : content,
-                Math.min(body.path("timeout_ms").asLong(), ReachabilityConstants.FORWARDED_REQUEST_TIMEOUT_MS));
-        long sent = eventLoop.now();
-        eventLoop.send(call, r -> {
-            passing--;
-            heard(r, sent);
-            ObjectNode told = Codec.object().put("status", r.status());
-            told.set("body", r.body().isMissingNode() ? null : r.body());
-            responder.accept(ServerResponse.of(200, told));
+        forwardedInFlight++;
+        long sentAtMillis = eventLoop.now();
+        eventLoop.send(ForwardingCodec.decodeRequest(body, probe.address()), response -> {
+            forwardedInFlight--;
+            directRequestCompleted(response, sentAtMillis);
+            responder.accept(ServerResponse.of(200, ForwardingCodec.encode(response)));
         });
     }
 }
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -12,17 +12,17 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
 
-/** Which way a call takes, and who leaves a free lead to whom, against plain rules over all that has happened. */
+/** The route of a request and the delay of a candidacy, against plain rules over the whole history of events. */
 class RoutingTest {
     private static final int PEERS = 3;
 
-    /** Everything that happened to a way, looked through anew for each question. */
-    private record Happened(String what, int peer, long at, long sentAt) {}
+    /** One event on a route; the rules go through all of them for each question. */
+    private record Event(String what, int peer, long at, long sentAt) {}
 
-    private static boolean direct(List<Happened> all) {
+    private static boolean direct(List<Event> all) {
         boolean direct = true;
         for (int i = 0; i < all.size(); i++) {
-            Happened h = all.get(i);
+            Event h = all.get(i);
             if (h.what.equals("answered")) {
                 direct = true;
             } else if (h.what.equals("failed")) {
@@ -35,16 +35,16 @@
         return direct;
     }
 
-    private static boolean rests(List<Happened> all, int peer, long now) {
+    private static boolean rests(List<Event> all, int peer, long now) {
         return all.stream()
                 .anyMatch(h -> h.what.equals("peerFailed")
                         && h.peer == peer
                         && now < h.at + ReachabilityConstants.ROUTE_RETRY_MS);
     }
 
-    private static boolean proven(List<Happened> all, int peer) {
+    private static boolean proven(List<Event> all, int peer) {
         for (int i = all.size() - 1; i >= 0; i--) {
-            Happened h = all.get(i);
+            Event h = all.get(i);
             if (h.what.equals("peerAnswered")) {
                 return h.peer == peer;
             }
@@ -56,41 +56,41 @@
     }
 
     @Property(tries = 500)
-    void aWayIsWhatThePlainRulesSay(@ForAll long seed) {
+    void selectsTheRouteOfThePlainRules(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000;
         RouteSelector route = new RouteSelector(PEERS, now);
-        List<Happened> all = new ArrayList<>(List.of(new Happened("answered", -1, now, now)));
+        List<Event> all = new ArrayList<>(List.of(new Event("answered", -1, now, now)));
         for (int step = 0; step < 60; step++) {
             now += 1 + random.nextInt(700);
             int peer = random.nextInt(PEERS);
             long sentAt = now - random.nextInt(1_500);
             switch (random.nextInt(4)) {
                 case 0 -> {
-                    route.answered(now);
-                    all.add(new Happened("answered", -1, now, sentAt));
+                    route.directAnswered(now);
+                    all.add(new Event("answered", -1, now, sentAt));
                 }
                 case 1 -> {
                     boolean before = direct(all);
-                    boolean turned = route.failed(sentAt);
-                    all.add(new Happened("failed", -1, now, sentAt));
+                    boolean turned = route.directFailed(sentAt);
+                    all.add(new Event("failed", -1, now, sentAt));
                     assertEquals(before && !direct(all), turned);
                 }
                 case 2 -> {
                     route.peerFailed(peer, now);
-                    all.add(new Happened("peerFailed", peer, now, now));
+                    all.add(new Event("peerFailed", peer, now, now));
                 }
                 default -> {
                     route.peerAnswered(peer);
-                    all.add(new Happened("peerAnswered", peer, now, now));
+                    all.add(new Event("peerAnswered", peer, now, now));
                 }
             }
-            assertEquals(direct(all), route.direct());
+            assertEquals(direct(all), route.isDirect());
             int chosen = route.peer(now);
             boolean anyRested = false;
             for (int p = 0; p < PEERS; p++) {
                 anyRested |= !rests(all, p, now);
-                assertEquals(proven(all, p), route.proven(p));
+                assertEquals(proven(all, p), route.isProven(p));
             }
             assertEquals(
                     !direct(all) && anyRested,
@@ -105,7 +105,7 @@
      * than all of them by way of others.
      */
     @Property(tries = 1_000)
-    void whoReachesMoreWaitsLess(
+    void candidatesThatReachMoreMachinesWaitLess(
             @ForAll @IntRange(min = 1, max = 40) int asked,
             @ForAll @IntRange(max = 40) int direct,
             @ForAll @IntRange(max = 40) int byPeers) {
