--- /dev/null
+++ b/src/main/java/org/hollypick/cli/ClientCommands.java
@@ -0,0 +1,44 @@
+package org.hollypick.cli;
+
+import java.util.concurrent.CompletionException;
+import org.hollypick.client.HollypickException;
+import org.hollypick.config.ConfigException;
+import picocli.CommandLine;
+
+/** What the commands for users have in common: failures are one line on standard error, and an exit code. */
+final class ClientCommands {
+    /** All went well. */
+    static final int EXIT_OK = 0;
+    /** The service rejected a call or didn't answer it, or the work wasn't successful. */
+    static final int EXIT_REJECTED = 1;
+    /** A file or the arguments are wrong. */
+    static final int EXIT_USAGE = 2;
+    /** Any other failure. */
+    static final int EXIT_INTERNAL = 3;
+
+    private ClientCommands() {}
+
+    /** Runs a command with arguments, and returns the exit code. */
+    static int execute(Object command, String[] args) {
+        return new CommandLine(command)
+                .setExecutionExceptionHandler((exception, commandLine, parsed) -> {
+                    Throwable cause = cause(exception);
+                    commandLine.getErr().println(cause.getMessage());
+                    return exitCode(cause);
+                })
+                .execute(args);
+    }
+
+    private static Throwable cause(Exception exception) {
+        return exception instanceof CompletionException && exception.getCause() != null
+                ? exception.getCause()
+                : exception;
+    }
+
+    private static int exitCode(Throwable cause) {
+        if (cause instanceof ConfigException) {
+            return EXIT_USAGE;
+        }
+        return cause instanceof HollypickException ? EXIT_REJECTED : EXIT_INTERNAL;
+    }
+}
--- a/src/main/java/org/hollypick/cli/EtaCommand.java
+++ b/src/main/java/org/hollypick/cli/EtaCommand.java
@@ -2,20 +2,34 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.StringJoiner;
 import java.util.concurrent.Callable;
 import org.hollypick.client.HollypickClient;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** When jobs are likely to be done. On a terminal one line that follows, for programs one JSON object a line. */
+/**
+ * Prints when jobs are likely to be done: on a terminal in one line, which is overwritten while it follows them, for
+ * programs as one JSON object a line.
+ */
 @Command(
         name = "hollypick eta",
         mixinStandardHelpOptions = true,
         description = "Tells when jobs are likely to be done: at the earliest, with even odds, at the latest, and why.")
 final class EtaCommand implements Callable<Integer> {
+    private static final HollypickClient.Times TIMES =
+            new HollypickClient.Times(Duration.ofSeconds(20), Duration.ofSeconds(5), Duration.ofSeconds(2));
+    /** Back to the line's begin, and clear it. */
+    private static final String CLEAR_LINE = "\r\u001b[K";
+    /** Durations below that are shown in seconds. */
+    private static final double SECONDS_BELOW = 100;
+    /** Durations below that, in seconds, are shown in minutes; longer ones in hours. */
+    private static final double MINUTES_BELOW_SECONDS = 6_000;
+
     @Parameters(paramLabel = "ID", arity = "1..*")
     private List<String> ids;
 
@@ -34,60 +48,79 @@
     private boolean follow;
 
     static int execute(String[] args) {
-        return GraphCommand.line(new EtaCommand()).execute(args);
+        return ClientCommands.execute(new EtaCommand(), args);
     }
 
     @Override
     public Integer call() throws InterruptedException {
-        boolean terminal = System.console() != null && !json;
-        try (HollypickClient client = new HollypickClient(
-                addresses,
-                new HollypickClient.Times(Duration.ofSeconds(20), Duration.ofSeconds(5), Duration.ofSeconds(2)))) {
-            while (true) {
-                boolean over = true;
-                StringBuilder line = new StringBuilder();
-                for (String id : ids) {
-                    JsonNode told = client.estimate(id).join();
-                    over &= told.path("status").asText().equals("done")
-                            || told.path("status").asText().equals("aborted");
-                    line.append(line.isEmpty() ? "" : terminal ? "   " : "\n")
-                            .append(json ? told.toString() : text(id, told));
-                }
-                System.out.print(terminal && follow ? "\r\u001b[K" + line : line + "\n");
-                System.out.flush();
-                if (!follow || over) {
-                    System.out.print(terminal && follow ? "\n" : "");
-                    return 0;
-                }
-                Thread.sleep(2_000);
+        boolean onTerminal = System.console() != null && !json;
+        boolean overwrites = onTerminal && follow;
+        try (HollypickClient client = new HollypickClient(addresses, TIMES)) {
+            List<JsonNode> estimates = estimates(client);
+            print(estimates, onTerminal, overwrites);
+            while (follow && !estimates.stream().allMatch(EtaCommand::hasEnded)) {
+                Thread.sleep(TIMES.pollEvery().toMillis());
+                estimates = estimates(client);
+                print(estimates, onTerminal, overwrites);
             }
         }
+        System.out.print(overwrites ? "\n" : "");
+        return ClientCommands.EXIT_OK;
+    }
+
+    private List<JsonNode> estimates(HollypickClient client) {
+        List<JsonNode> estimates = new ArrayList<>();
+        for (String id : ids) {
+            estimates.add(client.estimate(id).join());
+        }
+        return estimates;
+    }
+
+    private static boolean hasEnded(JsonNode estimate) {
+        String status = estimate.path("status").asText();
+        return status.equals("done") || status.equals("aborted");
     }
 
-    static String text(String id, JsonNode told) {
-        JsonNode in = told.path("done_in_s");
-        if (!in.isObject()) {
-            return id + " " + told.path("status").asText()
-                    + (told.has("reason") ? ": " + told.path("reason").asText() : "");
+    /** {@code overwrites}: in place of the line that was printed before. */
+    private void print(List<JsonNode> estimates, boolean onTerminal, boolean overwrites) {
+        StringJoiner text = new StringJoiner(onTerminal ? "   " : "\n");
+        for (int i = 0; i < ids.size(); i++) {
+            text.add(json ? estimates.get(i).toString() : text(ids.get(i), estimates.get(i)));
         }
+        System.out.print(overwrites ? CLEAR_LINE + text : text + "\n");
+        System.out.flush();
+    }
+
+    /** An estimate in words. */
+    static String text(String id, JsonNode estimate) {
+        String status = estimate.path("status").asText();
+        JsonNode secondsLeft = estimate.path("done_in_s");
+        if (!secondsLeft.isObject()) {
+            String reason =
+                    estimate.has("reason") ? ": " + estimate.path("reason").asText() : "";
+            return id + " " + status + reason;
+        }
+        JsonNode history = estimate.path("history");
         return String.format(
                 Locale.ROOT,
                 "%s %s: done in %s (%s to %s), most of it %s; %d runs known (%s)",
                 id,
-                told.path("status").asText(),
-                time(in.path("p50").asDouble()),
-                time(in.path("p10").asDouble()),
-                time(in.path("p90").asDouble()),
-                told.path("reason").asText(),
-                told.path("history").path("n").asInt(),
-                told.path("history").path("from").asText());
+                status,
+                duration(secondsLeft.path("p50").asDouble()),
+                duration(secondsLeft.path("p10").asDouble()),
+                duration(secondsLeft.path("p90").asDouble()),
+                estimate.path("reason").asText(),
+                history.path("n").asInt(),
+                history.path("from").asText());
     }
 
-    private static String time(double seconds) {
-        return seconds < 100
-                ? Math.round(seconds) + " s"
-                : seconds < 6_000
-                        ? Math.round(seconds / 60) + " min"
-                        : String.format(Locale.ROOT, "%.1f h", seconds / 3600);
+    private static String duration(double seconds) {
+        if (seconds < SECONDS_BELOW) {
+            return Math.round(seconds) + " s";
+        }
+        if (seconds < MINUTES_BELOW_SECONDS) {
+            return Math.round(seconds / 60) + " min";
+        }
+        return String.format(Locale.ROOT, "%.1f h", seconds / 3_600);
     }
 }
--- a/src/main/java/org/hollypick/cli/GraphCommand.java
+++ b/src/main/java/org/hollypick/cli/GraphCommand.java
@@ -5,19 +5,14 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CompletionException;
 import org.hollypick.client.GraphSpec;
 import org.hollypick.client.HollypickClient;
-import org.hollypick.client.HollypickException;
-import org.hollypick.config.ConfigException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/**
- * Graphs from the command line. Exit codes: 0 done, 1 refused or not answered, 2 the file or the arguments are wrong.
- */
+/** Submits, shows and cancels graphs from the command line. Exit codes: see {@link ClientCommands}. */
 @Command(
         name = "hollypick graph",
         mixinStandardHelpOptions = true,
@@ -28,16 +23,7 @@
     private CommandLine.Model.CommandSpec spec;
 
     static int execute(String[] args) {
-        return line(new GraphCommand()).execute(args);
-    }
-
-    /** A command whose failures are told in one line, and by an exit code. */
-    static CommandLine line(Object command) {
-        return new CommandLine(command).setExecutionExceptionHandler((e, line, parsed) -> {
-            Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
-            line.getErr().println(cause.getMessage());
-            return cause instanceof ConfigException ? 2 : cause instanceof HollypickException ? 1 : 3;
-        });
+        return ClientCommands.execute(new GraphCommand(), args);
     }
 
     @Override
@@ -45,8 +31,11 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "submit, show or withdraw?");
     }
 
-    /** Where the controllers are. */
-    private abstract static class Remote implements Callable<Integer> {
+    /** A command that calls the service. */
+    private abstract static class RemoteCommand implements Callable<Integer> {
+        private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
+        private static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
+
         @Option(
                 names = "--to",
                 paramLabel = "HOST:PORT",
@@ -60,23 +49,23 @@
                 paramLabel = "SECONDS",
                 defaultValue = "60",
                 description = "how long a call is tried (default: ${DEFAULT-VALUE})")
-        private long withinS;
+        private long callSeconds;
 
         @Override
         public Integer call() {
-            try (HollypickClient client = new HollypickClient(
-                    addresses,
-                    new HollypickClient.Times(
-                            Duration.ofSeconds(withinS), Duration.ofSeconds(5), Duration.ofSeconds(2)))) {
+            HollypickClient.Times times =
+                    new HollypickClient.Times(Duration.ofSeconds(callSeconds), RESPONSE_TIMEOUT, POLL_INTERVAL);
+            try (HollypickClient client = new HollypickClient(addresses, times)) {
                 return run(client);
             }
         }
 
+        /** Does the command's work, and returns the exit code. */
         abstract int run(HollypickClient client);
     }
 
     @Command(name = "submit", mixinStandardHelpOptions = true, description = "Checks a graph in a file and submits it.")
-    static final class Submit extends Remote {
+    static final class Submit extends RemoteCommand {
         @Parameters(paramLabel = "FILE", description = "EDN, or JSON if it ends in .json")
         private Path file;
 
@@ -89,17 +78,17 @@
             HollypickClient.Graph graph = client.submit(spec).join();
             System.out.println(graph.id() + " accepted, " + spec.nodeIds().size() + " nodes");
             if (!wait) {
-                return 0;
+                return ClientCommands.EXIT_OK;
             }
             HollypickClient.Status status = graph.over().join();
-            System.out.println(
-                    graph.id() + " " + status.status() + (status.why().isEmpty() ? "" : ": " + status.why()));
-            return status.status().equals("done") ? 0 : 1;
+            String reason = status.why().isEmpty() ? "" : ": " + status.why();
+            System.out.println(graph.id() + " " + status.status() + reason);
+            return status.status().equals("done") ? ClientCommands.EXIT_OK : ClientCommands.EXIT_REJECTED;
         }
     }
 
     @Command(name = "show", mixinStandardHelpOptions = true, description = "Tells how a graph stands, node by node.")
-    static final class Show extends Remote {
+    static final class Show extends RemoteCommand {
         @Parameters(paramLabel = "ID")
         private String id;
 
@@ -108,20 +97,26 @@
 
         @Override
         int run(HollypickClient client) {
-            JsonNode page = client.graph(id).show(0).join();
+            HollypickClient.Graph graph = client.graph(id);
+            JsonNode page = graph.show(0).join();
             System.out.println(id + " " + page.path("status").asText() + " " + page.path("counts"));
-            while (nodes) {
-                page.path("nodes")
-                        .forEach(n -> System.out.println(
-                                n.path("id").asText() + " " + n.path("task").asText() + " "
-                                        + n.path("state").asText()
-                                        + (n.has("why") ? " (" + n.path("why").asText() + ")" : "")));
-                if (!page.has("from")) {
-                    break;
+            if (nodes) {
+                printNodes(page);
+                while (page.has("from")) {
+                    page = graph.show(page.path("from").asInt()).join();
+                    printNodes(page);
                 }
-                page = client.graph(id).show(page.path("from").asInt()).join();
             }
-            return 0;
+            return ClientCommands.EXIT_OK;
+        }
+
+        private static void printNodes(JsonNode page) {
+            for (JsonNode node : page.path("nodes")) {
+                String reason = node.has("why") ? " (" + node.path("why").asText() + ")" : "";
+                System.out.println(node.path("id").asText() + " "
+                        + node.path("task").asText() + " "
+                        + node.path("state").asText() + reason);
+            }
         }
     }
 
@@ -129,7 +124,7 @@
             name = "withdraw",
             mixinStandardHelpOptions = true,
             description = "Cancels a graph, or one node and what needs it.")
-    static final class Withdraw extends Remote {
+    static final class Withdraw extends RemoteCommand {
         @Parameters(index = "0", paramLabel = "ID")
         private String id;
 
@@ -139,8 +134,9 @@
         @Override
         int run(HollypickClient client) {
             HollypickClient.Graph graph = client.graph(id);
-            System.out.println(id + " " + (node == null ? graph.withdraw() : graph.withdraw(node)).join());
-            return 0;
+            String state = (node == null ? graph.withdraw() : graph.withdraw(node)).join();
+            System.out.println(id + " " + state);
+            return ClientCommands.EXIT_OK;
         }
     }
 }
--- a/src/main/java/org/hollypick/cli/GraphFile.java
+++ b/src/main/java/org/hollypick/cli/GraphFile.java
@@ -11,6 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 import org.hollypick.client.GraphSpec;
 import org.hollypick.config.ConfigException;
 import us.bpsm.edn.EdnException;
@@ -18,34 +19,42 @@
 import us.bpsm.edn.parser.Parser;
 import us.bpsm.edn.parser.Parsers;
 
-/** A graph in a file, EDN or JSON: the wire's names, in EDN as keywords with hyphens or underscores. */
+/** Reads a graph from a file, EDN or JSON: the wire's names, in EDN as keywords with hyphens or underscores. */
 final class GraphFile {
+    private static final String JSON_SUFFIX = ".json";
+    private static final int MAX_SHOWN_PROBLEMS = 20;
+
     private GraphFile() {}
 
     /** The graph, if nothing is wrong with it; else an exception that names every place. */
     static GraphSpec read(Path file) {
-        JsonNode tree;
+        JsonNode tree = parse(file);
+        List<GraphSpec.Problem> problems = GraphSpec.check(tree);
+        if (!problems.isEmpty()) {
+            throw new ConfigException(describe(file, problems));
+        }
+        return GraphSpec.of(tree);
+    }
+
+    private static JsonNode parse(Path file) {
         try {
             String text = Files.readString(file);
-            tree = file.toString().endsWith(".json") ? json(file, text) : edn(file, text);
+            return file.toString().endsWith(JSON_SUFFIX) ? parseJson(file, text) : parseEdn(file, text);
         } catch (IOException e) {
             throw new ConfigException(file + ": can't be read: " + e.getMessage());
         }
-        List<GraphSpec.Problem> problems = GraphSpec.check(tree);
-        if (!problems.isEmpty()) {
-            StringBuilder all = new StringBuilder();
-            problems.stream()
-                    .limit(20)
-                    .forEach(p -> all.append(all.isEmpty() ? "" : "\n")
-                            .append(file)
-                            .append(": ")
-                            .append(p));
-            throw new ConfigException(all + (problems.size() > 20 ? "\nand " + (problems.size() - 20) + " more" : ""));
-        }
-        return GraphSpec.of(tree);
     }
 
-    private static JsonNode json(Path file, String text) {
+    private static String describe(Path file, List<GraphSpec.Problem> problems) {
+        String shown = problems.stream()
+                .limit(MAX_SHOWN_PROBLEMS)
+                .map(problem -> file + ": " + problem)
+                .collect(Collectors.joining("\n"));
+        int hidden = problems.size() - MAX_SHOWN_PROBLEMS;
+        return hidden > 0 ? shown + "\nand " + hidden + " more" : shown;
+    }
+
+    private static JsonNode parseJson(Path file, String text) {
         try {
             return new JsonMapper().readTree(text);
         } catch (JsonProcessingException e) {
@@ -54,42 +63,46 @@
         }
     }
 
-    private static JsonNode edn(Path file, String text) {
+    private static JsonNode parseEdn(Path file, String text) {
         try {
             Object value = Parsers.newParser(Parsers.defaultConfiguration()).nextValue(Parsers.newParseable(text));
             if (value == Parser.END_OF_INPUT) {
                 throw new ConfigException(file + ": empty");
             }
-            return tree(value);
+            return toTree(value);
         } catch (EdnException e) {
             throw new ConfigException(file + ": not EDN: " + e.getMessage());
         }
     }
 
-    private static JsonNode tree(Object value) {
-        JsonNodeFactory make = JsonNodeFactory.instance;
+    private static JsonNode toTree(Object value) {
+        JsonNodeFactory factory = JsonNodeFactory.instance;
         if (value instanceof Map<?, ?> map) {
-            ObjectNode node = make.objectNode();
-            map.forEach((k, v) ->
-                    node.set(k instanceof Keyword key ? key.getName().replace('-', '_') : String.valueOf(k), tree(v)));
+            ObjectNode node = factory.objectNode();
+            map.forEach((key, element) -> node.set(fieldName(key), toTree(element)));
             return node;
         }
-        if (value instanceof Iterable<?> list) {
-            ArrayNode node = make.arrayNode();
-            list.forEach(v -> node.add(tree(v)));
+        if (value instanceof Iterable<?> elements) {
+            ArrayNode node = factory.arrayNode();
+            elements.forEach(element -> node.add(toTree(element)));
             return node;
         }
-        if (value instanceof Boolean b) {
-            return make.booleanNode(b);
+        if (value instanceof Boolean flag) {
+            return factory.booleanNode(flag);
+        }
+        if (value instanceof Long integer) {
+            return factory.numberNode(integer);
         }
-        if (value instanceof Long n) {
-            return make.numberNode(n);
+        if (value instanceof Number number) {
+            return factory.numberNode(number.doubleValue());
         }
-        if (value instanceof Number n) {
-            return make.numberNode(n.doubleValue());
+        if (value == null) {
+            return factory.nullNode();
         }
-        return value == null
-                ? make.nullNode()
-                : make.textNode(value instanceof Keyword key ? key.getName() : value.toString());
+        return factory.textNode(value instanceof Keyword keyword ? keyword.getName() : value.toString());
+    }
+
+    private static String fieldName(Object key) {
+        return key instanceof Keyword keyword ? keyword.getName().replace('-', '_') : String.valueOf(key);
     }
 }
--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -30,7 +30,7 @@
     private Path file;
 
     static int execute(String[] args) {
-        return GraphCommand.line(new ReplayCommand()).execute(args);
+        return ClientCommands.execute(new ReplayCommand(), args);
     }
 
     @Override
