--- a/src/main/java/org/hollypick/core/graph/NodeTable.java
+++ b/src/main/java/org/hollypick/core/graph/NodeTable.java
@@ -141,16 +141,16 @@
         for (int dependency : dependencies[node]) {
             if (states[dependency] != NodeState.DONE) {
                 unmetDependencies[node]++;
-                addDependent(/* node= */ dependency, /* dependent= */ node);
+                addDependent(dependency, node);
             }
         }
     }
 
-    private void addDependent(int node, int dependent) {
-        if (dependents[node] == null) {
-            dependents[node] = new IntArrayList(2);
+    private void addDependent(int dependency, int dependent) {
+        if (dependents[dependency] == null) {
+            dependents[dependency] = new IntArrayList(2);
         }
-        dependents[node].add(dependent);
+        dependents[dependency].add(dependent);
     }
 
     private int specNumber(JobSpec spec) {
