--- a/src/test/java/org/hollypick/sim/ServiceLevelSummary.java
+++ b/src/test/java/org/hollypick/sim/ServiceLevelSummary.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.util.Locale;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /**
@@ -25,7 +26,7 @@
         for (String file : files) {
             JsonNode report = new ObjectMapper().readTree(new File(file));
             String scenario = report.path("scenario").asText();
-            for (Map.Entry<String, TreeMap<Double, String>> entry :
+            for (Map.Entry<String, NavigableMap<Double, String>> entry :
                     objectivesByName(report).entrySet()) {
                 print(scenario, entry.getKey(), entry.getValue());
                 worst = Math.min(worst, entry.getValue().lastKey());
@@ -38,8 +39,8 @@
     }
 
     /** Descriptions of the objectives by class or team, and by the share of jobs that met them. */
-    private static Map<String, TreeMap<Double, String>> objectivesByName(JsonNode report) {
-        Map<String, TreeMap<Double, String>> objectives = new TreeMap<>();
+    private static Map<String, NavigableMap<Double, String>> objectivesByName(JsonNode report) {
+        Map<String, NavigableMap<Double, String>> objectives = new TreeMap<>();
         for (JsonNode objective : report.path("targets")) {
             if (isShareOfClass(objective)) {
                 String description = objective.path("kind").asText() + " "
@@ -62,7 +63,8 @@
                 && objective.path("value").isNumber();
     }
 
-    private static void addStarted(Map<String, TreeMap<Double, String>> objectives, String prefix, JsonNode groups) {
+    private static void addStarted(
+            Map<String, NavigableMap<Double, String>> objectives, String prefix, JsonNode groups) {
         groups.fields().forEachRemaining(group -> {
             double started = group.getValue().path("started").asDouble();
             int jobs = Math.max(1, group.getValue().path("jobs").asInt());
@@ -71,11 +73,11 @@
     }
 
     private static void add(
-            Map<String, TreeMap<Double, String>> objectives, String name, double share, String description) {
+            Map<String, NavigableMap<Double, String>> objectives, String name, double share, String description) {
         objectives.computeIfAbsent(name, key -> new TreeMap<>()).put(share, description);
     }
 
-    private static void print(String scenario, String name, TreeMap<Double, String> objectives) {
+    private static void print(String scenario, String name, NavigableMap<Double, String> objectives) {
         Map.Entry<Double, String> strictest = objectives.firstEntry();
         Map.Entry<Double, String> loosest = objectives.lastEntry();
         System.out.printf(
