--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -30,7 +30,7 @@
 
 /**
  * One controller process, without its sockets and clocks: creates all parts and connects them. It serves users and
- * workers at its public address and other controllers at its peer address. Confined to the event loop.
+ * agents at its public address and other controllers at its peer address. Confined to the event loop.
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
@@ -135,7 +135,7 @@
         terms.leadershipChanged();
     }
 
-    /** Answers a request of a user, a worker or a health check. */
+    /** Answers a request of a user, an agent or a health check. */
     public void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder) {
         publicRequests.handle(method, target, body, responder);
     }
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -35,7 +35,7 @@
         this.terms = terms;
     }
 
-    /** Serves the requests about leader leases, workers' leases and relayed heartbeats. */
+    /** Serves the requests about leader leases, agents' leases and relayed heartbeats. */
     void serveLeases(HeartbeatRelay heartbeatRelay) {
         dispatcher.on(
                 PeerMessageCodec.LEADER_LEASE_PATH,
@@ -64,7 +64,7 @@
             return ServerResponse.retryLater("not the leader");
         }
         LeaderTerm term = terms.currentTerm();
-        return HeartbeatRelayCodec.take(body, term.token(), () -> relayValidityMs(term), terms::respond)
+        return HeartbeatRelayCodec.handleBatch(body, term.token(), () -> relayValidityMs(term), terms::respond)
                 .onlyWhile(term::holdsLeaderLease);
     }
 
--- a/src/main/java/org/hollypick/PublicRequestDispatcher.java
+++ b/src/main/java/org/hollypick/PublicRequestDispatcher.java
@@ -9,7 +9,7 @@
 import org.hollypick.relay.HeartbeatRelay;
 
 /**
- * Passes the requests at the public address, of users, workers and health checks, on to the part that serves them, by
+ * Passes the requests at the public address, of users, agents and health checks, on to the part that serves them, by
  * their path and method. Confined to the event loop.
  */
 final class PublicRequestDispatcher {
@@ -51,7 +51,7 @@
     void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder) {
         String path = withoutQuery(target);
         if (path.equals(HEARTBEAT_PATH)) {
-            onlyFor("POST", method, responder, () -> heartbeatRelay.hello(body, responder));
+            onlyFor("POST", method, responder, () -> heartbeatRelay.heartbeatReceived(body, responder));
         } else if (path.equals(READINESS_PATH)) {
             onlyFor("GET", method, responder, () -> responder.accept(readiness()));
         } else if (graphs != null && (path.equals(GRAPHS_PATH) || path.startsWith(GRAPHS_PATH + "/"))) {
--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -121,7 +121,7 @@
     }
 
     /**
-     * The response to a heartbeat that a worker sent to this controller.
+     * The response to a heartbeat that an agent sent to this controller.
      *
      * @return null if this controller may not act as leader
      */
@@ -133,7 +133,7 @@
      * The present term's response to a heartbeat. The caller makes sure that there is a term, and that the response is
      * only sent while the leader lease holds.
      *
-     * @param controller the controller that received the heartbeat from the worker
+     * @param controller the controller that received the heartbeat from the agent
      */
     ServerResponse respond(byte[] heartbeat, String controller) {
         Heartbeat decoded = AgentCodec.decodeHeartbeat(heartbeat);
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Starts the node; it runs until the process is killed. Everything after the worker's creation happens on its I/O
-     * thread, while the calling thread only waits: where system calls of the process are rewritten while it runs, one
-     * thread reading the jar beside another that reads sockets ended about one start in a hundred (docs/incidents,
+     * Starts the controller; it runs until the process is killed. Everything after the agent's creation happens on its
+     * I/O thread, while the calling thread only waits: where system calls of the process are rewritten while it runs,
+     * one thread reading the jar beside another that reads sockets ended about one start in a hundred (docs/incidents,
      * native-read). So no class is loaded beside the running loop.
      */
     static Undertow serve(Settings settings, OperatorSettings operator) throws Exception {
@@ -109,7 +109,7 @@
         return started.get();
     }
 
-    /** A named class, loaded before the worker runs: a lambda would be linked beside it. */
+    /** A named class, loaded before the agent runs: a lambda would be linked beside it. */
     private static final class Starter implements Runnable {
         /** Not Main's: the log is configured once that is loaded. */
         private static final Logger LOG = LoggerFactory.getLogger(Main.class);
@@ -171,7 +171,7 @@
                 }
                 if (tries == 1) {
                     LOG.error(
-                            "address taken, trying again users={} mesh={} reason={}",
+                            "listen.address_in_use users={} mesh={} reason={}",
                             settings.publicAddr(),
                             settings.meshAddr(),
                             e.getCause().getMessage());
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Gets a new fencing token for the leader under this one, by rewriting the leader record: workers then execute no
+     * Gets a new fencing token for the leader under this one, by rewriting the leader record: agents then execute no
      * older command any more. Does nothing if this controller does not hold the leader lease.
      */
     public void fence(long token) {
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -23,7 +23,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Renews workers' leases on a controller that a network partition separates, together with them, from the key-value
+ * Renews agents' leases on a controller that a network partition separates, together with them, from the key-value
  * store and the leader. The leader grants the right to do so in advance, for a limited time; a leader that is separated
  * itself has it for a limited time after its leader lease. The only commands sent meanwhile kill tasks of cancelled
  * jobs (docs/safety.md). Confined to the event loop.
@@ -161,7 +161,7 @@
     /**
      * The response to a heartbeat that nobody else answers, to be sent only while the grant holds.
      *
-     * @return null if the worker has seen a newer fencing token, since it would have to drop the response
+     * @return null if the agent has seen a newer fencing token, since it would have to drop the response
      */
     public ServerResponse respond(Heartbeat heartbeat) {
         long token = membership.leaderRecordRevision();
--- a/src/main/java/org/hollypick/cluster/PeerMessageCodec.java
+++ b/src/main/java/org/hollypick/cluster/PeerMessageCodec.java
@@ -28,7 +28,7 @@
     public static final String LEADER_LEASE_PATH = "/promise";
     /** Asks to relay no more responses of an incarnation. */
     public static final String RELEASE_PATH = "/release";
-    /** Asks the leader for the right to renew workers' leases while partitioned. */
+    /** Asks the leader for the right to renew agents' leases while partitioned. */
     public static final String RENEWAL_GRANT_PATH = "/keep";
     /** Asks which machines a peer reaches. */
     public static final String REACHABILITY_PATH = "/reach";
@@ -119,7 +119,7 @@
         return body.path(RELEASED).asBoolean();
     }
 
-    /** Encodes a request for the right to renew workers' leases. */
+    /** Encodes a request for the right to renew agents' leases. */
     public static ObjectNode write(RenewalGrantRequest request) {
         return Codec.object()
                 .put(CONTROLLER, request.controller())
@@ -129,7 +129,7 @@
                 .put(RENEWED_LEASES, request.renewedLeases());
     }
 
-    /** Decodes a request for the right to renew workers' leases. */
+    /** Decodes a request for the right to renew agents' leases. */
     public static RenewalGrantRequest readRenewalGrantRequest(JsonNode body) {
         JsonNode fields = body == null ? Codec.object() : body;
         return new RenewalGrantRequest(
@@ -140,7 +140,7 @@
                 fields.path(RENEWED_LEASES).asBoolean());
     }
 
-    /** Encodes the answer to a request for the right to renew workers' leases. */
+    /** Encodes the answer to a request for the right to renew agents' leases. */
     public static ObjectNode write(RenewalGrantResponse response) {
         return Codec.object()
                 .put(WireNames.FENCING_TOKEN, response.token())
@@ -148,7 +148,7 @@
                 .put(RENEWAL_GRANTED, response.granted());
     }
 
-    /** Decodes the answer to a request for the right to renew workers' leases. */
+    /** Decodes the answer to a request for the right to renew agents' leases. */
     public static RenewalGrantResponse readRenewalGrantResponse(JsonNode body) {
         return new RenewalGrantResponse(
                 Codec.u64(body.path(WireNames.FENCING_TOKEN)),
--- a/src/main/java/org/hollypick/cluster/PeerMessages.java
+++ b/src/main/java/org/hollypick/cluster/PeerMessages.java
@@ -32,7 +32,7 @@
     public record ReleaseRequest(long memberRevision) {}
 
     /**
-     * A controller asks the leader whether it may renew workers' leases while it is partitioned from the leader.
+     * A controller asks the leader whether it may renew agents' leases while it is partitioned from the leader.
      *
      * @param controller the name of the asking controller
      * @param token the fencing token of the leader that is asked
--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -20,7 +20,7 @@
  * @param warmCores cores kept free for services in each zone, at least
  * @param firstShare share of the machines in Tyrex's first partition
  * @param graphs whether task graphs are accepted
- * @param graphKeepMs milliseconds for which the nodes and results of a terminal graph are kept
+ * @param graphKeepMs milliseconds for which the controllers and results of a terminal graph are kept
  * @param estimates whether completion estimates are given
  */
 public record OperatorSettings(
--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -31,8 +31,8 @@
  * @param zones the zones of the cluster
  * @param teams the teams by name, with their quotas
  * @param objectives the service-level objectives
- * @param reportS seconds between two heartbeats of a worker
- * @param leaseS seconds of a worker's lease
+ * @param reportS seconds between two heartbeats of an agent
+ * @param leaseS seconds of an agent's lease
  * @param cancelS seconds within which a cancelled task has to have ended
  * @param stateRps requests a second that the store takes from all controllers
  * @param stateWriteRps writes a second that it takes
--- a/src/main/java/org/hollypick/config/constants/ElectionConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ElectionConstants.java
@@ -111,7 +111,7 @@
     public static final double BETTER_LEADER_SHARE = 0.9;
 
     /**
-     * Share of the workers' lease for which a leader receives nearly no heartbeat until it resigns, whatever the pause
+     * Share of the agents' lease for which a leader receives nearly no heartbeat until it resigns, whatever the pause
      * between resignations: its successor needs some seconds, and tasks whose heartbeat isn't answered by then end.
      */
     public static final double ISOLATED_LEASE_SHARE = 1 / 3.0;
--- a/src/main/java/org/hollypick/config/constants/FailureDetectionConstants.java
+++ b/src/main/java/org/hollypick/config/constants/FailureDetectionConstants.java
@@ -72,7 +72,7 @@
 
     /**
      * Milliseconds for which nearly all machines are unresponsive until the leader resigns: others may reach them, and
-     * worker leases are several times as long.
+     * agent leases are several times as long.
      */
     public static final long ISOLATED_AFTER_MS = 3_000;
 
--- a/src/main/java/org/hollypick/config/constants/LeaseConstants.java
+++ b/src/main/java/org/hollypick/config/constants/LeaseConstants.java
@@ -1,12 +1,12 @@
 package org.hollypick.config.constants;
 
 /**
- * Leases of workers, and their renewal by a controller in a network partition. Each number has its unit and the reason
+ * Leases of agents, and their renewal by a controller in a network partition. Each number has its unit and the reason
  * for its value.
  */
 public final class LeaseConstants {
     /**
-     * Milliseconds between a controller's requests to the leader for permission to renew worker leases in a partition:
+     * Milliseconds between a controller's requests to the leader for permission to renew agent leases in a partition:
      * one small request a second.
      */
     public static final long RENEWAL_GRANT_INTERVAL_MS = 1_000;
@@ -23,13 +23,13 @@
      */
     public static final long RENEWAL_GRANT_MARGIN_MS = 3_000;
 
-    /** Milliseconds below which renewal in a partition isn't worthwhile: workers send a heartbeat every few seconds. */
+    /** Milliseconds below which renewal in a partition isn't worthwhile: agents send a heartbeat every few seconds. */
     public static final long RENEWAL_GRANT_MIN_MS = 3_000;
 
     /** Grants whose times the leader remembers, by controller: more are never in flight. */
     public static final int REMEMBERED_GRANTS = 8;
 
-    /** Milliseconds added to a worker's lease before it counts as expired: steps of its own clock. */
+    /** Milliseconds added to an agent's lease before it counts as expired: steps of its own clock. */
     public static final long LEASE_MARGIN_MS = 500;
 
     private LeaseConstants() {}
--- a/src/main/java/org/hollypick/config/constants/NetworkConstants.java
+++ b/src/main/java/org/hollypick/config/constants/NetworkConstants.java
@@ -53,7 +53,7 @@
     public static final int CONNECTIONS_PER_ADDRESS = 6;
 
     /**
-     * Share of the sockets for idle connections that this controller opened; workers and users need most of the rest.
+     * Share of the sockets for idle connections that this controller opened; agents and users need most of the rest.
      */
     public static final double IDLE_SOCKET_SHARE = 0.15;
 
--- a/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
@@ -35,7 +35,7 @@
      */
     public static final int REACHED_BY_PEER_AT_FAULT = 3;
 
-    /** Milliseconds that a worker waits for the response to its heartbeat, from the protocol. */
+    /** Milliseconds that an agent waits for the response to its heartbeat, from the protocol. */
     public static final long HEARTBEAT_RESPONSE_TIMEOUT_MS = 4_000;
 
     /**
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -117,12 +117,12 @@
         return !ended && membership.holdsLeaderLease(token());
     }
 
-    /** Answers a worker's heartbeat, which arrived through the controller {@code via}, while the leader lease holds. */
+    /** Answers an agent's heartbeat, which arrived through the controller {@code via}, while the leader lease holds. */
     public ServerResponse heartbeatReceived(Heartbeat heartbeat, String via) {
         return components.agentManager.heartbeatReceived(heartbeat, via);
     }
 
-    /** Answers a peer that requests the right to renew workers' leases while it is partitioned from this leader. */
+    /** Answers a peer that requests the right to renew agents' leases while it is partitioned from this leader. */
     public ServerResponse grantPartitionedRenewal(RenewalGrantRequest request) {
         long now = eventLoop.now();
         WorkerLeases leases = components.scheduler.leases();
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -28,7 +28,7 @@
 
 /**
  * Applies the records of the replica to the leader's state: jobs that were submitted or became terminal, jobs that are
- * ready or cancelled by their dependencies, machines, and complaints of workers. Confined to the event loop.
+ * ready or cancelled by their dependencies, machines, and complaints of agents. Confined to the event loop.
  */
 final class RecordChangeHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RecordChangeHandler.class);
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -36,7 +36,7 @@
 
     /**
      * Starts to compare the peers' reachability with this controller's, if the machines are out of reach and resigning
-     * is allowed again, or the workers' leases can't wait for that.
+     * is allowed again, or the agents' leases can't wait for that.
      */
     void evaluate(long now) {
         if (failureDetector.isIsolated(now)
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -232,7 +232,7 @@
 
     /**
      * Whether a launch in flight, on a machine whose lease is still renewed, has held up a cancellation for so long
-     * that a new fencing token has to end it: workers refuse what was sent under an older token.
+     * that a new fencing token has to end it: agents refuse what was sent under an older token.
      */
     public boolean needsNewFencingToken(long now) {
         long oldest = now - JobConstants.FENCING_DELAY_MS;
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -166,7 +166,7 @@
                 ? scheduler.heartbeatBalancer().elsewhere(relay, now)
                 : null;
         if (otherRelay != null) {
-            return HeartbeatRelayCodec.elsewhere(otherRelay);
+            return HeartbeatRelayCodec.redirect(otherRelay);
         }
         machine.heartbeatAcknowledgedAt = machine.validity.newestReceivedAt();
         machine.validity.heartbeatAnswered(commands);
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -9,7 +9,7 @@
 import org.hollypick.config.constants.ReachabilityConstants;
 
 /**
- * Decides when a worker's lease has expired for certain, although peers of the leader may renew leases while a network
+ * Decides when an agent's lease has expired for certain, although peers of the leader may renew leases while a network
  * partition separates them from the leader and the key-value store (docs/safety.md). Each peer keeps requesting the
  * right to do so; a granted response lets it renew leases under this term's fencing token, for a time that is counted
  * from when it sent the request.
@@ -67,7 +67,7 @@
         }
     }
 
-    /** The longest time that a worker's lease may last on this leader's clock. */
+    /** The longest time that an agent's lease may last on this leader's clock. */
     private final long leaseMs;
 
     private final long grantMs;
@@ -142,7 +142,7 @@
     }
 
     /**
-     * Whether a lease renewed then is still valid for certain, even if the worker sent the heartbeat that renewed it a
+     * Whether a lease renewed then is still valid for certain, even if the agent sent the heartbeat that renewed it a
      * while before.
      */
     public boolean isValid(long renewedAt, long now) {
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -51,7 +51,7 @@
     /** When the last heartbeat was acknowledged, in milliseconds; the lease can't have been renewed later. */
     public long heartbeatAcknowledgedAt;
     /**
-     * When a placement was last listed for the first time. A worker that begins again within its lease, its counts
+     * When an assignment was last listed for the first time. An agent that begins again within its lease, its counts
      * going on, has a lease from that beginning, which no report tells apart from an empty machine; but whatever it
      * lists began there.
      */
@@ -124,7 +124,7 @@
         use(assignment, 1);
     }
 
-    /** The placement that an order or a report names; null if there is none. */
+    /** The assignment that an order or a report names; null if there is none. */
     public Assignment assignmentOf(String task, long attempt) {
         Assignment assignment = assignments.get(attempt);
         return assignment != null && assignment.taskId.equals(task) ? assignment : null;
@@ -370,7 +370,7 @@
         taskLists++;
     }
 
-    /** The present report lists the placement. */
+    /** The present report lists the assignment. */
     public void listed(Assignment assignment, long now) {
         if (assignment.listedIn == 0) {
             newAssignmentListedAt = now;
@@ -379,7 +379,7 @@
     }
 
     /**
-     * From when the lease of the worker's present life counts at the latest: whatever is known to be there was renewed,
+     * From when the lease of the agent's present life counts at the latest: whatever is known to be there was renewed,
      * first heard of or begun by then.
      */
     public long leaseStartedAt() {
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -9,9 +9,9 @@
 import org.hollypick.core.assignment.TaskStatus;
 
 /**
- * Whether a machine's heartbeats are new, and whether the answers to them reach it (docs/hearing.md). An agent has one
- * heartbeat in flight at a time: a newer one that still lacks the effect of the last answer's commands shows that this
- * answer didn't reach it. One for each machine in one term. Confined to the event loop.
+ * Whether a machine's heartbeats are new, and whether the answers to them reach it (docs/heartbeat-validity.md). An
+ * agent has one heartbeat in flight at a time: a newer one that still lacks the effect of the last answer's commands
+ * shows that this answer didn't reach it. One for each machine in one term. Confined to the event loop.
  */
 public final class HeartbeatValidity {
     /** What a heartbeat is beside those received before. */
--- a/src/main/java/org/hollypick/core/routing/RouteSelector.java
+++ b/src/main/java/org/hollypick/core/routing/RouteSelector.java
@@ -5,8 +5,8 @@
 
 /**
  * Selects the route of requests to a service: direct, or by way of a peer that reaches it. Judges only by the outcome
- * of earlier requests, since nothing else shows a partition (docs/links.md). Peers are numbered from 0. Times are
- * milliseconds of the steady clock. Pure; not thread-safe.
+ * of earlier requests, since nothing else shows a partition (docs/partial-connectivity.md). Peers are numbered from 0.
+ * Times are milliseconds of the steady clock. Pure; not thread-safe.
  */
 public final class RouteSelector {
     /** Stands in the place of a peer for the direct route. */
--- a/src/main/java/org/hollypick/io/ConnectionBudget.java
+++ b/src/main/java/org/hollypick/io/ConnectionBudget.java
@@ -7,8 +7,8 @@
 
 /**
  * Counts the open connections of this process by what they are for. Each kind has a reserve that the others leave to
- * it; what lies beyond the reserves goes to whoever comes first, up to the limit of sockets (docs/many-machines.md).
- * Pure counting. Confined to the event loop.
+ * it; what lies beyond the reserves goes to whoever comes first, up to the limit of sockets (docs/scaling.md). Pure
+ * counting. Confined to the event loop.
  */
 public final class ConnectionBudget {
     /** What a connection is for. */
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -1,8 +1,6 @@
 package org.hollypick.relay;
 
 import it.unimi.dsi.fastutil.longs.LongOpenHashSet;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -26,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands machines' reports on to the leader, many in one call, and its answers back to the machines. It decides nothing:
- * to a machine it is a longer path to the leader (docs/safety.md, "Relayed reports"). While there is no leader it holds
- * reports for a moment, so that machines needn't look for one.
+ * Relays agents' heartbeats to the leader, many in one call, and the leader's responses back to the agents. It decides
+ * nothing: to an agent it is a longer path to the leader (docs/safety.md, "Relayed heartbeats"). While there is no
+ * leader it queues heartbeats for a moment, so that agents needn't look for one. Confined to the event loop.
  */
 public final class HeartbeatRelay {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRelay.class);
@@ -38,78 +36,70 @@
     private final Membership membership;
     private final PartitionedLeaseRenewal leaseRenewal;
     private final LeaderComplaint leaderComplaint;
-    private final Function<byte[], ServerResponse> own;
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
-    private int heldBytes;
-    private int open;
-    private boolean due;
-    private long notBefore;
-    private int failures;
-    /** Member keys whose leader wants nothing of it passed on any more. */
-    private final LongOpenHashSet released = new LongOpenHashSet();
-    /** Under this token the leader is of a version that takes no bundles. */
-    private long refusedToken;
-
-    private record Held(byte[] report, long until, Consumer<ServerResponse> answer) {}
-
-    /** {@code own}: the answer of this node itself while it is the leader, else null. */
+    private final Function<byte[], ServerResponse> leaderHandler;
+    private final HeartbeatQueue queue = new HeartbeatQueue();
+    private int batchesInFlight;
+    private boolean flushScheduled;
+    private long sendNotBefore;
+    private int consecutiveFailures;
+    /** Revisions of member keys whose leader wants none of its responses relayed any more. */
+    private final LongOpenHashSet releasedMembers = new LongOpenHashSet();
+    /** The token of a leader of an older version, which takes no batches; 0 if none was met. */
+    private long tokenWithoutBatches;
+
+    /**
+     * @param leaderHandler handles a heartbeat on this controller while it is the leader; returns null while it is not
+     */
     public HeartbeatRelay(
             EventLoop eventLoop,
             Settings settings,
             Membership membership,
             KeyValueStoreClient store,
             PartitionedLeaseRenewal leaseRenewal,
-            Function<byte[], ServerResponse> own) {
+            Function<byte[], ServerResponse> leaderHandler) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.membership = membership;
         this.leaseRenewal = leaseRenewal;
-        this.own = own;
+        this.leaderHandler = leaderHandler;
         this.leaderComplaint = new LeaderComplaint(eventLoop, settings, membership, store);
     }
 
-    /** A machine's report; the answer follows within the time that the machine waits. */
-    public void hello(byte[] report, Consumer<ServerResponse> answer) {
-        ServerResponse now = here(report);
-        if (now != null) {
-            answer.accept(now);
-        } else if (report.length > RelayConstants.RELAY_BATCH_BYTES || (refusedToken != 0 && refusedToken == token())) {
-            answer.accept(toLeader());
-        } else if (held.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
-                || heldBytes + report.length > RelayConstants.RELAY_QUEUE_BYTES) {
-            answer.accept(ServerResponse.retryLater("too many reports wait"));
+    /** Takes an agent's heartbeat; the response follows within the time for which the agent waits. */
+    public void heartbeatReceived(byte[] heartbeat, Consumer<ServerResponse> responder) {
+        ServerResponse local = respondLocally(heartbeat);
+        if (local != null) {
+            responder.accept(local);
+        } else if (heartbeat.length > RelayConstants.RELAY_BATCH_BYTES || leaderTakesNoBatches()) {
+            responder.accept(redirectToLeader());
+        } else if (queue.isFullFor(heartbeat)) {
+            responder.accept(ServerResponse.retryLater("too many reports wait"));
         } else {
-            hold(new Held(report, eventLoop.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS, answer));
-            flushSoon(RelayConstants.RELAY_BATCH_MS);
-        }
-    }
-
-    /** The answer that this node can give by itself, as leader or since it keeps leases; null if there is none. */
-    private ServerResponse here(byte[] report) {
-        ServerResponse now = own.apply(report);
-        if (now == null && !membership.peerKnowsNewerLeader() && leaseRenewal.isActive()) {
-            Heartbeat read = AgentCodec.decodeHeartbeat(report);
-            now = read == null ? ServerResponse.error(400, "not a report") : leaseRenewal.respond(read);
+            long expiresAt = eventLoop.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS;
+            queue.add(new QueuedHeartbeat(heartbeat, expiresAt, responder));
+            scheduleFlush(RelayConstants.RELAY_BATCH_MS);
         }
-        return now;
     }
 
-    private void hold(Held h) {
-        held.add(h);
-        heldBytes += h.report.length;
+    private boolean leaderTakesNoBatches() {
+        return tokenWithoutBatches != 0 && tokenWithoutBatches == currentToken();
     }
 
-    private Held next() {
-        Held h = held.poll();
-        heldBytes -= h.report.length;
-        return h;
+    /** The response of this controller itself, as leader or while it renews leases in a partition; null if neither. */
+    private ServerResponse respondLocally(byte[] heartbeat) {
+        ServerResponse asLeader = leaderHandler.apply(heartbeat);
+        if (asLeader != null || membership.peerKnowsNewerLeader() || !leaseRenewal.isActive()) {
+            return asLeader;
+        }
+        Heartbeat decoded = AgentCodec.decodeHeartbeat(heartbeat);
+        return decoded == null ? ServerResponse.error(400, "not a report") : leaseRenewal.respond(decoded);
     }
 
-    private void flushSoon(long ms) {
-        if (!due) {
-            due = true;
-            eventLoop.after(ms, () -> {
-                due = false;
+    private void scheduleFlush(long delayMs) {
+        if (!flushScheduled) {
+            flushScheduled = true;
+            eventLoop.after(delayMs, () -> {
+                flushScheduled = false;
                 flush();
             });
         }
@@ -117,123 +107,124 @@
 
     private void flush() {
         long now = eventLoop.now();
-        int count = held.size();
-        for (int i = 0; i < count; i++) {
-            Held h = next();
-            ServerResponse response = here(h.report);
-            if (response != null) {
-                h.answer.accept(response);
-            } else if (now >= h.until) {
-                h.answer.accept(ServerResponse.retryLater("no leader"));
-            } else {
-                hold(h);
-            }
+        respondOrKeep(now);
+        Leader leader = membership.currentLeader();
+        String leaderAddress = leader == null ? null : settings.meshAddr(leader.controller());
+        while (leaderAddress != null
+                && now >= sendNotBefore
+                && batchesInFlight < RelayConstants.RELAY_BATCHES_IN_FLIGHT
+                && !queue.isEmpty()) {
+            sendBatch(leaderAddress, leader, now);
         }
-        Leader leads = membership.currentLeader();
-        String currentLeader = leads == null ? null : settings.meshAddr(leads.controller());
-        while (currentLeader != null
-                && now >= notBefore
-                && open < RelayConstants.RELAY_BATCHES_IN_FLIGHT
-                && !held.isEmpty()) {
-            send(currentLeader, leads, now);
+        if (!queue.isEmpty()) {
+            scheduleFlush(RelayConstants.RELAY_RETRY_MS);
         }
-        if (!held.isEmpty()) {
-            flushSoon(RelayConstants.RELAY_RETRY_MS);
+    }
+
+    /** Answers what can be answered here, or has waited too long; the rest stays queued, in order. */
+    private void respondOrKeep(long now) {
+        int queued = queue.size();
+        for (int i = 0; i < queued; i++) {
+            QueuedHeartbeat next = queue.poll();
+            ServerResponse local = respondLocally(next.heartbeat());
+            if (local != null) {
+                next.responder().accept(local);
+            } else if (now >= next.expiresAt()) {
+                next.responder().accept(ServerResponse.retryLater("no leader"));
+            } else {
+                queue.add(next);
+            }
         }
     }
 
-    private long token() {
-        Leader currentLeader = membership.currentLeader();
-        return currentLeader == null ? 0 : currentLeader.token();
+    private long currentToken() {
+        Leader leader = membership.currentLeader();
+        return leader == null ? 0 : leader.token();
     }
 
-    private void send(String currentLeader, Leader leads, long now) {
-        long token = leads.token();
-        List<Held> bundle = new ArrayList<>();
-        List<byte[]> reports = new ArrayList<>();
-        int bytes = 0;
-        while (!held.isEmpty()
-                && bundle.size() < RelayConstants.RELAY_BATCH_HEARTBEATS
-                && bytes + held.peek().report.length <= RelayConstants.RELAY_BATCH_BYTES) {
-            Held h = next();
-            bundle.add(h);
-            reports.add(h.report);
-            bytes += h.report.length;
-        }
-        open++;
+    private void sendBatch(String leaderAddress, Leader leader, long now) {
+        List<QueuedHeartbeat> batch = queue.takeBatch();
+        List<byte[]> heartbeats = batch.stream().map(QueuedHeartbeat::heartbeat).toList();
+        batchesInFlight++;
         eventLoop.send(
                 new Request(
-                        currentLeader,
+                        leaderAddress,
                         "POST",
                         HeartbeatRelayCodec.PATH,
-                        HeartbeatRelayCodec.bundle(settings.node(), token, reports),
+                        HeartbeatRelayCodec.encodeBatch(settings.node(), leader.token(), heartbeats),
                         RelayConstants.RELAY_TIMEOUT_MS,
                         true),
-                r -> {
-                    open--;
-                    answered(bundle, leads, now, r);
-                    if (!held.isEmpty()) {
-                        flushSoon(0);
+                response -> {
+                    batchesInFlight--;
+                    batchAnswered(batch, leader, now, response);
+                    if (!queue.isEmpty()) {
+                        scheduleFlush(0);
                     }
                 });
     }
 
-    private void answered(List<Held> bundle, Leader by, long sent, Response r) {
-        long token = by.token();
-        List<ServerResponse> answers = r.ok() ? HeartbeatRelayCodec.answers(r.body()) : List.of();
-        if (r.ok() && answers.size() == bundle.size()) {
-            failures = 0;
-            leaderComplaint.handedOn();
-            // the leader counted it from later on
-            long until = sent + ClockBounds.atLeast(HeartbeatRelayCodec.rightMs(r.body()));
-            for (int i = 0; i < answers.size(); i++) {
-                bundle.get(i)
-                        .answer
-                        .accept(answers.get(i)
-                                .onlyWhile(() -> eventLoop.now() < until
-                                        && token() == token
-                                        && !released.contains(by.memberRevision())));
-            }
-        } else if (r.status() == 404) {
-            LOG.info("the leader takes no bundles of reports token={}", token);
-            refusedToken = token;
-            bundle.forEach(h -> h.answer.accept(toLeader()));
+    private void batchAnswered(List<QueuedHeartbeat> batch, Leader leader, long sentAt, Response response) {
+        List<ServerResponse> responses =
+                response.ok() ? HeartbeatRelayCodec.decodeResponses(response.body()) : List.of();
+        if (response.ok() && responses.size() == batch.size()) {
+            consecutiveFailures = 0;
+            leaderComplaint.batchDelivered();
+            // Counted from the sending of the batch; the leader counts from later on.
+            long validUntil = sentAt + ClockBounds.atLeast(HeartbeatRelayCodec.decodeValidityMs(response.body()));
+            relayResponses(batch, responses, leader, validUntil);
+        } else if (response.status() == 404) {
+            LOG.info("heartbeat_relay.unsupported_by_leader token={}", leader.token());
+            tokenWithoutBatches = leader.token();
+            batch.forEach(queued -> queued.responder().accept(redirectToLeader()));
         } else {
-            // Sent again, until its time is over: the leader takes a report that it knows for what it is. More and more
-            // seldom: it may be overloaded.
-            bundle.forEach(this::hold);
-            leaderComplaint.failed(token, machines(bundle));
-            notBefore = eventLoop.now()
-                    + (RelayConstants.RELAY_RETRY_MS << Math.min(failures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS));
+            // Sent again until each one's time is over: the leader knows a copy for what it is. With growing pauses,
+            // since the leader may be overloaded.
+            batch.forEach(queue::add);
+            leaderComplaint.batchFailed(leader.token(), machinesOf(batch));
+            int doublings = Math.min(consecutiveFailures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS);
+            sendNotBefore = eventLoop.now() + (RelayConstants.RELAY_RETRY_MS << doublings);
         }
     }
 
-    private static Set<String> machines(List<Held> bundle) {
-        Set<String> names = new LinkedHashSet<>();
-        for (Held h : bundle) {
-            Heartbeat read = names.size() < ReachabilityConstants.LEADER_COMPLAINT_MACHINES
-                    ? AgentCodec.decodeHeartbeat(h.report)
-                    : null;
-            if (read != null) {
-                names.add(read.machine());
+    private void relayResponses(
+            List<QueuedHeartbeat> batch, List<ServerResponse> responses, Leader leader, long validUntil) {
+        for (int i = 0; i < responses.size(); i++) {
+            ServerResponse response = responses
+                    .get(i)
+                    .onlyWhile(() -> eventLoop.now() < validUntil
+                            && currentToken() == leader.token()
+                            && !releasedMembers.contains(leader.memberRevision()));
+            batch.get(i).responder().accept(response);
+        }
+    }
+
+    private static Set<String> machinesOf(List<QueuedHeartbeat> batch) {
+        Set<String> machines = new LinkedHashSet<>();
+        for (QueuedHeartbeat queued : batch) {
+            if (machines.size() >= ReachabilityConstants.LEADER_COMPLAINT_MACHINES) {
+                break;
+            }
+            Heartbeat decoded = AgentCodec.decodeHeartbeat(queued.heartbeat());
+            if (decoded != null) {
+                machines.add(decoded.machine());
             }
         }
-        return names;
+        return machines;
     }
 
     /**
-     * What a leader under that member key answered is dropped, and nothing of it passed on any more: it has ended, or
-     * has given up its lead.
+     * Drops every response of the leader with that member revision, those still to come included: its process ended, or
+     * it resigned.
      */
     public void release(long memberRevision) {
-        released.add(memberRevision);
+        releasedMembers.add(memberRevision);
     }
 
-    private ServerResponse toLeader() {
+    private ServerResponse redirectToLeader() {
         Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.namedLeader() : currentLeader.controller();
         return leader == null || leader.equals(settings.node())
                 ? ServerResponse.retryLater("not entitled to act")
-                : HeartbeatRelayCodec.elsewhere(leader);
+                : HeartbeatRelayCodec.redirect(leader);
     }
 }
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -13,62 +13,84 @@
 import org.hollypick.io.WireNames;
 
 /**
- * What controllers say to one another about machines' reports: the bytes of each as they came, and an answer for each.
+ * Messages between controllers that carry agents' heartbeats: a batch with the bytes of each as they came, and a
+ * response for each. Immutable, any thread.
  */
 public final class HeartbeatRelayCodec {
+    /** Where the leader takes batches. */
     public static final String PATH = "/reports";
 
+    /** The controller that relays. */
+    private static final String SENDER = "node";
+
+    private static final String HEARTBEATS = "reports";
+    private static final String RESPONSES = "answers";
+    /** For how many milliseconds the responses may be relayed. */
+    private static final String VALIDITY_MS = "right_ms";
+
+    private static final String STATUS = "status";
+    private static final String RETRY_AFTER_S = "retry";
+    private static final String BODY = "body";
+    /** The controller to which an agent is sent. */
+    private static final String REDIRECT = "foreman";
+
     private HeartbeatRelayCodec() {}
 
-    static JsonNode bundle(String node, long token, List<byte[]> reports) {
-        ObjectNode body = Codec.object().put("node", node).put(WireNames.FENCING_TOKEN, token);
-        ArrayNode list = body.putArray("reports");
-        reports.forEach(list::add);
+    static JsonNode encodeBatch(String sender, long token, List<byte[]> heartbeats) {
+        ObjectNode body = Codec.object().put(SENDER, sender).put(WireNames.FENCING_TOKEN, token);
+        ArrayNode list = body.putArray(HEARTBEATS);
+        heartbeats.forEach(list::add);
         return body;
     }
 
     /**
-     * The leader's side: an answer for each report of a bundle. {@code rightMs}: for how long from now these answers
-     * may be passed on; {@code hello}: by report and by who sent it.
+     * The leader's side: handles each heartbeat of a batch.
+     *
+     * @param validityMs for how many milliseconds from now the responses may be relayed
+     * @param handler handles a heartbeat, given its bytes and the controller that relays it
      */
-    public static ServerResponse take(
-            JsonNode body, long token, LongSupplier rightMs, BiFunction<byte[], String, ServerResponse> hello) {
+    public static ServerResponse handleBatch(
+            JsonNode body, long token, LongSupplier validityMs, BiFunction<byte[], String, ServerResponse> handler) {
         if (body == null || Codec.u64(body.path(WireNames.FENCING_TOKEN)) != token) {
             return ServerResponse.retryLater("not the leader under that token");
         }
-        ArrayNode answers = Codec.array();
-        for (JsonNode report : body.path("reports")) {
+        String sender = body.path(SENDER).asText();
+        ArrayNode responses = Codec.array();
+        for (JsonNode heartbeat : body.path(HEARTBEATS)) {
             try {
-                ServerResponse a = hello.apply(
-                                report.binaryValue(), body.path("node").asText())
-                        .atSending();
-                answers.addObject()
-                        .put("status", a.status())
-                        .put("retry", a.retryAfterS())
-                        .set("body", a.body());
+                ServerResponse response =
+                        handler.apply(heartbeat.binaryValue(), sender).atSending();
+                responses
+                        .addObject()
+                        .put(STATUS, response.status())
+                        .put(RETRY_AFTER_S, response.retryAfterS())
+                        .set(BODY, response.body());
             } catch (IOException e) {
-                answers.addObject().put("status", 400).set("body", Codec.object());
+                responses.addObject().put(STATUS, 400).set(BODY, Codec.object());
             }
         }
-        JsonNode told = Codec.object().put("right_ms", rightMs.getAsLong()).set("answers", answers);
-        return ServerResponse.of(200, told);
+        JsonNode batchResponse =
+                Codec.object().put(VALIDITY_MS, validityMs.getAsLong()).set(RESPONSES, responses);
+        return ServerResponse.of(200, batchResponse);
     }
 
-    static long rightMs(JsonNode body) {
-        return body.path("right_ms").asLong();
+    static long decodeValidityMs(JsonNode body) {
+        return body.path(VALIDITY_MS).asLong();
     }
 
-    static List<ServerResponse> answers(JsonNode body) {
-        List<ServerResponse> list = new ArrayList<>();
-        for (JsonNode a : body.path("answers")) {
-            list.add(new ServerResponse(
-                    a.path("status").asInt(503), a.path("body"), a.path("retry").asInt()));
+    static List<ServerResponse> decodeResponses(JsonNode body) {
+        List<ServerResponse> responses = new ArrayList<>();
+        for (JsonNode response : body.path(RESPONSES)) {
+            responses.add(new ServerResponse(
+                    response.path(STATUS).asInt(503),
+                    response.path(BODY),
+                    response.path(RETRY_AFTER_S).asInt()));
         }
-        return list;
+        return responses;
     }
 
-    /** The machine should report to that controller. */
-    public static ServerResponse elsewhere(String node) {
-        return ServerResponse.of(421, Codec.object().put("foreman", node));
+    /** Sends an agent to another controller. */
+    public static ServerResponse redirect(String controller) {
+        return ServerResponse.of(421, Codec.object().put(REDIRECT, controller));
     }
 }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -20,78 +20,90 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a controller that can't hand reports on tells the leader by way of the state service, when nothing else leads
- * there: machines that come to it. If the leader misses them it is at fault. Only the decision who leads rests on it;
- * it is attached to the state session and goes with it.
+ * The record by which a controller tells a leader that it can't reach of machines that do reach this controller, by way
+ * of the key-value store. A leader that misses these machines resigns. Only the decision who leads rests on it. The
+ * record is attached to this controller's store session and goes with it. Confined to the event loop.
  */
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
+    private static final String MACHINES = "machines";
 
     private final EventLoop eventLoop;
     private final Settings settings;
     private final Membership membership;
     private final KeyValueStoreClient store;
-    /** Since when, and under which token, reports haven't reached the leader; 0 if the last one did. */
-    private long since;
+    /** Since when batches have failed; 0 if the last one was delivered. */
+    private long failingSince;
 
-    private long failing;
-    private long saidAt;
-    /** Machines whose reports couldn't be handed on, and when: they go from one controller to the next. */
-    private final Object2LongLinkedOpenHashMap<String> heard = new Object2LongLinkedOpenHashMap<>();
+    /** The token of the leader that batches fail to reach. */
+    private long failingToken;
+
+    private long writtenAt;
+    /** Machines whose heartbeats couldn't be relayed, and when: they go from one controller to the next. */
+    private final Object2LongLinkedOpenHashMap<String> undelivered = new Object2LongLinkedOpenHashMap<>();
 
     LeaderComplaint(EventLoop eventLoop, Settings settings, Membership membership, KeyValueStoreClient store) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.membership = membership;
         this.store = store;
-        this.saidAt = eventLoop.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
+        this.writtenAt = eventLoop.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
-    /** The leader took reports. */
-    void handedOn() {
-        since = 0;
+    /** The leader took a batch. */
+    void batchDelivered() {
+        failingSince = 0;
     }
 
-    /** The leader under that token couldn't be told of those machines. */
-    void failed(long token, Collection<String> machines) {
+    /** A batch with heartbeats of these machines did not reach the leader under that token. */
+    void batchFailed(long token, Collection<String> machines) {
         long now = eventLoop.now();
-        if (since == 0 || failing != token) {
-            since = now;
-            failing = token;
-            heard.clear();
+        if (failingSince == 0 || failingToken != token) {
+            failingSince = now;
+            failingToken = token;
+            undelivered.clear();
         }
-        machines.forEach(m -> heard.putAndMoveToLast(m, now));
-        while (!heard.isEmpty()
-                && (heard.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
-                        || now - heard.getLong(heard.firstKey()) > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
-            heard.removeFirstLong();
+        machines.forEach(machine -> undelivered.putAndMoveToLast(machine, now));
+        forgetOldest(now);
+        Long sessionId = membership.validSessionId();
+        if (isDue(now) && sessionId != null && membership.isLeaderRegistered() && !undelivered.isEmpty()) {
+            write(token, sessionId, now);
         }
-        Long stateSession = membership.validSessionId();
-        if (now - since < ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
-                || now - saidAt < ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS
-                || stateSession == null
-                || !membership.isLeaderRegistered()
-                || heard.isEmpty()) {
-            return;
+    }
+
+    private void forgetOldest(long now) {
+        while (!undelivered.isEmpty()
+                && (undelivered.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                        || now - undelivered.getLong(undelivered.firstKey())
+                                > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
+            undelivered.removeFirstLong();
         }
-        saidAt = now;
-        ObjectNode data = Codec.object().put(WireNames.FENCING_TOKEN, token);
-        ArrayNode names = data.putArray("machines");
-        heard.keySet().forEach(names::add);
-        LOG.info("the leader isn't reached, telling it by the state service token={} machines={}", token, names.size());
+    }
+
+    private boolean isDue(long now) {
+        return now - failingSince >= ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
+                && now - writtenAt >= ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
+    }
+
+    private void write(long token, long sessionId, long now) {
+        writtenAt = now;
+        ObjectNode complaint = Codec.object().put(WireNames.FENCING_TOKEN, token);
+        ArrayNode machines = complaint.putArray(MACHINES);
+        undelivered.keySet().forEach(machines::add);
+        LOG.info("leader_complaint.written token={} machines={}", token, machines.size());
         store.commitUrgently(
                 new CompareAndSwap()
                         .expectRevision(StoreKeys.LEADER_RECORD, token)
-                        .putWithLease(StoreKeys.leaderComplaint(settings.node()), data, stateSession),
-                r -> {});
+                        .putWithLease(StoreKeys.leaderComplaint(settings.node()), complaint, sessionId),
+                result -> {});
     }
 
-    /** The machines that such a record names, if it is meant for that leader. */
-    public static List<String> machines(JsonNode data, long token) {
-        List<String> names = new ArrayList<>();
-        if (Codec.u64(data.path(WireNames.FENCING_TOKEN)) == token) {
-            data.path("machines").forEach(m -> names.add(m.asText()));
+    /** The machines that a stored complaint names; none if it is meant for a leader with another token. */
+    public static List<String> machines(JsonNode complaint, long token) {
+        List<String> machines = new ArrayList<>();
+        if (Codec.u64(complaint.path(WireNames.FENCING_TOKEN)) == token) {
+            complaint.path(MACHINES).forEach(machine -> machines.add(machine.asText()));
         }
-        return names;
+        return machines;
     }
 }
--- a/src/test/java/org/hollypick/cli/ProcessTest.java
+++ b/src/test/java/org/hollypick/cli/ProcessTest.java
@@ -142,7 +142,7 @@
         assertEquals(
                 1,
                 List.of(log.split("\n")).stream()
-                        .filter(l -> l.contains("address taken"))
+                        .filter(l -> l.contains("listen.address_in_use"))
                         .count(),
                 log);
     }
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When a lease counts as expired, against a plain model of a worker, two peers that renew leases, a leader and a
+ * When a lease counts as expired, against a plain model of an agent, two peers that renew leases, a leader and a
  * network that loses and delays messages, on drifting clocks.
  */
 public class WorkerLeasesTest {
@@ -50,7 +50,7 @@
         private final double workerRate;
         private long now = 100_000;
         private long sequence;
-        /** By the worker's clock, when the heartbeat was sent that renewed its lease last. */
+        /** By the agent's clock, when the heartbeat was sent that renewed its lease last. */
         private double sentAt;
 
         private boolean leaseEnded;
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -133,7 +133,7 @@
         assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS, probeWindow.size());
     }
 
-    /** One slow machine among many says nothing about this node; many do, and for a while after. */
+    /** One slow machine among many says nothing about this controller; many do, and for a while after. */
     @Test
     void manySlowAnswersAreAttributedToThisController() {
         LocalHealth own = new LocalHealth(0);
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a report is worth, against a worker whose truth is known: which answers it took, which of its reports are
+ * What a report is worth, against an agent whose truth is known: which answers it took, which of its reports are
  * copies, and when it began again.
  */
 class HeartbeatValidityTest {
@@ -39,7 +39,7 @@
     }
 
     /**
-     * A worker that takes some answers and loses others, and whose older reports come again in between: deaf is one
+     * An agent that takes some answers and loses others, and whose older reports come again in between: deaf is one
      * that took none of the last three, never one that took the one before the present report; and copies change
      * nothing.
      */
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Its session ends again and again, and each new one was counted from when it was heard of: the takeover never
+     * Its session ends again and again, and each new one was counted from when it was heard of: the failover never
      * ended.
      */
     @Test
@@ -190,7 +190,7 @@
     }
 
     /**
-     * After a lease that had ended, orders under its session went to a worker that had begun again with that session:
+     * After a lease that had ended, orders under its session went to an agent that had begun again with that session:
      * the task ran there and elsewhere.
      */
     @Test
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -153,8 +153,8 @@
     }
 
     /**
-     * What this node has no room for says nothing about the other side; the services that it can't do without have room
-     * all the same.
+     * What this controller has no room for says nothing about the other side; the services that it can't do without
+     * have room all the same.
      */
     @Test
     void aRequestWithoutCapacityIsReportedAsSuch() throws Exception {
--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What three nodes tell users about one job while it is created and ended, and answers of the state service are lost.
+ * What three nodes tell users about one job while it is created and ended, and answers of the key-value store are lost.
  *
  * <p>Bounds: three nodes with views of any age; three changes of the records (the job is created, it ends, the leader
  * changes) in any order; any number of requests of users at any nodes, each a poll or a submission, one after the other
  * (of those that are open at the same time, none has to know what another is told); up to two writes of the end. Any
- * write may be carried out late, or its answer lost. A node asks the leader or reads the records, and the leader may
- * once lose its place in the watch and load all records again.
+ * write may be carried out late, or its answer lost. A controller asks the leader or reads the records, and the leader
+ * may once lose its place in the watch and load all records again.
  *
  * <p>Predicate, from the rules: once a user was told that the job is accepted, or that it is over, no request that is
  * sent after that gets an older answer. It is by order of sending, since two answers under way at the same time may
@@ -86,7 +86,7 @@
         int created;
         int ended;
         int leaderRecord;
-        /** Up to which change each node's view is. */
+        /** Up to which change each controller's view is. */
         int[] views = new int[NODES];
         /** The acting leader, or -1. */
         int leader;
@@ -110,7 +110,8 @@
         boolean loaded;
         Request request = Request.NONE;
         /**
-         * A read that a node began before: the epoch that it brings, and the node. Used by one of the faulty variants.
+         * A read that a controller began before: the epoch that it brings, and the controller. Used by one of the
+         * faulty variants.
          */
         int earlierRead = NEVER;
 
@@ -202,7 +203,7 @@
         request(s, fault, to);
     }
 
-    // ---- the state service ----
+    // ---- the key-value store ----
 
     private static void service(State s, Successors<State> to) {
         if (s.leaderRecord == 0) {
@@ -286,7 +287,7 @@
         }
     }
 
-    /** The view of a node is now as the records were after so many changes. */
+    /** The view of a controller is now as the records were after so many changes. */
     private static void see(State s, int node, int changes, Fault fault) {
         s.views[node] = changes;
         if (node == 1 && s.leaderRecord != 0 && changes >= s.leaderRecord && s.leader == NEVER) {
@@ -382,7 +383,7 @@
     }
 
     /**
-     * What a node tells without a read: an end that its view shows, or a live job that it leads
+     * What a controller tells without a read: an end that its view shows, or a live job that it leads
      * ({@code LocalJobState.certainResponse}).
      */
     private static Integer certain(State s, int node, Fault fault) {
--- a/src/test/java/org/hollypick/model/CancellationModelTest.java
+++ b/src/test/java/org/hollypick/model/CancellationModelTest.java
@@ -16,7 +16,7 @@
  * service that comes and goes, a launch that is held up, reports and answers lost, late or doubled, a write whose
  * answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone in time once anybody was
  * told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The
- * first controller launched the task; its state session is the one that counts. Times are in ticks; drift is
+ * first controller launched the task; its store session is the one that counts. Times are in ticks; drift is
  * {@code WorkerLeasesTest}'s matter.
  */
 class CancellationModelTest {
@@ -58,7 +58,7 @@
         int now;
         boolean up = true;
         /**
-         * Until when the first one counts on its state session, the service does, and its promise from the second
+         * Until when the first one counts on its store session, the service does, and its promise from the second
          * lasts.
          */
         int holdUntil = HOLD;
@@ -67,7 +67,9 @@
         int promisedUntil = NEVER;
         boolean holdGone;
         int leaderRecord = FIRST;
-        /** Until when the second one may have renewed the lease, or the first one and whoever keeps leases under it. */
+        /**
+         * Until when the second one may have renewed the lease, or the first one and whoever renews leases under it.
+         */
         int renewedUntil = NEVER;
 
         boolean secondFollowsAFence;
--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/LimitModelTest.java
@@ -69,7 +69,7 @@
         RAN_CANCELLED
     }
 
-    /** A machine with its worker, the messages on their way from and to it, and what the present leader knows of it. */
+    /** A machine with its agent, the messages on their way from and to it, and what the present leader knows of it. */
     private static final class Machine implements Cloneable {
         boolean sessionOver;
         int there;
@@ -297,7 +297,7 @@
         s.found = s.settled ? 0 : s.found;
     }
 
-    // ---- the workers ----
+    // ---- the agents ----
 
     private static void worker(State s, int i, Fault fault, Successors<State> to) {
         Machine m = s.machines[i];
@@ -382,7 +382,7 @@
                     s.next(t -> t.copy = new Copy(i, m.reportTasks, m.reportDone)));
         }
         if (s.copy != null && s.copy.machine == i && s.leader == SECOND) {
-            // Its worker waits for no answer to it any more. Once the machine was heard of, a copy is no word.
+            // Its agent waits for no answer to it any more. Once the machine was heard of, a copy is no word.
             to.add("the copy reaches the leader", s.next(t -> {
                 take(t, i, s.copy.tasks, s.copy.done, FIRST, fault);
                 t.copy = null;
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -53,7 +53,7 @@
         int leader = FIRST;
         int termStart;
 
-        // the machine and its worker
+        // the machine and its agent
         boolean up;
         boolean over;
         boolean there;
@@ -252,7 +252,7 @@
         }
     }
 
-    // ---- the worker ----
+    // ---- the agent ----
 
     private static void worker(State s, Successors<State> to) {
         if (!s.up || s.over) {
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -120,7 +120,7 @@
         return false;
     }
 
-    /** Any reading of the epoch seems to say that this node's copy of the records is fresh. */
+    /** Any reading of the epoch seems to say that this controller's copy of the records is fresh. */
     @Test
     void checkerDetectsAnswersFromMemoryWithoutTheRevision() {
         Response old = new Response(404, Codec.object().put("epoch", 0));
@@ -170,7 +170,7 @@
     }
 
     /**
-     * The state service's answers, the watches' too, take up to that much longer, and some to transactions are lost.
+     * The key-value store's answers, the watches' too, take up to that much longer, and some to transactions are lost.
      */
     private static ClusterScenario slow(int seed, int byMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -136,7 +136,7 @@
         return day.advance(45_000);
     }
 
-    /** Jobs are cancelled every 120 ms while the lead goes over and, from whoever has it then, over again or back. */
+    /** Jobs are cancelled every 120 ms while leadership goes over and, from whoever has it then, over again or back. */
     @Test
     void jobsCancelledWhileTheWorkChangesHands() {
         for (int seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -44,7 +44,7 @@
     /**
      * The gap: a cancellation is carried out and its answer to the leader lost; another controller, whose records show
      * it, tells the user; then the service is down for all for longer than a cancelled task has, while the leader goes
-     * on by the promises of the others and answers the workers.
+     * on by the lease grants of the others and answers the agents.
      */
     @Test
     void aCancellationConfirmedByAnotherControllerHoldsThoughTheLeaderCannotKnow() {
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Cancelled through the new leader; the old one, which workers and users still reach, keeps leases for a while, and
+     * Cancelled through the new leader; the old one, which agents and users still reach, renews leases for a while, and
      * knows nothing of that.
      */
     @Test
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Tasks of a small job end far apart, and the lead changes again and again in between: none runs a second time, and
-     * each job is done.
+     * Tasks of a small job end far apart, and leadership changes again and again in between: none runs a second time,
+     * and each job is done.
      */
     @Test
     void tasksThatEndFarApartAreDoneForEveryLeader() {
@@ -312,7 +312,7 @@
     }
 
     /**
-     * Copies of reports, of earlier sessions and lives too, at any controller, before and after a change of the lead.
+     * Copies of reports, of earlier sessions and lives too, at any controller, before and after a change of leadership.
      */
     @Test
     void staleHeartbeatsAreIgnoredByEveryLeader() {
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * More machines than a controller has sockets, and less processor time than a takeover would like
+ * More machines than a controller has sockets, and less processor time than a failover would like
  * (docs/incidents/storm.md).
  */
 class ConnectionStormTest {
@@ -97,7 +97,7 @@
     }
 
     /**
-     * One after the other, the state service away in between, and a leader that stands still: as many changes of lead
+     * One after the other, the key-value store away in between, and a leader that stands still: as many changes of lead
      * as there are faults, at most.
      */
     @Test
@@ -132,8 +132,8 @@
     }
 
     /**
-     * As it was: a call that this node had no socket for counts like a machine's silence, and no other controller is
-     * asked.
+     * As it was: a call that this controller had no socket for counts like a machine's silence, and no other controller
+     * is asked.
      */
     @Test
     void aLackTakenForSilenceCostsGoodMachines() {
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A graph as large as graphs may be: it fits the state service's limits, leases are renewed meanwhile, and a successor
- * finds where it stands.
+ * A graph as large as graphs may be: it fits the key-value store's limits, leases are renewed meanwhile, and a
+ * successor finds where it stands.
  */
 class GraphSizeTest {
     private static final int NODES = 100_000;
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -147,7 +147,7 @@
             }
             nodeOf.put(task, name);
             accepted.add(name);
-            // what a worker fetches: the node's fields, and the call's for the rest
+            // what an agent fetches: the node's fields, and the call's for the rest
             ObjectNode description = call.path("task").deepCopy();
             description.setAll((ObjectNode) n);
             scenario.checker.tasks.graphNodes.put(task, description);
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -80,7 +80,7 @@
     }
 
     /**
-     * The leader is back before anyone has missed it, and ends its earlier self's state session: not before the others
+     * The leader is back before anyone has missed it, and ends its earlier self's store session: not before the others
      * have dropped what that one answered.
      */
     @Test
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Without the others' word, and without the wait, a restarted node would end a state session that answers under way
+     * Without the others' word, and without the wait, a restarted node would end a store session that answers under way
      * still rest on.
      */
     @Test
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -12,7 +12,7 @@
 
 /**
  * Machines whose reports arrive while nothing reaches them, copies of reports that come late, machines that are back at
- * once (docs/hearing.md).
+ * once (docs/heartbeat-validity.md).
  */
 class InboundReachabilityTest {
     private static final long LEASE_MS = 15_000;
@@ -68,7 +68,7 @@
     }
 
     /**
-     * A worker that begins again within its lease, its counts going on, has a whole lease from that beginning. Its
+     * An agent that begins again within its lease, its counts going on, has a whole lease from that beginning. Its
      * reports don't arrive, direct commands do: what was launched there by one is waited for until that lease is over,
      * not only until the one that the leader last renewed.
      */
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -49,8 +49,7 @@
     }
 
     /**
-     * An outage longer than state session and worker lease: the others' promises let the leader go on answering
-     * reports.
+     * An outage longer than store session and agent lease: the others' promises let the leader go on answering reports.
      */
     @Test
     void runningWorkSurvivesALongOutageOfTheStateService() {
@@ -92,7 +91,7 @@
         }
     }
 
-    /** A leader that no machine reaches kept its lead, and the leases of all of them ran out. */
+    /** A leader that no machine reaches kept its leadership, and the leases of all of them ran out. */
     @Test
     void aLeaderPartitionedFromTheMachinesIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
@@ -107,7 +106,7 @@
     }
 
     /**
-     * A leader that alone can't reach the state service was replaced, after a state session's time without a leader,
+     * A leader that alone can't reach the key-value store was replaced, after a store session's time without a leader,
      * though another one reaches it.
      */
     @Test
@@ -126,7 +125,7 @@
         scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isAccepted(id), id));
     }
 
-    /** It was promised the lead on and on, and took no new jobs: with no way by another one either it is replaced. */
+    /** It was promised leadership on and on, and took no new jobs: with no way by another one either it is replaced. */
     @Test
     void aLeaderWithoutAnyWayToTheStateServiceIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
@@ -179,7 +178,7 @@
         assertTrue(noticed);
     }
 
-    /** If state sessions end before their time, a deposed leader still answers, from what was true once. */
+    /** If store sessions end before their time, a deposed leader still answers, from what was true once. */
     @Test
     void checkerDetectsAStoreSessionThatExpiresEarly() {
         boolean noticed = false;
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -15,7 +15,10 @@
 import org.hollypick.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
-/** Cuts that leave some links up (docs/links.md): wherever there is a way by at most one peer, work goes on. */
+/**
+ * Cuts that leave some links up (docs/partial-connectivity.md): wherever there is a way by at most one peer, work goes
+ * on.
+ */
 class LinkPatternsTest {
     private static final long CUT_MS = 40_000;
     /**
@@ -131,8 +134,8 @@
     }
 
     /**
-     * A leader whose links to the machines come and go every few seconds: each change of the lead is work for all that
-     * remain.
+     * A leader whose links to the machines come and go every few seconds: each change of leadership is work for all
+     * that remain.
      */
     @Test
     void flappingLinksCauseFewFailovers() {
@@ -166,8 +169,8 @@
     }
 
     /**
-     * Two controllers cut from the machines, one of them the leader: the lead goes straight to the third, and within a
-     * second of being given up.
+     * Two controllers cut from the machines, one of them the leader: leadership goes straight to the third, and within
+     * a second of being given up.
      */
     @Test
     void leadershipMovesToTheControllerThatReachesTheMachines() {
--- a/src/test/java/org/hollypick/sim/LoopbackTest.java
+++ b/src/test/java/org/hollypick/sim/LoopbackTest.java
@@ -297,8 +297,8 @@
     }
 
     /**
-     * A node that fails on every machine is tried again with growing waits, then takes along what needs it, or the
-     * whole graph if its client wants so.
+     * A controller that fails on every machine is tried again with growing waits, then takes along what needs it, or
+     * the whole graph if its client wants so.
      */
     @Test
     void aNodeThatAlwaysFailsTakesAlongWhatItsClientSays() {
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -12,7 +12,9 @@
 import org.hollypick.io.Codec;
 import org.junit.jupiter.api.Test;
 
-/** Many jobs of one task each: two changes of the state service for each of them, whose number a second is limited. */
+/**
+ * Many jobs of one task each: two changes of the key-value store for each of them, whose number a second is limited.
+ */
 class OneTaskJobsTest {
     private static final int JOBS = 120;
     private static final long OUTAGE_MS = 30_000;
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -29,7 +29,7 @@
     private static final int SEEDS = Integer.getInteger("partition.days", 3);
     /** Days of which a faulty variant has to be noticed on one. */
     private static final int FAULTY_SEEDS = 6;
-    /** Longer than a worker's lease. */
+    /** Longer than an agent's lease. */
     private static final long CUT_MS = 25_000;
     /** Longer than a cancelled task has. */
     private static final long OUTAGE_MS = 50_000;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * A controller that kept leases in a cut zone ends and is back within a fifth of a second, without knowing what it
-     * kept; the cut ends, and the zone's machines hang. The leader takes none of their leases for over before it is.
+     * A controller that renewed leases in a cut zone ends and is back within a fifth of a second, without knowing what
+     * it kept; the cut ends, and the zone's machines hang. The leader takes none of their leases for over before it is.
      */
     @Test
     void whatAnEarlierLifeOfAControllerKeptIsReckonedWith() {
@@ -261,7 +261,7 @@
         keepsTheRules(seed -> tenChanges(seed, 1));
     }
 
-    /** Another one leads while the one before is still sure of its state session. */
+    /** Another one leads while the one before is still sure of its store session. */
     @Test
     void checkerDetectsStoreSessionsThatExpireEarly() {
         notices("without_right", seed -> tenChanges(seed, 0.3));
@@ -285,8 +285,8 @@
     }
 
     /**
-     * Users cancel at the moment at which the state service refuses the leader alone, or answers slowly, and it is out
-     * for all a second later; they go on asking.
+     * Users cancel at the moment at which the key-value store refuses the leader alone, or answers slowly, and it is
+     * out for all a second later; they go on asking.
      */
     @Test
     void jobsAreCancelledAsTheStateServiceRefusesTheLeader() {
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone cut off from everything, with controllers in it and outside; workers' leases last 15 s, and a cancelled task
+ * A zone cut off from everything, with controllers in it and outside; agents' leases last 15 s, and a cancelled task
  * has 35 s.
  */
 class PartitionedLeaseRenewalTest {
@@ -66,7 +66,9 @@
         survives(led(3, 2, NEW));
     }
 
-    /** The successor may not take kept leases for ended ones, and finds what runs before it starts anything twice. */
+    /**
+     * The successor may not take renewed leases for ended ones, and finds what runs before it starts anything twice.
+     */
     @Test
     void workInACutZoneOutlivesTheLeadersCrash() {
         ClusterScenario scenario = led(3, 0, NEW);
@@ -75,8 +77,8 @@
     }
 
     /**
-     * The team is at its limit, a zone is partitioned, and another one leads: for as long as leases may be kept there,
-     * nothing was started, though half of the machines were heard.
+     * The team is at its limit, a zone is partitioned, and another one leads: for as long as leases may be renewed
+     * there, nothing was started, though half of the machines were heard.
      */
     @Test
     void aTeamAtItsLimitGoesOnWhileAZoneIsPartitioned() {
@@ -141,7 +143,7 @@
         return scenario;
     }
 
-    /** One that keeps leases for longer keeps tasks alive whose cancellation was told long ago. */
+    /** One that renews leases for longer keeps tasks alive whose cancellation was told long ago. */
     @Test
     void checkerDetectsLeasesHeldForTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy =
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -28,7 +28,7 @@
 /** Jobs that await others, limits that tighten, and the version in production beside the present one. */
 class PipelinesTest {
     private static final int DAYS = 200;
-    /** What a state service may come down to. */
+    /** What a key-value store may come down to. */
     private static final StoreLimits TIGHT = new StoreLimits(2_048, 4, 25);
 
     private static final BiFunction<EventLoop, Settings, Controller> NEW =
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Whether some of the drawn days breaks a rule whose name begins so. */
+    /** Whether some of the random scenarios breaks a rule whose name begins so. */
     private static boolean breaks(
             String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 60; seed++) {
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A controller that stands still while its clocks run on, longer than its state session, between a decision and the
+ * A controller that stands still while its clocks run on, longer than its store session, between a decision and the
  * sending of what was decided.
  */
 class ProcessPauseTest {
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Ends one upon the other, in the milliseconds before and after each start, with the state service slow to come
+     * Ends one upon the other, in the milliseconds before and after each start, with the key-value store slow to come
      * back.
      */
     @Test
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -18,7 +18,7 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** How one controller shares out its part of the state service's limits among its own requests. */
+/** How one controller shares out its part of the key-value store's limits among its own requests. */
 class KeyValueStoreClientTest {
     private static final long ANSWER_MS = 10;
     private static final double REQUESTS_PER_SECOND = 120;
@@ -27,7 +27,7 @@
     private static final double LEAST = 10;
     private static final int SECONDS = 30;
 
-    /** A state service that executes every request after a few milliseconds, and a clock. */
+    /** A key-value store that executes every request after a few milliseconds, and a clock. */
     private static final class Service implements EventLoop {
         private record Task(long at, long number, Runnable run) {}
 
