--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -104,7 +104,7 @@
         if (firstOfTerm) {
             firstHeartbeatReceived(machine, heartbeat);
         }
-        scheduler.heartbeatBalancer().reported(machine.id, relay, now);
+        scheduler.heartbeatBalancer().heartbeatReceived(machine.id, relay, now);
         if (scheduler.outbox().takeFreedRoom(machine)) {
             scheduler.scheduleOn(machine, now);
         }
@@ -163,7 +163,7 @@
 
     private ServerResponse respond(Machine machine, List<Command> commands, String relay, long now) {
         String otherRelay = commands.isEmpty() && machine.reconciled()
-                ? scheduler.heartbeatBalancer().elsewhere(relay, now)
+                ? scheduler.heartbeatBalancer().redirectFrom(relay, now)
                 : null;
         if (otherRelay != null) {
             return HeartbeatRelayCodec.redirect(otherRelay);
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -193,8 +193,8 @@
         if (assignment.hasRun()) {
             scheduler.estimates().observe(assignment.spec, assignment.machine.id, runtimeS, false);
         }
-        for (Job mover : Tyrex.movers(scheduler.jobs())) {
-            mover.moveToSecondPartition();
+        for (Job demoted : Tyrex.selectJobsToDemote(scheduler.jobs())) {
+            demoted.moveToSecondPartition();
         }
     }
 
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -305,7 +305,7 @@
     public void markTerminated(String id) {
         Machine machine = machines.remove(id);
         terminatedMachines.add(id);
-        heartbeatBalancer.terminated(id);
+        heartbeatBalancer.removeMachine(id);
         if (machine != null) {
             assignments.removeAll(machine);
             outbox.discard(machine);
--- a/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -5,91 +5,126 @@
 import org.hollypick.config.constants.RelayConstants;
 
 /**
- * Which controller each machine reports to, and whether it should go to another: only while shares are far from even,
- * and few at a time, since each move costs a report. The leader, which has everything else to do, takes a smaller part.
- * Pure; the leader's.
+ * Spreads the agents' heartbeats over the controllers. Knows which controller each machine sends its heartbeats to, and
+ * redirects machines of a controller that has far more than its share: a few a second, since each redirect costs a
+ * heartbeat. The leader, which also schedules, gets a smaller share than the others. All times are milliseconds of the
+ * event loop's clock. Used by the leader only; confined to the event loop.
  */
 public final class HeartbeatBalancer {
     private final String leader;
-    /** Who reports where. */
-    private final Map<String, String> via = new HashMap<>();
+    /** The controller that received a machine's last heartbeat, by machine id. */
+    private final Map<String, String> controllerOfMachine = new HashMap<>();
 
-    private final Map<String, Integer> counts = new HashMap<>();
-    /** When each controller last handed on a report. */
-    private final Map<String, Long> seen = new HashMap<>();
+    /** Machines by the controller that received their last heartbeat. */
+    private final Map<String, Integer> machineCounts = new HashMap<>();
+    /** When each controller was last known to relay heartbeats. */
+    private final Map<String, Long> relayedAtMillis = new HashMap<>();
 
-    private double moves;
-    private long movesAt;
+    /** Redirects that may be given now: a token bucket that is refilled when a controller has too many machines. */
+    private double redirectBudget;
 
-    public HeartbeatBalancer(String leader, long now) {
+    private long budgetRefilledAtMillis;
+
+    /**
+     * Starts without machines.
+     *
+     * @param leader the name of this controller
+     */
+    public HeartbeatBalancer(String leader, long nowMillis) {
         this.leader = leader;
-        this.movesAt = now;
+        this.budgetRefilledAtMillis = nowMillis;
     }
 
-    /** Another controller is there and hands on reports. */
-    public void alive(String node, long now) {
-        seen.put(node, now);
+    /** Records that a controller relays heartbeats, whether or not it has a machine. */
+    public void relayConfirmedLive(String controller, long nowMillis) {
+        relayedAtMillis.put(controller, nowMillis);
     }
 
-    /** A report of that machine came through that controller. */
-    public void reported(String machine, String node, long now) {
-        seen.put(node, now);
-        String before = via.put(machine, node);
-        if (!node.equals(before)) {
-            if (before != null) {
-                counts.merge(before, -1, Integer::sum);
+    /** Records that a machine's heartbeat arrived through a controller. */
+    public void heartbeatReceived(String machineId, String controller, long nowMillis) {
+        relayedAtMillis.put(controller, nowMillis);
+        String previous = controllerOfMachine.put(machineId, controller);
+        if (!controller.equals(previous)) {
+            if (previous != null) {
+                machineCounts.merge(previous, -1, Integer::sum);
             }
-            counts.merge(node, 1, Integer::sum);
+            machineCounts.merge(controller, 1, Integer::sum);
         }
     }
 
-    public void terminated(String machine) {
-        String before = via.remove(machine);
-        if (before != null) {
-            counts.merge(before, -1, Integer::sum);
+    /** Forgets a terminated machine. */
+    public void removeMachine(String machineId) {
+        String previous = controllerOfMachine.remove(machineId);
+        if (previous != null) {
+            machineCounts.merge(previous, -1, Integer::sum);
         }
     }
 
-    public int count(String node) {
-        return counts.getOrDefault(node, 0);
-    }
-
-    private static double weight(String node, String leader) {
-        return node.equals(leader) ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1;
+    /** The number of machines whose last heartbeat arrived through this controller. */
+    public int machineCount(String controller) {
+        return machineCounts.getOrDefault(controller, 0);
     }
 
-    /** Where the machine that just reported through {@code node} should report from now on, or null: where it does. */
-    public String elsewhere(String node, long now) {
-        double weights = weight(leader, leader);
-        int total = count(leader);
-        for (Map.Entry<String, Long> e : seen.entrySet()) {
-            if (!e.getKey().equals(leader) && now - e.getValue() < RelayConstants.RELAY_ALIVE_MS) {
-                weights += 1;
-                total += count(e.getKey());
+    /**
+     * Chooses where a machine whose heartbeat just arrived through {@code controller} has to send the next ones. A
+     * redirect counts against the redirects of this second.
+     *
+     * @return null if it stays with its controller
+     */
+    public String redirectFrom(String controller, long nowMillis) {
+        double totalWeight = weight(leader);
+        int totalMachines = machineCount(leader);
+        for (String other : relayedAtMillis.keySet()) {
+            if (!other.equals(leader) && relays(other, nowMillis)) {
+                totalWeight += 1;
+                totalMachines += machineCount(other);
             }
         }
-        double target = total / weights;
-        if (count(node)
-                <= target * weight(node, leader) * RelayConstants.UNBALANCED_RATIO
-                        + RelayConstants.UNBALANCED_MACHINES) {
+        double machinesPerWeight = totalMachines / totalWeight;
+        if (!isOverloaded(controller, machinesPerWeight)) {
             return null;
         }
-        String least = null;
-        double filled = 1;
-        for (Map.Entry<String, Long> e : seen.entrySet()) {
-            double share = count(e.getKey()) / Math.max(1, target * weight(e.getKey(), leader));
-            if (!e.getKey().equals(node) && share < filled && now - e.getValue() < RelayConstants.RELAY_ALIVE_MS) {
-                least = e.getKey();
-                filled = share;
-            }
-        }
-        double rate = Math.max(1, total * RelayConstants.REBALANCED_SHARE);
-        moves = Math.min(rate, moves + rate * (now - movesAt) / 1000.0);
-        movesAt = now;
-        if (least == null || moves < 1) {
+        String target = leastLoadedExcept(controller, machinesPerWeight, nowMillis);
+        refillBudget(totalMachines, nowMillis);
+        if (target == null || redirectBudget < 1) {
             return null;
         }
-        moves--;
-        return least;
+        redirectBudget--;
+        return target;
+    }
+
+    private double weight(String controller) {
+        return controller.equals(leader) ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1;
+    }
+
+    private boolean relays(String controller, long nowMillis) {
+        return nowMillis - relayedAtMillis.get(controller) < RelayConstants.RELAY_ALIVE_MS;
+    }
+
+    private boolean isOverloaded(String controller, double machinesPerWeight) {
+        return machineCount(controller)
+                > machinesPerWeight * weight(controller) * RelayConstants.UNBALANCED_RATIO
+                        + RelayConstants.UNBALANCED_MACHINES;
+    }
+
+    /** The other controller that is furthest below its share, or null if none is below it. */
+    private String leastLoadedExcept(String controller, double machinesPerWeight, long nowMillis) {
+        String leastLoaded = null;
+        double lowestLoad = 1;
+        for (String other : relayedAtMillis.keySet()) {
+            double load = machineCount(other) / Math.max(1, machinesPerWeight * weight(other));
+            if (!other.equals(controller) && load < lowestLoad && relays(other, nowMillis)) {
+                leastLoaded = other;
+                lowestLoad = load;
+            }
+        }
+        return leastLoaded;
+    }
+
+    private void refillBudget(int totalMachines, long nowMillis) {
+        double redirectsPerSecond = Math.max(1, totalMachines * RelayConstants.REBALANCED_SHARE);
+        double refill = redirectsPerSecond * (nowMillis - budgetRefilledAtMillis) / 1000.0;
+        redirectBudget = Math.min(redirectsPerSecond, redirectBudget + refill);
+        budgetRefilledAtMillis = nowMillis;
     }
 }
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -4,99 +4,124 @@
 import java.util.OptionalDouble;
 import org.hollypick.config.constants.SchedulingConstants;
 
-/** The balanced cutoff of the paper's section IV-D. */
+/**
+ * The balanced cutoff of section IV-D of the Tyrex paper: the job size that splits the work of all jobs into two parts
+ * of the same relative variation. "Squared variation" stands for the squared coefficient of variation, the variance
+ * over the squared mean. Stateless.
+ */
 public final class Cutoff {
-    private Cutoff() {}
+    /** Halvings of the interval that holds the cutoff: after these it is as narrow as a double allows. */
+    private static final int BISECTION_STEPS = 60;
 
-    /** Squared coefficient of variation: variance over squared mean; 0 for no variation, NaN without a mean. */
-    public static double cv2(double sum, double squares, int n) {
-        double mean = sum / n;
-        return Math.max(0, squares / n - mean * mean) / (mean * mean);
-    }
+    /** Distance from the ends of a gap, as a share of a search step: at the ends the variations aren't smooth. */
+    private static final double OPEN_END_SHARE = 1e-6;
+
+    private Cutoff() {}
 
-    public static double cv2(double[] sizes) {
+    /** The squared variation of some sizes: 0 if they are all equal, NaN if their mean is 0. */
+    public static double squaredVariation(double[] sizes) {
         double sum = 0;
-        double squares = 0;
-        for (double s : sizes) {
-            sum += s;
-            squares += s * s;
+        double sumOfSquares = 0;
+        for (double size : sizes) {
+            sum += size;
+            sumOfSquares += size * size;
         }
-        return cv2(sum, squares, sizes.length);
+        return squaredVariation(sum, sumOfSquares, sizes.length);
+    }
+
+    private static double squaredVariation(double sum, double sumOfSquares, int count) {
+        double mean = sum / count;
+        return Math.max(0, sumOfSquares / count - mean * mean) / (mean * mean);
     }
 
     /**
-     * The p at which min(size, p) and (size - p over sizes above p) have the same squared variation, if any. Between
-     * two neighbouring sizes both are smooth in p, so each gap is searched for a change of their difference's sign.
+     * The lowest cutoff at which min(size, cutoff) over all sizes and (size - cutoff) over the sizes above the cutoff
+     * have the same squared variation, if any. Between two neighbouring sizes both are smooth in the cutoff, so each
+     * gap is searched for a change of the sign of their difference.
      */
-    public static OptionalDouble balanced(double[] sizes) {
-        double[] x = sizes.clone();
-        Arrays.sort(x);
-        int n = x.length;
+    public static OptionalDouble findBalanced(double[] sizes) {
+        double[] sorted = sizes.clone();
+        Arrays.sort(sorted);
+        int count = sorted.length;
         double sum = 0;
-        double squares = 0;
-        for (double v : x) {
-            sum += v;
-            squares += v * v;
+        double sumOfSquares = 0;
+        for (double size : sorted) {
+            sum += size;
+            sumOfSquares += size * size;
         }
-        double below = 0;
-        double belowSquares = 0;
-        for (int i = 0; i < n - 1; i++) {
-            below += x[i];
-            belowSquares += x[i] * x[i];
-            double low = x[i];
-            double high = x[i + 1];
+        double sumBelow = 0;
+        double squaresBelow = 0;
+        for (int i = 0; i < count - 1; i++) {
+            sumBelow += sorted[i];
+            squaresBelow += sorted[i] * sorted[i];
+            double low = sorted[i];
+            double high = sorted[i + 1];
             if (high <= low) {
                 continue;
             }
-            int above = n - i - 1;
-            double meanAbove = (sum - below) / above;
-            // Shifting by p leaves the variance as it is. Equal sizes have none; the subtraction would leave noise
-            // there.
-            double varianceAbove =
-                    x[n - 1] == high ? 0 : Math.max(0, (squares - belowSquares) / above - meanAbove * meanAbove);
-            Gap gap = new Gap(n, above, below, belowSquares, meanAbove, varianceAbove);
-            OptionalDouble root = gap.root(low, high);
-            if (root.isPresent()) {
-                return root;
+            int countAbove = count - i - 1;
+            double meanAbove = (sum - sumBelow) / countAbove;
+            // Subtracting the cutoff leaves the variance as it is. Equal sizes have none, where the difference of the
+            // sums would leave a rounding error.
+            double varianceAbove = sorted[count - 1] == high
+                    ? 0
+                    : Math.max(0, (sumOfSquares - squaresBelow) / countAbove - meanAbove * meanAbove);
+            Gap gap = new Gap(count, countAbove, sumBelow, squaresBelow, meanAbove, varianceAbove);
+            OptionalDouble cutoff = gap.findCutoff(low, high);
+            if (cutoff.isPresent()) {
+                return cutoff;
             }
         }
         return OptionalDouble.empty();
     }
 
-    /** The sums needed to evaluate both variations for any p inside one gap. */
-    private record Gap(int size, int above, double below, double belowSquares, double meanAbove, double varianceAbove) {
-        double difference(double p) {
-            double left = cv2(below + above * p, belowSquares + above * p * p, size);
-            double right = varianceAbove / ((meanAbove - p) * (meanAbove - p));
-            return left - right;
+    /**
+     * A gap between two neighbouring sizes, with the sums from which both variations follow for any cutoff inside it.
+     *
+     * @param count all sizes
+     * @param countAbove the sizes above the gap
+     * @param sumBelow the sum of the sizes below it
+     * @param squaresBelow the sum of their squares
+     * @param meanAbove the mean of the sizes above it
+     * @param varianceAbove the variance of these
+     */
+    private record Gap(
+            int count, int countAbove, double sumBelow, double squaresBelow, double meanAbove, double varianceAbove) {
+        /** The squared variation of the parts below the cutoff less that of the parts above it. */
+        double difference(double cutoff) {
+            double variationBelow = squaredVariation(
+                    sumBelow + countAbove * cutoff, squaresBelow + countAbove * cutoff * cutoff, count);
+            double variationAbove = varianceAbove / ((meanAbove - cutoff) * (meanAbove - cutoff));
+            return variationBelow - variationAbove;
         }
 
-        /** The first sign change between the open ends; a gap can hold two, so it is looked through in steps. */
-        OptionalDouble root(double low, double high) {
+        /** The first sign change between the open ends. A gap can hold two, so it is searched in steps. */
+        OptionalDouble findCutoff(double low, double high) {
             double step = (high - low) / SchedulingConstants.CUTOFF_SEARCH_STEPS;
-            double a = low + step * 1e-6;
-            double fa = difference(a);
-            for (int k = 1; k <= SchedulingConstants.CUTOFF_SEARCH_STEPS; k++) {
-                double b = k == SchedulingConstants.CUTOFF_SEARCH_STEPS ? high - step * 1e-6 : low + k * step;
-                double fb = difference(b);
-                if (fa < 0 != fb < 0) {
-                    return OptionalDouble.of(bisect(a, b, fa < 0));
+            double left = low + step * OPEN_END_SHARE;
+            double differenceAtLeft = difference(left);
+            for (int i = 1; i <= SchedulingConstants.CUTOFF_SEARCH_STEPS; i++) {
+                double right =
+                        i == SchedulingConstants.CUTOFF_SEARCH_STEPS ? high - step * OPEN_END_SHARE : low + i * step;
+                double differenceAtRight = difference(right);
+                if (differenceAtLeft < 0 != differenceAtRight < 0) {
+                    return OptionalDouble.of(bisect(left, right, differenceAtLeft < 0));
                 }
-                a = b;
-                fa = fb;
+                left = right;
+                differenceAtLeft = differenceAtRight;
             }
             return OptionalDouble.empty();
         }
 
-        private double bisect(double a, double b, boolean negativeAtA) {
-            double low = a;
-            double high = b;
-            for (int k = 0; k < 60; k++) {
-                double mid = (low + high) / 2;
-                if (difference(mid) < 0 == negativeAtA) {
-                    low = mid;
+        private double bisect(double left, double right, boolean negativeAtLeft) {
+            double low = left;
+            double high = right;
+            for (int i = 0; i < BISECTION_STEPS; i++) {
+                double middle = (low + high) / 2;
+                if (difference(middle) < 0 == negativeAtLeft) {
+                    low = middle;
                 } else {
-                    high = mid;
+                    high = middle;
                 }
             }
             return (low + high) / 2;
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -7,38 +7,43 @@
 import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.Job;
 
-/** The dynamic-timer policy: at a task's completion, jobs above the balanced cutoff move on. */
+/**
+ * The dynamic-timer policy of the Tyrex paper: when a task completes, the jobs whose attained service exceeds the
+ * balanced {@linkplain Cutoff cutoff} are demoted from the first queue partition to the second, so that large jobs
+ * don't delay small ones. Stateless.
+ */
 public final class Tyrex {
     private Tyrex() {}
 
     /**
-     * The jobs that move from the first partition to the second now. Exception to the design (docs/design.md, "jobs
-     * that fail everywhere"): their sizes stay zero for as long as their users leave them, and aren't counted.
+     * The jobs that have to move from the first partition to the second now, in the order of {@code jobs}. Exception to
+     * the design (docs/design.md, "jobs that fail everywhere"): the sizes of such jobs stay zero until their users act,
+     * so they aren't counted.
      */
-    public static List<Job> movers(Collection<Job> jobs) {
-        List<Job> first = new ArrayList<>();
-        int nonzero = 0;
+    public static List<Job> selectJobsToDemote(Collection<Job> jobs) {
+        List<Job> firstPartition = new ArrayList<>();
+        int jobsWithService = 0;
         for (Job job : jobs) {
             if (job.isLive() && job.ready() && !job.inSecondPartition() && !job.failsEverywhere()) {
-                first.add(job);
+                firstPartition.add(job);
                 if (job.attainedServiceS() > 0) {
-                    nonzero++;
+                    jobsWithService++;
                 }
             }
         }
-        if (nonzero < 2) {
+        if (jobsWithService < 2) {
             return List.of();
         }
-        double[] sizes = first.stream().mapToDouble(j -> j.attainedServiceS()).toArray();
-        if (!(Cutoff.cv2(sizes) > SchedulingConstants.UNBALANCED_CV2)) {
+        double[] sizes =
+                firstPartition.stream().mapToDouble(Job::attainedServiceS).toArray();
+        if (!(Cutoff.squaredVariation(sizes) > SchedulingConstants.UNBALANCED_CV2)) {
             return List.of();
         }
-        OptionalDouble cutoff = Cutoff.balanced(sizes);
+        OptionalDouble cutoff = Cutoff.findBalanced(sizes);
         if (cutoff.isEmpty()) {
             return List.of();
         }
-        double p = cutoff.getAsDouble();
-        first.removeIf(j -> j.attainedServiceS() <= p);
-        return first;
+        firstPartition.removeIf(job -> job.attainedServiceS() <= cutoff.getAsDouble());
+        return firstPartition;
     }
 }
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -209,9 +209,9 @@
             job.restoreAttainedService(ran[i]);
             jobs.add(job);
         }
-        assertEquals(6.2, Cutoff.balanced(ran).orElse(0), 0.1);
-        assertEquals(3, Tyrex.movers(jobs).size(), "with them all three that ran are moved");
+        assertEquals(6.2, Cutoff.findBalanced(ran).orElse(0), 0.1);
+        assertEquals(3, Tyrex.selectJobsToDemote(jobs).size(), "with them all three that ran are moved");
         jobs.subList(3, 7).forEach(j -> j.failedMachines.addAll(List.of("n-1", "n-2", "n-3")));
-        assertEquals(List.of(), Tyrex.movers(jobs));
+        assertEquals(List.of(), Tyrex.selectJobsToDemote(jobs));
     }
 }
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -57,9 +57,9 @@
         }
     }
 
-    /** Machines that follow what they are told end evenly spread, and then none moves any more: no ping-pong. */
+    /** Machines that follow their redirects end evenly spread, and then none is redirected any more: no ping-pong. */
     @Property(tries = 100, seed = "20261201")
-    void sharesBecomeEvenAndStaySo(
+    void sharesBecomeEvenAndStayEven(
             @ForAll long seed,
             @ForAll @IntRange(min = 3, max = 600) int machines,
             @ForAll @IntRange(min = 2, max = 5) int nodes) {
@@ -69,16 +69,16 @@
         for (int m = 0; m < machines; m++) {
             at[m] = names.get(random.nextInt(1 + random.nextInt(nodes)));
         }
-        HeartbeatBalancer reportBalancer = new HeartbeatBalancer("n0", 0);
+        HeartbeatBalancer heartbeatBalancer = new HeartbeatBalancer("n0", 0);
         int moved = 0;
         for (long t = 0; t < 400_000; t += 1_000) {
             int before = moved;
             for (String n : names) {
-                reportBalancer.alive(n, t);
+                heartbeatBalancer.relayConfirmedLive(n, t);
             }
             for (int m = 0; m < machines; m++) {
-                reportBalancer.reported("m" + m, at[m], t);
-                String to = reportBalancer.elsewhere(at[m], t);
+                heartbeatBalancer.heartbeatReceived("m" + m, at[m], t);
+                String to = heartbeatBalancer.redirectFrom(at[m], t);
                 if (to != null) {
                     at[m] = to;
                     moved++;
@@ -88,30 +88,30 @@
             assertTrue(t < 300_000 || moved == before, "it has settled");
         }
         assertTrue(moved <= machines, "no machine moves again and again");
-        int total = names.stream().mapToInt(reportBalancer::count).sum();
+        int total = names.stream().mapToInt(heartbeatBalancer::machineCount).sum();
         assertEquals(machines, total);
         for (String n : names) {
             double target = machines
                     / (nodes - 1 + RelayConstants.LEADER_HEARTBEAT_SHARE)
                     * (n.equals("n0") ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1);
             assertTrue(
-                    reportBalancer.count(n)
+                    heartbeatBalancer.machineCount(n)
                             <= target * RelayConstants.UNBALANCED_RATIO + RelayConstants.UNBALANCED_MACHINES,
-                    n + " has " + reportBalancer.count(n) + " of " + machines);
+                    n + " has " + heartbeatBalancer.machineCount(n) + " of " + machines);
         }
     }
 
-    /** A controller that hands nothing on any more is sent nothing. */
+    /** No machine is redirected to a controller that no longer relays heartbeats. */
     @Test
-    void nobodyIsSentToAControllerThatIsSilent() {
-        HeartbeatBalancer reportBalancer = new HeartbeatBalancer("a", 0);
+    void noMachineIsRedirectedToASilentController() {
+        HeartbeatBalancer heartbeatBalancer = new HeartbeatBalancer("a", 0);
         for (int m = 0; m < 100; m++) {
-            reportBalancer.reported("m" + m, "a", 0);
+            heartbeatBalancer.heartbeatReceived("m" + m, "a", 0);
         }
-        assertEquals(null, reportBalancer.elsewhere("a", 5_000));
-        reportBalancer.alive("b", 5_000);
-        assertEquals("b", reportBalancer.elsewhere("a", 6_000));
-        assertEquals(null, reportBalancer.elsewhere("a", 5_001 + RelayConstants.RELAY_ALIVE_MS));
+        assertEquals(null, heartbeatBalancer.redirectFrom("a", 5_000));
+        heartbeatBalancer.relayConfirmedLive("b", 5_000);
+        assertEquals("b", heartbeatBalancer.redirectFrom("a", 6_000));
+        assertEquals(null, heartbeatBalancer.redirectFrom("a", 5_001 + RelayConstants.RELAY_ALIVE_MS));
     }
 
     @Test
--- a/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
+++ b/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
@@ -45,7 +45,7 @@
         int none = 0;
         for (int n = 0; n < 400; n++) {
             double[] x = sample(random);
-            OptionalDouble cutoff = Cutoff.balanced(x);
+            OptionalDouble cutoff = Cutoff.findBalanced(x);
             double max = Arrays.stream(x).max().orElse(0);
             boolean changes = false;
             double before = Double.NaN;
@@ -76,8 +76,8 @@
 
     @Test
     void equalSizesHaveNoCutoff() {
-        assertFalse(Cutoff.balanced(new double[] {5, 5, 5}).isPresent());
-        assertFalse(Cutoff.balanced(new double[] {7}).isPresent());
-        assertFalse(Cutoff.balanced(new double[0]).isPresent());
+        assertFalse(Cutoff.findBalanced(new double[] {5, 5, 5}).isPresent());
+        assertFalse(Cutoff.findBalanced(new double[] {7}).isPresent());
+        assertFalse(Cutoff.findBalanced(new double[0]).isPresent());
     }
 }
