--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -90,7 +90,7 @@
                 && assignment.mayExist()
                 && AttemptNumbers.tokenOf(assignment.attempt) != scheduler.token()
                 && !scheduler.reconciliationWasComplete()) {
-            teamUsage.found(assignment.spec, assignment.attempt);
+            teamUsage.recordFoundTask(assignment.spec, assignment.attempt);
         }
     }
 
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -1,295 +1,264 @@
 package org.hollypick.core;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import org.hollypick.config.constants.ReconcileConstants;
 import org.hollypick.config.constants.SchedulingConstants;
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.core.placement.MachineSelector;
 
-/** Which job goes where next: the two Tyrex partitions, their order and their lending. */
+/**
+ * Decides which pending tasks start on which machines: the order of the jobs in the two Tyrex partitions, and what
+ * machines these lend each other. Times are milliseconds of the event loop's clock. Confined to the event loop.
+ */
 final class SchedulingCycle {
+    private static final Comparator<Job> ARRIVAL_ORDER =
+            (a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision);
     /**
      * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
-     * holds among jobs of one rank.
+     * holds among jobs of one priority.
      */
-    private static final Comparator<Job> ORDER = Comparator.<Job, JobSpec.Priority>comparing(j -> j.priority())
-            .thenComparing((a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision));
+    private static final Comparator<Job> SCHEDULING_ORDER =
+            Comparator.<Job, JobSpec.Priority>comparing(job -> job.priority()).thenComparing(ARRIVAL_ORDER);
 
     private final Scheduler scheduler;
-    private final double firstShare;
-    /** Jobs that wait, by partition, as of the last pass; a job that began to wait since then asks for another pass. */
-    private List<Job> firstJobs = List.of();
+    private final MachinePartitions partitions;
+    private final ServiceQuotaReservation quotaReservation;
+    /** Jobs of the first partition that had pending tasks in the last full cycle, in scheduling order. */
+    private List<Job> firstPartitionJobs = List.of();
+    /** Jobs of the second partition that had pending tasks in the last full cycle, in scheduling order. */
+    private List<Job> secondPartitionJobs = List.of();
+    /** How often {@link #scheduleOn} went through the jobs while there were several teams. */
+    private int singleMachineCycles;
+    /** Cores of all services, as of the last full cycle. */
+    private double allServiceCpus;
 
-    private List<Job> secondJobs = List.of();
-    /** Machines of the first partition that hold nothing. */
-    private int idleFirst;
-    /** Machines filled so far. */
-    private int fills;
-    /** When it was last looked which services wait for their team's limit alone. */
-    private long reservedAt = -ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
-    /** By team: how often its use had changed when that was last seen to change, and when that was. */
-    private final Map<String, UseSeen> usesSeen = new HashMap<>();
-    /** Cores of all services, as of the last pass. */
-    private double allServices;
-
-    private record UseSeen(long changes, long since) {}
-
-    SchedulingCycle(Scheduler scheduler, double firstShare) {
+    /** @param firstPartitionShare the part of the machines that the first partition has, from 0 to 1 */
+    SchedulingCycle(Scheduler scheduler, double firstPartitionShare) {
         this.scheduler = scheduler;
-        this.firstShare = firstShare;
+        this.partitions = new MachinePartitions(scheduler, firstPartitionShare);
+        this.quotaReservation = new ServiceQuotaReservation(scheduler.quotas());
     }
 
-    /** Everything that waits, over all machines. */
+    // ---- cycles ----
+
+    /** A full cycle: schedules all pending tasks over all machines. */
     void run(long now) {
-        partition();
-        firstJobs = new ArrayList<>();
-        secondJobs = new ArrayList<>();
-        boolean settled = scheduler.reconciliationComplete();
-        for (Job job : scheduler.jobs()) {
-            if (job.hasPendingTasks() && (settled || job.createdUnderToken == scheduler.token())) {
-                (job.inSecondPartition() ? secondJobs : firstJobs).add(job);
-            }
-        }
-        if (firstJobs.isEmpty() && secondJobs.isEmpty()) {
-            scheduler.quotas().usage().owesNothing();
+        partitions.rebalance();
+        collectPendingJobs();
+        if (firstPartitionJobs.isEmpty() && secondPartitionJobs.isEmpty()) {
+            scheduler.quotas().usage().clearReservations();
             return;
         }
-        firstJobs.sort(ORDER);
-        secondJobs.sort(ORDER);
-        countIdleFirst();
-        List<Machine> firstMachines = new ArrayList<>();
-        List<Machine> secondMachines = new ArrayList<>();
-        List<Machine> usable = new ArrayList<>();
-        allServices = 0;
-        for (Machine m : scheduler.machines()) {
-            allServices += m.serviceCpus();
-            if (MachineSelector.takesTasks(m, now)) {
-                usable.add(m);
-                (m.inFirstPartition ? firstMachines : secondMachines).add(m);
+        partitions.countIdleMachines();
+        List<Machine> firstPartitionMachines = new ArrayList<>();
+        List<Machine> secondPartitionMachines = new ArrayList<>();
+        List<Machine> machines = new ArrayList<>();
+        allServiceCpus = 0;
+        for (Machine machine : scheduler.machines()) {
+            allServiceCpus += machine.serviceCpus();
+            if (MachineSelector.takesTasks(machine, now)) {
+                machines.add(machine);
+                (machine.inFirstPartition ? firstPartitionMachines : secondPartitionMachines).add(machine);
             }
         }
-        reserve(usable, now);
-        for (Job job : secondJobs) {
+        quotaReservation.renew(secondPartitionJobs, machines, allServiceCpus, now);
+        for (Job job : secondPartitionJobs) {
             if (job.spec.service()) {
-                placeService(job, usable, now);
+                placeService(job, machines, now);
             } else {
-                place(job, secondMachines, firstMachines, true, now);
+                placeArray(job, secondPartitionMachines, firstPartitionMachines, true, now);
             }
         }
-        for (Job job : firstJobs) {
-            place(job, firstMachines, secondMachines, false, now);
+        for (Job job : firstPartitionJobs) {
+            placeArray(job, firstPartitionMachines, secondPartitionMachines, false, now);
+        }
+    }
+
+    /**
+     * Until reconciliation is complete, tasks of earlier leaders' jobs may run unseen: only jobs of this term start.
+     */
+    private void collectPendingJobs() {
+        firstPartitionJobs = new ArrayList<>();
+        secondPartitionJobs = new ArrayList<>();
+        boolean reconciliationComplete = scheduler.reconciliationComplete();
+        for (Job job : scheduler.jobs()) {
+            if (job.hasPendingTasks() && (reconciliationComplete || job.createdUnderToken == scheduler.token())) {
+                (job.inSecondPartition() ? secondPartitionJobs : firstPartitionJobs).add(job);
+            }
         }
+        firstPartitionJobs.sort(SCHEDULING_ORDER);
+        secondPartitionJobs.sort(SCHEDULING_ORDER);
     }
 
     /**
-     * The same for a single machine on which room came free: services, its own partition's jobs, then those it lends
-     * to.
+     * Schedules on a single machine on which room came free, among the jobs of the last full cycle: services, the array
+     * jobs of the machine's own partition, then those it is lent to.
      */
-    void scheduleOn(Machine m, long now) {
-        if (!MachineSelector.takesTasks(m, now) || (firstJobs.isEmpty() && secondJobs.isEmpty())) {
+    void scheduleOn(Machine machine, long now) {
+        if (!MachineSelector.takesTasks(machine, now)
+                || (firstPartitionJobs.isEmpty() && secondPartitionJobs.isEmpty())) {
             return;
         }
-        List<Machine> one = List.of(m);
-        boolean byArrival = scheduler.quotas().severalTeams() && ++fills % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
-        List<Job> first = byArrival ? byArrival(firstJobs) : firstJobs;
-        List<Job> second = byArrival ? byArrival(secondJobs) : secondJobs;
-        for (Job job : secondJobs) {
+        List<Machine> single = List.of(machine);
+        boolean inArrivalOrder = scheduler.quotas().severalTeams()
+                && ++singleMachineCycles % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
+        List<Job> first = inArrivalOrder ? inArrivalOrder(firstPartitionJobs) : firstPartitionJobs;
+        List<Job> second = inArrivalOrder ? inArrivalOrder(secondPartitionJobs) : secondPartitionJobs;
+        for (Job job : secondPartitionJobs) {
             if (job.hasPendingTasks() && job.spec.service()) {
-                placeService(job, one, now);
+                placeService(job, single, now);
             }
         }
-        if (m.inFirstPartition) {
-            countIdleFirst();
-            first.forEach(job -> place(job, one, List.of(), false, now));
-            second.forEach(job -> place(job, List.of(), one, true, now));
+        if (machine.inFirstPartition) {
+            partitions.countIdleMachines();
+            first.forEach(job -> placeArray(job, single, List.of(), false, now));
+            second.forEach(job -> placeArray(job, List.of(), single, true, now));
         } else {
-            second.forEach(job -> place(job, one, List.of(), true, now));
-            first.forEach(job -> place(job, List.of(), one, false, now));
+            second.forEach(job -> placeArray(job, single, List.of(), true, now));
+            first.forEach(job -> placeArray(job, List.of(), single, false, now));
         }
     }
 
-    /** The order of the paper, which knows no ranks. */
-    private static List<Job> byArrival(List<Job> jobs) {
-        List<Job> list = new ArrayList<>(jobs);
-        list.sort((a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision));
-        return list;
+    /** The order of the Tyrex paper, which has no priorities. */
+    private static List<Job> inArrivalOrder(List<Job> jobs) {
+        List<Job> sorted = new ArrayList<>(jobs);
+        sorted.sort(ARRIVAL_ORDER);
+        return sorted;
     }
 
+    // ---- services ----
+
     /**
-     * Exception to the design (docs/design.md, "production first"): services go where their image is, and stop lower
-     * work anywhere.
+     * Exception to the design (docs/design.md, "production first"): services go where their image is, and preempt work
+     * of lower priority anywhere.
      */
     private void placeService(Job job, List<Machine> machines, long now) {
-        for (int i = next(job, 0, now); i >= 0; i = next(job, i + 1, now)) {
-            MachineSelector.Choice choice = MachineSelector.preempt(job, machines, allServices, now);
+        for (int index = nextStartableTask(job, 0, now); index >= 0; index = nextStartableTask(job, index + 1, now)) {
+            MachineSelector.Choice choice = MachineSelector.preempt(job, machines, allServiceCpus, now);
             if (choice == null) {
                 return;
             }
-            choice.victims().forEach(v -> scheduler.assignments().stop(v, 0));
-            start(job, i, choice.machine(), now);
-            scheduler.quotas().usage().owe(job.spec, -1);
+            choice.victims().forEach(victim -> scheduler.assignments().stop(victim, 0));
+            start(job, index, choice.machine(), now);
+            scheduler.quotas().usage().reserve(job.spec, -1);
         }
     }
 
+    // ---- arrays ----
+
     /**
-     * Services whose team is at its limit, though there is room for them: arrays would take what comes free of the
-     * limit on machines where services may not go, for as long as any wait. Looked at once a second, by one service of
-     * each team.
+     * Starts what it can of an array job, on machines of its own partition before those of the other one.
+     *
+     * @param reserveIdleMachines whether the other partition lends only what it need not keep idle
      */
-    private void reserve(List<Machine> usable, long now) {
-        if (now - reservedAt < ReconcileConstants.FULL_SCHEDULING_CYCLE_MS) {
+    private void placeArray(
+            Job job, List<Machine> ownMachines, List<Machine> otherMachines, boolean reserveIdleMachines, long now) {
+        if (job.spec.service()) {
             return;
         }
-        reservedAt = now;
-        scheduler.quotas().usage().owesNothing();
-        Map<String, Boolean> room = new HashMap<>();
-        for (Job job : secondJobs) {
-            JobSpec spec = job.spec;
-            if (spec.service()
-                    && !scheduler.quotas().withinLimit(spec)
-                    && useChangedLately(spec.team(), now)
-                    && room.computeIfAbsent(
-                            spec.team(), t -> MachineSelector.preempt(job, usable, allServices, now) != null)) {
-                scheduler.quotas().usage().owe(spec, job.pendingTasks.cardinality());
+        Set<JobSpec> specsWithoutRoom = Set.of();
+        int index = nextStartableTask(job, 0, now);
+        while (index >= 0) {
+            JobSpec spec = job.spec(index);
+            Machine machine = null;
+            if (!specsWithoutRoom.contains(spec)) {
+                machine = chooseMachine(job, spec, ownMachines, otherMachines, reserveIdleMachines, now);
+            }
+            if (machine != null) {
+                index = fill(machine, job, index, now);
+            } else if (job.heterogeneous()) {
+                // Tasks of another description may fit.
+                specsWithoutRoom = with(specsWithoutRoom, spec);
+                index = nextStartableTask(job, index + 1, now);
+            } else {
+                return;
             }
         }
     }
 
-    /**
-     * Whether the team's use of its limit changed within the last {@link SchedulingConstants#RESERVATION_MS}. If not,
-     * hardly anything will come free for its services soon, and what is left of the limit is too little for them:
-     * arrays that fit into it waited for ever beside room.
-     */
-    private boolean useChangedLately(String team, long now) {
-        long changes = scheduler.quotas().usage().changes(team);
-        UseSeen seen = usesSeen.get(team);
-        if (seen == null || seen.changes != changes) {
-            seen = new UseSeen(changes, now);
-            usesSeen.put(team, seen);
-        }
-        return now - seen.since < SchedulingConstants.RESERVATION_MS;
+    /** Adds to the set, which is compared by identity; an empty set is replaced by one that can be added to. */
+    private static Set<JobSpec> with(Set<JobSpec> specs, JobSpec spec) {
+        Set<JobSpec> extended = specs.isEmpty() ? Collections.newSetFromMap(new IdentityHashMap<>()) : specs;
+        extended.add(spec);
+        return extended;
     }
 
-    private void place(Job job, List<Machine> own, List<Machine> others, boolean keepOneFree, long now) {
-        if (job.spec.service()) {
-            return;
-        }
-        Set<JobSpec> noRoom = Set.of();
-        int i = next(job, 0, now);
-        while (i >= 0) {
-            JobSpec spec = job.spec(i);
-            Machine m = noRoom.contains(spec) ? null : MachineSelector.choose(job, spec, own, now);
-            if (m == null && !noRoom.contains(spec)) {
-                m = MachineSelector.choose(job, spec, keepOneFree ? lendable(others) : others, now);
-            }
-            if (m == null) {
-                if (!job.heterogeneous()) {
-                    return;
-                }
-                // Tasks of another description may fit.
-                noRoom = noRoom.isEmpty() ? Collections.newSetFromMap(new IdentityHashMap<>()) : noRoom;
-                noRoom.add(spec);
-                i = next(job, i + 1, now);
-                continue;
-            }
-            // Each task makes the machine a better choice for the next one, until it is full: the image is there or on
-            // its way, and arrays are packed.
-            do {
-                start(job, i, m, now);
-                i = next(job, i + 1, now);
-            } while (i >= 0
-                    && job.spec(i) == spec
-                    && m.hasRoom(spec)
-                    && MachineSelector.takesTasks(m, now)
-                    && MachineSelector.allowed(job, spec, m));
+    /** @return null if no machine has room for such a task */
+    private Machine chooseMachine(
+            Job job,
+            JobSpec spec,
+            List<Machine> ownMachines,
+            List<Machine> otherMachines,
+            boolean reserveIdleMachines,
+            long now) {
+        Machine own = MachineSelector.choose(job, spec, ownMachines, now);
+        if (own != null) {
+            return own;
         }
+        return MachineSelector.choose(
+                job, spec, reserveIdleMachines ? partitions.lendable(otherMachines) : otherMachines, now);
+    }
+
+    /**
+     * Starts tasks on the machine, from {@code index} on, until it is full or a task of another description is next.
+     * Each task makes the machine a better choice for the next one: the image is there or on its way, and arrays are
+     * packed tightly.
+     *
+     * @return the next task that may start now, or -1
+     */
+    private int fill(Machine machine, Job job, int index, long now) {
+        JobSpec spec = job.spec(index);
+        int next = index;
+        do {
+            start(job, next, machine, now);
+            next = nextStartableTask(job, next + 1, now);
+        } while (next >= 0
+                && job.spec(next) == spec
+                && machine.hasRoom(spec)
+                && MachineSelector.takesTasks(machine, now)
+                && MachineSelector.allowed(job, spec, machine));
+        return next;
     }
 
-    private void start(Job job, int index, Machine m, long now) {
-        idleFirst -= m.inFirstPartition && m.idle() ? 1 : 0;
-        scheduler.assignments().start(job, index, m, now);
+    // ---- tasks ----
+
+    private void start(Job job, int index, Machine machine, long now) {
+        partitions.taskStarts(machine);
+        scheduler.assignments().start(job, index, machine, now);
     }
 
-    /** The next task that may start now, or -1. */
-    private int next(Job job, int from, long now) {
+    /**
+     * The first task from index {@code from} on that may start now: pending, past its retry delay, and within its
+     * team's limit.
+     *
+     * @return -1 if there is none
+     */
+    private int nextStartableTask(Job job, int from, long now) {
         if (!job.hasPendingTasks() || (job.failsEverywhere() && !job.assignments.isEmpty())) {
             return -1;
         }
-        JobSpec beyond = null;
-        JobSpec within = null;
+        // The last descriptions that were checked against the limit: tasks of equal description share the object.
+        JobSpec beyondLimit = null;
+        JobSpec withinLimit = null;
         for (int i = job.pendingTasks.nextSetBit(from); i >= 0; i = job.pendingTasks.nextSetBit(i + 1)) {
             JobSpec spec = job.spec(i);
-            if (spec != within && spec != beyond) {
+            if (spec != withinLimit && spec != beyondLimit) {
                 if (scheduler.quotas().withinLimit(spec)) {
-                    within = spec;
+                    withinLimit = spec;
                 } else if (job.heterogeneous()) {
-                    beyond = spec;
+                    beyondLimit = spec;
                 } else {
                     return -1;
                 }
             }
-            if (spec == within && job.retryNotBefore.get(i) <= now) {
+            if (spec == withinLimit && job.retryNotBefore.get(i) <= now) {
                 return i;
             }
         }
         return -1;
     }
-
-    /** The first partition lends what is beyond one machine kept free. */
-    private List<Machine> lendable(List<Machine> some) {
-        List<Machine> list = new ArrayList<>();
-        for (Machine m : some) {
-            if (idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES) {
-                list.add(m);
-            }
-        }
-        return list;
-    }
-
-    private void countIdleFirst() {
-        idleFirst = 0;
-        for (Machine m : scheduler.machines()) {
-            idleFirst += m.inFirstPartition && m.schedulable() && m.idle() ? 1 : 0;
-        }
-    }
-
-    /** Keeps 30 % of the machines in the first partition: spot ones first, since services can't use them. */
-    private void partition() {
-        Collection<Machine> all = scheduler.machines();
-        int have = 0;
-        int usable = 0;
-        for (Machine m : all) {
-            if (m.schedulable()) {
-                usable++;
-                have += m.inFirstPartition ? 1 : 0;
-            } else {
-                m.inFirstPartition = false;
-            }
-        }
-        int want = (int) Math.round(usable * firstShare);
-        if (have == want) {
-            return;
-        }
-        boolean join = have < want;
-        List<Machine> candidates = new ArrayList<>();
-        for (Machine m : all) {
-            if (m.schedulable() && m.inFirstPartition != join) {
-                candidates.add(m);
-            }
-        }
-        Comparator<Machine> order =
-                Comparator.comparing((Machine m) -> m.spot == join ? 0 : 1).thenComparing(m -> m.id);
-        candidates.sort(order);
-        for (Machine m : candidates.subList(0, Math.min(candidates.size(), Math.abs(want - have)))) {
-            m.inFirstPartition = join;
-        }
-    }
 }
--- a/src/main/java/org/hollypick/core/TeamQuotas.java
+++ b/src/main/java/org/hollypick/core/TeamQuotas.java
@@ -52,9 +52,9 @@
         }
         if (unreconciledCountedAt != scheduler.lastEventAt()) {
             unreconciledCountedAt = scheduler.lastEventAt(); // within one moment there can only be fewer
-            usage.unheard(scheduler.machines());
+            usage.countUnaccounted(scheduler.machines());
         }
-        return usage.allowsUnheard(team, spec, earlierLeadersKeptLimits);
+        return usage.allowsBeforeReconciliation(team, spec, earlierLeadersKeptLimits);
     }
 
     /**
@@ -79,6 +79,6 @@
 
     /** Whether all tasks are known, and no team takes more than its limit. */
     public boolean limitsKept() {
-        return scheduler.reconciliationComplete() && usage.within(teams.values());
+        return scheduler.reconciliationComplete() && usage.limitsKept(teams.values());
     }
 }
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -7,119 +7,134 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * What each team's tasks take, counting every one that may be anywhere. Until every machine of earlier terms has been
- * heard, tasks may be there that nobody here knows of: then what they take at most is counted too (docs/safety.md,
- * "quota").
+ * The cores and GPUs of each team's tasks, counting every task that may be on a machine. Until reconciliation is
+ * complete, machines of earlier terms may hold tasks that this leader doesn't know: an upper bound of what these take
+ * is counted too (docs/safety.md, "quota"). Confined to the event loop.
  */
 final class TeamUsage {
-    private static final double SLACK = 1e-6; // sums of decimal amounts
+    /** For rounding errors in sums of decimal amounts. */
+    private static final double SLACK = 1e-6;
 
     private final Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
-    /** How often each team's use has changed. */
-    private final Object2LongOpenHashMap<String> changes = new Object2LongOpenHashMap<>();
-    /** What tasks of earlier leaders take, or took, that were there in this term; each attempt once. */
+    private final Object2LongOpenHashMap<String> changeCounts = new Object2LongOpenHashMap<>();
+    /** What tasks of earlier leaders take, or took, that were found in this term; each attempt counts once. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
 
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
     private final LongOpenHashSet foundAttempts = new LongOpenHashSet();
-    private final Object2DoubleOpenHashMap<String> owedCpus = new Object2DoubleOpenHashMap<>();
-    private final Object2DoubleOpenHashMap<String> owedGpus = new Object2DoubleOpenHashMap<>();
-    /** The room of machines that may hold more than is known. */
-    private double unheardCpus;
+    /** Quota that arrays must leave to services of their team. */
+    private final Object2DoubleOpenHashMap<String> reservedCpus = new Object2DoubleOpenHashMap<>();
 
-    private double unheardGpus;
+    private final Object2DoubleOpenHashMap<String> reservedGpus = new Object2DoubleOpenHashMap<>();
+    /** Upper bound of what unknown tasks take: the capacity of all machines that aren't accounted for. */
+    private double unaccountedCpus;
+
+    private double unaccountedGpus;
 
     /**
-     * Services of the team wait for nothing but its limit, with room for them: what comes free of it is theirs,
-     * wherever it does.
+     * Reserves quota for pending tasks of a service, or gives back what was reserved for tasks that started: while
+     * reserved, it isn't available to the team's arrays.
+     *
+     * @param tasks how many; negative to give back, which does nothing for a team without reservations
      */
-    void owe(JobSpec spec, int tasks) {
-        if (tasks > 0 || owedCpus.containsKey(spec.team())) {
-            owedCpus.addTo(spec.team(), tasks * spec.cpus());
-            owedGpus.addTo(spec.team(), tasks * spec.gpus());
+    void reserve(JobSpec spec, int tasks) {
+        if (tasks > 0 || reservedCpus.containsKey(spec.team())) {
+            reservedCpus.addTo(spec.team(), tasks * spec.cpus());
+            reservedGpus.addTo(spec.team(), tasks * spec.gpus());
         }
     }
 
-    void owesNothing() {
-        owedCpus.clear();
-        owedGpus.clear();
+    /** Gives back all reserved quota of all teams. */
+    void clearReservations() {
+        reservedCpus.clear();
+        reservedGpus.clear();
     }
 
-    long changes(String team) {
-        return changes.getLong(team);
+    /** How often the team's usage has changed: it differs when tasks of the team started or ended in between. */
+    long changeCount(String team) {
+        return changeCounts.getLong(team);
     }
 
+    /** Counts {@code tasks} more tasks of that description, or fewer if negative. */
     void add(JobSpec spec, int tasks) {
-        changes.addTo(spec.team(), 1);
+        changeCounts.addTo(spec.team(), 1);
         cpus.addTo(spec.team(), tasks * spec.cpus());
         gpus.addTo(spec.team(), tasks * spec.gpus());
     }
 
     /**
-     * That task is there since before this term began: a report made in it says so, for an older one may be of any
-     * time.
+     * A task of an earlier leader was found on its machine. To be called for heartbeats sent in this term alone, since
+     * an older one doesn't show that the task was still there when the term began.
      */
-    void found(JobSpec spec, long attempt) {
+    void recordFoundTask(JobSpec spec, long attempt) {
         if (foundAttempts.add(attempt)) {
             foundCpus.addTo(spec.team(), spec.cpus());
             foundGpus.addTo(spec.team(), spec.gpus());
         }
     }
 
-    /** Everything is known: what was found needn't be remembered. */
+    /** No machine holds unknown tasks any more; which attempts were found needn't be remembered. */
     void reconciliationComplete() {
         foundAttempts.clear();
     }
 
-    void unheard(Iterable<Machine> machines) {
-        unheardCpus = 0;
-        unheardGpus = 0;
+    /** Takes the upper bound of what unknown tasks take from the machines that aren't accounted for. */
+    void countUnaccounted(Iterable<Machine> machines) {
+        unaccountedCpus = 0;
+        unaccountedGpus = 0;
         for (Machine machine : machines) {
             if (!machine.accountedFor()) {
                 // A type that the cloud no longer names may hold anything.
-                unheardCpus += machine.type.cpus() > 0 ? machine.type.cpus() : Double.POSITIVE_INFINITY;
-                unheardGpus += machine.type.cpus() > 0 ? machine.type.gpus() : Double.POSITIVE_INFINITY;
+                unaccountedCpus += machine.type.cpus() > 0 ? machine.type.cpus() : Double.POSITIVE_INFINITY;
+                unaccountedGpus += machine.type.cpus() > 0 ? machine.type.gpus() : Double.POSITIVE_INFINITY;
             }
         }
     }
 
+    /** Whether one more task keeps the team's limit, given that all tasks are known. */
     boolean allows(Settings.Team team, JobSpec spec) {
         return allows(team, spec, 0, 0);
     }
 
-    private boolean allows(Settings.Team team, JobSpec spec, double hiddenCpus, double hiddenGpus) {
+    private boolean allows(Settings.Team team, JobSpec spec, double unknownCpus, double unknownGpus) {
         String name = team.name();
-        double kept = spec.service() ? 0 : Math.max(0, owedCpus.getDouble(name));
-        double keptGpus = spec.service() ? 0 : Math.max(0, owedGpus.getDouble(name));
-        return fits(team.cpusMax(), cpus.getDouble(name) + Math.max(0, hiddenCpus) + kept + spec.cpus())
-                && fits(team.gpusMax(), gpus.getDouble(name) + Math.max(0, hiddenGpus) + keptGpus + spec.gpus());
+        double setAsideCpus = spec.service() ? 0 : Math.max(0, reservedCpus.getDouble(name));
+        double setAsideGpus = spec.service() ? 0 : Math.max(0, reservedGpus.getDouble(name));
+        return fits(team.cpusMax(), cpus.getDouble(name) + Math.max(0, unknownCpus) + setAsideCpus + spec.cpus())
+                && fits(team.gpusMax(), gpus.getDouble(name) + Math.max(0, unknownGpus) + setAsideGpus + spec.gpus());
     }
 
     /**
-     * {@code olderKept}: earlier leaders kept the same limits, so that all that they started took no more, what was
-     * found of it included.
+     * Whether one more task keeps the team's limit whatever tasks of earlier leaders are still unknown.
+     *
+     * @param earlierLeadersKeptLimits whether earlier leaders kept the same limits: then all that they started, the
+     *     found tasks included, takes no more than the limit
      */
-    boolean allowsUnheard(Settings.Team team, JobSpec spec, boolean olderKept) {
+    boolean allowsBeforeReconciliation(Settings.Team team, JobSpec spec, boolean earlierLeadersKeptLimits) {
         String name = team.name();
-        double hiddenCpus = Math.min(
-                unheardCpus, olderKept ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
-        double hiddenGpus = Math.min(
-                unheardGpus, olderKept ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
-        return allows(team, spec, hiddenCpus, hiddenGpus);
+        double unknownCpus = Math.min(
+                unaccountedCpus,
+                earlierLeadersKeptLimits ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
+        double unknownGpus = Math.min(
+                unaccountedGpus,
+                earlierLeadersKeptLimits ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
+        return allows(team, spec, unknownCpus, unknownGpus);
     }
 
-    /** No team takes more than its limit. */
-    boolean within(Iterable<Settings.Team> teams) {
-        for (Settings.Team t : teams) {
-            if (!fits(t.cpusMax(), cpus.getDouble(t.name())) || !fits(t.gpusMax(), gpus.getDouble(t.name()))) {
+    /** Whether no team's known tasks take more than its limit. */
+    boolean limitsKept(Iterable<Settings.Team> teams) {
+        for (Settings.Team team : teams) {
+            if (!fits(team.cpusMax(), cpus.getDouble(team.name()))
+                    || !fits(team.gpusMax(), gpus.getDouble(team.name()))) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean fits(double limit, double use) {
-        return limit <= 0 || use <= limit + SLACK;
+    /** A limit of 0 or less is none. */
+    private static boolean fits(double limit, double amount) {
+        return limit <= 0 || amount <= limit + SLACK;
     }
 }
