--- a/src/test/java/org/hollypick/model/CancellationModelTest.java
+++ b/src/test/java/org/hollypick/model/CancellationModelTest.java
@@ -12,369 +12,499 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen to one task on one machine while it is cancelled: two controllers that lead in turn, a state
- * service that comes and goes, a launch that is held up, reports and answers lost, late or doubled, a write whose
- * answer is lost. What must hold (docs/safety.md, "Who may renew a lease"): the task is gone in time once anybody was
- * told that it is cancelled, isn't started elsewhere while it may be there, and nobody is told an older answer. The
- * first controller launched the task; its store session is the one that counts. Times are in ticks; drift is
- * {@code WorkerLeasesTest}'s matter.
+ * Explores every interleaving around one task on one machine while the task is cancelled: two controllers that lead in
+ * turn, a key-value store that fails and recovers, a delayed launch, heartbeats and responses that are lost, late or
+ * duplicated, and a write whose response is lost. The invariants (docs/safety.md, "Who may renew a lease"): once any
+ * user was told that the task is cancelled it stops in time, it isn't started elsewhere while it may still run, and no
+ * user is given an older answer afterwards. The first leader launched the task, and its store session is modelled.
+ * Times are in ticks; clock drift is covered by {@code WorkerLeasesTest}.
  */
 class CancellationModelTest {
-    private static final int TICKS = 8;
-    private static final int LEASE = 3;
-    private static final int CANCEL = 5;
-    private static final int HOLD = 1;
-    private static final int PROMISE = 1;
-    /** For how long after a cancellation may be told, or after its own right ended, a controller may renew. */
-    private static final int WINDOW = CANCEL - LEASE;
+    private static final int LAST_TICK = 8;
+    private static final int LEASE_TICKS = 3;
+    /** A cancelled task must have stopped this long after its cancellation was confirmed. */
+    private static final int CANCELLATION_TICKS = 5;
+
+    private static final int SESSION_TICKS = 1;
+    private static final int PEER_GRANT_TICKS = 1;
+    /**
+     * How long a controller may renew leases after a cancellation may be confirmed, or after its leader lease ended.
+     */
+    private static final int RENEWAL_TICKS = CANCELLATION_TICKS - LEASE_TICKS;
 
     private static final int NEVER = -1;
+    private static final int NO_TOKEN = 0;
 
-    /** The tokens: the first controller's, the same after a fence, the second one's. */
+    /** Fencing tokens: the first leader's, the first leader's after it fenced itself, the second leader's. */
     private static final int FIRST = 1;
 
     private static final int FENCED = 2;
     private static final int SECOND = 3;
 
+    /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
         NONE,
-        ONLY_WHAT_IS_DURABLE_GOES,
-        WRITES_DESPITE_A_LAUNCH,
-        WRITES_DESPITE_AN_OLDER_LAUNCH,
-        A_COPY_IS_PROOF,
-        CLAIMS_DESPITE_ITS_PROMISE,
-        KEEPS_TOO_LONG,
-        TELLS_WHAT_IS_IN_DOUBT
+        STOPS_TASK_ONLY_ONCE_DURABLE,
+        WRITES_BEFORE_LAUNCH_IS_RESOLVED,
+        WRITES_BEFORE_RECONCILIATION,
+        TRUSTS_HEARTBEAT_WITH_OLD_TOKEN,
+        LEADS_DESPITE_PEER_GRANT,
+        RENEWS_TOO_LONG,
+        ANSWERS_DURING_UNRESOLVED_WRITE
     }
 
-    private enum Rule {
-        RAN_CANCELLED,
+    /** The invariants, named by how they are violated. */
+    private enum Violation {
+        RAN_AFTER_CANCELLATION,
         RAN_TWICE,
-        WENT_BACK
+        ANSWER_WENT_BACK
     }
 
-    /** One moment; copied for each thing that may happen next. */
+    /** One state of the model; copied for each transition, and not changed once handed to the search. */
     private static final class State implements Cloneable {
         int now;
-        boolean up = true;
-        /**
-         * Until when the first one counts on its store session, the service does, and its promise from the second
-         * lasts.
-         */
-        int holdUntil = HOLD;
+        boolean storeReachable = true;
+        /** Until when the first leader counts on its store session. */
+        int firstCountsOnSessionUntil = SESSION_TICKS;
 
-        int serviceUntil = HOLD;
-        int promisedUntil = NEVER;
-        boolean holdGone;
-        int leaderRecord = FIRST;
+        /** Until when the store keeps the first leader's session. */
+        int storeKeepsSessionUntil = SESSION_TICKS;
+
+        /** Until when the second controller's lease grant to the first leader lasts. */
+        int peerGrantUntil = NEVER;
+
+        boolean sessionExpired;
+        /** The fencing token of the leader record. */
+        int leaderToken = FIRST;
         /**
-         * Until when the second one may have renewed the lease, or the first one and whoever renews leases under it.
+         * Until when the second leader may have renewed the lease, or the first leader and whoever renews under its
+         * token.
          */
-        int renewedUntil = NEVER;
-
-        boolean secondFollowsAFence;
-        /** The write of the cancellation: the token that it is conditional on, 0 for none; and what came of it. */
-        int writing;
-
-        boolean durable;
-        boolean answered;
-        boolean secondSees;
-        /** The first one is to cancel it; since when its write may be carried out. */
-        boolean asked;
-
-        int writtenAt = NEVER;
-        int toldAt = NEVER;
-        boolean launchUnderWay = true;
-        boolean there;
-        /** What the first one knows of the task: shown by a report, or not yet. */
-        boolean shown;
-        /** The machine has reported under the present leader record's token, if that isn't the one of the launch. */
-        boolean heard;
-
-        int leaseFrom;
-        int seenToken = FIRST;
-        /** The newest report: when it was sent, what it shows; NEVER for none. */
-        int reportAt = NEVER;
-
-        boolean reportShows;
-        int reportToken;
-        /** The answer under way to it; 0 for none. */
-        int answerToken;
-
-        boolean answerKills;
-        boolean elsewhere;
-        Rule broken;
-
-        State next(Consumer<State> change) {
+        int renewalPossibleUntil = NEVER;
+
+        boolean secondFollowsFence;
+        /** The token that the write of the cancellation is conditional on. */
+        int writeToken = NO_TOKEN;
+
+        boolean cancellationDurable;
+        /** The first leader knows that the cancellation is durable. */
+        boolean firstKnowsDurable;
+
+        boolean secondKnowsDurable;
+        /** The first leader has been asked to cancel the task. */
+        boolean cancellationRequested;
+
+        /** Since when the first leader's write may be carried out. */
+        int writeSentAt = NEVER;
+        /** When a user was first told that the task is cancelled. */
+        int confirmedAt = NEVER;
+
+        boolean launchInFlight = true;
+        boolean taskRunning;
+        /** The first leader knows that the launch arrived. */
+        boolean launchAcknowledged;
+        /** The machine sent a heartbeat under the leader record's token, if that isn't the launch's token. */
+        boolean reconciled;
+
+        int leaseStart;
+        /** The highest fencing token that the machine has seen. */
+        int machineToken = FIRST;
+        /** When the newest heartbeat was sent. */
+        int heartbeatAt = NEVER;
+
+        boolean heartbeatShowsTask;
+        int heartbeatToken;
+        /** The token of the response in flight to the newest heartbeat. */
+        int responseToken = NO_TOKEN;
+
+        boolean responseStopsTask;
+        boolean startedElsewhere;
+        /** The invariant that this state violates, null if none. */
+        Violation violation;
+
+        State after(Consumer<State> transition) {
             try {
-                State s = (State) clone();
-                change.accept(s);
-                return s;
+                State copy = (State) clone();
+                transition.accept(copy);
+                return copy;
             } catch (CloneNotSupportedException e) {
                 throw new AssertionError(e);
             }
         }
 
-        /** All that bears on what may happen next, in 64 bits. */
+        /** Everything that bears on what may happen next, in 64 bits. */
         long key() {
-            boolean lead = leaderRecord != SECOND;
-            boolean rights = now <= entitledUntil() + WINDOW + 2;
-            long k = 0;
-            for (int time : new int[] {
-                now,
-                rights ? entitledUntil() : NEVER,
-                lead && !holdGone ? serviceUntil : NEVER,
-                now <= promisedUntil ? promisedUntil : NEVER,
-                renewedUntil,
-                writtenAt,
-                toldAt,
-                leaseFrom,
-                reportAt
-            }) {
-                k = k << 4 | time + 1;
+            long key = 0;
+            for (int time : relevantTimes()) {
+                key = key << 4 | time + 1;
             }
-            for (int token : new int[] {leaderRecord, writing, seenToken, reportToken, answerToken}) {
-                k = k << 2 | token;
+            for (int token : new int[] {leaderToken, writeToken, machineToken, heartbeatToken, responseToken}) {
+                key = key << 2 | token;
             }
-            for (boolean bit : new boolean[] {
-                up,
-                holdGone,
-                secondFollowsAFence,
-                durable,
-                answered,
-                secondSees,
-                asked,
-                launchUnderWay,
-                there,
-                shown,
-                heard,
-                reportShows,
-                answerKills,
-                elsewhere
-            }) {
-                k = k << 1 | (bit ? 1 : 0);
+            for (boolean flag : flags()) {
+                key = key << 1 | (flag ? 1 : 0);
             }
-            return k;
+            return key;
+        }
+
+        /** The times, with NEVER for those that have no effect any more. */
+        private int[] relevantTimes() {
+            boolean leaseMatters = now <= leaderLeaseUntil() + RENEWAL_TICKS + 2;
+            boolean sessionMatters = leaderToken != SECOND && !sessionExpired;
+            return new int[] {
+                now,
+                leaseMatters ? leaderLeaseUntil() : NEVER,
+                sessionMatters ? storeKeepsSessionUntil : NEVER,
+                now <= peerGrantUntil ? peerGrantUntil : NEVER,
+                renewalPossibleUntil,
+                writeSentAt,
+                confirmedAt,
+                leaseStart,
+                heartbeatAt
+            };
+        }
+
+        private boolean[] flags() {
+            return new boolean[] {
+                storeReachable,
+                sessionExpired,
+                secondFollowsFence,
+                cancellationDurable,
+                firstKnowsDurable,
+                secondKnowsDurable,
+                cancellationRequested,
+                launchInFlight,
+                taskRunning,
+                launchAcknowledged,
+                reconciled,
+                heartbeatShowsTask,
+                responseStopsTask,
+                startedElsewhere
+            };
         }
 
         @Override
         public String toString() {
-            return "now=" + now + " up=" + up + " entitledUntil=" + entitledUntil() + " promisedUntil=" + promisedUntil
-                    + " roster=" + leaderRecord + " writtenAt=" + writtenAt
-                    + " durable=" + durable + " toldAt=" + toldAt + " launchUnderWay=" + launchUnderWay + " there="
-                    + there + " shown=" + shown + " leaseFrom=" + leaseFrom
-                    + " seenToken=" + seenToken + " reportAt=" + reportAt + " answerToken=" + answerToken
-                    + " elsewhere=" + elsewhere + " broken=" + broken + "\n";
+            return "now=" + now + " storeReachable=" + storeReachable + " leaderLeaseUntil=" + leaderLeaseUntil()
+                    + " peerGrantUntil=" + peerGrantUntil + " leaderToken=" + leaderToken + " writeSentAt="
+                    + writeSentAt + " cancellationDurable=" + cancellationDurable + " confirmedAt=" + confirmedAt
+                    + " launchInFlight=" + launchInFlight + " taskRunning=" + taskRunning + " launchAcknowledged="
+                    + launchAcknowledged + " leaseStart=" + leaseStart + " machineToken=" + machineToken
+                    + " heartbeatAt=" + heartbeatAt + " responseToken=" + responseToken + " startedElsewhere="
+                    + startedElsewhere + " violation=" + violation + "\n";
         }
 
-        int entitledUntil() {
-            return Math.max(holdUntil, promisedUntil);
+        /** Until when the first leader holds a leader lease, from its store session or from its peer. */
+        int leaderLeaseUntil() {
+            return Math.max(firstCountsOnSessionUntil, peerGrantUntil);
         }
 
-        boolean firstActs() {
-            return leaderRecord != SECOND && now <= entitledUntil();
+        boolean secondLeads() {
+            return leaderToken == SECOND;
         }
 
-        void told() {
-            toldAt = toldAt == NEVER ? now : toldAt;
+        boolean firstHoldsLeaderLease() {
+            return !secondLeads() && now <= leaderLeaseUntil();
+        }
+
+        /** A user is told that the task is cancelled. */
+        void confirmCancellation() {
+            confirmedAt = confirmedAt == NEVER ? now : confirmedAt;
+        }
+
+        boolean isCancellationOverdue() {
+            return confirmedAt != NEVER && now > confirmedAt + CANCELLATION_TICKS;
+        }
+
+        boolean isWorkerLeaseValid() {
+            return now <= leaseStart + LEASE_TICKS;
+        }
+
+        /** Time passes, and the store drops a session that wasn't renewed. */
+        void tick() {
+            now++;
+            sessionExpired |= storeReachable && !secondLeads() && now > storeKeepsSessionUntil;
+            if (taskRunning && isCancellationOverdue() && isWorkerLeaseValid()) {
+                violation = Violation.RAN_AFTER_CANCELLATION;
+            }
+        }
+
+        /** The store fails or recovers; when it recovers, sessions have their full time again. */
+        void toggleStore() {
+            storeReachable = !storeReachable;
+            storeKeepsSessionUntil = storeReachable ? now + SESSION_TICKS : storeKeepsSessionUntil;
+        }
+
+        void renewSession() {
+            firstCountsOnSessionUntil = now + SESSION_TICKS;
+            storeKeepsSessionUntil = now + SESSION_TICKS;
+        }
+
+        /**
+         * The first leader raises its own token. A cancellation that isn't durable yet never will be, and is forgotten;
+         * one that is durable is loaded under the new token.
+         */
+        void fence() {
+            leaderToken = FENCED;
+            reconciled = false;
+            cancellationRequested = cancellationDurable;
+            firstKnowsDurable = cancellationDurable;
+            writeSentAt = NEVER;
+            writeToken = NO_TOKEN;
+        }
+
+        void failOverToSecond() {
+            secondFollowsFence = leaderToken == FENCED;
+            leaderToken = SECOND;
+            reconciled = false;
+            renewalPossibleUntil = now + RENEWAL_TICKS;
+            secondKnowsDurable = cancellationDurable;
+        }
+
+        /** The first leader sends the write of the cancellation, conditional on its token. */
+        void sendWrite() {
+            writeToken = leaderToken;
+            writeSentAt = now;
+        }
+
+        /** The first leader learns that its write was carried out, and answers its user. */
+        void receiveWriteResponse() {
+            firstKnowsDurable = true;
+            confirmCancellation();
+        }
+
+        /** The second leader cancels the task and answers its user. */
+        void cancelBySecond() {
+            cancellationDurable = true;
+            secondKnowsDurable = true;
+            confirmCancellation();
         }
-    }
 
-    private static void next(State s, Fault fault, Consumer<State> to) {
-        if (s.now < TICKS) {
-            State t = s.next(CancellationModelTest::tick);
-            // A session that is over ends the task and refuses the launch: nothing more can happen here.
-            if (t.now <= t.leaseFrom + LEASE) {
-                to.accept(t);
+        /** The launch arrives; the machine refuses it under a token lower than the highest it has seen. */
+        void receiveLaunch() {
+            launchInFlight = false;
+            taskRunning = machineToken == FIRST;
+            if (taskRunning && startedElsewhere) {
+                violation = Violation.RAN_TWICE;
+            } else if (taskRunning && isCancellationOverdue()) {
+                violation = Violation.RAN_AFTER_CANCELLATION;
+            } else {
+                violation = null;
             }
         }
-        service(s, fault, to);
-        cancellation(s, fault, to);
-        machine(s, to);
-        reports(s, fault, to);
+
+        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        void sendHeartbeat() {
+            heartbeatAt = now;
+            heartbeatShowsTask = taskRunning;
+            heartbeatToken = machineToken;
+            responseToken = NO_TOKEN;
+        }
+
+        /** The response arrives; under an older token it is ignored. */
+        void receiveResponse() {
+            if (responseToken >= machineToken) {
+                machineToken = responseToken;
+                leaseStart = heartbeatAt;
+                taskRunning &= !responseStopsTask;
+            }
+            responseToken = NO_TOKEN;
+        }
+
+        /** The token under which the first leader answers heartbeats, also after it was deposed. */
+        int firstLeadersToken() {
+            return leaderToken == FENCED || secondFollowsFence ? FENCED : FIRST;
+        }
+
+        void receiveHeartbeatAtFirst(Fault fault) {
+            int token = firstLeadersToken();
+            launchAcknowledged |= heartbeatShowsTask;
+            reconciled |= leaderToken == FENCED && heartbeatToken == FENCED;
+            responseToken = token;
+            responseStopsTask = heartbeatShowsTask
+                    && (fault == Fault.STOPS_TASK_ONLY_ONCE_DURABLE ? firstKnowsDurable : cancellationRequested);
+        }
+
+        void receiveHeartbeatAtSecond() {
+            reconciled |= heartbeatToken == SECOND;
+            renewalPossibleUntil = Math.max(renewalPossibleUntil, now);
+            responseToken = SECOND;
+            responseStopsTask = secondKnowsDurable && heartbeatShowsTask;
+        }
+
+        void startElsewhere() {
+            startedElsewhere = true;
+            violation = taskRunning ? Violation.RAN_TWICE : violation;
+        }
     }
 
-    private static void tick(State s) {
-        s.now++;
-        s.holdGone |= s.up && s.leaderRecord != SECOND && s.now > s.serviceUntil;
-        if (s.there && s.toldAt != NEVER && s.now > s.toldAt + CANCEL && s.now <= s.leaseFrom + LEASE) {
-            s.broken = Rule.RAN_CANCELLED;
+    /** Adds every state that may follow; the order decides which of several shortest traces is found. */
+    private static void addSuccessors(State state, Fault fault, Consumer<State> successors) {
+        addTick(state, successors);
+        addStoreTransitions(state, successors);
+        addLeaderTransitions(state, fault, successors);
+        addCancellationByFirst(state, fault, successors);
+        addCancellationBySecond(state, fault, successors);
+        addStaleAnswer(state, fault, successors);
+        addMachineTransitions(state, successors);
+        if (state.heartbeatAt != NEVER) {
+            addHeartbeatAtFirst(state, fault, successors);
+            addHeartbeatAtSecond(state, fault, successors);
         }
     }
 
-    private static void service(State s, Fault fault, Consumer<State> to) {
-        to.accept(s.next(t -> {
-            t.up = !t.up;
-            t.serviceUntil = t.up ? t.now + HOLD : t.serviceUntil; // holds have their full time again
-        }));
-        if (s.up && !s.holdGone && s.leaderRecord != SECOND) {
-            to.accept(s.next(t -> {
-                t.holdUntil = t.now + HOLD;
-                t.serviceUntil = t.now + HOLD;
-            }));
-            if (s.leaderRecord == FIRST && s.firstActs()) {
-                to.accept(s.next(t -> {
-                    t.leaderRecord = FENCED;
-                    t.heard = false;
-                    // What isn't durable by now never will be, and is forgotten; what is, the new term finds.
-                    t.asked = t.durable;
-                    t.answered = t.durable;
-                    t.writtenAt = NEVER;
-                    t.writing = 0;
-                }));
+    /** Worker lease expiry ends the task and refuses the launch: nothing more can happen here. */
+    private static void addTick(State state, Consumer<State> successors) {
+        if (state.now < LAST_TICK) {
+            State later = state.after(State::tick);
+            if (later.isWorkerLeaseValid()) {
+                successors.accept(later);
             }
         }
-        if (s.leaderRecord != SECOND && !s.holdGone) {
-            to.accept(s.next(t -> t.promisedUntil = t.now + PROMISE));
-        }
-        if (s.up
-                && s.holdGone
-                && s.leaderRecord != SECOND
-                && (s.now > s.promisedUntil || fault == Fault.CLAIMS_DESPITE_ITS_PROMISE)) {
-            to.accept(s.next(t -> {
-                t.secondFollowsAFence = t.leaderRecord == FENCED;
-                t.leaderRecord = SECOND;
-                t.heard = false;
-                t.renewedUntil = t.now + WINDOW;
-                t.secondSees = t.durable;
-            }));
+    }
+
+    private static void addStoreTransitions(State state, Consumer<State> successors) {
+        successors.accept(state.after(State::toggleStore));
+        if (state.storeReachable && !state.sessionExpired && !state.secondLeads()) {
+            successors.accept(state.after(State::renewSession));
+            if (state.leaderToken == FIRST && state.firstHoldsLeaderLease()) {
+                successors.accept(state.after(State::fence));
+            }
         }
     }
 
-    private static void cancellation(State s, Fault fault, Consumer<State> to) {
-        if (s.firstActs() && !s.asked) {
-            to.accept(s.next(t -> t.asked = true));
-        }
-        // A launch may come that no report has shown; after a fence, until a report comes that was made under the new
-        // token.
-        boolean launchMayCome = s.leaderRecord == FIRST
-                ? !s.shown && fault != Fault.WRITES_DESPITE_A_LAUNCH
-                : !s.heard && fault != Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
-        if (s.firstActs() && s.asked && !s.durable && s.writing == 0 && !launchMayCome) {
-            to.accept(s.next(t -> {
-                t.writing = t.leaderRecord;
-                t.writtenAt = t.now;
-            }));
+    /** The second controller grants the first leader a lease, or becomes the leader itself. */
+    private static void addLeaderTransitions(State state, Fault fault, Consumer<State> successors) {
+        if (state.secondLeads()) {
+            return;
+        }
+        if (!state.sessionExpired) {
+            successors.accept(state.after(next -> next.peerGrantUntil = next.now + PEER_GRANT_TICKS));
+        }
+        boolean boundByGrant = state.now <= state.peerGrantUntil && fault != Fault.LEADS_DESPITE_PEER_GRANT;
+        if (state.storeReachable && state.sessionExpired && !boundByGrant) {
+            successors.accept(state.after(State::failOverToSecond));
+        }
+    }
+
+    private static void addCancellationByFirst(State state, Fault fault, Consumer<State> successors) {
+        boolean firstLeads = state.firstHoldsLeaderLease();
+        if (firstLeads && !state.cancellationRequested) {
+            successors.accept(state.after(next -> next.cancellationRequested = true));
+        }
+        if (firstLeads && mayFirstWrite(state, fault)) {
+            successors.accept(state.after(State::sendWrite));
         }
         // Carried out at any later time, unless the leader record has changed.
-        if (s.up && s.writing == s.leaderRecord && !s.durable) {
-            to.accept(s.next(t -> t.durable = true));
-        }
-        if (s.durable && s.firstActs() && !s.answered) {
-            to.accept(s.next(t -> {
-                t.answered = true;
-                t.told();
-            }));
-        }
-        if (s.durable && s.up && !s.secondSees) {
-            to.accept(s.next(t -> t.secondSees = true));
-        }
-        if (s.secondSees && s.toldAt == NEVER) {
-            to.accept(s.next(State::told));
-        }
-        boolean secondKnows =
-                s.heard || s.now > s.renewedUntil + LEASE || fault == Fault.WRITES_DESPITE_AN_OLDER_LAUNCH;
-        if (s.leaderRecord == SECOND && s.up && !s.durable && secondKnows) {
-            to.accept(s.next(t -> {
-                t.durable = true;
-                t.secondSees = true;
-                t.told();
-            }));
-        }
-        // The first one answers from memory that the job is live.
-        boolean inDoubt = s.writtenAt != NEVER && fault != Fault.TELLS_WHAT_IS_IN_DOUBT;
-        if (s.now <= s.entitledUntil() && !inDoubt && !s.answered && s.toldAt != NEVER) {
-            to.accept(s.next(t -> t.broken = Rule.WENT_BACK));
+        if (state.storeReachable && state.writeToken == state.leaderToken && !state.cancellationDurable) {
+            successors.accept(state.after(next -> next.cancellationDurable = true));
+        }
+        if (state.cancellationDurable && firstLeads && !state.firstKnowsDurable) {
+            successors.accept(state.after(State::receiveWriteResponse));
+        }
+    }
+
+    private static boolean mayFirstWrite(State state, Fault fault) {
+        return state.cancellationRequested
+                && !state.cancellationDurable
+                && state.writeToken == NO_TOKEN
+                && !mayLaunchStillArrive(state, fault);
+    }
+
+    /**
+     * Whether the first leader must reckon with its launch: until the launch is acknowledged, or after a fence until a
+     * heartbeat comes that was sent under the new token.
+     */
+    private static boolean mayLaunchStillArrive(State state, Fault fault) {
+        return state.leaderToken == FIRST
+                ? !state.launchAcknowledged && fault != Fault.WRITES_BEFORE_LAUNCH_IS_RESOLVED
+                : !state.reconciled && fault != Fault.WRITES_BEFORE_RECONCILIATION;
+    }
+
+    private static void addCancellationBySecond(State state, Fault fault, Consumer<State> successors) {
+        if (state.cancellationDurable && state.storeReachable && !state.secondKnowsDurable) {
+            successors.accept(state.after(next -> next.secondKnowsDurable = true));
+        }
+        if (state.secondKnowsDurable && state.confirmedAt == NEVER) {
+            successors.accept(state.after(State::confirmCancellation));
+        }
+        boolean taskStateKnown = state.reconciled
+                || state.now > state.renewalPossibleUntil + LEASE_TICKS
+                || fault == Fault.WRITES_BEFORE_RECONCILIATION;
+        if (state.secondLeads() && state.storeReachable && !state.cancellationDurable && taskStateKnown) {
+            successors.accept(state.after(State::cancelBySecond));
         }
     }
 
-    private static void machine(State s, Consumer<State> to) {
-        if (s.launchUnderWay) {
-            to.accept(s.next(t -> {
-                t.launchUnderWay = false;
-                t.there = t.seenToken == FIRST; // a lower token is refused
-                boolean late = t.toldAt != NEVER && t.now > t.toldAt + CANCEL;
-                t.broken = t.there && t.elsewhere ? Rule.RAN_TWICE : t.there && late ? Rule.RAN_CANCELLED : null;
-            }));
-        }
-        if (s.there && !s.shown && s.firstActs()) {
-            to.accept(s.next(t -> t.shown = true)); // the launch's own answer
-        }
-        // A question brings the token and renews nothing.
-        if (s.leaderRecord == SECOND || s.firstActs()) {
-            to.accept(s.next(t -> t.seenToken = Math.max(t.seenToken, t.leaderRecord)));
-        }
-        if (s.reportAt < s.now) {
-            to.accept(s.next(t -> {
-                t.reportAt = t.now;
-                t.reportShows = t.there;
-                t.reportToken = t.seenToken;
-                t.answerToken = 0; // the one to the report before comes too late
-            }));
-        }
-        if (s.answerToken != 0) {
-            to.accept(s.next(t -> {
-                if (t.answerToken >= t.seenToken) {
-                    t.seenToken = t.answerToken;
-                    t.leaseFrom = t.reportAt;
-                    t.there &= !t.answerKills;
-                }
-                t.answerToken = 0;
-            }));
+    /** The first leader answers from memory that the job is live, after a user was told that it is cancelled. */
+    private static void addStaleAnswer(State state, Fault fault, Consumer<State> successors) {
+        boolean writeUnresolved = state.writeSentAt != NEVER && fault != Fault.ANSWERS_DURING_UNRESOLVED_WRITE;
+        boolean answersAsLive = state.now <= state.leaderLeaseUntil() && !writeUnresolved && !state.firstKnowsDurable;
+        if (answersAsLive && state.confirmedAt != NEVER) {
+            successors.accept(state.after(next -> next.violation = Violation.ANSWER_WENT_BACK));
         }
     }
 
-    /** The newest report arrives, for the first or the tenth time, at either controller. */
-    private static void reports(State s, Fault fault, Consumer<State> to) {
-        if (s.reportAt == NEVER) {
+    private static void addMachineTransitions(State state, Consumer<State> successors) {
+        if (state.launchInFlight) {
+            successors.accept(state.after(State::receiveLaunch));
+        }
+        if (state.taskRunning && !state.launchAcknowledged && state.firstHoldsLeaderLease()) {
+            successors.accept(state.after(next -> next.launchAcknowledged = true)); // the response to the launch itself
+        }
+        // A status request brings the token and renews nothing.
+        if (state.secondLeads() || state.firstHoldsLeaderLease()) {
+            successors.accept(state.after(next -> next.machineToken = Math.max(next.machineToken, next.leaderToken)));
+        }
+        if (state.heartbeatAt < state.now) {
+            successors.accept(state.after(State::sendHeartbeat));
+        }
+        if (state.responseToken != NO_TOKEN) {
+            successors.accept(state.after(State::receiveResponse));
+        }
+    }
+
+    /** The newest heartbeat, or a duplicate of it, reaches the first leader. */
+    private static void addHeartbeatAtFirst(State state, Fault fault, Consumer<State> successors) {
+        int renewsUntil = state.leaderLeaseUntil() + RENEWAL_TICKS + (fault == Fault.RENEWS_TOO_LONG ? 2 : 0);
+        boolean acceptsToken = state.heartbeatToken <= state.firstLeadersToken();
+        if (state.responseToken == NO_TOKEN && acceptsToken && state.now <= renewsUntil) {
+            successors.accept(state.after(next -> next.receiveHeartbeatAtFirst(fault)));
+        }
+    }
+
+    /** The newest heartbeat, or a duplicate of it, reaches the second leader, which may start the task elsewhere. */
+    private static void addHeartbeatAtSecond(State state, Fault fault, Consumer<State> successors) {
+        if (!state.secondLeads()) {
             return;
         }
-        int keptUntil = s.entitledUntil() + WINDOW + (fault == Fault.KEEPS_TOO_LONG ? 2 : 0);
-        int token = s.leaderRecord == FENCED || s.secondFollowsAFence ? FENCED : FIRST;
-        if (s.answerToken == 0 && s.reportToken <= token && s.now <= keptUntil) {
-            to.accept(s.next(t -> {
-                t.shown |= t.reportShows;
-                t.heard |= t.leaderRecord == FENCED && t.reportToken == FENCED;
-                t.answerToken = token;
-                t.answerKills = t.reportShows && (fault == Fault.ONLY_WHAT_IS_DURABLE_GOES ? t.answered : t.asked);
-            }));
-        }
-        if (s.leaderRecord == SECOND) {
-            if (s.answerToken == 0) {
-                to.accept(s.next(t -> {
-                    t.heard |= t.reportToken == SECOND;
-                    t.renewedUntil = Math.max(t.renewedUntil, t.now);
-                    t.answerToken = SECOND;
-                    t.answerKills = t.secondSees && t.reportShows;
-                }));
-            }
-            boolean heard = s.reportToken == SECOND || fault == Fault.A_COPY_IS_PROOF;
-            if (!s.elsewhere && ((heard && !s.reportShows) || s.now > s.renewedUntil + LEASE)) {
-                to.accept(s.next(t -> {
-                    t.elsewhere = true;
-                    t.broken = t.there ? Rule.RAN_TWICE : t.broken;
-                }));
-            }
+        if (state.responseToken == NO_TOKEN) {
+            successors.accept(state.after(State::receiveHeartbeatAtSecond));
+        }
+        boolean confirmsState = state.heartbeatToken == SECOND || fault == Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN;
+        boolean taskAbsent = confirmsState && !state.heartbeatShowsTask;
+        if (!state.startedElsewhere && (taskAbsent || state.now > state.renewalPossibleUntil + LEASE_TICKS)) {
+            successors.accept(state.after(State::startElsewhere));
         }
     }
 
     private static StateSearch.Result<State> search(Fault fault) {
         State launching = new State();
-        State running = launching.next(t -> {
-            t.launchUnderWay = false;
-            t.there = true;
-            t.shown = true;
+        State running = launching.after(next -> {
+            next.launchInFlight = false;
+            next.taskRunning = true;
+            next.launchAcknowledged = true;
         });
-        LongOpenHashSet seen = new LongOpenHashSet();
+        LongOpenHashSet visitedKeys = new LongOpenHashSet();
         return StateSearch.run(
                 List.of(launching, running),
-                (s, to) -> next(s, fault, t -> to.add("", t)),
-                s -> s.broken != null,
-                s -> seen.add(s.key()));
+                (state, successors) -> addSuccessors(state, fault, next -> successors.add("", next)),
+                state -> state.violation != null,
+                state -> visitedKeys.add(state.key()));
     }
 
     @Test
-    void aCancelledTaskIsGoneInTimeWhateverMeets() {
+    void cancelledTaskStopsInTimeInEveryInterleaving() {
         StateSearch.Result<State> result = search(Fault.NONE);
         assertFalse(result.broken(), () -> "" + result.trace());
         assertTrue(result.states() > 50_000, "states " + result.states());
@@ -382,20 +512,20 @@
     }
 
     @Test
-    void eachFaultIsFound() {
-        Map<Fault, Rule> found = new HashMap<>();
+    void findsEachInjectedFault() {
+        Map<Fault, Violation> violations = new HashMap<>();
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 StateSearch.Result<State> result = search(fault);
                 assertTrue(result.broken(), fault.toString());
-                found.put(fault, result.last().broken);
+                violations.put(fault, result.last().violation);
                 System.out.println("cancellation model: " + fault + " found after "
-                        + result.trace().size() + " steps: " + found.get(fault));
+                        + result.trace().size() + " steps: " + violations.get(fault));
             }
         }
-        assertEquals(Rule.WENT_BACK, found.get(Fault.TELLS_WHAT_IS_IN_DOUBT));
-        assertEquals(Rule.RAN_TWICE, found.get(Fault.A_COPY_IS_PROOF));
-        assertEquals(Rule.RAN_CANCELLED, found.get(Fault.ONLY_WHAT_IS_DURABLE_GOES));
-        assertEquals(Rule.RAN_CANCELLED, found.get(Fault.WRITES_DESPITE_A_LAUNCH));
+        assertEquals(Violation.ANSWER_WENT_BACK, violations.get(Fault.ANSWERS_DURING_UNRESOLVED_WRITE));
+        assertEquals(Violation.RAN_TWICE, violations.get(Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN));
+        assertEquals(Violation.RAN_AFTER_CANCELLATION, violations.get(Fault.STOPS_TASK_ONLY_ONCE_DURABLE));
+        assertEquals(Violation.RAN_AFTER_CANCELLATION, violations.get(Fault.WRITES_BEFORE_LAUNCH_IS_RESOLVED));
     }
 }
