--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -12,98 +12,122 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine that comes up between its rental and its registration, gets work at once, and whose leader ends.
+ * Explores a machine that comes up between its scale-out request and its registration, gets a task at once, and whose
+ * leader is deposed.
  *
- * <p>Bounds: one task, submitted before the leader changes; one new machine, rented by the first leader, and another
- * one that is well, known to both leaders and empty; two leaders, one change; {@value #TICKS} ticks of time, a lease of
- * {@value #LEASE}. The machine may be up before the answer to the rental comes, or without one, and before or after the
- * cloud's list shows it. Reports, answers, launches and the answers to launches may be lost or come late by any time;
- * one copy of a report is held back. Two transactions register the machine, each carried out at any time or never, its
- * answer lost or not. The machine may be gone at any time; its session's end takes it out of play.
+ * <p>Bounds: one task, submitted before the failover; one new machine, requested by the first leader, and another one
+ * that is healthy, known to both leaders and empty; two leaders, one failover; {@value #LAST_TICK} ticks of time, a
+ * lease of {@value #LEASE_TICKS}. The machine may be up before the response to the scale-out request comes, or without
+ * one, and before or after the cloud's list shows it. Heartbeats, responses, launches and the responses to launches may
+ * be lost or delayed by any time; one copy of a heartbeat is held back. Two compare-and-swaps register the machine,
+ * each carried out at any time or never, its response lost or not. The machine may be terminated at any time; its lease
+ * expiry takes it out of play.
  *
- * <p>Predicate, from the rules: the task isn't on both machines ({@code ran_twice}).
+ * <p>Invariant: the task isn't on both machines ({@code ran_twice}).
  */
 class RegistrationModelTest {
-    private static final int TICKS = 4;
-    private static final int LEASE = 2;
+    private static final int LAST_TICK = 4;
+    private static final int LEASE_TICKS = 2;
     private static final int NEVER = -1;
-    private static final int WRITES = 2;
+    private static final int NO_TOKEN = 0;
+    private static final int MAX_WRITES = 2;
+
+    /** The two leaders, which are also their fencing tokens. */
     private static final int FIRST = 1;
+
     private static final int SECOND = 2;
 
+    /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
         NONE,
-        LAUNCHES_BEFORE_THE_REGISTRATION_IS_KNOWN,
-        A_LOST_ANSWER_COUNTS_AS_REGISTERED,
-        A_HELD_BACK_REPORT_IS_A_FIRST_WORD,
-        DOES_NOT_WAIT_FOR_REGISTERED_MACHINES,
-        WHAT_IS_NOT_LISTED_YET_IS_GONE,
-        COUNTS_THE_LEASE_FROM_THE_REPORT
+        LAUNCHES_BEFORE_REGISTRATION_IS_CONFIRMED,
+        TREATS_LOST_RESPONSE_AS_REGISTERED,
+        TRUSTS_DELAYED_HEARTBEAT,
+        IGNORES_UNRECONCILED_MACHINES,
+        TREATS_UNLISTED_AS_TERMINATED,
+        COUNTS_LEASE_FROM_HEARTBEAT
     }
 
-    /** The transaction that registers the machine, as its writer knows it. */
+    /** The compare-and-swap that registers the machine, as its writer knows it. */
     private enum Write {
         NONE,
-        UNDER_WAY,
+        IN_FLIGHT,
         CARRIED_OUT
     }
 
+    /** One state of the model; copied for each transition, and not changed once handed to the search. */
     private static final class State implements Cloneable {
         int now;
         int leader = FIRST;
         int termStart;
 
-        // the machine and its agent
-        boolean up;
-        boolean over;
-        boolean there;
-        int leaseFrom = NEVER;
-        int seenToken;
+        // The machine and its agent.
+        boolean booted;
+        /** The machine was terminated, or its lease expired. */
+        boolean terminated;
+
+        boolean taskRunning;
+        int leaseStart = NEVER;
+        /** The highest fencing token that the machine has seen. */
+        int machineToken = NO_TOKEN;
+        /** The cloud lists the machine. */
         boolean listed;
         /** The task is on the other machine. */
-        boolean elsewhere;
-
-        // messages
-        int reportAt = NEVER;
-        boolean reportShows;
-        int reportToken;
-        boolean reportTaken;
-        int answerToken;
-        /** The answer under way, or a direct call, launches the task. */
-        boolean answerLaunches;
-
-        boolean launchUnderWay;
-        /** A copy of a report, held back; it was written before the task came. */
-        boolean copy;
-
-        // the registration
+        boolean startedElsewhere;
+
+        // Messages.
+        /** When the newest heartbeat was sent. */
+        int heartbeatAt = NEVER;
+
+        boolean heartbeatShowsTask;
+        int heartbeatToken;
+        boolean heartbeatReceived;
+        /** The token of the response in flight to the newest heartbeat. */
+        int responseToken = NO_TOKEN;
+        /** The response in flight launches the task. */
+        boolean responseLaunchesTask;
+
+        boolean launchInFlight;
+        /** A copy of a heartbeat, held back; it was sent before the task came. */
+        boolean heartbeatCopyHeld;
+
+        // The registration.
         Write write = Write.NONE;
-        int writes;
-        boolean lateWrite;
-        boolean durable;
+        int writesSent;
+        boolean lateWriteInFlight;
+        boolean registrationDurable;
 
-        // what the leader knows
+        // What the present leader knows of the machine.
         boolean known;
-        boolean heardOf;
-        boolean registered;
-        boolean heard = true;
-        boolean proved;
-        boolean lapsed;
-        int answeredAt = NEVER;
-        boolean placed;
-        boolean shown;
-        /** It counts the machine as gone. */
-        boolean gone;
-
-        boolean sawListed;
+        /** The leader has received a heartbeat of the machine. */
+        boolean anyHeartbeatReceived;
+
+        boolean registrationConfirmed;
+        /** The leader knows whether the task may be on the machine. */
+        boolean reconciled = true;
+        /** The leader has received a heartbeat that was sent under its own token. */
+        boolean confirmedLive;
+
+        boolean leaseExpired;
+        /** From when the leader counts the machine's lease. */
+        int leaseCountedFrom = NEVER;
+        /** The leader assigned the task to the machine. */
+        boolean assigned;
+        /** A heartbeat, or the launch's response, confirmed that assignment. */
+        boolean assignmentConfirmed;
+        /** The leader counts the machine as terminated. */
+        boolean countedAsTerminated;
+
+        boolean seenInList;
+        /** The invariant is violated. */
         boolean ranTwice;
 
-        State next(Consumer<State> change) {
+        State after(Consumer<State> transition) {
             try {
-                State s = (State) clone();
-                change.accept(s);
-                s.ranTwice = s.there && s.elsewhere;
-                return s;
+                State copy = (State) clone();
+                transition.accept(copy);
+                copy.ranTwice = copy.taskRunning && copy.startedElsewhere;
+                return copy;
             } catch (CloneNotSupportedException e) {
                 throw new AssertionError(e);
             }
@@ -111,287 +135,368 @@
 
         StateKey.Packed key() {
             StateKey key = new StateKey().number(now, 3).flag(leader == FIRST).number(termStart, 3);
-            key.flag(up)
-                    .flag(over)
-                    .flag(there)
-                    .time(leaseFrom, 3)
-                    .number(seenToken, 2)
-                    .flag(listed)
-                    .flag(elsewhere);
-            key.time(reportAt, 3)
-                    .flag(reportShows)
-                    .number(reportToken, 2)
-                    .flag(reportTaken)
-                    .number(answerToken, 2);
-            key.flag(answerLaunches).flag(launchUnderWay).flag(copy);
-            key.number(write.ordinal(), 2).number(writes, 2).flag(lateWrite).flag(durable);
+            key.flag(booted).flag(terminated).flag(taskRunning).time(leaseStart, 3);
+            key.number(machineToken, 2).flag(listed).flag(startedElsewhere);
+            key.time(heartbeatAt, 3).flag(heartbeatShowsTask).number(heartbeatToken, 2);
+            key.flag(heartbeatReceived).number(responseToken, 2);
+            key.flag(responseLaunchesTask).flag(launchInFlight).flag(heartbeatCopyHeld);
+            key.number(write.ordinal(), 2).number(writesSent, 2);
+            key.flag(lateWriteInFlight).flag(registrationDurable);
             key.flag(known)
-                    .flag(heardOf)
-                    .flag(registered)
-                    .flag(heard)
-                    .flag(proved)
-                    .flag(lapsed)
-                    .time(answeredAt, 3);
-            return key.flag(placed).flag(shown).flag(gone).flag(sawListed).packed();
+                    .flag(anyHeartbeatReceived)
+                    .flag(registrationConfirmed)
+                    .flag(reconciled);
+            key.flag(confirmedLive).flag(leaseExpired).time(leaseCountedFrom, 3);
+            key.flag(assigned)
+                    .flag(assignmentConfirmed)
+                    .flag(countedAsTerminated)
+                    .flag(seenInList);
+            return key.packed();
+        }
+
+        @Override
+        public String toString() {
+            return "now=" + now + " leader=" + leader + " booted=" + booted + " taskRunning=" + taskRunning
+                    + " registrationDurable=" + registrationDurable + " registrationConfirmed="
+                    + registrationConfirmed + " reconciled=" + reconciled + " assigned=" + assigned
+                    + " startedElsewhere=" + startedElsewhere + "\n";
+        }
+
+        boolean firstLeads() {
+            return leader == FIRST;
+        }
+
+        boolean isMachineRunning() {
+            return booted && !terminated;
+        }
+
+        /** Time passes: the agent's lease may expire, and so may the lease by the leader's account. */
+        void tick() {
+            now++;
+            if (isMachineRunning() && now > leaseStart + LEASE_TICKS) {
+                terminate();
+            }
+            if (isLeaseExpiredForLeader() && (!reconciled || anyHeartbeatReceived)) {
+                leaseExpired |= anyHeartbeatReceived;
+                markEmpty();
+            }
+        }
+
+        private boolean isLeaseExpiredForLeader() {
+            return known && !countedAsTerminated && now > Math.max(leaseCountedFrom, termStart) + LEASE_TICKS;
         }
 
-        /** The machine and all that is on it, or on its way to it, is gone. */
-        void end() {
-            over = true;
-            there = false;
-            launchUnderWay = false;
-            answerToken = 0;
-            answerLaunches = false;
+        /** The machine goes, with everything on it and on its way to it. */
+        void terminate() {
+            terminated = true;
+            taskRunning = false;
+            launchInFlight = false;
+            dropResponse();
+        }
+
+        private void dropResponse() {
+            responseToken = NO_TOKEN;
+            responseLaunchesTask = false;
         }
 
         /** The leader knows that nothing can be on the machine. */
-        void nothingThere() {
-            placed = false;
-            shown = false;
-            heard = true;
+        private void markEmpty() {
+            assigned = false;
+            assignmentConfirmed = false;
+            reconciled = true;
         }
 
-        @Override
-        public String toString() {
-            return "now=" + now + " leader=" + leader + " up=" + up + " there=" + there + " durable=" + durable
-                    + " registered=" + registered + " heard=" + heard + " placed=" + placed
-                    + " elsewhere=" + elsewhere + "\n";
+        void boot() {
+            booted = true;
+            leaseStart = now;
         }
-    }
 
-    private static void next(State s, Fault fault, Successors<State> to) {
-        if (s.now < TICKS) {
-            to.add("time passes", s.next(RegistrationModelTest::tick));
+        void seeInList() {
+            seenInList = true;
+            known = true;
         }
-        cloud(s, fault, to);
-        registration(s, fault, to);
-        worker(s, to);
-        reports(s, fault, to);
-        leader(s, fault, to);
-    }
 
-    private static void tick(State s) {
-        s.now++;
-        if (s.up && !s.over && s.now > s.leaseFrom + LEASE) {
-            s.end();
+        void missInList() {
+            countedAsTerminated = true;
+            markEmpty();
         }
-        if (s.known && !s.gone && s.now > Math.max(s.answeredAt, s.termStart) + LEASE && (!s.heard || s.heardOf)) {
-            s.lapsed |= s.heardOf;
-            s.nothingThere();
+
+        void sendRegistration() {
+            write = Write.IN_FLIGHT;
+            writesSent++;
+        }
+
+        void carryOutRegistration() {
+            write = Write.CARRIED_OUT;
+            registrationDurable = true;
+        }
+
+        void carryOutLateRegistration() {
+            lateWriteInFlight = false;
+            registrationDurable = true;
+        }
+
+        void confirmRegistration() {
+            write = Write.NONE;
+            registrationConfirmed = true;
+        }
+
+        void loseRegistrationResponse(Fault fault) {
+            lateWriteInFlight |= write == Write.IN_FLIGHT;
+            write = Write.NONE;
+            registrationConfirmed = fault == Fault.TREATS_LOST_RESPONSE_AS_REGISTERED;
+        }
+
+        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        void sendHeartbeat() {
+            heartbeatAt = now;
+            heartbeatShowsTask = taskRunning;
+            heartbeatToken = machineToken;
+            heartbeatReceived = false;
+            dropResponse();
+        }
+
+        /** The response arrives; under an older token it is ignored. */
+        void receiveResponse() {
+            if (responseToken >= machineToken) {
+                machineToken = responseToken;
+                leaseStart = heartbeatAt;
+                taskRunning |= responseLaunchesTask;
+            }
+            dropResponse();
         }
-    }
 
-    // ---- the cloud: control.Rentals ----
+        /** The launch arrives; the machine refuses it under a token lower than the highest it has seen. */
+        void receiveLaunch() {
+            launchInFlight = false;
+            if (machineToken <= FIRST) {
+                machineToken = FIRST;
+                taskRunning = true;
+            }
+        }
 
-    private static void cloud(State s, Fault fault, Successors<State> to) {
-        if (!s.up && !s.over) {
-            to.add("the machine comes up", s.next(t -> {
-                t.up = true;
-                t.leaseFrom = t.now;
-            }));
+        void receiveHeartbeat(Fault fault) {
+            heartbeatReceived = true;
+            applyHeartbeat(heartbeatShowsTask, heartbeatToken, fault);
+            leaseCountedFrom = fault == Fault.COUNTS_LEASE_FROM_HEARTBEAT ? heartbeatAt - 1 : now;
+            responseToken = leader;
+            responseLaunchesTask = firstLeads() && assigned && !assignmentConfirmed;
         }
-        if (s.up && !s.over) {
-            to.add("the machine is gone", s.next(State::end));
+
+        void receiveHeartbeatCopy(Fault fault) {
+            heartbeatCopyHeld = false;
+            applyHeartbeat(false, FIRST, fault);
+            leaseCountedFrom = now;
         }
-        if (!s.known && s.leader == FIRST) {
-            to.add("the rental is answered", s.next(t -> t.known = true));
+
+        private void applyHeartbeat(boolean showsTask, int token, Fault fault) {
+            if (!known) {
+                known = true;
+                reconciled = true; // it isn't registered: no earlier leader can have assigned a task to it
+            }
+            anyHeartbeatReceived = true;
+            boolean current = token == leader || fault == Fault.TRUSTS_DELAYED_HEARTBEAT;
+            reconciled |= current;
+            confirmedLive |= current;
+            if (showsTask && !startedElsewhere) {
+                assigned = true;
+                assignmentConfirmed = true;
+            } else if (!showsTask && assignmentConfirmed) {
+                assigned = false;
+                assignmentConfirmed = false;
+            }
         }
-        if (!s.listed && !s.over) {
-            to.add("the list shows the machine", s.next(t -> t.listed = true));
+
+        void startOnMachine() {
+            assigned = true;
+            assignmentConfirmed = false;
+            launchInFlight = !terminated;
         }
-        if (s.listed && !s.over && !s.sawListed) {
-            to.add("the leader sees it in the list", s.next(t -> {
-                t.sawListed = true;
-                t.known = true;
-            }));
+
+        /** The launch's response arrives; an older heartbeat that doesn't show the task no longer counts. */
+        void receiveLaunchResponse() {
+            assignmentConfirmed = true;
+            heartbeatReceived |= !heartbeatShowsTask;
         }
-        // Once listed, it stays so until it is gone.
-        boolean missing = (s.sawListed && s.over) || (fault == Fault.WHAT_IS_NOT_LISTED_YET_IS_GONE && !s.listed);
-        if (s.known && missing && !s.gone) {
-            to.add("the leader misses it in the list", s.next(t -> {
-                t.gone = true;
-                t.nothingThere();
-            }));
+
+        /**
+         * The second leader knows the machines whose registration is durable; where the task is, it has to find out.
+         */
+        void failOver() {
+            leader = SECOND;
+            termStart = now;
+            known = registrationDurable;
+            registrationConfirmed = registrationDurable;
+            reconciled = !registrationDurable;
+            anyHeartbeatReceived = false;
+            confirmedLive = false;
+            leaseExpired = false;
+            countedAsTerminated = false;
+            seenInList = false;
+            leaseCountedFrom = NEVER;
+            assigned = false;
+            assignmentConfirmed = false;
+            heartbeatReceived = false;
+            write = Write.NONE;
+            lateWriteInFlight = false;
+        }
+
+        /** Whether the leader may launch a task on the machine. */
+        boolean isUsable(Fault fault) {
+            boolean tooEarly = fault == Fault.LAUNCHES_BEFORE_REGISTRATION_IS_CONFIRMED && write != Write.NONE;
+            boolean live = anyHeartbeatReceived && confirmedLive && !leaseExpired && !countedAsTerminated;
+            return (registrationConfirmed || tooEarly) && live;
+        }
+
+        /** Whether the leader must wait, since an earlier leader may have started the task on the machine. */
+        boolean mustWaitForMachine(Fault fault) {
+            return !firstLeads() && known && !reconciled && fault != Fault.IGNORES_UNRECONCILED_MACHINES;
         }
     }
 
-    // ---- the registration: control.Registry ----
-
-    private static void registration(State s, Fault fault, Successors<State> to) {
-        if (s.leader == FIRST && s.heardOf && !s.registered && s.write == Write.NONE && s.writes < WRITES) {
-            to.add("the leader registers the machine", s.next(t -> {
-                t.write = Write.UNDER_WAY;
-                t.writes++;
-            }));
-        }
-        if (s.write == Write.UNDER_WAY && s.leader == FIRST) {
-            to.add("the registration is carried out", s.next(t -> {
-                t.write = Write.CARRIED_OUT;
-                t.durable = true;
-            }));
-        }
-        // Conditional on the leader record.
-        if (s.lateWrite && s.leader == FIRST) {
-            to.add("the late registration is carried out", s.next(t -> {
-                t.lateWrite = false;
-                t.durable = true;
-            }));
-        }
-        if (s.write == Write.CARRIED_OUT && s.leader == FIRST) {
-            to.add("the leader learns that the machine is registered", s.next(t -> {
-                t.write = Write.NONE;
-                t.registered = true;
-            }));
-        }
-        if (s.write != Write.NONE && s.leader == FIRST) {
-            to.add("the answer to the registration is lost", s.next(t -> {
-                t.lateWrite |= t.write == Write.UNDER_WAY;
-                t.write = Write.NONE;
-                t.registered = fault == Fault.A_LOST_ANSWER_COUNTS_AS_REGISTERED;
-            }));
+    /** Adds every state that may follow; the order decides which of several shortest traces is found. */
+    private static void addSuccessors(State state, Fault fault, Successors<State> successors) {
+        if (state.now < LAST_TICK) {
+            successors.add("time passes", state.after(State::tick));
+        }
+        addMachineLifecycle(state, successors);
+        addCloudAnswers(state, fault, successors);
+        if (state.firstLeads()) {
+            addRegistrationWrites(state, successors);
+            addRegistrationResponses(state, fault, successors);
         }
+        if (state.isMachineRunning()) {
+            addAgentTransitions(state, successors);
+        }
+        addHeartbeatTransitions(state, fault, successors);
+        addHeartbeatCopy(state, fault, successors);
+        addScheduling(state, fault, successors);
+        addLaunchResponseAndFailover(state, successors);
     }
 
-    // ---- the agent ----
+    private static void addMachineLifecycle(State state, Successors<State> successors) {
+        if (!state.booted && !state.terminated) {
+            successors.add("the machine comes up", state.after(State::boot));
+        }
+        if (state.isMachineRunning()) {
+            successors.add("the machine is terminated", state.after(State::terminate));
+        }
+    }
 
-    private static void worker(State s, Successors<State> to) {
-        if (!s.up || s.over) {
-            return;
+    private static void addCloudAnswers(State state, Fault fault, Successors<State> successors) {
+        if (!state.known && state.firstLeads()) {
+            successors.add("the scale-out request is answered", state.after(next -> next.known = true));
+        }
+        if (!state.listed && !state.terminated) {
+            successors.add("the list shows the machine", state.after(next -> next.listed = true));
+        }
+        if (state.listed && !state.terminated && !state.seenInList) {
+            successors.add("the leader sees it in the list", state.after(State::seeInList));
         }
-        if (s.reportAt < s.now || s.there != s.reportShows || s.seenToken != s.reportToken) {
-            to.add("the machine reports", s.next(t -> {
-                t.reportAt = t.now;
-                t.reportShows = t.there;
-                t.reportToken = t.seenToken;
-                t.reportTaken = false;
-                t.answerToken = 0;
-                t.answerLaunches = false;
-            }));
-        }
-        if (s.answerToken != 0) {
-            to.add("the answer reaches the machine", s.next(t -> {
-                if (t.answerToken >= t.seenToken) {
-                    t.seenToken = t.answerToken;
-                    t.leaseFrom = t.reportAt;
-                    t.there |= t.answerLaunches;
-                }
-                t.answerToken = 0;
-                t.answerLaunches = false;
-            }));
-        }
-        if (s.launchUnderWay) {
-            to.add("the launch reaches the machine", s.next(t -> {
-                t.launchUnderWay = false;
-                if (t.seenToken <= FIRST) { // a lower token is refused
-                    t.seenToken = FIRST;
-                    t.there = true;
-                }
-            }));
-        }
-        if (s.leader > s.seenToken && s.known) {
-            to.add("a question reaches the machine", s.next(t -> t.seenToken = t.leader));
+        if (state.known && isMissingInList(state, fault) && !state.countedAsTerminated) {
+            successors.add("the leader misses it in the list", state.after(State::missInList));
         }
     }
 
-    // ---- reports at the leader: control.Workers.hello, core.Ledger.report ----
+    /** Once listed, the machine stays so until it is terminated. */
+    private static boolean isMissingInList(State state, Fault fault) {
+        boolean listedTooLate = fault == Fault.TREATS_UNLISTED_AS_TERMINATED && !state.listed;
+        return (state.seenInList && state.terminated) || listedTooLate;
+    }
 
-    private static void reports(State s, Fault fault, Successors<State> to) {
-        if (s.reportAt != NEVER && !s.reportTaken && s.reportToken <= s.leader && !s.lapsed && !s.gone) {
-            to.add("the report reaches the leader", s.next(t -> {
-                t.reportTaken = true;
-                take(t, t.reportShows, t.reportToken, fault);
-                t.answeredAt = fault == Fault.COUNTS_THE_LEASE_FROM_THE_REPORT ? t.reportAt - 1 : t.now;
-                t.answerToken = t.leader;
-                t.answerLaunches = t.leader == FIRST && t.placed && !t.shown;
-            }));
+    /** Writes are conditional on the leader record. */
+    private static void addRegistrationWrites(State state, Successors<State> successors) {
+        boolean wanted = state.anyHeartbeatReceived && !state.registrationConfirmed;
+        if (wanted && state.write == Write.NONE && state.writesSent < MAX_WRITES) {
+            successors.add("the leader registers the machine", state.after(State::sendRegistration));
         }
-        if (s.leader == FIRST && s.reportAt != NEVER && !s.reportShows && !s.copy) {
-            to.add("a copy of the report is held back", s.next(t -> t.copy = true));
+        if (state.write == Write.IN_FLIGHT) {
+            successors.add("the registration is carried out", state.after(State::carryOutRegistration));
         }
-        if (s.leader == SECOND && s.copy && !s.heardOf && !s.gone) {
-            to.add("the copy reaches the leader", s.next(t -> {
-                t.copy = false;
-                take(t, false, FIRST, fault);
-                t.answeredAt = t.now;
-            }));
+        if (state.lateWriteInFlight) {
+            successors.add("the late registration is carried out", state.after(State::carryOutLateRegistration));
         }
     }
 
-    private static void take(State s, boolean shows, int token, Fault fault) {
-        if (!s.known) {
-            s.known = true;
-            s.heard = true; // it isn't registered: no earlier leader can have given it a task
-        }
-        s.heardOf = true;
-        boolean proof = token == s.leader || fault == Fault.A_HELD_BACK_REPORT_IS_A_FIRST_WORD;
-        s.heard |= proof;
-        s.proved |= proof;
-        if (shows && !s.elsewhere) {
-            s.placed = true;
-            s.shown = true;
-        } else if (!shows && s.shown) {
-            s.placed = false;
-            s.shown = false;
+    private static void addRegistrationResponses(State state, Fault fault, Successors<State> successors) {
+        if (state.write == Write.CARRIED_OUT) {
+            successors.add("the leader learns that the machine is registered", state.after(State::confirmRegistration));
+        }
+        if (state.write != Write.NONE) {
+            successors.add(
+                    "the response to the registration is lost",
+                    state.after(next -> next.loseRegistrationResponse(fault)));
         }
     }
 
-    // ---- the leader: core.Planner, core.Ledger.start ----
-
-    private static void leader(State s, Fault fault, Successors<State> to) {
-        boolean pending = !s.placed && !s.elsewhere;
-        boolean tooEarly = fault == Fault.LAUNCHES_BEFORE_THE_REGISTRATION_IS_KNOWN && s.write != Write.NONE;
-        boolean usable = (s.registered || tooEarly) && s.heardOf && s.proved && !s.lapsed && !s.gone;
-        if (s.leader == FIRST && pending && usable && !s.launchUnderWay) {
-            to.add("the leader starts the task on the machine", s.next(t -> {
-                t.placed = true;
-                t.shown = false;
-                t.launchUnderWay = !t.over;
-            }));
-        }
-        boolean unheard = s.leader == SECOND && s.known && !s.heard;
-        boolean waits = unheard && fault != Fault.DOES_NOT_WAIT_FOR_REGISTERED_MACHINES;
-        if (pending && !waits) {
-            to.add("the leader starts the task elsewhere", s.next(t -> t.elsewhere = true));
-        }
-        if (s.placed && !s.shown && s.there && s.leader == FIRST) {
-            to.add("the launch is answered", s.next(t -> {
-                t.shown = true;
-                t.reportTaken |= !t.reportShows; // older than that answer: it says nothing
-            }));
-        }
-        if (s.leader == FIRST) {
-            to.add("the leader ends, and another begins", s.next(RegistrationModelTest::change));
+    private static void addAgentTransitions(State state, Successors<State> successors) {
+        boolean changed = state.taskRunning != state.heartbeatShowsTask || state.machineToken != state.heartbeatToken;
+        if (state.heartbeatAt < state.now || changed) {
+            successors.add("the machine sends a heartbeat", state.after(State::sendHeartbeat));
+        }
+        if (state.responseToken != NO_TOKEN) {
+            successors.add("the response reaches the machine", state.after(State::receiveResponse));
+        }
+        if (state.launchInFlight) {
+            successors.add("the launch reaches the machine", state.after(State::receiveLaunch));
+        }
+        if (state.leader > state.machineToken && state.known) {
+            successors.add(
+                    "a status request reaches the machine", state.after(next -> next.machineToken = next.leader));
+        }
+    }
+
+    private static void addHeartbeatTransitions(State state, Fault fault, Successors<State> successors) {
+        if (state.heartbeatAt == NEVER) {
+            return;
+        }
+        boolean accepted = state.heartbeatToken <= state.leader && !state.leaseExpired && !state.countedAsTerminated;
+        if (!state.heartbeatReceived && accepted) {
+            successors.add("the heartbeat reaches the leader", state.after(next -> next.receiveHeartbeat(fault)));
+        }
+        if (state.firstLeads() && !state.heartbeatShowsTask && !state.heartbeatCopyHeld) {
+            successors.add("a copy of the heartbeat is held back", state.after(next -> next.heartbeatCopyHeld = true));
         }
     }
 
-    /** The second leader knows the machines whose registration is durable. Where the task is, it has to find out. */
-    private static void change(State s) {
-        s.leader = SECOND;
-        s.termStart = s.now;
-        s.known = s.durable;
-        s.registered = s.durable;
-        s.heard = !s.durable;
-        s.heardOf = false;
-        s.proved = false;
-        s.lapsed = false;
-        s.gone = false;
-        s.sawListed = false;
-        s.answeredAt = NEVER;
-        s.placed = false;
-        s.shown = false;
-        s.reportTaken = false;
-        s.write = Write.NONE;
-        s.lateWrite = false;
+    private static void addHeartbeatCopy(State state, Fault fault, Successors<State> successors) {
+        boolean accepted = !state.anyHeartbeatReceived && !state.countedAsTerminated;
+        if (!state.firstLeads() && state.heartbeatCopyHeld && accepted) {
+            successors.add("the copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
+        }
+    }
+
+    private static void addScheduling(State state, Fault fault, Successors<State> successors) {
+        boolean pending = !state.assigned && !state.startedElsewhere;
+        if (state.firstLeads() && pending && state.isUsable(fault) && !state.launchInFlight) {
+            successors.add("the leader starts the task on the machine", state.after(State::startOnMachine));
+        }
+        if (pending && !state.mustWaitForMachine(fault)) {
+            successors.add("the leader starts the task elsewhere", state.after(next -> next.startedElsewhere = true));
+        }
+    }
+
+    private static void addLaunchResponseAndFailover(State state, Successors<State> successors) {
+        if (!state.firstLeads()) {
+            return;
+        }
+        if (state.assigned && !state.assignmentConfirmed && state.taskRunning) {
+            successors.add("the launch is answered", state.after(State::receiveLaunchResponse));
+        }
+        successors.add("the second leader takes over", state.after(State::failOver));
     }
 
     private static Result<State> search(Fault fault) {
-        Set<StateKey.Packed> seen = new HashSet<>();
+        Set<StateKey.Packed> visitedKeys = new HashSet<>();
         return StateSearch.run(
-                List.of(new State()), (s, to) -> next(s, fault, to), s -> s.ranTwice, s -> seen.add(s.key()));
+                List.of(new State()),
+                (state, successors) -> addSuccessors(state, fault, successors),
+                state -> state.ranTwice,
+                state -> visitedKeys.add(state.key()));
     }
 
     @Test
-    void aTaskIsNeverOnTwoMachines() {
+    void taskIsNeverOnTwoMachines() {
         Result<State> result = search(Fault.NONE);
         assertFalse(result.broken(), () -> result.actions() + "\n" + result.trace());
         assertTrue(result.states() > 50_000, "states " + result.states());
@@ -399,7 +504,7 @@
     }
 
     @Test
-    void eachFaultIsFound() {
+    void findsEachInjectedFault() {
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault);
