--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -41,17 +41,17 @@
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         new Replay()
                 .play(runs)
-                .forEach((of, s) -> System.out.printf(
+                .forEach((group, score) -> System.out.printf(
                         Locale.ROOT,
                         "| %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n",
-                        of,
-                        s.runs(),
-                        s.inside(),
-                        s.width(),
-                        s.errors()[0],
-                        s.errors()[1],
-                        s.errors()[2],
-                        s.errors()[3]));
+                        group,
+                        score.runs(),
+                        score.insideShare(),
+                        score.medianWidth(),
+                        score.medianErrors().estimate(),
+                        score.medianErrors().ownerEstimate(),
+                        score.medianErrors().runningMean(),
+                        score.medianErrors().lastRun()));
         return 0;
     }
 
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -108,7 +108,7 @@
     private void load(int number, JsonNode record) {
         try {
             for (JsonNode encoded : record.path(KINDS)) {
-                Estimates.Kept kind = decode(encoded);
+                Estimates.Snapshot kind = decode(encoded);
                 estimates.restore(kind);
                 kindsByRecord.get(number).put(kind.kind(), false);
             }
@@ -122,7 +122,7 @@
 
     /** Writes the next record with new statistics, once the write interval passed and the store has spare capacity. */
     public void flush() {
-        for (String kind : estimates.takeDirty()) {
+        for (String kind : estimates.takeUpdatedKinds()) {
             LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(recordOf(kind));
             kinds.remove(kind);
             kinds.put(kind, true);
@@ -169,8 +169,8 @@
         List<String> latestFirst = new ArrayList<>(kinds.keySet());
         Collections.reverse(latestFirst);
         for (String kind : latestFirst) {
-            Estimates.Kept kept = estimates.keep(kind, EstimateConstants.STATISTICS_RUNS);
-            ObjectNode encoded = kept == null ? null : encode(kept);
+            Estimates.Snapshot snapshot = estimates.snapshot(kind, EstimateConstants.STATISTICS_RUNS);
+            ObjectNode encoded = snapshot == null ? null : encode(snapshot);
             int bytes = encoded == null ? 0 : RecordSize.bytes(encoded) + 1;
             if (encoded == null || bytes > remainingBytes) {
                 kinds.remove(kind);
@@ -185,8 +185,8 @@
         return record;
     }
 
-    private static ObjectNode encode(Estimates.Kept kind) {
-        ObjectNode encoded = Codec.object().put(KIND_NAME, kind.kind()).put(RUNS_SEEN, kind.seen());
+    private static ObjectNode encode(Estimates.Snapshot kind) {
+        ObjectNode encoded = Codec.object().put(KIND_NAME, kind.kind()).put(RUNS_SEEN, kind.observedRuns());
         ArrayNode runs = encoded.putArray(RUNS);
         for (short[] run : kind.runs()) {
             for (int i = 0; i < NUMBERS_PER_RUN; i++) {
@@ -196,7 +196,7 @@
         return encoded;
     }
 
-    private static Estimates.Kept decode(JsonNode encoded) {
+    private static Estimates.Snapshot decode(JsonNode encoded) {
         JsonNode numbers = encoded.path(RUNS);
         if (!encoded.path(KIND_NAME).isTextual() || numbers.size() % NUMBERS_PER_RUN != 0) {
             throw new IllegalArgumentException("kind or runs");
@@ -206,7 +206,7 @@
             runs[i / NUMBERS_PER_RUN][i % NUMBERS_PER_RUN] =
                     (short) numbers.path(i).asInt();
         }
-        return new Estimates.Kept(
+        return new Estimates.Snapshot(
                 encoded.path(KIND_NAME).asText(), encoded.path(RUNS_SEEN).asLong(), runs);
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -10,84 +10,111 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * What the runs of tasks teach: how long the next one of a kind takes. Bounded, whatever the number of kinds and
- * machines.
+ * Predicts the run times of tasks from observed runs. Runs are grouped by kind: job class, team and size, with wider
+ * groups for kinds that have few runs. Memory is bounded, whatever the number of kinds and machines. All durations are
+ * seconds. Confined to the event loop.
  */
 public final class Estimates {
     /** Kinds that are known at most; the one that ran least recently is dropped first. */
     static final int KINDS = 2_000;
 
-    private static final int MACHINES = 4_000;
-    /** Ended runs from which on a group speaks for itself, and from which on its band isn't widened any more. */
-    private static final int SPEAKS = 5;
+    /** Machines whose slow runs are counted at most; the one that ran least recently is dropped first. */
+    private static final int MAX_MACHINES = 4_000;
 
-    private static final int SURE = 20;
-    /** Runs in a row after which a machine that takes so many times as long teaches nothing. */
+    /** Completed runs from which on a group is used instead of a wider one. */
+    private static final int SUFFICIENT_RUNS = 5;
+
+    /** Completed runs from which on a group's interval isn't widened any more. */
+    private static final int CONFIDENT_RUNS = 20;
+
+    /** Slow runs in a row from which on a machine's runs are ignored. */
     private static final int SLOW_RUNS = 3;
 
-    private static final double SLOW_TIMES = 2;
+    /** Multiple of the upper end of the interval from which on a run counts as slow. */
+    private static final double SLOW_RATIO = 2;
+
+    /** The narrowest groups of a task, which consist of runs of its own kind. */
+    private static final int OWN_GROUPS = 2;
+
+    /** Factor by which the interval is widened if it comes from tasks of another kind. */
+    private static final double BORROWED_WIDENING = 1.5;
+
+    /** An owner's estimate above this is ignored. */
+    private static final double MAX_ESTIMATE_S = 1e7;
 
     private final MeanRatio means = new MeanRatio();
-    private final boolean learns;
+    private final boolean learnsDistributions;
+    /** Runs by group, in the order of their last use. */
     private final Map<String, History> kinds = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, History> eldest) {
             return size() > KINDS;
         }
     };
-    /** How many of a machine's last runs in a row were slow. */
-    private final Map<String, Integer> slow = new LinkedHashMap<>(64, 0.75f, true) {
+    /** The number of a machine's last runs in a row that were slow, by machine id. */
+    private final Map<String, Integer> slowRunsByMachine = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-            return size() > MACHINES;
+            return size() > MAX_MACHINES;
         }
     };
 
+    /** Kinds whose runs changed since they were last taken for storing. */
     private final Set<String> dirty = new LinkedHashSet<>();
 
-    /** {@code learns}: more than the mean that rentals reckon with. */
-    public Estimates(boolean learns) {
-        this.learns = learns;
+    /**
+     * Starts without any observed run.
+     *
+     * @param learnsDistributions whether prediction intervals are learned, besides the mean for scaling out
+     */
+    public Estimates(boolean learnsDistributions) {
+        this.learnsDistributions = learnsDistributions;
     }
 
-    /** So many of a task's groups are of its own kind. */
-    private static final int OWN_GROUPS = 2;
-
     /** The groups that a task belongs to, the narrowest first. */
-    private static List<String> groups(JobSpec s) {
-        String kind = s.jobClass() + "/" + s.team();
+    private static List<String> groups(JobSpec spec) {
+        String kind = spec.jobClass() + "/" + spec.team();
         return List.of(
-                kind + "/" + Math.round(Math.log(Math.max(0.1, s.cpus())) / Math.log(2)), kind, "/" + s.team(), "");
+                kind + "/" + Math.round(Math.log(Math.max(0.1, spec.cpus())) / Math.log(2)),
+                kind,
+                "/" + spec.team(),
+                "");
     }
 
-    /** The owner's estimate; nothing odd from outside gets further than this. */
+    /** The owner's estimate, or 0 if it isn't a plausible duration. */
     private static double estimateS(JobSpec spec) {
-        return spec.estimateS() > 0 && spec.estimateS() <= 1e7 ? spec.estimateS() : 0;
+        return spec.estimateS() > 0 && spec.estimateS() <= MAX_ESTIMATE_S ? spec.estimateS() : 0;
     }
 
-    /** What rentals reckon with: a mean. */
+    /** The mean run time that scaling out reckons with: the owner's estimate, corrected by the class's runs. */
     public double meanS(JobSpec spec) {
         return means.expectedS(spec);
     }
 
-    /** A task ran that long on a machine, and was done; or was cut short: stopped, failed or lost. */
+    /**
+     * Records a run. Runs of services and of implausible length are ignored, and so are those of a machine that is slow
+     * while most others aren't.
+     *
+     * @param ranS seconds that the task ran
+     * @param cutShort whether the task was stopped, failed or lost after that time, instead of completing
+     */
     public void observe(JobSpec spec, String machine, double ranS, boolean cutShort) {
         if (!(ranS >= 0) || spec.service()) {
-            return; // a clock that jumped, or a task that has no end of its own
+            return; // the clock jumped, or the task has no end of its own
         }
         if (!cutShort) {
-            means.finished(spec, ranS);
+            means.taskCompleted(spec, ranS);
         }
-        if (!learns) {
+        if (!learnsDistributions) {
             return;
         }
         List<String> groups = groups(spec);
         if (!cutShort) {
             PredictionInterval expected = interval(spec, groups, 0);
-            boolean late = expected.runs() >= SPEAKS && ranS > SLOW_TIMES * expected.p90();
-            int run = late ? slow.getOrDefault(machine, 0) + 1 : 0;
-            slow.put(machine, run);
-            if (run >= SLOW_RUNS && others(machine)) {
+            boolean isSlow = expected.runs() >= SUFFICIENT_RUNS && ranS > SLOW_RATIO * expected.p90();
+            int slowRuns = isSlow ? slowRunsByMachine.getOrDefault(machine, 0) + 1 : 0;
+            slowRunsByMachine.put(machine, slowRuns);
+            if (slowRuns >= SLOW_RUNS && areMostOthersNormal(machine)) {
                 return;
             }
         }
@@ -97,16 +124,16 @@
         dirty.addAll(groups.subList(0, OWN_GROUPS));
     }
 
-    /** Most machines are in line: if all are slow, the kind has changed and no machine is to blame. */
-    private boolean others(String machine) {
-        int inLine = 0;
-        for (Map.Entry<String, Integer> e : slow.entrySet()) {
-            inLine += e.getValue() == 0 && !e.getKey().equals(machine) ? 1 : 0;
+    /** Whether most machines aren't slow: if all are, the kind has changed and no machine is to blame. */
+    private boolean areMostOthersNormal(String machine) {
+        int normalMachines = 0;
+        for (Map.Entry<String, Integer> slowRuns : slowRunsByMachine.entrySet()) {
+            normalMachines += slowRuns.getValue() == 0 && !slowRuns.getKey().equals(machine) ? 1 : 0;
         }
-        return inLine * 2 > slow.size();
+        return normalMachines * 2 > slowRunsByMachine.size();
     }
 
-    /** How long such a task takes in all, given that it has run for {@code ranS} already. */
+    /** Predicts how many seconds such a task takes in all, given that it has run for {@code ranS} seconds already. */
     public PredictionInterval interval(JobSpec spec, double ranS) {
         return interval(spec, groups(spec), ranS);
     }
@@ -115,35 +142,49 @@
         History best = null;
         String from = "";
         for (String group : groups) {
-            History h = kinds.get(group);
-            if (h != null && h.ended() > 0 && (best == null || best.ended() < SPEAKS)) {
-                best = h;
+            History history = kinds.get(group);
+            if (history != null
+                    && history.completedRuns() > 0
+                    && (best == null || best.completedRuns() < SUFFICIENT_RUNS)) {
+                best = history;
                 from = group.isEmpty() ? "all" : group;
             }
         }
-        double ran = Math.max(0, ranS);
+        double elapsedS = Math.max(0, ranS);
         if (best == null) {
-            double guess = Math.max(Math.max(1, estimateS(spec)), ran);
+            double guess = Math.max(Math.max(1, estimateS(spec)), elapsedS);
             return new PredictionInterval(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
         }
         QuantileCurve curve = best.curve(estimateS(spec));
         PredictionInterval interval = new PredictionInterval(
-                curve.quantile(0.1, ran), curve.quantile(0.5, ran), curve.quantile(0.9, ran), best.ended(), from);
-        boolean own = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
-        double thin = best.ended() >= SURE ? 1 : 1 + 2.0 / (1 + best.ended());
-        PredictionInterval wide = interval.widened(thin * (own ? 1 : 1.5));
+                curve.quantile(0.1, elapsedS),
+                curve.quantile(0.5, elapsedS),
+                curve.quantile(0.9, elapsedS),
+                best.completedRuns(),
+                from);
+        boolean isOwnKind = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
+        double widening = best.completedRuns() >= CONFIDENT_RUNS ? 1 : 1 + 2.0 / (1 + best.completedRuns());
+        PredictionInterval widened = interval.widened(widening * (isOwnKind ? 1 : BORROWED_WIDENING));
         return new PredictionInterval(
-                Math.max(wide.p10(), ran), wide.p50(), wide.p90(), wide.runs(), own ? from : "borrowed from " + from);
+                Math.max(widened.p10(), elapsedS),
+                widened.p50(),
+                widened.p90(),
+                widened.runs(),
+                isOwnKind ? from : "borrowed from " + from);
     }
 
-    /** A source of run times for one kind of task: the same draws for the same seed. */
+    /** A source of random run times for one kind of task; the same seed gives the same draws. */
     Sampler sampler(JobSpec spec) {
         return new Sampler(spec);
     }
 
-    /** Draws how long tasks of a kind take, given how long they have run. */
+    /** Draws random run times of a kind of task. */
     final class Sampler {
-        private final double[] fresh = new double[33];
+        private static final int QUANTILES = 33;
+
+        /** Run times of a task that hasn't started, at evenly spaced quantiles. */
+        private final double[] fresh = new double[QUANTILES];
+
         private final JobSpec spec;
         private final PredictionInterval interval;
 
@@ -151,63 +192,78 @@
             this.spec = spec;
             this.interval = Estimates.this.interval(spec, 0);
             for (int i = 0; i < fresh.length; i++) {
-                fresh[i] = at(interval, (i + 0.5) / fresh.length);
+                fresh[i] = quantile(interval, (i + 0.5) / fresh.length);
             }
         }
 
+        /** The prediction for a task that hasn't started. */
         PredictionInterval interval() {
             return interval;
         }
 
+        /** Draws the seconds that a task takes in all, given that it has run for {@code ranS} seconds already. */
         double draw(UniformRandomProvider random, double ranS) {
             if (ranS <= 0) {
                 return fresh[random.nextInt(fresh.length)];
             }
-            return Math.max(ranS, at(Estimates.this.interval(spec, ranS), random.nextDouble()));
+            return Math.max(ranS, quantile(Estimates.this.interval(spec, ranS), random.nextDouble()));
         }
 
-        /** Between the three points by logarithms, and as far beyond the outer ones. */
-        private static double at(PredictionInterval b, double q) {
-            double low = Math.log(Math.max(1e-3, b.p10()));
-            double mid = Math.log(Math.max(1e-3, b.p50()));
-            double high = Math.log(Math.max(1e-3, b.p90()));
-            double v = q < 0.5 ? low + (q - 0.1) / 0.4 * (mid - low) : mid + (q - 0.5) / 0.4 * (high - mid);
-            return Math.exp(v);
+        /**
+         * Interpolates the logarithms of the three known quantiles linearly, and extrapolates beyond the outer ones.
+         */
+        private static double quantile(PredictionInterval interval, double share) {
+            double low = Math.log(Math.max(1e-3, interval.p10()));
+            double middle = Math.log(Math.max(1e-3, interval.p50()));
+            double high = Math.log(Math.max(1e-3, interval.p90()));
+            return Math.exp(
+                    share < 0.5
+                            ? low + (share - 0.1) / 0.4 * (middle - low)
+                            : middle + (share - 0.5) / 0.4 * (high - middle));
         }
     }
 
     // ---- records ----
 
-    /** One kind as a record holds it. */
-    public record Kept(String kind, long seen, short[][] runs) {}
+    /**
+     * The observed runs of one kind, as they are stored.
+     *
+     * @param observedRuns all runs ever observed, those included that were dropped
+     * @param runs the newest runs, oldest first, each as {@link History} encodes it
+     */
+    public record Snapshot(String kind, long observedRuns, short[][] runs) {}
 
-    /** Kinds that learned since the last time, the most recent last. */
-    public List<String> takeDirty() {
+    /** Returns the kinds whose runs changed since the last call, in the order in which they first did. */
+    public List<String> takeUpdatedKinds() {
         List<String> taken = new ArrayList<>(dirty);
         dirty.clear();
         return taken;
     }
 
-    /** The newest runs of a kind; null if it was dropped. */
-    public Kept keep(String kind, int most) {
-        History h = kinds.get(kind);
-        return h == null ? null : new Kept(kind, h.seen(), h.newest(most));
+    /**
+     * The newest runs of a kind, for storing.
+     *
+     * @return null if the kind was dropped
+     */
+    public Snapshot snapshot(String kind, int maxRuns) {
+        History history = kinds.get(kind);
+        return history == null ? null : new Snapshot(kind, history.observedRuns(), history.newest(maxRuns));
     }
 
-    /** What an earlier term learned of a kind; groups wider than it take part. */
-    public void restore(Kept kept) {
-        kinds.computeIfAbsent(kept.kind(), k -> new History()).restore(kept.runs(), kept.seen());
-        int slash = kept.kind().indexOf('/');
-        // class and team: the team's and the common history are made of these
-        if (slash > 0 && kept.kind().indexOf('/', slash + 1) < 0) {
-            for (String wider : List.of(kept.kind().substring(slash), "")) {
-                kinds.computeIfAbsent(wider, k -> new History()).restore(kept.runs(), kept.seen());
+    /** Adds the stored runs of an earlier leader, to the kind and to the wider groups that contain it. */
+    public void restore(Snapshot snapshot) {
+        kinds.computeIfAbsent(snapshot.kind(), k -> new History()).restore(snapshot.runs(), snapshot.observedRuns());
+        int slash = snapshot.kind().indexOf('/');
+        // The wider groups are restored from class and team only: each run stands in these once.
+        if (slash > 0 && snapshot.kind().indexOf('/', slash + 1) < 0) {
+            for (String wider : List.of(snapshot.kind().substring(slash), "")) {
+                kinds.computeIfAbsent(wider, k -> new History()).restore(snapshot.runs(), snapshot.observedRuns());
             }
         }
     }
 
-    /** Kinds that are known. */
-    public int size() {
+    /** The number of kinds with observed runs. */
+    public int kindCount() {
         return kinds.size();
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/History.java
+++ b/src/main/java/org/hollypick/core/estimate/History.java
@@ -3,192 +3,204 @@
 import java.util.Arrays;
 
 /**
- * The last runs of a kind, those that were cut short marked. Times are kept as logarithms in steps of 2 %, so that a
- * run takes five bytes. Whatever goes in, nothing but finite, positive times comes out.
+ * The last runs of one kind of task, with a mark on those that were cut short. Durations are stored as logarithms in
+ * steps of 2 %, so that a run takes five bytes. Whatever durations are added, only finite, positive ones come out.
+ * Confined to the event loop.
  */
 public final class History {
+    /** Runs that are stored at most; the oldest is dropped first. */
     static final int SIZE = 128;
+    /** The natural logarithm of the ratio of two neighbouring steps. */
     private static final double STEP = 0.02;
-    /** Seconds; shorter and longer runs count as these. */
-    private static final double LEAST_S = 0.01;
 
-    private static final double MOST_S = 1e7;
-    /** Ended runs in a row that show that the kind has changed, and by how much their median has to differ. */
+    /** Shorter runs count as this long. */
+    private static final double MIN_SECONDS = 0.01;
+
+    /** Longer runs count as this long. */
+    private static final double MAX_SECONDS = 1e7;
+
+    /** Completed runs in a row that show that the kind has changed. */
     private static final int CHANGED_RUNS = 6;
 
-    private static final double CHANGED_TIMES = 3;
-    private static final int CHANGED_FROM = 12;
+    /** Factor by which their median has to differ from that of the older runs. */
+    private static final double CHANGED_RATIO = 3;
 
+    /** Older runs that such a comparison needs. */
+    private static final int MIN_OLDER_RUNS = 12;
+
+    /** Durations, in steps. */
     private final short[] times = new short[SIZE];
     /** Ratios to the owner's estimate, in the same steps. */
     private final short[] ratios = new short[SIZE];
 
+    /** Whether the run was cut short. */
     private final boolean[] cut = new boolean[SIZE];
+
     private int count;
+    /** The index at which the next run is stored. */
     private int next;
-    private int ended;
-    private long seen;
+    /** Stored runs that weren't cut short. */
+    private int completed;
 
-    static short log(double value) {
-        double v = Double.isNaN(value) ? LEAST_S : Math.min(MOST_S, Math.max(LEAST_S, value));
-        return (short) Math.round(Math.log(v) / STEP);
+    private long observedRuns;
+
+    /** Encodes a duration or a ratio in steps. */
+    static short encode(double value) {
+        double bounded = Double.isNaN(value) ? MIN_SECONDS : Math.min(MAX_SECONDS, Math.max(MIN_SECONDS, value));
+        return (short) Math.round(Math.log(bounded) / STEP);
     }
 
-    static double value(double log) {
-        return Math.exp(log * STEP);
+    /** Decodes what {@link #encode} encoded. */
+    static double decode(double steps) {
+        return Math.exp(steps * STEP);
     }
 
-    /** A run: {@code cutShort}: it was stopped, lost or failed after that time. */
+    /** Adds a run; {@code cutShort}: the task was stopped, lost or failed after that time. */
     void add(double seconds, double estimateS, boolean cutShort) {
-        put(log(seconds), log(seconds / Math.max(1, estimateS)), cutShort);
-        seen++;
+        put(encode(seconds), encode(seconds / Math.max(1, estimateS)), cutShort);
+        observedRuns++;
         if (!cutShort) {
-            forgetWhatNoLongerHolds();
+            dropOutdatedRuns();
         }
     }
 
     private void put(short time, short ratio, boolean cutShort) {
         if (count == SIZE && !cut[next]) {
-            ended--;
+            completed--;
         }
         times[next] = time;
         ratios[next] = ratio;
         cut[next] = cutShort;
-        ended += cutShort ? 0 : 1;
+        completed += cutShort ? 0 : 1;
         next = (next + 1) % SIZE;
         count = Math.min(SIZE, count + 1);
     }
 
-    /** The index of the run that came so many runs ago; 0: the newest. */
-    private int ago(int runs) {
-        return Math.floorMod(next - 1 - runs, SIZE);
+    /** The index of the run that was added {@code age} runs before the newest one. */
+    private int indexOf(int age) {
+        return Math.floorMod(next - 1 - age, SIZE);
     }
 
-    private void forgetWhatNoLongerHolds() {
-        if (ended < CHANGED_FROM + CHANGED_RUNS) {
+    /** Drops the older runs if the newest ones are all far above or far below them: the kind has changed. */
+    private void dropOutdatedRuns() {
+        if (completed < MIN_OLDER_RUNS + CHANGED_RUNS) {
             return;
         }
         short[] newest = new short[CHANGED_RUNS];
-        short[] older = new short[ended];
-        int newer = 0;
-        int rest = 0;
-        int keep = 0;
+        short[] older = new short[completed];
+        int newestCount = 0;
+        int olderCount = 0;
+        int runsToKeep = 0;
         for (int i = 0; i < count; i++) {
-            int at = ago(i);
+            int at = indexOf(i);
             if (cut[at]) {
                 continue;
             }
-            if (newer < CHANGED_RUNS) {
-                newest[newer++] = times[at];
-                keep = i + 1;
+            if (newestCount < CHANGED_RUNS) {
+                newest[newestCount++] = times[at];
+                runsToKeep = i + 1;
             } else {
-                older[rest++] = times[at];
+                older[olderCount++] = times[at];
             }
         }
         Arrays.sort(newest);
-        Arrays.sort(older, 0, rest);
-        double apart = Math.log(CHANGED_TIMES) / STEP;
-        double shift = newest[CHANGED_RUNS / 2] - older[rest / 2];
-        boolean above = newest[0] > older[(int) (rest * 0.95)] && shift > apart;
-        boolean below = newest[CHANGED_RUNS - 1] < older[(int) (rest * 0.05)] && -shift > apart;
+        Arrays.sort(older, 0, olderCount);
+        double minShift = Math.log(CHANGED_RATIO) / STEP;
+        double shift = newest[CHANGED_RUNS / 2] - older[olderCount / 2];
+        boolean above = newest[0] > older[(int) (olderCount * 0.95)] && shift > minShift;
+        boolean below = newest[CHANGED_RUNS - 1] < older[(int) (olderCount * 0.05)] && -shift > minShift;
         if (above || below) {
-            keepNewest(keep);
+            keepNewest(runsToKeep);
         }
     }
 
     private void keepNewest(int runs) {
-        short[] t = new short[runs];
-        short[] r = new short[runs];
-        boolean[] c = new boolean[runs];
-        for (int i = 0; i < runs; i++) {
-            int at = ago(runs - 1 - i);
-            t[i] = times[at];
-            r[i] = ratios[at];
-            c[i] = cut[at];
-        }
+        short[][] kept = newest(runs);
+        clear();
+        putAll(kept);
+    }
+
+    private void clear() {
         count = 0;
         next = 0;
-        ended = 0;
-        for (int i = 0; i < runs; i++) {
-            put(t[i], r[i], c[i]);
+        completed = 0;
+    }
+
+    private void putAll(short[][] runs) {
+        for (short[] run : runs) {
+            put(run[0], run[1], run[2] == 1);
         }
     }
 
-    /** Ended runs that are known. */
-    int ended() {
-        return ended;
+    /** The number of stored runs that weren't cut short. */
+    int completedRuns() {
+        return completed;
     }
 
-    /** All that were ever told. */
-    long seen() {
-        return seen;
+    /** The number of runs ever added, those included that were dropped. */
+    long observedRuns() {
+        return observedRuns;
     }
 
-    /** Runs that say how long one with that estimate takes: a survival curve over seconds. */
+    /** The survival curve, over seconds, of tasks that their owner estimates at {@code estimateS} seconds. */
     QuantileCurve curve(double estimateS) {
         boolean byRatio = estimateS > 0 && spread(ratios) < spread(times);
         double scale = byRatio ? Math.max(1, estimateS) : 1;
         long[] sorted = new long[count];
         for (int i = 0; i < count; i++) {
-            // a run that was cut short at a time was still under way when those of that time ended
+            // A run that was cut short sorts behind the completed runs of the same duration: it outlasted them.
             sorted[i] = (long) (byRatio ? ratios[i] : times[i]) * 2 + (cut[i] ? 1 : 0);
         }
         Arrays.sort(sorted);
-        double[] at = new double[ended];
-        double[] alive = new double[ended];
-        double survival = 1;
+        double[] seconds = new double[completed];
+        double[] survival = new double[completed];
+        double surviving = 1;
         int steps = 0;
         for (int i = 0; i < count; i++) {
             if ((sorted[i] & 1) == 0) {
-                survival *= 1 - 1.0 / (count - i);
-                at[steps] = value((double) (sorted[i] >> 1)) * scale;
-                alive[steps++] = survival;
+                surviving *= 1 - 1.0 / (count - i);
+                seconds[steps] = decode((double) (sorted[i] >> 1)) * scale;
+                survival[steps++] = surviving;
             }
         }
-        return new QuantileCurve(at, alive);
+        return new QuantileCurve(seconds, survival);
     }
 
-    /** How far the middle half of the ended runs lies apart, in steps; nothing known: infinitely. */
-    private double spread(short[] of) {
-        if (ended < 4) {
-            return of == times ? Double.MAX_VALUE : 0; // nothing known yet: the owner's estimate is the better start
+    /** The interquartile range of the completed runs, in steps. */
+    private double spread(short[] values) {
+        if (completed < 4) {
+            return values == times ? Double.MAX_VALUE : 0; // too few runs: ratios to the owner's estimate are better
         }
-        short[] some = new short[ended];
-        int n = 0;
+        short[] sorted = new short[completed];
+        int length = 0;
         for (int i = 0; i < count; i++) {
             if (!cut[i]) {
-                some[n++] = of[i];
+                sorted[length++] = values[i];
             }
         }
-        Arrays.sort(some);
-        return some[n * 3 / 4] - some[n / 4];
+        Arrays.sort(sorted);
+        return sorted[length * 3 / 4] - sorted[length / 4];
     }
 
     // ---- records ----
 
-    /** The newest runs, oldest first: time and ratio in steps, and whether it was cut short. */
-    short[][] newest(int most) {
-        int n = Math.min(most, count);
-        short[][] runs = new short[n][];
-        for (int i = 0; i < n; i++) {
-            int at = ago(n - 1 - i);
+    /** The newest runs, oldest first, each as duration and ratio in steps, and 1 if it was cut short, else 0. */
+    short[][] newest(int maxRuns) {
+        int length = Math.min(maxRuns, count);
+        short[][] runs = new short[length][];
+        for (int i = 0; i < length; i++) {
+            int at = indexOf(length - 1 - i);
             runs[i] = new short[] {times[at], ratios[at], (short) (cut[at] ? 1 : 0)};
         }
         return runs;
     }
 
-    /** Runs from a record come before those of this term. */
-    void restore(short[][] runs, long seenThen) {
-        short[][] own = newest(SIZE);
-        count = 0;
-        next = 0;
-        ended = 0;
-        for (short[] r : runs) {
-            put(r[0], r[1], r[2] == 1);
-        }
-        for (short[] r : own) {
-            put(r[0], r[1], r[2] == 1);
-        }
-        seen += seenThen;
+    /** Adds the stored runs of an earlier leader; they count as older than those of this one. */
+    void restore(short[][] runs, long observedBefore) {
+        short[][] ownRuns = newest(SIZE);
+        clear();
+        putAll(runs);
+        putAll(ownRuns);
+        observedRuns += observedBefore;
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/MeanRatio.java
+++ b/src/main/java/org/hollypick/core/estimate/MeanRatio.java
@@ -6,20 +6,21 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * By class of jobs: how the mean run time of finished tasks compares with the mean of their owners' estimates; what
- * rentals reckon with.
+ * The ratio of the mean run time of completed tasks to the mean of their owners' estimates, by job class. Scaling out
+ * reckons with it. Confined to the event loop.
  */
 final class MeanRatio {
     private final Map<String, Ratio> ratios = new HashMap<>();
 
-    /** The owner's estimate, corrected by how those of its class have been wrong so far. */
+    /** The owner's estimate in seconds, corrected by the ratio of its class. */
     double expectedS(JobSpec spec) {
-        Ratio seen = ratios.get(spec.jobClass());
-        return estimateS(spec) * (seen == null ? 1 : seen.ran / seen.estimated);
+        Ratio ratio = ratios.get(spec.jobClass());
+        return estimateS(spec) * (ratio == null ? 1 : ratio.meanRanS / ratio.meanEstimateS);
     }
 
-    void finished(JobSpec spec, double ranS) {
-        ratios.computeIfAbsent(spec.jobClass(), k -> new Ratio()).add(ranS, estimateS(spec));
+    /** Records a completed task. */
+    void taskCompleted(JobSpec spec, double ranS) {
+        ratios.computeIfAbsent(spec.jobClass(), jobClass -> new Ratio()).add(ranS, estimateS(spec));
     }
 
     private static double estimateS(JobSpec spec) {
@@ -27,16 +28,16 @@
     }
 
     /**
-     * Run times and estimates, each followed by itself: a mean of their ratios would count the tasks estimated too low
-     * for too much.
+     * Exponential moving averages of run times and of estimates, kept apart: a mean of ratios would give the tasks that
+     * were estimated too low too much weight.
      */
     private static final class Ratio {
-        private double ran;
-        private double estimated;
+        private double meanRanS;
+        private double meanEstimateS;
 
-        void add(double ranS, double estimatedS) {
-            ran += AutoscalingConstants.RUN_RATIO_WEIGHT * (ranS - ran);
-            estimated += AutoscalingConstants.RUN_RATIO_WEIGHT * (estimatedS - estimated);
+        void add(double ranS, double estimateS) {
+            meanRanS += AutoscalingConstants.RUN_RATIO_WEIGHT * (ranS - meanRanS);
+            meanEstimateS += AutoscalingConstants.RUN_RATIO_WEIGHT * (estimateS - meanEstimateS);
         }
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/PredictionInterval.java
+++ b/src/main/java/org/hollypick/core/estimate/PredictionInterval.java
@@ -1,11 +1,17 @@
 package org.hollypick.core.estimate;
 
 /**
- * How long something takes, in seconds: a tenth takes at most {@code p10}, half {@code p50}, nine of ten {@code p90}.
- * {@code runs}: ended runs that it rests on; {@code from}: whose they are.
+ * A predicted duration in seconds, as three quantiles.
+ *
+ * @param p10 seconds that a tenth of the cases take at most
+ * @param p50 the median
+ * @param p90 seconds that nine tenths of the cases take at most
+ * @param runs completed runs that the prediction is based on
+ * @param from the group of these runs, or that there are none, in words
  */
 public record PredictionInterval(double p10, double p50, double p90, int runs, String from) {
-    PredictionInterval widened(double times) {
-        return new PredictionInterval(p10 / times, p50, p90 * times, runs, from);
+    /** The same median with an interval that is wider by {@code factor} on both sides. */
+    PredictionInterval widened(double factor) {
+        return new PredictionInterval(p10 / factor, p50, p90 * factor, runs, from);
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
+++ b/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
@@ -1,58 +1,60 @@
 package org.hollypick.core.estimate;
 
 /**
- * A survival curve by Kaplan and Meier: after {@code at[i]} seconds the share {@code alive[i]} of all runs is still
- * under way.
+ * A Kaplan-Meier survival curve of run times: after {@code seconds[i]} the share {@code survival[i]} of all runs is
+ * still running. Immutable.
  */
 final class QuantileCurve {
-    private final double[] at;
-    private final double[] alive;
+    private final double[] seconds;
+    private final double[] survival;
 
-    QuantileCurve(double[] at, double[] alive) {
-        this.at = at;
-        this.alive = alive;
+    QuantileCurve(double[] seconds, double[] survival) {
+        this.seconds = seconds;
+        this.survival = survival;
     }
 
     boolean isEmpty() {
-        return at.length == 0;
+        return seconds.length == 0;
     }
 
-    /** The time that the share {@code q} of the runs take at most, of those that take longer than {@code ranS}. */
-    double quantile(double q, double ranS) {
-        double now = aliveAt(ranS);
-        if (now <= 0 || isEmpty()) {
-            return beyond(Math.max(ranS, isEmpty() ? 0 : at[at.length - 1]), q);
+    /**
+     * The seconds that the share {@code share} of the runs take at most, of those that take longer than {@code ranS}.
+     */
+    double quantile(double share, double ranS) {
+        double survivalNow = survivalAt(ranS);
+        if (survivalNow <= 0 || isEmpty()) {
+            return extrapolate(Math.max(ranS, isEmpty() ? 0 : seconds[seconds.length - 1]), share);
         }
-        double wanted = now * (1 - q);
+        double targetSurvival = survivalNow * (1 - share);
         double before = ranS;
-        double aliveBefore = now;
-        for (int i = 0; i < at.length; i++) {
-            if (at[i] <= ranS) {
+        double survivalBefore = survivalNow;
+        for (int i = 0; i < seconds.length; i++) {
+            if (seconds[i] <= ranS) {
                 continue;
             }
-            if (alive[i] <= wanted) {
-                double share = (aliveBefore - wanted) / (aliveBefore - alive[i]);
-                return before + (at[i] - before) * (i == 0 || before <= 0 ? 1 : share);
+            if (survival[i] <= targetSurvival) {
+                double partOfStep = (survivalBefore - targetSurvival) / (survivalBefore - survival[i]);
+                return before + (seconds[i] - before) * (i == 0 || before <= 0 ? 1 : partOfStep);
             }
-            before = at[i];
-            aliveBefore = alive[i];
+            before = seconds[i];
+            survivalBefore = survival[i];
         }
-        return beyond(Math.max(before, ranS), (aliveBefore - wanted) / aliveBefore);
+        return extrapolate(Math.max(before, ranS), (survivalBefore - targetSurvival) / survivalBefore);
     }
 
     /**
-     * A run that outlasts all that are known takes as long again with even odds: heavy tails look like that, and
-     * nothing else is known.
+     * Extrapolates beyond the longest known run: with even odds a run takes as long again, as heavy-tailed
+     * distributions do.
      */
-    private static double beyond(double from, double q) {
-        return from * Math.min(16, 1 / Math.max(1e-3, 1 - q));
+    private static double extrapolate(double from, double share) {
+        return from * Math.min(16, 1 / Math.max(1e-3, 1 - share));
     }
 
-    private double aliveAt(double ranS) {
-        double share = 1;
-        for (int i = 0; i < at.length && at[i] <= ranS; i++) {
-            share = alive[i];
+    private double survivalAt(double ranS) {
+        double surviving = 1;
+        for (int i = 0; i < seconds.length && seconds[i] <= ranS; i++) {
+            surviving = survival[i];
         }
-        return share;
+        return surviving;
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/Replay.java
+++ b/src/main/java/org/hollypick/core/estimate/Replay.java
@@ -8,92 +8,133 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * Plays recorded runs in the order of their ends, each estimated before its outcome is told, beside three plain ways of
- * guessing.
+ * Evaluates the predictions of {@link Estimates} on recorded runs: predicts each run before it is observed, and scores
+ * the prediction beside three simple ones. One instance serves one evaluation; confined to one thread.
  */
 public final class Replay {
-    /** One recorded run; {@code cutShort}: it was stopped, lost or failed after that time. */
+    private static final double MIN_SECONDS = 1e-3;
+
+    /**
+     * A recorded run.
+     *
+     * @param task the task's description
+     * @param machine the id of the machine
+     * @param ranS seconds that it ran
+     * @param cutShort whether it was stopped, lost or failed after that time
+     */
     public record Run(JobSpec task, String machine, double ranS, boolean cutShort) {}
 
-    /** What became of the estimates of one class of history, or one kind. */
+    /**
+     * The median relative errors of four predictions, as shares of the run time.
+     *
+     * @param estimate of {@link Estimates}
+     * @param ownerEstimate of the owner's estimate
+     * @param runningMean of the mean of the earlier runs of the kind
+     * @param lastRun of the last run of the kind
+     */
+    public record MedianErrors(double estimate, double ownerEstimate, double runningMean, double lastRun) {}
+
+    /** The score of the predictions for one group of runs. */
     public static final class Score {
         private int runs;
-        private int inside;
-        private final List<Double> width = new ArrayList<>();
-        private final List<Double> own = new ArrayList<>();
-        private final List<Double> owners = new ArrayList<>();
-        private final List<Double> mean = new ArrayList<>();
-        private final List<Double> last = new ArrayList<>();
+        private int runsInside;
+        private final List<Double> widths = new ArrayList<>();
+        private final List<Double> estimateErrors = new ArrayList<>();
+        private final List<Double> ownerErrors = new ArrayList<>();
+        private final List<Double> meanErrors = new ArrayList<>();
+        private final List<Double> lastRunErrors = new ArrayList<>();
 
+        /** The number of completed runs. */
         public int runs() {
             return runs;
         }
 
-        /** Share of runs within the band from 10 to 90 %. */
-        public double inside() {
-            return runs == 0 ? Double.NaN : inside / (double) runs;
+        /** The share of runs within the interval from 10 to 90 %; NaN without runs. */
+        public double insideShare() {
+            return runs == 0 ? Double.NaN : runsInside / (double) runs;
         }
 
-        /** Median of how many times the upper end of the band is the lower one. */
-        public double width() {
-            return median(width);
+        /** The median ratio of the upper end of the interval to the lower one. */
+        public double medianWidth() {
+            return median(widths);
         }
 
-        /**
-         * Median of how far off, as a share of the outcome: this, the owner's estimate, a running mean, the last run.
-         */
-        public double[] errors() {
-            return new double[] {median(own), median(owners), median(mean), median(last)};
+        /** The median errors; NaN without runs. */
+        public MedianErrors medianErrors() {
+            return new MedianErrors(
+                    median(estimateErrors), median(ownerErrors), median(meanErrors), median(lastRunErrors));
         }
 
-        private static double median(List<Double> list) {
-            if (list.isEmpty()) {
+        private static double median(List<Double> values) {
+            if (values.isEmpty()) {
                 return Double.NaN;
             }
-            list.sort(null);
-            return list.get(list.size() / 2);
+            values.sort(null);
+            return values.get(values.size() / 2);
+        }
+    }
+
+    /** The earlier completed runs of one kind, for the simple predictions. */
+    private static final class EarlierRuns {
+        private double totalS;
+        private int count;
+        private double lastS;
+
+        void add(double ranS) {
+            totalS += ranS;
+            count++;
+            lastS = ranS;
         }
     }
 
     private final Estimates estimates = new Estimates(true);
-    private final Map<String, double[]> plain = new HashMap<>();
+    private final Map<String, EarlierRuns> earlierRuns = new HashMap<>();
     private final Map<String, Score> scores = new TreeMap<>();
 
-    /** By class of history ({@code n=0}, {@code n=1-4}, {@code n=5-19}, {@code n>=20}), by kind and overall. */
+    /**
+     * Evaluates runs in the order of their ends. Returns the scores of all runs ({@code all}), by size of the history
+     * ({@code n=0}, {@code n=1-4}, {@code n=5-19}, {@code n>=20}) and by job class ({@code kind ...}).
+     */
     public Map<String, Score> play(List<Run> runs) {
         for (Run run : runs) {
             JobSpec task = run.task;
             if (!run.cutShort) {
                 PredictionInterval interval = estimates.interval(task, 0);
-                for (String of : List.of("all", weight(interval.runs()), "kind " + task.jobClass())) {
-                    score(scores.computeIfAbsent(of, k -> new Score()), interval, run);
+                EarlierRuns earlier =
+                        earlierRuns.computeIfAbsent(task.jobClass() + "/" + task.team(), kind -> new EarlierRuns());
+                for (String group : List.of("all", historyGroup(interval.runs()), "kind " + task.jobClass())) {
+                    addRun(scores.computeIfAbsent(group, name -> new Score()), interval, earlier, run);
                 }
-                double[] seen = plain.computeIfAbsent(task.jobClass() + "/" + task.team(), k -> new double[3]);
-                seen[0] += run.ranS;
-                seen[1]++;
-                seen[2] = run.ranS;
+                earlier.add(run.ranS);
             }
             estimates.observe(task, run.machine, run.ranS, run.cutShort);
         }
         return scores;
     }
 
-    private static String weight(int n) {
-        return n == 0 ? "n=0" : n < 5 ? "n=1-4" : n < 20 ? "n=5-19" : "n>=20";
+    private static String historyGroup(int runs) {
+        if (runs == 0) {
+            return "n=0";
+        }
+        if (runs < 5) {
+            return "n=1-4";
+        }
+        return runs < 20 ? "n=5-19" : "n>=20";
     }
 
-    private void score(Score s, PredictionInterval interval, Run run) {
-        s.runs++;
-        s.inside += run.ranS >= interval.p10() && run.ranS <= interval.p90() ? 1 : 0;
-        s.width.add(interval.p90() / Math.max(1e-3, interval.p10()));
-        double[] seen = plain.get(run.task.jobClass() + "/" + run.task.team());
-        s.own.add(off(interval.p50(), run.ranS));
-        s.owners.add(off(run.task.estimateS(), run.ranS));
-        s.mean.add(off(seen == null ? run.task.estimateS() : seen[0] / seen[1], run.ranS));
-        s.last.add(off(seen == null ? run.task.estimateS() : seen[2], run.ranS));
+    private static void addRun(Score score, PredictionInterval interval, EarlierRuns earlier, Run run) {
+        double ownerEstimateS = run.task.estimateS();
+        boolean hasEarlier = earlier.count > 0;
+        score.runs++;
+        score.runsInside += run.ranS >= interval.p10() && run.ranS <= interval.p90() ? 1 : 0;
+        score.widths.add(interval.p90() / Math.max(MIN_SECONDS, interval.p10()));
+        score.estimateErrors.add(relativeError(interval.p50(), run.ranS));
+        score.ownerErrors.add(relativeError(ownerEstimateS, run.ranS));
+        score.meanErrors.add(relativeError(hasEarlier ? earlier.totalS / earlier.count : ownerEstimateS, run.ranS));
+        score.lastRunErrors.add(relativeError(hasEarlier ? earlier.lastS : ownerEstimateS, run.ranS));
     }
 
-    private static double off(double guess, double ran) {
-        return Math.abs(guess - ran) / Math.max(1e-3, ran);
+    private static double relativeError(double predictedS, double ranS) {
+        return Math.abs(predictedS - ranS) / Math.max(MIN_SECONDS, ranS);
     }
 }
--- a/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
@@ -23,17 +23,17 @@
                 name,
                 of,
                 s.runs(),
-                s.inside(),
-                s.width(),
-                s.errors()[0],
-                s.errors()[1],
-                s.errors()[2],
-                s.errors()[3]));
+                s.insideShare(),
+                s.medianWidth(),
+                s.medianErrors().estimate(),
+                s.medianErrors().ownerEstimate(),
+                s.medianErrors().runningMean(),
+                s.medianErrors().lastRun()));
         return scores;
     }
 
     private static void holds(Replay.Score s, String name) {
-        assertTrue(s.inside() >= 0.72 && s.inside() <= 0.90, name + ": inside the band " + s.inside());
+        assertTrue(s.insideShare() >= 0.72 && s.insideShare() <= 0.90, name + ": inside the band " + s.insideShare());
     }
 
     @Test
@@ -48,11 +48,11 @@
     @Test
     void ownersEstimatesAreCorrected() {
         for (double off : new double[] {0.4, 2.5}) {
-            double[] errors =
-                    new Replay().play(RecordedRuns.steady(7, off)).get("n>=20").errors();
+            Replay.MedianErrors errors =
+                    new Replay().play(RecordedRuns.steady(7, off)).get("n>=20").medianErrors();
             assertTrue(
-                    errors[0] < errors[1] * 2 / 3,
-                    "a third below the owner's estimate: " + errors[0] + " of " + errors[1]);
+                    errors.estimate() < errors.ownerEstimate() * 2 / 3,
+                    "a third below the owner's estimate: " + errors.estimate() + " of " + errors.ownerEstimate());
         }
     }
 
@@ -149,7 +149,7 @@
         for (int i = 0; i < 10_000; i++) {
             e.observe(RecordedRuns.task("kind-" + i, 10), "m-" + i, 10, false);
         }
-        assertTrue(e.size() <= 2_000, "kinds " + e.size());
+        assertTrue(e.kindCount() <= 2_000, "kinds " + e.kindCount());
         assertEquals(1, e.interval(RecordedRuns.task("kind-9999", 10), 0).runs() > 0 ? 1 : 0);
     }
 
@@ -164,8 +164,8 @@
             before.observe(run.task(), run.machine(), run.ranS(), run.cutShort());
         }
         Estimates after = new Estimates(true);
-        for (String kind : before.takeDirty()) {
-            after.restore(before.keep(kind, 32));
+        for (String kind : before.takeUpdatedKinds()) {
+            after.restore(before.snapshot(kind, 32));
         }
         PredictionInterval a = before.interval(RecordedRuns.task("steady", 25), 0);
         PredictionInterval b = after.interval(RecordedRuns.task("steady", 25), 0);
