--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/LimitModelTest.java
@@ -15,97 +15,106 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A team at its limit while one of its jobs is cancelled, a machine hangs and the leader changes.
+ * Explores a team at its quota while one of its jobs is cancelled, a machine hangs and the leader changes.
  *
  * <p>Bounds: three jobs of one task each (the first may be cancelled, the second ends at some time, the third is
- * submitted before or after the leader changes); a limit of two tasks with the first two jobs running, or of one with
- * only the second running; two leaders, one change; {@value #TICKS} ticks of time, a lease of {@value #LEASE}. Each of
- * two machines holds two tasks. The first one may hang: its reports, their answers and a launch to it come late by any
- * time or never, and it gets no task but the first job's. The second one is well: its reports are answered at once, or
- * not at all; where the limit is one, a copy of one of them is held back for the second leader. A machine whose session
- * ends takes no part any more. Writes succeed at once, and users are told at once: {@code CancelModelTest} has their
- * losses.
+ * submitted before or after the failover); a quota of two tasks with the first two jobs running, or of one with only
+ * the second running; two leaders, one failover; {@value #LAST_TICK} ticks of time, a lease of {@value #LEASE_TICKS}.
+ * Each of two machines has room for two tasks. The first one may hang: its heartbeats, their responses and a launch to
+ * it are delayed by any time or lost, and it gets no task but the first job's. The second one is healthy: its
+ * heartbeats are answered at once, or not at all; where the quota is one, a copy of one of them is held back for the
+ * second leader. A machine whose lease expired takes no part any more. Writes succeed at once, and users are answered
+ * at once: {@link CancellationModelTest} has their losses.
  *
- * <p>Predicates, from the rules: what is on machines never exceeds the limit ({@code quota}); no task is on two
- * machines ({@code ran_twice}); nothing of a cancelled job is on a machine, or starts, later than {@value #CANCEL}
- * ticks after its user was told ({@code ran_cancelled}).
+ * <p>Invariants: what runs on machines never exceeds the quota ({@code QUOTA_EXCEEDED}); no task runs on two machines
+ * ({@code RAN_TWICE}); nothing of a cancelled job runs, or starts, later than {@value #CANCELLATION_TICKS} ticks after
+ * its cancellation was confirmed ({@code RAN_AFTER_CANCELLATION}).
  */
 class LimitModelTest {
-    private static final int TICKS = 3;
-    private static final int LEASE = 1;
-    private static final int CANCEL = 1;
+    private static final int LAST_TICK = 3;
+    private static final int LEASE_TICKS = 1;
+    private static final int CANCELLATION_TICKS = 1;
     private static final int NEVER = -1;
     private static final int MACHINES = 2;
-    /** The second machine; the first one may hang. */
-    private static final int WELL = 1;
-    /** Tasks that a machine has room for. */
-    private static final int ROOM = 2;
+    /** The index of the second machine; the first one may hang. */
+    private static final int HEALTHY = 1;
+    /** How many tasks a machine has room for. */
+    private static final int TASKS_PER_MACHINE = 2;
 
-    /** The tasks; a set of them is a sum of these. */
+    /** The tasks; a set of tasks is a sum of these. */
     private static final int CANCELLED = 1;
 
     private static final int ENDING = 2;
     private static final int SUBMITTED = 4;
     private static final int[] TASKS = {CANCELLED, ENDING, SUBMITTED};
 
-    /** Tokens of the two leaders. */
+    private static final int NO_TOKEN = 0;
+
+    /** The two leaders, which are also their fencing tokens. */
     private static final int FIRST = 1;
 
     private static final int SECOND = 2;
 
+    /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
         NONE,
-        SILENCE_FREES_THE_LIMIT,
-        BEING_TOLD_TO_STOP_FREES_THE_LIMIT,
-        ONLY_WHAT_WAS_FOUND_COUNTS,
-        TASKS_OF_CANCELLED_JOBS_DO_NOT_COUNT,
-        AN_OLDER_REPORT_SHOWS_WHAT_IS_FOUND,
-        OLDER_JOBS_START_AT_ONCE
+        FREES_QUOTA_OF_SILENT_MACHINES,
+        FREES_QUOTA_WHEN_TOLD_TO_STOP,
+        COUNTS_ONLY_INHERITED_TASKS,
+        IGNORES_ORPHANED_TASKS,
+        TRUSTS_OLD_HEARTBEAT_FOR_INHERITED_TASKS,
+        STARTS_OLDER_JOBS_AT_ONCE
     }
 
-    private enum Rule {
-        QUOTA,
+    /** The invariants, named by how they are violated. */
+    private enum Violation {
+        QUOTA_EXCEEDED,
         RAN_TWICE,
-        RAN_CANCELLED
+        RAN_AFTER_CANCELLATION
     }
 
-    /** A machine with its agent, the messages on their way from and to it, and what the present leader knows of it. */
+    /** A machine with its agent, the messages in flight from and to it, and what the present leader knows of it. */
     private static final class Machine implements Cloneable {
-        boolean sessionOver;
-        int there;
-        /** It lists the second job's task as done. */
+        boolean terminated;
+        int runningTasks;
+        /** The agent lists the second job's task as done. */
         boolean listsDone;
 
-        int leaseFrom;
-        int seenToken = FIRST;
-        /** The newest report. */
-        int reportAt = NEVER;
-
-        int reportTasks;
-        boolean reportDone;
-        int reportToken = FIRST;
-        /** The present leader has it. */
-        boolean reportTaken;
-        /** The leader has the answer to a launch that is newer than it: it renews the lease, and says nothing else. */
-        boolean reportOutdated;
-        /** The answer under way to it: its token, 0 for none, and the tasks that it ends. */
-        int answerToken;
-
-        int answerStops;
-        /** A direct launch under way: its token, 0 for none, and its task. */
-        int launchToken;
-
+        int leaseStart;
+        /** The highest fencing token that the machine has seen. */
+        int machineToken = FIRST;
+        /** When the newest heartbeat was sent. */
+        int heartbeatAt = NEVER;
+
+        int heartbeatTasks;
+        boolean heartbeatListsDone;
+        int heartbeatToken = FIRST;
+        /** The present leader has received the newest heartbeat. */
+        boolean heartbeatReceived;
+        /** The leader has a newer response to a launch: the heartbeat renews the lease, and nothing else. */
+        boolean heartbeatOutdated;
+        /** The token of the response in flight to the newest heartbeat. */
+        int responseToken = NO_TOKEN;
+        /** The tasks that this response stops. */
+        int tasksToStop;
+        /** The token of the launch in flight. */
+        int launchToken = NO_TOKEN;
+        /** The task of the launch in flight, 0 for none. */
         int launchTask;
 
-        /** The leader's account: {@code core.ledger.Machine}. */
-        boolean up = true;
+        // The leader's view of the machine.
+        /** The leader has received a heartbeat. */
+        boolean anyHeartbeatReceived = true;
+        /** The leader has received a heartbeat sent under its own token, or knows that the lease expired. */
+        boolean reconciled = true;
 
-        boolean heard = true;
-        boolean strays;
-        int answeredAt;
-        int placed;
-        /** Those of them that a report, or a launch's answer, has shown. */
-        int shown;
+        boolean hasOrphanedTasks;
+        /** From when the leader counts the lease. */
+        int leaseCountedFrom;
+
+        int assignedTasks;
+        /** The assigned tasks that a heartbeat, or a launch's response, has confirmed. */
+        int confirmedTasks;
 
         Machine copy() {
             try {
@@ -115,441 +124,563 @@
             }
         }
 
-        boolean known() {
-            return heard && !strays;
+        /** The leader knows every task on the machine. */
+        boolean isFullyKnown() {
+            return reconciled && !hasOrphanedTasks;
+        }
+
+        boolean isAssigned(int task) {
+            return (assignedTasks & task) != 0;
+        }
+
+        void assign(int task) {
+            assignedTasks |= task;
+        }
+
+        void confirm(int task) {
+            assignedTasks |= task;
+            confirmedTasks |= task;
+        }
+
+        void unassign(int task) {
+            assignedTasks &= ~task;
+            confirmedTasks &= ~task;
+        }
+
+        int unconfirmedTasks() {
+            return assignedTasks & ~confirmedTasks;
+        }
+
+        /** The agent's lease expires, which stops everything on the machine. */
+        void terminate() {
+            terminated = true;
+            runningTasks = 0;
+            listsDone = false;
+            responseToken = NO_TOKEN;
+            launchTask = 0;
+            leaseStart = NEVER;
+        }
+
+        /** The leader knows that nothing runs on the machine any more. */
+        void markEmpty() {
+            assignedTasks = 0;
+            confirmedTasks = 0;
+            hasOrphanedTasks = false;
+            reconciled = true;
+        }
+
+        boolean hasChangedSinceHeartbeat() {
+            return runningTasks != heartbeatTasks || listsDone != heartbeatListsDone || machineToken != heartbeatToken;
+        }
+
+        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        void sendHeartbeat(int now) {
+            heartbeatAt = now;
+            heartbeatTasks = runningTasks;
+            heartbeatListsDone = listsDone;
+            heartbeatToken = machineToken;
+            heartbeatReceived = false;
+            heartbeatOutdated = false;
+            responseToken = NO_TOKEN;
+            tasksToStop = 0;
+        }
+
+        /** The response arrives; under an older token it is ignored. */
+        void receiveResponse() {
+            if (responseToken >= machineToken) {
+                machineToken = responseToken;
+                leaseStart = heartbeatAt;
+                runningTasks &= ~tasksToStop;
+            }
+            responseToken = NO_TOKEN;
+            tasksToStop = 0;
+        }
+
+        /** The launch arrives; the machine refuses it under an older token. */
+        void receiveLaunch() {
+            if (launchToken >= machineToken) {
+                machineToken = launchToken;
+                runningTasks |= launchTask;
+            }
+            launchTask = 0;
+            launchToken = NO_TOKEN;
+        }
+
+        /** The launch arrives, and its response reaches the leader. */
+        void receiveLaunchAndRespond() {
+            int task = launchTask;
+            receiveLaunch();
+            confirmedTasks |= task & runningTasks;
+            heartbeatOutdated = true;
+        }
+
+        void endTask() {
+            runningTasks &= ~ENDING;
+            listsDone = true;
+        }
+
+        /** A new leader knows nothing of the machine. */
+        void forgetByLeader() {
+            heartbeatReceived = false;
+            heartbeatOutdated = false;
+            anyHeartbeatReceived = false;
+            reconciled = false;
+            hasOrphanedTasks = false;
+            leaseCountedFrom = NEVER;
+            assignedTasks = 0;
+            confirmedTasks = 0;
         }
 
         void addTo(StateKey key) {
-            key.flag(sessionOver)
-                    .number(there, 3)
-                    .flag(listsDone)
-                    .time(leaseFrom, 3)
-                    .number(seenToken, 2);
-            key.time(reportAt, 3).number(reportTasks, 3).flag(reportDone).number(reportToken, 2);
-            key.flag(reportTaken).flag(reportOutdated);
-            key.number(answerToken, 2)
-                    .number(answerStops, 3)
-                    .number(launchToken, 2)
-                    .number(launchTask, 3);
-            key.flag(up)
-                    .flag(heard)
-                    .flag(strays)
-                    .time(answeredAt, 3)
-                    .number(placed, 3)
-                    .number(shown, 3);
+            key.flag(terminated).number(runningTasks, 3).flag(listsDone).time(leaseStart, 3);
+            key.number(machineToken, 2).time(heartbeatAt, 3).number(heartbeatTasks, 3);
+            key.flag(heartbeatListsDone).number(heartbeatToken, 2);
+            key.flag(heartbeatReceived).flag(heartbeatOutdated);
+            key.number(responseToken, 2).number(tasksToStop, 3);
+            key.number(launchToken, 2).number(launchTask, 3);
+            key.flag(anyHeartbeatReceived).flag(reconciled).flag(hasOrphanedTasks);
+            key.time(leaseCountedFrom, 3).number(assignedTasks, 3).number(confirmedTasks, 3);
         }
 
         @Override
         public String toString() {
-            return "{there=" + there + (sessionOver ? " session over" : "") + " placed=" + placed + " heard=" + heard
-                    + " strays=" + strays + "}";
+            return "{runningTasks=" + runningTasks + (terminated ? " terminated" : "") + " assignedTasks="
+                    + assignedTasks + " reconciled=" + reconciled + " hasOrphanedTasks=" + hasOrphanedTasks + "}";
         }
     }
 
-    /** A copy of a report, held back. */
-    private record Copy(int machine, int tasks, boolean done) {}
+    /** A copy of a heartbeat, held back; {@code machine} is the index of its sender. */
+    private record HeartbeatCopy(int machine, int tasks, boolean listsDone) {}
 
+    /** One state of the model; copied for each transition, and not changed once handed to the search. */
     private static final class State implements Cloneable {
-        final int limit;
+        final int quota;
         int now;
         int leader = FIRST;
         int termStart;
         Machine[] machines = {new Machine(), new Machine()};
-        Copy copy;
-        /** The third job: the token of its record's leader record, 0 while it isn't submitted. */
-        int submittedUnder;
+        /** The copy that is held back, null if none. */
+        HeartbeatCopy heartbeatCopy;
+        /** The token under which the third job was submitted. */
+        int submittedUnder = NO_TOKEN;
         /** The leader knows that the second job's task is done. */
-        boolean done;
-        /** The user's request to cancel is known to the leader; the cancellation is durable; a user was told. */
-        boolean asked;
-
-        boolean durable;
-        int toldAt = NEVER;
-        /** Tasks that this leader found of the one before, and whether it once knew all machines. */
-        int found;
-
-        boolean settled = true;
-        /**
-         * Tasks whose latest attempt was started on the second machine, and those whose latest was the second leader's.
-         */
-        int startedLastOnSecond = ENDING;
-
-        int startedBySecond;
-        Rule broken;
-
-        State(int limit) {
-            this.limit = limit;
-        }
-
-        State next(Consumer<State> change) {
+        boolean knownDone;
+        /** The leader has been asked to cancel the first job. */
+        boolean cancellationRequested;
+
+        boolean cancellationDurable;
+        /** When the user was told that the job is cancelled. */
+        int confirmedAt = NEVER;
+        /** Tasks of the leader before that this leader has found running. */
+        int inheritedTasks;
+        /** The leader has once known every task on all machines. */
+        boolean reconciliationComplete = true;
+        /** Tasks whose latest attempt was started on the second machine. */
+        int startedLastOnSecondMachine = ENDING;
+        /** Tasks whose latest attempt was started by the second leader. */
+        int startedBySecondLeader;
+        /** The invariant that this state violates, null if none. */
+        Violation violation;
+
+        State(int quota) {
+            this.quota = quota;
+        }
+
+        State after(Consumer<State> transition) {
             try {
-                State s = (State) clone();
-                s.machines = new Machine[] {machines[0].copy(), machines[1].copy()};
-                change.accept(s);
-                s.check();
-                s.forget();
-                return s;
+                State copy = (State) clone();
+                copy.machines = new Machine[] {machines[0].copy(), machines[1].copy()};
+                transition.accept(copy);
+                copy.checkInvariants();
+                copy.normalize();
+                return copy;
             } catch (CloneNotSupportedException e) {
                 throw new AssertionError(e);
             }
         }
 
-        /** What can't matter any more is made the same in all states. */
-        private void forget() {
-            for (Machine m : machines) {
-                m.answeredAt = now > m.answeredAt + LEASE ? NEVER : m.answeredAt;
-                if (m.answerToken == 0 && m.reportTaken && (leader == SECOND || m == machines[WELL])) {
-                    m.reportAt = now == m.reportAt ? now : NEVER;
+        /** Gives everything that has no effect any more the same value in all states. */
+        private void normalize() {
+            for (Machine machine : machines) {
+                if (now > machine.leaseCountedFrom + LEASE_TICKS) {
+                    machine.leaseCountedFrom = NEVER;
                 }
+                boolean receivedForGood = !firstLeads() || machine == machines[HEALTHY];
+                if (machine.responseToken == NO_TOKEN && machine.heartbeatReceived && receivedForGood) {
+                    machine.heartbeatAt = now == machine.heartbeatAt ? now : NEVER;
+                }
+            }
+            if (firstLeads()) {
+                return;
             }
-            if (leader == SECOND && copy != null && machines[copy.machine].up) {
-                copy = null;
+            if (heartbeatCopy != null && machines[heartbeatCopy.machine].anyHeartbeatReceived) {
+                heartbeatCopy = null;
             }
-            if (leader == SECOND && now > termStart + LEASE) {
+            if (now > termStart + LEASE_TICKS) {
                 termStart = NEVER;
             }
         }
 
         StateKey.Packed key() {
-            StateKey key = new StateKey().flag(limit == 1).number(now, 3);
-            key.flag(leader == FIRST).time(leader == FIRST ? NEVER : termStart, 3);
-            key.number(submittedUnder, 2).flag(done).flag(asked).flag(durable).time(toldAt, 3);
-            key.number(found, 3).flag(settled).number(startedLastOnSecond, 3).number(startedBySecond, 3);
-            key.flag(copy != null).number(copy == null ? 0 : copy.machine, 1).number(copy == null ? 0 : copy.tasks, 3);
-            key.flag(copy != null && copy.done);
+            boolean copyHeld = heartbeatCopy != null;
+            StateKey key = new StateKey().flag(quota == 1).number(now, 3);
+            key.flag(firstLeads()).time(firstLeads() ? NEVER : termStart, 3);
+            key.number(submittedUnder, 2).flag(knownDone);
+            key.flag(cancellationRequested).flag(cancellationDurable).time(confirmedAt, 3);
+            key.number(inheritedTasks, 3).flag(reconciliationComplete);
+            key.number(startedLastOnSecondMachine, 3).number(startedBySecondLeader, 3);
+            key.flag(copyHeld).number(copyHeld ? heartbeatCopy.machine : 0, 1);
+            key.number(copyHeld ? heartbeatCopy.tasks : 0, 3).flag(copyHeld && heartbeatCopy.listsDone);
             machines[0].addTo(key);
             machines[1].addTo(key);
             return key.packed();
         }
 
-        private void check() {
-            int first = machines[0].there;
-            int second = machines[1].there;
-            if (Integer.bitCount(first) + Integer.bitCount(second) > limit) {
-                broken = Rule.QUOTA;
+        private void checkInvariants() {
+            int first = machines[0].runningTasks;
+            int second = machines[1].runningTasks;
+            boolean cancellationOverdue = confirmedAt != NEVER && now > confirmedAt + CANCELLATION_TICKS;
+            if (Integer.bitCount(first) + Integer.bitCount(second) > quota) {
+                violation = Violation.QUOTA_EXCEEDED;
             } else if ((first & second) != 0) {
-                broken = Rule.RAN_TWICE;
-            } else if (toldAt != NEVER && now > toldAt + CANCEL && ((first | second) & CANCELLED) != 0) {
-                broken = Rule.RAN_CANCELLED;
+                violation = Violation.RAN_TWICE;
+            } else if (cancellationOverdue && ((first | second) & CANCELLED) != 0) {
+                violation = Violation.RAN_AFTER_CANCELLATION;
             }
         }
 
-        boolean allHeard() {
-            return machines[0].heard && machines[1].heard;
+        boolean firstLeads() {
+            return leader == FIRST;
         }
 
-        int placed() {
-            return machines[0].placed | machines[1].placed;
+        boolean isAssigned(int task) {
+            return machines[0].isAssigned(task) || machines[1].isAssigned(task);
         }
 
-        @Override
-        public String toString() {
-            return "now=" + now + " leader=" + leader + " told=" + toldAt + " found=" + found + " " + List.of(machines)
-                    + " broken=" + broken + "\n";
+        /** Whether the first job's task may still be launched by a message that nobody has accounted for. */
+        boolean mayLaunchStillArrive() {
+            int unconfirmed = machines[0].unconfirmedTasks() | machines[1].unconfirmedTasks();
+            return (unconfirmed & CANCELLED) != 0 || !machines[0].reconciled || !machines[1].reconciled;
         }
-    }
 
-    private static void next(State s, Fault fault, Successors<State> to) {
-        if (s.now < TICKS) {
-            to.add("time passes", s.next(LimitModelTest::tick));
+        /** By the leader's account, as {@code WorkerLeases.isExpired} has it. */
+        boolean isLeaseExpired(Machine machine) {
+            return now > Math.max(machine.leaseCountedFrom, termStart) + LEASE_TICKS;
         }
-        for (int i = 0; i < MACHINES; i++) {
-            worker(s, i, fault, to);
-            reports(s, i, fault, to);
-            for (int task : TASKS) {
-                if (mayStart(s, i, task, fault)) {
-                    int machine = i;
-                    to.add("leader starts task " + task + " on machine " + i, s.next(t -> start(t, machine, task)));
+
+        /** Time passes: leases expire by the agents' account and by the leader's. */
+        void tick() {
+            now++;
+            for (Machine machine : machines) {
+                if (!machine.terminated && now > machine.leaseStart + LEASE_TICKS) {
+                    machine.terminate();
+                }
+                if (isLeaseExpired(machine)) {
+                    machine.markEmpty();
                 }
             }
+            updateReconciliation();
         }
-        leader(s, to);
-    }
 
-    private static void tick(State s) {
-        s.now++;
-        for (Machine m : s.machines) {
-            if (!m.sessionOver && s.now > m.leaseFrom + LEASE) {
-                m.sessionOver = true;
-                m.there = 0;
-                m.listsDone = false;
-                m.answerToken = 0;
-                m.launchTask = 0;
-                m.leaseFrom = NEVER;
-            }
-            if (leaseOver(s, m)) {
-                m.placed = 0;
-                m.shown = 0;
-                m.strays = false;
-                m.heard = true;
-            }
+        private void updateReconciliation() {
+            reconciliationComplete |= machines[0].isFullyKnown() && machines[1].isFullyKnown();
+            inheritedTasks = reconciliationComplete ? 0 : inheritedTasks;
         }
-        settle(s);
-    }
 
-    /** By the leader's account ({@code core.Leases.over}). */
-    private static boolean leaseOver(State s, Machine m) {
-        return s.now > Math.max(m.answeredAt, s.termStart) + LEASE;
-    }
-
-    private static void settle(State s) {
-        s.settled |= s.machines[0].known() && s.machines[1].known();
-        s.found = s.settled ? 0 : s.found;
-    }
+        /** The newest heartbeat of a machine reaches the leader, which responds. */
+        void receiveHeartbeat(int index, Fault fault) {
+            Machine machine = machines[index];
+            machine.heartbeatReceived = true;
+            if (machine.heartbeatOutdated) {
+                machine.leaseCountedFrom = now;
+            } else {
+                applyHeartbeat(
+                        new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatListsDone),
+                        machine.heartbeatToken,
+                        fault);
+            }
+            machine.responseToken = leader;
+            machine.tasksToStop = unwantedTasks(machine);
+        }
 
-    // ---- the agents ----
+        /** The copy that was held back reaches the leader; its agent waits for no response any more. */
+        void receiveHeartbeatCopy(Fault fault) {
+            applyHeartbeat(heartbeatCopy, FIRST, fault);
+            heartbeatCopy = null;
+        }
 
-    private static void worker(State s, int i, Fault fault, Successors<State> to) {
-        Machine m = s.machines[i];
-        if (m.sessionOver) {
-            return;
+        void exchangeHeartbeat(int index, Fault fault) {
+            machines[index].sendHeartbeat(now);
+            receiveHeartbeat(index, fault);
+            machines[index].receiveResponse();
         }
-        boolean changed = m.there != m.reportTasks || m.listsDone != m.reportDone || m.seenToken != m.reportToken;
-        if (i == WELL) {
-            to.add("machine " + i + " reports and is answered", s.next(t -> {
-                report(t, t.machines[i]);
-                reachLeader(t, i, fault);
-                takeAnswer(t.machines[i]);
-            }));
-        } else if (m.reportAt < s.now || changed) {
-            to.add("machine " + i + " reports", s.next(t -> report(t, t.machines[i])));
-        }
-        if (m.answerToken != 0) {
-            to.add("answer reaches machine " + i, s.next(t -> takeAnswer(t.machines[i])));
-        }
-        if (m.launchTask != 0) {
-            to.add("launch reaches machine " + i, s.next(t -> takeLaunch(t.machines[i])));
-            if (m.launchToken == s.leader) {
-                to.add("launch reaches machine " + i + " and is answered", s.next(t -> {
-                    takeLaunch(t.machines[i]);
-                    t.machines[i].shown |= m.launchTask & t.machines[i].there;
-                    t.machines[i].reportOutdated = true;
-                }));
+
+        private void applyHeartbeat(HeartbeatCopy heartbeat, int token, Fault fault) {
+            Machine machine = machines[heartbeat.machine];
+            machine.anyHeartbeatReceived = true;
+            machine.leaseCountedFrom = now;
+            knownDone |= heartbeat.listsDone;
+            machine.hasOrphanedTasks = false;
+            boolean current = token == leader || fault == Fault.TRUSTS_OLD_HEARTBEAT_FOR_INHERITED_TASKS;
+            for (int task : TASKS) {
+                if ((heartbeat.tasks & task) == 0) {
+                    machine.unassign(task & machine.confirmedTasks);
+                } else if (machine.isAssigned(task) || adopt(heartbeat.machine, task)) {
+                    machine.confirm(task);
+                    inheritedTasks |= current && !reconciliationComplete ? task & ~startedBySecondLeader : 0;
+                } else {
+                    machine.hasOrphanedTasks |= fault != Fault.IGNORES_ORPHANED_TASKS;
+                }
             }
+            machine.reconciled |= token == leader;
+            updateReconciliation();
         }
-        if (s.leader > m.seenToken) {
-            to.add("question reaches machine " + i, s.next(t -> t.machines[i].seenToken = t.leader));
+
+        /**
+         * Takes up a task that the leader didn't know to be on this machine, unless the task is over. If it is assigned
+         * elsewhere too, the newer attempt counts.
+         *
+         * @return whether the task was taken up
+         */
+        private boolean adopt(int index, int task) {
+            Machine other = machines[1 - index];
+            boolean newestOnSecond = (startedLastOnSecondMachine & task) != 0;
+            boolean newestElsewhere = newestOnSecond != (index == 1);
+            if (isOver(task) || (other.isAssigned(task) && newestElsewhere)) {
+                return false;
+            }
+            other.unassign(task);
+            return true;
         }
-        if ((m.there & ENDING) != 0) {
-            to.add("task " + ENDING + " ends", s.next(t -> {
-                t.machines[i].there &= ~ENDING;
-                t.machines[i].listsDone = true;
-            }));
+
+        private boolean isOver(int task) {
+            return task == CANCELLED ? cancellationDurable : task == ENDING && knownDone;
         }
-    }
 
-    private static void report(State s, Machine m) {
-        m.reportAt = s.now;
-        m.reportTasks = m.there;
-        m.reportDone = m.listsDone;
-        m.reportToken = m.seenToken;
-        m.reportTaken = false;
-        m.reportOutdated = false;
-        m.answerToken = 0; // the one to the report before comes too late
-        m.answerStops = 0;
-    }
+        /** The tasks in the machine's newest heartbeat that the response stops. */
+        private int unwantedTasks(Machine machine) {
+            int over = (cancellationRequested ? CANCELLED : 0) | (knownDone ? ENDING : 0);
+            return machine.heartbeatTasks & (~machine.assignedTasks | over);
+        }
 
-    private static void takeAnswer(Machine m) {
-        if (m.answerToken >= m.seenToken) {
-            m.seenToken = m.answerToken;
-            m.leaseFrom = m.reportAt;
-            m.there &= ~m.answerStops;
+        /** The cancellation is written and confirmed at once; a later confirmation would be easier to keep. */
+        void cancel() {
+            cancellationDurable = true;
+            confirmedAt = now;
         }
-        m.answerToken = 0;
-        m.answerStops = 0;
-    }
 
-    private static void takeLaunch(Machine m) {
-        if (m.launchToken >= m.seenToken) {
-            m.seenToken = m.launchToken;
-            m.there |= m.launchTask;
+        /** The second leader knows what is durable, and not which task is on which machine. */
+        void failOver() {
+            leader = SECOND;
+            termStart = now;
+            knownDone = false;
+            cancellationRequested = cancellationDurable;
+            reconciliationComplete = false;
+            for (Machine machine : machines) {
+                machine.forgetByLeader();
+            }
         }
-        m.launchTask = 0;
-        m.launchToken = 0;
-    }
 
-    // ---- reports at the leader: core.Ledger.report, control.Workers.hello ----
+        void startTask(int index, int task) {
+            Machine machine = machines[index];
+            machine.assign(task);
+            machine.launchTask = task;
+            machine.launchToken = leader;
+            startedLastOnSecondMachine =
+                    index == 1 ? startedLastOnSecondMachine | task : startedLastOnSecondMachine & ~task;
+            startedBySecondLeader |= firstLeads() ? 0 : task;
+            if (index == HEALTHY) {
+                machine.receiveLaunch();
+                machine.confirm(task);
+            }
+        }
 
-    private static void reports(State s, int i, Fault fault, Successors<State> to) {
-        Machine m = s.machines[i];
-        boolean lapsed = m.up && leaseOver(s, m);
-        if (i != WELL && m.reportAt != NEVER && !m.reportTaken && m.reportToken <= s.leader && !lapsed) {
-            to.add("report of machine " + i + " reaches the leader", s.next(t -> reachLeader(t, i, fault)));
+        boolean mayStart(int index, int task, Fault fault) {
+            // The machine that may hang gets nothing but the task that is cancelled.
+            boolean withinBounds = index == HEALTHY || (firstLeads() && task == CANCELLED);
+            return withinBounds
+                    && isWanted(task)
+                    && !isAssigned(task)
+                    && !mustWaitForReconciliation(task, fault)
+                    && isUsable(machines[index])
+                    && isWithinQuota(fault);
         }
-        if (i == WELL && s.limit == 1 && s.copy == null && s.leader == FIRST && (m.reportTasks & ENDING) != 0) {
-            to.add(
-                    "a copy of the report of machine " + i + " is held back",
-                    s.next(t -> t.copy = new Copy(i, m.reportTasks, m.reportDone)));
+
+        private boolean isWanted(int task) {
+            if (task == CANCELLED) {
+                return !cancellationRequested;
+            }
+            return task == ENDING ? !knownDone : submittedUnder != NO_TOKEN;
         }
-        if (s.copy != null && s.copy.machine == i && s.leader == SECOND) {
-            // Its agent waits for no answer to it any more. Once the machine was heard of, a copy is no word.
-            to.add("the copy reaches the leader", s.next(t -> {
-                take(t, i, s.copy.tasks, s.copy.done, FIRST, fault);
-                t.copy = null;
-            }));
+
+        /** Jobs older than the leader's term may be running on a machine that isn't reconciled yet. */
+        private boolean mustWaitForReconciliation(int task, Fault fault) {
+            boolean olderThanTerm = task != SUBMITTED || submittedUnder != leader;
+            return olderThanTerm && !reconciliationComplete && fault != Fault.STARTS_OLDER_JOBS_AT_ONCE;
         }
-    }
 
-    private static void reachLeader(State s, int i, Fault fault) {
-        Machine m = s.machines[i];
-        m.reportTaken = true;
-        if (m.reportOutdated) {
-            m.answeredAt = s.now;
-        } else {
-            take(s, i, m.reportTasks, m.reportDone, m.reportToken, fault);
+        private boolean isUsable(Machine machine) {
+            return machine.reconciled
+                    && machine.anyHeartbeatReceived
+                    && !isLeaseExpired(machine)
+                    && Integer.bitCount(machine.assignedTasks) < TASKS_PER_MACHINE
+                    && machine.launchTask == 0;
         }
-        m.answerToken = s.leader;
-        m.answerStops = stops(s, m, m.reportTasks);
-    }
 
-    private static void take(State s, int i, int tasks, boolean done, int token, Fault fault) {
-        Machine m = s.machines[i];
-        m.up = true;
-        m.answeredAt = s.now;
-        s.done |= done;
-        m.strays = false;
-        for (int task : TASKS) {
-            if ((tasks & task) == 0) {
-                m.placed &= ~(task & m.shown);
-                m.shown &= ~task;
-            } else if ((m.placed & task) != 0 || adopted(s, i, task)) {
-                m.placed |= task;
-                m.shown |= task;
-                boolean inThisTerm = token == s.leader || fault == Fault.AN_OLDER_REPORT_SHOWS_WHAT_IS_FOUND;
-                s.found |= inThisTerm && !s.settled ? task & ~s.startedBySecond : 0;
-            } else {
-                m.strays |= fault != Fault.TASKS_OF_CANCELLED_JOBS_DO_NOT_COUNT;
+        /** Whether one more task keeps the quota, as {@code TeamUsage} counts it. */
+        private boolean isWithinQuota(Fault fault) {
+            int used = 0;
+            int roomOfUnknown = 0;
+            int freed = fault == Fault.FREES_QUOTA_WHEN_TOLD_TO_STOP && cancellationRequested ? CANCELLED : 0;
+            for (Machine machine : machines) {
+                boolean silent = now > Math.max(machine.leaseCountedFrom, termStart);
+                if (!silent || fault != Fault.FREES_QUOTA_OF_SILENT_MACHINES) {
+                    used += Integer.bitCount(machine.assignedTasks & ~freed);
+                    roomOfUnknown += machine.isFullyKnown() ? 0 : TASKS_PER_MACHINE;
+                }
             }
+            int leftByInherited = quota - Integer.bitCount(inheritedTasks);
+            boolean countsUnknown = !reconciliationComplete && fault != Fault.COUNTS_ONLY_INHERITED_TASKS;
+            return used + (countsUnknown ? Math.min(roomOfUnknown, leftByInherited) : 0) + 1 <= quota;
         }
-        m.heard |= token == s.leader;
-        settle(s);
-    }
-
-    /**
-     * Whether the leader takes up a task that it didn't know to be there; if it is elsewhere too, the newer attempt
-     * counts.
-     */
-    private static boolean adopted(State s, int i, int task) {
-        boolean over = task == CANCELLED ? s.durable : task == ENDING && s.done;
-        Machine other = s.machines[1 - i];
-        if (over || ((other.placed & task) != 0 && (s.startedLastOnSecond & task) != 0 != (i == 1))) {
-            return false;
-        }
-        other.placed &= ~task;
-        other.shown &= ~task;
-        return true;
-    }
 
-    /** Tasks that the answer to such a report ends. */
-    private static int stops(State s, Machine m, int tasks) {
-        int unwanted = (s.asked ? CANCELLED : 0) | (s.done ? ENDING : 0);
-        return tasks & (~m.placed | unwanted);
+        @Override
+        public String toString() {
+            return "now=" + now + " leader=" + leader + " confirmedAt=" + confirmedAt + " inheritedTasks="
+                    + inheritedTasks + " " + List.of(machines) + " violation=" + violation + "\n";
+        }
     }
 
-    // ---- the leader ----
-
-    private static void leader(State s, Successors<State> to) {
-        if (s.submittedUnder == 0 && s.leader == SECOND) {
-            to.add("task " + SUBMITTED + " is submitted", s.next(t -> t.submittedUnder = t.leader));
-        }
-        if (!s.asked) {
-            to.add("its user cancels task " + CANCELLED, s.next(t -> t.asked = true));
+    /** Adds every state that may follow; the order decides which of several shortest traces is found. */
+    private static void addSuccessors(State state, Fault fault, Successors<State> successors) {
+        if (state.now < LAST_TICK) {
+            successors.add("time passes", state.after(State::tick));
         }
-        boolean launchMayCome = (unshown(s) & CANCELLED) != 0 || !s.allHeard();
-        if (s.asked && !s.durable && !launchMayCome) {
-            to.add("the cancellation is durable and told", s.next(t -> {
-                t.durable = true;
-                t.toldAt = t.now; // later would only be easier
-            }));
+        for (int index = 0; index < MACHINES; index++) {
+            if (!state.machines[index].terminated) {
+                addAgentTransitions(state, index, fault, successors);
+            }
+            addHeartbeatTransitions(state, index, fault, successors);
+            addHeartbeatCopy(state, index, fault, successors);
+            addStarts(state, index, fault, successors);
         }
-        if (s.leader == FIRST) {
-            to.add("the leader changes", s.next(LimitModelTest::change));
+        addUserRequestsAndFailover(state, successors);
+    }
+
+    private static void addAgentTransitions(State state, int index, Fault fault, Successors<State> successors) {
+        Machine machine = state.machines[index];
+        if (index == HEALTHY) {
+            successors.add(
+                    "machine " + index + " sends a heartbeat and is answered",
+                    state.after(next -> next.exchangeHeartbeat(index, fault)));
+        } else if (machine.heartbeatAt < state.now || machine.hasChangedSinceHeartbeat()) {
+            successors.add(
+                    "machine " + index + " sends a heartbeat",
+                    state.after(next -> next.machines[index].sendHeartbeat(next.now)));
+        }
+        if (machine.responseToken != NO_TOKEN) {
+            successors.add(
+                    "response reaches machine " + index, state.after(next -> next.machines[index].receiveResponse()));
+        }
+        addLaunchArrivals(state, index, successors);
+        if (state.leader > machine.machineToken) {
+            successors.add(
+                    "status request reaches machine " + index,
+                    state.after(next -> next.machines[index].machineToken = next.leader));
+        }
+        if ((machine.runningTasks & ENDING) != 0) {
+            successors.add("task " + ENDING + " ends", state.after(next -> next.machines[index].endTask()));
         }
     }
 
-    private static int unshown(State s) {
-        return (s.machines[0].placed & ~s.machines[0].shown) | (s.machines[1].placed & ~s.machines[1].shown);
+    private static void addLaunchArrivals(State state, int index, Successors<State> successors) {
+        Machine machine = state.machines[index];
+        if (machine.launchTask == 0) {
+            return;
+        }
+        successors.add("launch reaches machine " + index, state.after(next -> next.machines[index].receiveLaunch()));
+        if (machine.launchToken == state.leader) {
+            successors.add(
+                    "launch reaches machine " + index + " and is answered",
+                    state.after(next -> next.machines[index].receiveLaunchAndRespond()));
+        }
     }
 
-    /** The second leader knows what is durable, and nothing of what is where. */
-    private static void change(State s) {
-        s.leader = SECOND;
-        s.termStart = s.now;
-        s.done = false;
-        s.asked = s.durable;
-        s.settled = false;
-        for (Machine m : s.machines) {
-            m.reportTaken = false;
-            m.reportOutdated = false;
-            m.up = false;
-            m.heard = false;
-            m.strays = false;
-            m.answeredAt = NEVER;
-            m.placed = 0;
-            m.shown = 0;
+    /** The heartbeats of the machine that may hang arrive at any time. */
+    private static void addHeartbeatTransitions(State state, int index, Fault fault, Successors<State> successors) {
+        Machine machine = state.machines[index];
+        boolean inFlight = machine.heartbeatAt != NEVER && !machine.heartbeatReceived;
+        boolean expired = machine.anyHeartbeatReceived && state.isLeaseExpired(machine);
+        if (index != HEALTHY && inFlight && machine.heartbeatToken <= state.leader && !expired) {
+            successors.add(
+                    "heartbeat of machine " + index + " reaches the leader",
+                    state.after(next -> next.receiveHeartbeat(index, fault)));
         }
     }
 
-    private static boolean mayStart(State s, int i, int task, Fault fault) {
-        Machine m = s.machines[i];
-        boolean wanted = task == CANCELLED ? !s.asked : task == ENDING ? !s.done : s.submittedUnder != 0;
-        boolean older = task != SUBMITTED || s.submittedUnder != s.leader;
-        boolean waits = older && !s.settled && fault != Fault.OLDER_JOBS_START_AT_ONCE;
-        boolean usable = m.heard && m.up && !leaseOver(s, m) && Integer.bitCount(m.placed) < ROOM && m.launchTask == 0;
-        // The machine that may hang gets nothing but the task that is cancelled.
-        boolean suits = i == WELL || (s.leader == FIRST && task == CANCELLED);
-        return suits && wanted && (s.placed() & task) == 0 && !waits && usable && withinLimit(s, fault);
+    private static void addHeartbeatCopy(State state, int index, Fault fault, Successors<State> successors) {
+        Machine machine = state.machines[index];
+        boolean mayHoldBack = index == HEALTHY && state.quota == 1 && state.firstLeads();
+        if (mayHoldBack && state.heartbeatCopy == null && (machine.heartbeatTasks & ENDING) != 0) {
+            successors.add(
+                    "a copy of the heartbeat of machine " + index + " is held back",
+                    state.after(next -> next.heartbeatCopy =
+                            new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatListsDone)));
+        }
+        if (state.heartbeatCopy != null && state.heartbeatCopy.machine == index && !state.firstLeads()) {
+            successors.add("the copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
+        }
     }
 
-    private static void start(State s, int i, int task) {
-        s.machines[i].placed |= task;
-        s.machines[i].launchTask = task;
-        s.machines[i].launchToken = s.leader;
-        s.startedLastOnSecond = i == 1 ? s.startedLastOnSecond | task : s.startedLastOnSecond & ~task;
-        s.startedBySecond |= s.leader == SECOND ? task : 0;
-        if (i == WELL) {
-            takeLaunch(s.machines[i]);
-            s.machines[i].shown |= task;
+    private static void addStarts(State state, int index, Fault fault, Successors<State> successors) {
+        for (int task : TASKS) {
+            if (state.mayStart(index, task, fault)) {
+                successors.add(
+                        "leader starts task " + task + " on machine " + index,
+                        state.after(next -> next.startTask(index, task)));
+            }
         }
     }
 
-    /** Whether one more task keeps the limit: {@code core.Scheduler.withinLimit}, {@code core.TeamUse}. */
-    private static boolean withinLimit(State s, Fault fault) {
-        int use = 0;
-        int roomOfUnknown = 0;
-        for (Machine m : s.machines) {
-            int told = fault == Fault.BEING_TOLD_TO_STOP_FREES_THE_LIMIT && s.asked ? CANCELLED : 0;
-            boolean silent = fault == Fault.SILENCE_FREES_THE_LIMIT && s.now > Math.max(m.answeredAt, s.termStart);
-            use += silent ? 0 : Integer.bitCount(m.placed & ~told);
-            roomOfUnknown += silent || m.known() ? 0 : ROOM;
-        }
-        int leftByOlder = s.limit - Integer.bitCount(s.found);
-        boolean counted = !s.settled && fault != Fault.ONLY_WHAT_WAS_FOUND_COUNTS;
-        return use + (counted ? Math.min(roomOfUnknown, leftByOlder) : 0) + 1 <= s.limit;
+    private static void addUserRequestsAndFailover(State state, Successors<State> successors) {
+        if (state.submittedUnder == NO_TOKEN && !state.firstLeads()) {
+            successors.add(
+                    "task " + SUBMITTED + " is submitted", state.after(next -> next.submittedUnder = next.leader));
+        }
+        if (!state.cancellationRequested) {
+            successors.add(
+                    "its user cancels task " + CANCELLED, state.after(next -> next.cancellationRequested = true));
+        }
+        if (state.cancellationRequested && !state.cancellationDurable && !state.mayLaunchStillArrive()) {
+            successors.add("the cancellation is durable and confirmed", state.after(State::cancel));
+        }
+        if (state.firstLeads()) {
+            successors.add("the second leader takes over", state.after(State::failOver));
+        }
     }
 
-    private static State running(State s, int i, int task) {
-        return s.next(t -> {
-            t.machines[i].there = task;
-            t.machines[i].placed = task;
-            t.machines[i].shown = task;
+    private static State withRunningTask(State state, int index, int task) {
+        return state.after(next -> {
+            next.machines[index].runningTasks = task;
+            next.machines[index].assignedTasks = task;
+            next.machines[index].confirmedTasks = task;
         });
     }
 
     private static Result<State> search(Fault fault) {
-        State second = running(new State(1), 1, ENDING);
-        State both = running(running(new State(2), 0, CANCELLED), 1, ENDING);
-        State bothAndOneWaits = both.next(t -> t.submittedUnder = FIRST);
-        Set<StateKey.Packed> seen = new HashSet<>();
+        State secondRuns = withRunningTask(new State(1), 1, ENDING);
+        State bothRun = withRunningTask(withRunningTask(new State(2), 0, CANCELLED), 1, ENDING);
+        State bothRunAndThirdPends = bothRun.after(next -> next.submittedUnder = FIRST);
+        Set<StateKey.Packed> visitedKeys = new HashSet<>();
         return StateSearch.run(
-                List.of(both, bothAndOneWaits, second),
-                (s, to) -> next(s, fault, to),
-                s -> s.broken != null,
-                s -> seen.add(s.key()));
+                List.of(bothRun, bothRunAndThirdPends, secondRuns),
+                (state, successors) -> addSuccessors(state, fault, successors),
+                state -> state.violation != null,
+                state -> visitedKeys.add(state.key()));
     }
 
     @Test
-    void theLimitIsKeptAndACancelledTaskIsGoneInTime() {
+    void quotaIsKeptAndCancelledTaskStopsInTime() {
         Result<State> result = search(Fault.NONE);
         assertFalse(result.broken(), () -> "" + result.trace());
         assertTrue(result.states() > 50_000, "states " + result.states());
@@ -557,17 +688,17 @@
     }
 
     @Test
-    void eachFaultIsFound() {
-        Map<Fault, Rule> found = new EnumMap<>(Fault.class);
+    void findsEachInjectedFault() {
+        Map<Fault, Violation> violations = new EnumMap<>(Fault.class);
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault);
                 assertTrue(result.broken(), fault.toString());
-                found.put(fault, result.last().broken);
-                System.out.println("limit model: " + fault + " " + result.last().broken + " after " + result.steps()
+                violations.put(fault, result.last().violation);
+                System.out.println("limit model: " + fault + " " + result.last().violation + " after " + result.steps()
                         + ": " + result.actions());
             }
         }
-        assertEquals(Rule.RAN_TWICE, found.get(Fault.OLDER_JOBS_START_AT_ONCE));
+        assertEquals(Violation.RAN_TWICE, violations.get(Fault.STARTS_OLDER_JOBS_AT_ONCE));
     }
 }
