--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -69,7 +69,7 @@
         Scheduler scheduler = components.scheduler;
         for (Job job : new ArrayList<>(scheduler.jobs())) {
             scheduler.completionsRestored(job);
-            if (job.finished()) {
+            if (job.isFinished()) {
                 scheduler.outbox().addNewCompletions(job);
             }
         }
--- a/src/main/java/org/hollypick/control/graphs/LiveGraph.java
+++ b/src/main/java/org/hollypick/control/graphs/LiveGraph.java
@@ -93,7 +93,7 @@
 
     /** Whether all nodes have reached a final state and all of that is durable. */
     boolean isDurablyFinished() {
-        return job.finished() && log.isDurable();
+        return job.isFinished() && log.isDurable();
     }
 
     boolean isEnded() {
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -88,7 +88,7 @@
         }
         CompletionBatch batch = new CompletionBatch(settings);
         for (Job job : new ArrayList<>(scheduler.outbox().jobsWithNewCompletions())) {
-            boolean terminalRecordFollows = job.terminalWriteInFlight() || job.finished();
+            boolean terminalRecordFollows = job.terminalWriteInFlight() || job.isFinished();
             if (job.status() != Job.Status.LIVE) {
                 scheduler.outbox().removeNewCompletions(job);
             } else if (!terminalRecordFollows && addAllParts(job, batch)) {
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -50,7 +50,7 @@
     void writeFinishedJobs() {
         List<Job> finishedJobs = new ArrayList<>();
         for (Job job : scheduler.outbox().jobsWithNewCompletions()) {
-            if (job.finished() && !job.terminalWriteInFlight()) {
+            if (job.isFinished() && !job.terminalWriteInFlight()) {
                 finishedJobs.add(job);
             }
         }
@@ -74,7 +74,7 @@
         int bytes = 0;
         for (Job job : finishedJobs) {
             TerminalWrite write =
-                    recordWriter.prepare(job, job.successful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
+                    recordWriter.prepare(job, job.isSuccessful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
             bytes += RecordSize.bytes(write.record());
             boolean alone = writtenAlone.contains(write.jobId());
             boolean full = alone || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -144,8 +144,8 @@
         machine.beginDraining();
         for (Assignment assignment : machine.liveAssignments()) {
             JobSpec spec = assignment.spec;
-            if (spec.checkpointS() > 0 && !spec.service()) {
-                assignments.stop(assignment, noticeS > spec.saveS() ? Math.ceil(spec.saveS()) : 0);
+            if (spec.checkpointIntervalS() > 0 && !spec.service()) {
+                assignments.stop(assignment, noticeS > spec.checkpointSaveS() ? Math.ceil(spec.checkpointSaveS()) : 0);
             } else if (spec.service() || noticeS < spec.estimateS() / 4) {
                 assignments.stop(assignment, 0);
             }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -190,8 +190,8 @@
     }
 
     /** Whether its tasks differ in what they require. */
-    public boolean heterogeneous() {
-        return set != null && set.heterogeneous();
+    public boolean isHeterogeneous() {
+        return set != null && set.isHeterogeneous();
     }
 
     /** Whether the task may still start. */
@@ -220,8 +220,8 @@
     }
 
     /** Whether the finished job completed all of its tasks. */
-    public boolean successful() {
-        return set == null || set.successful();
+    public boolean isSuccessful() {
+        return set == null || set.isSuccessful();
     }
 
     void taskFailed(int index) {
@@ -232,7 +232,7 @@
 
     /** Passes on the number of pending tasks of each kind. */
     public void forEachWaiting(ObjIntConsumer<JobSpec> each) {
-        if (!heterogeneous()) {
+        if (!isHeterogeneous()) {
             if (!pendingTasks.isEmpty()) {
                 each.accept(spec(pendingTasks.nextSetBit(0)), pendingTasks.cardinality());
             }
@@ -347,8 +347,8 @@
     }
 
     /** Whether all tasks of an array ended; services never finish. */
-    public boolean finished() {
+    public boolean isFinished() {
         return !spec.service()
-                && (set == null ? completedTasks.cardinality() == spec.tasks() : set.finished(completedTasks));
+                && (set == null ? completedTasks.cardinality() == spec.tasks() : set.isFinished(completedTasks));
     }
 }
--- a/src/main/java/org/hollypick/core/JobSpec.java
+++ b/src/main/java/org/hollypick/core/JobSpec.java
@@ -3,8 +3,28 @@
 import java.util.Set;
 
 /**
- * What a user submitted. {@code types} and {@code zone} are null when any will do; {@code dueS} is NaN without a
- * deadline.
+ * The specification of a job as its user submitted it. Amounts are for each task.
+ *
+ * @param id the job's id
+ * @param jobClass groups jobs with similar run times, for estimates
+ * @param team the team whose quota the tasks count against; empty for none
+ * @param service whether it is a service, whose tasks are replicas that run until the job ends; otherwise an array
+ * @param priority its own priority; jobs that depend on it may raise the effective one ({@link Job#priority})
+ * @param tasks the number of tasks
+ * @param cpus cores of each task
+ * @param gpus GPUs of each task
+ * @param memoryGb memory of each task, in GB
+ * @param machineTypes names of the machine types that will do; null for any
+ * @param zone the only zone that will do; null for any
+ * @param oneZone whether all tasks have to run in one zone, whichever that is
+ * @param spreadOverZones whether no zone may hold more than half of the tasks, rounded up
+ * @param spotAllowed whether tasks may run on spot instances
+ * @param image the image that a machine needs before a task starts
+ * @param imageGb the image's size, in GB
+ * @param estimateS the expected run time of a task, in seconds
+ * @param checkpointIntervalS the time between a task's checkpoints, in seconds
+ * @param checkpointSaveS how long a task takes to save its state, in seconds
+ * @param dueS the deadline, in seconds; NaN for none
  */
 public record JobSpec(
         String id,
@@ -15,17 +35,17 @@
         int tasks,
         double cpus,
         double gpus,
-        double memory,
-        Set<String> types,
+        double memoryGb,
+        Set<String> machineTypes,
         String zone,
         boolean oneZone,
-        boolean spread,
-        boolean spot,
+        boolean spreadOverZones,
+        boolean spotAllowed,
         String image,
         double imageGb,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointSaveS,
         double dueS) {
 
     /** Priorities, the highest first. */
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -138,7 +138,7 @@
      */
     private void placeService(Job job, List<Machine> machines, long now) {
         for (int index = nextStartableTask(job, 0, now); index >= 0; index = nextStartableTask(job, index + 1, now)) {
-            MachineSelector.Choice choice = MachineSelector.preempt(job, machines, allServiceCpus, now);
+            MachineSelector.Choice choice = MachineSelector.chooseForService(job, machines, allServiceCpus, now);
             if (choice == null) {
                 return;
             }
@@ -170,7 +170,7 @@
             }
             if (machine != null) {
                 index = fill(machine, job, index, now);
-            } else if (job.heterogeneous()) {
+            } else if (job.isHeterogeneous()) {
                 // Tasks of another description may fit.
                 specsWithoutRoom = with(specsWithoutRoom, spec);
                 index = nextStartableTask(job, index + 1, now);
@@ -195,11 +195,11 @@
             List<Machine> otherMachines,
             boolean reserveIdleMachines,
             long now) {
-        Machine own = MachineSelector.choose(job, spec, ownMachines, now);
+        Machine own = MachineSelector.chooseForArray(job, spec, ownMachines, now);
         if (own != null) {
             return own;
         }
-        return MachineSelector.choose(
+        return MachineSelector.chooseForArray(
                 job, spec, reserveIdleMachines ? partitions.lendable(otherMachines) : otherMachines, now);
     }
 
@@ -220,7 +220,7 @@
                 && job.spec(next) == spec
                 && machine.hasRoom(spec)
                 && MachineSelector.takesTasks(machine, now)
-                && MachineSelector.allowed(job, spec, machine));
+                && MachineSelector.isAllowed(job, spec, machine));
         return next;
     }
 
@@ -249,7 +249,7 @@
             if (spec != withinLimit && spec != beyondLimit) {
                 if (scheduler.quotas().withinLimit(spec)) {
                     withinLimit = spec;
-                } else if (job.heterogeneous()) {
+                } else if (job.isHeterogeneous()) {
                     beyondLimit = spec;
                 } else {
                     return -1;
--- a/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
+++ b/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
@@ -46,7 +46,8 @@
                     && !quotas.withinLimit(spec)
                     && usageChangedRecently(spec.team(), now)
                     && machineFoundByTeam.computeIfAbsent(
-                            spec.team(), team -> MachineSelector.preempt(job, machines, allServiceCpus, now) != null)) {
+                            spec.team(),
+                            team -> MachineSelector.chooseForService(job, machines, allServiceCpus, now) != null)) {
                 quotas.usage().reserve(spec, job.pendingTasks.cardinality());
             }
         }
--- a/src/main/java/org/hollypick/core/TaskSet.java
+++ b/src/main/java/org/hollypick/core/TaskSet.java
@@ -2,32 +2,39 @@
 
 import java.util.BitSet;
 
-/** The tasks of a job that aren't all alike and may become more: what the core needs to know of them, by index. */
+/**
+ * The tasks of a job that differ from each other and may become more while the job is live, by index: what the
+ * scheduler needs to know of them. Confined to the event loop.
+ */
 public interface TaskSet {
-    /** How many there are by now; none goes away. */
+    /** The number of tasks so far; it never falls. */
     int count();
 
-    /** What the task takes and where it may go; equal descriptions are the same object. */
+    /** What the task requires and where it may run; tasks of equal description share the object. */
     JobSpec spec(int index);
 
     /** Whether there is more than one description. */
-    boolean heterogeneous();
+    boolean isHeterogeneous();
 
-    /** Tasks that wait for others of the set. */
+    /** The number of tasks that wait for others of the set. */
     int unreleasedTasks();
 
     /** Whether the task may still start. */
     boolean mayStart(int index);
 
-    /** Nothing will become of any task any more, given those that are done. */
-    boolean finished(BitSet done);
+    /**
+     * Whether no task will start or run any more.
+     *
+     * @param completed the tasks that are completed, durably or not
+     */
+    boolean isFinished(BitSet completed);
 
-    /** It is durable that those tasks are done. */
-    void completionsCommitted(BitSet done);
+    /** The completion of these tasks, which include those of earlier calls, is durable. */
+    void completionsCommitted(BitSet completed);
 
-    /** Whether all tasks were done. */
-    boolean successful();
+    /** Whether all tasks of the finished set were completed. */
+    boolean isSuccessful();
 
-    /** The task failed once more. */
+    /** An attempt of the task failed. */
     void taskFailed(int index);
 }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -407,14 +407,14 @@
     private void use(Assignment assignment, int sign) {
         usedCpus += sign * assignment.spec.cpus();
         usedGpus += sign * assignment.spec.gpus();
-        usedMemory += sign * assignment.spec.memory();
+        usedMemory += sign * assignment.spec.memoryGb();
     }
 
     public boolean hasRoom(JobSpec job) {
         double slack = 1e-6; // sums of decimal amounts
         return usedCpus + job.cpus() <= type.cpus() + slack
                 && usedGpus + job.gpus() <= type.gpus() + slack
-                && usedMemory + job.memory() <= type.memory() + slack;
+                && usedMemory + job.memoryGb() <= type.memoryGb() + slack;
     }
 
     public boolean schedulable() {
--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -48,7 +48,7 @@
 
     private void add(Job job) {
         int pendingTasks = job.failures() > MAX_FAILURES ? 0 : job.pendingTasks.cardinality();
-        if (job.spec.service() || !job.spec.spot()) {
+        if (job.spec.service() || !job.spec.spotAllowed()) {
             addService(job, pendingTasks);
         } else {
             addArray(job, pendingTasks);
@@ -99,7 +99,7 @@
         double sum = 0;
         for (String zone : zones) {
             if (spec.zone() == null || spec.zone().equals(zone)) {
-                double tasks = spec.spread() ? Math.max(0, (spec.tasks() + 1) / 2 - job.inZone(zone)) : 1;
+                double tasks = spec.spreadOverZones() ? Math.max(0, (spec.tasks() + 1) / 2 - job.inZone(zone)) : 1;
                 shares.put(zone, tasks);
                 sum += tasks;
             }
--- a/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
+++ b/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
@@ -84,7 +84,7 @@
             if (!type.fits(job)) {
                 continue;
             }
-            double price = (spot ? type.spotPrice() : type.price()) / type.cpus();
+            double price = (spot ? type.spotPricePerHour() : type.pricePerHour()) / type.cpus();
             for (String zone : zones) {
                 Kind kind = new Kind(type.name(), zone, spot);
                 if (isOffered(kind, type, job) && (best == null || isBetter(kind, price, best, bestPrice))) {
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -93,6 +93,6 @@
     }
 
     private static double pricePerCore(Machine machine) {
-        return (machine.spot ? machine.type.spotPrice() : machine.type.price()) / machine.type.cpus();
+        return (machine.spot ? machine.type.spotPricePerHour() : machine.type.pricePerHour()) / machine.type.cpus();
     }
 }
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public boolean heterogeneous() {
+    public boolean isHeterogeneous() {
         return nodes.specs().size() > 1;
     }
 
@@ -252,7 +252,7 @@
     }
 
     @Override
-    public boolean finished(BitSet done) {
+    public boolean isFinished(BitSet done) {
         return isSealed()
                 && nodes.count(NodeState.WAITING) == 0
                 && nodes.count(NodeState.READY) == 0
@@ -260,7 +260,7 @@
     }
 
     @Override
-    public boolean successful() {
+    public boolean isSuccessful() {
         return nodes.count(NodeState.DONE) == nodes.size();
     }
 
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -12,63 +12,91 @@
 import org.hollypick.core.assignment.Assignment;
 import org.hollypick.core.assignment.Machine;
 
-/** Chooses a machine for a task: what is allowed, what is best, and what may be stopped for it. */
+/**
+ * Chooses a machine for a task: where the task is allowed, which machine is best, and what is preempted for it. Times
+ * are milliseconds of the event loop's clock. Stateless; reads jobs and machines, so it is called on the event loop.
+ */
 public final class MachineSelector {
+    /** For rounding errors in sums of decimal amounts. */
+    private static final double SLACK = 1e-6;
+    /** What a machine filled with work is better by than an empty one, in seconds of image fetching. */
+    private static final double PACKING_BONUS_S = 2;
+    /** What a spot instance is better by for arrays, in seconds of image fetching. */
+    private static final double SPOT_BONUS_S = 3;
+    /** The part of a fetch that is still ahead, on average, if the image is being fetched already. */
+    private static final double REMAINING_FETCH_SHARE = 0.6;
+    /** What each fetch in progress adds to the time of another one, as a share of that. */
+    private static final double CONCURRENT_FETCH_SHARE = 0.5;
+
+    private static final int MAX_CONCURRENT_FETCHES = 4;
+
     private MachineSelector() {}
 
-    /** A machine and the tasks to stop on it first. */
+    /** A machine and the tasks to preempt on it before the new one starts. */
     public record Choice(Machine machine, List<Assignment> victims) {}
 
-    /** Whether the job's tasks may start here, given where its other tasks may be; room is another question. */
-    public static boolean allowed(Job job, JobSpec spec, Machine m) {
-        if (!m.type.fits(spec) || (spec.zone() != null && !spec.zone().equals(m.zone)) || (m.spot && !spec.spot())) {
+    /**
+     * Whether the job's constraints allow a task of it on the machine, given where its other tasks may be: type, zone,
+     * spot instances, replicas spread over zones or all in one. Doesn't look at free room.
+     */
+    public static boolean isAllowed(Job job, JobSpec spec, Machine machine) {
+        if (!machine.type.fits(spec)
+                || (spec.zone() != null && !spec.zone().equals(machine.zone))
+                || (machine.spot && !spec.spotAllowed())) {
             return false;
         }
-        if (spec.spread() && job.inZone(m.zone) + 1 > (spec.tasks() + 1) / 2) {
+        if (spec.spreadOverZones() && job.inZone(machine.zone) + 1 > (spec.tasks() + 1) / 2) {
             return false;
         }
-        return !spec.oneZone() || job.inZone(m.zone) == job.assignments.size();
+        return !spec.oneZone() || job.inZone(machine.zone) == job.assignments.size();
     }
 
-    /** Whether the machine gets new tasks at all now. */
-    public static boolean takesTasks(Machine m, long now) {
-        return m.schedulable() && now >= m.noRoomUntil && !(m.validity.isOnTrial() && m.startingTasks() > 0);
+    /** Whether the machine takes new tasks now; one that is on trial takes one at a time. */
+    public static boolean takesTasks(Machine machine, long now) {
+        return machine.schedulable()
+                && now >= machine.noRoomUntil
+                && !(machine.validity.isOnTrial() && machine.startingTasks() > 0);
     }
 
-    private static boolean possible(Job job, JobSpec spec, Machine m, long now) {
-        return takesTasks(m, now) && !m.failedJobs.contains(job.spec.id()) && allowed(job, spec, m);
+    private static boolean isCandidate(Job job, JobSpec spec, Machine machine, long now) {
+        return takesTasks(machine, now) && !machine.failedJobs.contains(job.spec.id()) && isAllowed(job, spec, machine);
     }
 
     /**
-     * Whether a replica could go on at once on another machine of its zone: one with room and its image, and none of
-     * its own job.
+     * Whether a replica of a service could start at once on another on-demand machine of its zone: one that has room
+     * and the image, and holds no replica of the same job.
      */
-    public static boolean canMove(Assignment p, Collection<Machine> machines, long now) {
-        Object2IntOpenHashMap<Machine> replicas = replicas(p.job);
-        for (Machine m : machines) {
-            if (m != p.machine
-                    && !m.spot
-                    && m.zone.equals(p.machine.zone)
-                    && takesTasks(m, now)
-                    && m.hasRoom(p.job.spec)
-                    && m.type.fits(p.job.spec)
-                    && m.images.containsKey(p.job.spec.image())
-                    && replicas.getInt(m) == 0) {
+    public static boolean canMove(Assignment assignment, Collection<Machine> machines, long now) {
+        Object2IntOpenHashMap<Machine> replicas = replicasByMachine(assignment.job);
+        for (Machine machine : machines) {
+            if (machine != assignment.machine
+                    && !machine.spot
+                    && machine.zone.equals(assignment.machine.zone)
+                    && takesTasks(machine, now)
+                    && machine.hasRoom(assignment.job.spec)
+                    && machine.type.fits(assignment.job.spec)
+                    && machine.images.containsKey(assignment.job.spec.image())
+                    && replicas.getInt(machine) == 0) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The best machine with room for a task of an array, or null; {@code spec}: what that task takes. */
-    public static Machine choose(Job job, JobSpec spec, Collection<Machine> machines, long now) {
+    /**
+     * The best machine with room for a task of an array.
+     *
+     * @param spec the task's own description, which may differ from the job's
+     * @return null if there is none
+     */
+    public static Machine chooseForArray(Job job, JobSpec spec, Collection<Machine> machines, long now) {
         Machine best = null;
         double bestScore = 0;
-        for (Machine m : machines) {
-            if (m.hasRoom(spec) && possible(job, spec, m, now)) {
-                double score = arrayScore(spec, m);
+        for (Machine machine : machines) {
+            if (machine.hasRoom(spec) && isCandidate(job, spec, machine, now)) {
+                double score = arrayScore(spec, machine);
                 if (best == null || score > bestScore) {
-                    best = m;
+                    best = machine;
                     bestScore = score;
                 }
             }
@@ -77,44 +105,51 @@
     }
 
     /** How many replicas of a service may be on each machine. */
-    private static Object2IntOpenHashMap<Machine> replicas(Job job) {
-        Object2IntOpenHashMap<Machine> on = new Object2IntOpenHashMap<>();
-        job.assignments.values().forEach(p -> on.addTo(p.machine, 1));
-        return on;
+    private static Object2IntOpenHashMap<Machine> replicasByMachine(Job job) {
+        Object2IntOpenHashMap<Machine> replicas = new Object2IntOpenHashMap<>();
+        job.assignments.values().forEach(assignment -> replicas.addTo(assignment.machine, 1));
+        return replicas;
     }
 
-    /** Higher is better: the image's fetch time first, then the right kind, tight packing. */
-    private static double arrayScore(JobSpec spec, Machine m) {
-        return -fetchS(spec, m)
-                + 2 * m.usedCpus / m.type.cpus()
-                + (m.spot ? 3 : 0)
-                - (m.surplus ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
+    /** In seconds, higher is better: the image's fetch time first, then spot instances, then tight packing. */
+    private static double arrayScore(JobSpec spec, Machine machine) {
+        return -fetchSeconds(spec, machine)
+                + PACKING_BONUS_S * machine.usedCpus / machine.type.cpus()
+                + (machine.spot ? SPOT_BONUS_S : 0)
+                - (machine.surplus ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
     }
 
     /**
-     * Higher is better: the image's fetch time first, then replicas apart, no machine that will soon be emptied, and
-     * none with a large share of all services: what is lost with it counts. Among very many machines no share is large,
-     * and services fill one after the other.
+     * In seconds, higher is better: the image's fetch time first, then few replicas of the same job, no machine that is
+     * soon evicted, and none with a large share of all services, which would be lost together with it. Among very many
+     * machines no share is large, and services fill one machine after the other.
+     *
+     * @param replicas how many of the job's replicas the machine may hold
      */
-    private static double serviceScore(Job job, Machine m, int replicas, double allServices) {
-        double share = (m.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServices);
-        return -fetchS(job.spec, m)
+    private static double serviceScore(Job job, Machine machine, int replicas, double allServiceCpus) {
+        double share = (machine.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServiceCpus);
+        return -fetchSeconds(job.spec, machine)
                 - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
                 - share * SchedulingConstants.SERVICE_SPREAD_S
-                - (m.evictedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
+                - (machine.evictedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
-    /** Seconds until the image is there, more if others are being fetched. */
-    private static double fetchS(JobSpec spec, Machine m) {
-        return m.images.containsKey(spec.image())
-                ? 0
-                : spec.imageGb() / m.type.fetchGbPerS() * (fetching(m, spec.image()) ? 0.6 : 1 + 0.5 * fetches(m));
+    /** Estimated seconds until the machine has the image: more if others are being fetched. */
+    private static double fetchSeconds(JobSpec spec, Machine machine) {
+        if (machine.images.containsKey(spec.image())) {
+            return 0;
+        }
+        double aloneSeconds = spec.imageGb() / machine.type.fetchGbPerS();
+        return aloneSeconds
+                * (isFetching(machine, spec.image())
+                        ? REMAINING_FETCH_SHARE
+                        : 1 + CONCURRENT_FETCH_SHARE * concurrentFetches(machine));
     }
 
-    private static boolean fetching(Machine m, String image) {
-        if (m.startingTasks() > 0) {
-            for (Assignment p : m.assignments.values()) {
-                if (p.starting() && p.spec.image().equals(image)) {
+    private static boolean isFetching(Machine machine, String image) {
+        if (machine.startingTasks() > 0) {
+            for (Assignment assignment : machine.assignments.values()) {
+                if (assignment.starting() && assignment.spec.image().equals(image)) {
                     return true;
                 }
             }
@@ -122,38 +157,37 @@
         return false;
     }
 
-    private static int fetches(Machine m) {
-        return Math.min(m.startingTasks(), 4);
+    private static int concurrentFetches(Machine machine) {
+        return Math.min(machine.startingTasks(), MAX_CONCURRENT_FETCHES);
     }
 
     /**
-     * The best machine that has room or gets it by stopping work of lower priority, weighing what is lost; null if
-     * there is none.
+     * The best machine for a replica of a service: one that has room, or gets it by preempting work of lower priority.
+     * The work that would be lost counts against the machine.
+     *
+     * @param allServiceCpus cores of all services on all machines
+     * @return null if there is none
      */
-    public static Choice preempt(Job job, Collection<Machine> machines, double allServices, long now) {
+    public static Choice chooseForService(Job job, Collection<Machine> machines, double allServiceCpus, long now) {
         Machine best = null;
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
-        Object2IntOpenHashMap<Machine> replicas = replicas(job);
-        for (Machine m : machines) {
-            if (!possible(job, job.spec, m, now)) {
+        Object2IntOpenHashMap<Machine> replicas = replicasByMachine(job);
+        for (Machine machine : machines) {
+            if (!isCandidate(job, job.spec, machine, now)) {
                 continue;
             }
-            double score = serviceScore(job, m, replicas.getInt(m), allServices);
+            double score = serviceScore(job, machine, replicas.getInt(machine), allServiceCpus);
             if (best != null && score <= bestScore) {
-                continue; // what is lost only makes it worse
+                continue; // lost work can only lower the score
             }
-            List<Assignment> victims = m.hasRoom(job.spec) ? List.of() : victims(job, m);
+            List<Assignment> victims = machine.hasRoom(job.spec) ? List.of() : victims(job, machine);
             if (victims == null) {
                 continue;
             }
-            double lost = 0;
-            for (Assignment p : victims) {
-                lost += p.state() == Assignment.State.RUNNING ? p.runtimeS(now) * p.spec.cpus() : 0;
-            }
-            score -= lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
+            score -= lostCoreSeconds(victims, now) / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
-                best = m;
+                best = machine;
                 bestVictims = victims;
                 bestScore = score;
             }
@@ -161,37 +195,51 @@
         return best == null ? null : new Choice(best, bestVictims);
     }
 
-    private static List<Assignment> victims(Job job, Machine m) {
+    private static double lostCoreSeconds(List<Assignment> victims, long now) {
+        double lost = 0;
+        for (Assignment assignment : victims) {
+            lost += assignment.state() == Assignment.State.RUNNING
+                    ? assignment.runtimeS(now) * assignment.spec.cpus()
+                    : 0;
+        }
+        return lost;
+    }
+
+    /**
+     * The tasks to preempt so that a task of the job fits: of lower priority, the lowest and the latest started first.
+     *
+     * @return null if it doesn't fit even without all of them
+     */
+    private static List<Assignment> victims(Job job, Machine machine) {
         List<Assignment> lower = new ArrayList<>();
-        for (Assignment p : m.assignments.values()) {
-            if (p.mayExist()
-                    && !p.stopRequested()
-                    && !(p.state() == Assignment.State.LAUNCHING && p.launchMayStillExecute())
-                    && p.job.priority().compareTo(job.priority()) > 0) {
-                lower.add(p);
+        for (Assignment assignment : machine.assignments.values()) {
+            if (assignment.mayExist()
+                    && !assignment.stopRequested()
+                    && !(assignment.state() == Assignment.State.LAUNCHING && assignment.launchMayStillExecute())
+                    && assignment.job.priority().compareTo(job.priority()) > 0) {
+                lower.add(assignment);
             }
         }
-        lower.sort(Comparator.comparing((Assignment p) -> p.job.priority())
+        lower.sort(Comparator.comparing((Assignment assignment) -> assignment.job.priority())
                 .reversed()
-                .thenComparingLong(p -> -p.startedAt));
-        double cpus = m.type.cpus() - m.usedCpus;
-        double gpus = m.type.gpus() - m.usedGpus;
-        double memory = m.type.memory() - m.usedMemory;
+                .thenComparingLong(assignment -> -assignment.startedAt));
+        double cpus = machine.type.cpus() - machine.usedCpus;
+        double gpus = machine.type.gpus() - machine.usedGpus;
+        double memoryGb = machine.type.memoryGb() - machine.usedMemory;
         List<Assignment> chosen = new ArrayList<>();
-        for (Assignment p : lower) {
-            if (fits(job.spec, cpus, gpus, memory)) {
+        for (Assignment assignment : lower) {
+            if (fits(job.spec, cpus, gpus, memoryGb)) {
                 break;
             }
-            chosen.add(p);
-            cpus += p.spec.cpus();
-            gpus += p.spec.gpus();
-            memory += p.spec.memory();
+            chosen.add(assignment);
+            cpus += assignment.spec.cpus();
+            gpus += assignment.spec.gpus();
+            memoryGb += assignment.spec.memoryGb();
         }
-        return fits(job.spec, cpus, gpus, memory) ? chosen : null;
+        return fits(job.spec, cpus, gpus, memoryGb) ? chosen : null;
     }
 
-    private static boolean fits(JobSpec job, double cpus, double gpus, double memory) {
-        double slack = 1e-6;
-        return job.cpus() <= cpus + slack && job.gpus() <= gpus + slack && job.memory() <= memory + slack;
+    private static boolean fits(JobSpec spec, double cpus, double gpus, double memoryGb) {
+        return spec.cpus() <= cpus + SLACK && spec.gpus() <= gpus + SLACK && spec.memoryGb() <= memoryGb + SLACK;
     }
 }
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -212,22 +212,22 @@
                 .put(TASKS, spec.tasks())
                 .put(CPUS, spec.cpus())
                 .put(GPUS, spec.gpus())
-                .put(MEMORY_GB, spec.memory());
-        if (spec.types() != null) {
+                .put(MEMORY_GB, spec.memoryGb());
+        if (spec.machineTypes() != null) {
             ArrayNode machineTypes = body.putArray(MACHINE_TYPES);
-            spec.types().forEach(machineTypes::add);
+            spec.machineTypes().forEach(machineTypes::add);
         }
         if (spec.zone() != null) {
             body.put(ZONE, spec.zone());
         }
         body.put(ONE_ZONE, spec.oneZone())
-                .put(SPREAD, spec.spread())
-                .put(SPOT_ALLOWED, spec.spot())
+                .put(SPREAD, spec.spreadOverZones())
+                .put(SPOT_ALLOWED, spec.spotAllowed())
                 .put(IMAGE, spec.image())
                 .put(IMAGE_GB, spec.imageGb())
                 .put(ESTIMATE_SECONDS, spec.estimateS())
-                .put(CHECKPOINT_INTERVAL_SECONDS, spec.checkpointS())
-                .put(SAVE_SECONDS, spec.saveS());
+                .put(CHECKPOINT_INTERVAL_SECONDS, spec.checkpointIntervalS())
+                .put(SAVE_SECONDS, spec.checkpointSaveS());
         if (!Double.isNaN(spec.dueS())) {
             body.put(DUE_SECONDS, spec.dueS());
         }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -145,7 +145,7 @@
                         report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")),
                         true,
                         100);
-        assertTrue(job.finished());
+        assertTrue(job.isFinished());
         assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
         scheduler.markDone(job);
         assertEquals(1, clears(scheduler.commands().pendingCommands(machine)));
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -219,8 +219,8 @@
                     return m.schedulable()
                             && m.type.fits(job.spec)
                             && (job.spec.zone() == null || job.spec.zone().equals(m.zone))
-                            && (!m.spot || job.spec.spot())
-                            && (!job.spec.spread() || inZone + 1 <= (job.spec.tasks() + 1) / 2)
+                            && (!m.spot || job.spec.spotAllowed())
+                            && (!job.spec.spreadOverZones() || inZone + 1 <= (job.spec.tasks() + 1) / 2)
                             && (!job.spec.oneZone() || inZone == job.assignments.size());
                 })
                 .toList();
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -185,7 +185,7 @@
         long now = 1_000;
         long tick = 1;
         int passes = 0;
-        while (!job.finished()) {
+        while (!job.isFinished()) {
             now += 1_000;
             passes++;
             s.runSchedulingCycle(now);
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -102,7 +102,7 @@
                         one.zone(),
                         false,
                         false,
-                        one.spot(),
+                        one.spotAllowed(),
                         one.image(),
                         1,
                         10,
