--- a/src/main/java/org/hollypick/cli/Logs.java
+++ b/src/main/java/org/hollypick/cli/Logs.java
@@ -1,18 +1,24 @@
 package org.hollypick.cli;
 
-/** The log: slf4j-simple on standard error, Undertow's and XNIO's messages included. */
+/** Configures the log: slf4j-simple on standard error, with the messages of Undertow and XNIO. */
 final class Logs {
     private Logs() {}
 
+    /**
+     * Sets the log level. Has to run before the first logger is created. The libraries log errors only, except at
+     * {@code debug}.
+     *
+     * @param level {@code error}, {@code info} or {@code debug}; {@code info} if it is null or anything else
+     */
     static void configure(String level) {
-        String wanted = level == null ? "info" : level;
-        String own = switch (wanted) {
-            case "error", "info", "debug" -> wanted;
+        String requestedLevel = level == null ? "info" : level;
+        String ownLevel = switch (requestedLevel) {
+            case "error", "info", "debug" -> requestedLevel;
             default -> "info";
         };
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", own.equals("debug") ? "info" : "error");
-        System.setProperty("org.slf4j.simpleLogger.log.org.hollypick", own);
+        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", ownLevel.equals("debug") ? "info" : "error");
+        System.setProperty("org.slf4j.simpleLogger.log.org.hollypick", ownLevel);
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     }
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. */
+/** The command line: starts a controller, or runs one of the other commands. */
 @Command(
         name = "hollypick",
         mixinStandardHelpOptions = true,
@@ -49,6 +49,7 @@
 
     private Main() {}
 
+    /** Runs the command that the first argument names; ends the process with a status other than 0 if it fails. */
     public static void main(String[] args) {
         Logs.configure(System.getenv("LOG_LEVEL"));
         // A controller's start loads nothing of the other commands.
@@ -89,10 +90,10 @@
     }
 
     /**
-     * Starts the controller; it runs until the process is killed. Everything after the agent's creation happens on its
-     * I/O thread, while the calling thread only waits: where system calls of the process are rewritten while it runs,
-     * one thread reading the jar beside another that reads sockets ended about one start in a hundred (docs/incidents,
-     * native-read). So no class is loaded beside the running loop.
+     * Starts the controller; it runs until the process is killed. Everything after the XNIO worker's creation happens
+     * on its I/O thread, while the calling thread only waits: where system calls of the process are rewritten while it
+     * runs, one thread reading the jar beside another that reads sockets ended about one start in a hundred
+     * (docs/incidents, native-read). So no class is loaded beside the running loop.
      */
     static Undertow serve(Settings settings, OperatorSettings operator) throws Exception {
         CompletableFuture<Undertow> started = new CompletableFuture<>();
@@ -109,9 +110,12 @@
         return started.get();
     }
 
-    /** A named class, loaded before the agent runs: a lambda would be linked beside it. */
+    /**
+     * Starts the controller on the I/O thread. A named class, loaded before the worker runs: a lambda would be linked
+     * while it runs.
+     */
     private static final class Starter implements Runnable {
-        /** Not Main's: the log is configured once that is loaded. */
+        /** Not a field of Main: that class is loaded before the log is configured. */
         private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
         private final Settings settings;
@@ -121,8 +125,8 @@
         private DefaultByteBufferPool buffers;
         private ConnectionBudget connections;
         private XnioEventLoop network;
-        private Controller node;
-        private int tries;
+        private Controller controller;
+        private int listenAttempts;
 
         Starter(Settings settings, OperatorSettings operator, CompletableFuture<Undertow> started) {
             this.settings = settings;
@@ -141,7 +145,7 @@
                         connections,
                         Set.copyOf(List.of(settings.state(), settings.cloud())),
                         (int) (settings.sockets() * NetworkConstants.IDLE_SOCKET_SHARE));
-                node = new Controller(network, settings, operator);
+                controller = new Controller(network, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
                 started.completeExceptionally(e);
@@ -149,8 +153,8 @@
         }
 
         /**
-         * An address may still be taken for a moment by an earlier process: ending for that would only start the next
-         * one.
+         * Opens both endpoints, with retries: an address may still be taken for a moment by an earlier process, and a
+         * restart of this one wouldn't free it.
          */
         private void listen() {
             try {
@@ -159,17 +163,17 @@
                         buffers,
                         connections,
                         settings.publicAddr(),
-                        node::handle,
+                        controller::handle,
                         settings.meshAddr(),
-                        node::handlePeerRequest);
-                network.after(0, node::start);
+                        controller::handlePeerRequest);
+                network.after(0, controller::start);
                 started.complete(server);
             } catch (RuntimeException e) {
-                if (!(e.getCause() instanceof BindException) || ++tries >= NetworkConstants.LISTEN_ATTEMPTS) {
+                if (!(e.getCause() instanceof BindException) || ++listenAttempts >= NetworkConstants.LISTEN_ATTEMPTS) {
                     started.completeExceptionally(e);
                     return;
                 }
-                if (tries == 1) {
+                if (listenAttempts == 1) {
                     LOG.error(
                             "listen.address_in_use users={} mesh={} reason={}",
                             settings.publicAddr(),
