--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -72,8 +72,7 @@
             type = unknownType(decoded.typeName());
         }
         Machine machine = scheduler.addMachine(id, type, decoded.zone(), decoded.spot(), true, eventLoop.now());
-        machine.address = decoded.address();
-        machine.lastHeartbeatAt = eventLoop.now();
+        machine.restoreFromRecord(decoded.address(), eventLoop.now());
     }
 
     /** Stands for a type that the cloud no longer offers: it has no room for tasks. */
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -87,7 +87,7 @@
         if (machine.reconciled() && !isProbe && canWaitForHeartbeat) {
             return;
         }
-        boolean toUnresponsive = machine.unacknowledgedCalls > 0 || machine.validity.isDoubtful();
+        boolean toUnresponsive = machine.unacknowledgedCalls() > 0 || machine.validity.isDoubtful();
         if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
             return;
         }
@@ -102,7 +102,7 @@
         scheduler.commands().sentDirectly(machine, commands);
         limiter.started(toUnresponsive);
         agentClient.sendCommands(
-                machine.address,
+                machine.address(),
                 scheduler.token(),
                 call.incarnation(),
                 commands,
@@ -113,9 +113,9 @@
     private boolean mayCall(Machine machine) {
         return term.holdsLeaderLease()
                 && !machine.directCallInFlight()
-                && !machine.address.isEmpty()
-                && machine.directCallNotBefore <= term.now()
-                && !machine.scalingIn;
+                && !machine.address().isEmpty()
+                && machine.directCallNotBefore() <= term.now()
+                && !machine.isScalingIn();
     }
 
     private List<Command> commandsFor(Machine machine) {
@@ -140,13 +140,13 @@
 
     private void unacknowledged(Machine machine, AgentResponse response, long now) {
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
-            machine.unacknowledgedCalls++;
+            machine.recordUnacknowledgedCall();
             if (localHealth.isHealthy(now)) {
                 machine.validity
                         .directCallUnacknowledged(); // while this controller is overloaded, silence proves nothing
             }
         }
-        machine.directCallNotBefore = now + FailureDetectionConstants.DIRECT_RETRY_MS;
+        machine.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
         LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
     }
 
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -69,8 +69,7 @@
      */
     static boolean apply(
             Scheduler scheduler, Machine machine, Heartbeat heartbeat, boolean heartbeatRequest, long now) {
-        machine.lastHeartbeatAt = now;
-        machine.unacknowledgedCalls = 0;
+        machine.recordContact(now);
         return scheduler.heartbeats().applyHeartbeat(machine, heartbeat, heartbeatRequest, now);
     }
 
@@ -137,8 +136,8 @@
         boolean wasUnreachable = machine.validity.isUnreachableInbound();
         boolean seenThisToken = heartbeat.token() == scheduler.token();
         if (newIncarnation
-                && machine.heartbeatAcknowledgedAt > 0
-                && scheduler.leases().isValid(machine.heartbeatAcknowledgedAt, now)) {
+                && machine.heartbeatAcknowledgedAt() > 0
+                && scheduler.leases().isValid(machine.heartbeatAcknowledgedAt(), now)) {
             machine.validity.markUnreachableInbound(now);
         }
         machine.validity.heartbeatReceived(heartbeat, seenThisToken, commands, now);
@@ -148,7 +147,7 @@
             machine.validity.deliveryConfirmed(); // had no answer reached it, its incarnation would have ended
         }
         if (!seenThisToken) {
-            machine.heartbeatAcknowledgedAt = 0; // no answer of this term reached it
+            machine.clearHeartbeatAcknowledgement(); // no answer of this term reached it
         }
         if (machine.validity.isUnreachableInbound() != wasUnreachable) {
             LOG.info(
@@ -168,7 +167,7 @@
         if (otherRelay != null) {
             return HeartbeatRelayCodec.redirect(otherRelay);
         }
-        machine.heartbeatAcknowledgedAt = machine.validity.newestReceivedAt();
+        machine.acknowledgeHeartbeat(machine.validity.newestReceivedAt());
         machine.validity.heartbeatAnswered(commands);
         scheduler.commands().sentInHeartbeatResponse(machine, commands);
         if (machine.reconciled()) {
--- a/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
+++ b/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
@@ -35,6 +35,6 @@
     /** Its last heartbeat was just answered with a new token, so the agent sends the next one at once. */
     private static boolean isHeartbeatExpected(Machine machine, long now) {
         return machine.heartbeatReceived()
-                && now - machine.heartbeatAcknowledgedAt < FailureDetectionConstants.NEXT_HEARTBEAT_MS;
+                && now - machine.heartbeatAcknowledgedAt() < FailureDetectionConstants.NEXT_HEARTBEAT_MS;
     }
 }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -53,12 +53,12 @@
         this.probeAfterMillis = (long) (settings.reportS() * 1_250) + FailureDetectionConstants.PROBE_SLACK_MS;
         this.earlyProbeAfterMillis = (long) (settings.reportS() * 1_000 * FailureDetectionConstants.PROBE_SHARE);
         for (Machine machine : machines) {
-            if (!machine.scalingIn && (machine.heartbeatReceived() || machine.registered)) {
+            if (!machine.isScalingIn() && (machine.heartbeatReceived() || machine.isRegistered())) {
                 count(machine);
                 classify(machine);
             }
         }
-        overdue.sort(Comparator.comparingLong(machine -> machine.lastHeartbeatAt));
+        overdue.sort(Comparator.comparingLong(machine -> machine.lastHeartbeatAt()));
     }
 
     private void count(Machine machine) {
@@ -68,14 +68,14 @@
             total.responsive++;
             zone.responsive++;
         }
-        if (machine.unacknowledgedCalls > 0 || doubted) {
+        if (machine.unacknowledgedCalls() > 0 || doubted) {
             total.unresponsive++;
             zone.unresponsive++;
         }
     }
 
     private void classify(Machine machine) {
-        if (machine.unacknowledgedCalls > 0 && !machine.address.isEmpty()) {
+        if (machine.unacknowledgedCalls() > 0 && !machine.address().isEmpty()) {
             unacknowledged.add(machine);
         }
         if (isUnreachableWithoutWork(machine)) {
@@ -103,18 +103,18 @@
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
         return silenceMillis(machine) > limitMillis
-                && machine.unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
+                && machine.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 
     private boolean isOverdue(Machine machine) {
         // Only the loss of services is worth probing more often.
-        boolean early = machine.unacknowledgedCalls > 0 || machine.serviceCpus() > 0;
+        boolean early = machine.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isDoubtful()
                 || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
 
     private long silenceMillis(Machine machine) {
-        return now - machine.lastHeartbeatAt;
+        return now - machine.lastHeartbeatAt();
     }
 
     /** Machines that are lost by all that is known here, in the order of the collection. */
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -94,10 +94,10 @@
             if (machine == null) {
                 continue;
             }
-            if (machine.address.isEmpty()) {
-                machine.address = instance.address();
+            if (machine.address().isEmpty()) {
+                machine.setAddress(instance.address());
             }
-            if (!machine.scalingIn && hasFailedToStart(machine, instance.status(), now)) {
+            if (!machine.isScalingIn() && hasFailedToStart(machine, instance.status(), now)) {
                 failed.add(machine);
             }
         }
@@ -123,7 +123,7 @@
         if (status == Instance.Status.FAILED) {
             return true;
         }
-        if (machine.heartbeatReceived() || machine.registered) {
+        if (machine.heartbeatReceived() || machine.isRegistered()) {
             return false;
         }
         if (status == Instance.Status.RUNNING) {
--- a/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
@@ -37,7 +37,7 @@
         List<String> machineIds = new ArrayList<>();
         for (Machine machine : machines.subList(0, count)) {
             if (inFlight.add(machine.id)) {
-                machine.scalingIn = true;
+                machine.beginScaleIn();
                 machineIds.add(machine.id);
             }
         }
@@ -59,7 +59,7 @@
     /** Requests again the termination of machines for which it wasn't confirmed. */
     void retryUnconfirmed() {
         List<Machine> unconfirmed = scheduler.machines().stream()
-                .filter(machine -> machine.scalingIn && !inFlight.contains(machine.id))
+                .filter(machine -> machine.isScalingIn() && !inFlight.contains(machine.id))
                 .toList();
         terminate(unconfirmed, TerminationReason.RETRY);
     }
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -41,7 +41,7 @@
             }
         }
         commands.addAll(clears);
-        if (machine.registered) {
+        if (machine.isRegistered()) {
             addLaunches(machine, commands);
         }
         return commands;
@@ -135,7 +135,7 @@
         for (Assignment assignment : job.assignments.values()) {
             if (assignment.state() == State.LAUNCHING
                     && assignment.directLaunchMayExecute()
-                    && assignment.machine.heartbeatAcknowledgedAt > renewedSince) {
+                    && assignment.machine.heartbeatAcknowledgedAt() > renewedSince) {
                 return true;
             }
         }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -23,7 +23,7 @@
                 backOff(job, index, now);
             }
             case "unknown" -> backOff(job, index, now);
-            case "full", "busy" -> machine.noRoomUntil = now + 1_000;
+            case "full", "busy" -> machine.recordNoRoom(now + 1_000);
             default -> {}
         }
     }
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -59,7 +59,7 @@
         if (machine.heartbeatReceived()) {
             assignments.removeAll(machine);
             machine.endIncarnation();
-        } else if (!machine.registered) {
+        } else if (!machine.isRegistered()) {
             scheduler.outbox().addToRegister(machine);
         }
         machine.beginIncarnation(now);
--- a/src/main/java/org/hollypick/core/MachinePartitions.java
+++ b/src/main/java/org/hollypick/core/MachinePartitions.java
@@ -34,9 +34,9 @@
         for (Machine machine : machines) {
             if (machine.schedulable()) {
                 schedulable++;
-                inFirst += machine.inFirstPartition ? 1 : 0;
+                inFirst += machine.isInFirstPartition() ? 1 : 0;
             } else {
-                machine.inFirstPartition = false;
+                machine.setInFirstPartition(false);
             }
         }
         int wantedInFirst = (int) Math.round(schedulable * firstPartitionShare);
@@ -48,14 +48,14 @@
     private static void move(Collection<Machine> machines, int count, boolean intoFirst) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : machines) {
-            if (machine.schedulable() && machine.inFirstPartition != intoFirst) {
+            if (machine.schedulable() && machine.isInFirstPartition() != intoFirst) {
                 candidates.add(machine);
             }
         }
         candidates.sort(Comparator.comparing((Machine machine) -> machine.spot == intoFirst ? 0 : 1)
                 .thenComparing(machine -> machine.id));
         for (Machine machine : candidates.subList(0, Math.min(candidates.size(), count))) {
-            machine.inFirstPartition = intoFirst;
+            machine.setInFirstPartition(intoFirst);
         }
     }
 
@@ -63,13 +63,13 @@
     void countIdleMachines() {
         idleMachinesInFirst = 0;
         for (Machine machine : scheduler.machines()) {
-            idleMachinesInFirst += machine.inFirstPartition && machine.schedulable() && machine.idle() ? 1 : 0;
+            idleMachinesInFirst += machine.isInFirstPartition() && machine.schedulable() && machine.idle() ? 1 : 0;
         }
     }
 
     /** A task is about to start on the machine, which is idle no longer. */
     void taskStarts(Machine machine) {
-        idleMachinesInFirst -= machine.inFirstPartition && machine.idle() ? 1 : 0;
+        idleMachinesInFirst -= machine.isInFirstPartition() && machine.idle() ? 1 : 0;
     }
 
     /**
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -284,8 +284,9 @@
      */
     public Machine addMachine(String id, MachineType type, String zone, boolean spot, boolean registered, long now) {
         Machine machine = new Machine(id, type, zone, spot, now);
-        machine.registered = registered;
-        if (!registered) {
+        if (registered) {
+            machine.markRegistered();
+        } else {
             machine.markReconciled();
         }
         machines.put(id, machine);
@@ -295,7 +296,7 @@
 
     /** The machine's record is durable: it may get tasks from now on, unless it was terminated meanwhile. */
     public void markRegistered(Machine machine) {
-        machine.registered = true;
+        machine.markRegistered();
         if (machines.get(machine.id) == machine) {
             outbox.addFreedRoom(machine);
         }
@@ -329,7 +330,7 @@
     private void expireLease(Machine machine, long now) {
         // What earlier leaders launched needs an incarnation that began before this term: all of those have expired,
         // whatever has begun since.
-        boolean earlierExpired = !machine.reconciled() && leases.isExpired(machine.heartbeatAcknowledgedAt, now);
+        boolean earlierExpired = !machine.reconciled() && leases.isExpired(machine.heartbeatAcknowledgedAt(), now);
         boolean expired = machine.mayHoldLease() && leases.isExpired(machine.leaseStartedAt(), now);
         if (earlierExpired || expired) {
             assignments.removeAll(machine);
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -62,7 +62,7 @@
             allServiceCpus += machine.serviceCpus();
             if (MachineSelector.takesTasks(machine, now)) {
                 machines.add(machine);
-                (machine.inFirstPartition ? firstPartitionMachines : secondPartitionMachines).add(machine);
+                (machine.isInFirstPartition() ? firstPartitionMachines : secondPartitionMachines).add(machine);
             }
         }
         quotaReservation.renew(secondPartitionJobs, machines, allServiceCpus, now);
@@ -113,7 +113,7 @@
                 placeService(job, single, now);
             }
         }
-        if (machine.inFirstPartition) {
+        if (machine.isInFirstPartition()) {
             partitions.countIdleMachines();
             first.forEach(job -> placeArray(job, single, List.of(), false, now));
             second.forEach(job -> placeArray(job, List.of(), single, true, now));
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -16,13 +16,13 @@
  */
 public final class Machine {
     public final String id;
-    public String address = "";
+    private String address = "";
     public final MachineType type;
     public final String zone;
     public final boolean spot;
 
     /** Whether its record is durable; before that, nothing may be launched on it. */
-    public boolean registered;
+    private boolean registered;
 
     private boolean reconciled;
     private boolean hasOrphanedTasks;
@@ -49,7 +49,7 @@
 
     private long incarnationSeenAt;
     /** When the last heartbeat was acknowledged, in milliseconds; the lease can't have been renewed later. */
-    public long heartbeatAcknowledgedAt;
+    private long heartbeatAcknowledgedAt;
     /**
      * When an assignment was last listed for the first time. An agent that begins again within its lease, its counts
      * going on, has a lease from that beginning, which no report tells apart from an empty machine; but whatever it
@@ -57,39 +57,39 @@
      */
     private long newAssignmentListedAt;
 
-    public long lastHeartbeatAt;
-    public long createdAt;
+    private long lastHeartbeatAt;
+    public final long createdAt;
     private long idleSince;
-    public boolean scalingIn;
+    private boolean scalingIn;
     private boolean draining;
 
     private boolean faulty;
     private long faultyUntil;
-    public long noRoomUntil;
+    private long noRoomUntil;
     /** Direct calls without a response since its last heartbeat. */
-    public int unacknowledgedCalls;
+    private int unacknowledgedCalls;
     /**
      * When another controller last reached it while this one didn't, since when without a break, and when that was last
      * asked.
      */
-    public long reachedByPeerAt;
+    private long reachedByPeerAt;
 
-    public long reachedByPeerSince;
-    public long peerCheckRequestedAt;
+    private long reachedByPeerSince;
+    private long peerCheckRequestedAt;
     /** When another controller last tried it in vain. */
-    public long peerCheckFailedAt;
+    private long peerCheckFailedAt;
     /** More than is needed: arrays go elsewhere while they can. */
-    public boolean surplus;
+    private boolean surplus;
     /** Its replicas move elsewhere, so that it can be returned; it gets nothing new. */
-    public boolean evicting;
+    private boolean evicting;
     /** Its replicas will move after those of the machines that are emptied now. */
-    public boolean evictedNext;
+    private boolean evictedNext;
     /** In the first Tyrex partition. */
-    public boolean inFirstPartition;
+    private boolean inFirstPartition;
 
     private boolean directCallInFlight;
     /** No direct call goes out before this time, in milliseconds: the last one got no response. */
-    public long directCallNotBefore;
+    private long directCallNotBefore;
     /** By attempt: those never repeat, whatever the task. */
     public final Long2ObjectLinkedOpenHashMap<Assignment> assignments = new Long2ObjectLinkedOpenHashMap<>();
 
@@ -143,6 +143,185 @@
         return reconciled && !hasOrphanedTasks;
     }
 
+    // ---- address, registration and contact ----
+
+    /** The address at which its agent is called; empty while unknown. */
+    public String address() {
+        return address;
+    }
+
+    /** The cloud named its address. */
+    public void setAddress(String address) {
+        this.address = address;
+    }
+
+    /** It is known from a durable record: its silence is counted from {@code now}. */
+    public void restoreFromRecord(String recordedAddress, long now) {
+        address = recordedAddress;
+        lastHeartbeatAt = now;
+    }
+
+    /** Whether its record is durable; before that, nothing may be launched on it. */
+    public boolean isRegistered() {
+        return registered;
+    }
+
+    /** Its record is durable. */
+    public void markRegistered() {
+        registered = true;
+    }
+
+    /** A heartbeat came, or the response to a direct call: no call counts as unacknowledged any more. */
+    public void recordContact(long now) {
+        lastHeartbeatAt = now;
+        unacknowledgedCalls = 0;
+    }
+
+    /** When its last heartbeat or response to a direct call came, in milliseconds. */
+    public long lastHeartbeatAt() {
+        return lastHeartbeatAt;
+    }
+
+    /** A direct call got no response. */
+    public void recordUnacknowledgedCall() {
+        unacknowledgedCalls++;
+    }
+
+    /** Direct calls without a response since the last contact. */
+    public int unacknowledgedCalls() {
+        return unacknowledgedCalls;
+    }
+
+    /** No direct call goes out before {@code until}. */
+    public void delayDirectCalls(long until) {
+        directCallNotBefore = until;
+    }
+
+    /** No direct call goes out before this time, in milliseconds. */
+    public long directCallNotBefore() {
+        return directCallNotBefore;
+    }
+
+    /** A heartbeat that was received at {@code receivedAt} is acknowledged: its lease may be renewed from then. */
+    public void acknowledgeHeartbeat(long receivedAt) {
+        heartbeatAcknowledgedAt = receivedAt;
+    }
+
+    /** No acknowledgement of this term reached it. */
+    public void clearHeartbeatAcknowledgement() {
+        heartbeatAcknowledgedAt = 0;
+    }
+
+    /**
+     * When the newest acknowledged heartbeat was received, in milliseconds: the lease can't have been renewed later. 0
+     * if none was acknowledged.
+     */
+    public long heartbeatAcknowledgedAt() {
+        return heartbeatAcknowledgedAt;
+    }
+
+    // ---- reachability from peers ----
+
+    /**
+     * Another controller reached it while this one didn't.
+     *
+     * @param unbroken whether that was so until now, so that the period goes on
+     */
+    public void recordReachedByPeer(boolean unbroken, long now) {
+        if (!unbroken) {
+            reachedByPeerSince = now;
+        }
+        reachedByPeerAt = now;
+    }
+
+    /** When another controller last reached it while this one didn't, in milliseconds; 0 for never. */
+    public long reachedByPeerAt() {
+        return reachedByPeerAt;
+    }
+
+    /** Since when, without a break, another controller has reached it while this one didn't, in milliseconds. */
+    public long reachedByPeerSince() {
+        return reachedByPeerSince;
+    }
+
+    /** The other controllers are asked whether they reach it. */
+    public void recordPeerCheckRequest(long now) {
+        peerCheckRequestedAt = now;
+    }
+
+    /** When the other controllers were last asked whether they reach it, in milliseconds; 0 for never. */
+    public long peerCheckRequestedAt() {
+        return peerCheckRequestedAt;
+    }
+
+    /** Another controller tried it in vain. */
+    public void recordPeerCheckFailure(long now) {
+        peerCheckFailedAt = now;
+    }
+
+    /** When another controller last tried it in vain, in milliseconds; 0 for never. */
+    public long peerCheckFailedAt() {
+        return peerCheckFailedAt;
+    }
+
+    // ---- scheduling and autoscaling ----
+
+    /** Whether it is in the first Tyrex partition. */
+    public boolean isInFirstPartition() {
+        return inFirstPartition;
+    }
+
+    /** Puts it into the first Tyrex partition or the second. */
+    public void setInFirstPartition(boolean first) {
+        inFirstPartition = first;
+    }
+
+    /** It refused a task for want of room: it gets none before {@code until}. */
+    public void recordNoRoom(long until) {
+        noRoomUntil = until;
+    }
+
+    /** Whether it refused a task for want of room so lately that it gets none now. */
+    public boolean reportedNoRoom(long now) {
+        return now < noRoomUntil;
+    }
+
+    /** Whether its termination was requested. */
+    public boolean isScalingIn() {
+        return scalingIn;
+    }
+
+    /** Its termination is requested; it gets nothing new. */
+    public void beginScaleIn() {
+        scalingIn = true;
+    }
+
+    /** Whether it is more than is needed: arrays go elsewhere while they can. */
+    public boolean isSurplus() {
+        return surplus;
+    }
+
+    /** Marks it as more than is needed, or as needed. */
+    public void setSurplus(boolean surplus) {
+        this.surplus = surplus;
+    }
+
+    /** Whether its replicas move elsewhere, so that it can be terminated; it gets nothing new. */
+    public boolean isEvicting() {
+        return evicting;
+    }
+
+    /** Whether its replicas will move after those of the machines that are being evicted now. */
+    public boolean isEvictedNext() {
+        return evictedNext;
+    }
+
+    /** Decides whether its replicas move elsewhere now, or after those of other machines; not both. */
+    public void planEviction(boolean now, boolean next) {
+        evicting = now;
+        evictedNext = next;
+    }
+
     // ---- heartbeats and incarnations ----
 
     /** Whether it was reconciled under the current token, or nothing of earlier terms can be on it. */
--- a/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
@@ -44,11 +44,11 @@
             double cores = machine.type.cpus();
             evictable -= cores; // also for those that are empty already and are about to be terminated
             excess -= cores;
-            machine.evicting = evictable >= 0 && machine.serviceCpus() > 0;
-            machine.evictedNext = !machine.evicting
-                    && excess >= 0
-                    && cores <= allServiceCores * AutoscalingConstants.DRAINED_NEXT_SHARE;
-            if (machine.evicting) {
+            boolean evicting = evictable >= 0 && machine.serviceCpus() > 0;
+            boolean evictedNext =
+                    !evicting && excess >= 0 && cores <= allServiceCores * AutoscalingConstants.DRAINED_NEXT_SHARE;
+            machine.planEviction(evicting, evictedNext);
+            if (evicting) {
                 moveReplicas(machine);
             }
         }
@@ -60,11 +60,11 @@
     private List<Machine> emptiestFirst(String zone) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : machines) {
-            if (!machine.spot && machine.zone.equals(zone) && (machine.evicting || machine.schedulable())) {
+            if (!machine.spot && machine.zone.equals(zone) && (machine.isEvicting() || machine.schedulable())) {
                 candidates.add(machine);
             }
         }
-        candidates.sort(Comparator.comparingDouble((Machine machine) -> machine.evicting ? 0 : 1)
+        candidates.sort(Comparator.comparingDouble((Machine machine) -> machine.isEvicting() ? 0 : 1)
                 .thenComparingDouble(Machine::serviceCpus));
         return candidates;
     }
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -38,11 +38,11 @@
         for (Machine machine : emptiestFirst) {
             double cores = machine.type.cpus();
             double zoneSpare = spareByZone.getOrDefault(machine.zone, 0.0);
-            machine.surplus = machine.schedulable()
+            machine.setSurplus(machine.schedulable()
                     && machine.serviceCpus() <= 0
                     && remaining >= cores
-                    && (machine.spot || zoneSpare >= cores);
-            if (machine.surplus) {
+                    && (machine.spot || zoneSpare >= cores));
+            if (machine.isSurplus()) {
                 remaining -= cores;
                 if (!machine.spot) {
                     spareByZone.put(machine.zone, zoneSpare - cores);
@@ -58,7 +58,7 @@
         List<Machine> terminated = new ArrayList<>();
         List<Machine> expendable = new ArrayList<>();
         for (Machine machine : machines) {
-            if (machine.scalingIn || !machine.reconciled() || !machine.idle()) {
+            if (machine.isScalingIn() || !machine.reconciled() || !machine.idle()) {
                 continue;
             }
             if (machine.faulty()) {
@@ -89,7 +89,7 @@
     }
 
     private long maxIdleMillis(Machine machine) {
-        return machine.spot && !machine.surplus ? operator.idleMs() : AutoscalingConstants.IDLE_ON_DEMAND_MS;
+        return machine.spot && !machine.isSurplus() ? operator.idleMs() : AutoscalingConstants.IDLE_ON_DEMAND_MS;
     }
 
     private static double pricePerCore(Machine machine) {
--- a/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
+++ b/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
@@ -24,7 +24,7 @@
             if (machine.schedulable()) {
                 usableCores += machine.type.cpus() - machine.serviceCpus();
                 freeCores += machine.type.cpus() - machine.usedCpus;
-            } else if (!machine.heartbeatReceived() && !machine.scalingIn) {
+            } else if (!machine.heartbeatReceived() && !machine.isScalingIn()) {
                 double ageSeconds = (nowMillis - machine.createdAt) / 1000.0;
                 bootingCores += machine.type.cpus();
                 bootSeconds = Math.max(bootSeconds, Math.max(MIN_BOOT_S, machine.type.bootS() - ageSeconds));
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -54,7 +54,7 @@
     /** Whether the machine takes new tasks now; one that is on trial takes one at a time. */
     public static boolean takesTasks(Machine machine, long now) {
         return machine.schedulable()
-                && now >= machine.noRoomUntil
+                && !machine.reportedNoRoom(now)
                 && !(machine.validity.isOnTrial() && machine.startingTasks() > 0);
     }
 
@@ -116,7 +116,7 @@
         return -fetchSeconds(spec, machine)
                 + PACKING_BONUS_S * machine.usedCpus / machine.type.cpus()
                 + (machine.spot ? SPOT_BONUS_S : 0)
-                - (machine.surplus ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
+                - (machine.isSurplus() ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
     }
 
     /**
@@ -131,7 +131,7 @@
         return -fetchSeconds(job.spec, machine)
                 - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
                 - share * SchedulingConstants.SERVICE_SPREAD_S
-                - (machine.evictedNext ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
+                - (machine.isEvictedNext() ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
     /** Estimated seconds until the machine has the image: more if others are being fetched. */
--- a/src/main/java/org/hollypick/records/MachineRecordCodec.java
+++ b/src/main/java/org/hollypick/records/MachineRecordCodec.java
@@ -26,7 +26,7 @@
                 .put(TYPE, machine.type.name())
                 .put(ZONE, machine.zone)
                 .put(SPOT, machine.spot)
-                .put(ADDRESS, machine.address);
+                .put(ADDRESS, machine.address());
     }
 
     /** What the stored form says of a machine. */
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -65,7 +65,7 @@
     /** A new machine of this term that is registered and has reported. */
     private Machine reporting() {
         Machine machine = machine("n-1", false);
-        machine.registered = true;
+        machine.markRegistered();
         scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         return machine;
     }
@@ -93,7 +93,7 @@
     @Test
     void aSessionKnownFromADirectAnswerHasItsFullLease() {
         Machine machine = reporting();
-        machine.heartbeatAcknowledgedAt = 0;
+        machine.clearHeartbeatAcknowledgement();
         scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         launched(job, machine, LEASE_MS + 10_000);
@@ -210,7 +210,7 @@
                 0.3,
                 new WorkerLeases(settings(Map.of()), List.of(), 0, true));
         Machine machine = limited.addMachine("n-1", TYPE, "a", true, false, 0);
-        machine.registered = true;
+        machine.markRegistered();
         limited.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         Job job = limited.addJob(spec("req-1", 4, false), 1, 5);
         limited.runSchedulingCycle(0);
@@ -355,7 +355,7 @@
         Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         scheduler.runSchedulingCycle(0);
         fail(machine, one, 2, 100);
-        n.registered = true;
+        n.markRegistered();
         scheduler.heartbeats().applyHeartbeat(n, report("n-2", 1, 1, 5), true, 200);
         scheduler.runSchedulingCycle(10_000);
         fail(n, one, 2, 10_100);
@@ -479,7 +479,7 @@
     void tasksThatNobodyCountsAreWaitedFor() {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
-        s.addMachine("n-3", TYPE, "a", true, false, 0).registered = true;
+        s.addMachine("n-3", TYPE, "a", true, false, 0).markRegistered();
         s.addJob(spec("req-000002", 4, false), 6, 5);
         s.heartbeats().applyHeartbeat(s.machine("n-3"), report("n-3", 1, 1, 5), true, 50);
         s.heartbeats()
@@ -507,13 +507,13 @@
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
-        spot.registered = true;
+        spot.markRegistered();
         s.heartbeats().applyHeartbeat(spot, report("n-1", 1, 1, 5), true, 0);
         Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
         s.runSchedulingCycle(0);
         assertEquals(5, array.assignments.size(), "the whole limit");
         Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
-        ordinary.registered = true;
+        ordinary.markRegistered();
         s.heartbeats().applyHeartbeat(ordinary, report("n-2", 1, 1, 5), true, 0);
         Job service = s.addJob(
                 new JobSpec(
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -56,7 +56,7 @@
             random = new Random(seed);
             for (int i = 0; i < MACHINES; i++) {
                 Machine machine = scheduler.addMachine("n-" + i, TYPE, i % 2 == 0 ? "a" : "b", true, false, 0);
-                machine.registered = true;
+                machine.markRegistered();
                 report(machine);
             }
             for (int i = 0; i < 200; i++) {
@@ -103,7 +103,7 @@
             now += 1_000;
             scheduler.runSchedulingCycle(now);
             for (Machine machine : scheduler.machines()) {
-                machine.heartbeatAcknowledgedAt = now;
+                machine.acknowledgeHeartbeat(now);
                 report(machine);
                 if (machine.faulty() && sick.contains(machine.id)) {
                     found.add(machine.id);
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -64,7 +64,9 @@
                 random.nextBoolean(),
                 false,
                 0);
-        machine.registered = random.nextInt(10) > 0;
+        if (random.nextInt(10) > 0) {
+            machine.markRegistered();
+        }
         scheduler.heartbeats().applyHeartbeat(machine, report(machine, 1), true, 0);
         for (int image = 0; image < 3; image++) {
             if (random.nextBoolean()) {
@@ -115,7 +117,7 @@
             Scheduler plain = world(seed);
             real.runSchedulingCycle(9_000);
             // The partitions are the real pass's, or the model would have to repeat them.
-            real.machines().forEach(m -> plain.machine(m.id).inFirstPartition = m.inFirstPartition);
+            real.machines().forEach(m -> plain.machine(m.id).setInFirstPartition(m.isInFirstPartition()));
             plainPass(plain, 9_000);
             Map<String, String> where = where(real);
             assertEquals(where(plain), where, "seed " + seed);
@@ -141,7 +143,7 @@
         s.runSchedulingCycle(10);
         for (int i = 0; i < 120; i++) {
             Machine m = s.addMachine("n-" + i, SMALL, "a", false, false, 10);
-            m.registered = true;
+            m.markRegistered();
             s.heartbeats().applyHeartbeat(m, report(m, 1), true, 10);
             s.scheduleOn(m, 10);
         }
@@ -240,7 +242,7 @@
 
     private static boolean array(Scheduler s, Job job, int index, boolean second, long now) {
         long idleFirst = s.machines().stream()
-                .filter(m -> m.inFirstPartition && m.schedulable() && m.idle())
+                .filter(m -> m.isInFirstPartition() && m.schedulable() && m.idle())
                 .count();
         for (boolean own : new boolean[] {true, false}) {
             Machine best = null;
@@ -248,7 +250,7 @@
             for (Machine m : possible(s, job)) {
                 boolean lent =
                         !second || idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
-                if (m.inFirstPartition == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
+                if (m.isInFirstPartition() == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
                 double score = -fetch(job.spec, m) + 2 * m.usedCpus / m.type.cpus() + (m.spot ? 3 : 0);
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -36,7 +36,7 @@
 
     private Machine machine(String zone, boolean spot, long now) {
         Machine m = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
-        m.registered = true;
+        m.markRegistered();
         m.images.put("img", now);
         scheduler
                 .heartbeats()
@@ -219,7 +219,7 @@
         Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 100_000);
         assertFalse(plan.moves().isEmpty());
         plan.moves().forEach(p -> {
-            assertTrue(p.machine.evicting);
+            assertTrue(p.machine.isEvicting());
             assertFalse(p.machine.schedulable(), "nothing new goes to a machine that is emptied");
         });
         // Without the image elsewhere a move would cost a fetch.
@@ -243,10 +243,10 @@
         fleet.plan(scheduler, TYPES, ZONES, 100_000)
                 .moves()
                 .forEach(p -> scheduler.assignments().stop(p, 0));
-        assertTrue(scheduler.machines().stream().anyMatch(m -> m.evictedNext && m.schedulable()));
+        assertTrue(scheduler.machines().stream().anyMatch(m -> m.isEvictedNext() && m.schedulable()));
         Job late = service("req-late", 2);
         scheduler.runSchedulingCycle(101_000);
-        late.assignments.values().forEach(p -> assertFalse(p.machine.evictedNext));
+        late.assignments.values().forEach(p -> assertFalse(p.machine.isEvictedNext()));
         assertEquals(2, late.assignments.size());
     }
 
--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -46,7 +46,7 @@
         scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true), true);
         for (int i = 0; i < 1_000; i++) {
             Machine machine = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
-            machine.registered = true;
+            machine.markRegistered();
             scheduler
                     .heartbeats()
                     .applyHeartbeat(
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -118,7 +118,7 @@
         Scheduler s = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
         for (int i = 0; i < 4; i++) {
             Machine machine = s.addMachine("m-" + i, TYPE, "a", true, false, 0);
-            machine.registered = true;
+            machine.markRegistered();
             s.heartbeats()
                     .applyHeartbeat(
                             machine,
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -116,7 +116,7 @@
         private void machine(int number) {
             Machine machine = scheduler.addMachine(
                     "m-" + number, TYPE, random.nextBoolean() ? "a" : "b", random.nextBoolean(), false, now);
-            machine.registered = true;
+            machine.markRegistered();
             report(machine, List.of());
         }
 
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -234,7 +234,7 @@
     @Test
     void aReportAloneProvesNoMachine() {
         Machine machine = machine("n-1", false);
-        machine.registered = true;
+        machine.markRegistered();
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, 0), true, 0);
         assertFalse(machine.schedulable());
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 6, TOKEN), true, 500);
