--- a/src/test/java/org/hollypick/model/AnswersModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswersModelTest.java
@@ -13,24 +13,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What three nodes tell users about one job while it is created and ended, and answers of the key-value store are lost.
+ * Explores what three controllers answer users about one job while it is created and ends, and responses of the
+ * key-value store are lost.
  *
- * <p>Bounds: three nodes with views of any age; three changes of the records (the job is created, it ends, the leader
- * changes) in any order; any number of requests of users at any nodes, each a poll or a submission, one after the other
- * (of those that are open at the same time, none has to know what another is told); up to two writes of the end. Any
- * write may be carried out late, or its answer lost. A controller asks the leader or reads the records, and the leader
- * may once lose its place in the watch and load all records again.
+ * <p>Bounds: three controllers with replicas of the store of any age; three revisions (the job is created, it ends, the
+ * leader changes) in any order; any number of requests of users at any controllers, each a poll or a submission, one
+ * after the other (of concurrent requests, none has to know what another is answered); up to two writes of the end. Any
+ * write may be carried out late, or its response lost. A controller asks the leader or reads the records, and the
+ * leader may once lose its place in the watch and load all records again.
  *
- * <p>Predicate, from the rules: once a user was told that the job is accepted, or that it is over, no request that is
- * sent after that gets an older answer. It is by order of sending, since two answers under way at the same time may
- * arrive in either order: {@link #byOrderOfArrivalAnswersMayOvertakeEachOther} shows a shortest way to that.
+ * <p>Invariant: once a user was told that the job is accepted, or that it is over, no request that is sent after that
+ * gets an older answer. It is by order of sending, since two answers under way at the same time may arrive in either
+ * order: {@link #concurrentAnswersMayArriveOutOfOrder} shows a shortest way to that.
  */
 class AnswersModelTest {
-    private static final int NODES = 3;
+    private static final int CONTROLLERS = 3;
     private static final int END_WRITES = 2;
     private static final int NEVER = -1;
 
-    /** What an answer says, older before newer. */
+    /** What an answer says about the job, older before newer. */
     private static final int UNKNOWN = 0;
 
     private static final int LIVE = 1;
@@ -38,12 +39,12 @@
 
     private enum Fault {
         NONE,
-        MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT,
-        THE_NEXT_ANSWER_ENDS_THE_DOUBT,
-        VIEW_ANSWERS_WITHOUT_A_FRESH_READ,
-        JOINS_A_READ_UNDER_WAY,
-        A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY,
-        A_RELOAD_BRINGS_BACK_WHAT_IS_OVER
+        ANSWERS_DURING_UNRESOLVED_WRITE,
+        CONFLICT_RESOLVES_LOST_RESPONSE,
+        ANSWERS_FROM_STALE_REPLICA,
+        JOINS_EARLIER_READ,
+        DEPOSED_LEADER_ANSWERS_FROM_MEMORY,
+        RELOAD_REVIVES_TERMINAL_JOB
     }
 
     private enum Phase {
@@ -54,80 +55,77 @@
         AT_LEADER,
         FROM_RECORD,
         READ,
-        TOLD
+        LOOKED_UP
     }
 
     /**
      * A request of a user.
      *
-     * @param floor the newest that any user had been told when it was sent
-     * @param value the epoch that was read, or what is to be told, or the token that a creation is conditional on
+     * @param floor the newest answer that any user had been given when it was sent
+     * @param value by phase: the revision that was read, the answer, or the leader that a creation is conditional on
      */
-    private record Request(int node, Phase phase, int floor, int value) {
+    private record Request(int controller, Phase phase, int floor, int value) {
         private static final Request NONE = new Request(0, Phase.FREE, 0, 0);
 
-        Request to(Phase next, int newValue) {
-            return new Request(node, next, floor, newValue);
+        Request successors(Phase next, int newValue) {
+            return new Request(controller, next, floor, newValue);
         }
     }
 
     /** The write of the end that the leader waits for. */
     private enum Write {
         NONE,
-        UNDER_WAY,
+        IN_FLIGHT,
         DONE,
         CONFLICT
     }
 
     private static final class State implements Cloneable {
-        /** The records: how many changes there were, and which one was what; 0 for none. */
-        int epoch;
+        /** The store: its revision, and at which one the job was created, ended and the leader replaced; 0 for none. */
+        int revision;
 
         int created;
         int ended;
         int leaderRecord;
-        /** Up to which change each controller's view is. */
-        int[] views = new int[NODES];
-        /** The acting leader, or -1. */
+        /** The applied revision of each controller's replica. */
+        int[] appliedRevisions = new int[CONTROLLERS];
+        /** The index of the leader, or NEVER. */
         int leader;
-        /**
-         * The leader's memory: it has the job as live, knows its end, and since a lost answer doesn't know whether it
-         * is over.
-         */
-        boolean owns;
-
+        /** The leader holds the job in memory as live. */
+        boolean heldAsLive;
+        /** The leader knows that the job is over. */
         boolean knowsOver;
-        boolean doubt;
-        Write write = Write.NONE;
-        int writes;
-        /** A write without an answer may yet be carried out; so may a creation, which is conditional on that leader. */
-        boolean lateEnd;
+        /** After a lost response the leader doesn't know whether the job is over. */
+        boolean endUnresolved;
+
+        Write endWrite = Write.NONE;
+        int endWritesSent;
+        /** A write of the end whose response was lost may yet be carried out. */
+        boolean lateEndInFlight;
 
-        int lateCreation = NEVER;
-        /** The leader loads all records again, as they were at that epoch; it has done so. */
-        int loading = NEVER;
+        /** The leader that a creation without a response is conditional on; it may yet be carried out. */
+        int lateCreationLeader = NEVER;
+        /** The revision at which the leader is loading all records again. */
+        int loadingRevision = NEVER;
 
-        boolean loaded;
+        boolean reloaded;
         Request request = Request.NONE;
-        /**
-         * A read that a controller began before: the epoch that it brings, and the controller. Used by one of the
-         * faulty variants.
-         */
-        int earlierRead = NEVER;
+        /** The revision that an earlier read of a controller brings. Used by one of the faulty variants. */
+        int earlierReadRevision = NEVER;
 
         int earlierReader;
-        /** The newest that any user was told. */
-        int told;
+        /** The newest answer that any user was given. */
+        int newestAnswer;
 
         boolean wentBack;
         boolean overtaken;
 
-        State next(Consumer<State> change) {
+        State after(Consumer<State> transition) {
             try {
-                State s = (State) clone();
-                s.views = views.clone();
-                change.accept(s);
-                return s;
+                State copy = (State) clone();
+                copy.appliedRevisions = appliedRevisions.clone();
+                transition.accept(copy);
+                return copy;
             } catch (CloneNotSupportedException e) {
                 throw new AssertionError(e);
             }
@@ -135,286 +133,315 @@
 
         StateKey.Packed key() {
             StateKey key = new StateKey()
-                    .number(epoch, 2)
+                    .number(revision, 2)
                     .number(created, 2)
                     .number(ended, 2)
                     .number(leaderRecord, 2);
-            for (int view : views) {
-                key.number(view, 2);
+            for (int appliedRevision : appliedRevisions) {
+                key.number(appliedRevision, 2);
             }
             key.time(leader, 2)
-                    .flag(owns)
+                    .flag(heldAsLive)
                     .flag(knowsOver)
-                    .flag(doubt)
-                    .number(write.ordinal(), 2)
-                    .number(writes, 2);
-            key.flag(lateEnd)
-                    .time(lateCreation, 2)
-                    .time(loading, 3)
-                    .flag(loaded)
-                    .number(told, 2);
-            key.number(request.node, 2).number(request.phase.ordinal(), 3);
+                    .flag(endUnresolved)
+                    .number(endWrite.ordinal(), 2)
+                    .number(endWritesSent, 2);
+            key.flag(lateEndInFlight)
+                    .time(lateCreationLeader, 2)
+                    .time(loadingRevision, 3)
+                    .flag(reloaded)
+                    .number(newestAnswer, 2);
+            key.number(request.controller, 2).number(request.phase.ordinal(), 3);
             key.number(request.floor, 2).number(request.value, 2);
-            key.time(earlierRead, 3).number(earlierReader, 2);
+            key.time(earlierReadRevision, 3).number(earlierReader, 2);
             return key.packed();
         }
 
-        /** What the records said after that many changes. */
-        int at(int changes) {
-            return ended != 0 && changes >= ended ? OVER : created != 0 && changes >= created ? LIVE : UNKNOWN;
+        /** What the records said at that revision. */
+        int answerAt(int revision) {
+            if (ended != 0 && revision >= ended) {
+                return OVER;
+            }
+            return created != 0 && revision >= created ? LIVE : UNKNOWN;
         }
 
         int leaderRecordLeader() {
             return leaderRecord == 0 ? 0 : 1;
         }
 
-        void create() {
-            created = ++epoch;
+        void createJob() {
+            created = ++revision;
         }
 
-        void end() {
-            ended = ++epoch;
+        void endJob() {
+            ended = ++revision;
         }
 
         @Override
         public String toString() {
-            return "created=" + created + " ended=" + ended + " roster=" + leaderRecord + " views="
-                    + Arrays.toString(views)
-                    + " leader=" + leader + " owns=" + owns + " doubt=" + doubt + " write=" + write + " " + request
-                    + " told=" + told + "\n";
+            return "created=" + created + " ended=" + ended + " leaderRecord=" + leaderRecord + " appliedRevisions="
+                    + Arrays.toString(appliedRevisions)
+                    + " leader=" + leader + " heldAsLive=" + heldAsLive + " endUnresolved=" + endUnresolved + " write="
+                    + endWrite + " " + request
+                    + " newestAnswer=" + newestAnswer + "\n";
         }
     }
 
-    private static void next(State s, Fault fault, Successors<State> to) {
-        service(s, to);
-        leader(s, fault, to);
-        for (int n = 0; n < NODES; n++) {
-            int node = n;
-            if (fault == Fault.JOINS_A_READ_UNDER_WAY && s.earlierRead == NEVER) {
-                to.add("node " + n + " reads the epoch for others", s.next(t -> {
-                    t.earlierRead = t.epoch;
-                    t.earlierReader = node;
+    private static void addSuccessors(State state, Fault fault, Successors<State> successors) {
+        addStoreTransitions(state, successors);
+        addLeaderTransitions(state, fault, successors);
+        for (int i = 0; i < CONTROLLERS; i++) {
+            int controller = i;
+            if (fault == Fault.JOINS_EARLIER_READ && state.earlierReadRevision == NEVER) {
+                successors.add("controller " + controller + " reads the revision for others", state.after(next -> {
+                    next.earlierReadRevision = next.revision;
+                    next.earlierReader = controller;
                 }));
             }
-            if (s.views[n] < s.epoch && !(n == s.leader && s.loading != NEVER)) {
-                to.add("node " + n + " sees a change", s.next(t -> see(t, node, t.views[node] + 1, fault)));
+            if (state.appliedRevisions[controller] < state.revision
+                    && !(controller == state.leader && state.loadingRevision != NEVER)) {
+                successors.add(
+                        "controller " + controller + " sees a change",
+                        state.after(
+                                next -> applyRevision(next, controller, next.appliedRevisions[controller] + 1, fault)));
             }
         }
-        request(s, fault, to);
+        addRequestTransitions(state, fault, successors);
     }
 
-    // ---- the key-value store ----
-
-    private static void service(State s, Successors<State> to) {
-        if (s.leaderRecord == 0) {
-            to.add("another leader is written", s.next(t -> {
-                t.leaderRecord = ++t.epoch;
-                t.leader = NEVER;
-                t.owns = false;
-                t.knowsOver = false;
-                t.doubt = false;
-                t.write = Write.NONE;
-                t.lateEnd = false; // conditional on the leader record, so it fails from here on
-                t.loading = NEVER;
+    private static void addStoreTransitions(State state, Successors<State> successors) {
+        if (state.leaderRecord == 0) {
+            successors.add("another leader is written", state.after(next -> {
+                next.leaderRecord = ++next.revision;
+                next.leader = NEVER;
+                next.heldAsLive = false;
+                next.knowsOver = false;
+                next.endUnresolved = false;
+                next.endWrite = Write.NONE;
+                next.lateEndInFlight = false; // conditional on the leader record, so it fails from now on
+                next.loadingRevision = NEVER;
             }));
         }
-        if (s.lateEnd && s.ended == 0) {
-            to.add("the late end is carried out", s.next(t -> {
-                t.lateEnd = false;
-                t.end();
+        if (state.lateEndInFlight && state.ended == 0) {
+            successors.add("the late end is carried out", state.after(next -> {
+                next.lateEndInFlight = false;
+                next.endJob();
             }));
         }
-        if (s.lateCreation == s.leaderRecordLeader() && s.created == 0) {
-            to.add("the late creation is carried out", s.next(t -> {
-                t.lateCreation = NEVER;
-                t.create();
+        if (state.lateCreationLeader == state.leaderRecordLeader() && state.created == 0) {
+            successors.add("the late creation is carried out", state.after(next -> {
+                next.lateCreationLeader = NEVER;
+                next.createJob();
             }));
         }
     }
 
-    // ---- the leader: control.JobTermination, control.LeaderTerm ----
-
-    private static void leader(State s, Fault fault, Successors<State> to) {
-        if (s.leader == NEVER) {
+    private static void addLeaderTransitions(State state, Fault fault, Successors<State> successors) {
+        if (state.leader == NEVER) {
             return;
         }
-        if (s.owns && s.write == Write.NONE && s.writes < END_WRITES) {
-            to.add("leader writes the end", s.next(t -> {
-                t.write = Write.UNDER_WAY;
-                t.writes++;
+        if (state.heldAsLive && state.endWrite == Write.NONE && state.endWritesSent < END_WRITES) {
+            successors.add("leader writes the end", state.after(next -> {
+                next.endWrite = Write.IN_FLIGHT;
+                next.endWritesSent++;
             }));
         }
-        if (s.write == Write.UNDER_WAY) {
-            to.add("the end is carried out", s.next(t -> {
-                t.write = t.ended == 0 ? Write.DONE : Write.CONFLICT;
-                if (t.ended == 0) {
-                    t.end();
+        addEndWriteOutcomes(state, fault, successors);
+        addReload(state, fault, successors);
+    }
+
+    private static void addEndWriteOutcomes(State state, Fault fault, Successors<State> successors) {
+        if (state.endWrite == Write.IN_FLIGHT) {
+            successors.add("the end is carried out", state.after(next -> {
+                next.endWrite = next.ended == 0 ? Write.DONE : Write.CONFLICT;
+                if (next.ended == 0) {
+                    next.endJob();
                 }
             }));
         }
-        if (s.write != Write.NONE) {
-            to.add("the answer to the end is lost", s.next(t -> {
-                t.lateEnd |= t.write == Write.UNDER_WAY;
-                t.doubt = t.owns;
-                t.write = Write.NONE;
+        if (state.endWrite != Write.NONE) {
+            successors.add("the response to the end is lost", state.after(next -> {
+                next.lateEndInFlight |= next.endWrite == Write.IN_FLIGHT;
+                next.endUnresolved = next.heldAsLive;
+                next.endWrite = Write.NONE;
             }));
         }
-        if (s.write == Write.DONE) {
-            to.add("the leader learns that the job is over, and tells who cancelled it", s.next(t -> {
-                t.write = Write.NONE;
-                t.owns = false;
-                t.knowsOver = true;
-                t.doubt = false;
-                t.told = OVER;
+        if (state.endWrite == Write.DONE) {
+            successors.add("the leader learns that the job is over, and answers who cancelled it", state.after(next -> {
+                next.endWrite = Write.NONE;
+                next.heldAsLive = false;
+                next.knowsOver = true;
+                next.endUnresolved = false;
+                next.newestAnswer = OVER;
             }));
         }
-        if (s.write == Write.CONFLICT) {
-            to.add("the leader learns that its write failed", s.next(t -> {
-                t.write = Write.NONE;
-                t.doubt &= fault != Fault.THE_NEXT_ANSWER_ENDS_THE_DOUBT;
+        if (state.endWrite == Write.CONFLICT) {
+            successors.add("the leader learns that its write failed", state.after(next -> {
+                next.endWrite = Write.NONE;
+                next.endUnresolved &= fault != Fault.CONFLICT_RESOLVES_LOST_RESPONSE;
             }));
         }
-        if (s.loading == NEVER && !s.loaded) {
-            to.add("the leader has lost its place in the watch and reads all", s.next(t -> t.loading = t.epoch));
+    }
+
+    private static void addReload(State state, Fault fault, Successors<State> successors) {
+        if (state.loadingRevision == NEVER && !state.reloaded) {
+            successors.add(
+                    "the leader has lost its place in the watch and reads all",
+                    state.after(next -> next.loadingRevision = next.revision));
         }
-        if (s.loading != NEVER) {
-            to.add("the leader has read all", s.next(t -> {
-                t.loaded = true;
-                int read = t.loading;
-                t.loading = NEVER;
-                see(t, t.leader, read, fault);
+        if (state.loadingRevision != NEVER) {
+            successors.add("the leader has read all", state.after(next -> {
+                next.reloaded = true;
+                int read = next.loadingRevision;
+                next.loadingRevision = NEVER;
+                applyRevision(next, next.leader, read, fault);
             }));
         }
     }
 
-    /** The view of a controller is now as the records were after so many changes. */
-    private static void see(State s, int node, int changes, Fault fault) {
-        s.views[node] = changes;
-        if (node == 1 && s.leaderRecord != 0 && changes >= s.leaderRecord && s.leader == NEVER) {
-            s.leader = 1;
+    /** The replica of a controller applies a revision. */
+    private static void applyRevision(State state, int controller, int revision, Fault fault) {
+        state.appliedRevisions[controller] = revision;
+        if (controller == 1 && state.leaderRecord != 0 && revision >= state.leaderRecord && state.leader == NEVER) {
+            state.leader = 1;
         }
-        if (node == s.leader) {
-            boolean back = s.knowsOver && fault != Fault.A_RELOAD_BRINGS_BACK_WHAT_IS_OVER;
-            s.owns = s.at(changes) == LIVE && !back;
-            s.doubt &= s.owns;
+        if (controller == state.leader) {
+            boolean bringsBack = state.knowsOver && fault != Fault.RELOAD_REVIVES_TERMINAL_JOB;
+            state.heldAsLive = state.answerAt(revision) == LIVE && !bringsBack;
+            state.endUnresolved &= state.heldAsLive;
         }
     }
 
-    // ---- requests of users: api.JobSubmission, control.jobs.JobStore.create ----
-
-    private static void request(State s, Fault fault, Successors<State> to) {
-        Request r = s.request;
-        switch (r.phase) {
+    private static void addRequestTransitions(State state, Fault fault, Successors<State> successors) {
+        Request request = state.request;
+        switch (request.phase) {
             case FREE -> {
-                for (int n = 0; n < NODES; n++) {
-                    to.add("a request reaches node " + n, with(s, new Request(n, Phase.ARRIVED, s.told, 0)));
+                for (int controller = 0; controller < CONTROLLERS; controller++) {
+                    successors.add(
+                            "a request reaches controller " + controller,
+                            with(state, new Request(controller, Phase.ARRIVED, state.newestAnswer, 0)));
                 }
             }
-            case ARRIVED -> arrived(s, fault, to);
-            case CREATING -> creating(s, to);
+            case ARRIVED -> addArrived(state, fault, successors);
+            case CREATING -> addCreating(state, successors);
             case CREATED -> {
-                to.add("it is answered as accepted", answered(s, LIVE));
-                to.add("it gets no answer", with(s, Request.NONE));
+                successors.add("it is answered as accepted", respond(state, LIVE));
+                successors.add("it gets no answer", with(state, Request.NONE));
             }
             case AT_LEADER -> {
-                Integer known = certain(s, leaderSeenBy(s, r.node), fault);
-                Request then = known == null ? r.to(Phase.FROM_RECORD, 0) : r.to(Phase.TOLD, known);
-                to.add("it is looked up by the leader", with(s, then));
-                to.add("it finds no leader", with(s, r.to(Phase.FROM_RECORD, 0)));
+                Integer known = answerFromMemory(state, leaderSeenBy(state, request.controller), fault);
+                Request then = known == null
+                        ? request.successors(Phase.FROM_RECORD, 0)
+                        : request.successors(Phase.LOOKED_UP, known);
+                successors.add("it is looked up by the leader", with(state, then));
+                successors.add("it finds no leader", with(state, request.successors(Phase.FROM_RECORD, 0)));
             }
-            case TOLD -> to.add("it is answered with what the leader told", answered(s, r.value));
-            case FROM_RECORD -> fromRecord(s, fault, to);
+            case LOOKED_UP ->
+                successors.add("it is answered with what the leader found", respond(state, request.value));
+            case FROM_RECORD -> addReadsOfRecord(state, fault, successors);
             case READ -> {
-                if (s.views[r.node] >= r.value) {
-                    to.add("it is answered from a fresh view", answered(s, s.at(s.views[r.node])));
+                if (state.appliedRevisions[request.controller] >= request.value) {
+                    successors.add(
+                            "it is answered from a fresh replica",
+                            respond(state, state.answerAt(state.appliedRevisions[request.controller])));
                 }
-                to.add("it gets no answer", with(s, Request.NONE));
+                successors.add("it gets no answer", with(state, Request.NONE));
             }
         }
     }
 
-    private static int leaderSeenBy(State s, int node) {
-        return s.leaderRecord != 0 && s.views[node] >= s.leaderRecord ? 1 : 0;
+    private static int leaderSeenBy(State state, int controller) {
+        return state.leaderRecord != 0 && state.appliedRevisions[controller] >= state.leaderRecord ? 1 : 0;
     }
 
-    private static void arrived(State s, Fault fault, Successors<State> to) {
-        Request r = s.request;
-        if (s.at(s.views[r.node]) == UNKNOWN) {
-            to.add("it creates the job", with(s, r.to(Phase.CREATING, leaderSeenBy(s, r.node))));
+    private static void addArrived(State state, Fault fault, Successors<State> successors) {
+        Request request = state.request;
+        if (state.answerAt(state.appliedRevisions[request.controller]) == UNKNOWN) {
+            successors.add(
+                    "it creates the job",
+                    with(state, request.successors(Phase.CREATING, leaderSeenBy(state, request.controller))));
         }
-        Integer known = certain(s, r.node, fault);
+        Integer known = answerFromMemory(state, request.controller, fault);
         if (known != null) {
-            to.add("it is answered from memory", answered(s, known));
+            successors.add("it is answered from memory", respond(state, known));
         } else {
-            to.add("it is to be answered from the record", with(s, r.to(Phase.FROM_RECORD, 0)));
-            to.add("it goes to the leader", with(s, r.to(Phase.AT_LEADER, 0)));
+            successors.add(
+                    "it is to be answered from the record", with(state, request.successors(Phase.FROM_RECORD, 0)));
+            successors.add("it goes to the leader", with(state, request.successors(Phase.AT_LEADER, 0)));
         }
     }
 
-    private static void creating(State s, Successors<State> to) {
-        Request r = s.request;
-        if (s.created != 0) {
-            to.add("it finds the job created", with(s, r.to(Phase.ARRIVED, 0)));
-        } else if (r.value == s.leaderRecordLeader()) {
-            to.add("it has created the job", s.next(t -> {
-                t.create();
-                t.request = r.to(Phase.CREATED, 0);
+    private static void addCreating(State state, Successors<State> successors) {
+        Request request = state.request;
+        if (state.created != 0) {
+            successors.add("it finds the job created", with(state, request.successors(Phase.ARRIVED, 0)));
+        } else if (request.value == state.leaderRecordLeader()) {
+            successors.add("it has created the job", state.after(next -> {
+                next.createJob();
+                next.request = request.successors(Phase.CREATED, 0);
             }));
         }
-        to.add("it gets no answer to its creation", s.next(t -> {
-            t.request = Request.NONE;
-            t.lateCreation = r.value;
+        successors.add("it gets no answer to its creation", state.after(next -> {
+            next.request = Request.NONE;
+            next.lateCreationLeader = request.value;
         }));
     }
 
-    private static void fromRecord(State s, Fault fault, Successors<State> to) {
-        Request r = s.request;
-        if (fault == Fault.VIEW_ANSWERS_WITHOUT_A_FRESH_READ) {
-            to.add("it is answered from the view", answered(s, s.at(s.views[r.node])));
+    private static void addReadsOfRecord(State state, Fault fault, Successors<State> successors) {
+        Request request = state.request;
+        if (fault == Fault.ANSWERS_FROM_STALE_REPLICA) {
+            successors.add(
+                    "it is answered from the replica",
+                    respond(state, state.answerAt(state.appliedRevisions[request.controller])));
         }
-        if (s.earlierRead != NEVER && s.earlierReader == r.node) {
-            to.add("it joins a read under way", with(s, r.to(Phase.READ, s.earlierRead)));
+        if (state.earlierReadRevision != NEVER && state.earlierReader == request.controller) {
+            successors.add(
+                    "it joins a read under way",
+                    with(state, request.successors(Phase.READ, state.earlierReadRevision)));
         }
-        to.add("its node reads the epoch", with(s, r.to(Phase.READ, s.epoch)));
+        successors.add(
+                "its controller reads the revision", with(state, request.successors(Phase.READ, state.revision)));
     }
 
-    private static State with(State s, Request r) {
-        return s.next(t -> t.request = r);
+    private static State with(State state, Request request) {
+        return state.after(next -> next.request = request);
     }
 
     /**
-     * What a controller tells without a read: an end that its view shows, or a live job that it leads
+     * What a controller answers without a read: an end that its replica shows, or a live job that it leads
      * ({@code LocalJobState.certainResponse}).
+     *
+     * @return the answer, null if it must read first
      */
-    private static Integer certain(State s, int node, Fault fault) {
-        if (s.at(s.views[node]) == OVER) {
+    private static Integer answerFromMemory(State state, int controller, Fault fault) {
+        if (state.answerAt(state.appliedRevisions[controller]) == OVER) {
             return OVER;
         }
-        boolean deposed = fault == Fault.A_DEPOSED_LEADER_ANSWERS_FROM_MEMORY
-                && node == 0
-                && s.leader != 0
-                && s.at(s.views[0]) == LIVE;
-        boolean inDoubt = s.doubt || s.write != Write.NONE;
-        boolean mayTell = !inDoubt || fault == Fault.MEMORY_ANSWERS_WHILE_AN_END_IS_IN_DOUBT;
-        return deposed || (node == s.leader && s.owns && mayTell) ? (Integer) LIVE : null;
+        boolean deposed = fault == Fault.DEPOSED_LEADER_ANSWERS_FROM_MEMORY
+                && controller == 0
+                && state.leader != 0
+                && state.answerAt(state.appliedRevisions[0]) == LIVE;
+        boolean unresolved = state.endUnresolved || state.endWrite != Write.NONE;
+        boolean mayAnswer = !unresolved || fault == Fault.ANSWERS_DURING_UNRESOLVED_WRITE;
+        return deposed || (controller == state.leader && state.heldAsLive && mayAnswer) ? (Integer) LIVE : null;
     }
 
-    private static State answered(State s, int what) {
-        return s.next(t -> {
-            t.wentBack = what < t.request.floor;
-            t.overtaken = what < t.told;
-            t.told = Math.max(t.told, what);
-            t.request = Request.NONE;
+    private static State respond(State state, int answer) {
+        return state.after(next -> {
+            next.wentBack = answer < next.request.floor;
+            next.overtaken = answer < next.newestAnswer;
+            next.newestAnswer = Math.max(next.newestAnswer, answer);
+            next.request = Request.NONE;
         });
     }
 
-    private static Result<State> search(Fault fault, boolean byArrival) {
-        Set<StateKey.Packed> seen = new HashSet<>();
+    private static Result<State> search(Fault fault, boolean byArrivalOrder) {
+        Set<StateKey.Packed> visitedKeys = new HashSet<>();
         return StateSearch.run(
                 List.of(new State()),
-                (s, to) -> next(s, fault, to),
-                s -> s.wentBack || (byArrival && s.overtaken),
-                s -> seen.add(s.key()));
+                (state, successors) -> addSuccessors(state, fault, successors),
+                state -> state.wentBack || (byArrivalOrder && state.overtaken),
+                state -> visitedKeys.add(state.key()));
     }
 
     @Test
@@ -426,7 +453,7 @@
     }
 
     @Test
-    void eachFaultIsFound() {
+    void findsEachInjectedFault() {
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault, false);
@@ -437,7 +464,7 @@
     }
 
     @Test
-    void byOrderOfArrivalAnswersMayOvertakeEachOther() {
+    void concurrentAnswersMayArriveOutOfOrder() {
         Result<State> result = search(Fault.NONE, true);
         assertTrue(result.broken());
         System.out.println("answers model: overtaken after " + result.steps() + ": " + result.actions());
