--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -51,7 +51,7 @@
             } else {
                 ordinaryCores += machine.type.cpus();
             }
-            usedCores += machine.usedCpus;
+            usedCores += machine.usedCpus();
             serviceCores += machine.serviceCpus();
             idleMachines += machine.heartbeatReceived() && machine.idle() ? 1 : 0;
             startingTasks += machine.startingTasks();
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -87,7 +87,7 @@
         if (machine.reconciled() && !isProbe && canWaitForHeartbeat) {
             return;
         }
-        boolean toUnresponsive = machine.unacknowledgedCalls() > 0 || machine.validity.isDoubtful();
+        boolean toUnresponsive = machine.directCalls.unacknowledgedCalls() > 0 || machine.validity.isDoubtful();
         if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
             return;
         }
@@ -112,9 +112,9 @@
 
     private boolean mayCall(Machine machine) {
         return term.holdsLeaderLease()
-                && !machine.directCallInFlight()
+                && !machine.directCalls.directCallInFlight()
                 && !machine.address().isEmpty()
-                && machine.directCallNotBefore() <= term.now()
+                && machine.directCalls.directCallNotBefore() <= term.now()
                 && !machine.isScalingIn();
     }
 
@@ -140,13 +140,13 @@
 
     private void unacknowledged(Machine machine, AgentResponse response, long now) {
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
-            machine.recordUnacknowledgedCall();
+            machine.directCalls.recordUnacknowledgedCall();
             if (localHealth.isHealthy(now)) {
                 machine.validity
                         .directCallUnacknowledged(); // while this controller is overloaded, silence proves nothing
             }
         }
-        machine.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
+        machine.directCalls.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
         LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
     }
 
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -57,11 +57,11 @@
     /** Addresses by machine of those to check now. */
     private static Map<String, String> selectForCheck(List<Machine> unacknowledged, long now) {
         List<Machine> longestUncheckedFirst = new ArrayList<>(unacknowledged);
-        longestUncheckedFirst.sort(Comparator.comparingLong(machine -> machine.peerCheckRequestedAt()));
+        longestUncheckedFirst.sort(Comparator.comparingLong(machine -> machine.peerContact.peerCheckRequestedAt()));
         int count = Math.min(longestUncheckedFirst.size(), ReachabilityConstants.PEER_CHECK_MAX_MACHINES);
         Map<String, String> addresses = new HashMap<>();
         for (Machine machine : longestUncheckedFirst.subList(0, count)) {
-            machine.recordPeerCheckRequest(now);
+            machine.peerContact.recordPeerCheckRequest(now);
             addresses.put(machine.id, machine.address());
         }
         return addresses;
@@ -84,17 +84,17 @@
     /** A peer reaches the machine or receives its heartbeats. */
     void reachedByPeer(String machineId) {
         Machine machine = machineById.apply(machineId);
-        if (machine == null || machine.unacknowledgedCalls() == 0) {
+        if (machine == null || machine.directCalls.unacknowledgedCalls() == 0) {
             return;
         }
         long now = eventLoop.now();
-        machine.recordReachedByPeer(isReachedOnlyByPeer(machine, now), now);
+        machine.peerContact.recordReachedByPeer(isReachedOnlyByPeer(machine, now), now);
     }
 
     private void peerCheckFailed(String machineId) {
         Machine machine = machineById.apply(machineId);
         if (machine != null) {
-            machine.recordPeerCheckFailure(eventLoop.now());
+            machine.peerContact.recordPeerCheckFailure(eventLoop.now());
         }
     }
 
@@ -108,26 +108,26 @@
         if (settings.siblings().isEmpty()) {
             return true;
         }
-        if (machine.peerCheckRequestedAt() == 0
+        if (machine.peerContact.peerCheckRequestedAt() == 0
                 || now - firstRequestedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
         return !hasRecentPeerAnswer(now)
-                || (machine.peerCheckFailedAt() > 0
-                        && now - machine.peerCheckFailedAt() < ReachabilityConstants.PEER_CHECK_VALID_MS);
+                || (machine.peerContact.peerCheckFailedAt() > 0
+                        && now - machine.peerContact.peerCheckFailedAt() < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
     /** Whether a peer reached the machine a moment ago and this controller doesn't. */
     private static boolean isReachedOnlyByPeer(Machine machine, long now) {
-        return machine.unacknowledgedCalls() > 0
-                && machine.reachedByPeerAt() > 0
-                && now - machine.reachedByPeerAt() < ReachabilityConstants.PEER_CHECK_VALID_MS;
+        return machine.directCalls.unacknowledgedCalls() > 0
+                && machine.peerContact.reachedByPeerAt() > 0
+                && now - machine.peerContact.reachedByPeerAt() < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Whether a silent machine is to be kept: its heartbeats come by way of a peer, or may yet. */
     boolean mayRecoverThroughPeer(Machine machine, long now) {
         return isReachedOnlyByPeer(machine, now)
-                && (now - machine.reachedByPeerSince() < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
+                && (now - machine.peerContact.reachedByPeerSince() < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
                         || now - machine.lastHeartbeatAt() < settings.leaseS() * 1_000 / 2);
     }
 
@@ -136,7 +136,7 @@
         int count = 0;
         for (Machine machine : machines) {
             if (isReachedOnlyByPeer(machine, now)
-                    && machine.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS) {
+                    && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS) {
                 count++;
             }
         }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -68,14 +68,14 @@
             total.responsive++;
             zone.responsive++;
         }
-        if (machine.unacknowledgedCalls() > 0 || doubted) {
+        if (machine.directCalls.unacknowledgedCalls() > 0 || doubted) {
             total.unresponsive++;
             zone.unresponsive++;
         }
     }
 
     private void classify(Machine machine) {
-        if (machine.unacknowledgedCalls() > 0 && !machine.address().isEmpty()) {
+        if (machine.directCalls.unacknowledgedCalls() > 0 && !machine.address().isEmpty()) {
             unacknowledged.add(machine);
         }
         if (isUnreachableWithoutWork(machine)) {
@@ -103,12 +103,12 @@
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
         return silenceMillis(machine) > limitMillis
-                && machine.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
+                && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 
     private boolean isOverdue(Machine machine) {
         // Only the loss of services is worth probing more often.
-        boolean early = machine.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
+        boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isDoubtful()
                 || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -73,7 +73,7 @@
 
     /** Records that the commands go out in a direct call, the only one in flight to this machine. */
     public void sentDirectly(Machine machine, List<Command> commands) {
-        machine.beginDirectCall();
+        machine.directCalls.beginDirectCall();
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
             if (assignment != null) {
@@ -89,7 +89,7 @@
      * @param settled true if the commands were executed, refused or never sent; otherwise they may be executed late
      */
     public void directCallCompleted(Machine machine, List<Command> commands, long incarnation, boolean settled) {
-        machine.endDirectCall();
+        machine.directCalls.endDirectCall();
         boolean mayExecuteLate = !settled && machine.incarnation() == incarnation;
         for (Command command : commands) {
             Assignment assignment = launchedBy(command, machine);
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -30,18 +30,18 @@
 
     /** A task completed: if it started after the machine's last failure, the machine is sound. */
     static void taskCompleted(Machine machine, Job job, long startedAt) {
-        if (startedAt > machine.failedAt()) {
-            machine.failedJobs.clear();
+        if (startedAt > machine.faults.failedAt()) {
+            machine.faults.failedJobs.clear();
         }
         job.recordSuccess();
     }
 
     /** Ends the machine's quarantine if it is over; returns whether it was. */
     static boolean endQuarantineIfOver(Machine machine, long now) {
-        boolean ends = machine.quarantineOver(now);
+        boolean ends = machine.faults.quarantineOver(now);
         if (ends) {
-            machine.endQuarantine();
-            machine.failedJobs.clear();
+            machine.faults.endQuarantine();
+            machine.faults.failedJobs.clear();
         }
         return ends;
     }
@@ -49,7 +49,7 @@
     /** Failures attributed to the machine: of jobs that completed tasks, or failed nowhere else. */
     private int failuresAgainst(Machine machine) {
         int failures = 0;
-        for (String id : machine.failedJobs) {
+        for (String id : machine.faults.failedJobs) {
             Job other = scheduler.job(id);
             failures += other != null && (!other.completedTasks.isEmpty() || other.failedMachines.size() == 1) ? 1 : 0;
         }
@@ -69,18 +69,18 @@
      * machine may leave the quarantine.
      */
     private void recordError(Machine machine, Job job, long now) {
-        machine.recordFailure(job.spec.id(), now);
+        machine.faults.recordFailure(job.spec.id(), now);
         if (job.failedMachines.add(machine.id) && job.failedMachines.size() == 2) {
             job.failedMachines.forEach(id -> endQuarantineIfCleared(scheduler.machine(id)));
         }
         if (failuresAgainst(machine) >= FaultConstants.MACHINE_ERRORS) {
-            machine.quarantine(now + FaultConstants.QUARANTINE_MS);
+            machine.faults.quarantine(now + FaultConstants.QUARANTINE_MS);
         }
     }
 
     private void endQuarantineIfCleared(Machine machine) {
-        if (machine != null && machine.faulty() && failuresAgainst(machine) < FaultConstants.MACHINE_ERRORS) {
-            machine.endQuarantine();
+        if (machine != null && machine.faults.faulty() && failuresAgainst(machine) < FaultConstants.MACHINE_ERRORS) {
+            machine.faults.endQuarantine();
         }
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -3,9 +3,7 @@
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
 import org.hollypick.core.health.HeartbeatValidity;
@@ -15,7 +13,9 @@
  * milliseconds of the event loop's clock. Confined to the event loop.
  */
 public final class Machine {
+    /** The cloud's name for it. */
     public final String id;
+
     private String address = "";
     public final MachineType type;
     public final String zone;
@@ -39,6 +39,12 @@
     private boolean awaitsHeartbeat;
     /** Whether responses and commands reach the agent. */
     public final HeartbeatValidity validity = new HeartbeatValidity();
+    /** Direct calls to its agent. */
+    public final DirectCalls directCalls = new DirectCalls();
+    /** Whether peers of this controller reach it. */
+    public final PeerContact peerContact = new PeerContact();
+    /** Failures of tasks on it, and its quarantine. */
+    public final FaultHistory faults = new FaultHistory();
 
     private long incarnation;
     private long heartbeatSequence;
@@ -52,7 +58,7 @@
     private long heartbeatAcknowledgedAt;
     /**
      * When an assignment was last listed for the first time. An agent that begins again within its lease, its counts
-     * going on, has a lease from that beginning, which no report tells apart from an empty machine; but whatever it
+     * going on, has a lease from that beginning, which no heartbeat tells apart from an empty machine; but whatever it
      * lists began there.
      */
     private long newAssignmentListedAt;
@@ -63,21 +69,7 @@
     private boolean scalingIn;
     private boolean draining;
 
-    private boolean faulty;
-    private long faultyUntil;
     private long noRoomUntil;
-    /** Direct calls without a response since its last heartbeat. */
-    private int unacknowledgedCalls;
-    /**
-     * When another controller last reached it while this one didn't, since when without a break, and when that was last
-     * asked.
-     */
-    private long reachedByPeerAt;
-
-    private long reachedByPeerSince;
-    private long peerCheckRequestedAt;
-    /** When another controller last tried it in vain. */
-    private long peerCheckFailedAt;
     /** More than is needed: arrays go elsewhere while they can. */
     private boolean surplus;
     /** Its replicas move elsewhere, so that it can be returned; it gets nothing new. */
@@ -87,20 +79,15 @@
     /** In the first Tyrex partition. */
     private boolean inFirstPartition;
 
-    private boolean directCallInFlight;
-    /** No direct call goes out before this time, in milliseconds: the last one got no response. */
-    private long directCallNotBefore;
     /** By attempt: those never repeat, whatever the task. */
     public final Long2ObjectLinkedOpenHashMap<Assignment> assignments = new Long2ObjectLinkedOpenHashMap<>();
 
     private List<TaskStatus> reportedTasks = List.of();
     public final Object2LongOpenHashMap<String> images = new Object2LongOpenHashMap<>();
-    public final Set<String> failedJobs = new HashSet<>();
-    private long failedAt;
 
-    public double usedCpus;
-    public double usedGpus;
-    public double usedMemory;
+    private double usedCpus;
+    private double usedGpus;
+    private double usedMemoryGb;
     /** Running totals over what may be there: tasks, those still without image, cores of services. */
     private int liveAssignments;
 
@@ -108,6 +95,7 @@
     private double serviceCpus;
     private long taskLists;
 
+    /** A machine that is known from now on, and holds nothing. */
     public Machine(String id, MachineType type, String zone, boolean spot, long now) {
         this.id = id;
         this.type = type;
@@ -117,6 +105,7 @@
         this.idleSince = now;
     }
 
+    /** An assignment is decided, or was found in a heartbeat: it takes its resources from now on. */
     public void add(Assignment assignment) {
         assignments.put(assignment.attempt, assignment);
         count(assignment, 1);
@@ -124,7 +113,7 @@
         use(assignment, 1);
     }
 
-    /** The assignment that an order or a report names; null if there is none. */
+    /** The assignment that a command or a heartbeat names; null if there is none. */
     public Assignment assignmentOf(String task, long attempt) {
         Assignment assignment = assignments.get(attempt);
         return assignment != null && assignment.taskId.equals(task) ? assignment : null;
@@ -174,7 +163,7 @@
     /** A heartbeat came, or the response to a direct call: no call counts as unacknowledged any more. */
     public void recordContact(long now) {
         lastHeartbeatAt = now;
-        unacknowledgedCalls = 0;
+        directCalls.contactRecorded();
     }
 
     /** When its last heartbeat or response to a direct call came, in milliseconds. */
@@ -182,26 +171,6 @@
         return lastHeartbeatAt;
     }
 
-    /** A direct call got no response. */
-    public void recordUnacknowledgedCall() {
-        unacknowledgedCalls++;
-    }
-
-    /** Direct calls without a response since the last contact. */
-    public int unacknowledgedCalls() {
-        return unacknowledgedCalls;
-    }
-
-    /** No direct call goes out before {@code until}. */
-    public void delayDirectCalls(long until) {
-        directCallNotBefore = until;
-    }
-
-    /** No direct call goes out before this time, in milliseconds. */
-    public long directCallNotBefore() {
-        return directCallNotBefore;
-    }
-
     /** A heartbeat that was received at {@code receivedAt} is acknowledged: its lease may be renewed from then. */
     public void acknowledgeHeartbeat(long receivedAt) {
         heartbeatAcknowledgedAt = receivedAt;
@@ -220,50 +189,6 @@
         return heartbeatAcknowledgedAt;
     }
 
-    // ---- reachability from peers ----
-
-    /**
-     * Another controller reached it while this one didn't.
-     *
-     * @param unbroken whether that was so until now, so that the period goes on
-     */
-    public void recordReachedByPeer(boolean unbroken, long now) {
-        if (!unbroken) {
-            reachedByPeerSince = now;
-        }
-        reachedByPeerAt = now;
-    }
-
-    /** When another controller last reached it while this one didn't, in milliseconds; 0 for never. */
-    public long reachedByPeerAt() {
-        return reachedByPeerAt;
-    }
-
-    /** Since when, without a break, another controller has reached it while this one didn't, in milliseconds. */
-    public long reachedByPeerSince() {
-        return reachedByPeerSince;
-    }
-
-    /** The other controllers are asked whether they reach it. */
-    public void recordPeerCheckRequest(long now) {
-        peerCheckRequestedAt = now;
-    }
-
-    /** When the other controllers were last asked whether they reach it, in milliseconds; 0 for never. */
-    public long peerCheckRequestedAt() {
-        return peerCheckRequestedAt;
-    }
-
-    /** Another controller tried it in vain. */
-    public void recordPeerCheckFailure(long now) {
-        peerCheckFailedAt = now;
-    }
-
-    /** When another controller last tried it in vain, in milliseconds; 0 for never. */
-    public long peerCheckFailedAt() {
-        return peerCheckFailedAt;
-    }
-
     // ---- scheduling and autoscaling ----
 
     /** Whether it is in the first Tyrex partition. */
@@ -395,21 +320,6 @@
         hasOrphanedTasks = false;
     }
 
-    /** Whether a direct call is in flight: there is one at a time. */
-    public boolean directCallInFlight() {
-        return directCallInFlight;
-    }
-
-    /** A direct call goes out. */
-    public void beginDirectCall() {
-        directCallInFlight = true;
-    }
-
-    /** The direct call ended. */
-    public void endDirectCall() {
-        directCallInFlight = false;
-    }
-
     /** Since when it holds nothing, in milliseconds; meaningless unless {@link #idle}. */
     public long idleSince() {
         return idleSince;
@@ -420,7 +330,7 @@
         idleSince = Math.max(idleSince, now);
     }
 
-    // ---- draining and quarantine ----
+    // ---- draining ----
 
     /** Whether the cloud announced that it takes the machine. */
     public boolean draining() {
@@ -432,38 +342,6 @@
         draining = true;
     }
 
-    /** Whether it is quarantined: its failures are the machine's own, and it gets no new tasks for a while. */
-    public boolean faulty() {
-        return faulty;
-    }
-
-    /** Begins the quarantine, or prolongs it. */
-    public void quarantine(long until) {
-        faulty = true;
-        faultyUntil = until;
-    }
-
-    /** Ends the quarantine. */
-    public void endQuarantine() {
-        faulty = false;
-    }
-
-    /** Whether it is quarantined, and has been for long enough. */
-    public boolean quarantineOver(long now) {
-        return faulty && now >= faultyUntil;
-    }
-
-    /** A task of the job failed on it. */
-    public void recordFailure(String jobId, long now) {
-        failedAt = now;
-        failedJobs.add(jobId);
-    }
-
-    /** When a task last failed on it, in milliseconds. */
-    public long failedAt() {
-        return failedAt;
-    }
-
     /** Whether the heartbeat is a duplicate of the newest one that was processed, or older. */
     public boolean hasProcessed(Heartbeat heartbeat) {
         return heartbeatReceived && !heartbeat.newerThan(incarnation, heartbeatSequence);
@@ -549,7 +427,7 @@
         taskLists++;
     }
 
-    /** The present report lists the assignment. */
+    /** The newest heartbeat lists the assignment. */
     public void listed(Assignment assignment, long now) {
         if (assignment.listedIn == 0) {
             newAssignmentListedAt = now;
@@ -565,6 +443,7 @@
         return Math.max(Math.max(heartbeatAcknowledgedAt, incarnationSeenAt), newAssignmentListedAt);
     }
 
+    /** The assignments that the newest list of reported tasks does not hold. */
     public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
@@ -575,7 +454,7 @@
         return list;
     }
 
-    /** Its room may be used by others: it exited, or is killed at once by an order ahead of theirs. */
+    /** Its room may be used by others: it exited, or is killed at once by a command ahead of theirs. */
     public void release(Assignment assignment) {
         if (assignment.holdsResources) {
             assignment.holdsResources = false;
@@ -586,16 +465,33 @@
     private void use(Assignment assignment, int sign) {
         usedCpus += sign * assignment.spec.cpus();
         usedGpus += sign * assignment.spec.gpus();
-        usedMemory += sign * assignment.spec.memoryGb();
+        usedMemoryGb += sign * assignment.spec.memoryGb();
+    }
+
+    /** Cores that its assignments take. */
+    public double usedCpus() {
+        return usedCpus;
+    }
+
+    /** GPUs that its assignments take. */
+    public double usedGpus() {
+        return usedGpus;
+    }
+
+    /** Gigabytes of memory that its assignments take. */
+    public double usedMemoryGb() {
+        return usedMemoryGb;
     }
 
+    /** Whether a task of the job fits beside what its assignments take. */
     public boolean hasRoom(JobSpec job) {
         double slack = 1e-6; // sums of decimal amounts
         return usedCpus + job.cpus() <= type.cpus() + slack
                 && usedGpus + job.gpus() <= type.gpus() + slack
-                && usedMemory + job.memoryGb() <= type.memoryGb() + slack;
+                && usedMemoryGb + job.memoryGb() <= type.memoryGb() + slack;
     }
 
+    /** Whether it may be given new tasks. */
     public boolean schedulable() {
         return registered
                 && reconciled
@@ -606,19 +502,21 @@
                 && !validity.isUnreachableInbound()
                 && !draining
                 && !scalingIn
-                && !faulty
+                && !faults.faulty()
                 && !evicting;
     }
 
+    /** Whether no assignment may exist on it. */
     public boolean idle() {
         return liveAssignments == 0;
     }
 
-    /** It can't be given anything, and may never be again: deaf, or begun again under a session that is over. */
+    /** Whether nothing can be sent to its agent: no response reaches it, or its incarnation expired. */
     public boolean unreachable() {
         return validity.isUnreachableInbound() || incarnationExpired();
     }
 
+    /** Whether the known incarnation is over. */
     public boolean incarnationExpired() {
         return incarnationExpiredAt > 0;
     }
@@ -628,10 +526,12 @@
         return starting;
     }
 
+    /** Cores that services take on it. */
     public double serviceCpus() {
         return serviceCpus;
     }
 
+    /** The assignments that may exist on it. */
     public List<Assignment> liveAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -153,7 +153,7 @@
         double maxBootMillis = AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * machine.type.bootS();
         boolean isSlowToBoot = !machine.heartbeatReceived() && now - machine.createdAt > maxBootMillis;
         boolean isLost = machine.unreachable() && !partitionedZones.contains(machine.zone);
-        return !machine.isScalingIn() && !machine.draining() && !machine.faulty() && !isSlowToBoot && !isLost;
+        return !machine.isScalingIn() && !machine.draining() && !machine.faults.faulty() && !isSlowToBoot && !isLost;
     }
 
     /** Cores that services need in a zone, with the standby for services to come. */
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -34,7 +34,7 @@
         Map<String, Double> spareByZone = new HashMap<>(spareOnDemandCores);
         double remaining = surplusCores;
         List<Machine> emptiestFirst = new ArrayList<>(machines);
-        emptiestFirst.sort(Comparator.comparingDouble(machine -> machine.usedCpus / machine.type.cpus()));
+        emptiestFirst.sort(Comparator.comparingDouble(machine -> machine.usedCpus() / machine.type.cpus()));
         for (Machine machine : emptiestFirst) {
             double cores = machine.type.cpus();
             double zoneSpare = spareByZone.getOrDefault(machine.zone, 0.0);
@@ -61,7 +61,7 @@
             if (machine.isScalingIn() || !machine.reconciled() || !machine.idle()) {
                 continue;
             }
-            if (machine.faulty()) {
+            if (machine.faults.faulty()) {
                 terminated.add(machine);
             } else if (isExpendable(machine, now)) {
                 expendable.add(machine);
--- a/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
+++ b/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
@@ -23,7 +23,7 @@
         for (Machine machine : scheduler.machines()) {
             if (machine.schedulable()) {
                 usableCores += machine.type.cpus() - machine.serviceCpus();
-                freeCores += machine.type.cpus() - machine.usedCpus;
+                freeCores += machine.type.cpus() - machine.usedCpus();
             } else if (!machine.heartbeatReceived() && !machine.isScalingIn()) {
                 double ageSeconds = (nowMillis - machine.createdAt) / 1000.0;
                 bootingCores += machine.type.cpus();
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -59,7 +59,9 @@
     }
 
     private static boolean isCandidate(Job job, JobSpec spec, Machine machine, long now) {
-        return takesTasks(machine, now) && !machine.failedJobs.contains(job.spec.id()) && isAllowed(job, spec, machine);
+        return takesTasks(machine, now)
+                && !machine.faults.failedJobs.contains(job.spec.id())
+                && isAllowed(job, spec, machine);
     }
 
     /**
@@ -114,7 +116,7 @@
     /** In seconds, higher is better: the image's fetch time first, then spot instances, then tight packing. */
     private static double arrayScore(JobSpec spec, Machine machine) {
         return -fetchSeconds(spec, machine)
-                + PACKING_BONUS_S * machine.usedCpus / machine.type.cpus()
+                + PACKING_BONUS_S * machine.usedCpus() / machine.type.cpus()
                 + (machine.spot ? SPOT_BONUS_S : 0)
                 - (machine.isSurplus() ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
     }
@@ -223,9 +225,9 @@
         lower.sort(Comparator.comparing((Assignment assignment) -> assignment.job.priority())
                 .reversed()
                 .thenComparingLong(assignment -> -assignment.startedAt));
-        double cpus = machine.type.cpus() - machine.usedCpus;
-        double gpus = machine.type.gpus() - machine.usedGpus;
-        double memoryGb = machine.type.memoryGb() - machine.usedMemory;
+        double cpus = machine.type.cpus() - machine.usedCpus();
+        double gpus = machine.type.gpus() - machine.usedGpus();
+        double memoryGb = machine.type.memoryGb() - machine.usedMemoryGb();
         List<Assignment> chosen = new ArrayList<>();
         for (Assignment assignment : lower) {
             if (fits(job.spec, cpus, gpus, memoryGb)) {
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -105,9 +105,9 @@
             for (Machine machine : scheduler.machines()) {
                 machine.acknowledgeHeartbeat(now);
                 report(machine);
-                if (machine.faulty() && sick.contains(machine.id)) {
+                if (machine.faults.faulty() && sick.contains(machine.id)) {
                     found.add(machine.id);
-                } else if (machine.faulty()) {
+                } else if (machine.faults.faulty()) {
                     wronged.add(machine.id);
                     wrongedS++;
                 }
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -253,7 +253,7 @@
                 if (m.isInFirstPartition() == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
-                double score = -fetch(job.spec, m) + 2 * m.usedCpus / m.type.cpus() + (m.spot ? 3 : 0);
+                double score = -fetch(job.spec, m) + 2 * m.usedCpus() / m.type.cpus() + (m.spot ? 3 : 0);
                 if (best == null || score > bestScore) {
                     best = m;
                     bestScore = score;
@@ -289,7 +289,7 @@
             lower.sort(Comparator.<Assignment, Integer>comparing(
                             p -> -p.job.spec.priority().ordinal())
                     .thenComparing(p -> -p.startedAt));
-            double room = m.type.cpus() - m.usedCpus;
+            double room = m.type.cpus() - m.usedCpus();
             double lost = 0;
             List<Assignment> victims = new ArrayList<>();
             for (Assignment p : lower) {
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -191,7 +191,7 @@
                                     + assignment.attempt);
                         }
                     }
-                    trace.add(step + " " + machine.id + " uses " + machine.usedCpus);
+                    trace.add(step + " " + machine.id + " uses " + machine.usedCpus());
                 }
                 trace.add(step + " sizes " + new TreeMap<>(scheduler.attainedService()));
                 reports();
