--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -134,7 +134,7 @@
             membership.fence(components.token);
         } else if (settings.anyLimit()
                 && !membership.limitsKept()
-                && scheduler.quotas().limitsKept()) {
+                && scheduler.quotas().allTeamsWithinLimits()) {
             membership.recordLimitsKept(components.token);
         }
     }
@@ -161,11 +161,11 @@
 
     private void schedule(long now) {
         if (scheduler.outbox().cycleRequested()) {
-            scheduler.outbox().discardFreedRoom();
+            scheduler.outbox().discardFreedCapacity();
             fullCycleTimer.restart(now);
             scheduler.runSchedulingCycle(now);
         }
-        List<Machine> machinesWithFreedRoom = scheduler.outbox().takeMachinesWithFreedRoom();
-        machinesWithFreedRoom.forEach(machine -> scheduler.scheduleOn(machine, now));
+        List<Machine> machinesWithFreedCapacity = scheduler.outbox().takeMachinesWithFreedCapacity();
+        machinesWithFreedCapacity.forEach(machine -> scheduler.scheduleOn(machine, now));
     }
 }
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -98,7 +98,7 @@
         Scheduler scheduler =
                 new Scheduler(token, settings, operatorSettings.firstShare(), leases, operatorSettings.estimates());
         if (membership.limitsKept()) {
-            scheduler.quotas().setEarlierLeadersKeptLimits();
+            scheduler.quotas().setEarlierLeadersEnforcedLimits();
         }
         return scheduler;
     }
--- a/src/main/java/org/hollypick/control/graphs/LiveGraph.java
+++ b/src/main/java/org/hollypick/control/graphs/LiveGraph.java
@@ -79,7 +79,7 @@
     void attachJob(Job attached) {
         job = attached;
         for (int node : releasedBeforeJob.toIntArray()) {
-            scheduler.release(job, node);
+            scheduler.releaseTask(job, node);
         }
     }
 
@@ -87,7 +87,7 @@
         if (job == null) {
             releasedBeforeJob.add(node);
         } else {
-            scheduler.release(job, node);
+            scheduler.releaseTask(job, node);
         }
     }
 
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -48,7 +48,7 @@
 
     private void directCallCompleted() {
         reconciliationProbe.probeUnreconciled();
-        if (term.scheduler().outbox().hasMachinesToServe()) {
+        if (term.scheduler().outbox().hasPendingMachineWork()) {
             term.requestReconcile();
         }
     }
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -171,7 +171,7 @@
                     heartbeat.sequence(),
                     call.incarnation(),
                     call.knownSequence().getAsLong());
-            scheduler.heartbeats().incarnationRestarted(machine, heartbeat, now);
+            scheduler.heartbeats().applyAgentRestart(machine, heartbeat, now);
         }
         if (!wasReconciled && !machine.reconciled()) {
             call(machine, true);
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -104,7 +104,7 @@
             firstHeartbeatReceived(machine, heartbeat);
         }
         scheduler.heartbeatBalancer().heartbeatReceived(machine.id, relay, now);
-        if (scheduler.outbox().takeFreedRoom(machine)) {
+        if (scheduler.outbox().takeFreedCapacity(machine)) {
             scheduler.scheduleOn(machine, now);
         }
         List<Command> commands =
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -51,7 +51,7 @@
         }
         if (graceS == 0) {
             assignment.machine.release(assignment);
-            scheduler.outbox().addFreedRoom(assignment.machine);
+            scheduler.outbox().addFreedCapacity(assignment.machine);
         }
         requestCommands(assignment);
     }
@@ -254,7 +254,7 @@
         if (machine.idle()) {
             machine.becameIdle(scheduler.lastEventAt());
         }
-        scheduler.outbox().addFreedRoom(machine);
+        scheduler.outbox().addFreedCapacity(machine);
     }
 
     /** Everything in {@code job.durablyCompleted} is durable: its exited attempts may be cleared. */
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -31,7 +31,7 @@
      * @return whether the heartbeat was applied
      */
     public boolean applyHeartbeat(Machine machine, Heartbeat heartbeat, boolean sentByAgent, long now) {
-        scheduler.eventAt(now);
+        scheduler.recordEventTime(now);
         if (machine.hasProcessed(heartbeat) || machine.isOutdated(heartbeat)) {
             return false;
         }
@@ -122,8 +122,8 @@
      * restarted without tasks. The machine can only hold what a launch still in flight may bring, for one lease from
      * now on at most.
      */
-    public void incarnationRestarted(Machine machine, Heartbeat heartbeat, long now) {
-        scheduler.eventAt(now);
+    public void applyAgentRestart(Machine machine, Heartbeat heartbeat, long now) {
+        scheduler.recordEventTime(now);
         machine.expireRestartedIncarnation(now);
         machine.beginTaskList();
         for (TaskStatus status : heartbeat.tasks()) {
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -71,7 +71,7 @@
         pendingTasks.set(0, spec.tasks());
     }
 
-    /** A job whose tasks differ; each becomes pending by {@link Scheduler#release}. */
+    /** A job whose tasks differ; each becomes pending by {@link Scheduler#releaseTask}. */
     public Job(
             JobSpec spec,
             TaskSet set,
--- a/src/main/java/org/hollypick/core/MachinePartitions.java
+++ b/src/main/java/org/hollypick/core/MachinePartitions.java
@@ -41,11 +41,11 @@
         }
         int wantedInFirst = (int) Math.round(schedulable * firstPartitionShare);
         if (inFirst != wantedInFirst) {
-            move(machines, Math.abs(wantedInFirst - inFirst), inFirst < wantedInFirst);
+            moveMachines(machines, Math.abs(wantedInFirst - inFirst), inFirst < wantedInFirst);
         }
     }
 
-    private static void move(Collection<Machine> machines, int count, boolean intoFirst) {
+    private static void moveMachines(Collection<Machine> machines, int count, boolean intoFirst) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : machines) {
             if (machine.schedulable() && machine.isInFirstPartition() != intoFirst) {
@@ -68,7 +68,7 @@
     }
 
     /** A task is about to start on the machine, which is idle no longer. */
-    void taskStarts(Machine machine) {
+    void recordTaskStart(Machine machine) {
         idleMachinesInFirst -= machine.isInFirstPartition() && machine.idle() ? 1 : 0;
     }
 
@@ -76,7 +76,7 @@
      * Those of the first partition's machines that it may lend now: a machine that holds something, and an idle one
      * while {@link SchedulingConstants#FIRST_PARTITION_FREE_MACHINES} others are idle.
      */
-    List<Machine> lendable(List<Machine> machines) {
+    List<Machine> lendableMachines(List<Machine> machines) {
         List<Machine> lendable = new ArrayList<>();
         for (Machine machine : machines) {
             int otherIdleMachines = idleMachinesInFirst - (machine.idle() ? 1 : 0);
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -113,7 +113,7 @@
         return lastEventAt;
     }
 
-    void eventAt(long now) {
+    void recordEventTime(long now) {
         lastEventAt = now;
     }
 
@@ -163,7 +163,7 @@
         return job;
     }
 
-    /** Adds a job whose tasks differ; none of them waits before its {@link #release}. */
+    /** Adds a job whose tasks differ; none of them waits before its {@link #releaseTask}. */
     public Job addJob(JobSpec spec, TaskSet tasks, long arrivalRevision, long createdUnderToken) {
         Job job = new Job(spec, tasks, arrivalRevision, createdUnderToken, true, spec.priority());
         jobs.put(spec.id(), job);
@@ -197,7 +197,7 @@
     }
 
     /** The task of a job with a {@link TaskSet} waits from now on, unless it may not start or was assigned. */
-    public void release(Job job, int index) {
+    public void releaseTask(Job job, int index) {
         if (job.mayStart(index) && !job.assignments.containsKey(index)) {
             JobSpec spec = job.spec(index);
             job.pendingTasks.set(index);
@@ -298,7 +298,7 @@
     public void markRegistered(Machine machine) {
         machine.markRegistered();
         if (machines.get(machine.id) == machine) {
-            outbox.addFreedRoom(machine);
+            outbox.addFreedCapacity(machine);
         }
     }
 
--- a/src/main/java/org/hollypick/core/SchedulerOutbox.java
+++ b/src/main/java/org/hollypick/core/SchedulerOutbox.java
@@ -16,7 +16,7 @@
 public final class SchedulerOutbox {
     private final Set<Machine> machinesWithUrgentCommands = new LinkedHashSet<>();
     private final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
-    private final Set<Machine> machinesWithFreedRoom = new LinkedHashSet<>();
+    private final Set<Machine> machinesWithFreedCapacity = new LinkedHashSet<>();
     private final Set<Job> jobsWithNewCompletions = new LinkedHashSet<>();
     private final Set<Job> jobsWithNewCompletionsView = Collections.unmodifiableSet(jobsWithNewCompletions);
     private final Set<Machine> machinesToRegister = new LinkedHashSet<>();
@@ -63,37 +63,37 @@
     }
 
     /** Whether machines wait for commands or, since room came free there, for tasks. */
-    public boolean hasMachinesToServe() {
+    public boolean hasPendingMachineWork() {
         return !machinesWithUrgentCommands.isEmpty()
                 || !machinesWithPendingCommands.isEmpty()
-                || !machinesWithFreedRoom.isEmpty();
+                || !machinesWithFreedCapacity.isEmpty();
     }
 
     // ---- freed room ----
 
-    void addFreedRoom(Machine machine) {
-        machinesWithFreedRoom.add(machine);
+    void addFreedCapacity(Machine machine) {
+        machinesWithFreedCapacity.add(machine);
     }
 
     /** Whether room came free on the machine and nobody has taken this up since; the caller does now. */
-    public boolean takeFreedRoom(Machine machine) {
-        return machinesWithFreedRoom.remove(machine);
+    public boolean takeFreedCapacity(Machine machine) {
+        return machinesWithFreedCapacity.remove(machine);
     }
 
     /** Removes and returns all machines on which room came free. */
-    public List<Machine> takeMachinesWithFreedRoom() {
-        List<Machine> taken = new ArrayList<>(machinesWithFreedRoom);
-        machinesWithFreedRoom.clear();
+    public List<Machine> takeMachinesWithFreedCapacity() {
+        List<Machine> taken = new ArrayList<>(machinesWithFreedCapacity);
+        machinesWithFreedCapacity.clear();
         return taken;
     }
 
     /** A cycle over all machines is about to run and makes use of the freed room. */
-    public void discardFreedRoom() {
-        machinesWithFreedRoom.clear();
+    public void discardFreedCapacity() {
+        machinesWithFreedCapacity.clear();
     }
 
-    boolean hasFreedRoom(Machine machine) {
-        return machinesWithFreedRoom.contains(machine);
+    boolean hasFreedCapacity(Machine machine) {
+        return machinesWithFreedCapacity.contains(machine);
     }
 
     // ---- scheduling cycle ----
@@ -168,6 +168,6 @@
         machinesWithPendingCommands.remove(machine);
         machinesWithUrgentCommands.remove(machine);
         machinesToRegister.remove(machine);
-        machinesWithFreedRoom.remove(machine);
+        machinesWithFreedCapacity.remove(machine);
     }
 }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -104,7 +104,7 @@
             return;
         }
         List<Machine> single = List.of(machine);
-        boolean inArrivalOrder = scheduler.quotas().severalTeams()
+        boolean inArrivalOrder = scheduler.quotas().hasMultipleTeams()
                 && ++singleMachineCycles % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
         List<Job> first = inArrivalOrder ? inArrivalOrder(firstPartitionJobs) : firstPartitionJobs;
         List<Job> second = inArrivalOrder ? inArrivalOrder(secondPartitionJobs) : secondPartitionJobs;
@@ -172,7 +172,7 @@
                 index = fill(machine, job, index, now);
             } else if (job.isHeterogeneous()) {
                 // Tasks of another description may fit.
-                specsWithoutRoom = with(specsWithoutRoom, spec);
+                specsWithoutRoom = withAdded(specsWithoutRoom, spec);
                 index = nextStartableTask(job, index + 1, now);
             } else {
                 return;
@@ -181,7 +181,7 @@
     }
 
     /** Adds to the set, which is compared by identity; an empty set is replaced by one that can be added to. */
-    private static Set<JobSpec> with(Set<JobSpec> specs, JobSpec spec) {
+    private static Set<JobSpec> withAdded(Set<JobSpec> specs, JobSpec spec) {
         Set<JobSpec> extended = specs.isEmpty() ? Collections.newSetFromMap(new IdentityHashMap<>()) : specs;
         extended.add(spec);
         return extended;
@@ -200,7 +200,7 @@
             return own;
         }
         return MachineSelector.chooseForArray(
-                job, spec, reserveIdleMachines ? partitions.lendable(otherMachines) : otherMachines, now);
+                job, spec, reserveIdleMachines ? partitions.lendableMachines(otherMachines) : otherMachines, now);
     }
 
     /**
@@ -227,7 +227,7 @@
     // ---- tasks ----
 
     private void start(Job job, int index, Machine machine, long now) {
-        partitions.taskStarts(machine);
+        partitions.recordTaskStart(machine);
         scheduler.assignments().start(job, index, machine, now);
     }
 
--- a/src/main/java/org/hollypick/core/TeamQuotas.java
+++ b/src/main/java/org/hollypick/core/TeamQuotas.java
@@ -13,15 +13,15 @@
 
     private final Scheduler scheduler;
     private final Map<String, Settings.Team> teams;
-    private final boolean severalTeams;
+    private final boolean hasMultipleTeams;
     private final TeamUsage usage = new TeamUsage();
-    private boolean earlierLeadersKeptLimits;
-    private long unreconciledCountedAt = NEVER;
+    private boolean earlierLeadersEnforcedLimits;
+    private long unaccountedUpdatedAt = NEVER;
 
     TeamQuotas(Scheduler scheduler, Settings settings) {
         this.scheduler = scheduler;
         this.teams = settings.teams();
-        this.severalTeams = teams.size() > 1;
+        this.hasMultipleTeams = teams.size() > 1;
     }
 
     /** What the teams' tasks take. */
@@ -30,12 +30,12 @@
     }
 
     /** All earlier leaders kept the same limits of teams. */
-    public void setEarlierLeadersKeptLimits() {
-        earlierLeadersKeptLimits = true;
+    public void setEarlierLeadersEnforcedLimits() {
+        earlierLeadersEnforcedLimits = true;
     }
 
-    boolean severalTeams() {
-        return severalTeams;
+    boolean hasMultipleTeams() {
+        return hasMultipleTeams;
     }
 
     /**
@@ -50,11 +50,11 @@
         if (scheduler.reconciliationComplete()) {
             return usage.allows(team, spec);
         }
-        if (unreconciledCountedAt != scheduler.lastEventAt()) {
-            unreconciledCountedAt = scheduler.lastEventAt(); // within one moment there can only be fewer
-            usage.countUnaccounted(scheduler.machines());
+        if (unaccountedUpdatedAt != scheduler.lastEventAt()) {
+            unaccountedUpdatedAt = scheduler.lastEventAt(); // within one moment there can only be fewer
+            usage.updateUnaccountedCapacity(scheduler.machines());
         }
-        return usage.allowsBeforeReconciliation(team, spec, earlierLeadersKeptLimits);
+        return usage.allowsBeforeReconciliation(team, spec, earlierLeadersEnforcedLimits);
     }
 
     /** The names of the teams in the settings. */
@@ -85,7 +85,7 @@
     }
 
     /** Whether all tasks are known, and no team takes more than its limit. */
-    public boolean limitsKept() {
-        return scheduler.reconciliationComplete() && usage.limitsKept(teams.values());
+    public boolean allTeamsWithinLimits() {
+        return scheduler.reconciliationComplete() && usage.allTeamsWithinLimits(teams.values());
     }
 }
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -13,7 +13,7 @@
  */
 final class TeamUsage {
     /** For rounding errors in sums of decimal amounts. */
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
@@ -80,7 +80,7 @@
     }
 
     /** Takes the upper bound of what unknown tasks take from the machines that aren't accounted for. */
-    void countUnaccounted(Iterable<Machine> machines) {
+    void updateUnaccountedCapacity(Iterable<Machine> machines) {
         unaccountedCpus = 0;
         unaccountedGpus = 0;
         for (Machine machine : machines) {
@@ -101,32 +101,33 @@
         String name = team.name();
         double setAsideCpus = spec.service() ? 0 : Math.max(0, reservedCpus.getDouble(name));
         double setAsideGpus = spec.service() ? 0 : Math.max(0, reservedGpus.getDouble(name));
-        return fits(team.cpusMax(), cpus.getDouble(name) + Math.max(0, unknownCpus) + setAsideCpus + spec.cpus())
-                && fits(team.gpusMax(), gpus.getDouble(name) + Math.max(0, unknownGpus) + setAsideGpus + spec.gpus());
+        return withinLimit(team.cpusMax(), cpus.getDouble(name) + Math.max(0, unknownCpus) + setAsideCpus + spec.cpus())
+                && withinLimit(
+                        team.gpusMax(), gpus.getDouble(name) + Math.max(0, unknownGpus) + setAsideGpus + spec.gpus());
     }
 
     /**
      * Whether one more task keeps the team's limit whatever tasks of earlier leaders are still unknown.
      *
-     * @param earlierLeadersKeptLimits whether earlier leaders kept the same limits: then all that they started, the
+     * @param earlierLeadersEnforcedLimits whether earlier leaders kept the same limits: then all that they started, the
      *     found tasks included, takes no more than the limit
      */
-    boolean allowsBeforeReconciliation(Settings.Team team, JobSpec spec, boolean earlierLeadersKeptLimits) {
+    boolean allowsBeforeReconciliation(Settings.Team team, JobSpec spec, boolean earlierLeadersEnforcedLimits) {
         String name = team.name();
         double unknownCpus = Math.min(
                 unaccountedCpus,
-                earlierLeadersKeptLimits ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
+                earlierLeadersEnforcedLimits ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
         double unknownGpus = Math.min(
                 unaccountedGpus,
-                earlierLeadersKeptLimits ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
+                earlierLeadersEnforcedLimits ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
         return allows(team, spec, unknownCpus, unknownGpus);
     }
 
     /** Whether no team's known tasks take more than its limit. */
-    boolean limitsKept(Iterable<Settings.Team> teams) {
+    boolean allTeamsWithinLimits(Iterable<Settings.Team> teams) {
         for (Settings.Team team : teams) {
-            if (!fits(team.cpusMax(), cpus.getDouble(team.name()))
-                    || !fits(team.gpusMax(), gpus.getDouble(team.name()))) {
+            if (!withinLimit(team.cpusMax(), cpus.getDouble(team.name()))
+                    || !withinLimit(team.gpusMax(), gpus.getDouble(team.name()))) {
                 return false;
             }
         }
@@ -134,7 +135,7 @@
     }
 
     /** A limit of 0 or less is none. */
-    private static boolean fits(double limit, double amount) {
-        return limit <= 0 || amount <= limit + SLACK;
+    private static boolean withinLimit(double limit, double amount) {
+        return limit <= 0 || amount <= limit + ROUNDING_TOLERANCE;
     }
 }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -373,10 +373,10 @@
         scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
         scheduler.markTerminated("n-1");
         scheduler.markRegistered(machine);
-        assertFalse(scheduler.outbox().hasFreedRoom(machine));
+        assertFalse(scheduler.outbox().hasFreedCapacity(machine));
         Machine other = reporting();
         scheduler.markRegistered(other);
-        assertTrue(scheduler.outbox().hasFreedRoom(other));
+        assertTrue(scheduler.outbox().hasFreedCapacity(other));
     }
 
     // ---- limits while machines of earlier terms are unheard ----
@@ -394,7 +394,7 @@
     private static Scheduler halfHeard(boolean olderKept, long token) {
         Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
         if (olderKept) {
-            s.quotas().setEarlierLeadersKeptLimits();
+            s.quotas().setEarlierLeadersEnforcedLimits();
         }
         s.addJob(spec("req-000001", 3, false), 1, 2);
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -24,7 +24,7 @@
     private static final MachineType SMALL = new MachineType("s", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final MachineType LARGE = new MachineType("l", 16, 0, 128, 50, 0.5, 2, 0.9, 30, Set.of("a", "b"));
 
-    private static Scheduler world(long seed) {
+    private static Scheduler randomScheduler(long seed) {
         Random random = new Random(seed);
         Settings settings = new SettingsBuilder()
                 .zones(List.of("a", "b"))
@@ -33,12 +33,12 @@
         Scheduler scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
         int machines = 2 + random.nextInt(14);
         for (int i = 0; i < machines; i++) {
-            drawMachine(scheduler, random, i);
+            addRandomMachine(scheduler, random, i);
         }
         // Two rounds, so that the second finds machines in use, jobs that moved and tasks that may be preempted.
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 3 + random.nextInt(6); i++) {
-                JobSpec spec = drawJob(random, "req-" + round + i);
+                JobSpec spec = randomJob(random, "req-" + round + i);
                 Job job = scheduler.addJob(spec, round * 100 + i, 5);
                 if (!spec.service() && random.nextInt(3) == 0) {
                     job.moveToSecondPartition();
@@ -49,14 +49,14 @@
                 for (Machine machine : scheduler.machines()) {
                     scheduler
                             .heartbeats()
-                            .applyHeartbeat(machine, report(machine, 2), true, 1_000 + random.nextInt(5_000));
+                            .applyHeartbeat(machine, heartbeat(machine, 2), true, 1_000 + random.nextInt(5_000));
                 }
             }
         }
         return scheduler;
     }
 
-    private static void drawMachine(Scheduler scheduler, Random random, int index) {
+    private static void addRandomMachine(Scheduler scheduler, Random random, int index) {
         Machine machine = scheduler.addMachine(
                 "n-" + index,
                 random.nextBoolean() ? SMALL : LARGE,
@@ -67,7 +67,7 @@
         if (random.nextInt(10) > 0) {
             machine.markRegistered();
         }
-        scheduler.heartbeats().applyHeartbeat(machine, report(machine, 1), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(machine, 1), true, 0);
         for (int image = 0; image < 3; image++) {
             if (random.nextBoolean()) {
                 machine.images.put("img-" + image, 0);
@@ -75,7 +75,7 @@
         }
     }
 
-    private static JobSpec drawJob(Random random, String id) {
+    private static JobSpec randomJob(Random random, String id) {
         boolean isService = random.nextInt(3) == 0;
         return new JobSpec(
                 id,
@@ -102,7 +102,7 @@
                 Double.NaN);
     }
 
-    private static Heartbeat report(Machine m, long tick) {
+    private static Heartbeat heartbeat(Machine m, long tick) {
         TaskStatus[] tasks = m.assignments.values().stream()
                 .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
@@ -110,17 +110,17 @@
     }
 
     @Test
-    void onePassDecidesWhatThePlainModelDecides() {
+    void schedulingCycleMakesTheSameDecisionsAsTheReferenceModel() {
         int started = 0;
         for (long seed = 0; seed < 3_000; seed++) {
-            Scheduler real = world(seed);
-            Scheduler plain = world(seed);
+            Scheduler real = randomScheduler(seed);
+            Scheduler plain = randomScheduler(seed);
             real.runSchedulingCycle(9_000);
             // The partitions are the real pass's, or the model would have to repeat them.
             real.machines().forEach(m -> plain.machine(m.id).setInFirstPartition(m.isInFirstPartition()));
-            plainPass(plain, 9_000);
-            Map<String, String> where = where(real);
-            assertEquals(where(plain), where, "seed " + seed);
+            runReferenceCycle(plain, 9_000);
+            Map<String, String> where = placements(real);
+            assertEquals(placements(plain), where, "seed " + seed);
             started += where.size();
         }
         assertTrue(started > 30_000, "little was placed: " + started);
@@ -130,7 +130,7 @@
      * Of the machines that come free one after the other, how many go to older work of lower rank beside a flood of
      * higher rank.
      */
-    private static int toTheLower(int teams) {
+    private static int machinesGivenToTheLowPriorityJob(int teams) {
         Map<String, Settings.Team> of = new TreeMap<>();
         for (int i = 0; i < teams; i++) {
             of.put("t" + i, new Settings.Team("t" + i, 0, 0, 0, 0));
@@ -138,19 +138,19 @@
         Settings settings =
                 new SettingsBuilder().zones(List.of("a", "b")).teams(of).build();
         Scheduler s = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
-        Job lower = s.addJob(batch("req-0", JobSpec.Priority.LOW), 0, 5);
-        s.addJob(batch("req-1", JobSpec.Priority.HIGH), 1, 5);
+        Job lower = s.addJob(arrayWithPriority("req-0", JobSpec.Priority.LOW), 0, 5);
+        s.addJob(arrayWithPriority("req-1", JobSpec.Priority.HIGH), 1, 5);
         s.runSchedulingCycle(10);
         for (int i = 0; i < 120; i++) {
             Machine m = s.addMachine("n-" + i, SMALL, "a", false, false, 10);
             m.markRegistered();
-            s.heartbeats().applyHeartbeat(m, report(m, 1), true, 10);
+            s.heartbeats().applyHeartbeat(m, heartbeat(m, 1), true, 10);
             s.scheduleOn(m, 10);
         }
         return lower.assignments.size() / 8;
     }
 
-    private static JobSpec batch(String id, JobSpec.Priority rank) {
+    private static JobSpec arrayWithPriority(String id, JobSpec.Priority rank) {
         return new JobSpec(
                 id,
                 "batch",
@@ -176,12 +176,12 @@
 
     /** Strict rank gave a lower class nothing for as long as a flood lasted; with one team nothing may change. */
     @Test
-    void aFloodOfHigherRankLeavesOlderWorkItsFloor() {
-        assertEquals(0, toTheLower(1));
-        assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_EVERY, toTheLower(2));
+    void olderLowPriorityJobGetsAShareOfFreedMachinesIfThereAreSeveralTeams() {
+        assertEquals(0, machinesGivenToTheLowPriorityJob(1));
+        assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_EVERY, machinesGivenToTheLowPriorityJob(2));
     }
 
-    private static Map<String, String> where(Scheduler s) {
+    private static Map<String, String> placements(Scheduler s) {
         Map<String, String> where = new TreeMap<>();
         s.machines()
                 .forEach(m -> m.assignments
@@ -190,7 +190,7 @@
         return where;
     }
 
-    private static void plainPass(Scheduler s, long now) {
+    private static void runReferenceCycle(Scheduler s, long now) {
         Comparator<Job> order = Comparator.<Job, Integer>comparing(
                         j -> j.spec.priority().ordinal())
                 .thenComparing(j -> j.arrivalRevision);
@@ -201,7 +201,9 @@
                     .toList()) {
                 for (int i = 0; i < job.spec.tasks(); i++) {
                     if (job.pendingTasks.get(i)
-                            && !(job.spec.service() ? service(s, job, i, now) : array(s, job, i, second, now))) {
+                            && !(job.spec.service()
+                                    ? startServiceTask(s, job, i, now)
+                                    : startArrayTask(s, job, i, second, now))) {
                         break;
                     }
                 }
@@ -209,7 +211,7 @@
         }
     }
 
-    private static List<Machine> possible(Scheduler s, Job job) {
+    private static List<Machine> allowedMachines(Scheduler s, Job job) {
         if (!s.quotas().withinLimit(job.spec)) {
             return List.of();
         }
@@ -228,7 +230,7 @@
                 .toList();
     }
 
-    private static double fetch(JobSpec spec, Machine m) {
+    private static double fetchSeconds(JobSpec spec, Machine m) {
         long starting = m.liveAssignments().stream()
                 .filter(p -> p.state() == State.LAUNCHING || p.state() == State.PULLING_IMAGE)
                 .count();
@@ -240,20 +242,20 @@
                 : spec.imageGb() / m.type.fetchGbPerS() * (same ? 0.6 : 1 + 0.5 * Math.min(4, starting));
     }
 
-    private static boolean array(Scheduler s, Job job, int index, boolean second, long now) {
+    private static boolean startArrayTask(Scheduler s, Job job, int index, boolean second, long now) {
         long idleFirst = s.machines().stream()
                 .filter(m -> m.isInFirstPartition() && m.schedulable() && m.idle())
                 .count();
         for (boolean own : new boolean[] {true, false}) {
             Machine best = null;
             double bestScore = 0;
-            for (Machine m : possible(s, job)) {
+            for (Machine m : allowedMachines(s, job)) {
                 boolean lent =
                         !second || idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
                 if (m.isInFirstPartition() == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
                     continue;
                 }
-                double score = -fetch(job.spec, m) + 2 * m.usedCpus() / m.type.cpus() + (m.spot ? 3 : 0);
+                double score = -fetchSeconds(job.spec, m) + 2 * m.usedCpus() / m.type.cpus() + (m.spot ? 3 : 0);
                 if (best == null || score > bestScore) {
                     best = m;
                     bestScore = score;
@@ -267,7 +269,7 @@
         return false;
     }
 
-    private static boolean service(Scheduler s, Job job, int index, long now) {
+    private static boolean startServiceTask(Scheduler s, Job job, int index, long now) {
         Machine best = null;
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
@@ -279,7 +281,7 @@
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
         }
-        for (Machine m : possible(s, job)) {
+        for (Machine m : allowedMachines(s, job)) {
             List<Assignment> lower = new ArrayList<>(m.liveAssignments().stream()
                     .filter(p -> !p.stopRequested()
                             && !(p.state() == State.LAUNCHING && p.launchMayStillExecute())
@@ -307,7 +309,7 @@
                     .filter(p -> p.job != job && p.job.spec.service())
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
-            double score = -fetch(job.spec, m)
+            double score = -fetchSeconds(job.spec, m)
                     - mine * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
                     - others / Math.max(1, all) * SchedulingConstants.SERVICE_SPREAD_S
                     - lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
--- a/src/test/java/org/hollypick/core/SettingsBuilder.java
+++ b/src/test/java/org/hollypick/core/SettingsBuilder.java
@@ -74,7 +74,7 @@
     }
 
     /** Addresses of the cloud provider and of the key-value store. */
-    public SettingsBuilder services(String cloudAddress, String storeAddress) {
+    public SettingsBuilder externalServices(String cloudAddress, String storeAddress) {
         cloud = cloudAddress;
         state = storeAddress;
         return this;
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -131,7 +131,7 @@
 
     private static void graph(Scheduler s, List<NodeSpec> nodes) {
         Job[] job = {null};
-        Graph g = new Graph(3, i -> s.release(job[0], i));
+        Graph g = new Graph(3, i -> s.releaseTask(job[0], i));
         job[0] = s.addJob(spec(1), g, 1, 5);
         g.append(nodes, null, null);
         g.markDurable(nodes.size());
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -77,7 +77,7 @@
             if (asGraph && drawnAsGraph) {
                 Job[] job = {null};
                 // an array's tasks are tried again for ever
-                Graph g = new Graph(Integer.MAX_VALUE, i -> scheduler.release(job[0], i));
+                Graph g = new Graph(Integer.MAX_VALUE, i -> scheduler.releaseTask(job[0], i));
                 job[0] = scheduler.addJob(one, g, number, 5);
                 List<NodeSpec> nodes = new ArrayList<>();
                 for (int i = 0; i < tasks; i++) {
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -225,7 +225,7 @@
                                 new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
                         true,
                         500);
-        scheduler.heartbeats().incarnationRestarted(machine, report(1, 1, TOKEN), 1_000);
+        scheduler.heartbeats().applyAgentRestart(machine, report(1, 1, TOKEN), 1_000);
         assertTrue(job.pendingTasks.get(0));
         assertFalse(machine.schedulable());
     }
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -192,7 +192,7 @@
                         SimulatedController.publicAddress(index),
                         SimulatedController.peerAddress(index))
                 .siblings(siblings)
-                .services(CLOUD_ADDRESS, STORE_ADDRESS)
+                .externalServices(CLOUD_ADDRESS, STORE_ADDRESS)
                 .zones(ZONES)
                 .teamsWithLimit(List.of(JobDescription.DEFAULT_TEAM), TEAM_CORES * size)
                 .leaseS(leaseMs / 1000.0)
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -92,7 +92,7 @@
         return new SettingsBuilder()
                 .controller("n1", "n1:1", "n1:2")
                 .siblings(others)
-                .services("cloud:1", "state:1")
+                .externalServices("cloud:1", "state:1")
                 .storeRates(REQUESTS_PER_SECOND, CHANGES_PER_SECOND)
                 .build();
     }
