--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -80,7 +80,7 @@
         if (term != null) {
             term.recordsChanged(keys);
         } else {
-            dependencies.takeChanged(); // a term starts from all of them
+            dependencies.takeChangedJobs(); // a term starts from all of them
         }
     }
 
--- a/src/main/java/org/hollypick/api/CompletionEstimates.java
+++ b/src/main/java/org/hollypick/api/CompletionEstimates.java
@@ -104,7 +104,7 @@
             return ServerResponse.of(200, body.put(REASON, "a service runs until it is cancelled"));
         }
         CompletionEstimate.Answer estimate = new CompletionEstimate(
-                        term.scheduler(), term.scheduler().estimates(), dependencies::awaited, eventLoop.now())
+                        term.scheduler(), term.scheduler().estimates(), dependencies::liveDependencies, eventLoop.now())
                 .of(job);
         write(estimate, body);
         return ServerResponse.of(200, body);
--- a/src/main/java/org/hollypick/api/JobStatus.java
+++ b/src/main/java/org/hollypick/api/JobStatus.java
@@ -70,12 +70,12 @@
 
     /** The status of a live job that this controller schedules. */
     static JobStatus ofLive(Job job) {
-        return new JobStatus(job.spec.id(), liveState(job), job.completedTasks.cardinality(), job.running());
+        return new JobStatus(job.spec.id(), liveState(job), job.completedTasks.cardinality(), job.runningTasks());
     }
 
     /** The state of a live job that this controller schedules. */
     static State liveState(Job job) {
-        return job.running() > 0 ? State.RUNNING : State.PENDING;
+        return job.runningTasks() > 0 ? State.RUNNING : State.PENDING;
     }
 
     /** The response to a query of the status. */
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -65,7 +65,7 @@
 
         private void add(Job job) {
             boolean service = job.spec.service();
-            job.forEachWaiting((spec, count) -> {
+            job.forEachPendingSpec((spec, count) -> {
                 if (service) {
                     serviceCores += count * spec.cpus();
                 } else {
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -160,7 +160,7 @@
 
     /** Terminal records that are durable make the jobs that depend on them ready, or cancel them too. */
     void applyDependencyChanges() {
-        for (String id : dependencies.takeChanged()) {
+        for (String id : dependencies.takeChangedJobs()) {
             Job job = scheduler.job(id);
             if (job != null && dependencies.isCancelled(id)) {
                 jobTermination.markTerminal(job, TerminalStatus.CANCELLED);
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -64,9 +64,9 @@
         if (!JobRecordCodec.isTerminal(record)) {
             dependencies.addLive(id, priority(record), JobRecordCodec.dependencies(record, replica));
         } else if (JobRecordCodec.status(record) == TerminalStatus.COMPLETED) {
-            dependencies.done(id);
+            dependencies.markDone(id);
         } else {
-            dependencies.cancelled(id);
+            dependencies.markCancelled(id);
         }
     }
 
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -103,10 +103,10 @@
         finishedJobWriter.jobTerminated(id);
         if (status == TerminalStatus.CANCELLED) {
             scheduler.markCancelled(job);
-            dependencies.cancelled(id);
+            dependencies.markCancelled(id);
         } else {
             scheduler.markDone(job);
-            dependencies.done(id);
+            dependencies.markDone(id);
         }
         PendingCancellation cancellation = pendingCancellations.remove(id);
         if (cancellation != null) {
--- a/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
@@ -81,6 +81,6 @@
     /** Whether the job may be terminal by a write that is unresolved: its own, or the cancellation of a dependency. */
     boolean hasUnresolvedWrite(Job job) {
         return job.hasUnresolvedTerminalWrites()
-                || (hasUnresolvedCancellations() && dependencies.needsAny(job.spec.id(), unresolvedCancellations));
+                || (hasUnresolvedCancellations() && dependencies.dependsOnAny(job.spec.id(), unresolvedCancellations));
     }
 }
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -158,15 +158,15 @@
         } else {
             assignment.machine.release(assignment);
             if (completesTask(assignment.job, status)) {
-                completed(assignment, now);
+                taskCompleted(assignment, now);
             } else {
-                exitedIncomplete(assignment, status.why(), now);
+                endedWithoutCompletion(assignment, status.why(), now);
             }
-            freeTask(assignment);
+            releaseTask(assignment);
         }
     }
 
-    private void completed(Assignment assignment, long now) {
+    private void taskCompleted(Assignment assignment, long now) {
         Job job = assignment.job;
         int index = assignment.index;
         boolean first = !job.completedTasks.get(index);
@@ -183,13 +183,13 @@
         }
         if (first) {
             scheduler.outbox().addNewCompletions(job);
-            accountRuntime(assignment, now);
+            recordRuntime(assignment, now);
         }
         FaultAttribution.taskCompleted(assignment.machine, job, assignment.startedAt);
     }
 
     /** Adds a completed task's runtime to the estimates and to the attained service that Tyrex orders jobs by. */
-    private void accountRuntime(Assignment assignment, long now) {
+    private void recordRuntime(Assignment assignment, long now) {
         double runtimeS = assignment.hasRun() ? assignment.runtimeS(now) : assignment.spec.estimateS();
         assignment.job.addAttainedService(runtimeS);
         if (assignment.hasRun()) {
@@ -200,9 +200,9 @@
         }
     }
 
-    private void exitedIncomplete(Assignment assignment, String reason, long now) {
+    private void endedWithoutCompletion(Assignment assignment, String reason, long now) {
         assignment.markRemovable();
-        observeInterrupted(assignment, now);
+        recordCensoredRuntime(assignment, now);
         faultAttribution.taskFailed(assignment.machine, assignment.job, assignment.index, reason, now);
         if (REASON_ERROR.equals(reason)) {
             assignment.job.taskFailed(assignment.index);
@@ -222,26 +222,26 @@
     /** Nothing of the assignment can be on its machine any more. */
     void remove(Assignment assignment) {
         if (assignment.mayExist()) {
-            observeInterrupted(assignment, scheduler.lastEventAt());
+            recordCensoredRuntime(assignment, scheduler.lastEventAt());
         }
         assignment.machine.assignments.remove(assignment.attempt);
         assignment.machine.release(assignment);
         assignment.job.uncommittedAssignments.remove(assignment);
         if (assignment.mayExist()) {
             assignment.transitionTo(State.EXITED, scheduler.lastEventAt());
-            freeTask(assignment);
+            releaseTask(assignment);
         }
     }
 
     /** The task would have run for longer: a censored observation for the estimates. */
-    private void observeInterrupted(Assignment assignment, long now) {
+    private void recordCensoredRuntime(Assignment assignment, long now) {
         if (assignment.hasRun()) {
             scheduler.estimates().observe(assignment.spec, assignment.machine.id, assignment.runtimeS(now), true);
         }
     }
 
     /** The task waits again, unless it was completed or cancelled. */
-    private void freeTask(Assignment assignment) {
+    private void releaseTask(Assignment assignment) {
         Job job = assignment.job;
         if (job.unassign(assignment)) {
             teamUsage.add(assignment.spec, -1);
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -64,7 +64,7 @@
     /** Records that the commands go out in the response to a heartbeat. */
     public void sentInHeartbeatResponse(Machine machine, List<Command> commands) {
         for (Command command : commands) {
-            Assignment assignment = launchedBy(command, machine);
+            Assignment assignment = assignmentToLaunch(command, machine);
             if (assignment != null) {
                 assignment.launchSentInHeartbeatResponse();
             }
@@ -75,7 +75,7 @@
     public void sentDirectly(Machine machine, List<Command> commands) {
         machine.directCalls.beginDirectCall();
         for (Command command : commands) {
-            Assignment assignment = launchedBy(command, machine);
+            Assignment assignment = assignmentToLaunch(command, machine);
             if (assignment != null) {
                 assignment.launchSentDirectly();
             }
@@ -92,7 +92,7 @@
         machine.directCalls.endDirectCall();
         boolean mayExecuteLate = !settled && machine.incarnation() == incarnation;
         for (Command command : commands) {
-            Assignment assignment = launchedBy(command, machine);
+            Assignment assignment = assignmentToLaunch(command, machine);
             if (assignment != null) {
                 assignment.directLaunchCompleted(mayExecuteLate);
             }
@@ -100,7 +100,7 @@
     }
 
     /** @return the assignment that the command launches; null for other commands, or if it was removed since */
-    private static Assignment launchedBy(Command command, Machine machine) {
+    private static Assignment assignmentToLaunch(Command command, Machine machine) {
         return command.verb() == Verb.LAUNCH ? machine.assignmentOf(command.task(), command.attempt()) : null;
     }
 
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -62,8 +62,9 @@
     private static void backOff(Job job, int index, long now) {
         long wait = Math.min(
                 FaultConstants.TASK_BACKOFF_MAX_MS,
-                FaultConstants.TASK_BACKOFF_MS << Math.min(job.failures(), FaultConstants.MAX_BACKOFF_DOUBLINGS));
-        job.retryNotBefore.put(index, now + (job.failures() <= 1 ? 0 : wait));
+                FaultConstants.TASK_BACKOFF_MS
+                        << Math.min(job.consecutiveFailures(), FaultConstants.MAX_BACKOFF_DOUBLINGS));
+        job.retryNotBefore.put(index, now + (job.consecutiveFailures() <= 1 ? 0 : wait));
     }
 
     /**
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -44,13 +44,13 @@
     /** By task index: when a task that failed may start again, in milliseconds. */
     public final Int2LongOpenHashMap retryNotBefore = new Int2LongOpenHashMap();
     /** Launches of each task that agents refused since one was accepted. */
-    private final Int2IntOpenHashMap refusals = new Int2IntOpenHashMap();
+    private final Int2IntOpenHashMap launchRefusals = new Int2IntOpenHashMap();
 
     /** Machines on which its tasks failed since one was last completed; several of them speak against the job. */
     public final Set<String> failedMachines = new HashSet<>();
 
     /** Null if all tasks are as {@link #spec} says. */
-    private final TaskSet set;
+    private final TaskSet taskSet;
 
     private final Object2IntOpenHashMap<String> assignedByZone = new Object2IntOpenHashMap<>();
     private Status status = Status.LIVE;
@@ -58,9 +58,9 @@
     private JobSpec.Priority priority;
     private boolean cancellationRequested;
     private BitSet durablyCompleted = new BitSet();
-    private int running;
-    private int failures;
-    private boolean inSecondPartitionByTyrex;
+    private int runningTasks;
+    private int consecutiveFailures;
+    private boolean movedToSecondPartition;
     private double attainedServiceS;
     private boolean terminalWriteInFlight;
     private int unresolvedTerminalWrites;
@@ -74,13 +74,13 @@
     /** A job whose tasks differ; each becomes pending by {@link Scheduler#releaseTask}. */
     public Job(
             JobSpec spec,
-            TaskSet set,
+            TaskSet taskSet,
             long arrivalRevision,
             long createdUnderToken,
             boolean ready,
             JobSpec.Priority priority) {
         this.spec = spec;
-        this.set = set;
+        this.taskSet = taskSet;
         this.ready = ready;
         this.priority = priority;
         this.arrivalRevision = arrivalRevision;
@@ -175,27 +175,27 @@
 
     /** What the task requires and where it may run. */
     public JobSpec spec(int index) {
-        return set == null ? spec : set.spec(index);
+        return taskSet == null ? spec : taskSet.spec(index);
     }
 
     /** The number of tasks, as far as it is known. */
     public int tasks() {
-        return set == null ? spec.tasks() : set.count();
+        return taskSet == null ? spec.tasks() : taskSet.count();
     }
 
     /** The number of tasks that wait for others of the same job. */
     public int unreleasedTasks() {
-        return set == null ? 0 : set.unreleasedTasks();
+        return taskSet == null ? 0 : taskSet.unreleasedTasks();
     }
 
     /** Whether tasks may be added. */
     public boolean mayGrow() {
-        return set != null;
+        return taskSet != null;
     }
 
     /** Whether its tasks differ in what they require. */
     public boolean isHeterogeneous() {
-        return set != null && set.isHeterogeneous();
+        return taskSet != null && taskSet.isHeterogeneous();
     }
 
     /** Whether the task may still start. */
@@ -203,7 +203,7 @@
         return status == Status.LIVE
                 && !cancellationRequested
                 && !completedTasks.get(index)
-                && (set == null || set.mayStart(index));
+                && (taskSet == null || taskSet.mayStart(index));
     }
 
     /** The tasks whose completion is durable; a task added here is followed by {@link #completionsCommitted}. */
@@ -218,24 +218,24 @@
 
     /** {@link #durablyCompleted} holds more than before. */
     void completionsCommitted() {
-        if (set != null) {
-            set.completionsCommitted(durablyCompleted);
+        if (taskSet != null) {
+            taskSet.completionsCommitted(durablyCompleted);
         }
     }
 
     /** Whether the finished job completed all of its tasks. */
     public boolean isSuccessful() {
-        return set == null || set.isSuccessful();
+        return taskSet == null || taskSet.isSuccessful();
     }
 
     void taskFailed(int index) {
-        if (set != null) {
-            set.taskFailed(index);
+        if (taskSet != null) {
+            taskSet.taskFailed(index);
         }
     }
 
     /** Passes on the number of pending tasks of each kind. */
-    public void forEachWaiting(ObjIntConsumer<JobSpec> each) {
+    public void forEachPendingSpec(ObjIntConsumer<JobSpec> each) {
         if (!isHeterogeneous()) {
             if (!pendingTasks.isEmpty()) {
                 each.accept(spec(pendingTasks.nextSetBit(0)), pendingTasks.cardinality());
@@ -243,7 +243,7 @@
             return;
         }
         Map<JobSpec, int[]> counts = new IdentityHashMap<>();
-        pendingTasks.stream().forEach(i -> counts.computeIfAbsent(set.spec(i), k -> new int[1])[0]++);
+        pendingTasks.stream().forEach(i -> counts.computeIfAbsent(taskSet.spec(i), k -> new int[1])[0]++);
         counts.forEach((spec, count) -> each.accept(spec, count[0]));
     }
 
@@ -269,39 +269,39 @@
     }
 
     /** Tasks that were last reported as running or saving a checkpoint. */
-    public int running() {
-        return running;
+    public int runningTasks() {
+        return runningTasks;
     }
 
     /** A task began ({@code 1}) or ceased ({@code -1}) to run; 0 changes nothing. */
-    public void countRunning(int change) {
-        running += change;
+    public void changeRunningCount(int change) {
+        runningTasks += change;
     }
 
     // ---- failures ----
 
     /** Failures since a task was last completed. */
-    public int failures() {
-        return failures;
+    public int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
     void recordFailure() {
-        failures++;
+        consecutiveFailures++;
     }
 
     void recordSuccess() {
-        failures = 0;
+        consecutiveFailures = 0;
         failedMachines.clear();
     }
 
     /** An agent refused to launch the task; returns how often that happened since it was last accepted. */
     int recordRefusal(int index) {
-        return refusals.addTo(index, 1) + 1;
+        return launchRefusals.addTo(index, 1) + 1;
     }
 
     /** An agent accepted the task. */
     void clearRefusals(int index) {
-        refusals.remove(index);
+        launchRefusals.remove(index);
     }
 
     /**
@@ -325,33 +325,33 @@
 
     /** Its attained service exceeds the cutoff of the first partition; it counts anew in the second. */
     void moveToSecondPartition() {
-        inSecondPartitionByTyrex = true;
+        movedToSecondPartition = true;
         attainedServiceS = 0;
     }
 
     /** Whether it has attained service to record. */
     boolean hasAttainedService() {
-        return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || inSecondPartitionByTyrex);
+        return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || movedToSecondPartition);
     }
 
     /** Its attained service as recorded: in seconds, or, in the second partition, minus one minus the seconds. */
     double recordedAttainedService() {
-        return inSecondPartitionByTyrex ? -1 - attainedServiceS : attainedServiceS;
+        return movedToSecondPartition ? -1 - attainedServiceS : attainedServiceS;
     }
 
     /** Reverses {@link #recordedAttainedService}. */
     void restoreAttainedService(double recorded) {
-        inSecondPartitionByTyrex = recorded < 0;
+        movedToSecondPartition = recorded < 0;
         attainedServiceS = recorded < 0 ? -1 - recorded : recorded;
     }
 
     /** Whether it is scheduled in the second Tyrex partition, as all services are. */
     public boolean inSecondPartition() {
-        return spec.service() || inSecondPartitionByTyrex;
+        return spec.service() || movedToSecondPartition;
     }
 
     /** The number of its tasks that may be in the zone. */
-    public int inZone(String zone) {
+    public int assignedInZone(String zone) {
         return assignedByZone.getInt(zone);
     }
 
@@ -363,6 +363,8 @@
     /** Whether all tasks of an array ended; services never finish. */
     public boolean isFinished() {
         return !spec.service()
-                && (set == null ? completedTasks.cardinality() == spec.tasks() : set.isFinished(completedTasks));
+                && (taskSet == null
+                        ? completedTasks.cardinality() == spec.tasks()
+                        : taskSet.isFinished(completedTasks));
     }
 }
--- a/src/main/java/org/hollypick/core/JobDependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -83,7 +83,7 @@
             }
         }
         if (dependencyCancelled) {
-            cancelled(id);
+            markCancelled(id);
         } else {
             raisePriority(job, priority);
             raisePriorityOfDependencies(job);
@@ -98,7 +98,7 @@
     }
 
     /** It is durable that the job completed. */
-    public void done(String id) {
+    public void markDone(String id) {
         Vertex job = vertex(id);
         if (!job.isLive()) {
             return;
@@ -119,7 +119,7 @@
     }
 
     /** It is durable that the job is cancelled, and with it all jobs that depend on it, directly or indirectly. */
-    public void cancelled(String id) {
+    public void markCancelled(String id) {
         ArrayDeque<Vertex> queue = new ArrayDeque<>();
         queue.add(vertex(id));
         while (!queue.isEmpty()) {
@@ -191,7 +191,7 @@
     }
 
     /** The job's direct dependencies that are live. */
-    public List<String> awaited(String id) {
+    public List<String> liveDependencies(String id) {
         Vertex job = vertices.get(id);
         List<String> liveDependencies = new ArrayList<>();
         if (job != null) {
@@ -211,7 +211,7 @@
     }
 
     /** Whether the job depends on one of {@code ids}, directly or indirectly. */
-    public boolean needsAny(String id, Set<String> ids) {
+    public boolean dependsOnAny(String id, Set<String> ids) {
         Set<Vertex> visited = new LinkedHashSet<>();
         ArrayDeque<Vertex> queue = new ArrayDeque<>();
         if (vertices.containsKey(id)) {
@@ -233,7 +233,7 @@
     /**
      * Returns, once each, the jobs that became known, ready or cancelled or whose priority rose since the last call.
      */
-    public Set<String> takeChanged() {
+    public Set<String> takeChangedJobs() {
         Set<String> taken = changedJobs;
         changedJobs = new LinkedHashSet<>();
         return taken;
--- a/src/main/java/org/hollypick/core/JobSpec.java
+++ b/src/main/java/org/hollypick/core/JobSpec.java
@@ -24,7 +24,7 @@
  * @param estimateS the expected run time of a task, in seconds
  * @param checkpointIntervalS the time between a task's checkpoints, in seconds
  * @param checkpointSaveS how long a task takes to save its state, in seconds
- * @param dueS the deadline, in seconds; NaN for none
+ * @param deadlineS the deadline, in seconds; NaN for none
  */
 public record JobSpec(
         String id,
@@ -46,7 +46,7 @@
         double estimateS,
         double checkpointIntervalS,
         double checkpointSaveS,
-        double dueS) {
+        double deadlineS) {
 
     /** Priorities, the highest first. */
     public enum Priority {
--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -77,10 +77,10 @@
             runningAt = now;
         }
         machine.count(this, -1);
-        job.countRunning(holdsImage() ? -1 : 0);
+        job.changeRunningCount(holdsImage() ? -1 : 0);
         state = next;
         machine.count(this, 1);
-        job.countRunning(holdsImage() ? 1 : 0);
+        job.changeRunningCount(holdsImage() ? 1 : 0);
     }
 
     /** Whether the task may be on the machine. */
--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -70,7 +70,7 @@
     }
 
     private static int pendingTasks(Job job) {
-        return job.failures() > MAX_FAILURES ? 0 : job.pendingTasks.cardinality();
+        return job.consecutiveFailures() > MAX_FAILURES ? 0 : job.pendingTasks.cardinality();
     }
 
     // ---- services ----
@@ -116,7 +116,10 @@
         for (String zone : zones) {
             if (spec.zone() == null || spec.zone().equals(zone)) {
                 weights.put(
-                        zone, spec.spreadOverZones() ? Math.max(0.0, (spec.tasks() + 1) / 2 - job.inZone(zone)) : 1.0);
+                        zone,
+                        spec.spreadOverZones()
+                                ? Math.max(0.0, (spec.tasks() + 1) / 2 - job.assignedInZone(zone))
+                                : 1.0);
             }
         }
         return weights;
@@ -189,7 +192,7 @@
         if (pendingTasks(job) > 0) {
             hasPendingArrays = true;
             double allowedBefore = allowedArrayCoresByTeam.getDouble(job.spec.team());
-            job.forEachWaiting(this::addPendingTasks);
+            job.forEachPendingSpec(this::addPendingTasks);
             anyAllowed = allowedArrayCoresByTeam.getDouble(job.spec.team()) > allowedBefore;
         }
         chooseArraySpec(job, anyAllowed);
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -220,7 +220,7 @@
         CoreSeconds ahead = new CoreSeconds();
         for (Job other : scheduler.jobs()) {
             if (other != job && isAhead(other, job)) {
-                other.forEachWaiting(
+                other.forEachPendingSpec(
                         (spec, count) -> ahead.total += count * spec.cpus() * scheduler.expectedRunS(spec));
             }
         }
--- a/src/main/java/org/hollypick/core/estimate/RemainingWork.java
+++ b/src/main/java/org/hollypick/core/estimate/RemainingWork.java
@@ -25,7 +25,7 @@
 
     RemainingWork(Job job, Estimates estimates) {
         this.estimates = estimates;
-        job.forEachWaiting(this::addPending);
+        job.forEachPendingSpec(this::addPending);
         this.nextSpec = job.tasks() > 0 ? job.spec(Math.max(0, job.pendingTasks.nextSetBit(0))) : job.spec;
         this.aggregatedCoreSeconds += job.unreleasedTasks()
                 * nextSpec.cpus()
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -45,10 +45,10 @@
                 || (machine.spot && !spec.spotAllowed())) {
             return false;
         }
-        if (spec.spreadOverZones() && job.inZone(machine.zone) + 1 > (spec.tasks() + 1) / 2) {
+        if (spec.spreadOverZones() && job.assignedInZone(machine.zone) + 1 > (spec.tasks() + 1) / 2) {
             return false;
         }
-        return !spec.oneZone() || job.inZone(machine.zone) == job.assignments.size();
+        return !spec.oneZone() || job.assignedInZone(machine.zone) == job.assignments.size();
     }
 
     /** Whether the machine takes new tasks now; one that is on trial takes one at a time. */
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -228,8 +228,8 @@
                 .put(ESTIMATE_SECONDS, spec.estimateS())
                 .put(CHECKPOINT_INTERVAL_SECONDS, spec.checkpointIntervalS())
                 .put(SAVE_SECONDS, spec.checkpointSaveS());
-        if (!Double.isNaN(spec.dueS())) {
-            body.put(DUE_SECONDS, spec.dueS());
+        if (!Double.isNaN(spec.deadlineS())) {
+            body.put(DUE_SECONDS, spec.deadlineS());
         }
         return body;
     }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -63,18 +63,18 @@
     }
 
     /** A new machine of this term that is registered and has reported. */
-    private Machine reporting() {
+    private Machine reportingMachine() {
         Machine machine = machine("n-1", false);
         machine.markRegistered();
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 1, 5), true, 0);
         return machine;
     }
 
-    private static Heartbeat report(String id, long session, long tick, long token, TaskStatus... tasks) {
+    private static Heartbeat heartbeat(String id, long session, long tick, long token, TaskStatus... tasks) {
         return new Heartbeat(id, "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
     }
 
-    private Assignment launched(Job job, Machine machine, long now) {
+    private Assignment assignFirstTask(Job job, Machine machine, long now) {
         scheduler.runSchedulingCycle(now);
         Assignment p = job.assignments.get(0);
         assertNotNull(p);
@@ -82,7 +82,7 @@
         return p;
     }
 
-    private static long clears(List<Command> commands) {
+    private static long countClears(List<Command> commands) {
         return commands.stream().filter(o -> o.verb() == Command.Verb.CLEAR).count();
     }
 
@@ -91,12 +91,12 @@
      * its tasks.
      */
     @Test
-    void aSessionKnownFromADirectAnswerHasItsFullLease() {
-        Machine machine = reporting();
+    void incarnationFirstSeenInDirectResponseHasFullLease() {
+        Machine machine = reportingMachine();
         machine.clearHeartbeatAcknowledgement();
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 2, 2, 5), false, LEASE_MS + 10_000);
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        launched(job, machine, LEASE_MS + 10_000);
+        assignFirstTask(job, machine, LEASE_MS + 10_000);
         scheduler.expireLeases(LEASE_MS + 11_000);
         assertNotNull(job.assignments.get(0));
         scheduler.expireLeases(2 * LEASE_MS + 12_000);
@@ -104,74 +104,74 @@
     }
 
     @Test
-    void anAttemptIsNotClearedWhileACopyOfItsLaunchMayFollow() {
-        Machine machine = reporting();
+    void attemptIsNotClearedWhileItsDirectLaunchMayStillExecute() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = launched(job, machine, 0);
+        Assignment p = assignFirstTask(job, machine, 0);
         List<Command> commands = scheduler.commands().pendingCommands(machine);
         scheduler.commands().sentDirectly(machine, commands);
         scheduler.commands().directCallCompleted(machine, commands, 1, false);
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), true, 1_000);
-        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, failed), true, 1_000);
+        assertEquals(0, countClears(scheduler.commands().pendingCommands(machine)));
         assertTrue(job.pendingTasks.get(0), "an exited attempt can't start again, so the task is free");
     }
 
     /** The answer to a report may still be under way when a direct order has run and ended the same attempt. */
     @Test
-    void anAttemptIsNotClearedWhileTheAnswerThatCarriesItIsUnderWay() {
-        Machine machine = reporting();
+    void attemptIsNotClearedWhileHeartbeatResponseWithItsLaunchIsInFlight() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = launched(job, machine, 0);
+        Assignment p = assignFirstTask(job, machine, 0);
         scheduler
                 .commands()
                 .sentInHeartbeatResponse(machine, scheduler.commands().pendingCommands(machine));
         TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, failed), false, 100);
-        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 3, 5, failed), true, 3_000);
-        assertEquals(1, clears(scheduler.commands().pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, failed), false, 100);
+        assertEquals(0, countClears(scheduler.commands().pendingCommands(machine)));
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 3, 5, failed), true, 3_000);
+        assertEquals(1, countClears(scheduler.commands().pendingCommands(machine)));
     }
 
     @Test
-    void aDoneAttemptIsClearedOnlyWhenItsProgressIsDurable() {
-        Machine machine = reporting();
+    void completedAttemptIsClearedOnlyOnceCompletionIsDurable() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = launched(job, machine, 0);
+        Assignment p = assignFirstTask(job, machine, 0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")),
+                        heartbeat("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")),
                         true,
                         100);
         assertTrue(job.isFinished());
-        assertEquals(0, clears(scheduler.commands().pendingCommands(machine)));
+        assertEquals(0, countClears(scheduler.commands().pendingCommands(machine)));
         scheduler.markDone(job);
-        assertEquals(1, clears(scheduler.commands().pendingCommands(machine)));
+        assertEquals(1, countClears(scheduler.commands().pendingCommands(machine)));
     }
 
     @Test
-    void afterATakeoverOlderJobsWaitForEveryRegisteredMachine() {
+    void olderJobsWaitForAllRegisteredMachinesAfterFailover() {
         Machine heard = machine("n-1", true);
         Machine silent = machine("n-2", true);
-        scheduler.heartbeats().applyHeartbeat(heard, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(heard, heartbeat("n-1", 1, 1, 5), true, 0);
         Job older = scheduler.addJob(spec("req-1", 1, false), 1, 4);
         Job younger = scheduler.addJob(spec("req-2", 1, false), 6, 5);
         scheduler.runSchedulingCycle(0);
         assertNull(older.assignments.get(0));
         assertNotNull(younger.assignments.get(0));
         // a report made before the new token was seen proves nothing: an older order may still be executed
-        scheduler.heartbeats().applyHeartbeat(silent, report("n-2", 1, 1, 4), true, 1_000);
+        scheduler.heartbeats().applyHeartbeat(silent, heartbeat("n-2", 1, 1, 4), true, 1_000);
         scheduler.runSchedulingCycle(1_000);
         assertNull(older.assignments.get(0));
-        scheduler.heartbeats().applyHeartbeat(silent, report("n-2", 1, 2, 5), true, 2_000);
+        scheduler.heartbeats().applyHeartbeat(silent, heartbeat("n-2", 1, 2, 5), true, 2_000);
         scheduler.runSchedulingCycle(2_000);
         assertNotNull(older.assignments.get(0));
     }
 
     @Test
-    void aMachineThatNeverReportsIsEmptyWhenItsLeaseMustBeOver() {
+    void reconciliationCompletesOnceLeaseOfSilentMachineHasExpired() {
         machine("n-1", true);
         scheduler.expireLeases(LEASE_MS);
         assertFalse(scheduler.reconciliationComplete());
@@ -180,30 +180,30 @@
     }
 
     @Test
-    void reportsOfAnExpiredSessionSayNothing() {
-        Machine machine = reporting();
+    void heartbeatOfExpiredIncarnationIsIgnored() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = launched(job, machine, 0);
+        Assignment p = assignFirstTask(job, machine, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
         assertFalse(scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
+                        heartbeat("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
                         true,
                         LEASE_MS + 3_000));
         assertTrue(job.pendingTasks.get(0));
     }
 
     @Test
-    void unsignedTicksAndSessionsCompareAsUnsigned() {
-        assertTrue(report("n", 1, Long.MIN_VALUE, 0).newerThan(1, Long.MAX_VALUE));
-        assertFalse(report("n", 1, 5, 0).newerThan(1, -1));
-        assertTrue(report("n", -1, 0, 0).newerThan(1, -1));
+    void sequencesAndIncarnationsCompareAsUnsigned() {
+        assertTrue(heartbeat("n", 1, Long.MIN_VALUE, 0).newerThan(1, Long.MAX_VALUE));
+        assertFalse(heartbeat("n", 1, 5, 0).newerThan(1, -1));
+        assertTrue(heartbeat("n", -1, 0, 0).newerThan(1, -1));
     }
 
     @Test
-    void limitsCountEveryTaskThatMayBeThere() {
+    void quotaCountsEveryTaskThatMayBeOnAMachine() {
         Scheduler limited = new Scheduler(
                 5,
                 settings(Map.of("team", new Settings.Team("team", 0, 4, 0, 0))),
@@ -211,7 +211,7 @@
                 new WorkerLeases(settings(Map.of()), List.of(), 0, true));
         Machine machine = limited.addMachine("n-1", TYPE, "a", true, false, 0);
         machine.markRegistered();
-        limited.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        limited.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 1, 5), true, 0);
         Job job = limited.addJob(spec("req-1", 4, false), 1, 5);
         limited.runSchedulingCycle(0);
         assertEquals(2, job.assignments.size());
@@ -226,24 +226,24 @@
      * nobody may be told.
      */
     @Test
-    void aLaunchOfACancelledJobIsUnderWayUntilTheMachineShowsIt() {
-        Machine machine = reporting();
+    void directLaunchOfCancelledJobIsPendingUntilItsMachineReportsTheAttempt() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        launched(job, machine, 0);
+        assignFirstTask(job, machine, 0);
         List<Command> commands = scheduler.commands().pendingCommands(machine);
         scheduler.commands().sentDirectly(machine, commands);
         scheduler.cancel(job);
         assertTrue(scheduler.commands().directLaunchPending(job));
         scheduler.commands().directCallCompleted(machine, commands, 1, false);
         assertTrue(scheduler.commands().directLaunchPending(job));
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 20, 5), true, 20_000);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 20, 5), true, 20_000);
         assertTrue(scheduler.commands().directLaunchPending(job), "a report that doesn't show it proves nothing");
         Assignment p = job.assignments.get(0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")),
+                        heartbeat("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")),
                         true,
                         21_000);
         assertFalse(scheduler.commands().directLaunchPending(job));
@@ -254,10 +254,10 @@
 
     /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
     @Test
-    void aTaskOfACancelledJobMayStartUntilItsMachineShowsThatItWont() {
-        Machine machine = reporting();
+    void launchOfCancelledJobMayExecuteUntilItsMachineReportsTheExit() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = launched(job, machine, 0);
+        Assignment p = assignFirstTask(job, machine, 0);
         scheduler.cancel(job);
         assertFalse(scheduler.launchMayStillExecute(job), "it was never sent");
         scheduler
@@ -265,37 +265,37 @@
                 .sentInHeartbeatResponse(machine, List.of(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0)));
         assertTrue(scheduler.launchMayStillExecute(job), "the answer may be on its way");
         TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "");
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 20, 5, fetching), true, 2_000);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 20, 5, fetching), true, 2_000);
         assertTrue(scheduler.launchMayStillExecute(job), "it starts once the image is there");
         TaskStatus stopped = new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped");
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 21, 5, stopped), true, 3_000);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 21, 5, stopped), true, 3_000);
         assertFalse(scheduler.launchMayStillExecute(job));
     }
 
     /** Its session has ended, and the launch with it. */
     @Test
-    void aNewSessionEndsALaunchUnderWay() {
-        Machine machine = reporting();
+    void newIncarnationEndsPendingDirectLaunch() {
+        Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        launched(job, machine, 0);
+        assignFirstTask(job, machine, 0);
         List<Command> commands = scheduler.commands().pendingCommands(machine);
         scheduler.commands().sentDirectly(machine, commands);
         scheduler.commands().directCallCompleted(machine, commands, 1, false);
         scheduler.cancel(job);
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 2, 2, 5), true, 21_000);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 2, 2, 5), true, 21_000);
         assertFalse(scheduler.commands().directLaunchPending(job));
         assertFalse(job.hasPendingTasks(), "it isn't started again");
     }
 
     @Test
-    void servicesStopLowerWorkAndStartBehindTheKill() {
-        Machine machine = reporting();
+    void servicePreemptsLowerPriorityAndItsLaunchFollowsTheKill() {
+        Machine machine = reportingMachine();
         Job low = scheduler.addJob(spec("req-1", 4, false), 1, 5);
         scheduler.runSchedulingCycle(0);
         TaskStatus[] running = low.assignments.values().stream()
                 .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5, running), true, 100);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
         scheduler.runSchedulingCycle(100);
         List<Command> commands = scheduler.commands().pendingCommands(machine);
@@ -304,22 +304,22 @@
         assertTrue(commands.get(commands.size() - 1).task().startsWith("req-2/"));
     }
 
-    private void fail(Machine machine, Job job, long tick, long now) {
+    private void reportError(Machine machine, Job job, long tick, long now) {
         Assignment p = job.assignments.values().iterator().next();
         assertEquals(machine, p.machine);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report(machine.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")),
+                        heartbeat(machine.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")),
                         true,
                         now);
     }
 
     /** Two jobs that fail on one machine alone speak against the machine; what runs there goes on. */
     @Test
-    void errorsAcrossJobsAreTheMachinesAndEndNothingElse() {
-        Machine machine = reporting();
+    void errorsOfSeveralJobsQuarantineMachineButStopNoTask() {
+        Machine machine = reportingMachine();
         Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         Job good = scheduler.addJob(spec("req-3", 1, true), 3, 5);
@@ -331,7 +331,7 @@
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report(
+                        heartbeat(
                                 "n-1",
                                 1,
                                 2,
@@ -349,39 +349,40 @@
 
     /** A job that fails on every machine must not take the machines down with it. */
     @Test
-    void aJobThatFailsEverywhereBlamesNoMachine() {
-        Machine machine = reporting();
+    void jobFailingOnEveryMachineQuarantinesNone() {
+        Machine machine = reportingMachine();
         Machine n = machine("n-2", false);
         Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         scheduler.runSchedulingCycle(0);
-        fail(machine, one, 2, 100);
+        reportError(machine, one, 2, 100);
         n.markRegistered();
-        scheduler.heartbeats().applyHeartbeat(n, report("n-2", 1, 1, 5), true, 200);
+        scheduler.heartbeats().applyHeartbeat(n, heartbeat("n-2", 1, 1, 5), true, 200);
         scheduler.runSchedulingCycle(10_000);
-        fail(n, one, 2, 10_100);
+        reportError(n, one, 2, 10_100);
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         scheduler.runSchedulingCycle(10_200);
-        fail(two.assignments.get(0).machine, two, 3, 10_300);
+        reportError(two.assignments.get(0).machine, two, 3, 10_300);
         assertFalse(machine.faults.faulty());
         assertFalse(n.faults.faulty());
     }
 
     /** A machine that went while its record was written got a task, which then waited for it for ever. */
     @Test
-    void aMachineThatWentWhileItWasRegisteredGetsNothing() {
+    void machineTerminatedDuringRegistrationGetsNoTasks() {
         Machine machine = machine("n-1", false);
-        scheduler.heartbeats().applyHeartbeat(machine, report("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 1, 5), true, 0);
         scheduler.markTerminated("n-1");
         scheduler.markRegistered(machine);
         assertFalse(scheduler.outbox().hasFreedCapacity(machine));
-        Machine other = reporting();
+        Machine other = reportingMachine();
         scheduler.markRegistered(other);
         assertTrue(scheduler.outbox().hasFreedCapacity(other));
     }
 
     // ---- limits while machines of earlier terms are unheard ----
 
-    private static final Settings LIMITED = settings(Map.of("team", new Settings.Team("team", 0, 10, 0, 0)));
+    private static final Settings SETTINGS_WITH_QUOTA =
+            settings(Map.of("team", new Settings.Team("team", 0, 10, 0, 0)));
 
     private static TaskStatus running(String task, long attempt) {
         return new TaskStatus(task, attempt, State.RUNNING, null);
@@ -391,8 +392,9 @@
      * A leader before this one started those; one machine reports, the other, as large as the limit, doesn't. A new job
      * of the team waits.
      */
-    private static Scheduler halfHeard(boolean olderKept, long token) {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
+    private static Scheduler schedulerWithOneSilentMachine(boolean olderKept, long token) {
+        Scheduler s =
+                new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
         if (olderKept) {
             s.quotas().setEarlierLeadersEnforcedLimits();
         }
@@ -403,7 +405,7 @@
         s.heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)),
+                        heartbeat("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)),
                         true,
                         100);
         s.runSchedulingCycle(100);
@@ -416,14 +418,14 @@
      */
     @Test
     void completedTasksOfATeamFreeItsQuotaBeforeReconciliationCompletes() {
-        Scheduler s = halfHeard(true, 5);
+        Scheduler s = schedulerWithOneSilentMachine(true, 5);
         Job waiting = s.job("req-000002");
         assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
         Machine machine = s.machine("n-1");
         s.heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report(
+                        heartbeat(
                                 "n-1",
                                 1,
                                 2,
@@ -446,12 +448,12 @@
 
     /** Earlier leaders may have kept a higher limit: nothing is known of what they started. */
     @Test
-    void endedTasksMakeNoRoomAfterLeadersWithOtherLimits() {
-        Scheduler s = halfHeard(false, 5);
+    void completedTasksFreeNoQuotaIfEarlierLeadersHadOtherLimits() {
+        Scheduler s = schedulerWithOneSilentMachine(false, 5);
         s.heartbeats()
                 .applyHeartbeat(
                         s.machine("n-1"),
-                        report("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
+                        heartbeat("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                         true,
                         200);
         s.runSchedulingCycle(200);
@@ -463,10 +465,10 @@
      * before the last leader did.
      */
     @Test
-    void whatAnOlderReportListsMakesNoRoom() {
-        Scheduler s = halfHeard(true, 4);
+    void heartbeatWithOlderTokenFreesNoQuota() {
+        Scheduler s = schedulerWithOneSilentMachine(true, 4);
         Machine machine = s.machine("n-1");
-        s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
+        s.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
         assertEquals(0, s.job("req-000002").assignments.size());
     }
@@ -476,16 +478,17 @@
      * go: they weren't counted.
      */
     @Test
-    void tasksThatNobodyCountsAreWaitedFor() {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
+    void tasksOfUnknownJobsTakeQuotaUntilTheyAreGone() {
+        Scheduler s =
+                new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
         Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
         s.addMachine("n-3", TYPE, "a", true, false, 0).markRegistered();
         s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.heartbeats().applyHeartbeat(s.machine("n-3"), report("n-3", 1, 1, 5), true, 50);
+        s.heartbeats().applyHeartbeat(s.machine("n-3"), heartbeat("n-3", 1, 1, 5), true, 50);
         s.heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)),
+                        heartbeat("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)),
                         true,
                         100);
         s.runSchedulingCycle(100);
@@ -493,7 +496,7 @@
                 1,
                 s.job("req-000002").assignments.size(),
                 "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
-        s.heartbeats().applyHeartbeat(machine, report("n-1", 1, 2, 5), true, 200);
+        s.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
         s.runSchedulingCycle(200);
         assertEquals(4, s.job("req-000002").assignments.size());
     }
@@ -503,18 +506,19 @@
      * services waited beside free room.
      */
     @Test
-    void servicesComeFirstWhereOnlyTheQuotaBlocksThem() {
-        Scheduler s = new Scheduler(5, LIMITED, 0.3, new WorkerLeases(LIMITED, List.of(), 0, true));
+    void servicesPrecedeArraysWhereOnlyTheQuotaBlocksThem() {
+        Scheduler s =
+                new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
         Machine spot = s.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.markRegistered();
-        s.heartbeats().applyHeartbeat(spot, report("n-1", 1, 1, 5), true, 0);
+        s.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 1, 5), true, 0);
         Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
         s.runSchedulingCycle(0);
         assertEquals(5, array.assignments.size(), "the whole limit");
         Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
         ordinary.markRegistered();
-        s.heartbeats().applyHeartbeat(ordinary, report("n-2", 1, 1, 5), true, 0);
+        s.heartbeats().applyHeartbeat(ordinary, heartbeat("n-2", 1, 1, 5), true, 0);
         Job service = s.addJob(
                 new JobSpec(
                         "req-000002",
@@ -547,7 +551,7 @@
             one[i] = new TaskStatus(
                     there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
         }
-        s.heartbeats().applyHeartbeat(spot, report("n-1", 1, 2, 5, one), true, 2_500);
+        s.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 2, 5, one), true, 2_500);
         s.scheduleOn(spot, 2_500);
         assertEquals(4, array.assignments.size(), "what its task left isn't the array's");
         s.runSchedulingCycle(3_000);
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -31,28 +31,28 @@
     private static final int MACHINES = 12;
 
     /** One stretch of work: what the scheduler did to sound and to sick machines. */
-    private static final class Stretch {
+    private static final class SimulatedCluster {
         private final Settings settings =
                 new SettingsBuilder().zones(List.of("a", "b")).build();
         private final Scheduler scheduler =
                 new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
         private final Random random;
-        private final Set<String> sick = new HashSet<>();
-        private final Set<String> broken = new HashSet<>();
-        private final Set<String> wronged = new HashSet<>();
-        private final Set<String> found = new HashSet<>();
-        private long ticks;
+        private final Set<String> faultyMachines = new HashSet<>();
+        private final Set<String> failingJobs = new HashSet<>();
+        private final Set<String> wronglyQuarantined = new HashSet<>();
+        private final Set<String> detectedFaulty = new HashSet<>();
+        private long heartbeatSequence;
         private long now = 1_000;
         /**
          * Machine-seconds of sound machines in quarantine, and the most tasks of broken jobs under way at once after a
          * minute.
          */
-        private double wrongedS;
+        private double wrongQuarantineS;
 
-        private int mostBroken;
-        private int done;
+        private int maxFailingJobTasks;
+        private int completedTasks;
 
-        Stretch(long seed, int sickMachines, int brokenPercent) {
+        SimulatedCluster(long seed, int sickMachines, int brokenPercent) {
             random = new Random(seed);
             for (int i = 0; i < MACHINES; i++) {
                 Machine machine = scheduler.addMachine("n-" + i, TYPE, i % 2 == 0 ? "a" : "b", true, false, 0);
@@ -87,36 +87,36 @@
                             i + 1,
                             5);
                     if (random.nextInt(100) < brokenPercent) {
-                        broken.add(id);
+                        failingJobs.add(id);
                     }
                 }
                 if (i == 40) {
-                    while (sick.size() < sickMachines) {
-                        sick.add("n-" + random.nextInt(MACHINES));
+                    while (faultyMachines.size() < sickMachines) {
+                        faultyMachines.add("n-" + random.nextInt(MACHINES));
                     }
                 }
-                second();
+                advanceOneSecond();
             }
         }
 
-        private void second() {
+        private void advanceOneSecond() {
             now += 1_000;
             scheduler.runSchedulingCycle(now);
             for (Machine machine : scheduler.machines()) {
                 machine.acknowledgeHeartbeat(now);
                 report(machine);
-                if (machine.faults.faulty() && sick.contains(machine.id)) {
-                    found.add(machine.id);
+                if (machine.faults.faulty() && faultyMachines.contains(machine.id)) {
+                    detectedFaulty.add(machine.id);
                 } else if (machine.faults.faulty()) {
-                    wronged.add(machine.id);
-                    wrongedS++;
+                    wronglyQuarantined.add(machine.id);
+                    wrongQuarantineS++;
                 }
             }
             scheduler.expireLeases(now);
             if (now > 60_000) {
-                mostBroken = Math.max(
-                        mostBroken,
-                        broken.stream()
+                maxFailingJobTasks = Math.max(
+                        maxFailingJobTasks,
+                        failingJobs.stream()
                                 .mapToInt(id -> scheduler.job(id).failsEverywhere()
                                         ? scheduler.job(id).assignments.size()
                                         : 0)
@@ -129,11 +129,11 @@
         private void report(Machine machine) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Assignment assignment : machine.assignments.values()) {
-                boolean fails = (sick.contains(machine.id) && assignment.startedAt > 41_000)
-                        || broken.contains(assignment.job.spec.id());
+                boolean fails = (faultyMachines.contains(machine.id) && assignment.startedAt > 41_000)
+                        || failingJobs.contains(assignment.job.spec.id());
                 boolean ends = now - assignment.startedAt > 6_000 + random.nextInt(8_000);
                 if (assignment.state() != State.EXITED) {
-                    done += !fails && ends ? 1 : 0;
+                    completedTasks += !fails && ends ? 1 : 0;
                     tasks.add(new TaskStatus(
                             assignment.taskId,
                             assignment.attempt,
@@ -146,7 +146,16 @@
                     .applyHeartbeat(
                             machine,
                             new Heartbeat(
-                                    machine.id, "addr:1", "t", machine.zone, true, 1, ++ticks, 5, Double.NaN, tasks),
+                                    machine.id,
+                                    "addr:1",
+                                    "t",
+                                    machine.zone,
+                                    true,
+                                    1,
+                                    ++heartbeatSequence,
+                                    5,
+                                    Double.NaN,
+                                    tasks),
                             true,
                             now);
         }
@@ -158,27 +167,30 @@
     @Property(tries = 30, seed = "20261202")
     void failingJobsLeaveHealthyMachinesSchedulable(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 40) int percent) {
-        Stretch s = new Stretch(seed, 0, percent);
+        SimulatedCluster s = new SimulatedCluster(seed, 0, percent);
+        assertTrue(
+                s.wrongQuarantineS <= 0.02 * MACHINES * 200,
+                "machine-seconds lost: " + s.wrongQuarantineS + " on " + s.wronglyQuarantined.size());
         assertTrue(
-                s.wrongedS <= 0.02 * MACHINES * 200, "machine-seconds lost: " + s.wrongedS + " on " + s.wronged.size());
-        assertTrue(s.mostBroken <= 1, "a job that fails everywhere has " + s.mostBroken + " tasks under way");
-        assertTrue(s.done > 100);
+                s.maxFailingJobTasks <= 1,
+                "a job that fails everywhere has " + s.maxFailingJobTasks + " tasks under way");
+        assertTrue(s.completedTasks > 100);
     }
 
     /** Machines that fail all they start are found while such jobs run. */
     @Property(tries = 30, seed = "20261202")
-    void sickMachinesAreFound(
+    void faultyMachinesAreDetectedWhileJobsFail(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
             @ForAll @IntRange(min = 1, max = 3) int sick,
             @ForAll @IntRange(min = 0, max = 30) int percent) {
-        Stretch s = new Stretch(seed, sick, percent);
-        assertTrue(s.found.size() >= sick - 1, s.found.size() + " of " + sick + " were found");
+        SimulatedCluster s = new SimulatedCluster(seed, sick, percent);
+        assertTrue(s.detectedFaulty.size() >= sick - 1, s.detectedFaulty.size() + " of " + sick + " were found");
     }
 
     /** Their sizes of zero raised the variation above its limit and moved jobs on that stay without them. */
     @Test
-    void jobsThatFailEverywhereDoNotMoveOthers() {
-        Stretch s = new Stretch(1, 0, 0);
+    void jobsFailingEverywhereDoNotDemoteOthers() {
+        SimulatedCluster s = new SimulatedCluster(1, 0, 0);
         List<Job> jobs = new ArrayList<>();
         double[] ran = {260, 30, 18, 0, 0, 0, 0};
         for (int i = 0; i < ran.length; i++) {
--- a/src/test/java/org/hollypick/core/JobDependenciesTest.java
+++ b/src/test/java/org/hollypick/core/JobDependenciesTest.java
@@ -18,35 +18,38 @@
 
 /** A slow plain model that looks through everything for each question, compared with the real graph. */
 class JobDependenciesTest {
-    private static final class Plain {
-        final Map<String, List<String>> awaits = new TreeMap<>();
-        final Map<String, Priority> ranks = new HashMap<>();
+    private static final class ReferenceModel {
+        final Map<String, List<String>> dependencies = new TreeMap<>();
+        final Map<String, Priority> priorities = new HashMap<>();
         final Set<String> done = new HashSet<>();
         final Set<String> cancelled = new HashSet<>();
 
         boolean cancelled(String id) {
             return cancelled.contains(id)
                     || (!done.contains(id)
-                            && awaits.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled));
+                            && dependencies.getOrDefault(id, List.of()).stream().anyMatch(this::cancelled));
         }
 
         boolean ready(String id) {
-            return awaits.containsKey(id) && !done.contains(id) && !cancelled(id) && done.containsAll(awaits.get(id));
+            return dependencies.containsKey(id)
+                    && !done.contains(id)
+                    && !cancelled(id)
+                    && done.containsAll(dependencies.get(id));
         }
 
-        Priority rank(String id) {
-            Priority rank = ranks.getOrDefault(id, Priority.LOW);
-            for (String other : awaits.keySet()) {
-                if (awaits.get(other).contains(id) && rank(other).compareTo(rank) < 0) {
-                    rank = rank(other);
+        Priority priority(String id) {
+            Priority rank = priorities.getOrDefault(id, Priority.LOW);
+            for (String other : dependencies.keySet()) {
+                if (dependencies.get(other).contains(id) && priority(other).compareTo(rank) < 0) {
+                    rank = priority(other);
                 }
             }
             return rank;
         }
 
-        boolean needs(String id, Set<String> those) {
-            return awaits.getOrDefault(id, List.of()).stream()
-                    .anyMatch(a -> !done.contains(a) && !cancelled(a) && (those.contains(a) || needs(a, those)));
+        boolean dependsOnAny(String id, Set<String> those) {
+            return dependencies.getOrDefault(id, List.of()).stream()
+                    .anyMatch(a -> !done.contains(a) && !cancelled(a) && (those.contains(a) || dependsOnAny(a, those)));
         }
     }
 
@@ -54,22 +57,22 @@
      * Diamonds, chains, cancelled middles, jobs after their ancestors' end; each record told in any order, some twice.
      */
     @Test
-    void theGraphSaysWhatThePlainModelSays() {
+    void readinessCancellationAndDependenciesMatchReferenceModel() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
             JobDependencies real = new JobDependencies();
-            Plain plain = new Plain();
+            ReferenceModel plain = new ReferenceModel();
             Set<String> announced = new HashSet<>();
             List<String> ids = new ArrayList<>();
             for (int step = 0; step < 60; step++) {
                 switch (random.nextInt(5)) {
-                    case 0, 1, 2 -> arrive(random, real, plain, ids);
+                    case 0, 1, 2 -> addRandomJobs(random, real, plain, ids);
                     case 3 -> {
                         List<String> ready = ids.stream().filter(plain::ready).toList();
                         if (!ready.isEmpty()) {
                             String id = ready.get(random.nextInt(ready.size()));
                             plain.done.add(id);
-                            real.done(id);
+                            real.markDone(id);
                         }
                     }
                     default -> {
@@ -79,11 +82,11 @@
                         if (!live.isEmpty() && random.nextInt(4) == 0) {
                             String id = live.get(random.nextInt(live.size()));
                             plain.cancelled.add(id);
-                            real.cancelled(id);
+                            real.markCancelled(id);
                         }
                     }
                 }
-                announced.addAll(real.takeChanged());
+                announced.addAll(real.takeChangedJobs());
                 for (String id : ids) {
                     assertEquals(plain.ready(id), real.ready(id), id + " seed " + seed);
                     assertEquals(plain.cancelled(id), real.isCancelled(id), id + " seed " + seed);
@@ -92,16 +95,16 @@
                             (!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id),
                             "nobody was told of " + id);
                     if (!plain.done.contains(id) && !plain.cancelled(id)) {
-                        assertTrue(real.priority(id).compareTo(plain.ranks.get(id)) <= 0);
+                        assertTrue(real.priority(id).compareTo(plain.priorities.get(id)) <= 0);
                         Set<String> those = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
-                        assertEquals(plain.needs(id, those), real.needsAny(id, those), id + " seed " + seed);
+                        assertEquals(plain.dependsOnAny(id, those), real.dependsOnAny(id, those), id + " seed " + seed);
                     }
                 }
             }
         }
     }
 
-    private static void arrive(Random random, JobDependencies real, Plain plain, List<String> ids) {
+    private static void addRandomJobs(Random random, JobDependencies real, ReferenceModel plain, List<String> ids) {
         List<String> batch = new ArrayList<>();
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
             String id = "req-" + ids.size();
@@ -111,31 +114,31 @@
             }
             ids.add(id);
             batch.add(id);
-            plain.awaits.put(id, new ArrayList<>(awaits));
-            plain.ranks.put(id, Priority.values()[random.nextInt(4)]);
+            plain.dependencies.put(id, new ArrayList<>(awaits));
+            plain.priorities.put(id, Priority.values()[random.nextInt(4)]);
         }
         Collections.shuffle(batch, random); // a later job's record may be read first
-        batch.forEach(id -> real.addLive(id, plain.ranks.get(id), plain.awaits.get(id)));
+        batch.forEach(id -> real.addLive(id, plain.priorities.get(id), plain.dependencies.get(id)));
         batch.forEach(id -> real.addLive(id, Priority.PRODUCTION, List.of())); // a record read again says nothing new
     }
 
     @Test
-    void whatIsAwaitedIsAsUrgentAsWhatNeedsIt() {
+    void priorityIsTheHighestOfTheJobAndItsDependents() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             JobDependencies real = new JobDependencies();
-            Plain plain = new Plain();
+            ReferenceModel plain = new ReferenceModel();
             List<String> ids = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                arrive(random, real, plain, ids);
+                addRandomJobs(random, real, plain, ids);
             }
-            ids.forEach(id -> assertEquals(plain.rank(id), real.priority(id), id));
+            ids.forEach(id -> assertEquals(plain.priority(id), real.priority(id), id));
         }
     }
 
     /** Chains are walked, not recursed into: one of thousands of jobs must not end the process. */
     @Test
-    void longChainsAndWideFansArePossible() {
+    void longChainsAndManyDependentsAreProcessedWithoutRecursion() {
         JobDependencies real = new JobDependencies();
         int many = 50_000;
         real.addLive("req-0", Priority.LOW, List.of());
@@ -147,10 +150,10 @@
         }
         real.addLive("req-last", Priority.HIGH, List.of("req-" + (many - 1)));
         assertEquals(Priority.HIGH, real.priority("req-0"));
-        assertTrue(real.needsAny("req-last", Set.of("req-0")));
+        assertTrue(real.dependsOnAny("req-last", Set.of("req-0")));
         assertFalse(real.ready("req-1"));
-        real.cancelled("req-0");
+        real.markCancelled("req-0");
         assertTrue(real.isCancelled("req-last"));
-        assertEquals(2 * many + 1, real.takeChanged().size());
+        assertEquals(2 * many + 1, real.takeChangedJobs().size());
     }
 }
--- a/src/test/java/org/hollypick/core/RefusedLaunchTest.java
+++ b/src/test/java/org/hollypick/core/RefusedLaunchTest.java
@@ -42,7 +42,7 @@
         return new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
     }
 
-    private Job onMachines() {
+    private Job addMachinesAndJob() {
         for (int i = 0; i < MACHINES; i++) {
             scheduler.addMachine("n-" + i, TYPE, "a", true, false, 0).markRegistered();
         }
@@ -80,7 +80,7 @@
     }
 
     private int attemptsInAMinute(String reason) {
-        Job job = onMachines();
+        Job job = addMachinesAndJob();
         for (long elapsed = 0; elapsed < MINUTE_MS; elapsed += STEP_MS) {
             step(job, State.EXITED, reason);
         }
@@ -88,27 +88,27 @@
     }
 
     @Test
-    void launchesRefusedAsUnknownAreNotRepeatedWithoutPause() {
+    void launchesRefusedAsUnknownBackOff() {
         int count = attemptsInAMinute("unknown");
         assertTrue(count <= ATTEMPTS_IN_A_MINUTE, count + " attempts");
     }
 
     @Test
-    void launchesRefusedForWantOfRoomAreNotRepeatedWithoutPause() {
+    void launchesRefusedAsFullBackOff() {
         int count = attemptsInAMinute("full");
         assertTrue(count <= ATTEMPTS_IN_A_MINUTE, count + " attempts");
     }
 
     @Test
-    void launchesRefusedBesideAnOlderAttemptAreNotRepeatedWithoutPause() {
+    void launchesRefusedAsBusyBackOff() {
         int count = attemptsInAMinute("busy");
         assertTrue(count <= ATTEMPTS_IN_A_MINUTE, count + " attempts");
     }
 
     /** One refusal may be a matter of moments: the next attempt follows at once, elsewhere if need be. */
     @Test
-    void aSingleRefusalCostsNoWait() {
-        Job job = onMachines();
+    void firstRefusalIsRetriedWithoutDelay() {
+        Job job = addMachinesAndJob();
         step(job, State.EXITED, "full");
         step(job, State.RUNNING, "");
         assertEquals(2, attempts.size());
@@ -117,8 +117,8 @@
 
     /** A task that ran since is refused for the first time again. */
     @Test
-    void refusalsBeforeARunAreForgotten() {
-        Job job = onMachines();
+    void refusalCountIsResetOnceTheTaskRuns() {
+        Job job = addMachinesAndJob();
         for (int i = 0; i < 4; i++) {
             step(job, State.EXITED, "full");
             step(job, State.RUNNING, "");
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -101,12 +101,12 @@
                                 : lastGrantNumber;
                 boolean reportsRenewals = reportedRenewals > acknowledgedRenewals && fault != Fault.HIDES_RENEWALS;
                 if (linked && random.nextInt(10) > 0) {
-                    after(delay(), () -> {
+                    after(networkDelayMs(), () -> {
                         leases.grantRequested(name, sentGrantNumber, reportsRenewals, leaderTime());
                         boolean granted = leases.allPeersRequestedGrants() && random.nextInt(8) > 0;
                         long number = leases.responseSent(name, granted, leaderTime());
                         if (linked && random.nextInt(10) > 0) {
-                            after(delay(), () -> {
+                            after(networkDelayMs(), () -> {
                                 if (requestIncarnation == incarnation) {
                                     grantReceived(sent, reportedRenewals, number, granted);
                                 }
@@ -174,7 +174,7 @@
             return (long) (now * leaderRate);
         }
 
-        private long delay() {
+        private long networkDelayMs() {
             return random.nextInt(12) == 0 ? random.nextInt(20_000) : random.nextInt(20);
         }
 
@@ -235,7 +235,7 @@
             after(50, this::checkExpiry);
         }
 
-        Model play(long ms) {
+        Model run(long ms) {
             long end = now + ms;
             while (events.peek().at <= end) {
                 Event e = events.poll();
@@ -248,7 +248,7 @@
 
     @Property(tries = 3_000, seed = "20261201", shrinking = ShrinkingMode.OFF)
     void leaseThatMayBeRenewedNeverCountsAsExpired(@ForAll long seed) {
-        Model m = new Model(seed, Fault.NONE).play(150_000);
+        Model m = new Model(seed, Fault.NONE).run(150_000);
         assertTrue(m.violation == null, m.violation);
     }
 
@@ -259,7 +259,7 @@
                 Fault.HIDES_RENEWALS, Fault.RENEWS_TOO_LONG, Fault.COUNTS_FROM_RESPONSE, Fault.RESTARTS_UNNOTICED)) {
             boolean noticed = false;
             for (int seed = 1; seed <= 3_000 && !noticed; seed++) {
-                noticed = new Model(seed, fault).play(150_000).violation != null;
+                noticed = new Model(seed, fault).run(150_000).violation != null;
             }
             assertTrue(noticed, fault.name());
         }
@@ -269,7 +269,7 @@
      * If a lease never counted as expired, no lost task would start again until the cloud reported the machine gone.
      */
     @Test
-    void leaseExpiresEventuallyWithoutRequests() {
+    void leaseExpiresOnceAllPossibleGrantsHave() {
         WorkerLeases leases = new WorkerLeases(SETTINGS, PEERS, 0, false);
         assertFalse(leases.isExpired(0, LEASE_MS + 1_000), "an older leader's grant may still hold");
         assertTrue(leases.isExpired(0, GRANT_MS + LEASE_MS + 2_000));
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -127,8 +127,8 @@
                     }
 
                     @Override
-                    public Set<String> takeChanged() {
-                        Set<String> all = new LinkedHashSet<>(super.takeChanged());
+                    public Set<String> takeChangedJobs() {
+                        Set<String> all = new LinkedHashSet<>(super.takeChangedJobs());
                         all.addAll(awaits.keySet());
                         return all;
                     }
