--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -50,7 +50,7 @@
         this.firstTerm = firstTerm;
         this.autoscaler = new Autoscaler(operatorSettings, firstTerm);
         this.terminator = new InstanceTerminator(term, cloud);
-        this.scaleOutRequester = new ScaleOutRequester(term, cloud, autoscaler::refused);
+        this.scaleOutRequester = new ScaleOutRequester(term, cloud, autoscaler::recordRefusal);
         this.listReconciler = new InstanceListReconciler(term, cloud, terminator);
         this.startedAt = term.now();
     }
@@ -62,7 +62,7 @@
 
     /** Mean cores that arriving job arrays keep busy. */
     public double load() {
-        return autoscaler.load();
+        return autoscaler.meanArrayLoadCores();
     }
 
     /** Plans and requests scale-out and scale-in; {@code partitionedZones}: where no machine is started now. */
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -24,13 +24,13 @@
     private final TermContext term;
     private final Scheduler scheduler;
     private final CloudClient cloud;
-    private final ObjLongConsumer<Autoscaler.Kind> onRefused;
+    private final ObjLongConsumer<Autoscaler.CapacityPool> onRefused;
     private int inFlight;
     /** Requests of this term, which makes their ids unique. */
     private long requestCount;
 
-    /** {@code onRefused} gets each kind of which the cloud gave fewer than requested, and the time. */
-    ScaleOutRequester(TermContext term, CloudClient cloud, ObjLongConsumer<Autoscaler.Kind> onRefused) {
+    /** {@code onRefused} gets each capacity pool of which the cloud gave fewer than requested, and the time. */
+    ScaleOutRequester(TermContext term, CloudClient cloud, ObjLongConsumer<Autoscaler.CapacityPool> onRefused) {
         this.term = term;
         this.scheduler = term.scheduler();
         this.cloud = cloud;
@@ -38,13 +38,13 @@
     }
 
     /** Sends the requests, unless earlier ones are in flight: the machines may be on their way already. */
-    void requestUnlessInFlight(List<Autoscaler.ScaleOut> rents) {
+    void requestUnlessInFlight(List<Autoscaler.ScaleOut> scaleOut) {
         if (inFlight > 0) {
             return;
         }
-        for (Autoscaler.ScaleOut rent : rents) {
+        for (Autoscaler.ScaleOut request : scaleOut) {
             inFlight++;
-            send(rent.kind(), nextRequestId(), rent.count());
+            send(request.pool(), nextRequestId(), request.count());
         }
     }
 
@@ -52,44 +52,44 @@
         return term.settings().node() + "-" + scheduler.token() + "-" + requestCount++;
     }
 
-    private void send(Autoscaler.Kind kind, String requestId, int count) {
+    private void send(Autoscaler.CapacityPool pool, String requestId, int count) {
         if (!term.holdsLeaderLease()) {
             inFlight--;
             return;
         }
-        ScaleOutRequest request = new ScaleOutRequest(requestId, kind.type(), kind.zone(), kind.spot(), count);
-        cloud.scaleOut(request, term.leaderLease(), result -> completed(kind, request, result));
+        ScaleOutRequest request = new ScaleOutRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
+        cloud.scaleOut(request, term.leaderLease(), result -> completed(pool, request, result));
     }
 
-    private void completed(Autoscaler.Kind kind, ScaleOutRequest request, ScaleOutResult result) {
+    private void completed(Autoscaler.CapacityPool pool, ScaleOutRequest request, ScaleOutResult result) {
         LOG.info(
                 "scale_out.completed type={} zone={} spot={} requested={} status={} started={}",
-                kind.type(),
-                kind.zone(),
-                kind.spot(),
+                pool.type(),
+                pool.zone(),
+                pool.spot(),
                 request.count(),
                 result.status(),
                 result.machineIds().size());
         if (result.outcome() == ScaleOutResult.Outcome.NO_RESPONSE) {
-            term.eventLoop().after(RETRY_MS, () -> send(kind, request.requestId(), request.count()));
+            term.eventLoop().after(RETRY_MS, () -> send(pool, request.requestId(), request.count()));
             return;
         }
         inFlight--;
         long now = term.now();
         boolean granted = result.outcome() == ScaleOutResult.Outcome.GRANTED;
         if (granted) {
-            result.machineIds().forEach(machineId -> addMachine(machineId, kind, now));
+            result.machineIds().forEach(machineId -> addMachine(machineId, pool, now));
         }
         boolean tooFew = granted && result.machineIds().size() < request.count();
         if (tooFew || result.outcome() == ScaleOutResult.Outcome.OUT_OF_CAPACITY) {
-            onRefused.accept(kind, now);
+            onRefused.accept(pool, now);
         }
     }
 
-    private void addMachine(String machineId, Autoscaler.Kind kind, long now) {
-        MachineType type = term.machineTypes().get(kind.type());
+    private void addMachine(String machineId, Autoscaler.CapacityPool pool, long now) {
+        MachineType type = term.machineTypes().get(pool.type());
         if (type != null && !scheduler.hasMachine(machineId) && !scheduler.isTerminated(machineId)) {
-            scheduler.addMachine(machineId, type, kind.zone(), kind.spot(), false, now);
+            scheduler.addMachine(machineId, type, pool.zone(), pool.spot(), false, now);
         }
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -20,7 +20,7 @@
     }
 
     /** A mean over the same time as this one, of something that hasn't arrived so far. */
-    ArrivalMean ofNothingSoFar() {
+    ArrivalMean copyWithoutArrivals() {
         ArrivalMean copy = new ArrivalMean(windowS);
         copy.observedShare = observedShare;
         copy.updatedAt = updatedAt;
@@ -29,7 +29,7 @@
     }
 
     /** So much has arrived since the last call. */
-    void arrived(double amount, long now) {
+    void recordArrivals(double amount, long now) {
         if (updatedAt > 0) {
             double intervalS = Math.max(MIN_INTERVAL_S, (now - updatedAt) / 1000.0);
             observedS += intervalS;
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -19,11 +19,11 @@
  * arrays run on spot machines, and on on-demand ones while the cloud refuses spot machines. Confined to the event loop.
  */
 public final class Autoscaler {
-    /** A kind of machine that the cloud offers: a machine type in a zone, as spot or on-demand instance. */
-    public record Kind(String type, String zone, boolean spot) {}
+    /** A pool of machine that the cloud offers: a machine type in a zone, as spot or on-demand instance. */
+    public record CapacityPool(String type, String zone, boolean spot) {}
 
-    /** A request to start so many machines of one kind. */
-    public record ScaleOut(Kind kind, int count) {}
+    /** A request to start so many machines of one pool. */
+    public record ScaleOut(CapacityPool pool, int count) {}
 
     /**
      * What to do now.
@@ -53,14 +53,14 @@
         load.submissionsUnavailable(now);
     }
 
-    /** The cloud refused machines of that kind; it isn't asked for them for a while. */
-    public void refused(Kind kind, long now) {
-        instanceSelector.refused(kind, now);
+    /** The cloud refused machines of that pool; it isn't asked for them for a while. */
+    public void recordRefusal(CapacityPool pool, long now) {
+        instanceSelector.recordRefusal(pool, now);
     }
 
     /** Mean cores that arriving job arrays keep busy. */
-    public double load() {
-        return load.arrayCores();
+    public double meanArrayLoadCores() {
+        return load.meanArrayCores();
     }
 
     /** Plans while all zones are reachable. */
@@ -88,7 +88,8 @@
                 scheduler.machines(),
                 partitionedZones,
                 now,
-                machine -> instanceSelector.count(new Kind(machine.type.name(), machine.zone, machine.spot), 1));
+                machine -> instanceSelector.addMachines(
+                        new CapacityPool(machine.type.name(), machine.zone, machine.spot), 1));
         double supplyCores = supply.cores();
         double runnableCores = supply.runnableCores();
         List<ScaleOut> scaleOut = new ArrayList<>();
@@ -103,11 +104,11 @@
         ScaleOutDecision decision = new ScaleOutDecision(
                 services.neededCores,
                 demand.arrayCores(),
-                arrays.usable(),
-                arrays.load(),
+                arrays.usableCores(),
+                arrays.reservedCores(),
                 supplyCores,
                 runnableCores,
-                instanceSelector.cores(scaleOut));
+                instanceSelector.requestedCores(scaleOut));
         return scaleIn(scheduler, demand, services, arrays, scaleOut, decision, now);
     }
 
@@ -125,12 +126,12 @@
     /**
      * The cores that job arrays have, and may have.
      *
-     * @param supply of machines that count as capacity, beside what services need
-     * @param runnable the part of it that can run tasks
-     * @param usable what the teams' quotas allow
-     * @param load to keep for the mean load, as far as the quotas allow it
+     * @param supplyCores of machines that count as capacity, beside what services need
+     * @param runnableCores the part of it that can run tasks
+     * @param usableCores what the teams' quotas allow
+     * @param reservedCores to keep for the mean load, as far as the quotas allow it
      */
-    private record ArrayCapacity(double supply, double runnable, double usable, double load) {}
+    private record ArrayCapacity(double supplyCores, double runnableCores, double usableCores, double reservedCores) {}
 
     /** Requests the on-demand machines that services need, zone by zone. */
     private ServiceCapacity planServices(
@@ -140,7 +141,7 @@
             Set<String> partitionedZones,
             List<ScaleOut> scaleOut) {
         ServiceCapacity services = new ServiceCapacity();
-        services.quotaCores = demand.coresBeyondServices();
+        services.quotaCores = demand.quotaCoresAfterServices();
         for (String zone : zones) {
             boolean reachable = !partitionedZones.contains(zone);
             double standby = Math.min(standbyCores(demand, zone, zones.size()), services.quotaCores);
@@ -167,7 +168,7 @@
      * so the quotas bound the capacity that can run tasks, and leave room beside machines out of reach.
      */
     private ArrayCapacity arrayCapacity(CapacityDemand demand, CapacitySupply supply, ServiceCapacity services) {
-        double loadCores = demand.withinQuotas(load.arrayCoresByTeam(AutoscalingConstants.LOAD_HEADROOM));
+        double loadCores = demand.limitToQuotas(load.reservedArrayCoresByTeam(AutoscalingConstants.LOAD_HEADROOM));
         return new ArrayCapacity(
                 supply.spotCores() + Math.max(0, supply.onDemandCores() - services.neededCores),
                 supply.runnableSpotCores() + services.runnableSpareCores,
@@ -180,7 +181,7 @@
         if (demand.serviceSpec() == null) {
             return 0;
         }
-        double arriving = load.serviceCoresPerSecond() * AutoscalingConstants.STANDBY_S / zones;
+        double arriving = load.arrivingServiceCoresPerSecond() * AutoscalingConstants.STANDBY_S / zones;
         double share = demand.serviceCores(zone) * AutoscalingConstants.STANDBY_SHARE;
         return Math.max(operator.warmCores(), Math.max(arriving, share));
     }
@@ -189,17 +190,18 @@
             CapacityDemand demand, CapacitySupply supply, List<String> zones, ArrayCapacity arrays) {
         JobSpec spec = demand.arraySpec();
         double bootS = instanceSelector.minBootS();
-        double packable = demand.packableArrayCores(arrays.runnable(), supply);
+        double packable = demand.packableArrayCores(arrays.runnableCores(), supply);
         // Tasks that a team's quota keeps from running need no machine, however long they wait.
-        double allowed = arrays.usable() - packable;
+        double allowed = arrays.usableCores() - packable;
         double missing = demand.missingArrayCores(packable, bootS, AutoscalingConstants.CATCH_UP_S);
-        double spotCores = Math.max(arrays.load() - arrays.supply(), Math.min(allowed, missing));
+        double spotCores = Math.max(arrays.reservedCores() - arrays.supplyCores(), Math.min(allowed, missing));
         InstanceSelector.Selection spot = instanceSelector.select(spec, zones, true, spotCores);
-        if (spot.isAvailable()) {
+        if (spot.hasCapacity()) {
             return spot.requests();
         }
         double missingOnDemand = demand.missingArrayCores(packable, bootS, AutoscalingConstants.CATCH_UP_ON_DEMAND_S);
-        double onDemandCores = Math.min(missingOnDemand, Math.min(allowed, maxOnDemandCores() - arrays.runnable()));
+        double onDemandCores =
+                Math.min(missingOnDemand, Math.min(allowed, maxOnDemandArrayCores() - arrays.runnableCores()));
         List<ScaleOut> requests = new ArrayList<>(spot.requests());
         requests.addAll(
                 instanceSelector.select(spec, zones, false, onDemandCores).requests());
@@ -215,21 +217,22 @@
             ScaleOutDecision decision,
             long now) {
         Collection<Machine> machines = scheduler.machines();
-        double neededCores = Math.max(arrays.load(), demand.allowedArrayCores() * AutoscalingConstants.BUSY_MARGIN);
-        double surplusCores = Math.min(arrays.supply(), arrays.runnable()) - neededCores;
+        double neededCores =
+                Math.max(arrays.reservedCores(), demand.allowedArrayCores() * AutoscalingConstants.BUSY_MARGIN);
+        double surplusCores = Math.min(arrays.supplyCores(), arrays.runnableCores()) - neededCores;
         double surplus = ScaleInPlanner.markSurplus(machines, services.spareCoresByZone, surplusCores);
         List<Assignment> moves = scheduler.reconciliationComplete()
                 ? ReplicaMover.plan(machines, services.spareCoresByZone, surplus, now)
                 : List.of();
         List<Machine> terminated = scaleInPlanner.machinesToTerminate(
-                machines, services.spareCoresByZone, arrays.supply() - arrays.load(), now);
+                machines, services.spareCoresByZone, arrays.supplyCores() - arrays.reservedCores(), now);
         return new Plan(scaleOut, terminated, moves, decision);
     }
 
     /** Beyond this spot machines catch up soon enough once they are available; unlimited until the load is known. */
-    private double maxOnDemandCores() {
-        return load.arrayCores() > 0
-                ? load.arrayCores() * AutoscalingConstants.ON_DEMAND_LOAD / load.confidence()
+    private double maxOnDemandArrayCores() {
+        return load.meanArrayCores() > 0
+                ? load.meanArrayCores() * AutoscalingConstants.ON_DEMAND_LOAD / load.confidence()
                 : Double.MAX_VALUE;
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -34,7 +34,7 @@
     /** Cores of the arrays' tasks that the quotas allow on capacity within reach, by team. */
     private final Object2DoubleOpenHashMap<String> allowedArrayCoresByTeam = new Object2DoubleOpenHashMap<>();
 
-    private QuotaBudget beyondServices;
+    private QuotaBudget budgetAfterServices;
     private double arrayCores;
     private boolean hasPendingArrays;
     private JobSpec serviceSpec;
@@ -63,7 +63,7 @@
         }
         services.forEach(demand::addRunningReplicas);
         services.forEach(demand::addPendingReplicas);
-        demand.beyondServices = demand.budget.copy();
+        demand.budgetAfterServices = demand.budget.copy();
         arrays.forEach(demand::addRunningTasks);
         arrays.forEach(demand::addPendingTasks);
         return demand;
@@ -77,7 +77,7 @@
 
     private void addRunningReplicas(Job job) {
         serviceSpec = job.spec;
-        budget.takeAll(job.spec, job.assignments.size());
+        budget.takeUnconditionally(job.spec, job.assignments.size());
         for (Assignment assignment : job.assignments.values()) {
             serviceCoresByZone.merge(assignment.machine.zone, job.spec.cpus(), Double::sum);
         }
@@ -90,11 +90,11 @@
     private void addPendingReplicas(Job job) {
         int pending = pendingTasks(job);
         Map<String, Double> weights = zoneWeights(job);
-        double reachableWeight = weightWithin(weights, true);
+        double reachableWeight = sumWeights(weights, true);
         boolean limitedByZone = job.spec.spreadOverZones() || reachableWeight <= 0;
         int startable = limitedByZone ? (int) Math.min(pending, reachableWeight) : pending;
-        addPending(job.spec, weights, true, reachableWeight, budget.take(job.spec, startable));
-        addPending(job.spec, weights, false, weightWithin(weights, false), pending - startable);
+        addPending(job.spec, weights, true, reachableWeight, budget.takeAvailable(job.spec, startable));
+        addPending(job.spec, weights, false, sumWeights(weights, false), pending - startable);
     }
 
     private void addPending(
@@ -125,7 +125,7 @@
         return weights;
     }
 
-    private double weightWithin(Map<String, Double> weights, boolean reachable) {
+    private double sumWeights(Map<String, Double> weights, boolean reachable) {
         double sum = 0;
         for (Map.Entry<String, Double> weight : weights.entrySet()) {
             sum += isReachable(weight.getKey()) == reachable ? weight.getValue() : 0;
@@ -156,7 +156,8 @@
         if (tasks != null) {
             JobSpec spec = tasks.spec;
             arrayCores += tasks.unreachable * spec.cpus();
-            budget.takeAll(spec, tasks.unreachable); // they hold their quota there until their leases have expired
+            budget.takeUnconditionally(
+                    spec, tasks.unreachable); // they hold their quota there until their leases have expired
             arrayCoreSecondsByTeam.addTo(spec.team(), spec.cpus() * tasks.remainingS);
             addArrayTasks(spec, tasks.reachable);
         }
@@ -206,7 +207,7 @@
     /** @return how many of them the quota allows */
     private int addArrayTasks(JobSpec spec, int count) {
         arrayCores += count * spec.cpus();
-        int allowed = budget.take(spec, count);
+        int allowed = budget.takeAvailable(spec, count);
         allowedArrayCoresByTeam.addTo(spec.team(), allowed * spec.cpus());
         return allowed;
     }
@@ -234,8 +235,8 @@
     }
 
     /** Cores that the quotas of all teams leave beside the services; infinity if a team has no limit. */
-    double coresBeyondServices() {
-        return beyondServices.remainingCpus();
+    double quotaCoresAfterServices() {
+        return budgetAfterServices.remainingCpus();
     }
 
     /** A task of a job array, if possible a pending one, by which machine types are chosen; null if there is none. */
@@ -265,8 +266,8 @@
         if (!scheduler.quotas().anyLimited()) {
             return runnableCores;
         }
-        double withoutRoom = allowedTasks.coresWithoutRoom(supply.runnableMachines());
-        return withoutRoom > 0 ? Math.min(runnableCores, allowedArrayCores() - withoutRoom) : runnableCores;
+        double unplaced = allowedTasks.unplacedCores(supply.runnableMachines());
+        return unplaced > 0 ? Math.min(runnableCores, allowedArrayCores() - unplaced) : runnableCores;
     }
 
     /**
@@ -306,10 +307,10 @@
     }
 
     /** What of the given cores of job arrays, by team, the quotas allow beside the services. */
-    double withinQuotas(Map<String, Double> coresByTeam) {
+    double limitToQuotas(Map<String, Double> coresByTeam) {
         double cores = 0;
         for (Map.Entry<String, Double> team : coresByTeam.entrySet()) {
-            cores += Math.min(team.getValue(), beyondServices.remainingCpus(team.getKey()));
+            cores += Math.min(team.getValue(), budgetAfterServices.remainingCpus(team.getKey()));
         }
         return cores;
     }
--- a/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
+++ b/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
@@ -34,8 +34,8 @@
         }
         if (now - startedAt > warmUpMillis) { // never at the first update: that is what the term finds
             updateTeams(arrivals.arrayCoreSeconds(), now);
-            arrayJobs.arrived(arrivals.arrayJobs(), now);
-            serviceCores.arrived(arrivals.serviceCores(), now);
+            arrayJobs.recordArrivals(arrivals.arrayJobs(), now);
+            serviceCores.recordArrivals(arrivals.serviceCores(), now);
         }
         if (arrivals.arrayJobs() > 0) {
             lastArrayArrivedAt = now;
@@ -51,9 +51,9 @@
 
     private void updateTeams(Object2DoubleMap<String> coreSeconds, long now) {
         for (String team : coreSeconds.keySet()) {
-            arrayCoreSecondsByTeam.computeIfAbsent(team, name -> arrayJobs.ofNothingSoFar());
+            arrayCoreSecondsByTeam.computeIfAbsent(team, name -> arrayJobs.copyWithoutArrivals());
         }
-        arrayCoreSecondsByTeam.forEach((team, mean) -> mean.arrived(coreSeconds.getDouble(team), now));
+        arrayCoreSecondsByTeam.forEach((team, mean) -> mean.recordArrivals(coreSeconds.getDouble(team), now));
     }
 
     /** Users can't submit jobs now, so missing arrivals don't mean a lower load. */
@@ -62,7 +62,7 @@
     }
 
     /** Mean cores that arriving job arrays of all teams keep busy. */
-    double arrayCores() {
+    double meanArrayCores() {
         double cores = 0;
         for (ArrivalMean mean : arrayCoreSecondsByTeam.values()) {
             cores += mean.perSecond();
@@ -75,14 +75,14 @@
      *
      * @param headroom multiple of the mean that is kept
      */
-    Map<String, Double> arrayCoresByTeam(double headroom) {
+    Map<String, Double> reservedArrayCoresByTeam(double headroom) {
         Map<String, Double> cores = new HashMap<>();
         arrayCoreSecondsByTeam.forEach((team, mean) -> cores.put(team, mean.perSecond() * headroom * confidence()));
         return cores;
     }
 
     /** Cores of services that arrive in a second. */
-    double serviceCoresPerSecond() {
+    double arrivingServiceCoresPerSecond() {
         return serviceCores.perSecond();
     }
 
--- a/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
+++ b/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
@@ -11,31 +11,31 @@
  */
 final class QuotaBudget {
     /** For rounding errors in sums of decimal amounts. */
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final TeamQuotas quotas;
-    private final Map<String, Remainder> remainders = new HashMap<>();
+    private final Map<String, RemainingQuota> remainingByTeam = new HashMap<>();
 
     /** What is left of one team's quota. */
-    private static final class Remainder {
+    private static final class RemainingQuota {
         private double cpus;
         private double gpus;
 
-        Remainder copy() {
-            Remainder copy = new Remainder();
+        RemainingQuota copy() {
+            RemainingQuota copy = new RemainingQuota();
             copy.cpus = cpus;
             copy.gpus = gpus;
             return copy;
         }
 
-        int fits(JobSpec spec, int tasks) {
-            double byCpus = count(cpus, spec.cpus());
-            double byGpus = count(gpus, spec.gpus());
+        int maxTasks(JobSpec spec, int tasks) {
+            double byCpus = maxTasks(cpus, spec.cpus());
+            double byGpus = maxTasks(gpus, spec.gpus());
             return (int) Math.min(tasks, Math.min(byCpus, byGpus));
         }
 
-        private static double count(double available, double each) {
-            return each > 0 ? Math.floor(Math.max(0, available + SLACK) / each) : Double.POSITIVE_INFINITY;
+        private static double maxTasks(double available, double each) {
+            return each > 0 ? Math.floor(Math.max(0, available + ROUNDING_TOLERANCE) / each) : Double.POSITIVE_INFINITY;
         }
 
         void take(JobSpec spec, int tasks) {
@@ -51,26 +51,26 @@
     /** What is left now; later takings don't change it. */
     QuotaBudget copy() {
         QuotaBudget copy = new QuotaBudget(quotas);
-        remainders.forEach((team, remainder) -> copy.remainders.put(team, remainder.copy()));
+        remainingByTeam.forEach((team, remaining) -> copy.remainingByTeam.put(team, remaining.copy()));
         return copy;
     }
 
     /** Takes what these tasks need, whether or not it is left: they run already. */
-    void takeAll(JobSpec spec, int tasks) {
-        remainder(spec.team()).take(spec, tasks);
+    void takeUnconditionally(JobSpec spec, int tasks) {
+        remaining(spec.team()).take(spec, tasks);
     }
 
     /** Takes what is left for these tasks, and returns how many of them it is enough for. */
-    int take(JobSpec spec, int tasks) {
-        Remainder remainder = remainder(spec.team());
-        int fitting = remainder.fits(spec, tasks);
-        remainder.take(spec, fitting);
+    int takeAvailable(JobSpec spec, int tasks) {
+        RemainingQuota remaining = remaining(spec.team());
+        int fitting = remaining.maxTasks(spec, tasks);
+        remaining.take(spec, fitting);
         return fitting;
     }
 
     /** Cores left of the team's quota; infinity if it has no limit. */
     double remainingCpus(String team) {
-        return Math.max(0, remainder(team).cpus);
+        return Math.max(0, remaining(team).cpus);
     }
 
     /** Cores left of the quotas of all teams; infinity if one of them has no limit. */
@@ -81,12 +81,12 @@
         return quotas.teams().stream().mapToDouble(this::remainingCpus).sum();
     }
 
-    private Remainder remainder(String team) {
-        return remainders.computeIfAbsent(team, name -> {
-            Remainder whole = new Remainder();
-            whole.cpus = quotas.maxCpus(name);
-            whole.gpus = quotas.maxGpus(name);
-            return whole;
+    private RemainingQuota remaining(String team) {
+        return remainingByTeam.computeIfAbsent(team, name -> {
+            RemainingQuota full = new RemainingQuota();
+            full.cpus = quotas.maxCpus(name);
+            full.gpus = quotas.maxGpus(name);
+            return full;
         });
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -63,7 +63,7 @@
             }
             if (machine.faults.faulty()) {
                 terminated.add(machine);
-            } else if (isExpendable(machine, now)) {
+            } else if (hasExceededIdleTimeout(machine, now)) {
                 expendable.add(machine);
             }
         }
@@ -84,11 +84,13 @@
         return terminated;
     }
 
-    private boolean isExpendable(Machine machine, long now) {
-        return machine.heartbeatReceived() && !machine.draining() && now - machine.idleSince() > maxIdleMillis(machine);
+    private boolean hasExceededIdleTimeout(Machine machine, long now) {
+        return machine.heartbeatReceived()
+                && !machine.draining()
+                && now - machine.idleSince() > idleTimeoutMillis(machine);
     }
 
-    private long maxIdleMillis(Machine machine) {
+    private long idleTimeoutMillis(Machine machine) {
         return machine.spot && !machine.isSurplus() ? operator.idleMs() : AutoscalingConstants.IDLE_ON_DEMAND_MS;
     }
 
--- a/src/main/java/org/hollypick/core/autoscaling/TaskPacking.java
+++ b/src/main/java/org/hollypick/core/autoscaling/TaskPacking.java
@@ -18,7 +18,7 @@
             .thenComparingDouble(TaskSize::memoryGb)
             .reversed();
     /** For rounding errors in sums of decimal amounts. */
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Map<TaskSize, Integer> tasks = new TreeMap<>(LARGEST_FIRST);
 
@@ -26,12 +26,12 @@
     private record TaskSize(double cpus, double gpus, double memoryGb) {}
 
     /** What is left on a machine while tasks are packed into it. */
-    private static final class Room {
+    private static final class FreeResources {
         private double cpus;
         private double gpus;
         private double memoryGb;
 
-        Room(Machine machine) {
+        FreeResources(Machine machine) {
             cpus = machine.type.cpus() - machine.usedCpus();
             gpus = machine.type.gpus() - machine.usedGpus();
             memoryGb = machine.type.memoryGb() - machine.usedMemoryGb();
@@ -39,9 +39,9 @@
 
         /** Takes as many of the tasks as fit, and returns how many these are. */
         int pack(TaskSize size, int count) {
-            double fitting = Math.min(count, fitting(cpus, size.cpus));
-            fitting = Math.min(fitting, fitting(gpus, size.gpus));
-            fitting = Math.min(fitting, fitting(memoryGb, size.memoryGb));
+            double fitting = Math.min(count, maxTasks(cpus, size.cpus));
+            fitting = Math.min(fitting, maxTasks(gpus, size.gpus));
+            fitting = Math.min(fitting, maxTasks(memoryGb, size.memoryGb));
             int packed = (int) fitting;
             cpus -= packed * size.cpus;
             gpus -= packed * size.gpus;
@@ -49,8 +49,8 @@
             return packed;
         }
 
-        private static double fitting(double available, double each) {
-            return each > 0 ? Math.floor(Math.max(0, available + SLACK) / each) : Double.POSITIVE_INFINITY;
+        private static double maxTasks(double available, double each) {
+            return each > 0 ? Math.floor(Math.max(0, available + ROUNDING_TOLERANCE) / each) : Double.POSITIVE_INFINITY;
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Cores of the tasks that find no room on these machines. */
-    double coresWithoutRoom(Collection<Machine> machines) {
+    double unplacedCores(Collection<Machine> machines) {
         if (tasks.isEmpty()) {
             return 0;
         }
@@ -70,10 +70,10 @@
         waiting.putAll(tasks);
         double fewestCpus = waiting.lastKey().cpus;
         for (Machine machine : machines) {
-            boolean mayFit = machine.type.cpus() - machine.usedCpus() + SLACK >= fewestCpus;
+            boolean mayFit = machine.type.cpus() - machine.usedCpus() + ROUNDING_TOLERANCE >= fewestCpus;
             if (mayFit && !machine.isEvicting()) {
-                Room room = new Room(machine);
-                waiting.replaceAll((size, count) -> count - room.pack(size, count));
+                FreeResources free = new FreeResources(machine);
+                waiting.replaceAll((size, count) -> count - free.pack(size, count));
             }
         }
         double cores = 0;
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -31,7 +31,7 @@
     private static final Settings SETTINGS = new SettingsBuilder().zones(ZONES).build();
 
     private final Scheduler scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
-    private final Autoscaler fleet = new Autoscaler(OperatorSettings.defaults(), true);
+    private final Autoscaler autoscaler = new Autoscaler(OperatorSettings.defaults(), true);
     private int machines;
 
     private Machine machine(String zone, boolean spot, long now) {
@@ -99,14 +99,14 @@
                 5);
     }
 
-    private static int rented(Autoscaler.Plan plan, String zone, boolean spot) {
+    private static int requestedMachines(Autoscaler.Plan plan, String zone, boolean spot) {
         return plan.scaleOut().stream()
-                .filter(r -> r.kind().zone().equals(zone) && r.kind().spot() == spot)
+                .filter(r -> r.pool().zone().equals(zone) && r.pool().spot() == spot)
                 .mapToInt(Autoscaler.ScaleOut::count)
                 .sum();
     }
 
-    private void allRun(long now) {
+    private void reportAllTasksRunning(long now) {
         for (Machine m : scheduler.machines()) {
             TaskStatus[] tasks = m.assignments.values().stream()
                     .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
@@ -126,56 +126,56 @@
      * it.
      */
     @Test
-    void whatWaitsOfASpreadServiceIsNeededWhereItMayStillGo() {
+    void pendingReplicasOfASpreadServiceCountInTheZonesThatCanStillTakeThem() {
         machine("a", false, 0);
         Job job = service("req-1", 32);
         scheduler.runSchedulingCycle(0);
         assertEquals(16, job.assignments.size());
-        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
-        assertEquals(1, rented(plan, "a", false), "only room for services to come");
-        assertEquals(2, rented(plan, "b", false), "all sixteen that wait, and room for services to come");
+        Autoscaler.Plan plan = autoscaler.plan(scheduler, TYPES, ZONES, 1_000);
+        assertEquals(1, requestedMachines(plan, "a", false), "only room for services to come");
+        assertEquals(2, requestedMachines(plan, "b", false), "all sixteen that wait, and room for services to come");
     }
 
     /** Machines that boot for long counted as room to come, so a zone stayed short for as long as they took. */
     @Test
-    void aMachineThatBootsForTooLongIsNoRoom() {
+    void machinesThatBootTooSlowlyDoNotCountAsCapacity() {
         service("req-1", 8);
         scheduler.addMachine("n-a", TYPE, "a", false, false, 0);
         scheduler.addMachine("n-b", TYPE, "b", false, false, 0);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, 1_000).scaleOut().isEmpty());
-        assertEquals(1, rented(fleet.plan(scheduler, TYPES, ZONES, 90_000), "a", false));
+        assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, 1_000).scaleOut().isEmpty());
+        assertEquals(1, requestedMachines(autoscaler.plan(scheduler, TYPES, ZONES, 90_000), "a", false));
     }
 
     /** At equal prices one zone got all of them, and the other had no slack for services. */
     @Test
-    void zonesAreKeptEvenAtEqualPrices() {
+    void scaleOutIsBalancedOverZonesAtEqualPrices() {
         machine("a", true, 0);
         array("req-1", 2_000);
-        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
+        Autoscaler.Plan plan = autoscaler.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(
-                rented(plan, "a", true) > 0 && rented(plan, "b", true) > 0,
+                requestedMachines(plan, "a", true) > 0 && requestedMachines(plan, "b", true) > 0,
                 plan.scaleOut().toString());
         assertTrue(
-                Math.abs(rented(plan, "a", true) - rented(plan, "b", true)) <= 50,
+                Math.abs(requestedMachines(plan, "a", true) - requestedMachines(plan, "b", true)) <= 50,
                 plan.scaleOut().toString());
     }
 
     /** All that waited at a term's start was taken for the usual load, and far too much was kept. */
     @Test
-    void theCrowdAtAStartIsNotTheUsualLoad() {
+    void submissionsDuringWarmUpAreNotCountedIntoTheMeanLoad() {
         array("req-1", 1_000);
-        fleet.plan(scheduler, TYPES, ZONES, 1_000);
+        autoscaler.plan(scheduler, TYPES, ZONES, 1_000);
         for (long now = 2_000; now < 60_000; now += 1_000) {
-            fleet.plan(scheduler, TYPES, ZONES, now);
+            autoscaler.plan(scheduler, TYPES, ZONES, now);
         }
-        assertEquals(0, fleet.load());
+        assertEquals(0, autoscaler.meanArrayLoadCores());
         for (long now = 60_000; now < 400_000; now += 1_000) {
             if (now % 10_000 == 0) {
                 array("req-" + now, 10);
             }
-            fleet.plan(scheduler, TYPES, ZONES, now);
+            autoscaler.plan(scheduler, TYPES, ZONES, now);
         }
-        assertEquals(60, fleet.load(), 12, "one job of 600 core-seconds each 10 s");
+        assertEquals(60, autoscaler.meanArrayLoadCores(), 12, "one job of 600 core-seconds each 10 s");
     }
 
     /**
@@ -183,7 +183,7 @@
      * it.
      */
     @Test
-    void roomForArraysGoesOnceTheyNoLongerCome() {
+    void spareArrayCapacityIsTerminatedWhenArraysStopArriving() {
         for (int i = 0; i < 4; i++) {
             machine(i % 2 == 0 ? "a" : "b", true, 0);
         }
@@ -191,32 +191,38 @@
         for (; now < 200_000; now += 1_000) {
             scheduler.jobs().clear();
             array("req-" + now, 1);
-            assertTrue(fleet.plan(scheduler, TYPES, ZONES, now).scaleIn().isEmpty() || now < 60_000);
+            assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, now).scaleIn().isEmpty() || now < 60_000);
         }
         scheduler.jobs().clear();
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 8_000).scaleIn().isEmpty(), "a pause");
-        fleet.submissionsUnavailable(now + 20_000);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size() < 4, "nobody could submit");
+        assertTrue(
+                autoscaler.plan(scheduler, TYPES, ZONES, now + 8_000).scaleIn().isEmpty(), "a pause");
+        autoscaler.submissionsUnavailable(now + 20_000);
+        assertTrue(
+                autoscaler.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size() < 4, "nobody could submit");
         now += 20_000;
         assertEquals(
-                4, fleet.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size());
+                4,
+                autoscaler.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size());
         // A single late one brought all that room back, booting machines for nothing.
         array("req-late", 1);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, now + 31_000).scaleOut().isEmpty());
+        assertTrue(autoscaler
+                .plan(scheduler, TYPES, ZONES, now + 31_000)
+                .scaleOut()
+                .isEmpty());
     }
 
     /** Services end one by one: without moves all machines stay, each nearly empty. */
     @Test
-    void replicasMoveOffTheEmptiestMachinesOnceTheyHaveRunForAWhile() {
+    void replicasMoveOffTheEmptiestMachinesAfterTheirMinimumRunTime() {
         for (int i = 0; i < 12; i++) {
             machine(i % 2 == 0 ? "a" : "b", false, 0);
             service("req-" + i, 2);
         }
         scheduler.runSchedulingCycle(0);
         // Spread by hand: one replica a machine and more, as ends leave them.
-        allRun(1_000);
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(), "they have only just started");
-        Autoscaler.Plan plan = fleet.plan(scheduler, TYPES, ZONES, 100_000);
+        reportAllTasksRunning(1_000);
+        assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(), "they have only just started");
+        Autoscaler.Plan plan = autoscaler.plan(scheduler, TYPES, ZONES, 100_000);
         assertFalse(plan.moves().isEmpty());
         plan.moves().forEach(p -> {
             assertTrue(p.machine.isEvicting());
@@ -224,7 +230,7 @@
         });
         // Without the image elsewhere a move would cost a fetch.
         scheduler.machines().forEach(m -> m.images.clear());
-        assertTrue(fleet.plan(scheduler, TYPES, ZONES, 101_000).moves().isEmpty());
+        assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, 101_000).moves().isEmpty());
     }
 
     /**
@@ -232,15 +238,16 @@
      * machines spread counts more.
      */
     @Test
-    void replicasStayOffMachinesThatAreEmptiedNextWhereThereAreMany() {
+    void newReplicasAvoidMachinesToBeEvictedNextInLargeClusters() {
         for (int i = 0; i < 60; i++) {
             machine(i % 2 == 0 ? "a" : "b", false, 0);
             service("req-" + i, 8);
         }
         scheduler.runSchedulingCycle(0);
-        allRun(1_000);
-        fleet.plan(scheduler, TYPES, ZONES, 10_000);
-        fleet.plan(scheduler, TYPES, ZONES, 100_000)
+        reportAllTasksRunning(1_000);
+        autoscaler.plan(scheduler, TYPES, ZONES, 10_000);
+        autoscaler
+                .plan(scheduler, TYPES, ZONES, 100_000)
                 .moves()
                 .forEach(p -> scheduler.assignments().stop(p, 0));
         assertTrue(scheduler.machines().stream().anyMatch(m -> m.isEvictedNext() && m.schedulable()));
@@ -283,7 +290,7 @@
         assertEquals(
                 4, plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum(), "64 cores");
         scheduler.addJob(array, 1, 5);
-        plan = fleet.plan(scheduler, TYPES, ZONES, 1_000);
+        plan = autoscaler.plan(scheduler, TYPES, ZONES, 1_000);
         assertTrue(plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum() > 4, "without a limit");
     }
 
@@ -348,19 +355,19 @@
                 5);
     }
 
-    private static double rentedCores(Autoscaler.Plan plan) {
+    private static double requestedCores(Autoscaler.Plan plan) {
         return plan.scaleOut().stream()
                 .mapToDouble(r -> r.count() * TYPE.cpus())
                 .sum();
     }
 
     /** Plans until the mean load of arrays is known: one of 30 tasks, 1,800 core-seconds, arrives each second. */
-    private static long followArrays(Autoscaler fleet, Scheduler scheduler) {
+    private static long planUntilArrayLoadIsKnown(Autoscaler autoscaler, Scheduler scheduler) {
         long now = 0;
         for (; now < 200_000; now += 1_000) {
             scheduler.jobs().clear();
             addArray(scheduler, "req-" + now, 30);
-            fleet.plan(scheduler, TYPES, ZONES, now);
+            autoscaler.plan(scheduler, TYPES, ZONES, now);
         }
         return now;
     }
@@ -369,17 +376,19 @@
     @Test
     void headroomForFutureArraysStaysWithinTheQuotas() {
         Scheduler limited = withLimit(320);
-        Autoscaler rents = new Autoscaler(OperatorSettings.defaults(), true);
-        long now = followArrays(rents, limited);
-        assertTrue(rents.load() > 1_000, "mean load " + rents.load());
-        assertEquals(320, rentedCores(rents.plan(limited, TYPES, ZONES, now)), "all of the limit");
+        Autoscaler autoscaler = new Autoscaler(OperatorSettings.defaults(), true);
+        long now = planUntilArrayLoadIsKnown(autoscaler, limited);
+        assertTrue(autoscaler.meanArrayLoadCores() > 1_000, "mean load " + autoscaler.meanArrayLoadCores());
+        assertEquals(320, requestedCores(autoscaler.plan(limited, TYPES, ZONES, now)), "all of the limit");
         addService(limited, "req-service", 160);
-        double rented = rentedCores(rents.plan(limited, TYPES, ZONES, now + 1_000));
+        double requestedCores = requestedCores(autoscaler.plan(limited, TYPES, ZONES, now + 1_000));
         double wholeMachines = ZONES.size() * TYPE.cpus(); // the last one of each zone is rented whole
-        assertTrue(rented >= 320 && rented <= 320 + wholeMachines, "services, room for more, and arrays: " + rented);
+        assertTrue(
+                requestedCores >= 320 && requestedCores <= 320 + wholeMachines,
+                "services, room for more, and arrays: " + requestedCores);
         addService(limited, "req-more", 160);
-        Autoscaler.Plan plan = rents.plan(limited, TYPES, ZONES, now + 2_000);
-        assertEquals(320, rentedCores(plan), "services take all of the limit");
+        Autoscaler.Plan plan = autoscaler.plan(limited, TYPES, ZONES, now + 2_000);
+        assertEquals(320, requestedCores(plan), "services take all of the limit");
     }
 
     /** What services await beyond their team's limit can't start either. */
@@ -388,7 +397,8 @@
         Scheduler limited = withLimit(320);
         addService(limited, "req-1", 400);
         assertEquals(
-                320, rentedCores(new Autoscaler(OperatorSettings.defaults(), true).plan(limited, TYPES, ZONES, 1_000)));
+                320,
+                requestedCores(new Autoscaler(OperatorSettings.defaults(), true).plan(limited, TYPES, ZONES, 1_000)));
     }
 
     /**
@@ -418,7 +428,7 @@
             for (Autoscaler.ScaleOut request :
                     autoscaler.plan(few, Map.of("g", gpuType), ZONES, now).scaleOut()) {
                 for (int i = 0; i < request.count(); i++) {
-                    few.addMachine("n-" + machines++, gpuType, request.kind().zone(), true, false, now);
+                    few.addMachine("n-" + machines++, gpuType, request.pool().zone(), true, false, now);
                 }
             }
         }
--- a/src/test/java/org/hollypick/core/autoscaling/ScaleOutWithinQuotasTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/ScaleOutWithinQuotasTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void startsNothingBeyondTheQuotasAndLeavesNothingBelowThemWithoutRoom() {
+    void scaleOutStaysWithinTheQuotasAndCoversAllTasksThatTheyAllow() {
         for (long seed = 1; seed <= CASES; seed++) {
             new Case(seed).check();
         }
@@ -175,16 +175,16 @@
         }
 
         /** Cores of what the quotas allow to start and that finds no room: the largest first, each wherever it fits. */
-        private double startableCoresWithoutRoom() {
+        private double unplacedStartableCores() {
             List<Double> startable = new ArrayList<>();
             startableTasks().values().forEach(startable::addAll);
             startable.sort(Comparator.reverseOrder());
             List<Double> free = freeCores();
-            double withoutRoom = 0;
+            double unplaced = 0;
             for (double cpus : startable) {
-                withoutRoom += place(free, cpus) ? 0 : cpus;
+                unplaced += place(free, cpus) ? 0 : cpus;
             }
-            return withoutRoom;
+            return unplaced;
         }
 
         /** By team, the cores of each pending task that the quota allows beside all that runs, in the jobs' order. */
@@ -222,7 +222,7 @@
          * Core-seconds that capacity within reach has to do, of each team as far as the tasks that its quota lets run
          * at once can do it in time. Tasks in a partitioned zone hold their quota there.
          */
-        private double work() {
+        private double remainingWorkCoreSeconds() {
             Map<String, Double> work = new HashMap<>();
             Map<String, Double> cores = new HashMap<>();
             startableTasks().forEach((team, tasks) -> tasks.forEach(cpus -> cores.merge(team, cpus, Double::sum)));
@@ -232,7 +232,7 @@
                 work.merge(team, job.pendingTasks.cardinality() * each, Double::sum);
                 for (Assignment assignment : job.assignments.values()) {
                     if (!partitionedZones.contains(assignment.machine.zone)) {
-                        work.merge(team, remainingWork(job.spec, assignment), Double::sum);
+                        work.merge(team, remainingCoreSeconds(job.spec, assignment), Double::sum);
                         cores.merge(team, job.spec.cpus(), Double::sum);
                     }
                 }
@@ -246,7 +246,7 @@
             return sum;
         }
 
-        private double remainingWork(JobSpec spec, Assignment assignment) {
+        private double remainingCoreSeconds(JobSpec spec, Assignment assignment) {
             double elapsedS = assignment.runningAt() > 0 ? (PLANNED_AT_MS - assignment.runningAt()) / 1000.0 : 0;
             return spec.cpus() * Math.max(spec.estimateS() - elapsedS, spec.estimateS() / 10);
         }
@@ -259,12 +259,12 @@
         }
 
         /** Has the machines start that the plan asks for. */
-        private void start(Autoscaler.Plan plan) {
+        private void startRequestedMachines(Autoscaler.Plan plan) {
             for (Autoscaler.ScaleOut request : plan.scaleOut()) {
                 for (int i = 0; i < request.count(); i++) {
-                    Autoscaler.Kind kind = request.kind();
+                    Autoscaler.CapacityPool pool = request.pool();
                     Machine machine = scheduler.addMachine(
-                            "new-" + conditions.size(), TYPE, kind.zone(), kind.spot(), false, PLANNED_AT_MS);
+                            "new-" + conditions.size(), TYPE, pool.zone(), pool.spot(), false, PLANNED_AT_MS);
                     conditions.put(machine, Condition.BOOTING);
                 }
             }
@@ -276,24 +276,24 @@
             Autoscaler autoscaler = new Autoscaler(OperatorSettings.defaults(), true);
             double quotas =
                     limits.values().stream().mapToDouble(Double::doubleValue).sum();
-            double withoutRoom = startableCoresWithoutRoom();
+            double unplaced = unplacedStartableCores();
             for (int i = 0; i < PLANS; i++) {
                 double before = runnableCores();
-                double allowed = Math.max(quotas - before, withoutRoom);
+                double allowed = Math.max(quotas - before, unplaced);
                 Autoscaler.Plan plan =
                         autoscaler.plan(scheduler, Map.of("t", TYPE), ZONES, partitionedZones, PLANNED_AT_MS);
-                start(plan);
+                startRequestedMachines(plan);
                 double requested = runnableCores() - before;
                 assertTrue(
                         requested == 0 || requested <= allowed + WHOLE_MACHINES,
                         "seed " + seed + ": " + requested + " cores requested beside " + before + ", quotas " + quotas
-                                + ", startable without room " + withoutRoom);
-                withoutRoom = startableCoresWithoutRoom();
+                                + ", startable without room " + unplaced);
+                unplaced = unplacedStartableCores();
             }
-            double doneAfterS = work() / Math.max(1, runnableCores());
+            double doneAfterS = remainingWorkCoreSeconds() / Math.max(1, runnableCores());
             assertTrue(
-                    withoutRoom == 0 || doneAfterS <= MAX_WAIT_S,
-                    "seed " + seed + ": " + withoutRoom + " cores may start and have no room beside " + runnableCores()
+                    unplaced == 0 || doneAfterS <= MAX_WAIT_S,
+                    "seed " + seed + ": " + unplaced + " cores may start and have no room beside " + runnableCores()
                             + ", all done after " + doneAfterS + " s");
         }
     }
