--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -144,7 +144,7 @@
                 return;
             }
             if (scope == Scope.FIRST_ANSWERS
-                    && CandidacyDelay.majorityAnswered(probed.size(), reachedDirectly.size())) {
+                    && CandidacyDelay.majorityResponded(probed.size(), reachedDirectly.size())) {
                 complete(new Result(probed.size(), reachedDirectly.size(), 0, 0));
             } else if (openRequests == 0 && !peersAsked) {
                 askPeers();
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -76,7 +76,7 @@
             runPeriodicTasks(now);
             requestReconcile();
         } else {
-            components.localHealth.markDisturbed(now);
+            components.localHealth.markDegraded(now);
         }
         eventLoop.after(ReconcileConstants.RECONCILE_INTERVAL_MS, this::runIteration);
     }
@@ -85,7 +85,7 @@
         long elapsedMs = now - lastIterationAt;
         components.metrics.recordIteration(elapsedMs);
         if (elapsedMs > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
-            components.localHealth.markDisturbed(now); // this process itself was delayed, so silence proves nothing yet
+            components.localHealth.markDegraded(now); // this process itself was delayed, so silence proves nothing yet
         }
         lastIterationAt = now;
     }
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -87,7 +87,7 @@
         if (machine.reconciled() && !isProbe && canWaitForHeartbeat) {
             return;
         }
-        boolean toUnresponsive = machine.directCalls.unacknowledgedCalls() > 0 || machine.validity.isDoubtful();
+        boolean toUnresponsive = machine.directCalls.unacknowledgedCalls() > 0 || machine.validity.isSuspected();
         if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
             return;
         }
--- a/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -36,16 +36,16 @@
         inFlightToUnresponsive += toUnresponsive ? 1 : 0;
     }
 
-    /** Counts a call that ended after {@code tookMillis}. */
-    void completed(boolean toUnresponsive, AgentResponse response, long tookMillis, long now) {
+    /** Counts a call that ended after {@code latencyMillis}. */
+    void completed(boolean toUnresponsive, AgentResponse response, long latencyMillis, long now) {
         inFlight--;
         inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
         if (response.outcome() == AgentResponse.Outcome.NO_CAPACITY) {
-            localHealth.capacityMissing(now);
-            window.capacityMissing(now);
+            localHealth.recordUnsentCall(now);
+            window.recordUnsentCall(now);
         } else if (response.isAnswered() && !toUnresponsive) {
-            localHealth.callAnswered(tookMillis, now);
-            window.callAnswered(tookMillis, now);
+            localHealth.recordResponse(latencyMillis, now);
+            window.recordResponse(latencyMillis, now);
         }
     }
 }
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -55,7 +55,7 @@
         if (machine.isOutdated(heartbeat)) {
             return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
         }
-        return switch (machine.validity.freshness(heartbeat, now)) {
+        return switch (machine.validity.classify(heartbeat, now)) {
             case OUTDATED -> ServerResponse.retryLater(REJECTED_OLDER_HEARTBEAT);
             case REPEATED -> handleCurrent(machine, heartbeat, false, relay, now);
             case NEW -> handleCurrent(machine, heartbeat, true, relay, now);
@@ -168,7 +168,7 @@
             return HeartbeatRelayCodec.redirect(otherRelay);
         }
         machine.acknowledgeHeartbeat(machine.validity.newestReceivedAt());
-        machine.validity.heartbeatAnswered(commands);
+        machine.validity.responseSent(commands);
         scheduler.commands().sentInHeartbeatResponse(machine, commands);
         if (machine.reconciled()) {
             scheduler.outbox().commandsDelivered(machine);
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
@@ -63,12 +63,12 @@
 
     private void count(Machine machine) {
         Tally zone = byZone.computeIfAbsent(machine.zone, name -> new Tally());
-        boolean doubted = machine.validity.isDoubtful();
-        if (silenceMillis(machine) < FailureDetectionConstants.RESPONSIVE_MS && !doubted) {
+        boolean suspected = machine.validity.isSuspected();
+        if (silenceMillis(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
             total.responsive++;
             zone.responsive++;
         }
-        if (machine.directCalls.unacknowledgedCalls() > 0 || doubted) {
+        if (machine.directCalls.unacknowledgedCalls() > 0 || suspected) {
             total.unresponsive++;
             zone.unresponsive++;
         }
@@ -99,7 +99,7 @@
     }
 
     private boolean isSilent(Machine machine) {
-        long limitMillis = machine.validity.isDoubtful()
+        long limitMillis = machine.validity.isSuspected()
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
         return silenceMillis(machine) > limitMillis
@@ -109,7 +109,7 @@
     private boolean isOverdue(Machine machine) {
         // Only the loss of services is worth probing more often.
         boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
-        return machine.validity.isDoubtful()
+        return machine.validity.isSuspected()
                 || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
 
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -124,7 +124,7 @@
     }
 
     private static boolean completesTask(Job job, TaskStatus status) {
-        return REASON_DONE.equals(status.why()) && !job.spec.service();
+        return REASON_DONE.equals(status.exitReason()) && !job.spec.service();
     }
 
     /**
@@ -160,7 +160,7 @@
             if (completesTask(assignment.job, status)) {
                 taskCompleted(assignment, now);
             } else {
-                endedWithoutCompletion(assignment, status.why(), now);
+                endedWithoutCompletion(assignment, status.exitReason(), now);
             }
             releaseTask(assignment);
         }
@@ -185,7 +185,7 @@
             scheduler.outbox().addNewCompletions(job);
             recordRuntime(assignment, now);
         }
-        FaultAttribution.taskCompleted(assignment.machine, job, assignment.startedAt);
+        FaultAttribution.taskCompleted(assignment.machine, job, assignment.assignedAt);
     }
 
     /** Adds a completed task's runtime to the estimates and to the attained service that Tyrex orders jobs by. */
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -32,8 +32,8 @@
     }
 
     /** A task completed: if it started after the machine's last failure, the machine is sound. */
-    static void taskCompleted(Machine machine, Job job, long startedAt) {
-        if (startedAt > machine.faults.failedAt()) {
+    static void taskCompleted(Machine machine, Job job, long assignedAt) {
+        if (assignedAt > machine.faults.lastFailureAt()) {
             machine.faults.failedJobs.clear();
         }
         job.recordSuccess();
@@ -41,7 +41,7 @@
 
     /** Ends the machine's quarantine if it is over; returns whether it was. */
     static boolean endQuarantineIfOver(Machine machine, long now) {
-        boolean ends = machine.faults.quarantineOver(now);
+        boolean ends = machine.faults.isQuarantineOver(now);
         if (ends) {
             machine.faults.endQuarantine();
             machine.faults.failedJobs.clear();
@@ -95,7 +95,9 @@
     }
 
     private void endQuarantineIfCleared(Machine machine) {
-        if (machine != null && machine.faults.faulty() && failuresAgainst(machine) < FaultConstants.MACHINE_ERRORS) {
+        if (machine != null
+                && machine.faults.isQuarantined()
+                && failuresAgainst(machine) < FaultConstants.MACHINE_ERRORS) {
             machine.faults.endQuarantine();
         }
     }
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -45,7 +45,7 @@
         removeUnlistedAssignments(machine);
         reconcileIfUnderToken(machine, heartbeat);
         if (heartbeat.hasEvictionNotice() && !machine.draining()) {
-            beginGracefulEviction(machine, heartbeat.noticeS());
+            beginGracefulEviction(machine, heartbeat.evictionNoticeS());
         }
         scheduler.outbox().addPendingCommands(machine);
         return true;
@@ -84,7 +84,7 @@
     }
 
     private void applyListedTask(Assignment assignment, TaskStatus status, Heartbeat heartbeat, long now) {
-        assignment.machine.listed(assignment, now);
+        assignment.machine.markListed(assignment, now);
         assignments.update(assignment, status, now);
         if (heartbeat.token() == scheduler.token()
                 && assignment.mayExist()
@@ -129,7 +129,7 @@
         for (TaskStatus status : heartbeat.tasks()) {
             Assignment assignment = machine.assignmentOf(status.task(), status.attempt());
             if (assignment != null) {
-                machine.listed(assignment, now);
+                machine.markListed(assignment, now);
             }
         }
         for (Assignment assignment : machine.unlistedAssignments()) {
@@ -140,13 +140,14 @@
     }
 
     /** The cloud takes the machine: stops what can save a checkpoint, has to move, or can't finish in time. */
-    private void beginGracefulEviction(Machine machine, double noticeS) {
+    private void beginGracefulEviction(Machine machine, double evictionNoticeS) {
         machine.beginDraining();
         for (Assignment assignment : machine.liveAssignments()) {
             JobSpec spec = assignment.spec;
             if (spec.checkpointIntervalS() > 0 && !spec.service()) {
-                assignments.stop(assignment, noticeS > spec.checkpointSaveS() ? Math.ceil(spec.checkpointSaveS()) : 0);
-            } else if (spec.service() || noticeS < spec.estimateS() / 4) {
+                assignments.stop(
+                        assignment, evictionNoticeS > spec.checkpointSaveS() ? Math.ceil(spec.checkpointSaveS()) : 0);
+            } else if (spec.service() || evictionNoticeS < spec.estimateS() / 4) {
                 assignments.stop(assignment, 0);
             }
         }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -60,7 +60,7 @@
         allServiceCpus = 0;
         for (Machine machine : scheduler.machines()) {
             allServiceCpus += machine.serviceCpus();
-            if (MachineSelector.takesTasks(machine, now)) {
+            if (MachineSelector.acceptsTasks(machine, now)) {
                 machines.add(machine);
                 (machine.isInFirstPartition() ? firstPartitionMachines : secondPartitionMachines).add(machine);
             }
@@ -99,7 +99,7 @@
      * jobs of the machine's own partition, then those it is lent to.
      */
     void scheduleOn(Machine machine, long now) {
-        if (!MachineSelector.takesTasks(machine, now)
+        if (!MachineSelector.acceptsTasks(machine, now)
                 || (firstPartitionJobs.isEmpty() && secondPartitionJobs.isEmpty())) {
             return;
         }
@@ -138,12 +138,12 @@
      */
     private void placeService(Job job, List<Machine> machines, long now) {
         for (int index = nextStartableTask(job, 0, now); index >= 0; index = nextStartableTask(job, index + 1, now)) {
-            MachineSelector.Choice choice = MachineSelector.chooseForService(job, machines, allServiceCpus, now);
-            if (choice == null) {
+            MachineSelector.Placement placement = MachineSelector.chooseForService(job, machines, allServiceCpus, now);
+            if (placement == null) {
                 return;
             }
-            choice.victims().forEach(victim -> scheduler.assignments().stop(victim, 0));
-            start(job, index, choice.machine(), now);
+            placement.victims().forEach(victim -> scheduler.assignments().stop(victim, 0));
+            start(job, index, placement.machine(), now);
             scheduler.quotas().usage().reserve(job.spec, -1);
         }
     }
@@ -219,7 +219,7 @@
         } while (next >= 0
                 && job.spec(next) == spec
                 && machine.hasRoom(spec)
-                && MachineSelector.takesTasks(machine, now)
+                && MachineSelector.acceptsTasks(machine, now)
                 && MachineSelector.isAllowed(job, spec, machine));
         return next;
     }
--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -35,7 +35,7 @@
     public final Machine machine;
     public final String taskId;
     /** When the assignment was made or adopted, in milliseconds. */
-    public final long startedAt;
+    public final long assignedAt;
 
     private State state = State.LAUNCHING;
     private long runningAt;
@@ -46,7 +46,7 @@
     private boolean directLaunchInFlight;
     private boolean launchInHeartbeatResponse;
     /** The machine's task list that held it last; 0 before any did. */
-    long listedIn;
+    long lastListedIn;
     /** Whether its resources on the machine are taken. */
     boolean holdsResources;
 
@@ -58,7 +58,7 @@
         this.attempt = attempt;
         this.machine = machine;
         this.taskId = job.spec.id() + TASK_INDEX_SEPARATOR + index;
-        this.startedAt = now;
+        this.assignedAt = now;
     }
 
     // ---- state ----
@@ -76,10 +76,10 @@
         if (next == State.RUNNING) {
             runningAt = now;
         }
-        machine.count(this, -1);
+        machine.adjustCounts(this, -1);
         job.changeRunningCount(holdsImage() ? -1 : 0);
         state = next;
-        machine.count(this, 1);
+        machine.adjustCounts(this, 1);
         job.changeRunningCount(holdsImage() ? 1 : 0);
     }
 
--- a/src/main/java/org/hollypick/core/assignment/DirectCalls.java
+++ b/src/main/java/org/hollypick/core/assignment/DirectCalls.java
@@ -12,7 +12,7 @@
     DirectCalls() {}
 
     /** A heartbeat came, or the response to a direct call. */
-    void contactRecorded() {
+    void resetUnacknowledgedCalls() {
         unacknowledgedCalls = 0;
     }
 
--- a/src/main/java/org/hollypick/core/assignment/FaultHistory.java
+++ b/src/main/java/org/hollypick/core/assignment/FaultHistory.java
@@ -11,41 +11,41 @@
     /** The jobs whose tasks failed on the machine since one last succeeded there. */
     public final Set<String> failedJobs = new HashSet<>();
 
-    private long failedAt;
-    private boolean faulty;
-    private long faultyUntil;
+    private long lastFailureAt;
+    private boolean quarantined;
+    private long quarantinedUntil;
 
     FaultHistory() {}
 
     /** Whether it is quarantined: its failures are the machine's own, and it gets no new tasks for a while. */
-    public boolean faulty() {
-        return faulty;
+    public boolean isQuarantined() {
+        return quarantined;
     }
 
     /** Begins the quarantine, or prolongs it. */
     public void quarantine(long until) {
-        faulty = true;
-        faultyUntil = until;
+        quarantined = true;
+        quarantinedUntil = until;
     }
 
     /** Ends the quarantine. */
     public void endQuarantine() {
-        faulty = false;
+        quarantined = false;
     }
 
     /** Whether it is quarantined, and has been for long enough. */
-    public boolean quarantineOver(long now) {
-        return faulty && now >= faultyUntil;
+    public boolean isQuarantineOver(long now) {
+        return quarantined && now >= quarantinedUntil;
     }
 
     /** A task of the job failed on it. */
     public void recordFailure(String jobId, long now) {
-        failedAt = now;
+        lastFailureAt = now;
         failedJobs.add(jobId);
     }
 
     /** When a task last failed on it, in milliseconds. */
-    public long failedAt() {
-        return failedAt;
+    public long lastFailureAt() {
+        return lastFailureAt;
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Heartbeat.java
+++ b/src/main/java/org/hollypick/core/assignment/Heartbeat.java
@@ -12,7 +12,7 @@
  * @param incarnation of the agent: grows with each of its lives
  * @param sequence grows with each heartbeat of an incarnation
  * @param token the highest fencing token that the agent has seen
- * @param noticeS seconds until the cloud takes the machine; NaN unless it announced that
+ * @param evictionNoticeS seconds until the cloud takes the machine; NaN unless it announced that
  * @param tasks all tasks on the machine
  */
 public record Heartbeat(
@@ -24,7 +24,7 @@
         long incarnation,
         long sequence,
         long token,
-        double noticeS,
+        double evictionNoticeS,
         List<TaskStatus> tasks) {
     /** Whether it follows the heartbeat with this incarnation and sequence number. */
     public boolean newerThan(long otherIncarnation, long otherSequence) {
@@ -34,6 +34,6 @@
 
     /** Whether the cloud announced that it takes the machine. */
     public boolean hasEvictionNotice() {
-        return !Double.isNaN(noticeS);
+        return !Double.isNaN(evictionNoticeS);
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -108,7 +108,7 @@
     /** An assignment is decided, or was found in a heartbeat: it takes its resources from now on. */
     public void add(Assignment assignment) {
         assignments.put(assignment.attempt, assignment);
-        count(assignment, 1);
+        adjustCounts(assignment, 1);
         assignment.holdsResources = true;
         use(assignment, 1);
     }
@@ -119,7 +119,7 @@
         return assignment != null && assignment.taskId.equals(task) ? assignment : null;
     }
 
-    void count(Assignment assignment, int sign) {
+    void adjustCounts(Assignment assignment, int sign) {
         if (assignment.mayExist()) {
             liveAssignments += sign;
             starting += assignment.starting() ? sign : 0;
@@ -163,7 +163,7 @@
     /** A heartbeat came, or the response to a direct call: no call counts as unacknowledged any more. */
     public void recordContact(long now) {
         lastHeartbeatAt = now;
-        directCalls.contactRecorded();
+        directCalls.resetUnacknowledgedCalls();
     }
 
     /** When its last heartbeat or response to a direct call came, in milliseconds. */
@@ -428,11 +428,11 @@
     }
 
     /** The newest heartbeat lists the assignment. */
-    public void listed(Assignment assignment, long now) {
-        if (assignment.listedIn == 0) {
+    public void markListed(Assignment assignment, long now) {
+        if (assignment.lastListedIn == 0) {
             newAssignmentListedAt = now;
         }
-        assignment.listedIn = taskLists;
+        assignment.lastListedIn = taskLists;
     }
 
     /**
@@ -447,7 +447,7 @@
     public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
-            if (assignment.listedIn != taskLists) {
+            if (assignment.lastListedIn != taskLists) {
                 list.add(assignment);
             }
         }
@@ -502,7 +502,7 @@
                 && !validity.isUnreachableInbound()
                 && !draining
                 && !scalingIn
-                && !faults.faulty()
+                && !faults.isQuarantined()
                 && !evicting;
     }
 
--- a/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
@@ -39,7 +39,11 @@
         double maxBootMillis = AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * machine.type.bootS();
         boolean isSlowToBoot = !machine.heartbeatReceived() && now - machine.createdAt > maxBootMillis;
         boolean isLost = machine.unreachable() && !partitionedZones.contains(machine.zone);
-        return !machine.isScalingIn() && !machine.draining() && !machine.faults.faulty() && !isSlowToBoot && !isLost;
+        return !machine.isScalingIn()
+                && !machine.draining()
+                && !machine.faults.isQuarantined()
+                && !isSlowToBoot
+                && !isLost;
     }
 
     /** Whether the machine takes tasks, or will once it has booted or was reconciled. */
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -61,7 +61,7 @@
             if (machine.isScalingIn() || !machine.reconciled() || !machine.idle()) {
                 continue;
             }
-            if (machine.faults.faulty()) {
+            if (machine.faults.isQuarantined()) {
                 terminated.add(machine);
             } else if (hasExceededIdleTimeout(machine, now)) {
                 expendable.add(machine);
--- a/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -36,7 +36,7 @@
     }
 
     /** Records that a controller relays heartbeats, whether or not it has a machine. */
-    public void relayConfirmedLive(String controller, long nowMillis) {
+    public void recordRelay(String controller, long nowMillis) {
         relayedAtMillis.put(controller, nowMillis);
     }
 
--- a/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
+++ b/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
@@ -11,9 +11,9 @@
     private double size = FailureDetectionConstants.MAX_DIRECT_CALLS;
     private long shrunkAt = -FailureDetectionConstants.ADAPTIVE_WINDOW_MS;
 
-    /** A call was answered after {@code tookMillis}. */
-    public void callAnswered(long tookMillis, long now) {
-        if (tookMillis <= FailureDetectionConstants.SLOW_CALL_MS) {
+    /** A call was answered after {@code latencyMillis}. */
+    public void recordResponse(long latencyMillis, long now) {
+        if (latencyMillis <= FailureDetectionConstants.SLOW_CALL_MS) {
             size = Math.min(FailureDetectionConstants.MAX_DIRECT_CALLS, size + 1 / size);
         } else if (now - shrunkAt >= FailureDetectionConstants.ADAPTIVE_WINDOW_MS) {
             shrunkAt = now;
@@ -22,8 +22,8 @@
     }
 
     /** A call wasn't sent for want of capacity here, which counts as a slow answer. */
-    public void capacityMissing(long now) {
-        callAnswered(Long.MAX_VALUE, now);
+    public void recordUnsentCall(long now) {
+        recordResponse(Long.MAX_VALUE, now);
     }
 
     /** How many calls may be in flight now. */
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -32,20 +32,20 @@
     private long newestReceivedAt;
 
     /** Whether the newest heartbeat was answered, with which commands, and for which incarnation. */
-    private boolean answered;
+    private boolean responseSent;
 
-    private List<Command> answeredCommands = List.of();
-    private long answeredIncarnation;
+    private List<Command> sentCommands = List.of();
+    private long respondedIncarnation;
     /** Whether the agent had seen this term's token by the newest heartbeat. */
     private boolean tokenSeen;
 
-    private int unacknowledgedAnswers;
+    private int unacknowledgedResponses;
     private int unacknowledgedCalls;
     /** Since when the machine counts as unreachable inbound; 0 if it doesn't. */
     private long unreachableInboundSince;
 
     /** Compares a heartbeat with those before; a new one becomes the newest. */
-    public Freshness freshness(Heartbeat heartbeat, long now) {
+    public Freshness classify(Heartbeat heartbeat, long now) {
         if (!anyReceived || heartbeat.newerThan(newestIncarnation, newestSequence)) {
             anyReceived = true;
             newestIncarnation = heartbeat.incarnation();
@@ -70,19 +70,19 @@
      * @param pendingCommands what the machine would be sent now
      */
     public void heartbeatReceived(Heartbeat heartbeat, boolean seenThisToken, List<Command> pendingCommands, long now) {
-        if (answered) {
+        if (responseSent) {
             if (!seenThisToken || anyStillPending(pendingCommands)) {
-                unacknowledgedAnswers++;
-                if (unacknowledgedAnswers >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
+                unacknowledgedResponses++;
+                if (unacknowledgedResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
                     markUnreachableInbound(now);
                 }
-            } else if (!tokenSeen || (heartbeat.incarnation() == answeredIncarnation && anyEffectShown(heartbeat))) {
+            } else if (!tokenSeen || (heartbeat.incarnation() == respondedIncarnation && anyEffectShown(heartbeat))) {
                 deliveryConfirmed();
             }
         }
         tokenSeen = seenThisToken;
-        answered = false;
-        answeredCommands = List.of();
+        responseSent = false;
+        sentCommands = List.of();
     }
 
     /**
@@ -90,7 +90,7 @@
      * hundreds of heartbeats a second.
      */
     private boolean anyStillPending(List<Command> pendingCommands) {
-        for (Command sent : answeredCommands) {
+        for (Command sent : sentCommands) {
             for (Command pending : pendingCommands) {
                 if (sent.attempt() == pending.attempt() && sent.equals(pending)) {
                     return true;
@@ -101,7 +101,7 @@
     }
 
     private boolean anyEffectShown(Heartbeat heartbeat) {
-        for (Command command : answeredCommands) {
+        for (Command command : sentCommands) {
             if (showsEffect(heartbeat, command)) {
                 return true;
             }
@@ -125,10 +125,10 @@
     }
 
     /** The newest heartbeat is answered with these commands. */
-    public void heartbeatAnswered(List<Command> commands) {
-        answered = true;
-        answeredCommands = commands;
-        answeredIncarnation = newestIncarnation;
+    public void responseSent(List<Command> commands) {
+        responseSent = true;
+        sentCommands = commands;
+        respondedIncarnation = newestIncarnation;
     }
 
     /** No recent answer reached the machine, by its heartbeats or since its lease expired though it was answered. */
@@ -138,7 +138,7 @@
 
     /** An answer or a direct call certainly reached the agent. */
     public void deliveryConfirmed() {
-        unacknowledgedAnswers = 0;
+        unacknowledgedResponses = 0;
         unacknowledgedCalls = 0;
         unreachableInboundSince = 0;
     }
@@ -159,16 +159,17 @@
     }
 
     /** Whether heartbeats arrive but neither answers nor direct calls seem to reach the machine. */
-    public boolean isDoubtful() {
+    public boolean isSuspected() {
         return isUnreachableInbound()
-                || (unacknowledgedAnswers > 0 && unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
+                || (unacknowledgedResponses > 0
+                        && unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
     }
 
     /**
      * Whether direct calls don't reach the machine and no answer has been shown to since. One task at a time is enough
      * to find out.
      */
-    public boolean isOnTrial() {
+    public boolean isDeliveryUnconfirmed() {
         return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 }
--- a/src/main/java/org/hollypick/core/health/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/health/LocalHealth.java
@@ -7,7 +7,7 @@
  * too busy to read, proves nothing about a machine or the network. Times are milliseconds. Confined to the event loop.
  */
 public final class LocalHealth {
-    private long lastDisturbedAt;
+    private long lastDegradedAt;
     private long windowStartedAt;
     /** Answers in the present window, and the slow ones among them. */
     private int answeredCalls;
@@ -16,42 +16,42 @@
 
     /** Counts as disturbed at first: its health isn't known before it has been watched for a while. */
     public LocalHealth(long now) {
-        lastDisturbedAt = now;
+        lastDegradedAt = now;
         windowStartedAt = now;
     }
 
     /** The event loop was held up, or this controller didn't hold the leader lease. */
-    public void markDisturbed(long now) {
-        lastDisturbedAt = now;
+    public void markDegraded(long now) {
+        lastDegradedAt = now;
     }
 
     /**
      * A call wasn't sent for want of capacity here. Counts as a slow answer, since one now and then is what finds the
      * limit.
      */
-    public void capacityMissing(long now) {
-        callAnswered(Long.MAX_VALUE, now);
+    public void recordUnsentCall(long now) {
+        recordResponse(Long.MAX_VALUE, now);
     }
 
     /**
-     * A machine answered a call after {@code tookMillis}; many slow answers mean that this controller is overloaded.
+     * A machine answered a call after {@code latencyMillis}; many slow answers mean that this controller is overloaded.
      */
-    public void callAnswered(long tookMillis, long now) {
+    public void recordResponse(long latencyMillis, long now) {
         if (now - windowStartedAt >= FailureDetectionConstants.SLOW_WINDOW_MS) {
             windowStartedAt = now;
             answeredCalls = 0;
             slowCalls = 0;
         }
         answeredCalls++;
-        slowCalls += tookMillis > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
+        slowCalls += latencyMillis > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
         if (slowCalls >= FailureDetectionConstants.SLOW_CALLS
                 && slowCalls > answeredCalls * FailureDetectionConstants.SLOW_SHARE) {
-            lastDisturbedAt = now;
+            lastDegradedAt = now;
         }
     }
 
     /** Whether nothing disturbed this controller for as long as two calls to a machine take to be sent and answered. */
     public boolean isHealthy(long now) {
-        return now - lastDisturbedAt >= FailureDetectionConstants.FAILOVER_GRACE_MS;
+        return now - lastDegradedAt >= FailureDetectionConstants.FAILOVER_GRACE_MS;
     }
 }
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -33,7 +33,7 @@
     private MachineSelector() {}
 
     /** A machine and the tasks to preempt on it before the new one starts. */
-    public record Choice(Machine machine, List<Assignment> victims) {}
+    public record Placement(Machine machine, List<Assignment> victims) {}
 
     /**
      * Whether the job's constraints allow a task of it on the machine, given where its other tasks may be: type, zone,
@@ -52,14 +52,14 @@
     }
 
     /** Whether the machine takes new tasks now; one that is on trial takes one at a time. */
-    public static boolean takesTasks(Machine machine, long now) {
+    public static boolean acceptsTasks(Machine machine, long now) {
         return machine.schedulable()
                 && !machine.reportedNoRoom(now)
-                && !(machine.validity.isOnTrial() && machine.startingTasks() > 0);
+                && !(machine.validity.isDeliveryUnconfirmed() && machine.startingTasks() > 0);
     }
 
     private static boolean isCandidate(Job job, JobSpec spec, Machine machine, long now) {
-        return takesTasks(machine, now)
+        return acceptsTasks(machine, now)
                 && !machine.faults.failedJobs.contains(job.spec.id())
                 && isAllowed(job, spec, machine);
     }
@@ -74,7 +74,7 @@
             if (machine != assignment.machine
                     && !machine.spot
                     && machine.zone.equals(assignment.machine.zone)
-                    && takesTasks(machine, now)
+                    && acceptsTasks(machine, now)
                     && machine.hasRoom(assignment.job.spec)
                     && machine.type.fits(assignment.job.spec)
                     && machine.images.containsKey(assignment.job.spec.image())
@@ -170,7 +170,7 @@
      * @param allServiceCpus cores of all services on all machines
      * @return null if there is none
      */
-    public static Choice chooseForService(Job job, Collection<Machine> machines, double allServiceCpus, long now) {
+    public static Placement chooseForService(Job job, Collection<Machine> machines, double allServiceCpus, long now) {
         Machine best = null;
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
@@ -194,7 +194,7 @@
                 bestScore = score;
             }
         }
-        return best == null ? null : new Choice(best, bestVictims);
+        return best == null ? null : new Placement(best, bestVictims);
     }
 
     private static double lostCoreSeconds(List<Assignment> victims, long now) {
@@ -224,7 +224,7 @@
         }
         lower.sort(Comparator.comparing((Assignment assignment) -> assignment.job.priority())
                 .reversed()
-                .thenComparingLong(assignment -> -assignment.startedAt));
+                .thenComparingLong(assignment -> -assignment.assignedAt));
         double cpus = machine.type.cpus() - machine.usedCpus();
         double gpus = machine.type.gpus() - machine.usedGpus();
         double memoryGb = machine.type.memoryGb() - machine.usedMemoryGb();
--- a/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -14,7 +14,7 @@
 
     /** The delay before the candidacy, in milliseconds. */
     public static long delayMs(int probed, int direct, int byPeers) {
-        if (probed == 0 || majorityAnswered(probed, direct)) {
+        if (probed == 0 || majorityResponded(probed, direct)) {
             return 0;
         }
         double reachedShare = (direct + byPeers) / (double) probed;
@@ -39,7 +39,7 @@
     }
 
     /** Whether more than half of the machines answered: the rest need not be waited for, since some always hang. */
-    public static boolean majorityAnswered(int probed, int direct) {
+    public static boolean majorityResponded(int probed, int direct) {
         return direct * 2 > probed;
     }
 }
--- a/src/main/java/org/hollypick/core/routing/RouteSelector.java
+++ b/src/main/java/org/hollypick/core/routing/RouteSelector.java
@@ -23,7 +23,7 @@
 
     private int preferredPeer;
     /** The peer by way of which the newest request succeeded. */
-    private int provenPeer = NO_PEER;
+    private int lastSuccessfulPeer = NO_PEER;
 
     /** Starts with the direct route. */
     public RouteSelector(int peerCount, long nowMillis) {
@@ -56,7 +56,7 @@
     }
 
     /** The peer to send a request by; {@link #DIRECT} if the direct route is up, or no peer is any better. */
-    public int peer(long nowMillis) {
+    public int selectPeer(long nowMillis) {
         for (int i = 0; !direct && i < notBeforeMillis.length; i++) {
             int peer = (preferredPeer + i) % notBeforeMillis.length;
             if (nowMillis >= notBeforeMillis[peer]) {
@@ -69,17 +69,17 @@
 
     /** The service answered a request by way of that peer. */
     public void peerAnswered(int peer) {
-        provenPeer = peer;
+        lastSuccessfulPeer = peer;
     }
 
     /** Whether the newest request that succeeded by way of a peer went by that one, and none has failed there since. */
-    public boolean isProven(int peer) {
-        return provenPeer == peer;
+    public boolean isLastSuccessful(int peer) {
+        return lastSuccessfulPeer == peer;
     }
 
     /** That peer isn't reached, or doesn't reach the service. */
     public void peerFailed(int peer, long nowMillis) {
-        provenPeer = provenPeer == peer ? NO_PEER : provenPeer;
+        lastSuccessfulPeer = lastSuccessfulPeer == peer ? NO_PEER : lastSuccessfulPeer;
         notBeforeMillis[peer] = nowMillis + ReachabilityConstants.ROUTE_RETRY_MS;
     }
 }
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -95,10 +95,10 @@
     }
 
     private void send(RoutedRequest routed) {
-        int peer = route.peer(eventLoop.now());
+        int peer = route.selectPeer(eventLoop.now());
         if (peer == RouteSelector.DIRECT) {
             sendDirectly(routed);
-        } else if (routed.isWatch() && !route.isProven(peer)) {
+        } else if (routed.isWatch() && !route.isLastSuccessful(peer)) {
             probeBeforeWatch(routed);
         } else {
             new ForwardedAttempt(routed, peer).send();
@@ -154,7 +154,7 @@
         for (RoutedRequest routed : new ArrayList<>(inFlight)) {
             if (routed.kind == Kind.REPEATABLE
                     && routed.peer == RouteSelector.DIRECT
-                    && route.peer(eventLoop.now()) != RouteSelector.DIRECT) {
+                    && route.selectPeer(eventLoop.now()) != RouteSelector.DIRECT) {
                 send(routed);
             }
         }
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -341,10 +341,10 @@
                                 new TaskStatus(b.taskId, b.attempt, State.EXITED, "error")),
                         true,
                         100);
-        assertTrue(machine.faults.faulty());
+        assertTrue(machine.faults.isQuarantined());
         assertFalse(running.stopRequested());
         scheduler.expireLeases(200_000);
-        assertFalse(machine.faults.faulty());
+        assertFalse(machine.faults.isQuarantined());
     }
 
     /** A job that fails on every machine must not take the machines down with it. */
@@ -362,8 +362,8 @@
         Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         scheduler.runSchedulingCycle(10_200);
         reportError(two.assignments.get(0).machine, two, 3, 10_300);
-        assertFalse(machine.faults.faulty());
-        assertFalse(n.faults.faulty());
+        assertFalse(machine.faults.isQuarantined());
+        assertFalse(n.faults.isQuarantined());
     }
 
     /** A machine that went while its record was written got a task, which then waited for it for ever. */
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -105,9 +105,9 @@
             for (Machine machine : scheduler.machines()) {
                 machine.acknowledgeHeartbeat(now);
                 report(machine);
-                if (machine.faults.faulty() && faultyMachines.contains(machine.id)) {
+                if (machine.faults.isQuarantined() && faultyMachines.contains(machine.id)) {
                     detectedFaulty.add(machine.id);
-                } else if (machine.faults.faulty()) {
+                } else if (machine.faults.isQuarantined()) {
                     wronglyQuarantined.add(machine.id);
                     wrongQuarantineS++;
                 }
@@ -129,9 +129,9 @@
         private void report(Machine machine) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Assignment assignment : machine.assignments.values()) {
-                boolean fails = (faultyMachines.contains(machine.id) && assignment.startedAt > 41_000)
+                boolean fails = (faultyMachines.contains(machine.id) && assignment.assignedAt > 41_000)
                         || failingJobs.contains(assignment.job.spec.id());
-                boolean ends = now - assignment.startedAt > 6_000 + random.nextInt(8_000);
+                boolean ends = now - assignment.assignedAt > 6_000 + random.nextInt(8_000);
                 if (assignment.state() != State.EXITED) {
                     completedTasks += !fails && ends ? 1 : 0;
                     tasks.add(new TaskStatus(
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -277,7 +277,7 @@
         for (Machine m : s.machines()) {
             // As of the pass's start: what this pass places itself doesn't count.
             all += m.liveAssignments().stream()
-                    .filter(p -> p.job.spec.service() && p.startedAt < now)
+                    .filter(p -> p.job.spec.service() && p.assignedAt < now)
                     .mapToDouble(p -> p.job.spec.cpus())
                     .sum();
         }
@@ -290,7 +290,7 @@
                     .toList());
             lower.sort(Comparator.<Assignment, Integer>comparing(
                             p -> -p.job.spec.priority().ordinal())
-                    .thenComparing(p -> -p.startedAt));
+                    .thenComparing(p -> -p.assignedAt));
             double room = m.type.cpus() - m.usedCpus();
             double lost = 0;
             List<Assignment> victims = new ArrayList<>();
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
@@ -186,7 +186,7 @@
                 scheduler.runSchedulingCycle(now);
                 for (Machine machine : scheduler.machines()) {
                     for (Assignment assignment : machine.assignments.values()) {
-                        if (assignment.startedAt == now) {
+                        if (assignment.assignedAt == now) {
                             trace.add(step + " " + assignment.taskId + " on " + machine.id + " attempt "
                                     + assignment.attempt);
                         }
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -28,7 +28,7 @@
      * limit.
      */
     @Property(tries = 300, seed = "20261201")
-    void everyKindHasItsFloor(@ForAll long seed, @ForAll @IntRange(min = 200, max = 5_000) int sockets) {
+    void everyConnectionKindCanUseItsReserve(@ForAll long seed, @ForAll @IntRange(min = 200, max = 5_000) int sockets) {
         Random random = new Random(seed);
         ConnectionBudget s = new ConnectionBudget(sockets);
         Map<ConnectionBudget.Kind, Integer> open = new HashMap<>();
@@ -59,7 +59,7 @@
 
     /** Machines that follow their redirects end evenly spread, and then none is redirected any more: no ping-pong. */
     @Property(tries = 100, seed = "20261201")
-    void sharesBecomeEvenAndStayEven(
+    void redirectsBalanceTheMachinesAndThenStop(
             @ForAll long seed,
             @ForAll @IntRange(min = 3, max = 600) int machines,
             @ForAll @IntRange(min = 2, max = 5) int nodes) {
@@ -74,7 +74,7 @@
         for (long t = 0; t < 400_000; t += 1_000) {
             int before = moved;
             for (String n : names) {
-                heartbeatBalancer.relayConfirmedLive(n, t);
+                heartbeatBalancer.recordRelay(n, t);
             }
             for (int m = 0; m < machines; m++) {
                 heartbeatBalancer.heartbeatReceived("m" + m, at[m], t);
@@ -103,52 +103,52 @@
 
     /** No machine is redirected to a controller that no longer relays heartbeats. */
     @Test
-    void noMachineIsRedirectedToASilentController() {
+    void noMachineIsRedirectedToAControllerThatStoppedRelaying() {
         HeartbeatBalancer heartbeatBalancer = new HeartbeatBalancer("a", 0);
         for (int m = 0; m < 100; m++) {
             heartbeatBalancer.heartbeatReceived("m" + m, "a", 0);
         }
         assertEquals(null, heartbeatBalancer.redirectFrom("a", 5_000));
-        heartbeatBalancer.relayConfirmedLive("b", 5_000);
+        heartbeatBalancer.recordRelay("b", 5_000);
         assertEquals("b", heartbeatBalancer.redirectFrom("a", 6_000));
         assertEquals(null, heartbeatBalancer.redirectFrom("a", 5_001 + RelayConstants.RELAY_ALIVE_MS));
     }
 
     @Test
-    void slowAnswersHalveTheCallsUnderWayOnceAStretch() {
+    void slowResponsesHalveTheWindowAtMostOncePerInterval() {
         AdaptiveWindow probeWindow = new AdaptiveWindow();
         for (int i = 0; i < 50; i++) {
-            probeWindow.callAnswered(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
+            probeWindow.recordResponse(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
         }
         assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS / 2, probeWindow.size());
         for (int i = 0; i < 20; i++) {
-            probeWindow.callAnswered(
+            probeWindow.recordResponse(
                     FailureDetectionConstants.SLOW_CALL_MS + 1,
                     2_000 + i * FailureDetectionConstants.ADAPTIVE_WINDOW_MS);
         }
         assertEquals(FailureDetectionConstants.MIN_DIRECT_CALLS, probeWindow.size());
         for (int i = 0; i < 10_000; i++) {
-            probeWindow.callAnswered(10, 60_000);
+            probeWindow.recordResponse(10, 60_000);
         }
         assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS, probeWindow.size());
     }
 
     /** One slow machine among many says nothing about this controller; many do, and for a while after. */
     @Test
-    void manySlowAnswersAreAttributedToThisController() {
+    void manySlowResponsesMakeThisControllerUnhealthy() {
         LocalHealth own = new LocalHealth(0);
         assertFalse(own.isHealthy(1_000), "just begun");
         assertTrue(own.isHealthy(FailureDetectionConstants.FAILOVER_GRACE_MS));
         for (int i = 0; i < 100; i++) {
-            own.callAnswered(i % 10 == 0 ? 900 : 20, 5_000);
+            own.recordResponse(i % 10 == 0 ? 900 : 20, 5_000);
         }
         assertTrue(own.isHealthy(5_000));
         for (int i = 0; i < 100; i++) {
-            own.callAnswered(i % 2 == 0 ? 900 : 20, 8_000);
+            own.recordResponse(i % 2 == 0 ? 900 : 20, 8_000);
         }
         assertFalse(own.isHealthy(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS - 1));
         assertTrue(own.isHealthy(8_000 + FailureDetectionConstants.FAILOVER_GRACE_MS));
-        own.markDisturbed(20_000);
+        own.markDegraded(20_000);
         assertFalse(own.isHealthy(20_001), "a gap, or a call not sent");
     }
 }
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -44,7 +44,7 @@
      * nothing.
      */
     @Property(tries = 300, seed = "20261202")
-    void anAgentIsUnreachableIfItAcceptedNoneOfTheLastResponses(
+    void agentIsUnreachableInboundAfterThreeLostResponses(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
         Random random = new Random(seed);
         HeartbeatValidity validity = new HeartbeatValidity();
@@ -60,13 +60,13 @@
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
                 assertEquals(
                         HeartbeatValidity.Freshness.OUTDATED,
-                        validity.freshness(sent.get(random.nextInt(sent.size())), now));
+                        validity.classify(sent.get(random.nextInt(sent.size())), now));
             }
-            assertEquals(HeartbeatValidity.Freshness.NEW, validity.freshness(heartbeat, now));
-            assertEquals(HeartbeatValidity.Freshness.REPEATED, validity.freshness(heartbeat, now + 1_000));
+            assertEquals(HeartbeatValidity.Freshness.NEW, validity.classify(heartbeat, now));
+            assertEquals(HeartbeatValidity.Freshness.REPEATED, validity.classify(heartbeat, now + 1_000));
             assertEquals(
                     HeartbeatValidity.Freshness.OUTDATED,
-                    validity.freshness(heartbeat, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
+                    validity.classify(heartbeat, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
             sent.add(heartbeat);
             wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
             validity.heartbeatReceived(heartbeat, token == TOKEN, wanted, now);
@@ -75,7 +75,7 @@
                     validity.isUnreachableInbound(),
                     "after " + missed + " lost answers");
             wanted.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
-            validity.heartbeatAnswered(List.copyOf(wanted));
+            validity.responseSent(List.copyOf(wanted));
             if (random.nextInt(100) < taken) {
                 token = TOKEN;
                 wanted.forEach(o -> tasks.add(new TaskStatus(o.task(), o.attempt(), Assignment.State.RUNNING, "")));
@@ -131,7 +131,7 @@
      * ended.
      */
     @Test
-    void whatBeganAfterTheTermHoldsNothingOfOlderOnes() {
+    void incarnationThatBeganInThisTermHoldsNoEarlierTasks() {
         Machine machine = machine("n-1", true);
         for (int session = 1; session < 4; session++) {
             scheduler.heartbeats().applyHeartbeat(machine, report(session, session, 3), true, 15_000L * session);
@@ -142,7 +142,7 @@
 
     /** A late copy showed the task on a machine where it had been; the newer attempt, which runs, was told to end. */
     @Test
-    void ofTwoAttemptsTheNewerIsTheOneThatRuns() {
+    void ofTwoReportedAttemptsTheNewerIsKept() {
         Job job = job(5);
         Machine old = machine("n-1", true);
         Machine now = machine("n-2", true);
@@ -168,7 +168,7 @@
      * and they were started again elsewhere.
      */
     @Test
-    void largerCountsBesideALowerTokenAreAnEarlierLifes() {
+    void heartbeatWithAHigherSequenceAndALowerTokenIsRejected() {
         Machine machine = machine("n-1", true);
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
         Job job = job(TOKEN);
@@ -208,7 +208,7 @@
      * Begun again, as the answer to a question shows: what it had is gone, but for what an order under way may bring.
      */
     @Test
-    void whatHasBegunAgainHasNothing() {
+    void tasksOfARestartedAgentArePendingAgain() {
         Machine machine = machine("n-1", true);
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 50, TOKEN), true, 0);
         Job job = job(TOKEN);
@@ -232,7 +232,7 @@
 
     /** A machine that nobody knows of, by a late copy of a report: it isn't there, and took tasks. */
     @Test
-    void aReportAloneProvesNoMachine() {
+    void machineIsSchedulableOnlyAfterItShowsTheCurrentToken() {
         Machine machine = machine("n-1", false);
         machine.markRegistered();
         scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, 0), true, 0);
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -56,7 +56,7 @@
     }
 
     @Property(tries = 500)
-    void selectsTheRouteOfThePlainRules(@ForAll long seed) {
+    void selectedRouteMatchesTheReferenceModel(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 1_000;
         RouteSelector route = new RouteSelector(PEERS, now);
@@ -86,11 +86,11 @@
                 }
             }
             assertEquals(direct(all), route.isDirect());
-            int chosen = route.peer(now);
+            int chosen = route.selectPeer(now);
             boolean anyRested = false;
             for (int p = 0; p < PEERS; p++) {
                 anyRested |= !rests(all, p, now);
-                assertEquals(proven(all, p), route.isProven(p));
+                assertEquals(proven(all, p), route.isLastSuccessful(p));
             }
             assertEquals(
                     !direct(all) && anyRested,
@@ -117,9 +117,9 @@
         assertTrue(d == asked || CandidacyDelay.delayMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
         assertTrue(d + p == asked
                 || CandidacyDelay.delayMs(asked, d, p + 1) <= wait
-                || CandidacyDelay.majorityAnswered(asked, d));
+                || CandidacyDelay.majorityResponded(asked, d));
         assertTrue(CandidacyDelay.delayMs(asked, d, 0) >= CandidacyDelay.delayMs(asked, d, asked - d)
-                || CandidacyDelay.majorityAnswered(asked, d));
+                || CandidacyDelay.majorityResponded(asked, d));
         assertTrue(asked % 2 != 0
                 || CandidacyDelay.delayMs(asked, asked / 2, 0)
                         > CandidacyDelay.delayMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
--- a/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
+++ b/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void agreesWithThePlainModel() {
+    void cutoffMatchesTheReferenceModel() {
         Random random = new Random(42);
         int found = 0;
         int none = 0;
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void equalSizesHaveNoCutoff() {
+    void fewerThanTwoDistinctSizesHaveNoCutoff() {
         assertFalse(Cutoff.findBalanced(new double[] {5, 5, 5}).isPresent());
         assertFalse(Cutoff.findBalanced(new double[] {7}).isPresent());
         assertFalse(Cutoff.findBalanced(new double[0]).isPresent());
