--- a/src/main/java/org/hollypick/api/CompletionEstimates.java
+++ b/src/main/java/org/hollypick/api/CompletionEstimates.java
@@ -117,7 +117,7 @@
                 .put(P50, roundToTenths(interval.p50()))
                 .put(P90, roundToTenths(interval.p90()));
         body.put(REASON, reason(estimate.bottleneck()));
-        body.putObject(HISTORY).put(HISTORY_RUNS, interval.runs()).put(HISTORY_SOURCE, interval.from());
+        body.putObject(HISTORY).put(HISTORY_RUNS, interval.runs()).put(HISTORY_SOURCE, interval.source());
     }
 
     private static String reason(CompletionEstimate.Bottleneck bottleneck) {
--- a/src/main/java/org/hollypick/api/GraphEndpoints.java
+++ b/src/main/java/org/hollypick/api/GraphEndpoints.java
@@ -77,7 +77,7 @@
             return;
         }
         GraphOptions options = GraphRequestCodec.options(graphId, request.body());
-        List<NodeSpec> nodes = GraphRequestCodec.nodes(request.body(), options.base());
+        List<NodeSpec> nodes = GraphRequestCodec.nodes(request.body(), options.jobSpec());
         Optional<ServerResponse> rejection = rejectionOf(nodes);
         if (rejection.isPresent()) {
             responder.accept(rejection.get());
--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import org.hollypick.config.ConfigException;
-import org.hollypick.core.estimate.Replay;
+import org.hollypick.core.estimate.PredictionEvaluation;
 import org.hollypick.io.Codec;
 import org.hollypick.records.JobCodec;
 import picocli.CommandLine.Command;
@@ -35,18 +35,18 @@
 
     @Override
     public Integer call() {
-        List<Replay.Run> runs = read(file);
+        List<PredictionEvaluation.Run> runs = read(file);
         System.out.println(
                 "| of | runs | inside 10-90 % | band, times | median error | owner's estimate | running mean | last run |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
-        new Replay()
-                .play(runs)
+        new PredictionEvaluation()
+                .evaluate(runs)
                 .forEach((group, score) -> System.out.printf(
                         Locale.ROOT,
                         "| %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n",
                         group,
                         score.runs(),
-                        score.insideShare(),
+                        score.coverage(),
                         score.medianWidth(),
                         score.medianErrors().estimate(),
                         score.medianErrors().ownerEstimate(),
@@ -55,8 +55,8 @@
         return 0;
     }
 
-    static List<Replay.Run> read(Path file) {
-        List<Replay.Run> runs = new ArrayList<>();
+    static List<PredictionEvaluation.Run> read(Path file) {
+        List<PredictionEvaluation.Run> runs = new ArrayList<>();
         List<String> lines;
         try {
             lines = Files.readAllLines(file);
@@ -93,7 +93,7 @@
                 if (n.path("team").isTextual()) {
                     job.put("owner", n.path("team").asText());
                 }
-                runs.add(new Replay.Run(
+                runs.add(new PredictionEvaluation.Run(
                         JobCodec.decode(job),
                         n.path("machine").asText("any"),
                         n.path("ran_s").asDouble(),
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -109,7 +109,7 @@
     }
 
     private void attachJob(LiveGraph live, long revision, long createdUnderToken) {
-        live.attachJob(context.scheduler().addJob(live.options().base(), live.graph(), revision, createdUnderToken));
+        live.attachJob(context.scheduler().addJob(live.options().jobSpec(), live.graph(), revision, createdUnderToken));
     }
 
     // ---- loading ----
--- a/src/main/java/org/hollypick/control/graphs/LiveGraph.java
+++ b/src/main/java/org/hollypick/control/graphs/LiveGraph.java
@@ -183,7 +183,7 @@
     /** Fails or cancels a node at once, so that its task doesn't start, and what follows from it. */
     void terminateNode(int node, NodeState state, String reason, Runnable onDurable) {
         Graph.Termination termination = graph.terminate(node, state, reason);
-        for (int terminated : termination.all()) {
+        for (int terminated : termination.nodes()) {
             scheduler.cancelTask(job, terminated);
         }
         appendChange(GraphLogCodec.nodesTerminated(termination.roots(), state, reason), onDurable);
--- a/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
@@ -49,7 +49,7 @@
         int durableNodes = end;
         log.append(entry, () -> graph.markDurable(durableNodes));
         for (int node = loggedNodes; node < end; node++) {
-            loggedSpecs = Math.max(loggedSpecs, graph.specNumber(node) + 1);
+            loggedSpecs = Math.max(loggedSpecs, graph.specIndex(node) + 1);
         }
         loggedNodes = end;
     }
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -223,7 +223,7 @@
 
     /** The expected runtime, in seconds, of a task. */
     public double expectedRunS(JobSpec spec) {
-        return estimates.meanS(spec);
+        return estimates.meanRunTimeS(spec);
     }
 
     /**
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -95,7 +95,11 @@
         JobSpec spec = job.tasks() > 0 ? job.spec(0) : job.spec;
         PredictionInterval runTime = estimates.interval(spec, 0);
         PredictionInterval completion = new PredictionInterval(
-                samples[SAMPLES / 10], samples[SAMPLES / 2], samples[SAMPLES * 9 / 10], runTime.runs(), runTime.from());
+                samples[SAMPLES / 10],
+                samples[SAMPLES / 2],
+                samples[SAMPLES * 9 / 10],
+                runTime.runs(),
+                runTime.source());
         return new Answer(completion, job.ready() ? bottleneck : Bottleneck.DEPENDENCIES);
     }
 
--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -16,7 +16,7 @@
  */
 public final class Estimates {
     /** Kinds that are known at most; the one that ran least recently is dropped first. */
-    static final int KINDS = 2_000;
+    static final int MAX_KINDS = 2_000;
 
     /** Machines whose slow runs are counted at most; the one that ran least recently is dropped first. */
     private static final int MAX_MACHINES = 4_000;
@@ -28,13 +28,13 @@
     private static final int CONFIDENT_RUNS = 20;
 
     /** Slow runs in a row from which on a machine's runs are ignored. */
-    private static final int SLOW_RUNS = 3;
+    private static final int CONSECUTIVE_SLOW_RUNS = 3;
 
     /** Multiple of the upper end of the interval from which on a run counts as slow. */
     private static final double SLOW_RATIO = 2;
 
     /** The narrowest groups of a task, which consist of runs of its own kind. */
-    private static final int OWN_GROUPS = 2;
+    private static final int OWN_KIND_GROUPS = 2;
 
     /** Factor by which the interval is widened if it comes from tasks of another kind. */
     private static final double BORROWED_WIDENING = 1.5;
@@ -42,13 +42,13 @@
     /** An owner's estimate above this is ignored. */
     private static final double MAX_ESTIMATE_S = 1e7;
 
-    private final MeanRatio means = new MeanRatio();
+    private final OwnerEstimateCorrection ownerEstimateCorrection = new OwnerEstimateCorrection();
     private final boolean learnsDistributions;
     /** Runs by group, in the order of their last use. */
-    private final Map<String, History> kinds = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, RunHistory> historyByGroup = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, History> eldest) {
-            return size() > KINDS;
+        protected boolean removeEldestEntry(Map.Entry<String, RunHistory> eldest) {
+            return size() > MAX_KINDS;
         }
     };
     /** The number of a machine's last runs in a row that were slow, by machine id. */
@@ -60,7 +60,7 @@
     };
 
     /** Kinds whose runs changed since they were last taken for storing. */
-    private final Set<String> dirty = new LinkedHashSet<>();
+    private final Set<String> updatedKinds = new LinkedHashSet<>();
 
     /**
      * Starts without any observed run.
@@ -87,8 +87,8 @@
     }
 
     /** The mean run time that scaling out reckons with: the owner's estimate, corrected by the class's runs. */
-    public double meanS(JobSpec spec) {
-        return means.expectedS(spec);
+    public double meanRunTimeS(JobSpec spec) {
+        return ownerEstimateCorrection.expectedS(spec);
     }
 
     /**
@@ -103,7 +103,7 @@
             return; // the clock jumped, or the task has no end of its own
         }
         if (!cutShort) {
-            means.taskCompleted(spec, ranS);
+            ownerEstimateCorrection.taskCompleted(spec, ranS);
         }
         if (!learnsDistributions) {
             return;
@@ -114,14 +114,14 @@
             boolean isSlow = expected.runs() >= SUFFICIENT_RUNS && ranS > SLOW_RATIO * expected.p90();
             int slowRuns = isSlow ? slowRunsByMachine.getOrDefault(machine, 0) + 1 : 0;
             slowRunsByMachine.put(machine, slowRuns);
-            if (slowRuns >= SLOW_RUNS && areMostOthersNormal(machine)) {
+            if (slowRuns >= CONSECUTIVE_SLOW_RUNS && areMostOthersNormal(machine)) {
                 return;
             }
         }
         for (String group : groups) {
-            kinds.computeIfAbsent(group, k -> new History()).add(ranS, estimateS(spec), cutShort);
+            historyByGroup.computeIfAbsent(group, k -> new RunHistory()).add(ranS, estimateS(spec), cutShort);
         }
-        dirty.addAll(groups.subList(0, OWN_GROUPS));
+        updatedKinds.addAll(groups.subList(0, OWN_KIND_GROUPS));
     }
 
     /** Whether most machines aren't slow: if all are, the kind has changed and no machine is to blame. */
@@ -139,10 +139,10 @@
     }
 
     private PredictionInterval interval(JobSpec spec, List<String> groups, double ranS) {
-        History best = null;
+        RunHistory best = null;
         String from = "";
         for (String group : groups) {
-            History history = kinds.get(group);
+            RunHistory history = historyByGroup.get(group);
             if (history != null
                     && history.completedRuns() > 0
                     && (best == null || best.completedRuns() < SUFFICIENT_RUNS)) {
@@ -155,14 +155,14 @@
             double guess = Math.max(Math.max(1, estimateS(spec)), elapsedS);
             return new PredictionInterval(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
         }
-        QuantileCurve curve = best.curve(estimateS(spec));
+        SurvivalCurve curve = best.survivalCurve(estimateS(spec));
         PredictionInterval interval = new PredictionInterval(
                 curve.quantile(0.1, elapsedS),
                 curve.quantile(0.5, elapsedS),
                 curve.quantile(0.9, elapsedS),
                 best.completedRuns(),
                 from);
-        boolean isOwnKind = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_GROUPS;
+        boolean isOwnKind = groups.indexOf(from) >= 0 && groups.indexOf(from) < OWN_KIND_GROUPS;
         double widening = best.completedRuns() >= CONFIDENT_RUNS ? 1 : 1 + 2.0 / (1 + best.completedRuns());
         PredictionInterval widened = interval.widened(widening * (isOwnKind ? 1 : BORROWED_WIDENING));
         return new PredictionInterval(
@@ -183,7 +183,7 @@
         private static final int QUANTILES = 33;
 
         /** Run times of a task that hasn't started, at evenly spaced quantiles. */
-        private final double[] fresh = new double[QUANTILES];
+        private final double[] quantiles = new double[QUANTILES];
 
         private final JobSpec spec;
         private final PredictionInterval interval;
@@ -191,8 +191,8 @@
         Sampler(JobSpec spec) {
             this.spec = spec;
             this.interval = Estimates.this.interval(spec, 0);
-            for (int i = 0; i < fresh.length; i++) {
-                fresh[i] = quantile(interval, (i + 0.5) / fresh.length);
+            for (int i = 0; i < quantiles.length; i++) {
+                quantiles[i] = quantile(interval, (i + 0.5) / quantiles.length);
             }
         }
 
@@ -204,7 +204,7 @@
         /** Draws the seconds that a task takes in all, given that it has run for {@code ranS} seconds already. */
         double draw(UniformRandomProvider random, double ranS) {
             if (ranS <= 0) {
-                return fresh[random.nextInt(fresh.length)];
+                return quantiles[random.nextInt(quantiles.length)];
             }
             return Math.max(ranS, quantile(Estimates.this.interval(spec, ranS), random.nextDouble()));
         }
@@ -229,14 +229,14 @@
      * The observed runs of one kind, as they are stored.
      *
      * @param observedRuns all runs ever observed, those included that were dropped
-     * @param runs the newest runs, oldest first, each as {@link History} encodes it
+     * @param runs the newest runs, oldest first, each as {@link RunHistory} encodes it
      */
     public record Snapshot(String kind, long observedRuns, short[][] runs) {}
 
     /** Returns the kinds whose runs changed since the last call, in the order in which they first did. */
     public List<String> takeUpdatedKinds() {
-        List<String> taken = new ArrayList<>(dirty);
-        dirty.clear();
+        List<String> taken = new ArrayList<>(updatedKinds);
+        updatedKinds.clear();
         return taken;
     }
 
@@ -246,24 +246,28 @@
      * @return null if the kind was dropped
      */
     public Snapshot snapshot(String kind, int maxRuns) {
-        History history = kinds.get(kind);
+        RunHistory history = historyByGroup.get(kind);
         return history == null ? null : new Snapshot(kind, history.observedRuns(), history.newest(maxRuns));
     }
 
     /** Adds the stored runs of an earlier leader, to the kind and to the wider groups that contain it. */
     public void restore(Snapshot snapshot) {
-        kinds.computeIfAbsent(snapshot.kind(), k -> new History()).restore(snapshot.runs(), snapshot.observedRuns());
+        historyByGroup
+                .computeIfAbsent(snapshot.kind(), k -> new RunHistory())
+                .restore(snapshot.runs(), snapshot.observedRuns());
         int slash = snapshot.kind().indexOf('/');
         // The wider groups are restored from class and team only: each run stands in these once.
         if (slash > 0 && snapshot.kind().indexOf('/', slash + 1) < 0) {
             for (String wider : List.of(snapshot.kind().substring(slash), "")) {
-                kinds.computeIfAbsent(wider, k -> new History()).restore(snapshot.runs(), snapshot.observedRuns());
+                historyByGroup
+                        .computeIfAbsent(wider, k -> new RunHistory())
+                        .restore(snapshot.runs(), snapshot.observedRuns());
             }
         }
     }
 
     /** The number of kinds with observed runs. */
     public int kindCount() {
-        return kinds.size();
+        return historyByGroup.size();
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/MeanRatio.java
+++ b/src/main/java/org/hollypick/core/estimate/OwnerEstimateCorrection.java
@@ -9,7 +9,7 @@
  * The ratio of the mean run time of completed tasks to the mean of their owners' estimates, by job class. Scaling out
  * reckons with it. Confined to the event loop.
  */
-final class MeanRatio {
+final class OwnerEstimateCorrection {
     private final Map<String, Ratio> ratios = new HashMap<>();
 
     /** The owner's estimate in seconds, corrected by the ratio of its class. */
--- a/src/main/java/org/hollypick/core/estimate/Replay.java
+++ b/src/main/java/org/hollypick/core/estimate/PredictionEvaluation.java
@@ -11,7 +11,7 @@
  * Evaluates the predictions of {@link Estimates} on recorded runs: predicts each run before it is observed, and scores
  * the prediction beside three simple ones. One instance serves one evaluation; confined to one thread.
  */
-public final class Replay {
+public final class PredictionEvaluation {
     private static final double MIN_SECONDS = 1e-3;
 
     /**
@@ -37,7 +37,7 @@
     /** The score of the predictions for one group of runs. */
     public static final class Score {
         private int runs;
-        private int runsInside;
+        private int coveredRuns;
         private final List<Double> widths = new ArrayList<>();
         private final List<Double> estimateErrors = new ArrayList<>();
         private final List<Double> ownerErrors = new ArrayList<>();
@@ -50,8 +50,8 @@
         }
 
         /** The share of runs within the interval from 10 to 90 %; NaN without runs. */
-        public double insideShare() {
-            return runs == 0 ? Double.NaN : runsInside / (double) runs;
+        public double coverage() {
+            return runs == 0 ? Double.NaN : coveredRuns / (double) runs;
         }
 
         /** The median ratio of the upper end of the interval to the lower one. */
@@ -95,7 +95,7 @@
      * Evaluates runs in the order of their ends. Returns the scores of all runs ({@code all}), by size of the history
      * ({@code n=0}, {@code n=1-4}, {@code n=5-19}, {@code n>=20}) and by job class ({@code kind ...}).
      */
-    public Map<String, Score> play(List<Run> runs) {
+    public Map<String, Score> evaluate(List<Run> runs) {
         for (Run run : runs) {
             JobSpec task = run.task;
             if (!run.cutShort) {
@@ -126,7 +126,7 @@
         double ownerEstimateS = run.task.estimateS();
         boolean hasEarlier = earlier.count > 0;
         score.runs++;
-        score.runsInside += run.ranS >= interval.p10() && run.ranS <= interval.p90() ? 1 : 0;
+        score.coveredRuns += run.ranS >= interval.p10() && run.ranS <= interval.p90() ? 1 : 0;
         score.widths.add(interval.p90() / Math.max(MIN_SECONDS, interval.p10()));
         score.estimateErrors.add(relativeError(interval.p50(), run.ranS));
         score.ownerErrors.add(relativeError(ownerEstimateS, run.ranS));
--- a/src/main/java/org/hollypick/core/estimate/PredictionInterval.java
+++ b/src/main/java/org/hollypick/core/estimate/PredictionInterval.java
@@ -7,11 +7,11 @@
  * @param p50 the median
  * @param p90 seconds that nine tenths of the cases take at most
  * @param runs completed runs that the prediction is based on
- * @param from the group of these runs, or that there are none, in words
+ * @param source the group of these runs, or that there are none, in words
  */
-public record PredictionInterval(double p10, double p50, double p90, int runs, String from) {
+public record PredictionInterval(double p10, double p50, double p90, int runs, String source) {
     /** The same median with an interval that is wider by {@code factor} on both sides. */
     PredictionInterval widened(double factor) {
-        return new PredictionInterval(p10 / factor, p50, p90 * factor, runs, from);
+        return new PredictionInterval(p10 / factor, p50, p90 * factor, runs, source);
     }
 }
--- a/src/main/java/org/hollypick/core/estimate/History.java
+++ b/src/main/java/org/hollypick/core/estimate/RunHistory.java
@@ -7,11 +7,11 @@
  * steps of 2 %, so that a run takes five bytes. Whatever durations are added, only finite, positive ones come out.
  * Confined to the event loop.
  */
-public final class History {
+public final class RunHistory {
     /** Runs that are stored at most; the oldest is dropped first. */
-    static final int SIZE = 128;
+    static final int MAX_RUNS = 128;
     /** The natural logarithm of the ratio of two neighbouring steps. */
-    private static final double STEP = 0.02;
+    private static final double LOG_STEP = 0.02;
 
     /** Shorter runs count as this long. */
     private static final double MIN_SECONDS = 0.01;
@@ -20,21 +20,21 @@
     private static final double MAX_SECONDS = 1e7;
 
     /** Completed runs in a row that show that the kind has changed. */
-    private static final int CHANGED_RUNS = 6;
+    private static final int CHANGE_DETECTION_RUNS = 6;
 
     /** Factor by which their median has to differ from that of the older runs. */
-    private static final double CHANGED_RATIO = 3;
+    private static final double CHANGE_DETECTION_RATIO = 3;
 
     /** Older runs that such a comparison needs. */
     private static final int MIN_OLDER_RUNS = 12;
 
     /** Durations, in steps. */
-    private final short[] times = new short[SIZE];
+    private final short[] times = new short[MAX_RUNS];
     /** Ratios to the owner's estimate, in the same steps. */
-    private final short[] ratios = new short[SIZE];
+    private final short[] ratios = new short[MAX_RUNS];
 
     /** Whether the run was cut short. */
-    private final boolean[] cut = new boolean[SIZE];
+    private final boolean[] wasCutShort = new boolean[MAX_RUNS];
 
     private int count;
     /** The index at which the next run is stored. */
@@ -47,12 +47,12 @@
     /** Encodes a duration or a ratio in steps. */
     static short encode(double value) {
         double bounded = Double.isNaN(value) ? MIN_SECONDS : Math.min(MAX_SECONDS, Math.max(MIN_SECONDS, value));
-        return (short) Math.round(Math.log(bounded) / STEP);
+        return (short) Math.round(Math.log(bounded) / LOG_STEP);
     }
 
     /** Decodes what {@link #encode} encoded. */
     static double decode(double steps) {
-        return Math.exp(steps * STEP);
+        return Math.exp(steps * LOG_STEP);
     }
 
     /** Adds a run; {@code cutShort}: the task was stopped, lost or failed after that time. */
@@ -65,38 +65,38 @@
     }
 
     private void put(short time, short ratio, boolean cutShort) {
-        if (count == SIZE && !cut[next]) {
+        if (count == MAX_RUNS && !wasCutShort[next]) {
             completed--;
         }
         times[next] = time;
         ratios[next] = ratio;
-        cut[next] = cutShort;
+        wasCutShort[next] = cutShort;
         completed += cutShort ? 0 : 1;
-        next = (next + 1) % SIZE;
-        count = Math.min(SIZE, count + 1);
+        next = (next + 1) % MAX_RUNS;
+        count = Math.min(MAX_RUNS, count + 1);
     }
 
     /** The index of the run that was added {@code age} runs before the newest one. */
     private int indexOf(int age) {
-        return Math.floorMod(next - 1 - age, SIZE);
+        return Math.floorMod(next - 1 - age, MAX_RUNS);
     }
 
     /** Drops the older runs if the newest ones are all far above or far below them: the kind has changed. */
     private void dropOutdatedRuns() {
-        if (completed < MIN_OLDER_RUNS + CHANGED_RUNS) {
+        if (completed < MIN_OLDER_RUNS + CHANGE_DETECTION_RUNS) {
             return;
         }
-        short[] newest = new short[CHANGED_RUNS];
+        short[] newest = new short[CHANGE_DETECTION_RUNS];
         short[] older = new short[completed];
         int newestCount = 0;
         int olderCount = 0;
         int runsToKeep = 0;
         for (int i = 0; i < count; i++) {
             int at = indexOf(i);
-            if (cut[at]) {
+            if (wasCutShort[at]) {
                 continue;
             }
-            if (newestCount < CHANGED_RUNS) {
+            if (newestCount < CHANGE_DETECTION_RUNS) {
                 newest[newestCount++] = times[at];
                 runsToKeep = i + 1;
             } else {
@@ -105,10 +105,10 @@
         }
         Arrays.sort(newest);
         Arrays.sort(older, 0, olderCount);
-        double minShift = Math.log(CHANGED_RATIO) / STEP;
-        double shift = newest[CHANGED_RUNS / 2] - older[olderCount / 2];
+        double minShift = Math.log(CHANGE_DETECTION_RATIO) / LOG_STEP;
+        double shift = newest[CHANGE_DETECTION_RUNS / 2] - older[olderCount / 2];
         boolean above = newest[0] > older[(int) (olderCount * 0.95)] && shift > minShift;
-        boolean below = newest[CHANGED_RUNS - 1] < older[(int) (olderCount * 0.05)] && -shift > minShift;
+        boolean below = newest[CHANGE_DETECTION_RUNS - 1] < older[(int) (olderCount * 0.05)] && -shift > minShift;
         if (above || below) {
             keepNewest(runsToKeep);
         }
@@ -143,13 +143,13 @@
     }
 
     /** The survival curve, over seconds, of tasks that their owner estimates at {@code estimateS} seconds. */
-    QuantileCurve curve(double estimateS) {
+    SurvivalCurve survivalCurve(double estimateS) {
         boolean byRatio = estimateS > 0 && spread(ratios) < spread(times);
         double scale = byRatio ? Math.max(1, estimateS) : 1;
         long[] sorted = new long[count];
         for (int i = 0; i < count; i++) {
             // A run that was cut short sorts behind the completed runs of the same duration: it outlasted them.
-            sorted[i] = (long) (byRatio ? ratios[i] : times[i]) * 2 + (cut[i] ? 1 : 0);
+            sorted[i] = (long) (byRatio ? ratios[i] : times[i]) * 2 + (wasCutShort[i] ? 1 : 0);
         }
         Arrays.sort(sorted);
         double[] seconds = new double[completed];
@@ -163,7 +163,7 @@
                 survival[steps++] = surviving;
             }
         }
-        return new QuantileCurve(seconds, survival);
+        return new SurvivalCurve(seconds, survival);
     }
 
     /** The interquartile range of the completed runs, in steps. */
@@ -174,7 +174,7 @@
         short[] sorted = new short[completed];
         int length = 0;
         for (int i = 0; i < count; i++) {
-            if (!cut[i]) {
+            if (!wasCutShort[i]) {
                 sorted[length++] = values[i];
             }
         }
@@ -190,14 +190,14 @@
         short[][] runs = new short[length][];
         for (int i = 0; i < length; i++) {
             int at = indexOf(length - 1 - i);
-            runs[i] = new short[] {times[at], ratios[at], (short) (cut[at] ? 1 : 0)};
+            runs[i] = new short[] {times[at], ratios[at], (short) (wasCutShort[at] ? 1 : 0)};
         }
         return runs;
     }
 
     /** Adds the stored runs of an earlier leader; they count as older than those of this one. */
     void restore(short[][] runs, long observedBefore) {
-        short[][] ownRuns = newest(SIZE);
+        short[][] ownRuns = newest(MAX_RUNS);
         clear();
         putAll(runs);
         putAll(ownRuns);
--- a/src/main/java/org/hollypick/core/estimate/QuantileCurve.java
+++ b/src/main/java/org/hollypick/core/estimate/SurvivalCurve.java
@@ -4,11 +4,11 @@
  * A Kaplan-Meier survival curve of run times: after {@code seconds[i]} the share {@code survival[i]} of all runs is
  * still running. Immutable.
  */
-final class QuantileCurve {
+final class SurvivalCurve {
     private final double[] seconds;
     private final double[] survival;
 
-    QuantileCurve(double[] seconds, double[] survival) {
+    SurvivalCurve(double[] seconds, double[] survival) {
         this.seconds = seconds;
         this.survival = survival;
     }
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -151,10 +151,10 @@
     /**
      * Nodes that reached a final state together.
      *
-     * @param all every node whose state changed
+     * @param nodes every node whose state changed
      * @param roots those from which the others follow
      */
-    public record Termination(int[] all, int[] roots) {}
+    public record Termination(int[] nodes, int[] roots) {}
 
     /**
      * Fails or cancels a node and the chain of its continuations, and cancels all nodes that depend on one of them or
@@ -322,8 +322,8 @@
     }
 
     /** Index of the node's task description in {@link #specs}. */
-    public int specNumber(int node) {
-        return nodes.specNumber(node);
+    public int specIndex(int node) {
+        return nodes.specIndex(node);
     }
 
     /** Whether the node delegated its result to a continuation. */
--- a/src/main/java/org/hollypick/core/graph/NodeTable.java
+++ b/src/main/java/org/hollypick/core/graph/NodeTable.java
@@ -26,8 +26,8 @@
     /** Different descriptions in the order in which they came; nodes with equal ones share one. */
     private final List<JobSpec> specs = new ArrayList<>();
 
-    private final Map<JobSpec, Integer> specNumbers = new HashMap<>();
-    private int[] specNumberOf = new int[INITIAL_CAPACITY];
+    private final Map<JobSpec, Integer> indexBySpec = new HashMap<>();
+    private int[] specIndexes = new int[INITIAL_CAPACITY];
     private NodeState[] states = new NodeState[INITIAL_CAPACITY];
     private int[] unmetDependencies = new int[INITIAL_CAPACITY];
     private int[] parents = new int[INITIAL_CAPACITY];
@@ -59,12 +59,12 @@
     }
 
     JobSpec spec(int node) {
-        return specs.get(specNumberOf[node]);
+        return specs.get(specIndexes[node]);
     }
 
     /** Index of the node's description in {@link #specs}. */
-    int specNumber(int node) {
-        return specNumberOf[node];
+    int specIndex(int node) {
+        return specIndexes[node];
     }
 
     List<JobSpec> specs() {
@@ -130,7 +130,7 @@
     }
 
     private void initialize(int node, NodeSpec spec, int parent) {
-        specNumberOf[node] = specNumber(spec.task());
+        specIndexes[node] = specIndex(spec.task());
         states[node] = NodeState.WAITING;
         countByState[NodeState.WAITING.ordinal()]++;
         parents[node] = parent;
@@ -153,19 +153,19 @@
         dependents[dependency].add(dependent);
     }
 
-    private int specNumber(JobSpec spec) {
-        return specNumbers.computeIfAbsent(spec, added -> {
+    private int specIndex(JobSpec spec) {
+        return indexBySpec.computeIfAbsent(spec, added -> {
             specs.add(added);
             return specs.size() - 1;
         });
     }
 
     private void ensureCapacity(int nodes) {
-        if (nodes <= specNumberOf.length) {
+        if (nodes <= specIndexes.length) {
             return;
         }
-        int capacity = Math.max(nodes, specNumberOf.length * 2);
-        specNumberOf = Arrays.copyOf(specNumberOf, capacity);
+        int capacity = Math.max(nodes, specIndexes.length * 2);
+        specIndexes = Arrays.copyOf(specIndexes, capacity);
         states = Arrays.copyOf(states, capacity);
         unmetDependencies = Arrays.copyOf(unmetDependencies, capacity);
         parents = Arrays.copyOf(parents, capacity);
--- a/src/main/java/org/hollypick/records/GraphLogCodec.java
+++ b/src/main/java/org/hollypick/records/GraphLogCodec.java
@@ -86,11 +86,11 @@
         ArrayNode nodes = entry.putArray(NODES);
         int nextSpec = firstSpec;
         for (int node = from; node < to; node++) {
-            ArrayNode fields = nodes.addArray().add(graph.id(node)).add(graph.specNumber(node));
+            ArrayNode fields = nodes.addArray().add(graph.id(node)).add(graph.specIndex(node));
             for (int dependency : graph.dependencies(node)) {
                 fields.add(node - dependency);
             }
-            for (; nextSpec <= graph.specNumber(node); nextSpec++) {
+            for (; nextSpec <= graph.specIndex(node); nextSpec++) {
                 newSpecs.add(JobCodec.encode(graph.specs().get(nextSpec)));
             }
         }
--- a/src/main/java/org/hollypick/records/GraphRecordCodec.java
+++ b/src/main/java/org/hollypick/records/GraphRecordCodec.java
@@ -42,7 +42,7 @@
         ObjectNode graph = record.putObject(OPTIONS)
                 .put(RETRIES, options.retries())
                 .put(CANCELS_ON_NODE_FAILURE, options.cancelsOnNodeFailure());
-        graph.set(BASE, JobCodec.encode(options.base()));
+        graph.set(BASE, JobCodec.encode(options.jobSpec()));
         return record;
     }
 
--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -33,19 +33,19 @@
 @Measurement(iterations = 4, time = 1)
 @Fork(1)
 public class EstimateBenchmark {
-    private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a"));
+    private static final MachineType MACHINE_TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a"));
     private static final Settings SETTINGS = new SettingsBuilder().build();
 
     private final Random random = new Random(1);
     private Scheduler scheduler;
-    private Job last;
+    private Job lastJob;
     private JobSpec spec;
 
     @Setup
     public void prepare() {
         scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true), true);
         for (int i = 0; i < 1_000; i++) {
-            Machine machine = scheduler.addMachine("m-" + i, TYPE, "a", true, false, 0);
+            Machine machine = scheduler.addMachine("m-" + i, MACHINE_TYPE, "a", true, false, 0);
             machine.markRegistered();
             scheduler
                     .heartbeats()
@@ -77,7 +77,7 @@
                     0,
                     0,
                     Double.NaN);
-            last = scheduler.addJob(spec, i, 5);
+            lastJob = scheduler.addJob(spec, i, 5);
             observe();
         }
         scheduler.runSchedulingCycle(1_000);
@@ -102,7 +102,7 @@
 
     /** A question of a user. */
     @Benchmark
-    public CompletionEstimate.Answer finish() {
-        return new CompletionEstimate(scheduler, scheduler.estimates(), id -> List.of(), 10_000).of(last);
+    public CompletionEstimate.Answer estimateCompletion() {
+        return new CompletionEstimate(scheduler, scheduler.estimates(), id -> List.of(), 10_000).of(lastJob);
     }
 }
--- a/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
@@ -15,15 +15,16 @@
 
 /** What runs teach: bands that hold what they say, hard cases by name, and nothing odd whatever goes in. */
 class EstimatesTest {
-    private static Map<String, Replay.Score> play(List<Replay.Run> runs, String name) {
-        Map<String, Replay.Score> scores = new Replay().play(runs);
+    private static Map<String, PredictionEvaluation.Score> evaluateAndPrint(
+            List<PredictionEvaluation.Run> runs, String name) {
+        Map<String, PredictionEvaluation.Score> scores = new PredictionEvaluation().evaluate(runs);
         scores.forEach((of, s) -> System.out.printf(
                 Locale.ROOT,
                 "| %s | %s | %d | %.2f | %.1f | %.2f | %.2f | %.2f | %.2f |%n",
                 name,
                 of,
                 s.runs(),
-                s.insideShare(),
+                s.coverage(),
                 s.medianWidth(),
                 s.medianErrors().estimate(),
                 s.medianErrors().ownerEstimate(),
@@ -32,24 +33,36 @@
         return scores;
     }
 
-    private static void holds(Replay.Score s, String name) {
-        assertTrue(s.insideShare() >= 0.72 && s.insideShare() <= 0.90, name + ": inside the band " + s.insideShare());
+    private static void assertCoverage(PredictionEvaluation.Score s, String name) {
+        assertTrue(s.coverage() >= 0.72 && s.coverage() <= 0.90, name + ": inside the band " + s.coverage());
     }
 
     @Test
-    void bandsHoldWhatTheySay() {
-        holds(play(RecordedRuns.steady(1, 1), "steady").get("n>=20"), "steady");
-        holds(play(RecordedRuns.steady(2, 2.5), "estimates too high").get("n>=20"), "too high");
-        holds(play(RecordedRuns.steady(3, 0.4), "estimates too low").get("n>=20"), "too low");
-        holds(play(RecordedRuns.drift(4), "drift").get("n>=20"), "drift");
-        holds(play(RecordedRuns.humps(5), "two humps, alternating").get("n>=20"), "humps");
+    void intervalsCoverAboutEightyPercentOfRuns() {
+        assertCoverage(evaluateAndPrint(RecordedRuns.steady(1, 1), "steady").get("n>=20"), "steady");
+        assertCoverage(
+                evaluateAndPrint(RecordedRuns.steady(2, 2.5), "estimates too high")
+                        .get("n>=20"),
+                "too high");
+        assertCoverage(
+                evaluateAndPrint(RecordedRuns.steady(3, 0.4), "estimates too low")
+                        .get("n>=20"),
+                "too low");
+        assertCoverage(
+                evaluateAndPrint(RecordedRuns.gradualSlowdown(4), "drift").get("n>=20"), "drift");
+        assertCoverage(
+                evaluateAndPrint(RecordedRuns.bimodal(5), "two humps, alternating")
+                        .get("n>=20"),
+                "humps");
     }
 
     @Test
-    void ownersEstimatesAreCorrected() {
+    void predictionsBeatBiasedOwnerEstimates() {
         for (double off : new double[] {0.4, 2.5}) {
-            Replay.MedianErrors errors =
-                    new Replay().play(RecordedRuns.steady(7, off)).get("n>=20").medianErrors();
+            PredictionEvaluation.MedianErrors errors = new PredictionEvaluation()
+                    .evaluate(RecordedRuns.steady(7, off))
+                    .get("n>=20")
+                    .medianErrors();
             assertTrue(
                     errors.estimate() < errors.ownerEstimate() * 2 / 3,
                     "a third below the owner's estimate: " + errors.estimate() + " of " + errors.ownerEstimate());
@@ -58,13 +71,13 @@
 
     /** After a tenfold jump the old runs would say for a long time, and confidently, what no longer holds. */
     @Test
-    void aTenfoldJumpIsFoundWithinTwentyTasks() {
+    void intervalsAdaptWithinTwentyRunsOfATenfoldIncrease() {
         for (int seed = 1; seed <= 20; seed++) {
             Estimates e = new Estimates(true);
-            List<Replay.Run> runs = RecordedRuns.tenfold(seed);
+            List<PredictionEvaluation.Run> runs = RecordedRuns.tenfoldIncrease(seed);
             int missed = 0;
             int after = 0;
-            for (Replay.Run run : runs) {
+            for (PredictionEvaluation.Run run : runs) {
                 PredictionInterval interval = e.interval(run.task(), 0);
                 if (run.ranS() > 60 && !run.cutShort() && after < 60) {
                     after++;
@@ -74,26 +87,26 @@
             }
             assertTrue(missed <= 20, "seed " + seed + ": outside of the band " + missed + " of 40");
         }
-        play(RecordedRuns.tenfold(1), "tenfold");
+        evaluateAndPrint(RecordedRuns.tenfoldIncrease(1), "tenfold");
     }
 
     @Test
-    void aKindNeverSeenSaysSo() {
+    void predictionForAnUnknownKindNamesItsSource() {
         Estimates e = new Estimates(true);
         PredictionInterval none = e.interval(RecordedRuns.task("new", 30), 0);
-        assertEquals("no history: the owner's estimate", none.from());
+        assertEquals("no history: the owner's estimate", none.source());
         assertTrue(none.runs() == 0 && none.p90() / none.p10() > 20);
         for (int i = 0; i < 30; i++) {
             e.observe(RecordedRuns.task("old", 10), "m-" + i, 20 + i % 3, false);
         }
         PredictionInterval borrowed = e.interval(RecordedRuns.task("new", 30), 0);
-        assertTrue(borrowed.from().startsWith("borrowed from"), borrowed.from());
+        assertTrue(borrowed.source().startsWith("borrowed from"), borrowed.source());
         assertTrue(borrowed.p50() > 40, "the team's tasks take twice their estimate: " + borrowed);
     }
 
     /** What was cut short isn't short: a stopped task says that its kind takes longer than that. */
     @Test
-    void runsThatWereCutShortDoNotCountAsShortOnes() {
+    void runsCutShortDoNotLowerThePrediction() {
         Estimates e = new Estimates(true);
         JobSpec t = RecordedRuns.task("k", 30);
         for (int i = 0; i < 60; i++) {
@@ -104,7 +117,7 @@
 
     /** A task past its median isn't about to end, and one past all that is known isn't either. */
     @Test
-    void whatHasRunForLongIsExpectedToRunOn() {
+    void predictionGrowsWithElapsedTime() {
         Estimates e = new Estimates(true);
         JobSpec t = RecordedRuns.task("k", 10);
         Random r = new Random(1);
@@ -116,7 +129,7 @@
     }
 
     @Test
-    void aSickMachineTeachesNothing() {
+    void runsOnAPersistentlySlowMachineAreIgnored() {
         Estimates e = new Estimates(true);
         JobSpec t = RecordedRuns.task("k", 10);
         Random r = new Random(2);
@@ -128,7 +141,7 @@
     }
 
     @Property(tries = 300, seed = "20261201", shrinking = ShrinkingMode.OFF)
-    void nothingOddComesOutWhateverGoesIn(@ForAll long seed) {
+    void invalidInputsGiveOrderedFiniteIntervals(@ForAll long seed) {
         Random r = new Random(seed);
         Estimates e = new Estimates(true);
         double[] odd = {0, 1e9, Double.NaN, -5, Double.POSITIVE_INFINITY, 1e-12, 30, 31, 29};
@@ -158,9 +171,9 @@
      * out.
      */
     @Test
-    void whatIsKeptSaysNearlyTheSame() {
+    void restoredSnapshotsGiveNearlyTheSamePrediction() {
         Estimates before = new Estimates(true);
-        for (Replay.Run run : RecordedRuns.steady(9, 1)) {
+        for (PredictionEvaluation.Run run : RecordedRuns.steady(9, 1)) {
             before.observe(run.task(), run.machine(), run.ranS(), run.cutShort());
         }
         Estimates after = new Estimates(true);
--- a/src/test/java/org/hollypick/core/graph/GraphQueueTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphArrayEquivalenceTest.java
@@ -26,30 +26,30 @@
  * A graph of n independent, equal nodes can't be told from an array of n tasks: order, starts, sizes and use of the
  * limit are the same.
  */
-class GraphQueueTest {
-    private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
+class GraphArrayEquivalenceTest {
+    private static final MachineType MACHINE_TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
 
     /** One stretch of scheduling, everything in it drawn from a seed; what is decided is written down. */
-    private static final class Stretch {
+    private static final class SchedulingRun {
         private final Random random;
         private final boolean asGraph;
         private final Scheduler scheduler;
         private final List<String> trace = new ArrayList<>();
         private final List<Job> jobs = new ArrayList<>();
-        private long now = 1_000;
-        private long ticks;
+        private long nowMillis = 1_000;
+        private long heartbeatSequence;
 
-        Stretch(long seed, boolean asGraph) {
+        SchedulingRun(long seed, boolean asGraph) {
             this.random = new Random(seed);
             this.asGraph = asGraph;
             Settings settings = new SettingsBuilder()
                     .zones(List.of("a", "b"))
                     .team("team", random.nextBoolean() ? 0 : 14)
                     .build();
-            this.scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), now, true));
+            this.scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), nowMillis, true));
         }
 
-        private void arrive(int number) {
+        private void addRandomJob(int number) {
             int tasks = 1 + random.nextInt(12);
             boolean drawnAsGraph = random.nextInt(2) == 0;
             JobSpec.Priority rank = JobSpec.Priority.values()[1 + random.nextInt(3)];
@@ -113,14 +113,19 @@
             }
         }
 
-        private void machine(int number) {
+        private void addMachine(int number) {
             Machine machine = scheduler.addMachine(
-                    "m-" + number, TYPE, random.nextBoolean() ? "a" : "b", random.nextBoolean(), false, now);
+                    "m-" + number,
+                    MACHINE_TYPE,
+                    random.nextBoolean() ? "a" : "b",
+                    random.nextBoolean(),
+                    false,
+                    nowMillis);
             machine.markRegistered();
-            report(machine, List.of());
+            sendHeartbeat(machine, List.of());
         }
 
-        private void report(Machine machine, List<TaskStatus> tasks) {
+        private void sendHeartbeat(Machine machine, List<TaskStatus> tasks) {
             scheduler
                     .heartbeats()
                     .applyHeartbeat(
@@ -132,16 +137,16 @@
                                     machine.zone,
                                     machine.spot,
                                     1,
-                                    ++ticks,
+                                    ++heartbeatSequence,
                                     5,
                                     Double.NaN,
                                     tasks),
                             true,
-                            now);
+                            nowMillis);
         }
 
         /** Every machine reports; tasks run, end, fail. */
-        private void reports() {
+        private void sendHeartbeats() {
             for (Machine machine : List.copyOf(scheduler.machines())) {
                 List<TaskStatus> tasks = new ArrayList<>();
                 for (Assignment assignment : List.copyOf(machine.assignments.values())) {
@@ -155,7 +160,7 @@
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, ""));
                     }
                 }
-                report(machine, tasks);
+                sendHeartbeat(machine, tasks);
             }
             for (Job job : jobs) { // what is done becomes durable
                 job.markCompletionsDurable();
@@ -163,17 +168,17 @@
             }
         }
 
-        List<String> play() {
+        List<String> run() {
             for (int i = 0; i < 4; i++) {
-                machine(i);
+                addMachine(i);
             }
             for (int step = 0; step < 60; step++) {
-                now += 500 + random.nextInt(2_000);
+                nowMillis += 500 + random.nextInt(2_000);
                 if (random.nextInt(3) == 0) {
-                    arrive(step + 1);
+                    addRandomJob(step + 1);
                 }
                 if (random.nextInt(12) == 0) {
-                    machine(100 + step);
+                    addMachine(100 + step);
                 } else if (random.nextInt(20) == 0 && scheduler.machines().size() > 2) {
                     scheduler.markTerminated(scheduler.machines().iterator().next().id);
                 }
@@ -182,11 +187,11 @@
                     scheduler.removeJob(job.spec.id());
                     scheduler.markCancelled(job);
                 }
-                scheduler.expireLeases(now);
-                scheduler.runSchedulingCycle(now);
+                scheduler.expireLeases(nowMillis);
+                scheduler.runSchedulingCycle(nowMillis);
                 for (Machine machine : scheduler.machines()) {
                     for (Assignment assignment : machine.assignments.values()) {
-                        if (assignment.assignedAt == now) {
+                        if (assignment.assignedAt == nowMillis) {
                             trace.add(step + " " + assignment.taskId + " on " + machine.id + " attempt "
                                     + assignment.attempt);
                         }
@@ -194,18 +199,18 @@
                     trace.add(step + " " + machine.id + " uses " + machine.usedCpus());
                 }
                 trace.add(step + " sizes " + new TreeMap<>(scheduler.attainedService()));
-                reports();
+                sendHeartbeats();
             }
             return trace;
         }
     }
 
     @Test
-    void aGraphOfEqualNodesIsScheduledAsTheArray() {
+    void independentEqualNodesAreScheduledLikeAnArray() {
         int starts = 0;
         for (int seed = 1; seed <= 300; seed++) {
-            List<String> array = new Stretch(seed, false).play();
-            List<String> graph = new Stretch(seed, true).play();
+            List<String> array = new SchedulingRun(seed, false).run();
+            List<String> graph = new SchedulingRun(seed, true).run();
             for (int i = 0; i < array.size(); i++) {
                 assertEquals(array.get(i), graph.get(i), "seed " + seed + " at " + i);
             }
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -41,17 +41,18 @@
 @Measurement(iterations = 10)
 @Fork(1)
 public class GraphBenchmark {
-    private static final MachineType TYPE = new MachineType("t", 1_000, 0, 100_000, 50, 1, 1, 0.4, 30, Set.of("a"));
+    private static final MachineType MACHINE_TYPE =
+            new MachineType("t", 1_000, 0, 100_000, 50, 1, 1, 0.4, 30, Set.of("a"));
     private static final Settings SETTINGS = new SettingsBuilder().build();
 
     @Param({"1000", "10000", "100000"})
     private int nodes;
 
-    private List<NodeSpec> chains;
-    private Graph grown;
-    private Scheduler arrayWorld;
-    private Scheduler graphWorld;
-    private Scheduler chainWorld;
+    private List<NodeSpec> nodeSpecs;
+    private Graph sealedGraph;
+    private Scheduler arrayScheduler;
+    private Scheduler graphScheduler;
+    private Scheduler chainScheduler;
 
     private static JobSpec spec(int tasks) {
         return new JobSpec(
@@ -78,7 +79,7 @@
     }
 
     /** {@code chain}: every so many nodes a new chain begins; 1: all are independent. */
-    private List<NodeSpec> specs(int chain) {
+    private List<NodeSpec> newNodeSpecs(int chain) {
         JobSpec one = spec(1);
         List<NodeSpec> list = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
@@ -91,33 +92,33 @@
     @Setup(Level.Invocation)
     public void prepare(BenchmarkParams params) {
         switch (params.getBenchmark().substring(params.getBenchmark().lastIndexOf('.') + 1)) {
-            case "admit" -> chains = specs(50);
+            case "validateAndAppend" -> nodeSpecs = newNodeSpecs(50);
             case "release" -> {
-                grown = new Graph(3, i -> {});
-                grown.append(specs(50), null, null);
-                grown.markDurable(nodes);
-                grown.seal();
+                sealedGraph = new Graph(3, i -> {});
+                sealedGraph.append(newNodeSpecs(50), null, null);
+                sealedGraph.markDurable(nodes);
+                sealedGraph.seal();
             }
             case "arrayTasks" -> {
-                arrayWorld = world();
-                arrayWorld.addJob(spec(nodes), 1, 5);
+                arrayScheduler = newScheduler();
+                arrayScheduler.addJob(spec(nodes), 1, 5);
             }
             case "independentNodes" -> {
-                graphWorld = world();
-                graph(graphWorld, specs(1));
+                graphScheduler = newScheduler();
+                addGraph(graphScheduler, newNodeSpecs(1));
             }
             default -> {
-                chainWorld = world();
-                graph(chainWorld, specs(50));
+                chainScheduler = newScheduler();
+                addGraph(chainScheduler, newNodeSpecs(50));
             }
         }
         System.gc();
     }
 
-    private static Scheduler world() {
+    private static Scheduler newScheduler() {
         Scheduler s = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
         for (int i = 0; i < 4; i++) {
-            Machine machine = s.addMachine("m-" + i, TYPE, "a", true, false, 0);
+            Machine machine = s.addMachine("m-" + i, MACHINE_TYPE, "a", true, false, 0);
             machine.markRegistered();
             s.heartbeats()
                     .applyHeartbeat(
@@ -129,7 +130,7 @@
         return s;
     }
 
-    private static void graph(Scheduler s, List<NodeSpec> nodes) {
+    private static void addGraph(Scheduler s, List<NodeSpec> nodes) {
         Job[] job = {null};
         Graph g = new Graph(3, i -> s.releaseTask(job[0], i));
         job[0] = s.addJob(spec(1), g, 1, 5);
@@ -140,10 +141,10 @@
 
     /** Checked and taken in. */
     @Benchmark
-    public int admit() {
+    public int validateAndAppend() {
         Graph g = new Graph(3, i -> {});
-        g.validate(chains, null, null);
-        g.append(chains, null, null);
+        g.validate(nodeSpecs, null, null);
+        g.append(nodeSpecs, null, null);
         g.markDurable(nodes);
         g.seal();
         return g.count();
@@ -157,27 +158,27 @@
             for (int i = level; i < nodes; i += 50) {
                 done.set(i);
             }
-            grown.completionsCommitted(done);
+            sealedGraph.completionsCommitted(done);
         }
-        return grown.count(NodeState.DONE);
+        return sealedGraph.count(NodeState.DONE);
     }
 
     /** Placed, run, reported and recorded: every task of an array. */
     @Benchmark
     public int arrayTasks() {
-        return run(arrayWorld);
+        return run(arrayScheduler);
     }
 
     /** The same for as many independent nodes. */
     @Benchmark
     public int independentNodes() {
-        return run(graphWorld);
+        return run(graphScheduler);
     }
 
     /** The same for nodes in chains of fifty. */
     @Benchmark
     public int chainedNodes() {
-        return run(chainWorld);
+        return run(chainScheduler);
     }
 
     private static int run(Scheduler s) {
@@ -220,20 +221,20 @@
         for (int n : new int[] {1_000, 10_000, 100_000}) {
             GraphBenchmark b = new GraphBenchmark();
             b.nodes = n;
-            List<NodeSpec> specs = b.specs(50);
+            List<NodeSpec> specs = b.newNodeSpecs(50);
             System.gc();
-            long before = used();
+            long before = usedHeapBytes();
             Graph g = new Graph(3, i -> {});
             g.append(specs, null, null);
             g.markDurable(n);
             g.seal();
             System.gc();
             System.out.println(
-                    n + " nodes: " + (used() - before) / n + " bytes a node, without their ids; " + g.count());
+                    n + " nodes: " + (usedHeapBytes() - before) / n + " bytes a node, without their ids; " + g.count());
         }
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         Runtime vm = Runtime.getRuntime();
         return vm.totalMemory() - vm.freeMemory();
     }
--- a/src/test/java/org/hollypick/core/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -57,49 +57,49 @@
     }
 
     /** The rules in their plainest form. */
-    private static final class Plain {
-        private final Map<String, List<String>> awaits = new HashMap<>();
-        private final Map<String, String> then = new HashMap<>();
-        private final Set<String> taskDone = new HashSet<>();
-        private final Set<String> ended = new HashSet<>();
+    private static final class ReferenceModel {
+        private final Map<String, List<String>> dependencies = new HashMap<>();
+        private final Map<String, String> continuations = new HashMap<>();
+        private final Set<String> completedTasks = new HashSet<>();
+        private final Set<String> terminated = new HashSet<>();
         private boolean sealed;
 
         boolean done(String n) {
-            if (dead(n) || !taskDone.contains(n)) {
+            if (unsuccessful(n) || !completedTasks.contains(n)) {
                 return false;
             }
-            return !then.containsKey(n) || done(then.get(n));
+            return !continuations.containsKey(n) || done(continuations.get(n));
         }
 
-        boolean dead(String n) {
-            return ended.contains(n)
-                    || awaits.get(n).stream().anyMatch(this::dead)
-                    || (then.containsKey(n) && dead(then.get(n)));
+        boolean unsuccessful(String n) {
+            return terminated.contains(n)
+                    || dependencies.get(n).stream().anyMatch(this::unsuccessful)
+                    || (continuations.containsKey(n) && unsuccessful(continuations.get(n)));
         }
 
         boolean ready(String n) {
             return sealed
-                    && !dead(n)
-                    && !taskDone.contains(n)
-                    && awaits.get(n).stream().allMatch(this::done);
+                    && !unsuccessful(n)
+                    && !completedTasks.contains(n)
+                    && dependencies.get(n).stream().allMatch(this::done);
         }
 
-        boolean reaches(String from, String target, Set<String> seen) {
+        boolean dependsOn(String from, String target, Set<String> seen) {
             if (from.equals(target)) {
                 return true;
             }
             if (!seen.add(from)) {
                 return false;
             }
-            return awaits.get(from).stream().anyMatch(o -> reaches(o, target, seen))
-                    || (then.containsKey(from) && reaches(then.get(from), target, seen));
+            return dependencies.get(from).stream().anyMatch(o -> dependsOn(o, target, seen))
+                    || (continuations.containsKey(from) && dependsOn(continuations.get(from), target, seen));
         }
     }
 
     @Property(tries = 400, seed = "20261201", shrinking = ShrinkingMode.OFF)
-    void growthEndsAndCancellationsFollowThePlainRules(@ForAll long seed) throws JobCodec.InvalidException {
+    void graphAndItsReplayedLogMatchTheReferenceModel(@ForAll long seed) throws JobCodec.InvalidException {
         Random r = new Random(seed);
-        Plain plain = new Plain();
+        ReferenceModel model = new ReferenceModel();
         Set<Integer> released = new TreeSet<>();
         Graph g = new Graph(2, released::add);
         List<GraphLogEntry> log = new ArrayList<>();
@@ -110,19 +110,19 @@
                 case 0, 1 -> {
                     List<String> running = released.stream()
                             .map(g::id)
-                            .filter(n -> plain.ready(n))
+                            .filter(n -> model.ready(n))
                             .toList();
-                    String parent = plain.sealed && !running.isEmpty() ? running.get(r.nextInt(running.size())) : null;
-                    if (plain.sealed && parent == null) {
+                    String parent = model.sealed && !running.isEmpty() ? running.get(r.nextInt(running.size())) : null;
+                    if (model.sealed && parent == null) {
                         break;
                     }
-                    List<NodeSpec> batch = batch(r, g, step);
+                    List<NodeSpec> batch = randomBatch(r, g, step);
                     String next = parent != null && r.nextInt(3) == 0
                             ? batch.get(r.nextInt(batch.size())).id()
                             : null;
                     Optional<GraphRejection> rejection = g.validate(batch, parent, next);
-                    boolean cyclic = next != null && cyclic(plain, batch, parent, next);
-                    if (next != null && plain.then.containsKey(parent)) {
+                    boolean cyclic = next != null && createsCycle(model, batch, parent, next);
+                    if (next != null && model.continuations.containsKey(parent)) {
                         assertTrue(rejection.isPresent());
                         break;
                     }
@@ -132,45 +132,45 @@
                     }
                     int before = g.count();
                     g.append(batch, parent, next);
-                    batch.forEach(n -> plain.awaits.put(n.id(), n.dependencies()));
+                    batch.forEach(n -> model.dependencies.put(n.id(), n.dependencies()));
                     if (next != null) {
-                        plain.then.put(parent, next);
+                        model.continuations.put(parent, next);
                     }
                     log.add(GraphLogCodec.nodesAdded(g, before, g.count(), specs, parent, next));
                     specs = g.specs().size();
                     g.markDurable(g.count());
                 }
                 case 2 -> {
-                    if (!plain.sealed && g.count() > 0) {
-                        plain.sealed = true;
+                    if (!model.sealed && g.count() > 0) {
+                        model.sealed = true;
                         log.add(GraphLogCodec.graphSealed());
                         g.seal();
                     }
                 }
                 case 3, 4 -> {
                     List<Integer> running =
-                            released.stream().filter(i -> plain.ready(g.id(i))).toList();
+                            released.stream().filter(i -> model.ready(g.id(i))).toList();
                     if (!running.isEmpty()) {
                         int i = running.get(r.nextInt(running.size()));
                         done.set(i);
-                        plain.taskDone.add(g.id(i));
+                        model.completedTasks.add(g.id(i));
                         g.completionsCommitted(done);
                     }
                 }
                 default -> {
                     if (g.count() > 0 && r.nextInt(3) == 0) {
                         int i = r.nextInt(g.count());
-                        if (!plain.done(g.id(i)) && !plain.dead(g.id(i))) {
+                        if (!model.done(g.id(i)) && !model.unsuccessful(g.id(i))) {
                             Graph.Termination termination = g.terminate(i, NodeState.CANCELLED, "asked");
                             for (int root : termination.roots()) {
-                                plain.ended.add(g.id(root));
+                                model.terminated.add(g.id(root));
                             }
                             log.add(GraphLogCodec.nodesTerminated(termination.roots(), NodeState.CANCELLED, "asked"));
                         }
                     }
                 }
             }
-            compare(plain, g, released, "seed " + seed + " step " + step);
+            assertMatches(model, g, released, "seed " + seed + " step " + step);
         }
         // A new leader reads the log, then what is done.
         Set<Integer> again = new TreeSet<>();
@@ -179,10 +179,10 @@
             GraphLogCodec.replay(entry, read, (n, v) -> {});
         }
         read.completionsCommitted(done);
-        compare(plain, read, again, "seed " + seed + " read again");
+        assertMatches(model, read, again, "seed " + seed + " read again");
     }
 
-    private static List<NodeSpec> batch(Random r, Graph g, int step) {
+    private static List<NodeSpec> randomBatch(Random r, Graph g, int step) {
         List<NodeSpec> batch = new ArrayList<>();
         for (int i = 0; i < 1 + r.nextInt(4); i++) {
             List<String> awaits = new ArrayList<>();
@@ -204,23 +204,25 @@
         return batch;
     }
 
-    private static boolean cyclic(Plain plain, List<NodeSpec> batch, String parent, String next) {
-        Plain with = new Plain();
-        with.awaits.putAll(plain.awaits);
-        with.then.putAll(plain.then);
-        batch.forEach(n -> with.awaits.put(n.id(), n.dependencies()));
-        return with.reaches(next, parent, new HashSet<>());
+    private static boolean createsCycle(ReferenceModel model, List<NodeSpec> batch, String parent, String next) {
+        ReferenceModel with = new ReferenceModel();
+        with.dependencies.putAll(model.dependencies);
+        with.continuations.putAll(model.continuations);
+        batch.forEach(n -> with.dependencies.put(n.id(), n.dependencies()));
+        return with.dependsOn(next, parent, new HashSet<>());
     }
 
-    private static void compare(Plain plain, Graph g, Set<Integer> released, String where) {
+    private static void assertMatches(ReferenceModel model, Graph g, Set<Integer> released, String where) {
         for (int i = 0; i < g.count(); i++) {
             String n = g.id(i);
             NodeState s = g.state(i);
             assertEquals(
-                    plain.dead(n), s == NodeState.CANCELLED || s == NodeState.FAILED, where + " dead " + n + " " + s);
-            assertEquals(plain.done(n), s == NodeState.DONE, where + " done " + n + " " + s);
-            assertEquals(plain.ready(n), g.mayStart(i), where + " ready " + n + " " + s);
-            assertTrue(!plain.ready(n) || released.contains(i), where + " released " + n);
+                    model.unsuccessful(n),
+                    s == NodeState.CANCELLED || s == NodeState.FAILED,
+                    where + " dead " + n + " " + s);
+            assertEquals(model.done(n), s == NodeState.DONE, where + " done " + n + " " + s);
+            assertEquals(model.ready(n), g.mayStart(i), where + " ready " + n + " " + s);
+            assertTrue(!model.ready(n) || released.contains(i), where + " released " + n);
         }
     }
 
@@ -237,7 +239,7 @@
         g.markDurable(g.count());
         g.seal();
         assertEquals(1, released[0]);
-        assertEquals(100_000, g.terminate(0, NodeState.FAILED, "x").all().length);
+        assertEquals(100_000, g.terminate(0, NodeState.FAILED, "x").nodes().length);
         List<NodeSpec> fan = new ArrayList<>();
         fan.add(node("root"));
         for (int i = 0; i < 10_000; i++) {
@@ -255,7 +257,7 @@
     }
 
     @Test
-    void whatCantBeIsRefusedWithAReason() {
+    void invalidBatchesAreRejectedWithAReason() {
         Graph g = new Graph(0, i -> {});
         assertTrue(g.validate(List.of(node("a", "b"), node("b", "a")), null, null)
                 .orElseThrow()
