--- a/src/main/java/org/hollypick/core/ArrivalCounter.java
+++ b/src/main/java/org/hollypick/core/ArrivalCounter.java
@@ -2,7 +2,7 @@
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleOpenHashMap;
 
-/** Adds up the demand that arrives until it is taken. Confined to the event loop. */
+/** Accumulates the demand that arrives between calls of {@link #take}. Confined to the event loop. */
 final class ArrivalCounter {
     private int arrayJobs;
     private Object2DoubleOpenHashMap<String> arrayCoreSeconds = new Object2DoubleOpenHashMap<>();
@@ -17,11 +17,12 @@
         arrayCoreSeconds.addTo(team, coreSeconds);
     }
 
-    /** A task of a job that was counted without its work. */
+    /** Adds the work of a task that wasn't included when its job was added. */
     void addReleasedTask(String team, double coreSeconds) {
         arrayCoreSeconds.addTo(team, coreSeconds);
     }
 
+    /** Returns the accumulated demand and starts again from zero. */
     Arrivals take() {
         Arrivals taken = new Arrivals(arrayJobs, arrayCoreSeconds, serviceCores);
         arrayJobs = 0;
--- a/src/main/java/org/hollypick/core/Arrivals.java
+++ b/src/main/java/org/hollypick/core/Arrivals.java
@@ -3,10 +3,10 @@
 import it.unimi.dsi.fastutil.objects.Object2DoubleMap;
 
 /**
- * The demand that arrived in some time.
+ * The demand that arrived during an interval.
  *
- * @param arrayJobs number of array jobs
- * @param arrayCoreSeconds the array jobs' expected work, by team
- * @param serviceCores cores of the services
+ * @param arrayJobs the number of array jobs
+ * @param arrayCoreSeconds the expected work of array jobs in core-seconds, by team
+ * @param serviceCores the cores of all tasks of the services
  */
 public record Arrivals(int arrayJobs, Object2DoubleMap<String> arrayCoreSeconds, double serviceCores) {}
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -7,11 +7,17 @@
 import org.hollypick.core.assignment.TaskStatus;
 
 /**
- * Applies what agents report to the machines and the assignment table of one term: incarnation and sequence, listed and
- * unlisted tasks, reconciliation under this term's token, and eviction notices of the cloud. Confined to the event
- * loop.
+ * Applies the heartbeats of agents to the machines and the assignment table of one term: incarnation and sequence
+ * number, listed and unlisted tasks, reconciliation under this term's token, and eviction notices of the cloud.
+ * Confined to the event loop.
  */
 public final class HeartbeatProcessor {
+    /**
+     * At an eviction notice, a task without checkpoints is stopped if its estimated runtime exceeds the notice by this
+     * factor.
+     */
+    private static final int MAX_ESTIMATE_TO_NOTICE_RATIO = 4;
+
     private final Scheduler scheduler;
     private final AssignmentTable assignments;
     private final TeamUsage teamUsage;
@@ -23,10 +29,10 @@
     }
 
     /**
-     * Applies a heartbeat, unless it is a duplicate, older than the newest one or of an incarnation that is over.
+     * Applies a heartbeat, unless it is a duplicate, older than the newest one, or from an incarnation that is over.
      *
-     * @param sentByAgent true if the agent sent it as a request: the response to its previous request was then taken or
-     *     lost by now. False if it came in the response to a direct call.
+     * @param sentByAgent true if the agent sent it as a request, which implies that the response to its previous
+     *     request has been received or lost; false if it came in the response to a direct call
      * @param now milliseconds of the event loop's clock
      * @return whether the heartbeat was applied
      */
@@ -51,7 +57,7 @@
         return true;
     }
 
-    /** A new incarnation starts without tasks, and late commands to the old one are refused by the agent. */
+    /** A new incarnation starts without tasks, and its agent refuses late commands to the old one. */
     private void beginIncarnationIfNew(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatReceived() && heartbeat.incarnation() == machine.incarnation()) {
             return;
@@ -103,7 +109,10 @@
         }
     }
 
-    /** Only a heartbeat made under this token is final: the agent refuses older direct commands from then on. */
+    /**
+     * Marks the machine as reconciled if the heartbeat was made under this term's token. Only such a heartbeat is
+     * final: from then on the agent refuses direct commands with older tokens.
+     */
     private void reconcileIfUnderToken(Machine machine, Heartbeat heartbeat) {
         if (heartbeat.token() == scheduler.token() && !(machine.reconciled() && machine.confirmedLive())) {
             machine.markReconciled();
@@ -111,16 +120,16 @@
         }
     }
 
-    /** Records that the machine is present, and not only a delayed heartbeat of it. */
+    /** Records that the machine itself is live: a heartbeat alone may be a delayed copy. */
     public void confirmLive(Machine machine) {
         scheduler.outbox().requestCycleIf(!machine.confirmedLive());
         machine.markConfirmedLive();
     }
 
     /**
-     * Applies the response to a direct call that was sent after a larger sequence number was known: the agent has
-     * restarted without tasks. The machine can only hold what a launch still in flight may bring, for one lease from
-     * now on at most.
+     * Applies the response to a direct call if its heartbeat isn't newer than the one that was known when the call was
+     * sent: the agent has restarted without tasks. Besides the listed tasks, the machine can only hold tasks of
+     * launches still in flight, for one lease from now on at most.
      */
     public void applyAgentRestart(Machine machine, Heartbeat heartbeat, long now) {
         scheduler.recordEventTime(now);
@@ -139,7 +148,10 @@
         }
     }
 
-    /** The cloud takes the machine: stops what can save a checkpoint, has to move, or can't finish in time. */
+    /**
+     * Starts to drain a machine that the cloud is about to take back: stops tasks that can save a checkpoint, services,
+     * and tasks that are unlikely to finish in time.
+     */
     private void beginGracefulEviction(Machine machine, double evictionNoticeS) {
         machine.beginDraining();
         for (Assignment assignment : machine.liveAssignments()) {
@@ -147,7 +159,7 @@
             if (spec.checkpointIntervalS() > 0 && !spec.service()) {
                 assignments.stop(
                         assignment, evictionNoticeS > spec.checkpointSaveS() ? Math.ceil(spec.checkpointSaveS()) : 0);
-            } else if (spec.service() || evictionNoticeS < spec.estimateS() / 4) {
+            } else if (spec.service() || evictionNoticeS < spec.estimateS() / MAX_ESTIMATE_TO_NOTICE_RATIO) {
                 assignments.stop(assignment, 0);
             }
         }
--- a/src/main/java/org/hollypick/core/MachinePartitions.java
+++ b/src/main/java/org/hollypick/core/MachinePartitions.java
@@ -8,24 +8,24 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * The two Tyrex partitions of the machines: keeps the first one at its share, and counts its idle machines, which
- * decide what it may lend to jobs of the second partition. Confined to the event loop.
+ * Divides the machines into the two Tyrex partitions: keeps the first one at its share, and counts its idle machines,
+ * which determine what it may lend to jobs of the second partition. Confined to the event loop.
  */
 final class MachinePartitions {
     private final Scheduler scheduler;
     private final double firstPartitionShare;
-    /** Schedulable machines of the first partition that hold nothing. */
+    /** Number of schedulable machines in the first partition without tasks. */
     private int idleMachinesInFirst;
 
-    /** @param firstPartitionShare the part of the schedulable machines that the first partition has, from 0 to 1 */
+    /** @param firstPartitionShare the share of the schedulable machines in the first partition, from 0 to 1 */
     MachinePartitions(Scheduler scheduler, double firstPartitionShare) {
         this.scheduler = scheduler;
         this.firstPartitionShare = firstPartitionShare;
     }
 
     /**
-     * Moves as few machines as it takes to give the first partition its share of those that are schedulable: spot
-     * instances first, since services can't use them.
+     * Moves as few machines as necessary to give the first partition its share of the schedulable ones. Spot instances
+     * are preferred for the first partition, since services can't use them.
      */
     void rebalance() {
         Collection<Machine> machines = scheduler.machines();
@@ -39,9 +39,9 @@
                 machine.setInFirstPartition(false);
             }
         }
-        int wantedInFirst = (int) Math.round(schedulable * firstPartitionShare);
-        if (inFirst != wantedInFirst) {
-            moveMachines(machines, Math.abs(wantedInFirst - inFirst), inFirst < wantedInFirst);
+        int targetInFirst = (int) Math.round(schedulable * firstPartitionShare);
+        if (inFirst != targetInFirst) {
+            moveMachines(machines, Math.abs(targetInFirst - inFirst), inFirst < targetInFirst);
         }
     }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Counts the idle machines of the first partition anew. */
+    /** Recounts the idle machines of the first partition. */
     void countIdleMachines() {
         idleMachinesInFirst = 0;
         for (Machine machine : scheduler.machines()) {
@@ -67,14 +67,14 @@
         }
     }
 
-    /** A task is about to start on the machine, which is idle no longer. */
+    /** To be called before a task starts on the machine, which then isn't idle any more. */
     void recordTaskStart(Machine machine) {
         idleMachinesInFirst -= machine.isInFirstPartition() && machine.idle() ? 1 : 0;
     }
 
     /**
-     * Those of the first partition's machines that it may lend now: a machine that holds something, and an idle one
-     * while {@link SchedulingConstants#FIRST_PARTITION_FREE_MACHINES} others are idle.
+     * Returns those of the first partition's machines that it may lend now: a machine is lent only if at least
+     * {@link SchedulingConstants#FIRST_PARTITION_FREE_MACHINES} other machines of the partition are idle.
      */
     List<Machine> lendableMachines(List<Machine> machines) {
         List<Machine> lendable = new ArrayList<>();
--- a/src/main/java/org/hollypick/core/ReconciliationProgress.java
+++ b/src/main/java/org/hollypick/core/ReconciliationProgress.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import org.hollypick.core.assignment.Machine;
 
-/** How far the reconciliation of this term has come, over all machines. Confined to the event loop. */
+/** Tracks whether all machines have been reconciled in this term. Confined to the event loop. */
 final class ReconciliationProgress {
     private static final long NEVER = -1;
 
@@ -21,7 +21,7 @@
         complete &= machine.accountedFor();
     }
 
-    /** Whether no machine can hold tasks that aren't known. Stays so until such a machine is added. */
+    /** Whether no machine can hold unknown tasks. Once true, this stays true until such a machine is added. */
     boolean isComplete() {
         if (!complete) {
             complete = machines.stream().allMatch(Machine::accountedFor);
@@ -29,14 +29,14 @@
         return complete;
     }
 
-    /** The result of the last {@link #isComplete}, without going through the machines. */
+    /** The result of the last {@link #isComplete}, without checking the machines again. */
     boolean wasComplete() {
         return complete;
     }
 
     /**
-     * Whether each machine was reconciled or can't hold anything of earlier terms. Once so, it stays so; otherwise the
-     * machines are gone through once for each {@code now}, however many jobs ask.
+     * Whether every machine was reconciled or can't hold tasks of earlier terms. Once true, this stays true; until then
+     * the machines are checked once for each {@code now}, however many jobs ask.
      */
     boolean allReconciled(long now) {
         if (!allReconciled && allReconciledCheckedAt != now) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -14,9 +14,9 @@
 import org.hollypick.core.estimate.Estimates;
 
 /**
- * What a leader knows of jobs and machines during one term, and what it decides. Does no I/O: the time comes in with
- * each event, in milliseconds of the event loop's clock, and effects are left in the {@link SchedulerOutbox}.
- * docs/safety.md argues why its decisions are safe. Confined to the event loop.
+ * The scheduling state of a leader during one term: its jobs and machines, and the decisions about them. Performs no
+ * I/O: callers pass the time of each event, in milliseconds of the event loop's clock, and effects are collected in the
+ * {@link SchedulerOutbox}. docs/safety.md explains why the decisions are safe. Confined to the event loop.
  */
 public final class Scheduler {
     private final long token;
@@ -36,16 +36,16 @@
     private final Set<String> terminatedMachines = new HashSet<>();
     private long lastEventAt;
 
-    /** A scheduler whose estimates don't learn from the runtimes of tasks. */
+    /** Creates a scheduler whose estimates don't learn from the runtimes of tasks. */
     public Scheduler(long token, Settings settings, double firstPartitionShare, WorkerLeases leases) {
         this(token, settings, firstPartitionShare, leases, false);
     }
 
     /**
-     * Begins a term.
+     * Creates the scheduler of a new term.
      *
      * @param token the leader's fencing token
-     * @param firstPartitionShare the share of machines in the first Tyrex partition
+     * @param firstPartitionShare the share of machines in the first Tyrex partition, from 0 to 1
      * @param leases tells when an agent's lease has certainly expired
      * @param learnsRuntimes whether the estimates learn from the runtimes of tasks
      */
@@ -61,7 +61,7 @@
         this.cycle = new SchedulingCycle(this, firstPartitionShare);
     }
 
-    // ---- parts ----
+    // ---- components ----
 
     /** The fencing token of the leader's term. */
     public long token() {
@@ -73,7 +73,7 @@
         return leases;
     }
 
-    /** The runtimes of tasks, as far as they are known. */
+    /** The estimated runtimes of tasks. */
     public Estimates estimates() {
         return estimates;
     }
@@ -88,7 +88,7 @@
         return outbox;
     }
 
-    /** Keeps the limits of teams. */
+    /** Enforces the limits of teams. */
     public TeamQuotas quotas() {
         return quotas;
     }
@@ -108,7 +108,7 @@
         return commands;
     }
 
-    /** When the last event took place. */
+    /** When the last event took place, in milliseconds. */
     long lastEventAt() {
         return lastEventAt;
     }
@@ -119,7 +119,7 @@
 
     // ---- jobs ----
 
-    /** The live jobs in the order in which they were added: a view, from which jobs go as they end. */
+    /** The live jobs in insertion order: a view, from which jobs are removed as they end. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
@@ -134,21 +134,22 @@
         return jobs.containsKey(id);
     }
 
-    /** The job has ended, durably. */
+    /** Removes a job that has ended durably. */
     public void removeJob(String id) {
         jobs.remove(id);
     }
 
-    /** Adds a job that depends on no other, unless it is known. */
+    /** Adds a job without dependencies, unless it is known already. Returns the known or added job. */
     public Job addJob(JobSpec spec, long arrivalRevision, long createdUnderToken) {
         return addJob(spec, arrivalRevision, createdUnderToken, true, spec.priority());
     }
 
     /**
-     * Adds a job, unless it is known.
+     * Adds a job, unless it is known already.
      *
-     * @param ready whether all that it depends on is done
-     * @param priority its own, or a higher one of a job that depends on it
+     * @param ready whether all jobs that it depends on are done
+     * @param priority its own priority, or a higher one of a job that depends on it
+     * @return the known or added job
      */
     public Job addJob(
             JobSpec spec, long arrivalRevision, long createdUnderToken, boolean ready, JobSpec.Priority priority) {
@@ -163,7 +164,7 @@
         return job;
     }
 
-    /** Adds a job whose tasks differ; none of them waits before its {@link #releaseTask}. */
+    /** Adds a job whose tasks differ; each task becomes pending by {@link #releaseTask}. */
     public Job addJob(JobSpec spec, TaskSet tasks, long arrivalRevision, long createdUnderToken) {
         Job job = new Job(spec, tasks, arrivalRevision, createdUnderToken, true, spec.priority());
         jobs.put(spec.id(), job);
@@ -171,7 +172,7 @@
         return job;
     }
 
-    /** The jobs that it depends on, or that depend on it, changed. */
+    /** Updates a job after a change of the jobs that it depends on or that depend on it. */
     public void updateDependencies(Job job, boolean ready, JobSpec.Priority priority) {
         job.setPriority(priority);
         if (ready && !job.ready()) {
@@ -191,12 +192,12 @@
         outbox.requestCycle();
     }
 
-    /** The completed tasks of the job were read from its durable records. */
+    /** To be called when the job's completed tasks were read from its durable records. */
     public void completionsRestored(Job job) {
         job.completionsCommitted();
     }
 
-    /** The task of a job with a {@link TaskSet} waits from now on, unless it may not start or was assigned. */
+    /** Makes a task of a job with a {@link TaskSet} pending, unless it may not start or is assigned already. */
     public void releaseTask(Job job, int index) {
         if (job.mayStart(index) && !job.assignments.containsKey(index)) {
             JobSpec spec = job.spec(index);
@@ -206,7 +207,9 @@
         }
     }
 
-    /** The task of a job with a {@link TaskSet} must not run any more: it is stopped where it may be. */
+    /**
+     * Cancels a task of a job with a {@link TaskSet}: it isn't pending any more, and its current attempt is stopped.
+     */
     public void cancelTask(Job job, int index) {
         job.pendingTasks.clear(index);
         Assignment assignment = job.assignments.get(index);
@@ -216,7 +219,7 @@
         outbox.requestCycle();
     }
 
-    /** What arrived since this was last called. */
+    /** Returns the demand that arrived since the last call. */
     public Arrivals takeArrivals() {
         return arrivals.take();
     }
@@ -227,8 +230,8 @@
     }
 
     /**
-     * The user asked to cancel the job, and may learn of it from any controller that reads the records, before this
-     * leader does. Nothing of the job starts from here on, and all of it is stopped.
+     * Applies a user's cancellation: no further task of the job starts, and all its tasks are stopped. Any controller
+     * that reads the records may show the cancellation to the user before this leader learns of it.
      */
     public void cancel(Job job) {
         job.requestCancellation();
@@ -236,13 +239,13 @@
         outbox.requestCycle();
     }
 
-    /** The cancellation is durable. */
+    /** Applies a cancellation that is durable. */
     public void markCancelled(Job job) {
         cancel(job);
         job.markCancelled();
     }
 
-    /** The job's completion is durable. */
+    /** Marks the job as done when its completion is durable, and stops its remaining tasks. */
     public void markDone(Job job) {
         job.markDone();
         stopAll(job);
@@ -257,7 +260,7 @@
 
     // ---- machines ----
 
-    /** The machines that aren't terminated, in the order in which they were added: a view. */
+    /** A view of the known machines that weren't terminated, in insertion order. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -272,7 +275,7 @@
         return machines.containsKey(id);
     }
 
-    /** Whether the machine was terminated in this term: late heartbeats of it mean nothing. */
+    /** Whether the machine was terminated in this term: late heartbeats from it are ignored. */
     public boolean isTerminated(String machineId) {
         return terminatedMachines.contains(machineId);
     }
@@ -280,7 +283,7 @@
     /**
      * Adds a machine.
      *
-     * @param registered whether it has a durable record; without one, no earlier leader can have given it a task
+     * @param registered whether it has a durable record; without one, no earlier leader can have started a task on it
      */
     public Machine addMachine(String id, MachineType type, String zone, boolean spot, boolean registered, long now) {
         Machine machine = new Machine(id, type, zone, spot, now);
@@ -294,7 +297,7 @@
         return machine;
     }
 
-    /** The machine's record is durable: it may get tasks from now on, unless it was terminated meanwhile. */
+    /** To be called when the machine's record is durable: from now on it may get tasks, unless it was terminated. */
     public void markRegistered(Machine machine) {
         machine.markRegistered();
         if (machines.get(machine.id) == machine) {
@@ -302,7 +305,7 @@
         }
     }
 
-    /** The machine, and everything on it, has certainly gone. */
+    /** Removes a machine that has certainly been terminated, and all assignments on it. */
     public void markTerminated(String id) {
         Machine machine = machines.remove(id);
         terminatedMachines.add(id);
@@ -316,8 +319,8 @@
     }
 
     /**
-     * Removes what was on machines whose lease has certainly expired, and ends the reconciliation of machines that
-     * can't hold anything of earlier terms any more.
+     * Removes the assignments on machines whose lease has certainly expired, marks machines as reconciled that can't
+     * hold tasks of earlier terms any more, and ends quarantines that are over.
      */
     public void expireLeases(long now) {
         lastEventAt = now;
@@ -328,8 +331,8 @@
     }
 
     private void expireLease(Machine machine, long now) {
-        // What earlier leaders launched needs an incarnation that began before this term: all of those have expired,
-        // whatever has begun since.
+        // Tasks launched by earlier leaders run only in incarnations that began before this term. All of those have
+        // expired, even if another incarnation has begun since.
         boolean earlierExpired = !machine.reconciled() && leases.isExpired(machine.heartbeatAcknowledgedAt(), now);
         boolean expired = machine.mayHoldLease() && leases.isExpired(machine.leaseStartedAt(), now);
         if (earlierExpired || expired) {
@@ -343,9 +346,9 @@
     }
 
     /**
-     * Whether a task of the job may still start by a launch that was sent: by this leader, or by an earlier one on a
-     * machine that isn't reconciled. Until then nobody may learn that the job is cancelled, since nothing of it may
-     * start after that.
+     * Whether a task of the job may still start because of a launch command that was sent before: by this leader, or by
+     * an earlier one to a machine that isn't reconciled. While this holds, the job must not be reported as cancelled,
+     * since none of its tasks may start after such a report.
      */
     public boolean launchMayStillExecute(Job job) {
         return commands.launchMayStillExecute(job)
@@ -353,8 +356,8 @@
     }
 
     /**
-     * Whether no machine of an earlier term can still hold tasks that this leader doesn't know of. Once so, it stays so
-     * until such a machine is added.
+     * Whether no machine of an earlier term can still hold tasks that are unknown to this leader. Once true, this stays
+     * true until such a machine is added.
      */
     public boolean reconciliationComplete() {
         if (!reconciliation.wasComplete() && reconciliation.isComplete()) {
@@ -363,21 +366,21 @@
         return reconciliation.wasComplete();
     }
 
-    /** The last result of {@link #reconciliationComplete}, without going through the machines. */
+    /** The last result of {@link #reconciliationComplete}, without checking the machines again. */
     boolean reconciliationWasComplete() {
         return reconciliation.wasComplete();
     }
 
     // ---- scheduling ----
 
-    /** Runs a scheduling cycle: all pending tasks over all machines. */
+    /** Runs a scheduling cycle: all pending tasks on all machines. */
     public void runSchedulingCycle(long now) {
         lastEventAt = now;
         outbox.cycleStarted();
         cycle.run(now);
     }
 
-    /** Schedules pending tasks on this one machine, where room may have come free. */
+    /** Schedules pending tasks on this one machine, whose capacity may have become free. */
     public void scheduleOn(Machine machine, long now) {
         lastEventAt = now;
         cycle.scheduleOn(machine, now);
--- a/src/main/java/org/hollypick/core/SchedulerOutbox.java
+++ b/src/main/java/org/hollypick/core/SchedulerOutbox.java
@@ -9,9 +9,9 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * The effects of a scheduler's decisions that others have to carry out: commands to send, freed room to schedule on,
- * completions and registrations to write, a scheduling cycle to run. Each set keeps the order in which its members were
- * added. Confined to the event loop.
+ * Collects the effects of scheduling decisions that other components carry out: commands to send, freed capacity to
+ * schedule on, completions and registrations to write, a scheduling cycle to run. Each set keeps insertion order.
+ * Confined to the event loop.
  */
 public final class SchedulerOutbox {
     private final Set<Machine> machinesWithUrgentCommands = new LinkedHashSet<>();
@@ -31,7 +31,7 @@
         machinesWithPendingCommands.add(machine);
     }
 
-    /** Commands that concern services go out before all others. */
+    /** Adds a machine whose commands concern services: these are sent before all others. */
     void addUrgentCommands(Machine machine) {
         machinesWithUrgentCommands.add(machine);
     }
@@ -56,38 +56,43 @@
         return taken;
     }
 
-    /** The machine gets all its commands by another path. */
+    /**
+     * To be called when all the machine's commands are sent in the response to its heartbeat: no direct call is needed.
+     */
     public void commandsDelivered(Machine machine) {
         machinesWithPendingCommands.remove(machine);
         machinesWithUrgentCommands.remove(machine);
     }
 
-    /** Whether machines wait for commands or, since room came free there, for tasks. */
+    /** Whether any machines need commands, or have freed capacity to schedule on. */
     public boolean hasPendingMachineWork() {
         return !machinesWithUrgentCommands.isEmpty()
                 || !machinesWithPendingCommands.isEmpty()
                 || !machinesWithFreedCapacity.isEmpty();
     }
 
-    // ---- freed room ----
+    // ---- freed capacity ----
 
     void addFreedCapacity(Machine machine) {
         machinesWithFreedCapacity.add(machine);
     }
 
-    /** Whether room came free on the machine and nobody has taken this up since; the caller does now. */
+    /**
+     * Removes the machine from those with freed capacity, for the caller to schedule on it. Returns false if it wasn't
+     * among them.
+     */
     public boolean takeFreedCapacity(Machine machine) {
         return machinesWithFreedCapacity.remove(machine);
     }
 
-    /** Removes and returns all machines on which room came free. */
+    /** Removes and returns all machines with freed capacity. */
     public List<Machine> takeMachinesWithFreedCapacity() {
         List<Machine> taken = new ArrayList<>(machinesWithFreedCapacity);
         machinesWithFreedCapacity.clear();
         return taken;
     }
 
-    /** A cycle over all machines is about to run and makes use of the freed room. */
+    /** To be called before a scheduling cycle over all machines, which uses the freed capacity. */
     public void discardFreedCapacity() {
         machinesWithFreedCapacity.clear();
     }
@@ -98,17 +103,17 @@
 
     // ---- scheduling cycle ----
 
-    /** Asks for a scheduling cycle over all machines. */
+    /** Requests a scheduling cycle over all machines. */
     public void requestCycle() {
         cycleRequested = true;
     }
 
-    /** Asks for a scheduling cycle if the condition holds; an earlier request stays in any case. */
+    /** Requests a scheduling cycle if the condition holds; an earlier request stays in any case. */
     public void requestCycleIf(boolean condition) {
         cycleRequested |= condition;
     }
 
-    /** Whether a scheduling cycle was asked for since the last one began. */
+    /** Whether a scheduling cycle was requested since the last one began. */
     public boolean cycleRequested() {
         return cycleRequested;
     }
@@ -119,12 +124,12 @@
 
     // ---- completions ----
 
-    /** The job completed tasks, or all of it, and its records don't say so yet. */
+    /** Adds a job with completed tasks, or a completed job, whose records don't say so yet. */
     public void addNewCompletions(Job job) {
         jobsWithNewCompletions.add(job);
     }
 
-    /** The job's completions are being written, or needn't be any more. */
+    /** Removes a job whose completions are being written, or needn't be written any more. */
     public void removeNewCompletions(Job job) {
         jobsWithNewCompletions.remove(job);
     }
@@ -134,7 +139,7 @@
         return !jobsWithNewCompletions.isEmpty();
     }
 
-    /** The jobs with completions to write, as a view that can't be modified. */
+    /** An unmodifiable view of the jobs with completions to write. */
     public Set<Job> jobsWithNewCompletions() {
         return jobsWithNewCompletionsView;
     }
@@ -149,21 +154,21 @@
         machinesToUnregister.add(machineId);
     }
 
-    /** Removes and returns the machines that were heard of and aren't registered yet. */
+    /** Removes and returns the machines that sent a heartbeat and have no durable record yet. */
     public List<Machine> takeMachinesToRegister() {
         List<Machine> taken = new ArrayList<>(machinesToRegister);
         machinesToRegister.clear();
         return taken;
     }
 
-    /** Removes and returns the ids of terminated machines, whose durable records have to go. */
+    /** Removes and returns the ids of terminated machines, whose durable records have to be deleted. */
     public List<String> takeMachinesToUnregister() {
         List<String> taken = new ArrayList<>(machinesToUnregister);
         machinesToUnregister.clear();
         return taken;
     }
 
-    /** The machine is terminated: nothing has to be done about it any more but to unregister it. */
+    /** Drops all pending effects of a terminated machine except its removal from the durable records. */
     void discard(Machine machine) {
         machinesWithPendingCommands.remove(machine);
         machinesWithUrgentCommands.remove(machine);
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -11,15 +11,16 @@
 import org.hollypick.core.placement.MachineSelector;
 
 /**
- * Decides which pending tasks start on which machines: the order of the jobs in the two Tyrex partitions, and what
- * machines these lend each other. Times are milliseconds of the event loop's clock. Confined to the event loop.
+ * Decides which pending tasks start on which machines: the order of the jobs in the two Tyrex partitions, and which
+ * machines a partition lends to the other. Times are milliseconds of the event loop's clock. Confined to the event
+ * loop.
  */
 final class SchedulingCycle {
     private static final Comparator<Job> ARRIVAL_ORDER =
             (a, b) -> Long.compareUnsigned(a.arrivalRevision, b.arrivalRevision);
     /**
-     * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): arrival order
-     * holds among jobs of one priority.
+     * Exception to the design (docs/design.md, "rank before arrival" and "rank of those that need it"): jobs are
+     * ordered by priority, and by arrival only within the same priority.
      */
     private static final Comparator<Job> SCHEDULING_ORDER =
             Comparator.<Job, JobSpec.Priority>comparing(job -> job.priority()).thenComparing(ARRIVAL_ORDER);
@@ -31,12 +32,12 @@
     private List<Job> firstPartitionJobs = List.of();
     /** Jobs of the second partition that had pending tasks in the last full cycle, in scheduling order. */
     private List<Job> secondPartitionJobs = List.of();
-    /** How often {@link #scheduleOn} went through the jobs while there were several teams. */
+    /** Number of {@link #scheduleOn} runs that considered the jobs; counted only if there are several teams. */
     private int singleMachineCycles;
     /** Cores of all services, as of the last full cycle. */
     private double allServiceCpus;
 
-    /** @param firstPartitionShare the part of the machines that the first partition has, from 0 to 1 */
+    /** @param firstPartitionShare the share of the machines in the first partition, from 0 to 1 */
     SchedulingCycle(Scheduler scheduler, double firstPartitionShare) {
         this.scheduler = scheduler;
         this.partitions = new MachinePartitions(scheduler, firstPartitionShare);
@@ -45,7 +46,7 @@
 
     // ---- cycles ----
 
-    /** A full cycle: schedules all pending tasks over all machines. */
+    /** Runs a full cycle: schedules all pending tasks on all machines. */
     void run(long now) {
         partitions.rebalance();
         collectPendingJobs();
@@ -79,7 +80,8 @@
     }
 
     /**
-     * Until reconciliation is complete, tasks of earlier leaders' jobs may run unseen: only jobs of this term start.
+     * Collects the jobs with pending tasks, in scheduling order. Until reconciliation is complete, these are only the
+     * jobs created in this term: tasks of earlier jobs may be running on machines without this leader's knowledge.
      */
     private void collectPendingJobs() {
         firstPartitionJobs = new ArrayList<>();
@@ -95,8 +97,8 @@
     }
 
     /**
-     * Schedules on a single machine on which room came free, among the jobs of the last full cycle: services, the array
-     * jobs of the machine's own partition, then those it is lent to.
+     * Schedules jobs of the last full cycle on a single machine whose capacity became free: services first, then the
+     * array jobs of the machine's own partition, then those of the other partition.
      */
     void scheduleOn(Machine machine, long now) {
         if (!MachineSelector.acceptsTasks(machine, now)
@@ -123,7 +125,7 @@
         }
     }
 
-    /** The order of the Tyrex paper, which has no priorities. */
+    /** Returns the jobs in the order of the Tyrex paper, which has no priorities. */
     private static List<Job> inArrivalOrder(List<Job> jobs) {
         List<Job> sorted = new ArrayList<>(jobs);
         sorted.sort(ARRIVAL_ORDER);
@@ -133,8 +135,8 @@
     // ---- services ----
 
     /**
-     * Exception to the design (docs/design.md, "production first"): services go where their image is, and preempt work
-     * of lower priority anywhere.
+     * Exception to the design (docs/design.md, "production first"): services prefer machines that have their image, and
+     * preempt tasks of lower priority on any machine.
      */
     private void placeService(Job job, List<Machine> machines, long now) {
         for (int index = nextStartableTask(job, 0, now); index >= 0; index = nextStartableTask(job, index + 1, now)) {
@@ -151,28 +153,28 @@
     // ---- arrays ----
 
     /**
-     * Starts what it can of an array job, on machines of its own partition before those of the other one.
+     * Starts as many tasks of an array job as possible, on machines of its own partition before those of the other one.
      *
-     * @param reserveIdleMachines whether the other partition lends only what it need not keep idle
+     * @param reserveIdleMachines whether the other partition lends only machines that it needn't keep idle
      */
     private void placeArray(
             Job job, List<Machine> ownMachines, List<Machine> otherMachines, boolean reserveIdleMachines, long now) {
         if (job.spec.service()) {
             return;
         }
-        Set<JobSpec> specsWithoutRoom = Set.of();
+        Set<JobSpec> specsWithoutCapacity = Set.of();
         int index = nextStartableTask(job, 0, now);
         while (index >= 0) {
             JobSpec spec = job.spec(index);
             Machine machine = null;
-            if (!specsWithoutRoom.contains(spec)) {
+            if (!specsWithoutCapacity.contains(spec)) {
                 machine = chooseMachine(job, spec, ownMachines, otherMachines, reserveIdleMachines, now);
             }
             if (machine != null) {
                 index = fill(machine, job, index, now);
             } else if (job.isHeterogeneous()) {
-                // Tasks of another description may fit.
-                specsWithoutRoom = withAdded(specsWithoutRoom, spec);
+                // Tasks with another specification may fit.
+                specsWithoutCapacity = withAdded(specsWithoutCapacity, spec);
                 index = nextStartableTask(job, index + 1, now);
             } else {
                 return;
@@ -180,14 +182,14 @@
         }
     }
 
-    /** Adds to the set, which is compared by identity; an empty set is replaced by one that can be added to. */
+    /** Adds to a set that compares by identity, and returns it; an empty set is replaced by a new mutable one. */
     private static Set<JobSpec> withAdded(Set<JobSpec> specs, JobSpec spec) {
         Set<JobSpec> extended = specs.isEmpty() ? Collections.newSetFromMap(new IdentityHashMap<>()) : specs;
         extended.add(spec);
         return extended;
     }
 
-    /** @return null if no machine has room for such a task */
+    /** @return null if no machine has capacity for such a task */
     private Machine chooseMachine(
             Job job,
             JobSpec spec,
@@ -204,9 +206,9 @@
     }
 
     /**
-     * Starts tasks on the machine, from {@code index} on, until it is full or a task of another description is next.
-     * Each task makes the machine a better choice for the next one: the image is there or on its way, and arrays are
-     * packed tightly.
+     * Starts tasks on the machine, from {@code index} on, until it is full or the next task has another specification.
+     * No other machine needs to be considered for these tasks: each task makes the machine a better choice for the next
+     * one, since the image is there or being fetched, and arrays are packed tightly.
      *
      * @return the next task that may start now, or -1
      */
@@ -232,8 +234,8 @@
     }
 
     /**
-     * The first task from index {@code from} on that may start now: pending, past its retry delay, and within its
-     * team's limit.
+     * Returns the first task from index {@code from} on that may start now: pending, past its retry delay, and within
+     * its team's limit. A job whose tasks fail on several machines runs one task at a time.
      *
      * @return -1 if there is none
      */
@@ -241,21 +243,21 @@
         if (!job.hasPendingTasks() || (job.failsEverywhere() && !job.assignments.isEmpty())) {
             return -1;
         }
-        // The last descriptions that were checked against the limit: tasks of equal description share the object.
-        JobSpec beyondLimit = null;
-        JobSpec withinLimit = null;
+        // The specifications last checked against the limit; tasks with equal specifications share one object.
+        JobSpec specOverLimit = null;
+        JobSpec specWithinLimit = null;
         for (int i = job.pendingTasks.nextSetBit(from); i >= 0; i = job.pendingTasks.nextSetBit(i + 1)) {
             JobSpec spec = job.spec(i);
-            if (spec != withinLimit && spec != beyondLimit) {
+            if (spec != specWithinLimit && spec != specOverLimit) {
                 if (scheduler.quotas().withinLimit(spec)) {
-                    withinLimit = spec;
+                    specWithinLimit = spec;
                 } else if (job.isHeterogeneous()) {
-                    beyondLimit = spec;
+                    specOverLimit = spec;
                 } else {
                     return -1;
                 }
             }
-            if (spec == withinLimit && job.retryNotBefore.get(i) <= now) {
+            if (spec == specWithinLimit && job.retryNotBefore.get(i) <= now) {
                 return i;
             }
         }
--- a/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
+++ b/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
@@ -9,16 +9,16 @@
 import org.hollypick.core.placement.MachineSelector;
 
 /**
- * Reserves quota for services whose team is at its limit though a machine has room for them. Without that, arrays would
- * take all quota that comes free on machines where services may not go, for as long as any array is pending. Confined
- * to the event loop.
+ * Reserves quota for services whose team is at its limit although a machine has capacity for them. Without reservations
+ * arrays would use all quota that becomes free on machines where services may not run, for as long as any array is
+ * pending. Confined to the event loop.
  */
 final class ServiceQuotaReservation {
     private final TeamQuotas quotas;
     private long reservedAt = -ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
     private final Map<String, UsageObservation> usageByTeam = new HashMap<>();
 
-    /** How often a team's usage had changed when that was last seen to differ, and when that was. */
+    /** A team's usage change count, and when it was first observed, in milliseconds. */
     private record UsageObservation(long changeCount, long observedAt) {}
 
     ServiceQuotaReservation(TeamQuotas quotas) {
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Makes the reservations anew, at most once in {@link ReconcileConstants#FULL_SCHEDULING_CYCLE_MS}. Whether a
-     * machine has room is asked once for each team, by its first service.
+     * Recomputes the reservations, at most once in {@link ReconcileConstants#FULL_SCHEDULING_CYCLE_MS}. Whether any
+     * machine has capacity is determined once for each team, with its first service that is over the limit.
      *
      * @param jobs jobs with pending tasks, in scheduling order
      * @param machines the machines that take tasks now
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Whether the team's usage changed within the last {@link SchedulingConstants#RESERVATION_MS}. If not, hardly any
-     * quota will come free for its services soon, and what is left is too little for them: a reservation would keep
-     * arrays that fit into it waiting beside free machines.
+     * Whether the team's usage changed within the last {@link SchedulingConstants#RESERVATION_MS}. If not, its services
+     * are unlikely to get more quota soon, and the quota that is left is too small for them: a reservation would only
+     * keep arrays that fit into it pending while machines are free.
      */
     private boolean usageChangedRecently(String team, long now) {
         long changeCount = quotas.usage().changeCount(team);
--- a/src/main/java/org/hollypick/core/TeamQuotas.java
+++ b/src/main/java/org/hollypick/core/TeamQuotas.java
@@ -5,7 +5,7 @@
 import org.hollypick.config.Settings;
 
 /**
- * Keeps the limits of teams: whether one more task may start, given what the team's tasks take and what machines of
+ * Enforces the limits of teams: decides whether one more task may start, given the team's usage and what machines of
  * earlier terms may still hold. Confined to the event loop.
  */
 public final class TeamQuotas {
@@ -24,12 +24,12 @@
         this.hasMultipleTeams = teams.size() > 1;
     }
 
-    /** What the teams' tasks take. */
+    /** The cores and GPUs that the teams use. */
     TeamUsage usage() {
         return usage;
     }
 
-    /** All earlier leaders kept the same limits of teams. */
+    /** Records that all earlier leaders enforced the same team limits. */
     public void setEarlierLeadersEnforcedLimits() {
         earlierLeadersEnforcedLimits = true;
     }
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Whether one more task keeps its team's limit. Machines of earlier terms may hold tasks that nobody has counted
-     * yet.
+     * Whether the team stays within its limit with one more task of this specification. Until reconciliation is
+     * complete, this takes into account that machines of earlier terms may hold tasks that aren't counted yet.
      */
     public boolean withinLimit(JobSpec spec) {
         Settings.Team team = teams.get(spec.team());
@@ -51,7 +51,8 @@
             return usage.allows(team, spec);
         }
         if (unaccountedUpdatedAt != scheduler.lastEventAt()) {
-            unaccountedUpdatedAt = scheduler.lastEventAt(); // within one moment there can only be fewer
+            // Computed once per event time: within one event the unaccounted machines can only become fewer.
+            unaccountedUpdatedAt = scheduler.lastEventAt();
             usage.updateUnaccountedCapacity(scheduler.machines());
         }
         return usage.allowsBeforeReconciliation(team, spec, earlierLeadersEnforcedLimits);
@@ -67,7 +68,7 @@
         return maxCpus(team) < Double.POSITIVE_INFINITY || maxGpus(team) < Double.POSITIVE_INFINITY;
     }
 
-    /** Whether any team is limited. */
+    /** Whether any team's cores or GPUs are limited. */
     public boolean anyLimited() {
         return teams.keySet().stream().anyMatch(this::isLimited);
     }
@@ -84,7 +85,7 @@
         return settings == null || settings.gpusMax() <= 0 ? Double.POSITIVE_INFINITY : settings.gpusMax();
     }
 
-    /** Whether all tasks are known, and no team takes more than its limit. */
+    /** Whether all tasks are known and every team is within its limit. */
     public boolean allTeamsWithinLimits() {
         return scheduler.reconciliationComplete() && usage.allTeamsWithinLimits(teams.values());
     }
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -7,36 +7,36 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * The cores and GPUs of each team's tasks, counting every task that may be on a machine. Until reconciliation is
- * complete, machines of earlier terms may hold tasks that this leader doesn't know: an upper bound of what these take
- * is counted too (docs/safety.md, "quota"). Confined to the event loop.
+ * Tracks the cores and GPUs that each team uses, counting every task that may be on a machine. Until reconciliation is
+ * complete, machines of earlier terms may hold tasks that are unknown to this leader: an upper bound of their usage is
+ * counted too (docs/safety.md, "quota"). Confined to the event loop.
  */
 final class TeamUsage {
-    /** For rounding errors in sums of decimal amounts. */
+    /** Tolerance for rounding errors in sums of decimal amounts. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Object2DoubleOpenHashMap<String> cpus = new Object2DoubleOpenHashMap<>();
     private final Object2DoubleOpenHashMap<String> gpus = new Object2DoubleOpenHashMap<>();
     private final Object2LongOpenHashMap<String> changeCounts = new Object2LongOpenHashMap<>();
-    /** What tasks of earlier leaders take, or took, that were found in this term; each attempt counts once. */
+    /** Usage of all tasks of earlier leaders that were found in this term, ended or not; each attempt counts once. */
     private final Object2DoubleOpenHashMap<String> foundCpus = new Object2DoubleOpenHashMap<>();
 
     private final Object2DoubleOpenHashMap<String> foundGpus = new Object2DoubleOpenHashMap<>();
     private final LongOpenHashSet foundAttempts = new LongOpenHashSet();
-    /** Quota that arrays must leave to services of their team. */
+    /** Quota that is reserved for services and not available to arrays of the same team. */
     private final Object2DoubleOpenHashMap<String> reservedCpus = new Object2DoubleOpenHashMap<>();
 
     private final Object2DoubleOpenHashMap<String> reservedGpus = new Object2DoubleOpenHashMap<>();
-    /** Upper bound of what unknown tasks take: the capacity of all machines that aren't accounted for. */
+    /** Upper bound of the usage of unknown tasks: the capacity of all machines that aren't accounted for. */
     private double unaccountedCpus;
 
     private double unaccountedGpus;
 
     /**
-     * Reserves quota for pending tasks of a service, or gives back what was reserved for tasks that started: while
-     * reserved, it isn't available to the team's arrays.
+     * Reserves quota for pending tasks of a service, or releases the quota reserved for tasks that have started.
+     * Reserved quota isn't available to the team's arrays.
      *
-     * @param tasks how many; negative to give back, which does nothing for a team without reservations
+     * @param tasks the number of tasks; negative to release, which does nothing for a team without reservations
      */
     void reserve(JobSpec spec, int tasks) {
         if (tasks > 0 || reservedCpus.containsKey(spec.team())) {
@@ -45,18 +45,18 @@
         }
     }
 
-    /** Gives back all reserved quota of all teams. */
+    /** Releases the reserved quota of all teams. */
     void clearReservations() {
         reservedCpus.clear();
         reservedGpus.clear();
     }
 
-    /** How often the team's usage has changed: it differs when tasks of the team started or ended in between. */
+    /** Returns how often the team's usage has changed: two values differ if its tasks started or ended in between. */
     long changeCount(String team) {
         return changeCounts.getLong(team);
     }
 
-    /** Counts {@code tasks} more tasks of that description, or fewer if negative. */
+    /** Adds the usage of {@code tasks} tasks with this specification; a negative number subtracts it. */
     void add(JobSpec spec, int tasks) {
         changeCounts.addTo(spec.team(), 1);
         cpus.addTo(spec.team(), tasks * spec.cpus());
@@ -64,8 +64,8 @@
     }
 
     /**
-     * A task of an earlier leader was found on its machine. To be called for heartbeats sent in this term alone, since
-     * an older one doesn't show that the task was still there when the term began.
+     * Records a task of an earlier leader that was found on its machine. To be called only for heartbeats sent in this
+     * term: an older heartbeat doesn't show that the task was still there when the term began.
      */
     void recordFoundTask(JobSpec spec, long attempt) {
         if (foundAttempts.add(attempt)) {
@@ -74,43 +74,46 @@
         }
     }
 
-    /** No machine holds unknown tasks any more; which attempts were found needn't be remembered. */
+    /** To be called when no machine can hold unknown tasks any more: forgets which attempts were found. */
     void reconciliationComplete() {
         foundAttempts.clear();
     }
 
-    /** Takes the upper bound of what unknown tasks take from the machines that aren't accounted for. */
+    /** Recomputes the upper bound of the usage of unknown tasks from the machines that aren't accounted for. */
     void updateUnaccountedCapacity(Iterable<Machine> machines) {
         unaccountedCpus = 0;
         unaccountedGpus = 0;
         for (Machine machine : machines) {
             if (!machine.accountedFor()) {
-                // A type that the cloud no longer names may hold anything.
+                // The capacity of a type that the cloud no longer offers is unknown, so it has no upper bound.
                 unaccountedCpus += machine.type.cpus() > 0 ? machine.type.cpus() : Double.POSITIVE_INFINITY;
                 unaccountedGpus += machine.type.cpus() > 0 ? machine.type.gpus() : Double.POSITIVE_INFINITY;
             }
         }
     }
 
-    /** Whether one more task keeps the team's limit, given that all tasks are known. */
+    /** Whether the team stays within its limit with one more task, given that all its tasks are known. */
     boolean allows(Settings.Team team, JobSpec spec) {
         return allows(team, spec, 0, 0);
     }
 
     private boolean allows(Settings.Team team, JobSpec spec, double unknownCpus, double unknownGpus) {
         String name = team.name();
-        double setAsideCpus = spec.service() ? 0 : Math.max(0, reservedCpus.getDouble(name));
-        double setAsideGpus = spec.service() ? 0 : Math.max(0, reservedGpus.getDouble(name));
-        return withinLimit(team.cpusMax(), cpus.getDouble(name) + Math.max(0, unknownCpus) + setAsideCpus + spec.cpus())
+        double serviceReservedCpus = spec.service() ? 0 : Math.max(0, reservedCpus.getDouble(name));
+        double serviceReservedGpus = spec.service() ? 0 : Math.max(0, reservedGpus.getDouble(name));
+        return withinLimit(
+                        team.cpusMax(),
+                        cpus.getDouble(name) + Math.max(0, unknownCpus) + serviceReservedCpus + spec.cpus())
                 && withinLimit(
-                        team.gpusMax(), gpus.getDouble(name) + Math.max(0, unknownGpus) + setAsideGpus + spec.gpus());
+                        team.gpusMax(),
+                        gpus.getDouble(name) + Math.max(0, unknownGpus) + serviceReservedGpus + spec.gpus());
     }
 
     /**
-     * Whether one more task keeps the team's limit whatever tasks of earlier leaders are still unknown.
+     * Whether the team stays within its limit with one more task, whatever tasks of earlier leaders are still unknown.
      *
-     * @param earlierLeadersEnforcedLimits whether earlier leaders kept the same limits: then all that they started, the
-     *     found tasks included, takes no more than the limit
+     * @param earlierLeadersEnforcedLimits whether all earlier leaders enforced the same limits: then all tasks that
+     *     they started, the found ones included, use no more than the limit
      */
     boolean allowsBeforeReconciliation(Settings.Team team, JobSpec spec, boolean earlierLeadersEnforcedLimits) {
         String name = team.name();
@@ -123,7 +126,7 @@
         return allows(team, spec, unknownCpus, unknownGpus);
     }
 
-    /** Whether no team's known tasks take more than its limit. */
+    /** Whether the known tasks of every team are within its limit. */
     boolean allTeamsWithinLimits(Iterable<Settings.Team> teams) {
         for (Settings.Team team : teams) {
             if (!withinLimit(team.cpusMax(), cpus.getDouble(team.name()))
@@ -134,7 +137,7 @@
         return true;
     }
 
-    /** A limit of 0 or less is none. */
+    /** Whether an amount is within the limit; 0 or less means that there is no limit. */
     private static boolean withinLimit(double limit, double amount) {
         return limit <= 0 || amount <= limit + ROUNDING_TOLERANCE;
     }
--- a/src/test/java/org/hollypick/core/JobSpecBuilder.java
+++ b/src/test/java/org/hollypick/core/JobSpecBuilder.java
@@ -1,6 +1,6 @@
 package org.hollypick.core;
 
-/** Builds specifications of job arrays for tests: one task of one core on any machine, unless said otherwise. */
+/** Builds specifications of array jobs for tests: by default one task with one core that may run on any machine. */
 public final class JobSpecBuilder {
     private final String id;
     private String team = "team";
@@ -13,7 +13,7 @@
         this.id = id;
     }
 
-    /** An array with this id. */
+    /** Starts the specification of an array job with this id. */
     public static JobSpecBuilder array(String id) {
         return new JobSpecBuilder(id);
     }
@@ -48,7 +48,7 @@
         return this;
     }
 
-    /** The specification. */
+    /** Builds the specification. */
     public JobSpec build() {
         return new JobSpec(
                 id,
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -19,7 +19,7 @@
 import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-/** Compares a scheduling cycle with a slow reference model that goes task by task and keeps nothing between them. */
+/** Compares a scheduling cycle with a slow reference model that places each task separately and caches nothing. */
 class SchedulingCycleTest {
     private static final MachineType SMALL = new MachineType("s", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final MachineType LARGE = new MachineType("l", 16, 0, 128, 50, 0.5, 2, 0.9, 30, Set.of("a", "b"));
@@ -35,7 +35,7 @@
         for (int i = 0; i < machines; i++) {
             addRandomMachine(scheduler, random, i);
         }
-        // Two rounds, so that the second finds machines in use, jobs that moved and tasks that may be preempted.
+        // Two rounds, so that the second one has machines in use, jobs in the second partition and preemptible tasks.
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < 3 + random.nextInt(6); i++) {
                 JobSpec spec = randomJob(random, "req-" + round + i);
@@ -102,61 +102,75 @@
                 Double.NaN);
     }
 
-    private static Heartbeat heartbeat(Machine m, long tick) {
-        TaskStatus[] tasks = m.assignments.values().stream()
-                .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+    private static Heartbeat heartbeat(Machine machine, long sequence) {
+        TaskStatus[] tasks = machine.assignments.values().stream()
+                .map(assignment -> new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
-        return new Heartbeat(m.id, "w:1", m.type.name(), m.zone, m.spot, 1, tick, 5, Double.NaN, List.of(tasks));
+        return new Heartbeat(
+                machine.id,
+                "w:1",
+                machine.type.name(),
+                machine.zone,
+                machine.spot,
+                1,
+                sequence,
+                5,
+                Double.NaN,
+                List.of(tasks));
     }
 
     @Test
     void schedulingCycleMakesTheSameDecisionsAsTheReferenceModel() {
         int started = 0;
         for (long seed = 0; seed < 3_000; seed++) {
-            Scheduler real = randomScheduler(seed);
-            Scheduler plain = randomScheduler(seed);
-            real.runSchedulingCycle(9_000);
-            // The partitions are the real pass's, or the model would have to repeat them.
-            real.machines().forEach(m -> plain.machine(m.id).setInFirstPartition(m.isInFirstPartition()));
-            runReferenceCycle(plain, 9_000);
-            Map<String, String> where = placements(real);
-            assertEquals(placements(plain), where, "seed " + seed);
-            started += where.size();
+            Scheduler tested = randomScheduler(seed);
+            Scheduler reference = randomScheduler(seed);
+            tested.runSchedulingCycle(9_000);
+            // The model uses the partitions of the real cycle, since it doesn't compute them itself.
+            tested.machines()
+                    .forEach(
+                            machine -> reference.machine(machine.id).setInFirstPartition(machine.isInFirstPartition()));
+            runReferenceCycle(reference, 9_000);
+            Map<String, String> placements = placements(tested);
+            assertEquals(placements(reference), placements, "seed " + seed);
+            started += placements.size();
         }
-        assertTrue(started > 30_000, "little was placed: " + started);
+        assertTrue(started > 30_000, "too few tasks were placed for a meaningful comparison: " + started);
     }
 
     /**
-     * Of the machines that come free one after the other, how many go to older work of lower rank beside a flood of
-     * higher rank.
+     * Adds 120 machines one after the other and schedules on each of them alone, while a newer job of higher priority
+     * has more pending tasks than they can hold. Returns how many of these machines the older job of low priority gets.
      */
     private static int machinesGivenToTheLowPriorityJob(int teams) {
-        Map<String, Settings.Team> of = new TreeMap<>();
+        Map<String, Settings.Team> settingsByTeam = new TreeMap<>();
         for (int i = 0; i < teams; i++) {
-            of.put("t" + i, new Settings.Team("t" + i, 0, 0, 0, 0));
+            settingsByTeam.put("t" + i, new Settings.Team("t" + i, 0, 0, 0, 0));
         }
-        Settings settings =
-                new SettingsBuilder().zones(List.of("a", "b")).teams(of).build();
-        Scheduler s = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
-        Job lower = s.addJob(arrayWithPriority("req-0", JobSpec.Priority.LOW), 0, 5);
-        s.addJob(arrayWithPriority("req-1", JobSpec.Priority.HIGH), 1, 5);
-        s.runSchedulingCycle(10);
+        Settings settings = new SettingsBuilder()
+                .zones(List.of("a", "b"))
+                .teams(settingsByTeam)
+                .build();
+        Scheduler scheduler = new Scheduler(5, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
+        Job lowPriorityJob = scheduler.addJob(arrayWithPriority("req-0", JobSpec.Priority.LOW), 0, 5);
+        scheduler.addJob(arrayWithPriority("req-1", JobSpec.Priority.HIGH), 1, 5);
+        scheduler.runSchedulingCycle(10);
         for (int i = 0; i < 120; i++) {
-            Machine m = s.addMachine("n-" + i, SMALL, "a", false, false, 10);
-            m.markRegistered();
-            s.heartbeats().applyHeartbeat(m, heartbeat(m, 1), true, 10);
-            s.scheduleOn(m, 10);
+            Machine machine = scheduler.addMachine("n-" + i, SMALL, "a", false, false, 10);
+            machine.markRegistered();
+            scheduler.heartbeats().applyHeartbeat(machine, heartbeat(machine, 1), true, 10);
+            scheduler.scheduleOn(machine, 10);
         }
-        return lower.assignments.size() / 8;
+        return lowPriorityJob.assignments.size() / 8;
     }
 
-    private static JobSpec arrayWithPriority(String id, JobSpec.Priority rank) {
+    private static JobSpec arrayWithPriority(String id, JobSpec.Priority priority) {
         return new JobSpec(
                 id,
                 "batch",
                 "t0",
                 false,
-                rank,
+                priority,
                 2_000,
                 1,
                 0,
@@ -174,36 +188,41 @@
                 Double.NaN);
     }
 
-    /** Strict rank gave a lower class nothing for as long as a flood lasted; with one team nothing may change. */
+    /**
+     * Strict priority order starved jobs of lower priority for as long as jobs with higher priority were pending. With
+     * a single team the order stays strict.
+     */
     @Test
     void olderLowPriorityJobGetsAShareOfFreedMachinesIfThereAreSeveralTeams() {
         assertEquals(0, machinesGivenToTheLowPriorityJob(1));
         assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_EVERY, machinesGivenToTheLowPriorityJob(2));
     }
 
-    private static Map<String, String> placements(Scheduler s) {
-        Map<String, String> where = new TreeMap<>();
-        s.machines()
-                .forEach(m -> m.assignments
+    private static Map<String, String> placements(Scheduler scheduler) {
+        Map<String, String> placements = new TreeMap<>();
+        scheduler
+                .machines()
+                .forEach(machine -> machine.assignments
                         .values()
-                        .forEach(p -> where.put(p.taskId, m.id + (p.stopRequested() ? " stopped" : ""))));
-        return where;
+                        .forEach(assignment -> placements.put(
+                                assignment.taskId, machine.id + (assignment.stopRequested() ? " stopped" : ""))));
+        return placements;
     }
 
-    private static void runReferenceCycle(Scheduler s, long now) {
+    private static void runReferenceCycle(Scheduler scheduler, long now) {
         Comparator<Job> order = Comparator.<Job, Integer>comparing(
-                        j -> j.spec.priority().ordinal())
-                .thenComparing(j -> j.arrivalRevision);
-        for (boolean second : new boolean[] {true, false}) {
-            for (Job job : s.jobs().stream()
-                    .filter(j -> j.inSecondPartition() == second)
+                        job -> job.spec.priority().ordinal())
+                .thenComparing(job -> job.arrivalRevision);
+        for (boolean secondPartition : new boolean[] {true, false}) {
+            for (Job job : scheduler.jobs().stream()
+                    .filter(job -> job.inSecondPartition() == secondPartition)
                     .sorted(order)
                     .toList()) {
                 for (int i = 0; i < job.spec.tasks(); i++) {
                     if (job.pendingTasks.get(i)
                             && !(job.spec.service()
-                                    ? startServiceTask(s, job, i, now)
-                                    : startArrayTask(s, job, i, second, now))) {
+                                    ? startServiceTask(scheduler, job, i, now)
+                                    : startArrayTask(scheduler, job, i, secondPartition, now))) {
                         break;
                     }
                 }
@@ -211,110 +230,122 @@
         }
     }
 
-    private static List<Machine> allowedMachines(Scheduler s, Job job) {
-        if (!s.quotas().withinLimit(job.spec)) {
+    private static List<Machine> allowedMachines(Scheduler scheduler, Job job) {
+        if (!scheduler.quotas().withinLimit(job.spec)) {
             return List.of();
         }
-        return s.machines().stream()
-                .filter(m -> {
+        return scheduler.machines().stream()
+                .filter(machine -> {
                     long inZone = job.assignments.values().stream()
-                            .filter(p -> p.machine.zone.equals(m.zone))
+                            .filter(assignment -> assignment.machine.zone.equals(machine.zone))
                             .count();
-                    return m.schedulable()
-                            && m.type.fits(job.spec)
-                            && (job.spec.zone() == null || job.spec.zone().equals(m.zone))
-                            && (!m.spot || job.spec.spotAllowed())
+                    return machine.schedulable()
+                            && machine.type.fits(job.spec)
+                            && (job.spec.zone() == null || job.spec.zone().equals(machine.zone))
+                            && (!machine.spot || job.spec.spotAllowed())
                             && (!job.spec.spreadOverZones() || inZone + 1 <= (job.spec.tasks() + 1) / 2)
                             && (!job.spec.oneZone() || inZone == job.assignments.size());
                 })
                 .toList();
     }
 
-    private static double fetchSeconds(JobSpec spec, Machine m) {
-        long starting = m.liveAssignments().stream()
-                .filter(p -> p.state() == State.LAUNCHING || p.state() == State.PULLING_IMAGE)
+    private static double fetchSeconds(JobSpec spec, Machine machine) {
+        long starting = machine.liveAssignments().stream()
+                .filter(assignment ->
+                        assignment.state() == State.LAUNCHING || assignment.state() == State.PULLING_IMAGE)
                 .count();
-        boolean same = m.liveAssignments().stream()
-                .anyMatch(
-                        p -> p.state() == State.LAUNCHING && p.job.spec.image().equals(spec.image()));
-        return m.images.containsKey(spec.image())
+        boolean alreadyFetching = machine.liveAssignments().stream()
+                .anyMatch(assignment -> assignment.state() == State.LAUNCHING
+                        && assignment.job.spec.image().equals(spec.image()));
+        return machine.images.containsKey(spec.image())
                 ? 0
-                : spec.imageGb() / m.type.fetchGbPerS() * (same ? 0.6 : 1 + 0.5 * Math.min(4, starting));
+                : spec.imageGb()
+                        / machine.type.fetchGbPerS()
+                        * (alreadyFetching ? 0.6 : 1 + 0.5 * Math.min(4, starting));
     }
 
-    private static boolean startArrayTask(Scheduler s, Job job, int index, boolean second, long now) {
-        long idleFirst = s.machines().stream()
-                .filter(m -> m.isInFirstPartition() && m.schedulable() && m.idle())
+    private static boolean startArrayTask(Scheduler scheduler, Job job, int index, boolean secondPartition, long now) {
+        long idleMachinesInFirst = scheduler.machines().stream()
+                .filter(machine -> machine.isInFirstPartition() && machine.schedulable() && machine.idle())
                 .count();
-        for (boolean own : new boolean[] {true, false}) {
+        for (boolean ownPartition : new boolean[] {true, false}) {
             Machine best = null;
             double bestScore = 0;
-            for (Machine m : allowedMachines(s, job)) {
-                boolean lent =
-                        !second || idleFirst - (m.idle() ? 1 : 0) >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
-                if (m.isInFirstPartition() == second == own || !m.hasRoom(job.spec) || (!own && !lent)) {
+            for (Machine machine : allowedMachines(scheduler, job)) {
+                boolean lendable = !secondPartition
+                        || idleMachinesInFirst - (machine.idle() ? 1 : 0)
+                                >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
+                if (machine.isInFirstPartition() == secondPartition == ownPartition
+                        || !machine.hasRoom(job.spec)
+                        || (!ownPartition && !lendable)) {
                     continue;
                 }
-                double score = -fetchSeconds(job.spec, m) + 2 * m.usedCpus() / m.type.cpus() + (m.spot ? 3 : 0);
+                double score = -fetchSeconds(job.spec, machine)
+                        + 2 * machine.usedCpus() / machine.type.cpus()
+                        + (machine.spot ? 3 : 0);
                 if (best == null || score > bestScore) {
-                    best = m;
+                    best = machine;
                     bestScore = score;
                 }
             }
             if (best != null) {
-                s.assignments().start(job, index, best, now);
+                scheduler.assignments().start(job, index, best, now);
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean startServiceTask(Scheduler s, Job job, int index, long now) {
+    private static boolean startServiceTask(Scheduler scheduler, Job job, int index, long now) {
         Machine best = null;
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
-        double all = 0;
-        for (Machine m : s.machines()) {
-            // As of the pass's start: what this pass places itself doesn't count.
-            all += m.liveAssignments().stream()
-                    .filter(p -> p.job.spec.service() && p.assignedAt < now)
-                    .mapToDouble(p -> p.job.spec.cpus())
+        double allServiceCpus = 0;
+        for (Machine machine : scheduler.machines()) {
+            // As of the start of the cycle: services placed by the cycle itself don't count.
+            allServiceCpus += machine.liveAssignments().stream()
+                    .filter(assignment -> assignment.job.spec.service() && assignment.assignedAt < now)
+                    .mapToDouble(assignment -> assignment.job.spec.cpus())
                     .sum();
         }
-        for (Machine m : allowedMachines(s, job)) {
-            List<Assignment> lower = new ArrayList<>(m.liveAssignments().stream()
-                    .filter(p -> !p.stopRequested()
-                            && !(p.state() == State.LAUNCHING && p.launchMayStillExecute())
-                            && p.job.spec.priority().ordinal()
+        for (Machine machine : allowedMachines(scheduler, job)) {
+            List<Assignment> candidates = new ArrayList<>(machine.liveAssignments().stream()
+                    .filter(assignment -> !assignment.stopRequested()
+                            && !(assignment.state() == State.LAUNCHING && assignment.launchMayStillExecute())
+                            && assignment.job.spec.priority().ordinal()
                                     > job.spec.priority().ordinal())
                     .toList());
-            lower.sort(Comparator.<Assignment, Integer>comparing(
-                            p -> -p.job.spec.priority().ordinal())
-                    .thenComparing(p -> -p.assignedAt));
-            double room = m.type.cpus() - m.usedCpus();
-            double lost = 0;
+            candidates.sort(Comparator.<Assignment, Integer>comparing(
+                            assignment -> -assignment.job.spec.priority().ordinal())
+                    .thenComparing(assignment -> -assignment.assignedAt));
+            double freeCpus = machine.type.cpus() - machine.usedCpus();
+            double lostCoreSeconds = 0;
             List<Assignment> victims = new ArrayList<>();
-            for (Assignment p : lower) {
-                if (room + 1e-6 < job.spec.cpus()) {
-                    victims.add(p);
-                    room += p.job.spec.cpus();
-                    lost += p.state() == State.RUNNING ? (now - p.runningAt()) / 1000.0 * p.job.spec.cpus() : 0;
+            for (Assignment assignment : candidates) {
+                if (freeCpus + 1e-6 < job.spec.cpus()) {
+                    victims.add(assignment);
+                    freeCpus += assignment.job.spec.cpus();
+                    lostCoreSeconds += assignment.state() == State.RUNNING
+                            ? (now - assignment.runningAt()) / 1000.0 * assignment.job.spec.cpus()
+                            : 0;
                 }
             }
-            if (room + 1e-6 < job.spec.cpus()) {
+            if (freeCpus + 1e-6 < job.spec.cpus()) {
                 continue;
             }
-            long mine = m.liveAssignments().stream().filter(p -> p.job == job).count();
-            double others = m.liveAssignments().stream()
-                    .filter(p -> p.job != job && p.job.spec.service())
-                    .mapToDouble(p -> p.job.spec.cpus())
+            long replicas = machine.liveAssignments().stream()
+                    .filter(assignment -> assignment.job == job)
+                    .count();
+            double otherServiceCpus = machine.liveAssignments().stream()
+                    .filter(assignment -> assignment.job != job && assignment.job.spec.service())
+                    .mapToDouble(assignment -> assignment.job.spec.cpus())
                     .sum();
-            double score = -fetchSeconds(job.spec, m)
-                    - mine * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
-                    - others / Math.max(1, all) * SchedulingConstants.SERVICE_SPREAD_S
-                    - lost / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
+            double score = -fetchSeconds(job.spec, machine)
+                    - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
+                    - otherServiceCpus / Math.max(1, allServiceCpus) * SchedulingConstants.SERVICE_SPREAD_S
+                    - lostCoreSeconds / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
-                best = m;
+                best = machine;
                 bestVictims = victims;
                 bestScore = score;
             }
@@ -322,8 +353,8 @@
         if (best == null) {
             return false;
         }
-        bestVictims.forEach(p -> s.assignments().stop(p, 0));
-        s.assignments().start(job, index, best, now);
+        bestVictims.forEach(assignment -> scheduler.assignments().stop(assignment, 0));
+        scheduler.assignments().start(job, index, best, now);
         return true;
     }
 }
--- a/src/test/java/org/hollypick/core/SettingsBuilder.java
+++ b/src/test/java/org/hollypick/core/SettingsBuilder.java
@@ -5,9 +5,7 @@
 import java.util.Map;
 import org.hollypick.config.Settings;
 
-/**
- * Builds {@link Settings} for tests: from common defaults, or as a copy of other settings with some values replaced.
- */
+/** Builds {@link Settings} for tests, from common defaults or from a copy of other settings. */
 public final class SettingsBuilder {
     private String node = "n";
     private String zone = "a";
@@ -92,12 +90,12 @@
         return this;
     }
 
-    /** One team with a limit on cores; 0: none. */
+    /** A single team with a limit on cores; 0 means no limit. */
     public SettingsBuilder team(String name, double maxCores) {
         return teams(Map.of(name, new Settings.Team(name, 0, maxCores, 0, 0)));
     }
 
-    /** These teams, each with that limit on cores and half of it guaranteed. */
+    /** Several teams, each with this limit on cores and half of it guaranteed. */
     public SettingsBuilder teamsWithLimit(List<String> names, double maxCores) {
         Map<String, Settings.Team> byName = new HashMap<>();
         names.forEach(name -> byName.put(name, new Settings.Team(name, maxCores / 2, maxCores, 0, 0)));
@@ -116,21 +114,21 @@
         return this;
     }
 
-    /** Requests and changed keys a second that the key-value store accepts. */
+    /** Requests and changed keys per second that the key-value store accepts. */
     public SettingsBuilder storeRates(double requestsPerSecond, double changesPerSecond) {
         stateRps = requestsPerSecond;
         stateWriteRps = changesPerSecond;
         return this;
     }
 
-    /** Bytes of a stored value and operations of a transaction, at most. */
+    /** The maximum size of a stored value in bytes, and the maximum number of operations in a transaction. */
     public SettingsBuilder storeSizes(int maxValueBytes, int maxOperations) {
         valueBytes = maxValueBytes;
         txnOps = maxOperations;
         return this;
     }
 
-    /** The settings as configured so far. */
+    /** Builds the settings. */
     public Settings build() {
         return new Settings(
                 node,
