--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -9,8 +9,8 @@
 import org.hollypick.core.tyrex.Tyrex;
 
 /**
- * The life of assignments in one term: from the decision to start a task, through its reported states, to the certainty
- * that nothing of it is on its machine. Confined to the event loop.
+ * Creates, updates and removes assignments during one term: from the decision to start a task, through the states that
+ * its agent reports, until the attempt can't be on its machine any more. Confined to the event loop.
  */
 public final class AssignmentTable {
     private static final int NO_TASK_INDEX = -1;
@@ -31,7 +31,7 @@
 
     // ---- start and stop ----
 
-    /** Assigns a task to a machine; the launch command goes out with the machine's next commands. */
+    /** Assigns a task to a machine; the launch is sent with the machine's next commands. */
     public void start(Job job, int index, Machine machine, long now) {
         Assignment assignment = new Assignment(job, index, attemptNumbers.next(), machine, now);
         machine.add(assignment);
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Stops a task. Asked again, only a shorter grace period changes anything.
+     * Requests that a task stops. A repeated request has an effect only if its grace period is shorter.
      *
      * @param graceS seconds to save a checkpoint; with 0 the task's resources count as free at once
      */
@@ -56,7 +56,7 @@
         requestCommands(assignment);
     }
 
-    /** Commands for services go out first. */
+    /** Queues the machine for sending its commands; those that concern services are sent first. */
     private void requestCommands(Assignment assignment) {
         if (assignment.job.spec.service()) {
             scheduler.outbox().addUrgentCommands(assignment.machine);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Whether few attempt numbers are left: a new token brings new ones. */
+    /** Whether few attempt numbers are left under this fencing token; a new token brings a new range of them. */
     public boolean attemptNumbersNearlyExhausted() {
         return attemptNumbers.nearlyExhausted();
     }
@@ -73,9 +73,10 @@
     // ---- reported states ----
 
     /**
-     * Takes over a reported attempt that this term didn't launch, but an earlier leader did.
+     * Creates an assignment for a reported attempt that an earlier leader launched.
      *
-     * @return null if it is of no use: of no live job, completed before, or superseded by a newer attempt
+     * @return null if the attempt isn't needed: its job isn't live, its task was completed before, it exited without
+     *     completing the task, or a newer attempt is known
      */
     Assignment adopt(Machine machine, TaskStatus status, long now) {
         Job job = liveJobOf(status.task());
@@ -102,7 +103,7 @@
         return assignment;
     }
 
-    /** @return null if the job isn't live, or the name isn't one of a task */
+    /** @return null if the job isn't live, or {@code taskId} isn't a task's id */
     private Job liveJobOf(String taskId) {
         int separator = taskId.lastIndexOf(Assignment.TASK_INDEX_SEPARATOR);
         Job job = separator < 0 ? null : scheduler.job(taskId.substring(0, separator));
@@ -117,19 +118,21 @@
         }
     }
 
-    /** An exited attempt counts only for what it completed; replicas of services complete nothing. */
+    /** Whether the task is still open; an exited attempt is adopted only if it completed the task. */
     private static boolean mayAdopt(Job job, int index, TaskStatus status) {
         boolean openTask = index >= 0 && index < job.tasks() && !job.completedTasks.get(index);
         return openTask && (status.state() != State.EXITED || completesTask(job, status));
     }
 
+    /** Whether the exited attempt completed its task; replicas of services never do. */
     private static boolean completesTask(Job job, TaskStatus status) {
         return REASON_DONE.equals(status.exitReason()) && !job.spec.service();
     }
 
     /**
-     * Removes the assignment of an older attempt, which was only shown by a delayed heartbeat: the newer attempt was
-     * launched when the older one was gone. Returns false if the known attempt is the newer one.
+     * Removes the assignment of an older attempt of the task, if there is one: the newer attempt was launched only once
+     * the older one had gone, so the heartbeat that listed the older one was delayed. Returns false if the known
+     * attempt is the newer one.
      */
     private boolean supersedeOlderAttempt(Job job, int index, long attempt) {
         Assignment known = job.assignments.get(index);
@@ -143,7 +146,7 @@
         return true;
     }
 
-    /** Follows the state that the agent reports. */
+    /** Applies the state that the agent reports. */
     void update(Assignment assignment, TaskStatus status, long now) {
         if (!assignment.mayExist()) {
             return;
@@ -169,7 +172,7 @@
     private void taskCompleted(Assignment assignment, long now) {
         Job job = assignment.job;
         int index = assignment.index;
-        boolean first = !job.completedTasks.get(index);
+        boolean firstCompletion = !job.completedTasks.get(index);
         job.completedTasks.set(index);
         job.pendingTasks.clear(index);
         Assignment other = job.assignments.get(index);
@@ -181,14 +184,17 @@
         } else {
             job.uncommittedAssignments.add(assignment);
         }
-        if (first) {
+        if (firstCompletion) {
             scheduler.outbox().addNewCompletions(job);
             recordRuntime(assignment, now);
         }
         FaultAttribution.taskCompleted(assignment.machine, job, assignment.assignedAt);
     }
 
-    /** Adds a completed task's runtime to the estimates and to the attained service that Tyrex orders jobs by. */
+    /**
+     * Adds a completed task's runtime to the estimates and to its job's attained service, and demotes the jobs that
+     * Tyrex selects. Of a task that was never reported as running, the estimated runtime counts as attained service.
+     */
     private void recordRuntime(Assignment assignment, long now) {
         double runtimeS = assignment.hasRun() ? assignment.runtimeS(now) : assignment.spec.estimateS();
         assignment.job.addAttainedService(runtimeS);
@@ -211,7 +217,10 @@
 
     // ---- removal ----
 
-    /** The machine is gone, or a new incarnation of it began: nothing that was assigned can be there any more. */
+    /**
+     * Removes all assignments of a machine on which none of them can be any more: it was terminated, its lease expired,
+     * or a new incarnation of its agent began.
+     */
     void removeAll(Machine machine) {
         for (Assignment assignment : new ArrayList<>(machine.assignments.values())) {
             remove(assignment);
@@ -219,7 +228,7 @@
         machine.clearReportedTasks();
     }
 
-    /** Nothing of the assignment can be on its machine any more. */
+    /** Removes an assignment whose attempt can't be on its machine any more. */
     void remove(Assignment assignment) {
         if (assignment.mayExist()) {
             recordCensoredRuntime(assignment, scheduler.lastEventAt());
@@ -233,14 +242,16 @@
         }
     }
 
-    /** The task would have run for longer: a censored observation for the estimates. */
+    /**
+     * Adds an interrupted task's runtime to the estimates as a censored observation: the task would have run longer.
+     */
     private void recordCensoredRuntime(Assignment assignment, long now) {
         if (assignment.hasRun()) {
             scheduler.estimates().observe(assignment.spec, assignment.machine.id, assignment.runtimeS(now), true);
         }
     }
 
-    /** The task waits again, unless it was completed or cancelled. */
+    /** Unassigns the task, which becomes pending again if it may still start, and makes the freed room available. */
     private void releaseTask(Assignment assignment) {
         Job job = assignment.job;
         if (job.unassign(assignment)) {
@@ -257,12 +268,14 @@
         scheduler.outbox().addFreedCapacity(machine);
     }
 
-    /** Everything in {@code job.durablyCompleted} is durable: its exited attempts may be cleared. */
+    /**
+     * Lets agents clear the exited attempts of all tasks in {@link Job#durablyCompleted}, to which tasks were added.
+     */
     public void completionsCommitted(Job job) {
         for (Iterator<Assignment> i = job.uncommittedAssignments.iterator(); i.hasNext(); ) {
             Assignment assignment = i.next();
             if (job.durablyCompleted().get(assignment.index)) {
-                assignment.markRemovable(); // cleared with the response to the machine's next heartbeat
+                assignment.markRemovable(); // the clear command is sent in the response to the machine's next heartbeat
                 i.remove();
             }
         }
--- a/src/main/java/org/hollypick/core/AttemptNumbers.java
+++ b/src/main/java/org/hollypick/core/AttemptNumbers.java
@@ -7,6 +7,7 @@
  * number ever repeats. Confined to the event loop.
  */
 final class AttemptNumbers {
+    /** The number of attempts that can be numbered under one fencing token. */
     private static final long CAPACITY = 1L << JobConstants.ATTEMPT_BITS;
 
     private final long token;
@@ -21,13 +22,16 @@
         return attempt >>> JobConstants.ATTEMPT_BITS;
     }
 
+    /** Returns the next unused number. */
     long next() {
         if (used >= CAPACITY) {
-            throw new IllegalStateException("out of attempt numbers under this token");
+            throw new IllegalStateException(
+                    "all " + CAPACITY + " attempt numbers of fencing token " + token + " are used");
         }
         return (token << JobConstants.ATTEMPT_BITS) + used++;
     }
 
+    /** Whether fewer than {@link JobConstants#ATTEMPT_RESERVE} numbers are left. */
     boolean nearlyExhausted() {
         return used > CAPACITY - JobConstants.ATTEMPT_RESERVE;
     }
--- a/src/main/java/org/hollypick/core/ClockBounds.java
+++ b/src/main/java/org/hollypick/core/ClockBounds.java
@@ -5,7 +5,7 @@
 /**
  * Bounds on how long a duration that another process's clock measures takes on this process's clock. The clocks run
  * apart by at most {@link ClockConstants#CLOCK_DRIFT_RATIO}, and a timer may be off by
- * {@link ClockConstants#CLOCK_MARGIN_MS}. All durations are in milliseconds. Pure, any thread.
+ * {@link ClockConstants#CLOCK_MARGIN_MS}. All durations are in milliseconds. Stateless; usable from any thread.
  */
 public final class ClockBounds {
     private ClockBounds() {}
@@ -20,7 +20,7 @@
         return atMost((double) durationMs);
     }
 
-    /** As {@link #atMost(long)}, for a duration that need not be a whole number of milliseconds. */
+    /** As {@link #atMost(long)}, for a duration that isn't a whole number of milliseconds. */
     public static long atMost(double durationMs) {
         return (long) (durationMs * (1 + ClockConstants.CLOCK_DRIFT_RATIO)) + ClockConstants.CLOCK_MARGIN_MS;
     }
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -14,14 +14,14 @@
  * Confined to the event loop.
  */
 public final class CommandTracker {
-    /** Kills without a grace period, and commands that know none. */
+    /** The grace period of kills that take effect at once, and of launches and clears, which have none. */
     private static final double NO_GRACE_S = 0;
 
     CommandTracker() {}
 
     /**
-     * The difference between what the machine reported and what it should run. Kills come first, then the clearing of
-     * exited attempts, then launches.
+     * Returns the commands that bring the tasks that the machine reported in line with its assignments. Kills come
+     * first, then the clearing of exited attempts, then launches.
      */
     public List<Command> pendingCommands(Machine machine) {
         List<Command> commands = new ArrayList<>();
@@ -33,8 +33,8 @@
                     clears.add(new Command(Verb.CLEAR, status.task(), status.attempt(), NO_GRACE_S));
                 }
             } else if (assignment == null) {
-                // Of no live job, or a second attempt of its task. Killed on machines that aren't reconciled yet, too:
-                // it belongs to nobody.
+                // Its job isn't live, or it is a second attempt of its task. Since no assignment refers to it, it is
+                // killed even on a machine that isn't reconciled yet.
                 commands.add(new Command(Verb.KILL, status.task(), status.attempt(), NO_GRACE_S));
             } else if (needsKill(assignment, status)) {
                 commands.add(new Command(Verb.KILL, status.task(), status.attempt(), assignment.graceS()));
@@ -47,7 +47,7 @@
         return commands;
     }
 
-    /** A task that already saves its checkpoint isn't killed again, unless it has to go at once. */
+    /** A task that is already saving its checkpoint isn't killed again, unless it has to stop at once. */
     private static boolean needsKill(Assignment assignment, TaskStatus status) {
         return assignment.stopRequested()
                 && (status.state() != State.CHECKPOINTING || assignment.graceS() == NO_GRACE_S);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Records that the commands go out in the response to a heartbeat. */
+    /** Records that the commands are sent in the response to a heartbeat. */
     public void sentInHeartbeatResponse(Machine machine, List<Command> commands) {
         for (Command command : commands) {
             Assignment assignment = assignmentToLaunch(command, machine);
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Records that the commands go out in a direct call, the only one in flight to this machine. */
+    /** Records that the commands are sent in a direct call, the only one in flight to this machine. */
     public void sentDirectly(Machine machine, List<Command> commands) {
         machine.directCalls.beginDirectCall();
         for (Command command : commands) {
@@ -86,7 +86,7 @@
      * Records the end of a direct call.
      *
      * @param incarnation the agent's incarnation that the call was addressed to
-     * @param settled true if the commands were executed, refused or never sent; otherwise they may be executed late
+     * @param settled whether the commands were executed, refused or never sent; otherwise they may be executed later
      */
     public void directCallCompleted(Machine machine, List<Command> commands, long incarnation, boolean settled) {
         machine.directCalls.endDirectCall();
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Whether a task of this job may still start by a launch that this leader sent: on its way by either path, or
-     * executed on a machine that still pulls the image. An unreachable machine starts the task once it has the image,
-     * as long as its lease lasts.
+     * Whether a launch that this leader sent may still start a task of this job: the launch is in flight, or may be
+     * executed late, or the machine that executed it still pulls the image. Even an unreachable machine starts the task
+     * once it has the image, as long as its lease lasts.
      */
     public boolean launchMayStillExecute(Job job) {
         for (Assignment assignment : job.assignments.values()) {
@@ -120,22 +120,22 @@
     }
 
     /**
-     * Whether a launch of this job that was sent directly may still be executed, at any time while the machine's
-     * incarnation and token last.
+     * Whether a launch of this job that was sent directly may still be executed, at any time until the agent begins a
+     * new incarnation or sees a newer fencing token.
      */
     public boolean directLaunchPending(Job job) {
         return directLaunchPending(job, Long.MIN_VALUE);
     }
 
     /**
-     * The same, on a machine whose lease was renewed after {@code renewedSince}: other leases expire by themselves, and
-     * the launch with them.
+     * As {@link #directLaunchPending(Job)}, but only on machines whose lease was renewed after {@code renewedAfter}:
+     * other leases expire by themselves, and the launches with them.
      */
-    public boolean directLaunchPending(Job job, long renewedSince) {
+    public boolean directLaunchPending(Job job, long renewedAfter) {
         for (Assignment assignment : job.assignments.values()) {
             if (assignment.state() == State.LAUNCHING
                     && assignment.directLaunchMayExecute()
-                    && assignment.machine.heartbeatAcknowledgedAt() > renewedSince) {
+                    && assignment.machine.heartbeatAcknowledgedAt() > renewedAfter) {
                 return true;
             }
         }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -14,9 +14,15 @@
         this.scheduler = scheduler;
     }
 
-    /** A task exited without having completed. */
-    void taskFailed(Machine machine, Job job, int index, String why, long now) {
-        switch (why) {
+    /**
+     * Handles a task that exited without having completed.
+     *
+     * @param reason {@code error} if the task itself failed. If the agent refused to launch it: {@code unknown} if the
+     *     agent doesn't know the job, {@code full} if the machine has no room, {@code busy} if an older attempt of the
+     *     task is there. Other reasons have no effect
+     */
+    void taskFailed(Machine machine, Job job, int index, String reason, long now) {
+        switch (reason) {
             case "error" -> {
                 job.recordFailure();
                 recordError(machine, job, now);
@@ -31,7 +37,9 @@
         }
     }
 
-    /** A task completed: if it started after the machine's last failure, the machine is sound. */
+    /**
+     * Handles a completed task. If it started after the machine's last failure, that machine's failures are cleared.
+     */
     static void taskCompleted(Machine machine, Job job, long assignedAt) {
         if (assignedAt > machine.faults.lastFailureAt()) {
             machine.faults.failedJobs.clear();
@@ -39,7 +47,7 @@
         job.recordSuccess();
     }
 
-    /** Ends the machine's quarantine if it is over; returns whether it was. */
+    /** Ends the machine's quarantine if its time is over; returns whether it was. */
     static boolean endQuarantineIfOver(Machine machine, long now) {
         boolean ends = machine.faults.isQuarantineOver(now);
         if (ends) {
@@ -49,39 +57,46 @@
         return ends;
     }
 
-    /** Failures attributed to the machine: of jobs that completed tasks, or failed nowhere else. */
+    /**
+     * The number of jobs whose failures are attributed to the machine: they completed tasks, or failed nowhere else.
+     */
     private int failuresAgainst(Machine machine) {
         int failures = 0;
-        for (String id : machine.faults.failedJobs) {
-            Job other = scheduler.job(id);
-            failures += other != null && (!other.completedTasks.isEmpty() || other.failedMachines.size() == 1) ? 1 : 0;
+        for (String jobId : machine.faults.failedJobs) {
+            Job job = scheduler.job(jobId);
+            failures += job != null && (!job.completedTasks.isEmpty() || job.failedMachines.size() == 1) ? 1 : 0;
         }
         return failures;
     }
 
+    /**
+     * The job's first failure is retried at once; then the task waits, twice as long with each failure, up to a limit.
+     */
     private static void backOff(Job job, int index, long now) {
-        long wait = Math.min(
+        long waitMs = Math.min(
                 FaultConstants.TASK_BACKOFF_MAX_MS,
                 FaultConstants.TASK_BACKOFF_MS
                         << Math.min(job.consecutiveFailures(), FaultConstants.MAX_BACKOFF_DOUBLINGS));
-        job.retryNotBefore.put(index, now + (job.consecutiveFailures() <= 1 ? 0 : wait));
+        job.retryNotBefore.put(index, now + (job.consecutiveFailures() <= 1 ? 0 : waitMs));
     }
 
     /**
-     * The first refusal may be a matter of moments; after that the task waits, longer each time, until it is accepted.
+     * The first refusal is retried at once, since its cause may be brief; after that the task waits, twice as long each
+     * time up to {@code maxWaitMs}, until an agent accepts it.
      */
-    private static void backOffAfterRefusal(Job job, int index, long maxWaitMillis, long now) {
+    private static void backOffAfterRefusal(Job job, int index, long maxWaitMs, long now) {
         int refusals = job.recordRefusal(index);
         if (refusals > 1) {
-            long wait = FaultConstants.TASK_BACKOFF_MS << Math.min(refusals - 2, FaultConstants.MAX_BACKOFF_DOUBLINGS);
-            job.retryNotBefore.put(index, now + Math.min(maxWaitMillis, wait));
+            long waitMs =
+                    FaultConstants.TASK_BACKOFF_MS << Math.min(refusals - 2, FaultConstants.MAX_BACKOFF_DOUBLINGS);
+            job.retryNotBefore.put(index, now + Math.min(maxWaitMs, waitMs));
         }
     }
 
     /**
-     * Errors of several jobs that succeed elsewhere, or failed nowhere else, are attributed to the machine, which is
-     * quarantined. What runs there isn't stopped: a machine that only fails what it starts does no harm to it. Once a
-     * job that never succeeded fails on a second machine, its failure on the first one is the job's own, and the first
+     * Quarantines the machine once several jobs failed on it that completed tasks, or failed on no other machine. Tasks
+     * that run there aren't stopped: a machine on which new tasks fail does them no harm. Once a job that never
+     * completed a task fails on a second machine, its failure on the first one is attributed to the job, and the first
      * machine may leave the quarantine.
      */
     private void recordError(Machine machine, Job job, long now) {
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -20,7 +20,7 @@
  * often they failed. Confined to the event loop.
  */
 public final class Job {
-    /** Whether a job is live, or how it ended, durably. */
+    /** A job's durable status. */
     public enum Status {
         LIVE,
         DONE,
@@ -28,28 +28,28 @@
     }
 
     public final JobSpec spec;
-    /** The revision of the job's record: the order of arrival. */
+    /** The revision of the job's record in the key-value store; it orders jobs by arrival. */
     public final long arrivalRevision;
-    /** The revision of the leader record that the creation of the job's record depended on. */
+    /** The fencing token, a revision of the leader record, under which the job's record was created. */
     public final long createdUnderToken;
 
-    /** Tasks that were completed, durably or not. */
+    /** Completed tasks, whether that is durable yet or not. */
     public final BitSet completedTasks = new BitSet();
-    /** Tasks that have to start and are nowhere. */
+    /** Tasks that are to be started and have no assignment. */
     public final BitSet pendingTasks = new BitSet();
     /** By task index: the attempt that may be on a machine. */
     public final Int2ObjectOpenHashMap<Assignment> assignments = new Int2ObjectOpenHashMap<>();
-    /** Attempts that completed their task, which isn't durable yet. */
+    /** Attempts that completed their task, while that isn't durable yet. */
     public final List<Assignment> uncommittedAssignments = new ArrayList<>();
     /** By task index: when a task that failed may start again, in milliseconds. */
     public final Int2LongOpenHashMap retryNotBefore = new Int2LongOpenHashMap();
-    /** Launches of each task that agents refused since one was accepted. */
+    /** By task index: how often agents refused to launch the task since one last accepted it. */
     private final Int2IntOpenHashMap launchRefusals = new Int2IntOpenHashMap();
 
-    /** Machines on which its tasks failed since one was last completed; several of them speak against the job. */
+    /** Ids of the machines on which its tasks failed since one was last completed; see {@link #failsEverywhere}. */
     public final Set<String> failedMachines = new HashSet<>();
 
-    /** Null if all tasks are as {@link #spec} says. */
+    /** Null if {@link #spec} describes all tasks. */
     private final TaskSet taskSet;
 
     private final Object2IntOpenHashMap<String> assignedByZone = new Object2IntOpenHashMap<>();
@@ -65,13 +65,13 @@
     private boolean terminalWriteInFlight;
     private int unresolvedTerminalWrites;
 
-    /** A job whose tasks are all alike and all pending. */
+    /** Creates a job whose tasks all have the same description and are all pending. */
     public Job(JobSpec spec, long arrivalRevision, long createdUnderToken, boolean ready, JobSpec.Priority priority) {
         this(spec, null, arrivalRevision, createdUnderToken, ready, priority);
         pendingTasks.set(0, spec.tasks());
     }
 
-    /** A job whose tasks differ; each becomes pending by {@link Scheduler#releaseTask}. */
+    /** Creates a job whose tasks may differ; each becomes pending by {@link Scheduler#releaseTask}. */
     public Job(
             JobSpec spec,
             TaskSet taskSet,
@@ -89,17 +89,20 @@
 
     // ---- status ----
 
-    /** Live, or how the job ended, durably. */
+    /** The job's durable status. */
     public Status status() {
         return status;
     }
 
-    /** Whether the job hasn't ended. */
+    /** Whether the job hasn't durably ended. */
     public boolean isLive() {
         return status == Status.LIVE;
     }
 
-    /** Whether all jobs that it depends on are durably done; nothing of it starts before that, nor counts. */
+    /**
+     * Whether all jobs that it depends on are durably done. Until then none of its tasks starts, and they count neither
+     * as arrived work nor as demand for capacity.
+     */
     public boolean ready() {
         return ready;
     }
@@ -108,7 +111,7 @@
         ready = true;
     }
 
-    /** Its own priority, or a higher one of a job that depends on it. */
+    /** The effective priority: its own, or a higher one of a job that depends on it. */
     public JobSpec.Priority priority() {
         return priority;
     }
@@ -117,23 +120,23 @@
         this.priority = priority;
     }
 
-    /** Whether its user asked to cancel it: nothing of it starts any more, whether that is durable yet or not. */
+    /** Whether it is being cancelled: no task starts any more, even before the cancellation is durable. */
     public boolean cancellationRequested() {
         return cancellationRequested;
     }
 
-    /** No task is pending any more; assigned ones are stopped by the caller. */
+    /** Clears the pending tasks; the caller stops the assigned ones. */
     void requestCancellation() {
         cancellationRequested = true;
         pendingTasks.clear();
     }
 
-    /** The cancellation is durable. */
+    /** Records that the cancellation is durable. */
     void markCancelled() {
         status = Status.CANCELLED;
     }
 
-    /** The job's completion, and with it that of its tasks, is durable. */
+    /** Records that the completion of the job, and with it that of its tasks, is durable. */
     void markDone() {
         status = Status.DONE;
         durablyCompleted = completedTasks;
@@ -146,27 +149,29 @@
         return terminalWriteInFlight;
     }
 
-    /** A write of the job's completion goes out. */
+    /** Records that a write of the job's completion is sent. */
     public void beginTerminalWrite() {
         terminalWriteInFlight = true;
     }
 
-    /** The write of the job's completion ended. */
+    /** Records that the write of the job's completion has ended. */
     public void endTerminalWrite() {
         terminalWriteInFlight = false;
     }
 
-    /** A write of a terminal status goes out: from now on another controller may see it before this one knows. */
+    /**
+     * Records that a write of a terminal status is sent: another controller may see its effect before this one does.
+     */
     public void terminalWriteSent() {
         unresolvedTerminalWrites++;
     }
 
-    /** The outcome of one such write is known. */
+    /** Records that the outcome of one write of a terminal status is known. */
     public void terminalWriteResolved() {
         unresolvedTerminalWrites--;
     }
 
-    /** Whether a write of a terminal status went out whose outcome is unknown. */
+    /** Whether a write of a terminal status was sent whose outcome is unknown. */
     public boolean hasUnresolvedTerminalWrites() {
         return unresolvedTerminalWrites > 0;
     }
@@ -178,7 +183,7 @@
         return taskSet == null ? spec : taskSet.spec(index);
     }
 
-    /** The number of tasks, as far as it is known. */
+    /** The number of tasks so far; it may rise if {@link #mayGrow}. */
     public int tasks() {
         return taskSet == null ? spec.tasks() : taskSet.count();
     }
@@ -206,17 +211,17 @@
                 && (taskSet == null || taskSet.mayStart(index));
     }
 
-    /** The tasks whose completion is durable; a task added here is followed by {@link #completionsCommitted}. */
+    /** The tasks whose completion is durable. Whoever adds a task calls {@link #completionsCommitted} afterwards. */
     public BitSet durablyCompleted() {
         return durablyCompleted;
     }
 
-    /** The completed tasks were read from durable records, or all written there. */
+    /** Marks all completed tasks as durably completed: they were read from durable records, or all written there. */
     public void markCompletionsDurable() {
         durablyCompleted = (BitSet) completedTasks.clone();
     }
 
-    /** {@link #durablyCompleted} holds more than before. */
+    /** Tells the task set, if there is one, that tasks were added to {@link #durablyCompleted}. */
     void completionsCommitted() {
         if (taskSet != null) {
             taskSet.completionsCommitted(durablyCompleted);
@@ -234,20 +239,20 @@
         }
     }
 
-    /** Passes on the number of pending tasks of each kind. */
-    public void forEachPendingSpec(ObjIntConsumer<JobSpec> each) {
+    /** Passes on each distinct description of pending tasks, with the number of pending tasks that have it. */
+    public void forEachPendingSpec(ObjIntConsumer<JobSpec> consumer) {
         if (!isHeterogeneous()) {
             if (!pendingTasks.isEmpty()) {
-                each.accept(spec(pendingTasks.nextSetBit(0)), pendingTasks.cardinality());
+                consumer.accept(spec(pendingTasks.nextSetBit(0)), pendingTasks.cardinality());
             }
             return;
         }
         Map<JobSpec, int[]> counts = new IdentityHashMap<>();
         pendingTasks.stream().forEach(i -> counts.computeIfAbsent(taskSet.spec(i), k -> new int[1])[0]++);
-        counts.forEach((spec, count) -> each.accept(spec, count[0]));
+        counts.forEach((spec, count) -> consumer.accept(spec, count[0]));
     }
 
-    /** The task isn't pending any more: it starts on a machine, or was found there. */
+    /** Adds an assignment: the task starts on a machine, or was found there, and isn't pending any more. */
     public void assign(Assignment assignment) {
         assignments.put(assignment.index, assignment);
         pendingTasks.clear(assignment.index);
@@ -255,9 +260,10 @@
     }
 
     /**
-     * The attempt can't be on its machine any more; whether the task is pending again is up to the caller.
+     * Removes an assignment whose attempt can't be on its machine any more; the caller decides whether the task becomes
+     * pending again.
      *
-     * @return false if it wasn't the task's present attempt
+     * @return false if it wasn't the task's current attempt
      */
     public boolean unassign(Assignment assignment) {
         if (assignments.get(assignment.index) != assignment) {
@@ -268,19 +274,19 @@
         return true;
     }
 
-    /** Tasks that were last reported as running or saving a checkpoint. */
+    /** The number of tasks that were last reported as running or saving a checkpoint. */
     public int runningTasks() {
         return runningTasks;
     }
 
-    /** A task began ({@code 1}) or ceased ({@code -1}) to run; 0 changes nothing. */
+    /** Changes the number of running tasks: by 1 if a task began to run, by -1 if it ceased, by 0 otherwise. */
     public void changeRunningCount(int change) {
         runningTasks += change;
     }
 
     // ---- failures ----
 
-    /** Failures since a task was last completed. */
+    /** Failures of its tasks since one was last completed. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
@@ -294,19 +300,19 @@
         failedMachines.clear();
     }
 
-    /** An agent refused to launch the task; returns how often that happened since it was last accepted. */
+    /** Records that an agent refused to launch the task; returns how often that happened since one last accepted it. */
     int recordRefusal(int index) {
         return launchRefusals.addTo(index, 1) + 1;
     }
 
-    /** An agent accepted the task. */
+    /** Resets the count of refusals, since an agent accepted the task. */
     void clearRefusals(int index) {
         launchRefusals.remove(index);
     }
 
     /**
-     * Whether it failed on several machines and completed no task since: one task at a time is enough to find out when
-     * that is over.
+     * Whether its tasks failed on {@link FaultConstants#JOB_ERRORS} machines or more since one was last completed. Then
+     * only one task runs at a time, which is enough to notice when the cause is gone.
      */
     public boolean failsEverywhere() {
         return failedMachines.size() >= FaultConstants.JOB_ERRORS;
@@ -314,7 +320,7 @@
 
     // ---- Tyrex ----
 
-    /** The runtime, in seconds, of the tasks completed in the present Tyrex partition. */
+    /** The runtime, in seconds, of the tasks completed in the current Tyrex partition. */
     public double attainedServiceS() {
         return attainedServiceS;
     }
@@ -323,7 +329,10 @@
         attainedServiceS += seconds;
     }
 
-    /** Its attained service exceeds the cutoff of the first partition; it counts anew in the second. */
+    /**
+     * Moves the job to the second partition, since its attained service exceeds the cutoff of the first. Its attained
+     * service counts from zero there.
+     */
     void moveToSecondPartition() {
         movedToSecondPartition = true;
         attainedServiceS = 0;
@@ -334,12 +343,14 @@
         return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || movedToSecondPartition);
     }
 
-    /** Its attained service as recorded: in seconds, or, in the second partition, minus one minus the seconds. */
+    /**
+     * Its attained service as one number, for the records: in seconds, or -1 minus the seconds in the second partition.
+     */
     double recordedAttainedService() {
         return movedToSecondPartition ? -1 - attainedServiceS : attainedServiceS;
     }
 
-    /** Reverses {@link #recordedAttainedService}. */
+    /** Restores the attained service and the partition from {@link #recordedAttainedService}. */
     void restoreAttainedService(double recorded) {
         movedToSecondPartition = recorded < 0;
         attainedServiceS = recorded < 0 ? -1 - recorded : recorded;
@@ -350,7 +361,7 @@
         return spec.service() || movedToSecondPartition;
     }
 
-    /** The number of its tasks that may be in the zone. */
+    /** The number of its tasks that may be on machines in the zone. */
     public int assignedInZone(String zone) {
         return assignedByZone.getInt(zone);
     }
@@ -360,7 +371,7 @@
         return status == Status.LIVE && ready && !pendingTasks.isEmpty();
     }
 
-    /** Whether all tasks of an array ended; services never finish. */
+    /** Whether no task of an array is left that may start or run; services never finish. */
     public boolean isFinished() {
         return !spec.service()
                 && (taskSet == null
--- a/src/main/java/org/hollypick/core/JobDependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -12,10 +12,10 @@
 
 /**
  * The dependency graph of the jobs, from their durable records: which jobs may start, which are cancelled with a
- * dependency, and how urgent each is for those that depend on it. Every controller keeps one up to date with its
- * replica. Records may come in any order: a dependency whose record is unknown counts as not completed. Chains may be
- * thousands of jobs long, so nothing here recurses. Not final: tests replace methods by faulty ones. Confined to the
- * event loop.
+ * dependency, and which priority each inherits from the jobs that depend on it. Every controller keeps one up to date
+ * with its replica of the key-value store. Records may arrive in any order: a dependency whose record is unknown counts
+ * as not completed. Chains may be thousands of jobs long, so the graph is traversed with a queue instead of recursion.
+ * Not final, so that tests can override methods with faulty ones. Confined to the event loop.
  */
 public class JobDependencies {
     private enum State {
@@ -27,9 +27,9 @@
     private static final class Vertex {
         private final String id;
         private State state = State.LIVE;
-        /** The job's own record was seen, so that its dependencies are known. */
+        /** Whether the job's own record was seen; only then are its dependencies known. */
         private boolean recordSeen;
-        /** How many of its dependencies aren't completed. */
+        /** The number of its dependencies that aren't completed. */
         private int incompleteDependencies;
 
         private List<Vertex> dependencies = List.of();
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Stand for all jobs that are terminal: nothing else is kept of them. */
+    /** The vertices that all completed and all cancelled jobs share: only the state of a terminal job is kept. */
     private static final Vertex COMPLETED = terminalVertex(State.COMPLETED);
 
     private static final Vertex CANCELLED = terminalVertex(State.CANCELLED);
@@ -66,7 +66,11 @@
 
     // ---- changes of the records ----
 
-    /** The job has a live record; {@code dependencyIds}: the jobs that have to complete before it starts. */
+    /**
+     * Adds a job whose record is live.
+     *
+     * @param dependencyIds the jobs that have to complete before it starts
+     */
     public void addLive(String id, Priority priority, Collection<String> dependencyIds) {
         Vertex job = vertex(id);
         if (job.recordSeen || !job.isLive()) {
@@ -97,7 +101,7 @@
         dependency.dependents.add(job);
     }
 
-    /** It is durable that the job completed. */
+    /** Records that the job's completion is durable. */
     public void markDone(String id) {
         Vertex job = vertex(id);
         if (!job.isLive()) {
@@ -118,7 +122,9 @@
         }
     }
 
-    /** It is durable that the job is cancelled, and with it all jobs that depend on it, directly or indirectly. */
+    /**
+     * Records that the cancellation of the job, and of all jobs that depend on it directly or indirectly, is durable.
+     */
     public void markCancelled(String id) {
         ArrayDeque<Vertex> queue = new ArrayDeque<>();
         queue.add(vertex(id));
@@ -145,7 +151,7 @@
         }
     }
 
-    /** A job is at least as urgent as the jobs that depend on it. */
+    /** Gives all direct and indirect dependencies of the job at least its priority. */
     private void raisePriorityOfDependencies(Vertex start) {
         ArrayDeque<Vertex> queue = new ArrayDeque<>();
         queue.add(start);
@@ -178,7 +184,7 @@
         return false;
     }
 
-    /** Whether the job, or one that it depends on, is durably cancelled: it never completes. This is final. */
+    /** Whether the job, or one that it depends on, is durably cancelled, so that it never completes. This is final. */
     public boolean isCancelled(String id) {
         Vertex job = vertices.get(id);
         return job != null && job.state == State.CANCELLED;
@@ -230,9 +236,7 @@
         return false;
     }
 
-    /**
-     * Returns, once each, the jobs that became known, ready or cancelled or whose priority rose since the last call.
-     */
+    /** Returns the jobs that were added, became ready or cancelled, or whose priority rose since the last call. */
     public Set<String> takeChangedJobs() {
         Set<String> taken = changedJobs;
         changedJobs = new LinkedHashSet<>();
--- a/src/main/java/org/hollypick/core/JobSpec.java
+++ b/src/main/java/org/hollypick/core/JobSpec.java
@@ -14,8 +14,8 @@
  * @param cpus cores of each task
  * @param gpus GPUs of each task
  * @param memoryGb memory of each task, in GB
- * @param machineTypes names of the machine types that will do; null for any
- * @param zone the only zone that will do; null for any
+ * @param machineTypes names of the acceptable machine types; null for any
+ * @param zone the only acceptable zone; null for any
  * @param oneZone whether all tasks have to run in one zone, whichever that is
  * @param spreadOverZones whether no zone may hold more than half of the tasks, rounded up
  * @param spotAllowed whether tasks may run on spot instances
@@ -24,7 +24,7 @@
  * @param estimateS the expected run time of a task, in seconds
  * @param checkpointIntervalS the time between a task's checkpoints, in seconds
  * @param checkpointSaveS how long a task takes to save its state, in seconds
- * @param deadlineS the deadline, in seconds; NaN for none
+ * @param deadlineS the deadline, in seconds; NaN for none. It is stored, but doesn't influence scheduling
  */
 public record JobSpec(
         String id,
--- a/src/main/java/org/hollypick/core/TaskSet.java
+++ b/src/main/java/org/hollypick/core/TaskSet.java
@@ -3,14 +3,14 @@
 import java.util.BitSet;
 
 /**
- * The tasks of a job that differ from each other and may become more while the job is live, by index: what the
- * scheduler needs to know of them. Confined to the event loop.
+ * What the scheduler needs to know of a job's tasks if they differ from each other, or if tasks are added while the job
+ * is live. Tasks are identified by their index. Confined to the event loop.
  */
 public interface TaskSet {
-    /** The number of tasks so far; it never falls. */
+    /** The number of tasks so far; it never decreases. */
     int count();
 
-    /** What the task requires and where it may run; tasks of equal description share the object. */
+    /** What the task requires and where it may run; tasks with equal descriptions share the object. */
     JobSpec spec(int index);
 
     /** Whether there is more than one description. */
@@ -29,12 +29,12 @@
      */
     boolean isFinished(BitSet completed);
 
-    /** The completion of these tasks, which include those of earlier calls, is durable. */
+    /** Records that the completion of these tasks, which include those of earlier calls, is durable. */
     void completionsCommitted(BitSet completed);
 
     /** Whether all tasks of the finished set were completed. */
     boolean isSuccessful();
 
-    /** An attempt of the task failed. */
+    /** Records that an attempt of the task failed with an error. */
     void taskFailed(int index);
 }
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -17,25 +17,27 @@
  * <p>One instance serves one term. All times are milliseconds of this leader's clock. Confined to the event loop.
  */
 public final class WorkerLeases {
-    /** Earlier than any time of a clock, and far enough from the smallest number that durations can be subtracted. */
+    /** Earlier than any clock's time, and far enough from {@link Long#MIN_VALUE} that subtractions don't overflow. */
     public static final long NEVER = -(1L << 61);
 
-    /** The number that a peer sends when it has received no response of this leader since it started. */
+    /** The number that a peer sends if it has received no response from this leader since the peer started. */
     public static final long NO_GRANT_NUMBER = 0;
 
-    /** What one peer may have renewed, by what it requested and was granted. */
+    /** When one peer may have renewed leases, according to its requests and the responses to them. */
     private static final class PeerRenewals {
-        /** After this it renewed nothing under older fencing tokens. */
+        /** After this time it renewed nothing under older fencing tokens. */
         private long olderTokensUntil;
 
+        /** Whether it requested a grant in this term. */
         private boolean requested;
-        /** When the last responses to it were sent, by their number, oldest first. */
+
+        /** When the newest responses to it were sent, by response number, oldest first. */
         private final Map<Long, Long> responseTimes = new LinkedHashMap<>();
-        /** All its renewals before this are accounted for: it received a response sent then, and reported later. */
+        /** All its renewals before this time are known: it received a response sent then, and sent a report later. */
         private long accountedUntil = NEVER;
-        /** The last time at which it may have renewed leases by what it reported. */
+        /** The last time at which it may have renewed leases, according to its reports. */
         private long lastRenewalAt = NEVER;
-        /** The last time at which a grant to it may hold. */
+        /** The last time at which a grant to it may be valid. */
         private long grantedUntil = NEVER;
 
         private PeerRenewals(long olderTokensUntil) {
@@ -45,11 +47,11 @@
         private void requestReceived(long lastGrantNumber, boolean renewedLeases, long now) {
             if (!requested) {
                 requested = true;
-                // It knows this term's fencing token, so it renews nothing under an older one from now on.
+                // The peer knows this term's fencing token, so it renews nothing under an older one from now on.
                 olderTokensUntil = Math.min(olderTokensUntil, now);
             }
-            // A peer that has received no response of this leader may have restarted: it does not know what its earlier
-            // process renewed, which had ended by now.
+            // A peer that has received no response from this leader may have restarted. Then it does not know what its
+            // earlier process renewed, but that process has ended by now.
             if (renewedLeases || lastGrantNumber == NO_GRANT_NUMBER) {
                 lastRenewalAt = Math.max(lastRenewalAt, now);
             }
@@ -70,15 +72,18 @@
     /** The longest time that an agent's lease may last on this leader's clock. */
     private final long leaseMs;
 
+    /** How long a grant lasts on the peer's clock. */
     private final long grantMs;
+
     private final long termStartedAt;
     private final Map<String, PeerRenewals> peers = new HashMap<>();
     /** When this controller itself last renewed leases without a valid leader lease. */
     private long ownRenewalAt = NEVER;
 
+    /** The number of responses sent, which is the number of the newest one. */
     private long responses;
 
-    /** {@code firstTerm}: there was no leader before that can have granted anything. */
+    /** @param firstTerm whether there was no earlier leader that could have granted renewals */
     public WorkerLeases(Settings settings, Collection<String> peerNames, long termStartedAt, boolean firstTerm) {
         this.grantMs = renewalGrantMs(settings);
         this.leaseMs = ClockBounds.atMost(settings.leaseS() * 1000) + LeaseConstants.LEASE_MARGIN_MS;
@@ -95,9 +100,9 @@
     }
 
     /**
-     * For how many milliseconds a peer may renew leases; 0 if not at all. A cancellation that the peer does not know of
-     * was acknowledged after the grant, so every lease that the peer renews must expire within the time that a
-     * cancelled task has to end.
+     * How long a grant lets a peer renew leases, in milliseconds; 0 if the settings leave no time for it. A
+     * cancellation that the peer does not know of was acknowledged after the grant, so every lease that the peer renews
+     * must expire within the time that a cancelled task has to end.
      */
     public static long renewalGrantMs(Settings settings) {
         long availableMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
@@ -106,10 +111,10 @@
     }
 
     /**
-     * A peer requests a grant under this term's fencing token.
+     * Records a peer's request for a grant under this term's fencing token.
      *
      * @param lastGrantNumber the number of the newest response that it received
-     * @param renewedLeases it renewed leases since the last request of it that was answered
+     * @param renewedLeases whether it renewed leases since its last request that was answered
      */
     public void grantRequested(String peer, long lastGrantNumber, boolean renewedLeases, long now) {
         PeerRenewals renewals = peers.get(peer);
@@ -131,25 +136,25 @@
         return responses;
     }
 
-    /** Whether all peers requested grants in this term: none of them runs a version that does not know of these. */
+    /** Whether all peers requested grants in this term, so that none of them runs a version without such requests. */
     public boolean allPeersRequestedGrants() {
         return peers.values().stream().allMatch(renewals -> renewals.requested);
     }
 
-    /** This controller itself renewed leases without a valid leader lease. */
+    /** Records that this controller itself renewed leases without a valid leader lease. */
     public void renewedWithoutLeaderLease(long now) {
         ownRenewalAt = Math.max(ownRenewalAt, now);
     }
 
     /**
-     * Whether a lease renewed then is still valid for certain, even if the agent sent the heartbeat that renewed it a
-     * while before.
+     * Whether a lease renewed at {@code renewedAt} is certainly still valid, even if the agent sent the heartbeat that
+     * renewed it {@link ReachabilityConstants#UNANSWERED_HEARTBEAT_GAP_MS} before.
      */
     public boolean isValid(long renewedAt, long now) {
         return now - renewedAt < leaseMs - ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS;
     }
 
-    /** Whether a lease has expired for certain that this leader last renewed, or first saw, at {@code renewedAt}. */
+    /** Whether a lease that this leader last renewed, or first saw, at {@code renewedAt} has certainly expired. */
     public boolean isExpired(long renewedAt, long now) {
         if (now - renewedAt <= leaseMs) {
             return false; // by far the most common case
@@ -162,7 +167,7 @@
             accountedUntil = Math.min(accountedUntil, peer.accountedUntil);
             grantedUntil = Math.max(grantedUntil, peer.grantedUntil);
         }
-        // Either it expired before any renewal that is not accounted for, or after the last one that was ever possible.
+        // It expired while all renewals were known, or after the last one that any grant allowed.
         boolean expiredWhileAccounted = accountedUntil - lastRenewalAt > leaseMs;
         boolean expiredAfterAllGrants = now - Math.max(lastRenewalAt, grantedUntil) > leaseMs;
         return expiredWhileAccounted || expiredAfterAllGrants;
