--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -18,7 +18,10 @@
 import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-/** What may be where: each test is a failure that was found, or that the argument in docs/safety.md rests on. */
+/**
+ * Where a task may exist, and when it may start again. Each test guards against a failure that was found, or checks a
+ * step of the argument in docs/safety.md.
+ */
 class AssignmentTableTest {
     private static final long LEASE_MS = 20_000;
     private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
@@ -62,7 +65,7 @@
         return scheduler.addMachine(id, TYPE, "a", true, registered, 0);
     }
 
-    /** A new machine of this term that is registered and has reported. */
+    /** A new machine of this term that is registered and has sent a heartbeat. */
     private Machine reportingMachine() {
         Machine machine = machine("n-1", false);
         machine.markRegistered();
@@ -70,25 +73,27 @@
         return machine;
     }
 
-    private static Heartbeat heartbeat(String id, long session, long tick, long token, TaskStatus... tasks) {
-        return new Heartbeat(id, "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
+    private static Heartbeat heartbeat(String id, long incarnation, long sequence, long token, TaskStatus... tasks) {
+        return new Heartbeat(id, "addr:1", "t", "a", true, incarnation, sequence, token, Double.NaN, List.of(tasks));
     }
 
     private Assignment assignFirstTask(Job job, Machine machine, long now) {
         scheduler.runSchedulingCycle(now);
-        Assignment p = job.assignments.get(0);
-        assertNotNull(p);
-        assertEquals(machine, p.machine);
-        return p;
+        Assignment assignment = job.assignments.get(0);
+        assertNotNull(assignment);
+        assertEquals(machine, assignment.machine);
+        return assignment;
     }
 
     private static long countClears(List<Command> commands) {
-        return commands.stream().filter(o -> o.verb() == Command.Verb.CLEAR).count();
+        return commands.stream()
+                .filter(command -> command.verb() == Command.Verb.CLEAR)
+                .count();
     }
 
     /**
-     * A new session was heard of through a direct answer after an outage; counting from the last answered report lost
-     * its tasks.
+     * A new incarnation is first seen in the response to a direct call, after an outage. Counting its lease from the
+     * last acknowledged heartbeat removed its tasks too early.
      */
     @Test
     void incarnationFirstSeenInDirectResponseHasFullLease() {
@@ -107,26 +112,29 @@
     void attemptIsNotClearedWhileItsDirectLaunchMayStillExecute() {
         Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = assignFirstTask(job, machine, 0);
+        Assignment assignment = assignFirstTask(job, machine, 0);
         List<Command> commands = scheduler.commands().pendingCommands(machine);
         scheduler.commands().sentDirectly(machine, commands);
         scheduler.commands().directCallCompleted(machine, commands, 1, false);
-        TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
+        TaskStatus failed = new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "error");
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, failed), true, 1_000);
         assertEquals(0, countClears(scheduler.commands().pendingCommands(machine)));
-        assertTrue(job.pendingTasks.get(0), "an exited attempt can't start again, so the task is free");
+        assertTrue(job.pendingTasks.get(0), "an exited attempt can't start again, so the task is pending");
     }
 
-    /** The answer to a report may still be under way when a direct order has run and ended the same attempt. */
+    /**
+     * The heartbeat response that carries a launch may still be in flight when the same attempt has already run and
+     * exited, launched by a direct call.
+     */
     @Test
     void attemptIsNotClearedWhileHeartbeatResponseWithItsLaunchIsInFlight() {
         Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = assignFirstTask(job, machine, 0);
+        Assignment assignment = assignFirstTask(job, machine, 0);
         scheduler
                 .commands()
                 .sentInHeartbeatResponse(machine, scheduler.commands().pendingCommands(machine));
-        TaskStatus failed = new TaskStatus(p.taskId, p.attempt, State.EXITED, "error");
+        TaskStatus failed = new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "error");
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, failed), false, 100);
         assertEquals(0, countClears(scheduler.commands().pendingCommands(machine)));
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 3, 5, failed), true, 3_000);
@@ -137,12 +145,17 @@
     void completedAttemptIsClearedOnlyOnceCompletionIsDurable() {
         Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = assignFirstTask(job, machine, 0);
+        Assignment assignment = assignFirstTask(job, machine, 0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        heartbeat("n-1", 1, 2, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "done")),
+                        heartbeat(
+                                "n-1",
+                                1,
+                                2,
+                                5,
+                                new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "done")),
                         true,
                         100);
         assertTrue(job.isFinished());
@@ -153,15 +166,15 @@
 
     @Test
     void olderJobsWaitForAllRegisteredMachinesAfterFailover() {
-        Machine heard = machine("n-1", true);
+        Machine reporting = machine("n-1", true);
         Machine silent = machine("n-2", true);
-        scheduler.heartbeats().applyHeartbeat(heard, heartbeat("n-1", 1, 1, 5), true, 0);
+        scheduler.heartbeats().applyHeartbeat(reporting, heartbeat("n-1", 1, 1, 5), true, 0);
         Job older = scheduler.addJob(spec("req-1", 1, false), 1, 4);
         Job younger = scheduler.addJob(spec("req-2", 1, false), 6, 5);
         scheduler.runSchedulingCycle(0);
         assertNull(older.assignments.get(0));
         assertNotNull(younger.assignments.get(0));
-        // a report made before the new token was seen proves nothing: an older order may still be executed
+        // a heartbeat made before the agent saw the new token proves nothing: older commands may still be executed
         scheduler.heartbeats().applyHeartbeat(silent, heartbeat("n-2", 1, 1, 4), true, 1_000);
         scheduler.runSchedulingCycle(1_000);
         assertNull(older.assignments.get(0));
@@ -183,13 +196,18 @@
     void heartbeatOfExpiredIncarnationIsIgnored() {
         Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = assignFirstTask(job, machine, 0);
+        Assignment assignment = assignFirstTask(job, machine, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
         assertFalse(scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        heartbeat("n-1", 1, 9, 5, new TaskStatus(p.taskId, p.attempt, State.RUNNING, "")),
+                        heartbeat(
+                                "n-1",
+                                1,
+                                9,
+                                5,
+                                new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, "")),
                         true,
                         LEASE_MS + 3_000));
         assertTrue(job.pendingTasks.get(0));
@@ -222,8 +240,8 @@
     }
 
     /**
-     * A held-back launch of a cancelled job could be executed long after its user was told: until the machine shows it,
-     * nobody may be told.
+     * A delayed launch of a cancelled job could be executed long after its user was told of the cancellation: nobody
+     * may be told until the machine reports the attempt.
      */
     @Test
     void directLaunchOfCancelledJobIsPendingUntilItsMachineReportsTheAttempt() {
@@ -237,42 +255,50 @@
         scheduler.commands().directCallCompleted(machine, commands, 1, false);
         assertTrue(scheduler.commands().directLaunchPending(job));
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 20, 5), true, 20_000);
-        assertTrue(scheduler.commands().directLaunchPending(job), "a report that doesn't show it proves nothing");
-        Assignment p = job.assignments.get(0);
+        assertTrue(
+                scheduler.commands().directLaunchPending(job),
+                "a heartbeat that doesn't list the attempt proves nothing");
+        Assignment assignment = job.assignments.get(0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        heartbeat("n-1", 1, 21, 5, new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "")),
+                        heartbeat(
+                                "n-1",
+                                1,
+                                21,
+                                5,
+                                new TaskStatus(assignment.taskId, assignment.attempt, State.PULLING_IMAGE, "")),
                         true,
                         21_000);
         assertFalse(scheduler.commands().directLaunchPending(job));
         assertEquals(
-                List.of(new Command(Command.Verb.KILL, p.taskId, p.attempt, 0)),
+                List.of(new Command(Command.Verb.KILL, assignment.taskId, assignment.attempt, 0)),
                 scheduler.commands().pendingCommands(machine));
     }
 
-    /** A machine that waits for an image starts the task when it is there, whoever was told meanwhile. */
+    /** A machine that pulls an image starts the task once it has the image, even if the job was cancelled meanwhile. */
     @Test
     void launchOfCancelledJobMayExecuteUntilItsMachineReportsTheExit() {
         Machine machine = reportingMachine();
         Job job = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Assignment p = assignFirstTask(job, machine, 0);
+        Assignment assignment = assignFirstTask(job, machine, 0);
         scheduler.cancel(job);
-        assertFalse(scheduler.launchMayStillExecute(job), "it was never sent");
+        assertFalse(scheduler.launchMayStillExecute(job), "the launch was never sent");
         scheduler
                 .commands()
-                .sentInHeartbeatResponse(machine, List.of(new Command(Command.Verb.LAUNCH, p.taskId, p.attempt, 0)));
-        assertTrue(scheduler.launchMayStillExecute(job), "the answer may be on its way");
-        TaskStatus fetching = new TaskStatus(p.taskId, p.attempt, State.PULLING_IMAGE, "");
-        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 20, 5, fetching), true, 2_000);
-        assertTrue(scheduler.launchMayStillExecute(job), "it starts once the image is there");
-        TaskStatus stopped = new TaskStatus(p.taskId, p.attempt, State.EXITED, "stopped");
+                .sentInHeartbeatResponse(
+                        machine, List.of(new Command(Command.Verb.LAUNCH, assignment.taskId, assignment.attempt, 0)));
+        assertTrue(scheduler.launchMayStillExecute(job), "the heartbeat response may be in flight");
+        TaskStatus pulling = new TaskStatus(assignment.taskId, assignment.attempt, State.PULLING_IMAGE, "");
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 20, 5, pulling), true, 2_000);
+        assertTrue(scheduler.launchMayStillExecute(job), "the task starts once the image is there");
+        TaskStatus stopped = new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "stopped");
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 21, 5, stopped), true, 3_000);
         assertFalse(scheduler.launchMayStillExecute(job));
     }
 
-    /** Its session has ended, and the launch with it. */
+    /** An agent refuses commands that were sent to an earlier incarnation of it. */
     @Test
     void newIncarnationEndsPendingDirectLaunch() {
         Machine machine = reportingMachine();
@@ -284,7 +310,7 @@
         scheduler.cancel(job);
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 2, 2, 5), true, 21_000);
         assertFalse(scheduler.commands().directLaunchPending(job));
-        assertFalse(job.hasPendingTasks(), "it isn't started again");
+        assertFalse(job.hasPendingTasks(), "a cancelled job isn't started again");
     }
 
     @Test
@@ -293,7 +319,7 @@
         Job low = scheduler.addJob(spec("req-1", 4, false), 1, 5);
         scheduler.runSchedulingCycle(0);
         TaskStatus[] running = low.assignments.values().stream()
-                .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+                .map(assignment -> new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, ""))
                 .toArray(TaskStatus[]::new);
         scheduler.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5, running), true, 100);
         scheduler.addJob(spec("req-2", 1, true), 2, 5);
@@ -304,29 +330,34 @@
         assertTrue(commands.get(commands.size() - 1).task().startsWith("req-2/"));
     }
 
-    private void reportError(Machine machine, Job job, long tick, long now) {
-        Assignment p = job.assignments.values().iterator().next();
-        assertEquals(machine, p.machine);
+    private void reportError(Machine machine, Job job, long sequence, long now) {
+        Assignment assignment = job.assignments.values().iterator().next();
+        assertEquals(machine, assignment.machine);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        heartbeat(machine.id, 1, tick, 5, new TaskStatus(p.taskId, p.attempt, State.EXITED, "error")),
+                        heartbeat(
+                                machine.id,
+                                1,
+                                sequence,
+                                5,
+                                new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "error")),
                         true,
                         now);
     }
 
-    /** Two jobs that fail on one machine alone speak against the machine; what runs there goes on. */
+    /** Failures of two jobs on one machine only are attributed to the machine; tasks that run there aren't stopped. */
     @Test
     void errorsOfSeveralJobsQuarantineMachineButStopNoTask() {
         Machine machine = reportingMachine();
-        Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
-        Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
+        Job firstJob = scheduler.addJob(spec("req-1", 1, false), 1, 5);
+        Job secondJob = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         Job good = scheduler.addJob(spec("req-3", 1, true), 3, 5);
         scheduler.runSchedulingCycle(0);
         Assignment running = good.assignments.get(0);
-        Assignment a = one.assignments.get(0);
-        Assignment b = two.assignments.get(0);
+        Assignment firstFailed = firstJob.assignments.get(0);
+        Assignment secondFailed = secondJob.assignments.get(0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
@@ -337,8 +368,8 @@
                                 2,
                                 5,
                                 new TaskStatus(running.taskId, running.attempt, State.RUNNING, ""),
-                                new TaskStatus(a.taskId, a.attempt, State.EXITED, "error"),
-                                new TaskStatus(b.taskId, b.attempt, State.EXITED, "error")),
+                                new TaskStatus(firstFailed.taskId, firstFailed.attempt, State.EXITED, "error"),
+                                new TaskStatus(secondFailed.taskId, secondFailed.attempt, State.EXITED, "error")),
                         true,
                         100);
         assertTrue(machine.faults.isQuarantined());
@@ -347,26 +378,26 @@
         assertFalse(machine.faults.isQuarantined());
     }
 
-    /** A job that fails on every machine must not take the machines down with it. */
+    /** A job that fails on every machine must not put machines into quarantine. */
     @Test
     void jobFailingOnEveryMachineQuarantinesNone() {
         Machine machine = reportingMachine();
-        Machine n = machine("n-2", false);
-        Job one = scheduler.addJob(spec("req-1", 1, false), 1, 5);
+        Machine secondMachine = machine("n-2", false);
+        Job firstJob = scheduler.addJob(spec("req-1", 1, false), 1, 5);
         scheduler.runSchedulingCycle(0);
-        reportError(machine, one, 2, 100);
-        n.markRegistered();
-        scheduler.heartbeats().applyHeartbeat(n, heartbeat("n-2", 1, 1, 5), true, 200);
+        reportError(machine, firstJob, 2, 100);
+        secondMachine.markRegistered();
+        scheduler.heartbeats().applyHeartbeat(secondMachine, heartbeat("n-2", 1, 1, 5), true, 200);
         scheduler.runSchedulingCycle(10_000);
-        reportError(n, one, 2, 10_100);
-        Job two = scheduler.addJob(spec("req-2", 1, false), 2, 5);
+        reportError(secondMachine, firstJob, 2, 10_100);
+        Job secondJob = scheduler.addJob(spec("req-2", 1, false), 2, 5);
         scheduler.runSchedulingCycle(10_200);
-        reportError(two.assignments.get(0).machine, two, 3, 10_300);
+        reportError(secondJob.assignments.get(0).machine, secondJob, 3, 10_300);
         assertFalse(machine.faults.isQuarantined());
-        assertFalse(n.faults.isQuarantined());
+        assertFalse(secondMachine.faults.isQuarantined());
     }
 
-    /** A machine that went while its record was written got a task, which then waited for it for ever. */
+    /** A machine that was terminated while its record was written got a task, which then waited for it forever. */
     @Test
     void machineTerminatedDuringRegistrationGetsNoTasks() {
         Machine machine = machine("n-1", false);
@@ -379,7 +410,7 @@
         assertTrue(scheduler.outbox().hasFreedCapacity(other));
     }
 
-    // ---- limits while machines of earlier terms are unheard ----
+    // ---- quotas before reconciliation is complete ----
 
     private static final Settings SETTINGS_WITH_QUOTA =
             settings(Map.of("team", new Settings.Team("team", 0, 10, 0, 0)));
@@ -389,40 +420,41 @@
     }
 
     /**
-     * A leader before this one started those; one machine reports, the other, as large as the limit, doesn't. A new job
-     * of the team waits.
+     * A scheduler whose predecessor started tasks of a team with a quota. One machine sends heartbeats; the other,
+     * which has more cores than the quota, doesn't. A new job of the team is pending.
      */
-    private static Scheduler schedulerWithOneSilentMachine(boolean olderKept, long token) {
-        Scheduler s =
+    private static Scheduler schedulerWithOneSilentMachine(boolean earlierLeadersKeptLimits, long heartbeatToken) {
+        Scheduler limited =
                 new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
-        if (olderKept) {
-            s.quotas().setEarlierLeadersEnforcedLimits();
+        if (earlierLeadersKeptLimits) {
+            limited.quotas().setEarlierLeadersEnforcedLimits();
         }
-        s.addJob(spec("req-000001", 3, false), 1, 2);
-        Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
-        s.addMachine("n-2", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, true, 0);
-        s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.heartbeats()
+        limited.addJob(spec("req-000001", 3, false), 1, 2);
+        Machine machine = limited.addMachine("n-1", TYPE, "a", true, true, 0);
+        limited.addMachine(
+                "n-2", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, true, 0);
+        limited.addJob(spec("req-000002", 4, false), 6, 5);
+        limited.heartbeats()
                 .applyHeartbeat(
                         machine,
-                        heartbeat("n-1", 1, 1, token, running("req-000001/0", 3), running("req-000001/1", 4)),
+                        heartbeat("n-1", 1, 1, heartbeatToken, running("req-000001/0", 3), running("req-000001/1", 4)),
                         true,
                         100);
-        s.runSchedulingCycle(100);
-        return s;
+        limited.runSchedulingCycle(100);
+        return limited;
     }
 
     /**
-     * With a partitioned zone a team with a limit started nothing for as long as a lease and more, on machines that
-     * were heard, and half of all work ended.
+     * While a zone was partitioned, a team with a quota started no tasks for the duration of a lease and longer, not
+     * even on machines that sent heartbeats, and half of all work stopped.
      */
     @Test
     void completedTasksOfATeamFreeItsQuotaBeforeReconciliationCompletes() {
-        Scheduler s = schedulerWithOneSilentMachine(true, 5);
-        Job waiting = s.job("req-000002");
-        assertEquals(0, waiting.assignments.size(), "up to the limit of 10 cores may be anywhere");
-        Machine machine = s.machine("n-1");
-        s.heartbeats()
+        Scheduler limited = schedulerWithOneSilentMachine(true, 5);
+        Job waiting = limited.job("req-000002");
+        assertEquals(0, waiting.assignments.size(), "unknown tasks may take the whole quota of 10 cores");
+        Machine machine = limited.machine("n-1");
+        limited.heartbeats()
                 .applyHeartbeat(
                         machine,
                         heartbeat(
@@ -434,92 +466,93 @@
                                 new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                         true,
                         200);
-        s.runSchedulingCycle(200);
-        assertEquals(1, waiting.assignments.size(), "the room of the one that ended");
-        s.runSchedulingCycle(300);
+        limited.runSchedulingCycle(200);
+        assertEquals(1, waiting.assignments.size(), "the completed task freed quota");
+        limited.runSchedulingCycle(300);
         assertEquals(1, waiting.assignments.size());
-        s.markTerminated("n-2");
-        s.runSchedulingCycle(400);
+        limited.markTerminated("n-2");
+        limited.runSchedulingCycle(400);
         assertEquals(
                 4,
-                waiting.assignments.size() + s.job("req-000001").assignments.size(),
-                "all is known: the whole machine is used");
+                waiting.assignments.size()
+                        + limited.job("req-000001").assignments.size(),
+                "reconciliation is complete: the whole machine is used");
     }
 
-    /** Earlier leaders may have kept a higher limit: nothing is known of what they started. */
+    /** Earlier leaders may have kept a higher limit, so the current one doesn't bound what they started. */
     @Test
     void completedTasksFreeNoQuotaIfEarlierLeadersHadOtherLimits() {
-        Scheduler s = schedulerWithOneSilentMachine(false, 5);
-        s.heartbeats()
+        Scheduler limited = schedulerWithOneSilentMachine(false, 5);
+        limited.heartbeats()
                 .applyHeartbeat(
-                        s.machine("n-1"),
+                        limited.machine("n-1"),
                         heartbeat("n-1", 1, 2, 5, new TaskStatus("req-000001/1", 4, State.EXITED, "done")),
                         true,
                         200);
-        s.runSchedulingCycle(200);
-        assertEquals(0, s.job("req-000002").assignments.size());
+        limited.runSchedulingCycle(200);
+        assertEquals(0, limited.job("req-000002").assignments.size());
     }
 
     /**
-     * A report from before this term may be of any time: its tasks may have ended, and others been started elsewhere,
-     * before the last leader did.
+     * A heartbeat made before this term may be of any age: its tasks may have ended, and others may have been started
+     * elsewhere, before the last leader's term ended.
      */
     @Test
     void heartbeatWithOlderTokenFreesNoQuota() {
-        Scheduler s = schedulerWithOneSilentMachine(true, 4);
-        Machine machine = s.machine("n-1");
-        s.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
-        s.runSchedulingCycle(200);
-        assertEquals(0, s.job("req-000002").assignments.size());
+        Scheduler limited = schedulerWithOneSilentMachine(true, 4);
+        Machine machine = limited.machine("n-1");
+        limited.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
+        limited.runSchedulingCycle(200);
+        assertEquals(0, limited.job("req-000002").assignments.size());
     }
 
     /**
-     * Tasks of a job that was cancelled just before the last leader's end still take room until they have been told to
-     * go: they weren't counted.
+     * Tasks of a job that was cancelled just before the last leader's term ended take quota until they were killed,
+     * although they aren't counted as tasks of a live job.
      */
     @Test
     void tasksOfUnknownJobsTakeQuotaUntilTheyAreGone() {
-        Scheduler s =
+        Scheduler limited =
                 new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
-        Machine machine = s.addMachine("n-1", TYPE, "a", true, true, 0);
-        s.addMachine("n-3", TYPE, "a", true, false, 0).markRegistered();
-        s.addJob(spec("req-000002", 4, false), 6, 5);
-        s.heartbeats().applyHeartbeat(s.machine("n-3"), heartbeat("n-3", 1, 1, 5), true, 50);
-        s.heartbeats()
+        Machine machine = limited.addMachine("n-1", TYPE, "a", true, true, 0);
+        limited.addMachine("n-3", TYPE, "a", true, false, 0).markRegistered();
+        limited.addJob(spec("req-000002", 4, false), 6, 5);
+        limited.heartbeats().applyHeartbeat(limited.machine("n-3"), heartbeat("n-3", 1, 1, 5), true, 50);
+        limited.heartbeats()
                 .applyHeartbeat(
                         machine,
                         heartbeat("n-1", 1, 1, 5, running("req-000009/0", 3), running("req-000009/1", 4)),
                         true,
                         100);
-        s.runSchedulingCycle(100);
+        limited.runSchedulingCycle(100);
         assertEquals(
                 1,
-                s.job("req-000002").assignments.size(),
+                limited.job("req-000002").assignments.size(),
                 "2 cores of 10, since the first machine's 8 may all be the cancelled job's");
-        s.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
-        s.runSchedulingCycle(200);
-        assertEquals(4, s.job("req-000002").assignments.size());
+        limited.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
+        limited.runSchedulingCycle(200);
+        assertEquals(4, limited.job("req-000002").assignments.size());
     }
 
     /**
-     * Arrays took again and again what their own tasks left of the limit on machines that services may not use, while
-     * services waited beside free room.
+     * Arrays kept taking the quota that their own completed tasks freed, on spot machines that services may not use,
+     * while services waited although other machines had room.
      */
     @Test
     void servicesPrecedeArraysWhereOnlyTheQuotaBlocksThem() {
-        Scheduler s =
+        Scheduler limited =
                 new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
-        Machine spot = s.addMachine(
+        Machine spot = limited.addMachine(
                 "n-1", new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b")), "a", true, false, 0);
         spot.markRegistered();
-        s.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 1, 5), true, 0);
-        Job array = s.addJob(spec("req-000001", 9, false), 1, 5);
-        s.runSchedulingCycle(0);
-        assertEquals(5, array.assignments.size(), "the whole limit");
-        Machine ordinary = s.addMachine("n-2", TYPE, "a", false, false, 0);
+        limited.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 1, 5), true, 0);
+        Job array = limited.addJob(spec("req-000001", 9, false), 1, 5);
+        limited.runSchedulingCycle(0);
+        assertEquals(5, array.assignments.size(), "the whole quota");
+        Machine ordinary = limited.addMachine("n-2", TYPE, "a", false, false, 0);
         ordinary.markRegistered();
-        s.heartbeats().applyHeartbeat(ordinary, heartbeat("n-2", 1, 1, 5), true, 0);
-        Job service = s.addJob(
+        limited.heartbeats().applyHeartbeat(ordinary, heartbeat("n-2", 1, 1, 5), true, 0);
+        Job service = limited.addJob(
                 new JobSpec(
                         "req-000002",
                         "k",
@@ -543,18 +576,21 @@
                         Double.NaN),
                 2,
                 5);
-        s.runSchedulingCycle(2_000);
+        limited.runSchedulingCycle(2_000);
         assertEquals(0, service.assignments.size());
-        Assignment[] there = array.assignments.values().toArray(new Assignment[0]);
-        TaskStatus[] one = new TaskStatus[there.length];
-        for (int i = 0; i < there.length; i++) {
-            one[i] = new TaskStatus(
-                    there[i].taskId, there[i].attempt, i == 0 ? State.EXITED : State.RUNNING, i == 0 ? "done" : null);
+        Assignment[] assigned = array.assignments.values().toArray(new Assignment[0]);
+        TaskStatus[] statuses = new TaskStatus[assigned.length];
+        for (int i = 0; i < assigned.length; i++) {
+            statuses[i] = new TaskStatus(
+                    assigned[i].taskId,
+                    assigned[i].attempt,
+                    i == 0 ? State.EXITED : State.RUNNING,
+                    i == 0 ? "done" : null);
         }
-        s.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 2, 5, one), true, 2_500);
-        s.scheduleOn(spot, 2_500);
-        assertEquals(4, array.assignments.size(), "what its task left isn't the array's");
-        s.runSchedulingCycle(3_000);
+        limited.heartbeats().applyHeartbeat(spot, heartbeat("n-1", 1, 2, 5, statuses), true, 2_500);
+        limited.scheduleOn(spot, 2_500);
+        assertEquals(4, array.assignments.size(), "the array doesn't get the quota that its task freed");
+        limited.runSchedulingCycle(3_000);
         assertEquals(1, service.assignments.size());
     }
 }
--- a/src/test/java/org/hollypick/core/FaultAttributionTest.java
+++ b/src/test/java/org/hollypick/core/FaultAttributionTest.java
@@ -23,14 +23,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs that fail on every machine beside machines that fail every task. The truth is known here; the scheduler only
- * sees failures.
+ * Runs jobs that fail on every machine beside machines on which every task fails. The test knows which of them are
+ * faulty; the scheduler only sees failures.
  */
 class FaultAttributionTest {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final int MACHINES = 12;
 
-    /** One stretch of work: what the scheduler did to sound and to sick machines. */
+    /** A simulated cluster that counts how the scheduler treats healthy and faulty machines. */
     private static final class SimulatedCluster {
         private final Settings settings =
                 new SettingsBuilder().zones(List.of("a", "b")).build();
@@ -43,21 +43,19 @@
         private final Set<String> detectedFaulty = new HashSet<>();
         private long heartbeatSequence;
         private long now = 1_000;
-        /**
-         * Machine-seconds of sound machines in quarantine, and the most tasks of broken jobs under way at once after a
-         * minute.
-         */
+        /** Machine-seconds that healthy machines spent in quarantine. */
         private double wrongQuarantineS;
-
+        /** The most tasks that one job, known to fail everywhere, had assigned at once after the first minute. */
         private int maxFailingJobTasks;
+
         private int completedTasks;
 
-        SimulatedCluster(long seed, int sickMachines, int brokenPercent) {
+        SimulatedCluster(long seed, int faultyMachineCount, int failingJobPercent) {
             random = new Random(seed);
             for (int i = 0; i < MACHINES; i++) {
                 Machine machine = scheduler.addMachine("n-" + i, TYPE, i % 2 == 0 ? "a" : "b", true, false, 0);
                 machine.markRegistered();
-                report(machine);
+                sendHeartbeat(machine);
             }
             for (int i = 0; i < 200; i++) {
                 if (now < 120_000 && i % 2 == 0) {
@@ -86,12 +84,12 @@
                                     Double.NaN),
                             i + 1,
                             5);
-                    if (random.nextInt(100) < brokenPercent) {
+                    if (random.nextInt(100) < failingJobPercent) {
                         failingJobs.add(id);
                     }
                 }
                 if (i == 40) {
-                    while (faultyMachines.size() < sickMachines) {
+                    while (faultyMachines.size() < faultyMachineCount) {
                         faultyMachines.add("n-" + random.nextInt(MACHINES));
                     }
                 }
@@ -104,7 +102,7 @@
             scheduler.runSchedulingCycle(now);
             for (Machine machine : scheduler.machines()) {
                 machine.acknowledgeHeartbeat(now);
-                report(machine);
+                sendHeartbeat(machine);
                 if (machine.faults.isQuarantined() && faultyMachines.contains(machine.id)) {
                     detectedFaulty.add(machine.id);
                 } else if (machine.faults.isQuarantined()) {
@@ -125,8 +123,8 @@
             }
         }
 
-        /** Each task runs for some ten seconds, or fails at once. */
-        private void report(Machine machine) {
+        /** Sends the machine's heartbeat. Each task runs for some ten seconds, or fails at once. */
+        private void sendHeartbeat(Machine machine) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Assignment assignment : machine.assignments.values()) {
                 boolean fails = (faultyMachines.contains(machine.id) && assignment.assignedAt > 41_000)
@@ -161,40 +159,45 @@
         }
     }
 
-    /**
-     * Two broken jobs whose first failures fell on the same sound machine kept it from work for a minute and a half.
-     */
+    /** Two failing jobs whose first failures happened on the same healthy machine kept it in quarantine for 90 s. */
     @Property(tries = 30, seed = "20261202")
     void failingJobsLeaveHealthyMachinesSchedulable(
-            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 1, max = 40) int percent) {
-        SimulatedCluster s = new SimulatedCluster(seed, 0, percent);
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
+            @ForAll @IntRange(min = 1, max = 40) int failingJobPercent) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, 0, failingJobPercent);
         assertTrue(
-                s.wrongQuarantineS <= 0.02 * MACHINES * 200,
-                "machine-seconds lost: " + s.wrongQuarantineS + " on " + s.wronglyQuarantined.size());
+                cluster.wrongQuarantineS <= 0.02 * MACHINES * 200,
+                "machine-seconds of healthy machines in quarantine: " + cluster.wrongQuarantineS + " on "
+                        + cluster.wronglyQuarantined.size());
         assertTrue(
-                s.maxFailingJobTasks <= 1,
-                "a job that fails everywhere has " + s.maxFailingJobTasks + " tasks under way");
-        assertTrue(s.completedTasks > 100);
+                cluster.maxFailingJobTasks <= 1,
+                "a job that fails everywhere has " + cluster.maxFailingJobTasks + " tasks assigned");
+        assertTrue(cluster.completedTasks > 100);
     }
 
-    /** Machines that fail all they start are found while such jobs run. */
+    /** Machines on which every task fails are quarantined while failing jobs run. */
     @Property(tries = 30, seed = "20261202")
     void faultyMachinesAreDetectedWhileJobsFail(
             @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
-            @ForAll @IntRange(min = 1, max = 3) int sick,
-            @ForAll @IntRange(min = 0, max = 30) int percent) {
-        SimulatedCluster s = new SimulatedCluster(seed, sick, percent);
-        assertTrue(s.detectedFaulty.size() >= sick - 1, s.detectedFaulty.size() + " of " + sick + " were found");
+            @ForAll @IntRange(min = 1, max = 3) int faultyMachineCount,
+            @ForAll @IntRange(min = 0, max = 30) int failingJobPercent) {
+        SimulatedCluster cluster = new SimulatedCluster(seed, faultyMachineCount, failingJobPercent);
+        assertTrue(
+                cluster.detectedFaulty.size() >= faultyMachineCount - 1,
+                cluster.detectedFaulty.size() + " of " + faultyMachineCount + " faulty machines were detected");
     }
 
-    /** Their sizes of zero raised the variation above its limit and moved jobs on that stay without them. */
+    /**
+     * Jobs that fail everywhere have an attained service of zero. Counting them raised the variation above its limit,
+     * and other jobs were demoted that stay in the first partition without them.
+     */
     @Test
     void jobsFailingEverywhereDoNotDemoteOthers() {
-        SimulatedCluster s = new SimulatedCluster(1, 0, 0);
+        SimulatedCluster cluster = new SimulatedCluster(1, 0, 0);
         List<Job> jobs = new ArrayList<>();
-        double[] ran = {260, 30, 18, 0, 0, 0, 0};
-        for (int i = 0; i < ran.length; i++) {
-            Job job = s.scheduler.addJob(
+        double[] attainedServiceS = {260, 30, 18, 0, 0, 0, 0};
+        for (int i = 0; i < attainedServiceS.length; i++) {
+            Job job = cluster.scheduler.addJob(
                     new JobSpec(
                             "req-9" + i,
                             "k",
@@ -218,12 +221,15 @@
                             Double.NaN),
                     900 + i,
                     5);
-            job.restoreAttainedService(ran[i]);
+            job.restoreAttainedService(attainedServiceS[i]);
             jobs.add(job);
         }
-        assertEquals(6.2, Cutoff.findBalanced(ran).orElse(0), 0.1);
-        assertEquals(3, Tyrex.selectJobsToDemote(jobs).size(), "with them all three that ran are moved");
-        jobs.subList(3, 7).forEach(j -> j.failedMachines.addAll(List.of("n-1", "n-2", "n-3")));
+        assertEquals(6.2, Cutoff.findBalanced(attainedServiceS).orElse(0), 0.1);
+        assertEquals(
+                3,
+                Tyrex.selectJobsToDemote(jobs).size(),
+                "with the failing jobs counted, all three that ran are demoted");
+        jobs.subList(3, 7).forEach(job -> job.failedMachines.addAll(List.of("n-1", "n-2", "n-3")));
         assertEquals(List.of(), Tyrex.selectJobsToDemote(jobs));
     }
 }
--- a/src/test/java/org/hollypick/core/JobDependenciesTest.java
+++ b/src/test/java/org/hollypick/core/JobDependenciesTest.java
@@ -16,7 +16,7 @@
 import org.hollypick.core.JobSpec.Priority;
 import org.junit.jupiter.api.Test;
 
-/** A slow plain model that looks through everything for each question, compared with the real graph. */
+/** Compares the dependency graph with a simple reference model that searches all jobs for each query. */
 class JobDependenciesTest {
     private static final class ReferenceModel {
         final Map<String, List<String>> dependencies = new TreeMap<>();
@@ -38,122 +38,129 @@
         }
 
         Priority priority(String id) {
-            Priority rank = priorities.getOrDefault(id, Priority.LOW);
+            Priority highest = priorities.getOrDefault(id, Priority.LOW);
             for (String other : dependencies.keySet()) {
-                if (dependencies.get(other).contains(id) && priority(other).compareTo(rank) < 0) {
-                    rank = priority(other);
+                if (dependencies.get(other).contains(id) && priority(other).compareTo(highest) < 0) {
+                    highest = priority(other);
                 }
             }
-            return rank;
+            return highest;
         }
 
-        boolean dependsOnAny(String id, Set<String> those) {
+        boolean dependsOnAny(String id, Set<String> ids) {
             return dependencies.getOrDefault(id, List.of()).stream()
-                    .anyMatch(a -> !done.contains(a) && !cancelled(a) && (those.contains(a) || dependsOnAny(a, those)));
+                    .anyMatch(dependency -> !done.contains(dependency)
+                            && !cancelled(dependency)
+                            && (ids.contains(dependency) || dependsOnAny(dependency, ids)));
         }
     }
 
     /**
-     * Diamonds, chains, cancelled middles, jobs after their ancestors' end; each record told in any order, some twice.
+     * Covers diamonds, chains, cancellations within them, and jobs that are added after their dependencies ended.
+     * Records arrive in any order and more than once.
      */
     @Test
     void readinessCancellationAndDependenciesMatchReferenceModel() {
         for (int seed = 0; seed < 400; seed++) {
             Random random = new Random(seed);
-            JobDependencies real = new JobDependencies();
-            ReferenceModel plain = new ReferenceModel();
+            JobDependencies graph = new JobDependencies();
+            ReferenceModel model = new ReferenceModel();
             Set<String> announced = new HashSet<>();
             List<String> ids = new ArrayList<>();
             for (int step = 0; step < 60; step++) {
                 switch (random.nextInt(5)) {
-                    case 0, 1, 2 -> addRandomJobs(random, real, plain, ids);
+                    case 0, 1, 2 -> addRandomJobs(random, graph, model, ids);
                     case 3 -> {
-                        List<String> ready = ids.stream().filter(plain::ready).toList();
+                        List<String> ready = ids.stream().filter(model::ready).toList();
                         if (!ready.isEmpty()) {
                             String id = ready.get(random.nextInt(ready.size()));
-                            plain.done.add(id);
-                            real.markDone(id);
+                            model.done.add(id);
+                            graph.markDone(id);
                         }
                     }
                     default -> {
                         List<String> live = ids.stream()
-                                .filter(id -> !plain.done.contains(id))
+                                .filter(id -> !model.done.contains(id))
                                 .toList();
                         if (!live.isEmpty() && random.nextInt(4) == 0) {
                             String id = live.get(random.nextInt(live.size()));
-                            plain.cancelled.add(id);
-                            real.markCancelled(id);
+                            model.cancelled.add(id);
+                            graph.markCancelled(id);
                         }
                     }
                 }
-                announced.addAll(real.takeChangedJobs());
+                announced.addAll(graph.takeChangedJobs());
                 for (String id : ids) {
-                    assertEquals(plain.ready(id), real.ready(id), id + " seed " + seed);
-                    assertEquals(plain.cancelled(id), real.isCancelled(id), id + " seed " + seed);
-                    assertEquals(plain.done.contains(id), real.isDone(id), id + " seed " + seed);
+                    assertEquals(model.ready(id), graph.ready(id), id + " seed " + seed);
+                    assertEquals(model.cancelled(id), graph.isCancelled(id), id + " seed " + seed);
+                    assertEquals(model.done.contains(id), graph.isDone(id), id + " seed " + seed);
                     assertTrue(
-                            (!plain.ready(id) && !plain.cancelled(id)) || announced.contains(id),
-                            "nobody was told of " + id);
-                    if (!plain.done.contains(id) && !plain.cancelled(id)) {
-                        assertTrue(real.priority(id).compareTo(plain.priorities.get(id)) <= 0);
-                        Set<String> those = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
-                        assertEquals(plain.dependsOnAny(id, those), real.dependsOnAny(id, those), id + " seed " + seed);
+                            (!model.ready(id) && !model.cancelled(id)) || announced.contains(id),
+                            "not returned as changed: " + id);
+                    if (!model.done.contains(id) && !model.cancelled(id)) {
+                        assertTrue(graph.priority(id).compareTo(model.priorities.get(id)) <= 0);
+                        Set<String> candidates = new HashSet<>(List.of(ids.get(random.nextInt(ids.size()))));
+                        assertEquals(
+                                model.dependsOnAny(id, candidates),
+                                graph.dependsOnAny(id, candidates),
+                                id + " seed " + seed);
                     }
                 }
             }
         }
     }
 
-    private static void addRandomJobs(Random random, JobDependencies real, ReferenceModel plain, List<String> ids) {
+    private static void addRandomJobs(Random random, JobDependencies graph, ReferenceModel model, List<String> ids) {
         List<String> batch = new ArrayList<>();
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
             String id = "req-" + ids.size();
-            Set<String> awaits = new HashSet<>();
-            for (int k = random.nextInt(4); k > 0 && !ids.isEmpty(); k--) {
-                awaits.add(ids.get(Math.max(0, ids.size() - 1 - random.nextInt(8))));
+            Set<String> dependencies = new HashSet<>();
+            for (int j = random.nextInt(4); j > 0 && !ids.isEmpty(); j--) {
+                dependencies.add(ids.get(Math.max(0, ids.size() - 1 - random.nextInt(8))));
             }
             ids.add(id);
             batch.add(id);
-            plain.dependencies.put(id, new ArrayList<>(awaits));
-            plain.priorities.put(id, Priority.values()[random.nextInt(4)]);
+            model.dependencies.put(id, new ArrayList<>(dependencies));
+            model.priorities.put(id, Priority.values()[random.nextInt(4)]);
         }
         Collections.shuffle(batch, random); // a later job's record may be read first
-        batch.forEach(id -> real.addLive(id, plain.priorities.get(id), plain.dependencies.get(id)));
-        batch.forEach(id -> real.addLive(id, Priority.PRODUCTION, List.of())); // a record read again says nothing new
+        batch.forEach(id -> graph.addLive(id, model.priorities.get(id), model.dependencies.get(id)));
+        // a record that is read again changes nothing
+        batch.forEach(id -> graph.addLive(id, Priority.PRODUCTION, List.of()));
     }
 
     @Test
     void priorityIsTheHighestOfTheJobAndItsDependents() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            JobDependencies real = new JobDependencies();
-            ReferenceModel plain = new ReferenceModel();
+            JobDependencies graph = new JobDependencies();
+            ReferenceModel model = new ReferenceModel();
             List<String> ids = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                addRandomJobs(random, real, plain, ids);
+                addRandomJobs(random, graph, model, ids);
             }
-            ids.forEach(id -> assertEquals(plain.priority(id), real.priority(id), id));
+            ids.forEach(id -> assertEquals(model.priority(id), graph.priority(id), id));
         }
     }
 
-    /** Chains are walked, not recursed into: one of thousands of jobs must not end the process. */
+    /** Recursion over a chain of thousands of jobs would overflow the stack and end the process. */
     @Test
     void longChainsAndManyDependentsAreProcessedWithoutRecursion() {
-        JobDependencies real = new JobDependencies();
+        JobDependencies graph = new JobDependencies();
         int many = 50_000;
-        real.addLive("req-0", Priority.LOW, List.of());
+        graph.addLive("req-0", Priority.LOW, List.of());
         for (int i = 1; i < many; i++) {
-            real.addLive("req-" + i, Priority.LOW, List.of("req-" + (i - 1)));
+            graph.addLive("req-" + i, Priority.LOW, List.of("req-" + (i - 1)));
         }
         for (int i = 0; i < many; i++) {
-            real.addLive("req-9" + many + i, Priority.LOW, List.of("req-0"));
+            graph.addLive("req-9" + many + i, Priority.LOW, List.of("req-0"));
         }
-        real.addLive("req-last", Priority.HIGH, List.of("req-" + (many - 1)));
-        assertEquals(Priority.HIGH, real.priority("req-0"));
-        assertTrue(real.dependsOnAny("req-last", Set.of("req-0")));
-        assertFalse(real.ready("req-1"));
-        real.markCancelled("req-0");
-        assertTrue(real.isCancelled("req-last"));
-        assertEquals(2 * many + 1, real.takeChangedJobs().size());
+        graph.addLive("req-last", Priority.HIGH, List.of("req-" + (many - 1)));
+        assertEquals(Priority.HIGH, graph.priority("req-0"));
+        assertTrue(graph.dependsOnAny("req-last", Set.of("req-0")));
+        assertFalse(graph.ready("req-1"));
+        graph.markCancelled("req-0");
+        assertTrue(graph.isCancelled("req-last"));
+        assertEquals(2 * many + 1, graph.takeChangedJobs().size());
     }
 }
--- a/src/test/java/org/hollypick/core/RefusedLaunchTest.java
+++ b/src/test/java/org/hollypick/core/RefusedLaunchTest.java
@@ -18,18 +18,19 @@
 /**
  * Launches that agents refuse are repeated at growing intervals.
  *
- * <p>What happened: a play whose agents knew the jobs differently from the controllers used up a term's million attempt
- * numbers between 500 and 704 s (docs/results/combined-faults.md). Why: the pause after a refusal as {@code unknown}
- * was that of a job that had failed once, 0 ms, since only tasks that end with an error count as failures; a refusal as
- * {@code full} or {@code busy} paused the machine for a second but not the task, which went on to the next machine. One
- * task refused as unknown was launched 1,200 times in a minute of scheduling cycles 50 ms apart.
+ * <p>Guards against launches that are repeated in every scheduling cycle. In a simulation whose agents knew the jobs
+ * differently from the controllers, they used up a term's million attempt numbers between 500 and 704 s
+ * (docs/results/combined-faults.md). The delay after a refusal as {@code unknown} was 0 ms, as after a job's first
+ * failure, since only tasks that end with an error count as failures: one such task was launched 1,200 times in a
+ * minute of scheduling cycles 50 ms apart. A refusal as {@code full} or {@code busy} delayed launches on the machine by
+ * a second, but the task went on to the next machine.
  */
 class RefusedLaunchTest {
     private static final MachineType TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
     private static final int MACHINES = 40;
     private static final long STEP_MS = 50;
     private static final long MINUTE_MS = 60_000;
-    /** Two at once, then after 1, 2, 4, 8 and 16 s, or every 8 s where a machine has no room. */
+    /** Two at once, then one after 1, 2, 4, 8 and 16 s, or every 8 s from there on if machines have no room. */
     private static final int ATTEMPTS_IN_A_MINUTE = 12;
 
     private final Scheduler scheduler = scheduler();
@@ -50,7 +51,7 @@
         return scheduler.addJob(JobSpecBuilder.array("req-1").cpus(2).build(), 1, 5);
     }
 
-    /** All machines report what they hold as being in that state. */
+    /** All machines report their assignments as being in that state. */
     private void heartbeats(State state, String reason) {
         sequence++;
         for (Machine machine : scheduler.machines()) {
@@ -105,7 +106,7 @@
         assertTrue(count <= ATTEMPTS_IN_A_MINUTE, count + " attempts");
     }
 
-    /** One refusal may be a matter of moments: the next attempt follows at once, elsewhere if need be. */
+    /** The cause of a refusal may be brief: the next attempt follows at once, on another machine if necessary. */
     @Test
     void firstRefusalIsRetriedWithoutDelay() {
         Job job = addMachinesAndJob();
@@ -115,7 +116,7 @@
         assertEquals(1, job.assignments.size());
     }
 
-    /** A task that ran since is refused for the first time again. */
+    /** Once the task has run, the next refusal counts as its first one. */
     @Test
     void refusalCountIsResetOnceTheTaskRuns() {
         Job job = addMachinesAndJob();
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * When a lease counts as expired, against a plain model of an agent, two peers that renew leases, a leader and a
- * network that loses and delays messages, on drifting clocks.
+ * Checks when a lease counts as expired against a simple model of an agent, two peers that renew leases, a leader and a
+ * network that loses and delays messages, with drifting clocks.
  */
 public class WorkerLeasesTest {
     private static final long LEASE_MS = 15_000;
@@ -50,7 +50,7 @@
         private final double workerRate;
         private long now = 100_000;
         private long sequence;
-        /** By the agent's clock, when the heartbeat was sent that renewed its lease last. */
+        /** When the heartbeat that last renewed the lease was sent, by the agent's clock. */
         private double sentAt;
 
         private boolean leaseEnded;
@@ -63,8 +63,8 @@
 
         private record Event(long at, long sequence, Runnable run) implements Comparable<Event> {
             @Override
-            public int compareTo(Event o) {
-                return at != o.at ? Long.compare(at, o.at) : Long.compare(sequence, o.sequence);
+            public int compareTo(Event other) {
+                return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
             }
         }
 
@@ -74,7 +74,7 @@
             boolean linked = true;
             double grantedUntil = Double.NEGATIVE_INFINITY;
             double leaderRespondedAt;
-            /** Counts its processes: a response to an earlier one does not reach the present one. */
+            /** Grows with each restart: a response to an earlier process does not reach the current one. */
             int incarnation;
 
             long lastGrantNumber;
@@ -132,7 +132,7 @@
                 }
             }
 
-            /** Restarts at once, without knowing what it was granted, renewed or reported. */
+            /** Restarts without a delay, and without knowing what it was granted, renewed or reported before. */
             void restart() {
                 incarnation++;
                 grantedUntil = Double.NEGATIVE_INFINITY;
@@ -182,7 +182,7 @@
             events.add(new Event(now + ms, sequence++, run));
         }
 
-        /** Changes now and then which processes reach one another. */
+        /** Changes at random intervals which processes reach each other. */
         private void changeReachability() {
             reachedController = random.nextInt(4) - 1;
             for (PeerController peer : peers) {
@@ -199,15 +199,16 @@
             if (sent - sentAt > LEASE_MS) {
                 leaseEnded = true;
             }
-            int by = reachedController;
-            if (by >= 0 && !leaseEnded) {
+            int controller = reachedController;
+            if (controller >= 0 && !leaseEnded) {
                 after(random.nextInt(500), () -> {
-                    boolean answers = by == 0 || peers.get(by - 1).renewsLeases();
+                    boolean answers =
+                            controller == 0 || peers.get(controller - 1).renewsLeases();
                     if (answers) {
-                        if (by == 0) {
+                        if (controller == 0) {
                             acknowledgedAt = leaderTime();
                         } else {
-                            peers.get(by - 1).renewals++;
+                            peers.get(controller - 1).renewals++;
                         }
                         after(random.nextInt(500), () -> {
                             if (now * workerRate - sentAt > LEASE_MS) {
@@ -238,9 +239,9 @@
         Model run(long ms) {
             long end = now + ms;
             while (events.peek().at <= end) {
-                Event e = events.poll();
-                now = e.at;
-                e.run.run();
+                Event event = events.poll();
+                now = event.at;
+                event.run.run();
             }
             return this;
         }
@@ -248,8 +249,8 @@
 
     @Property(tries = 3_000, seed = "20261201", shrinking = ShrinkingMode.OFF)
     void leaseThatMayBeRenewedNeverCountsAsExpired(@ForAll long seed) {
-        Model m = new Model(seed, Fault.NONE).run(150_000);
-        assertTrue(m.violation == null, m.violation);
+        Model model = new Model(seed, Fault.NONE).run(150_000);
+        assertTrue(model.violation == null, model.violation);
     }
 
     /** The model detects each way of renewing more than was granted, or of reporting less. */
