--- a/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
+++ b/src/main/java/org/hollypick/core/estimate/ClusterCapacity.java
@@ -4,17 +4,18 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * The cores that batch tasks can use at one moment.
+ * The cores that batch tasks can use now and once booting machines are up.
  *
- * @param usableCores cores of schedulable machines that no service occupies
- * @param freeCores cores of schedulable machines that nothing occupies
+ * @param usableCores cores of schedulable machines that aren't occupied by services
+ * @param freeCores cores of schedulable machines that aren't occupied at all
  * @param bootingCores cores of machines that haven't sent a heartbeat yet
  * @param bootSeconds seconds until the last of these machines is expected to be up
  */
 record ClusterCapacity(double usableCores, double freeCores, double bootingCores, double bootSeconds) {
+    /** Lower bound of the remaining boot time, for machines that take longer than their type's boot time. */
     private static final double MIN_BOOT_S = 1;
 
-    /** Adds up the scheduler's machines; {@code nowMillis} is the event loop's clock. */
+    /** Sums up the scheduler's machines; {@code nowMillis} is the event loop's clock. */
     static ClusterCapacity of(Scheduler scheduler, long nowMillis) {
         double usableCores = 0;
         double freeCores = 0;
--- a/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
+++ b/src/main/java/org/hollypick/core/estimate/CompletionEstimate.java
@@ -22,15 +22,16 @@
  * the event loop.
  */
 public final class CompletionEstimate {
-    /** Simulated outcomes of each job: enough for the 10 % quantile, and few enough for a busy leader. */
+    /** Simulated outcomes per job: enough for the 10 % quantile, and few enough not to delay a busy leader. */
     private static final int SAMPLES = 48;
 
-    /** Jobs that are simulated at most: the job and its direct and indirect dependencies. */
+    /** Maximum number of simulated jobs: the job itself and its direct and indirect dependencies. */
     private static final int MAX_JOBS = 200;
 
+    /** Lower bound of a task's cores where they are a divisor. */
     private static final double MIN_CPUS = 0.1;
 
-    /** What takes the largest part of the time until a job is complete. */
+    /** The phase that takes the largest part of the time until a job is complete. */
     public enum Bottleneck {
         /** Waiting for free cores. */
         CAPACITY,
@@ -38,22 +39,22 @@
         IMAGE_FETCH,
         /** Running the tasks. */
         RUN_TIME,
-        /** Waiting for jobs that it depends on. */
+        /** Waiting for jobs on which the job depends. */
         DEPENDENCIES
     }
 
     /**
-     * An estimate.
+     * The predicted time until a job is complete.
      *
      * @param interval seconds from now until the job is complete
-     * @param bottleneck what takes the largest part of them
+     * @param bottleneck the phase that takes the largest part of this time
      */
     public record Answer(PredictionInterval interval, Bottleneck bottleneck) {}
 
-    /** Seconds that a pending task waits before it runs, by cause. */
+    /** How many seconds a pending task waits before it runs, by cause. */
     private record StartDelay(double capacityS, double imageFetchS) {}
 
-    /** Sums core-seconds over callbacks. */
+    /** A sum of core-seconds that a lambda can add to. */
     private static final class CoreSeconds {
         private double total;
     }
@@ -63,13 +64,13 @@
     private final Function<String, List<String>> incompleteDependencies;
     private final long nowMillis;
     private final ClusterCapacity capacity;
-    /** Sampled seconds until completion, by job id; sample i of a job belongs to sample i of its dependencies. */
+    /** Sampled seconds until completion, by job id; sample i of a job is based on sample i of its dependencies. */
     private final Map<String, double[]> completionSamples = new HashMap<>();
 
     /**
-     * Prepares an estimate of the scheduler's present state.
+     * Prepares an estimate from the scheduler's present state.
      *
-     * @param incompleteDependencies the ids of the jobs that a job depends on and that aren't complete
+     * @param incompleteDependencies maps a job's id to the ids of the incomplete jobs on which it depends
      * @param nowMillis the event loop's clock
      */
     public CompletionEstimate(
@@ -103,7 +104,7 @@
         return new Answer(completion, job.ready() ? bottleneck : Bottleneck.DEPENDENCIES);
     }
 
-    /** The job's dependencies and the job, in topological order; iterative, since chains may be long. */
+    /** The job and its dependencies in topological order; iterative, since dependency chains may be long. */
     private List<Job> dependenciesFirst(Job job) {
         LinkedHashMap<String, Job> visited = new LinkedHashMap<>();
         List<Job> stack = new ArrayList<>(List.of(job));
@@ -129,7 +130,7 @@
         return ordered;
     }
 
-    /** Samples when a job is complete, once its dependencies have been sampled; returns its bottleneck. */
+    /** Samples the completion times of a job whose dependencies have been sampled, and returns its bottleneck. */
     private Bottleneck simulate(Job job) {
         RemainingWork work = new RemainingWork(job, estimates);
         double expectedCores = Math.max(work.nextSpec().cpus(), capacity.expectedCores());
@@ -185,7 +186,9 @@
         return latest;
     }
 
-    /** Simulates one outcome of the remaining tasks on a fixed number of slots: seconds until the last one ends. */
+    /**
+     * Simulates the remaining tasks once on a fixed number of slots and returns the seconds until the last one ends.
+     */
     private double lastTaskEnd(
             RemainingWork work, StartDelay delay, double start, double expectedCores, UniformRandomProvider random) {
         int slots = (int) Math.max(
@@ -219,7 +222,7 @@
         return totalS - elapsedS + (assignment.starting() ? delay.imageFetchS : 0);
     }
 
-    /** Core-seconds of pending work that is scheduled before the job's in its Tyrex partition. */
+    /** Core-seconds of pending work that is scheduled before the job's own in the same Tyrex partition. */
     private double coreSecondsAhead(Job job) {
         CoreSeconds ahead = new CoreSeconds();
         for (Job other : scheduler.jobs()) {
--- a/src/main/java/org/hollypick/core/estimate/Estimates.java
+++ b/src/main/java/org/hollypick/core/estimate/Estimates.java
@@ -10,48 +10,54 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * Predicts the run times of tasks from observed runs. Runs are grouped by kind: job class, team and size, with wider
- * groups for kinds that have few runs. Memory is bounded, whatever the number of kinds and machines. All durations are
- * seconds. Confined to the event loop.
+ * Predicts the run times of tasks from observed runs. Runs are grouped by kind, which is the job class and team, with a
+ * narrower group by size and wider groups for kinds that have few runs. Memory is bounded regardless of the number of
+ * kinds and machines. All durations are in seconds. Confined to the event loop.
  */
 public final class Estimates {
-    /** Kinds that are known at most; the one that ran least recently is dropped first. */
+    /** Maximum number of groups with a run history; the least recently used one is dropped first. */
     static final int MAX_KINDS = 2_000;
 
-    /** Machines whose slow runs are counted at most; the one that ran least recently is dropped first. */
+    /** Maximum number of machines whose slow runs are counted; the least recently used one is dropped first. */
     private static final int MAX_MACHINES = 4_000;
 
-    /** Completed runs from which on a group is used instead of a wider one. */
+    /** Number of completed runs from which a group is used instead of a wider one. */
     private static final int SUFFICIENT_RUNS = 5;
 
-    /** Completed runs from which on a group's interval isn't widened any more. */
+    /** Number of completed runs from which a group's interval isn't widened for lack of runs. */
     private static final int CONFIDENT_RUNS = 20;
 
-    /** Slow runs in a row from which on a machine's runs are ignored. */
+    /** Number of consecutive slow runs from which a machine's runs are ignored. */
     private static final int CONSECUTIVE_SLOW_RUNS = 3;
 
-    /** Multiple of the upper end of the interval from which on a run counts as slow. */
+    /** Multiple of the interval's upper bound above which a run counts as slow. */
     private static final double SLOW_RATIO = 2;
 
-    /** The narrowest groups of a task, which consist of runs of its own kind. */
+    /** Number of a task's groups, counted from the narrowest, that contain only runs of its own kind. */
     private static final int OWN_KIND_GROUPS = 2;
 
-    /** Factor by which the interval is widened if it comes from tasks of another kind. */
+    /** Factor by which the interval is widened if it is based on tasks of other kinds. */
     private static final double BORROWED_WIDENING = 1.5;
 
-    /** An owner's estimate above this is ignored. */
+    /** Owners' estimates above this are ignored. */
     private static final double MAX_ESTIMATE_S = 1e7;
 
+    /** Ratio of the owner's estimate to the lower bound of the interval when there are no runs. */
+    private static final double NO_HISTORY_P10_DIVISOR = 4;
+
+    /** Ratio of the upper bound of the interval to the owner's estimate when there are no runs. */
+    private static final double NO_HISTORY_P90_FACTOR = 8;
+
     private final OwnerEstimateCorrection ownerEstimateCorrection = new OwnerEstimateCorrection();
     private final boolean learnsDistributions;
-    /** Runs by group, in the order of their last use. */
+    /** Run histories by group, least recently used first. */
     private final Map<String, RunHistory> historyByGroup = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, RunHistory> eldest) {
             return size() > MAX_KINDS;
         }
     };
-    /** The number of a machine's last runs in a row that were slow, by machine id. */
+    /** The number of consecutive slow runs up to the latest run, by machine id; least recently used first. */
     private final Map<String, Integer> slowRunsByMachine = new LinkedHashMap<>(64, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
@@ -59,19 +65,19 @@
         }
     };
 
-    /** Kinds whose runs changed since they were last taken for storing. */
+    /** The groups whose runs changed since {@link #takeUpdatedKinds} was last called. */
     private final Set<String> updatedKinds = new LinkedHashSet<>();
 
     /**
-     * Starts without any observed run.
+     * Creates an instance without observed runs.
      *
-     * @param learnsDistributions whether prediction intervals are learned, besides the mean for scaling out
+     * @param learnsDistributions whether prediction intervals are learned, in addition to the mean for scale-out
      */
     public Estimates(boolean learnsDistributions) {
         this.learnsDistributions = learnsDistributions;
     }
 
-    /** The groups that a task belongs to, the narrowest first. */
+    /** The groups to which a task belongs, narrowest first: by kind and size, by kind, by team, and all tasks. */
     private static List<String> groups(JobSpec spec) {
         String kind = spec.jobClass() + "/" + spec.team();
         return List.of(
@@ -86,21 +92,21 @@
         return spec.estimateS() > 0 && spec.estimateS() <= MAX_ESTIMATE_S ? spec.estimateS() : 0;
     }
 
-    /** The mean run time that scaling out reckons with: the owner's estimate, corrected by the class's runs. */
+    /** The mean run time on which scale-out is based: the owner's estimate, corrected by the runs of the job class. */
     public double meanRunTimeS(JobSpec spec) {
         return ownerEstimateCorrection.expectedS(spec);
     }
 
     /**
-     * Records a run. Runs of services and of implausible length are ignored, and so are those of a machine that is slow
-     * while most others aren't.
+     * Records a run. Runs of services and negative or undefined durations are ignored. The intervals also ignore
+     * completed runs on a machine that is slow while most others aren't.
      *
      * @param ranS seconds that the task ran
-     * @param cutShort whether the task was stopped, failed or lost after that time, instead of completing
+     * @param cutShort whether the task was stopped, failed or lost after that time instead of completing
      */
     public void observe(JobSpec spec, String machine, double ranS, boolean cutShort) {
         if (!(ranS >= 0) || spec.service()) {
-            return; // the clock jumped, or the task has no end of its own
+            return; // the clock jumped, or the task is a service and never completes
         }
         if (!cutShort) {
             ownerEstimateCorrection.taskCompleted(spec, ranS);
@@ -124,7 +130,9 @@
         updatedKinds.addAll(groups.subList(0, OWN_KIND_GROUPS));
     }
 
-    /** Whether most machines aren't slow: if all are, the kind has changed and no machine is to blame. */
+    /**
+     * Whether most machines aren't slow. If most are, the tasks' run times have changed and the machine isn't at fault.
+     */
     private boolean areMostOthersNormal(String machine) {
         int normalMachines = 0;
         for (Map.Entry<String, Integer> slowRuns : slowRunsByMachine.entrySet()) {
@@ -133,7 +141,7 @@
         return normalMachines * 2 > slowRunsByMachine.size();
     }
 
-    /** Predicts how many seconds such a task takes in all, given that it has run for {@code ranS} seconds already. */
+    /** Predicts the total run time of a task that has been running for {@code ranS} seconds. */
     public PredictionInterval interval(JobSpec spec, double ranS) {
         return interval(spec, groups(spec), ranS);
     }
@@ -153,7 +161,12 @@
         double elapsedS = Math.max(0, ranS);
         if (best == null) {
             double guess = Math.max(Math.max(1, estimateS(spec)), elapsedS);
-            return new PredictionInterval(guess / 4, guess, guess * 8, 0, "no history: the owner's estimate");
+            return new PredictionInterval(
+                    guess / NO_HISTORY_P10_DIVISOR,
+                    guess,
+                    guess * NO_HISTORY_P90_FACTOR,
+                    0,
+                    "no history: the owner's estimate");
         }
         SurvivalCurve curve = best.survivalCurve(estimateS(spec));
         PredictionInterval interval = new PredictionInterval(
@@ -173,16 +186,16 @@
                 isOwnKind ? from : "borrowed from " + from);
     }
 
-    /** A source of random run times for one kind of task; the same seed gives the same draws. */
+    /** Returns a sampler of random run times of tasks with that description. */
     Sampler sampler(JobSpec spec) {
         return new Sampler(spec);
     }
 
-    /** Draws random run times of a kind of task. */
+    /** Draws random run times of tasks with one description; equally seeded generators give the same draws. */
     final class Sampler {
         private static final int QUANTILES = 33;
 
-        /** Run times of a task that hasn't started, at evenly spaced quantiles. */
+        /** Evenly spaced quantiles of the run time of a task that hasn't started. */
         private final double[] quantiles = new double[QUANTILES];
 
         private final JobSpec spec;
@@ -201,7 +214,7 @@
             return interval;
         }
 
-        /** Draws the seconds that a task takes in all, given that it has run for {@code ranS} seconds already. */
+        /** Draws the total run time in seconds of a task that has been running for {@code ranS} seconds. */
         double draw(UniformRandomProvider random, double ranS) {
             if (ranS <= 0) {
                 return quantiles[random.nextInt(quantiles.length)];
@@ -209,9 +222,7 @@
             return Math.max(ranS, quantile(Estimates.this.interval(spec, ranS), random.nextDouble()));
         }
 
-        /**
-         * Interpolates the logarithms of the three known quantiles linearly, and extrapolates beyond the outer ones.
-         */
+        /** Interpolates linearly between the logarithms of the three known quantiles, and extrapolates beyond them. */
         private static double quantile(PredictionInterval interval, double share) {
             double low = Math.log(Math.max(1e-3, interval.p10()));
             double middle = Math.log(Math.max(1e-3, interval.p50()));
@@ -223,17 +234,21 @@
         }
     }
 
-    // ---- records ----
+    // ---- storage ----
 
     /**
-     * The observed runs of one kind, as they are stored.
+     * The observed runs of one group, as they are stored.
      *
-     * @param observedRuns all runs ever observed, those included that were dropped
+     * @param kind the group's name, one of those that {@link #takeUpdatedKinds} returns
+     * @param observedRuns the number of runs ever observed, including dropped ones
      * @param runs the newest runs, oldest first, each as {@link RunHistory} encodes it
      */
     public record Snapshot(String kind, long observedRuns, short[][] runs) {}
 
-    /** Returns the kinds whose runs changed since the last call, in the order in which they first did. */
+    /**
+     * Returns the kinds, with and without size, whose runs changed since the last call, in the order of their first
+     * change.
+     */
     public List<String> takeUpdatedKinds() {
         List<String> taken = new ArrayList<>(updatedKinds);
         updatedKinds.clear();
@@ -241,7 +256,7 @@
     }
 
     /**
-     * The newest runs of a kind, for storing.
+     * The newest runs of a kind, to be stored.
      *
      * @return null if the kind was dropped
      */
@@ -250,13 +265,14 @@
         return history == null ? null : new Snapshot(kind, history.observedRuns(), history.newest(maxRuns));
     }
 
-    /** Adds the stored runs of an earlier leader, to the kind and to the wider groups that contain it. */
+    /** Adds the stored runs of an earlier leader to the kind and to the wider groups that contain it. */
     public void restore(Snapshot snapshot) {
         historyByGroup
                 .computeIfAbsent(snapshot.kind(), k -> new RunHistory())
                 .restore(snapshot.runs(), snapshot.observedRuns());
         int slash = snapshot.kind().indexOf('/');
-        // The wider groups are restored from class and team only: each run stands in these once.
+        // Only the group of class and team is added to the wider groups: adding its groups by size too would count each
+        // run twice.
         if (slash > 0 && snapshot.kind().indexOf('/', slash + 1) < 0) {
             for (String wider : List.of(snapshot.kind().substring(slash), "")) {
                 historyByGroup
@@ -266,7 +282,7 @@
         }
     }
 
-    /** The number of kinds with observed runs. */
+    /** The number of groups with observed runs. */
     public int kindCount() {
         return historyByGroup.size();
     }
--- a/src/main/java/org/hollypick/core/estimate/OwnerEstimateCorrection.java
+++ b/src/main/java/org/hollypick/core/estimate/OwnerEstimateCorrection.java
@@ -6,13 +6,13 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * The ratio of the mean run time of completed tasks to the mean of their owners' estimates, by job class. Scaling out
- * reckons with it. Confined to the event loop.
+ * Corrects owners' estimates of run times by the ratio of the mean run time of completed tasks to the mean of their
+ * estimates, by job class. Scale-out decisions use the corrected estimate. Confined to the event loop.
  */
 final class OwnerEstimateCorrection {
     private final Map<String, Ratio> ratios = new HashMap<>();
 
-    /** The owner's estimate in seconds, corrected by the ratio of its class. */
+    /** The owner's estimate in seconds, corrected by the ratio of the task's class. */
     double expectedS(JobSpec spec) {
         Ratio ratio = ratios.get(spec.jobClass());
         return estimateS(spec) * (ratio == null ? 1 : ratio.meanRanS / ratio.meanEstimateS);
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Exponential moving averages of run times and of estimates, kept apart: a mean of ratios would give the tasks that
-     * were estimated too low too much weight.
+     * Separate exponential moving averages of run times and of estimates. A mean of the tasks' ratios would give too
+     * much weight to tasks that were estimated too low.
      */
     private static final class Ratio {
         private double meanRanS;
--- a/src/main/java/org/hollypick/core/estimate/PredictionEvaluation.java
+++ b/src/main/java/org/hollypick/core/estimate/PredictionEvaluation.java
@@ -8,10 +8,11 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * Evaluates the predictions of {@link Estimates} on recorded runs: predicts each run before it is observed, and scores
- * the prediction beside three simple ones. One instance serves one evaluation; confined to one thread.
+ * Evaluates the predictions of {@link Estimates} on recorded runs: predicts each run before it is observed, and
+ * compares the prediction with three simple baselines. One instance serves one evaluation; confined to one thread.
  */
 public final class PredictionEvaluation {
+    /** Lower bound of durations that are divisors. */
     private static final double MIN_SECONDS = 1e-3;
 
     /**
@@ -19,18 +20,18 @@
      *
      * @param task the task's description
      * @param machine the id of the machine
-     * @param ranS seconds that it ran
-     * @param cutShort whether it was stopped, lost or failed after that time
+     * @param ranS seconds that the task ran
+     * @param cutShort whether the task was stopped, lost or failed after that time instead of completing
      */
     public record Run(JobSpec task, String machine, double ranS, boolean cutShort) {}
 
     /**
-     * The median relative errors of four predictions, as shares of the run time.
+     * The median errors of four predictions, relative to the actual run time.
      *
-     * @param estimate of {@link Estimates}
-     * @param ownerEstimate of the owner's estimate
-     * @param runningMean of the mean of the earlier runs of the kind
-     * @param lastRun of the last run of the kind
+     * @param estimate error of {@link Estimates}
+     * @param ownerEstimate error of the owner's estimate
+     * @param runningMean error of the mean of the earlier runs of the kind
+     * @param lastRun error of the last run of the kind
      */
     public record MedianErrors(double estimate, double ownerEstimate, double runningMean, double lastRun) {}
 
@@ -49,12 +50,12 @@
             return runs;
         }
 
-        /** The share of runs within the interval from 10 to 90 %; NaN without runs. */
+        /** The share of runs within the predicted interval of the 10 % to 90 % quantiles; NaN without runs. */
         public double coverage() {
             return runs == 0 ? Double.NaN : coveredRuns / (double) runs;
         }
 
-        /** The median ratio of the upper end of the interval to the lower one. */
+        /** The median ratio of the upper bound of the interval to its lower bound; NaN without runs. */
         public double medianWidth() {
             return median(widths);
         }
@@ -74,7 +75,7 @@
         }
     }
 
-    /** The earlier completed runs of one kind, for the simple predictions. */
+    /** Statistics of the earlier completed runs of one kind, for the baselines. */
     private static final class EarlierRuns {
         private double totalS;
         private int count;
@@ -92,8 +93,9 @@
     private final Map<String, Score> scores = new TreeMap<>();
 
     /**
-     * Evaluates runs in the order of their ends. Returns the scores of all runs ({@code all}), by size of the history
-     * ({@code n=0}, {@code n=1-4}, {@code n=5-19}, {@code n>=20}) and by job class ({@code kind ...}).
+     * Evaluates runs, which must be in the order in which they ended. Returns the scores of all runs ({@code all}), by
+     * number of runs in the history ({@code n=0}, {@code n=1-4}, {@code n=5-19}, {@code n>=20}) and by job class
+     * ({@code kind ...}).
      */
     public Map<String, Score> evaluate(List<Run> runs) {
         for (Run run : runs) {
--- a/src/main/java/org/hollypick/core/estimate/RemainingWork.java
+++ b/src/main/java/org/hollypick/core/estimate/RemainingWork.java
@@ -9,11 +9,11 @@
 import org.hollypick.core.assignment.Assignment;
 
 /**
- * What is left of a job, by task descriptions: tasks that are simulated one by one, and core-seconds for those beyond
- * {@link #MAX_SIMULATED_TASKS} and those that wait for other tasks of the job.
+ * The remaining work of a job: tasks that are simulated one by one, and the expected core-seconds of the tasks beyond
+ * {@link #MAX_SIMULATED_TASKS} and of those that wait for other tasks of the job.
  */
 final class RemainingWork {
-    /** Pending tasks of one description that are simulated one by one; the sum of the others stands for them. */
+    /** Maximum number of pending tasks of one description that are simulated one by one; the others are summed up. */
     private static final int MAX_SIMULATED_TASKS = 1_500;
 
     private final Estimates estimates;
@@ -47,7 +47,7 @@
                 * sampler.interval().p50();
     }
 
-    /** The sampler of run times of tasks with that description; the same one on each call. */
+    /** The sampler of run times of tasks with that description; each call returns the same one. */
     Estimates.Sampler sampler(JobSpec spec) {
         return samplers.computeIfAbsent(spec, estimates::sampler);
     }
@@ -57,7 +57,7 @@
         return pendingTasks;
     }
 
-    /** Attempts that may exist on a machine. */
+    /** The attempts that may exist on a machine. */
     List<Assignment> assignments() {
         return assignments;
     }
@@ -67,7 +67,7 @@
         return nextSpec;
     }
 
-    /** Core-seconds of the tasks that aren't simulated one by one. */
+    /** The expected core-seconds of the tasks that aren't simulated one by one. */
     double aggregatedCoreSeconds() {
         return aggregatedCoreSeconds;
     }
--- a/src/main/java/org/hollypick/core/estimate/RunHistory.java
+++ b/src/main/java/org/hollypick/core/estimate/RunHistory.java
@@ -3,34 +3,37 @@
 import java.util.Arrays;
 
 /**
- * The last runs of one kind of task, with a mark on those that were cut short. Durations are stored as logarithms in
- * steps of 2 %, so that a run takes five bytes. Whatever durations are added, only finite, positive ones come out.
- * Confined to the event loop.
+ * The most recent runs of one group of tasks, with a flag for those that were cut short. Durations are stored as
+ * logarithms in steps of 2 %, so that a run takes five bytes. Durations are clamped, so that the stored ones are always
+ * finite and positive. Confined to the event loop.
  */
 public final class RunHistory {
-    /** Runs that are stored at most; the oldest is dropped first. */
+    /** Maximum number of stored runs; the oldest is dropped first. */
     static final int MAX_RUNS = 128;
-    /** The natural logarithm of the ratio of two neighbouring steps. */
+    /** Natural logarithm of the ratio of two neighbouring steps. */
     private static final double LOG_STEP = 0.02;
 
-    /** Shorter runs count as this long. */
+    /** Shorter durations are stored as this one. */
     private static final double MIN_SECONDS = 0.01;
 
-    /** Longer runs count as this long. */
+    /** Longer durations are stored as this one. */
     private static final double MAX_SECONDS = 1e7;
 
-    /** Completed runs in a row that show that the kind has changed. */
+    /** Number of newest completed runs that are compared with the older ones to detect a change of run times. */
     private static final int CHANGE_DETECTION_RUNS = 6;
 
-    /** Factor by which their median has to differ from that of the older runs. */
+    /** Minimum ratio between the medians of the newest and the older runs, or its inverse, that counts as a change. */
     private static final double CHANGE_DETECTION_RATIO = 3;
 
-    /** Older runs that such a comparison needs. */
+    /** Minimum number of older completed runs for this comparison. */
     private static final int MIN_OLDER_RUNS = 12;
 
-    /** Durations, in steps. */
+    /** Minimum number of completed runs for comparing the spread of durations with that of ratios. */
+    private static final int MIN_RUNS_FOR_SPREAD = 4;
+
+    /** Durations in steps. */
     private final short[] times = new short[MAX_RUNS];
-    /** Ratios to the owner's estimate, in the same steps. */
+    /** Ratios of the duration to the owner's estimate, in steps. */
     private final short[] ratios = new short[MAX_RUNS];
 
     /** Whether the run was cut short. */
@@ -39,23 +42,27 @@
     private int count;
     /** The index at which the next run is stored. */
     private int next;
-    /** Stored runs that weren't cut short. */
+    /** The number of stored runs that weren't cut short. */
     private int completed;
 
     private long observedRuns;
 
-    /** Encodes a duration or a ratio in steps. */
+    /** Encodes a duration in seconds, or a ratio, as a number of steps. */
     static short encode(double value) {
         double bounded = Double.isNaN(value) ? MIN_SECONDS : Math.min(MAX_SECONDS, Math.max(MIN_SECONDS, value));
         return (short) Math.round(Math.log(bounded) / LOG_STEP);
     }
 
-    /** Decodes what {@link #encode} encoded. */
+    /** Decodes a number of steps, the inverse of {@link #encode}. */
     static double decode(double steps) {
         return Math.exp(steps * LOG_STEP);
     }
 
-    /** Adds a run; {@code cutShort}: the task was stopped, lost or failed after that time. */
+    /**
+     * Adds a run.
+     *
+     * @param cutShort whether the task was stopped, lost or failed after that time instead of completing
+     */
     void add(double seconds, double estimateS, boolean cutShort) {
         put(encode(seconds), encode(seconds / Math.max(1, estimateS)), cutShort);
         observedRuns++;
@@ -81,7 +88,7 @@
         return Math.floorMod(next - 1 - age, MAX_RUNS);
     }
 
-    /** Drops the older runs if the newest ones are all far above or far below them: the kind has changed. */
+    /** Drops the older runs if the newest ones are all far longer or far shorter: they no longer predict new runs. */
     private void dropOutdatedRuns() {
         if (completed < MIN_OLDER_RUNS + CHANGE_DETECTION_RUNS) {
             return;
@@ -137,18 +144,21 @@
         return completed;
     }
 
-    /** The number of runs ever added, those included that were dropped. */
+    /** The number of runs ever added, including dropped ones. */
     long observedRuns() {
         return observedRuns;
     }
 
-    /** The survival curve, over seconds, of tasks that their owner estimates at {@code estimateS} seconds. */
+    /**
+     * The survival curve, in seconds, of tasks that their owner estimates at {@code estimateS} seconds. It is computed
+     * from the ratios to the estimates if these vary less than the durations.
+     */
     SurvivalCurve survivalCurve(double estimateS) {
         boolean byRatio = estimateS > 0 && spread(ratios) < spread(times);
         double scale = byRatio ? Math.max(1, estimateS) : 1;
         long[] sorted = new long[count];
         for (int i = 0; i < count; i++) {
-            // A run that was cut short sorts behind the completed runs of the same duration: it outlasted them.
+            // A run that was cut short sorts after completed runs of the same duration, since it would have run longer.
             sorted[i] = (long) (byRatio ? ratios[i] : times[i]) * 2 + (wasCutShort[i] ? 1 : 0);
         }
         Arrays.sort(sorted);
@@ -166,10 +176,10 @@
         return new SurvivalCurve(seconds, survival);
     }
 
-    /** The interquartile range of the completed runs, in steps. */
+    /** The interquartile range of the completed runs in steps; with too few runs, the ratios have the smaller one. */
     private double spread(short[] values) {
-        if (completed < 4) {
-            return values == times ? Double.MAX_VALUE : 0; // too few runs: ratios to the owner's estimate are better
+        if (completed < MIN_RUNS_FOR_SPREAD) {
+            return values == times ? Double.MAX_VALUE : 0; // with few runs, the owner's estimate predicts better
         }
         short[] sorted = new short[completed];
         int length = 0;
@@ -182,9 +192,9 @@
         return sorted[length * 3 / 4] - sorted[length / 4];
     }
 
-    // ---- records ----
+    // ---- storage ----
 
-    /** The newest runs, oldest first, each as duration and ratio in steps, and 1 if it was cut short, else 0. */
+    /** The newest runs, oldest first; each as its duration in steps, its ratio in steps, and 1 if cut short, else 0. */
     short[][] newest(int maxRuns) {
         int length = Math.min(maxRuns, count);
         short[][] runs = new short[length][];
@@ -195,7 +205,7 @@
         return runs;
     }
 
-    /** Adds the stored runs of an earlier leader; they count as older than those of this one. */
+    /** Adds the stored runs of an earlier leader as older than all runs that this leader has observed. */
     void restore(short[][] runs, long observedBefore) {
         short[][] ownRuns = newest(MAX_RUNS);
         clear();
--- a/src/main/java/org/hollypick/core/estimate/SurvivalCurve.java
+++ b/src/main/java/org/hollypick/core/estimate/SurvivalCurve.java
@@ -5,6 +5,12 @@
  * still running. Immutable.
  */
 final class SurvivalCurve {
+    /** Upper bound of the factor by which the longest known run is extrapolated. */
+    private static final double MAX_EXTRAPOLATION_FACTOR = 16;
+
+    /** Lower bound of the remaining share, which is a divisor. */
+    private static final double MIN_REMAINING_SHARE = 1e-3;
+
     private final double[] seconds;
     private final double[] survival;
 
@@ -18,7 +24,7 @@
     }
 
     /**
-     * The seconds that the share {@code share} of the runs take at most, of those that take longer than {@code ranS}.
+     * Of the runs that take longer than {@code ranS} seconds, the quantile {@code share} of their durations in seconds.
      */
     double quantile(double share, double ranS) {
         double survivalNow = survivalAt(ranS);
@@ -43,11 +49,11 @@
     }
 
     /**
-     * Extrapolates beyond the longest known run: with even odds a run takes as long again, as heavy-tailed
-     * distributions do.
+     * Extrapolates beyond the longest known run: half of the runs that reach a duration reach twice that duration, as
+     * in heavy-tailed distributions.
      */
     private static double extrapolate(double from, double share) {
-        return from * Math.min(16, 1 / Math.max(1e-3, 1 - share));
+        return from * Math.min(MAX_EXTRAPOLATION_FACTOR, 1 / Math.max(MIN_REMAINING_SHARE, 1 - share));
     }
 
     private double survivalAt(double ranS) {
--- a/src/main/java/org/hollypick/core/graph/BatchValidator.java
+++ b/src/main/java/org/hollypick/core/graph/BatchValidator.java
@@ -15,8 +15,8 @@
 import org.hollypick.config.constants.JobConstants;
 
 /**
- * Decides whether a batch of nodes may be added to a graph, and changes nothing. Without recursion, since chains may be
- * as long as the graph is large. Confined to the event loop.
+ * Decides whether a batch of nodes may be added to a graph, without changing it. Doesn't recurse, since one chain may
+ * contain every node of the graph. Confined to the event loop.
  */
 final class BatchValidator {
     private static final int NONE = NodeTable.NONE;
@@ -29,9 +29,9 @@
     private final Map<String, NodeSpec> newNodes = new HashMap<>();
 
     /**
-     * Validates one batch.
+     * Creates a validator for one batch.
      *
-     * @param parent the running node that adds it, or {@link NodeTable#NONE}
+     * @param parent the running node that adds the batch, or {@link NodeTable#NONE}
      * @param continuationId the node that the parent delegates its result to, or null
      */
     BatchValidator(NodeTable nodes, List<NodeSpec> batch, int parent, String continuationId) {
@@ -56,16 +56,16 @@
             if (known != NONE) {
                 Optional<String> difference = difference(known, spec);
                 if (difference.isPresent()) {
-                    return conflict("node " + spec.id() + " is known with another " + difference.get());
+                    return conflict("node " + spec.id() + " already exists with a different " + difference.get());
                 }
             } else if (newNodes.put(spec.id(), spec) != null) {
-                return invalid("node " + spec.id() + " stands twice in one call");
+                return invalid("node " + spec.id() + " occurs twice in one request");
             }
         }
         return Optional.empty();
     }
 
-    /** In what a repeated node differs from the one that is known under its id. */
+    /** The property in which a repeated node differs from the existing one with its id; empty if they are equal. */
     private Optional<String> difference(int known, NodeSpec spec) {
         if (!nodes.spec(known).equals(spec.task())) {
             return Optional.of("description");
@@ -80,12 +80,12 @@
                 .toArray();
         int[] recorded = nodes.dependencies(known).clone();
         Arrays.sort(recorded);
-        return Arrays.equals(repeated, recorded) ? Optional.empty() : Optional.of("set of nodes that it awaits");
+        return Arrays.equals(repeated, recorded) ? Optional.empty() : Optional.of("set of dependencies");
     }
 
     private Optional<GraphRejection> checkSize() {
         return nodes.size() + newNodes.size() > JobConstants.MAX_TASKS_PER_JOB
-                ? invalid("more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes")
+                ? invalid("the graph would have more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes")
                 : Optional.empty();
     }
 
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Removes new nodes in topological order; those that are left lie on a cycle or behind one. No cycle leads through
-     * nodes that are known already: these depend on no new one.
+     * Removes new nodes in topological order; those that are left lie on a cycle or depend on one. Nodes that exist
+     * already can't be part of a cycle, since they depend on no new node.
      */
     private Optional<GraphRejection> checkAcyclic() {
         Map<String, Integer> unmetDependencies = new HashMap<>();
@@ -138,34 +138,37 @@
         }
         return unmetDependencies.isEmpty()
                 ? Optional.empty()
-                : invalid("a cycle through "
+                : invalid("a dependency cycle through or before node "
                         + unmetDependencies.keySet().iterator().next());
     }
 
     private Optional<GraphRejection> checkContinuation() {
         if (parent == NONE) {
-            return invalid("only a running node hands on its result");
+            return invalid("a continuation without a parent node: only a running node can delegate its result");
         }
         if (!exists(continuationId)) {
-            return invalid("the continuation " + continuationId + " is unknown");
+            return invalid("the continuation " + continuationId + " doesn't exist");
         }
         int known = nodes.indexOf(continuationId);
         int recorded = nodes.continuation(parent);
         if (recorded != NONE) {
             return recorded == known
                     ? Optional.empty()
-                    : conflict("node " + nodes.id(parent) + " hands on to " + nodes.id(recorded) + " already");
+                    : conflict(
+                            "node " + nodes.id(parent) + " delegates its result to " + nodes.id(recorded) + " already");
         }
         if (known != NONE && (nodes.delegator(known) != NONE || nodes.parent(known) != parent)) {
-            return conflict("node " + continuationId
-                    + " can't be its continuation: it is no child of it, or stands for another");
+            return conflict(
+                    "node " + continuationId
+                            + " can't be the continuation: its delegator didn't add it, or it is the continuation of another node");
         }
         return dependsOnParent(continuationId)
-                ? invalid("the continuation " + continuationId + " needs " + nodes.id(parent) + ", which it stands for")
+                ? invalid("the continuation " + continuationId + " depends on " + nodes.id(parent)
+                        + ", whose result it would provide")
                 : Optional.empty();
     }
 
-    /** Whether a node depends on the parent: by its dependencies, and by what these delegated their results to. */
+    /** Whether a node depends on the parent, directly or through dependencies and their continuations. */
     private boolean dependsOnParent(String from) {
         IntArrayList knownToVisit = new IntArrayList();
         collectKnownDependencies(from, knownToVisit);
@@ -188,7 +191,7 @@
         return false;
     }
 
-    /** The known nodes that a node depends on directly or through new ones; itself, if it is known. */
+    /** Collects the existing nodes that a node depends on directly or through new ones; itself, if it exists. */
     private void collectKnownDependencies(String from, IntArrayList known) {
         Deque<String> toVisit = new ArrayDeque<>(List.of(from));
         Set<String> visited = new HashSet<>();
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -13,10 +13,10 @@
 /**
  * A directed acyclic graph of tasks that grows while it runs. A node is released once it is durable, the graph is
  * sealed, and all of its dependencies are durably done. A node that delegated its result to a continuation is done when
- * the continuation is. A node that fails or is cancelled takes with it all nodes that depend on it.
+ * the continuation is. When a node fails or is cancelled, all nodes that depend on it are cancelled.
  *
- * <p>Does no input or output, and doesn't recurse, since chains may be as long as the graph is large. Not final: tests
- * replace it by faulty ones. Confined to the event loop.
+ * <p>Performs no I/O. Doesn't recurse, since one chain may contain every node of the graph. Not final, so that tests
+ * can substitute faulty subclasses. Confined to the event loop.
  */
 public class Graph implements TaskSet {
     private static final int NONE = NodeTable.NONE;
@@ -25,15 +25,15 @@
     private final NodeTable nodes = new NodeTable();
     private final NodeReleaser releaser;
     private final Map<Integer, Integer> failureCounts = new HashMap<>();
-    /** Nodes that failed too often, and whose failure isn't recorded yet. */
+    /** Nodes that used up their retries and that the caller hasn't taken yet to terminate them. */
     private IntArrayList exhaustedNodes = new IntArrayList();
 
     private final BitSet completedTasks = new BitSet();
 
     /**
-     * An empty graph.
+     * Creates an empty graph.
      *
-     * @param retries how often a node's failed task is started again
+     * @param retries how many times a node's failed task is restarted
      * @param onRelease called with each node whose task may start from now on
      */
     public Graph(int retries, IntConsumer onRelease) {
@@ -41,30 +41,32 @@
         this.releaser = new NodeReleaser(nodes, onRelease);
     }
 
-    // ---- growth ----
+    // ---- adding nodes ----
 
     /**
-     * Whether nodes may be added. Nodes that are known already may be repeated, if they are described alike.
+     * Checks whether nodes may be added. The batch may repeat nodes of the graph with the same description, parent and
+     * dependencies.
      *
      * @param parentId the running node that adds them; null for nodes of the client
-     * @param continuationId the one among them, or among the parent's earlier children, that the parent delegates its
-     *     result to; null if there is none
+     * @param continuationId the node of the batch, or the node that the parent added earlier, to which the parent
+     *     delegates its result; null if there is none
      * @return why they may not be added; empty if they may
      */
     public Optional<GraphRejection> validate(List<NodeSpec> batch, String parentId, String continuationId) {
         int parent = parentId == null ? NONE : nodes.indexOf(parentId);
         if (parentId != null && parent == NONE) {
-            return Optional.of(GraphRejection.invalid("unknown parent " + parentId));
+            return Optional.of(GraphRejection.invalid("no such parent node: " + parentId));
         }
         return new BatchValidator(nodes, batch, parent, continuationId).validate();
     }
 
     /**
-     * Adds nodes that {@link #validate} accepts, except those that are known already. They aren't durable yet.
+     * Adds the nodes of a batch that {@link #validate} accepts, except those that the graph has already. They aren't
+     * durable yet.
      *
      * @param parentId the running node that adds them; null for nodes of the client
      * @param continuationId the node that the parent delegates its result to; null if there is none
-     * @return the new ones
+     * @return the added nodes
      */
     public List<NodeSpec> append(List<NodeSpec> batch, String parentId, String continuationId) {
         int parent = parentId == null ? NONE : nodes.indexOf(parentId);
@@ -95,17 +97,17 @@
             terminateRoots(
                     new int[] {node},
                     NodeState.CANCELLED,
-                    "its continuation " + nodes.id(continuation) + " can't be done: "
+                    "its continuation " + nodes.id(continuation) + " failed or was cancelled: "
                             + nodes.terminationReason(continuation));
         }
     }
 
-    /** The first {@code nodeCount} nodes are durable. */
+    /** Marks the first {@code nodeCount} nodes as durable and releases those that are ready. */
     public void markDurable(int nodeCount) {
         releaser.markDurable(nodeCount);
     }
 
-    /** The client has submitted all nodes of its own; from now on only running nodes add further ones. */
+    /** Marks that the client has submitted all its nodes; from now on only running nodes add further ones. */
     public void seal() {
         releaser.seal();
     }
@@ -120,7 +122,7 @@
         newlyCompleted.stream().forEach(this::taskCompleted);
     }
 
-    /** The node's own task is durably done. */
+    /** Marks the node done, or delegated if its continuation isn't done, after its own task has durably completed. */
     private void taskCompleted(int node) {
         if (isTerminal(node)) {
             return;
@@ -133,7 +135,7 @@
         }
     }
 
-    /** Marks the node done, and with it those whose results it stands for, from one to the next. */
+    /** Marks the node done and, along the chain of delegators, each one that was waiting for its continuation. */
     private void markDone(int first) {
         int node = first;
         while (node != NONE && !isTerminal(node)) {
@@ -149,16 +151,16 @@
     // ---- failure and cancellation ----
 
     /**
-     * Nodes that reached a final state together.
+     * The nodes that one failure or cancellation terminated.
      *
      * @param nodes every node whose state changed
-     * @param roots those from which the others follow
+     * @param roots the node that was terminated and its unfinished continuations; the other nodes follow from these
      */
     public record Termination(int[] nodes, int[] roots) {}
 
     /**
-     * Fails or cancels a node and the chain of its continuations, and cancels all nodes that depend on one of them or
-     * delegated their result to it.
+     * Fails or cancels a node, and cancels its chain of continuations and all nodes that depend on one of these or
+     * delegated their result to one.
      */
     public Termination terminate(int node, NodeState state, String reason) {
         IntArrayList open = new IntArrayList();
@@ -172,9 +174,10 @@
     }
 
     /**
-     * Does the same for nodes that were determined as roots already, as when a log is replayed.
+     * Terminates the given roots and cancels all nodes that follow from them. Called directly where the roots are
+     * known, as when a log is replayed.
      *
-     * @param roots the first gets {@code state}; the others, its continuations, are cancelled
+     * @param roots the first enters {@code state}; the others, its continuations, are cancelled
      * @return every node whose state changed
      */
     public int[] terminateRoots(int[] roots, NodeState state, String reason) {
@@ -187,7 +190,7 @@
             if (i == 0) {
                 terminate(roots[i], state, reason, terminated, affected);
             } else {
-                String inherited = "its result stood for " + nodes.id(roots[0]) + ": " + reason;
+                String inherited = "its result was delegated from " + nodes.id(roots[0]) + ": " + reason;
                 terminate(roots[i], NodeState.CANCELLED, inherited, terminated, affected);
             }
         }
@@ -224,7 +227,7 @@
         return taken;
     }
 
-    // ---- what the scheduler asks ----
+    // ---- queries of the scheduler ----
 
     @Override
     public int count() {
@@ -264,14 +267,14 @@
         return nodes.count(NodeState.DONE) == nodes.size();
     }
 
-    // ---- queries ----
+    // ---- other queries ----
 
     /** Whether the client has submitted all nodes of its own. */
     public boolean isSealed() {
         return releaser.isSealed();
     }
 
-    /** How many nodes are durable: always the first ones. */
+    /** The number of durable nodes; these are always the ones with the lowest indexes. */
     public int durableNodes() {
         return releaser.durableNodes();
     }
@@ -281,7 +284,7 @@
         return nodes.indexOf(id);
     }
 
-    /** Whether the graph has a node of that id, durable or not. */
+    /** Whether the graph has a node with that id, durable or not. */
     public boolean contains(String id) {
         return indexOf(id) != NONE;
     }
@@ -301,22 +304,22 @@
         return nodes.state(node).isTerminal();
     }
 
-    /** How many nodes are in that state. */
+    /** The number of nodes in that state. */
     public int count(NodeState state) {
         return nodes.count(state);
     }
 
-    /** Why the node failed or was cancelled; empty if it wasn't. */
+    /** Why the node failed or was cancelled; empty if it did neither. */
     public String terminationReason(int node) {
         return nodes.terminationReason(node);
     }
 
-    /** Indexes of the nodes that this one depends on, each once. */
+    /** The distinct indexes of the nodes that this one depends on. */
     public int[] dependencies(int node) {
         return nodes.dependencies(node);
     }
 
-    /** The different task descriptions in the order in which they came. */
+    /** The distinct task descriptions in the order in which they were first added. */
     public List<JobSpec> specs() {
         return nodes.specs();
     }
@@ -331,7 +334,7 @@
         return nodes.continuation(node) != NONE;
     }
 
-    /** The node whose result stands for this one's: itself, or the last in the chain of its continuations. */
+    /** The node that provides this one's result: itself, or the last in its chain of continuations. */
     public int resultNode(int node) {
         int last = node;
         while (nodes.continuation(last) != NONE) {
--- a/src/main/java/org/hollypick/core/graph/GraphRejection.java
+++ b/src/main/java/org/hollypick/core/graph/GraphRejection.java
@@ -3,15 +3,15 @@
 /**
  * Why a request about a graph is rejected.
  *
- * @param reason decides which status the users' protocol answers with
- * @param message for the user
+ * @param reason determines the status code of the response to the user
+ * @param message the explanation for the user
  */
 public record GraphRejection(Reason reason, String message) {
     /** Kinds of rejection. */
     public enum Reason {
         /** The request can never be accepted. */
         INVALID,
-        /** The request contradicts what is known already, or comes too late. */
+        /** The request contradicts the graph's recorded state, or comes too late. */
         CONFLICT,
         /** The graph or node doesn't exist. */
         NOT_FOUND,
@@ -24,7 +24,7 @@
         return new GraphRejection(Reason.INVALID, message);
     }
 
-    /** A request that contradicts what is known already, or comes too late. */
+    /** A request that contradicts the graph's recorded state, or comes too late. */
     public static GraphRejection conflict(String message) {
         return new GraphRejection(Reason.CONFLICT, message);
     }
--- a/src/main/java/org/hollypick/core/graph/NodeReleaser.java
+++ b/src/main/java/org/hollypick/core/graph/NodeReleaser.java
@@ -3,8 +3,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * Releases nodes whose tasks may start: those that are durable in a sealed graph and have no dependency left that isn't
- * done. Confined to the event loop.
+ * Releases nodes whose tasks may start: those that are durable, belong to a sealed graph and have no unmet dependency.
+ * Confined to the event loop.
  */
 final class NodeReleaser {
     private final NodeTable nodes;
@@ -12,7 +12,7 @@
     private int durableNodes;
     private boolean sealed;
 
-    /** Calls {@code onRelease} once with each node that becomes ready. */
+    /** Creates a releaser that calls {@code onRelease} once for each node that becomes ready. */
     NodeReleaser(NodeTable nodes, IntConsumer onRelease) {
         this.nodes = nodes;
         this.onRelease = onRelease;
@@ -26,7 +26,7 @@
         return sealed;
     }
 
-    /** The first {@code nodeCount} nodes are durable. */
+    /** Marks the first {@code nodeCount} nodes as durable and releases those that are ready. */
     void markDurable(int nodeCount) {
         int from = durableNodes;
         durableNodes = Math.max(durableNodes, nodeCount);
@@ -35,7 +35,7 @@
         }
     }
 
-    /** The client has submitted all nodes of its own. */
+    /** Marks that the client has submitted all its nodes, and releases the nodes that are ready. */
     void seal() {
         sealed = true;
         for (int node = 0; node < durableNodes; node++) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** One of the node's dependencies is done. */
+    /** Records that one of the node's dependencies is done, and releases the node if it is ready. */
     void dependencyMet(int node) {
         nodes.dependencyMet(node);
         releaseIfReady(node);
--- a/src/main/java/org/hollypick/core/graph/NodeSpec.java
+++ b/src/main/java/org/hollypick/core/graph/NodeSpec.java
@@ -7,7 +7,7 @@
  * A node as a client describes it.
  *
  * @param id unique in its graph
- * @param task what the node's task takes and where it may run
- * @param dependencies ids of the nodes that have to be done before this one starts
+ * @param task what the node's task requires and where it may run
+ * @param dependencies ids of the nodes that must be done before this one starts
  */
 public record NodeSpec(String id, JobSpec task, List<String> dependencies) {}
--- a/src/main/java/org/hollypick/core/graph/NodeState.java
+++ b/src/main/java/org/hollypick/core/graph/NodeState.java
@@ -2,9 +2,9 @@
 
 /** State of a node in its graph. */
 public enum NodeState {
-    /** Not released: a dependency isn't done, the node isn't durable, or the graph isn't sealed. */
+    /** Not released yet: a dependency isn't done, the node isn't durable, or the graph isn't sealed. */
     WAITING,
-    /** Released: its task may start, or runs. */
+    /** Released: its task may start or is running. */
     READY,
     /** Its own task is done; the node is done once its continuation is. */
     DELEGATED,
@@ -12,7 +12,7 @@
     DONE,
     /** Its task failed more often than the graph allows retries. */
     FAILED,
-    /** Cancelled by its user, or because a node that it depends on failed or was cancelled. */
+    /** Cancelled by a user, or because a dependency, its continuation or its delegator failed or was cancelled. */
     CANCELLED;
 
     /** Whether the state is final. */
--- a/src/main/java/org/hollypick/core/graph/NodeTable.java
+++ b/src/main/java/org/hollypick/core/graph/NodeTable.java
@@ -10,12 +10,12 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * The nodes of one graph and their edges. A node is known by its index: nodes are numbered as they are added, and none
- * is ever removed. Kept as one array per property, since a graph may have a hundred thousand nodes. Confined to the
- * event loop.
+ * The nodes of one graph and their edges. A node is identified by its index: nodes are numbered in the order in which
+ * they are added, and none is ever removed. Stored as one array per property, since a graph may have a hundred thousand
+ * nodes. Confined to the event loop.
  */
 final class NodeTable {
-    /** Stands for a node that doesn't exist. */
+    /** The index that means "no node". */
     static final int NONE = -1;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -23,7 +23,7 @@
 
     private final List<String> ids = new ArrayList<>();
     private final Object2IntOpenHashMap<String> indexById = new Object2IntOpenHashMap<>();
-    /** Different descriptions in the order in which they came; nodes with equal ones share one. */
+    /** Distinct task descriptions in the order in which they were first added; nodes with equal ones share one. */
     private final List<JobSpec> specs = new ArrayList<>();
 
     private final Map<JobSpec, Integer> indexBySpec = new HashMap<>();
@@ -31,7 +31,7 @@
     private NodeState[] states = new NodeState[INITIAL_CAPACITY];
     private int[] unmetDependencies = new int[INITIAL_CAPACITY];
     private int[] parents = new int[INITIAL_CAPACITY];
-    /** The node whose result stands for this node's. */
+    /** The node to which each node delegated its result, or {@link #NONE}. */
     private int[] continuations = new int[INITIAL_CAPACITY];
     /** The inverse of {@link #continuations}. */
     private int[] delegators = new int[INITIAL_CAPACITY];
@@ -102,16 +102,16 @@
         return delegators[node];
     }
 
-    /** Why the node failed or was cancelled; empty if it wasn't. */
+    /** Why the node failed or was cancelled; empty if it did neither. */
     String terminationReason(int node) {
         return terminationReasons.getOrDefault(node, "");
     }
 
     /**
-     * Adds the nodes whose ids are new, waiting and in the batch's order.
+     * Adds the nodes whose ids are new, in the batch's order and in state {@link NodeState#WAITING}.
      *
      * @param parent the node whose task adds them, or {@link #NONE}
-     * @return the new ones
+     * @return the added nodes
      */
     List<NodeSpec> append(List<NodeSpec> batch, int parent) {
         List<NodeSpec> added = new ArrayList<>();
@@ -186,18 +186,18 @@
         states[node] = state;
     }
 
-    /** Gives the node a final state other than done. */
+    /** Sets a final state other than {@link NodeState#DONE}, and the reason for it. */
     void terminate(int node, NodeState state, String reason) {
         setState(node, state);
         terminationReasons.put(node, reason);
     }
 
-    /** One of the node's dependencies is done. */
+    /** Records that one of the node's dependencies is done. */
     void dependencyMet(int node) {
         unmetDependencies[node]--;
     }
 
-    /** The nodes that wait for this one, which has reached a final state; they are forgotten here. */
+    /** Returns the nodes that depend on this one, which has reached a final state, and drops the edges to them. */
     int[] removeDependents(int node) {
         IntArrayList removed = dependents[node];
         dependents[node] = null;
