--- a/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimateBenchmark.java
@@ -25,7 +25,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What learning and asking cost at 1,000 machines and 500 live jobs; not in CI, see CONTRIBUTING.md. */
+/**
+ * Costs of observing runs and of predictions with 1,000 machines and 500 live jobs. Not run in CI, see CONTRIBUTING.md.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -83,7 +85,7 @@
         scheduler.runSchedulingCycle(1_000);
     }
 
-    /** A task's end. */
+    /** Records the run of one task. */
     @Benchmark
     public void observe() {
         scheduler
@@ -100,7 +102,7 @@
         return scheduler.estimates().interval(spec, 10);
     }
 
-    /** A question of a user. */
+    /** Answers one query for the completion time of a job. */
     @Benchmark
     public CompletionEstimate.Answer estimateCompletion() {
         return new CompletionEstimate(scheduler, scheduler.estimates(), id -> List.of(), 10_000).of(lastJob);
--- a/src/test/java/org/hollypick/core/estimate/RecordedRuns.java
+++ b/src/test/java/org/hollypick/core/estimate/RecordedRuns.java
@@ -6,8 +6,8 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * Runs as a deployment would record them, drawn from a seed: arrays of several kinds, whose tasks end in the order of
- * their run times.
+ * Random runs drawn from a seed, as a deployment would record them: arrays of several kinds, with the tasks of each
+ * array in the order of their run times.
  */
 final class RecordedRuns {
     private final Random random;
@@ -41,18 +41,23 @@
                 Double.NaN);
     }
 
-    /** An array: run times about a median with a tail, the owner's estimate off by a factor. */
-    RecordedRuns addArray(String kind, int tasks, double medianS, double spread, double estimateOff) {
-        JobSpec task = task(kind, Math.max(1, medianS * estimateOff * Math.exp(random.nextGaussian() * 0.4)));
-        List<PredictionEvaluation.Run> some = new ArrayList<>();
+    /**
+     * Adds the runs of an array with log-normal run times; one run in twenty is cut short.
+     *
+     * @param spread the standard deviation of the logarithm of the run time
+     * @param estimateFactor the median ratio of the owner's estimate to {@code medianS}
+     */
+    RecordedRuns addArray(String kind, int tasks, double medianS, double spread, double estimateFactor) {
+        JobSpec task = task(kind, Math.max(1, medianS * estimateFactor * Math.exp(random.nextGaussian() * 0.4)));
+        List<PredictionEvaluation.Run> arrayRuns = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
-            double ran = medianS * Math.exp(random.nextGaussian() * spread) * (0.9 + random.nextDouble() * 0.2);
-            boolean cut = random.nextInt(20) == 0;
-            some.add(new PredictionEvaluation.Run(
-                    task, "m-" + random.nextInt(30), cut ? ran * random.nextDouble() : ran, cut));
+            double ranS = medianS * Math.exp(random.nextGaussian() * spread) * (0.9 + random.nextDouble() * 0.2);
+            boolean cutShort = random.nextInt(20) == 0;
+            arrayRuns.add(new PredictionEvaluation.Run(
+                    task, "m-" + random.nextInt(30), cutShort ? ranS * random.nextDouble() : ranS, cutShort));
         }
-        some.sort((a, b) -> Double.compare(a.ranS(), b.ranS()));
-        runs.addAll(some);
+        arrayRuns.sort((a, b) -> Double.compare(a.ranS(), b.ranS()));
+        runs.addAll(arrayRuns);
         return this;
     }
 
@@ -60,52 +65,52 @@
         return runs;
     }
 
-    /** Many arrays of a steady kind. */
-    static List<PredictionEvaluation.Run> steady(long seed, double estimateOff) {
-        RecordedRuns r = new RecordedRuns(seed);
+    /** Many arrays of one kind whose run times keep the same distribution. */
+    static List<PredictionEvaluation.Run> steady(long seed, double estimateFactor) {
+        RecordedRuns recorded = new RecordedRuns(seed);
         for (int i = 0; i < 60; i++) {
-            r.addArray("steady", 10 + r.random.nextInt(40), 25, 0.45, estimateOff);
+            recorded.addArray("steady", 10 + recorded.random.nextInt(40), 25, 0.45, estimateFactor);
         }
-        return r.runs;
+        return recorded.runs;
     }
 
-    /** A kind that gets slower, a quarter in all. */
+    /** A kind whose run times grow gradually, by a quarter in all. */
     static List<PredictionEvaluation.Run> gradualSlowdown(long seed) {
-        RecordedRuns r = new RecordedRuns(seed);
+        RecordedRuns recorded = new RecordedRuns(seed);
         for (int i = 0; i < 60; i++) {
-            r.addArray("drift", 20, 30 * (1 + i / 240.0), 0.4, 1);
+            recorded.addArray("drift", 20, 30 * (1 + i / 240.0), 0.4, 1);
         }
-        return r.runs;
+        return recorded.runs;
     }
 
     /** Many kinds that run a few times each. */
     static List<PredictionEvaluation.Run> fewRunsPerKind(long seed) {
-        RecordedRuns r = new RecordedRuns(seed);
+        RecordedRuns recorded = new RecordedRuns(seed);
         for (int i = 0; i < 120; i++) {
-            r.addArray("thin-" + i, 3, 10 * Math.exp(r.random.nextGaussian() * 0.5), 0.4, 1);
+            recorded.addArray("rare-" + i, 3, 10 * Math.exp(recorded.random.nextGaussian() * 0.5), 0.4, 1);
         }
-        return r.runs;
+        return recorded.runs;
     }
 
-    /** Two humps, in one array or the other; and one that alternates from task to task. */
+    /** One kind with two typical run times at random, and one that alternates between two from task to task. */
     static List<PredictionEvaluation.Run> bimodal(long seed) {
-        RecordedRuns r = new RecordedRuns(seed);
+        RecordedRuns recorded = new RecordedRuns(seed);
         for (int i = 0; i < 400; i++) {
-            r.addArray("humps", 1, r.random.nextBoolean() ? 10 : 60, 0.2, 1);
-            r.addArray("alternates", 1, i % 2 == 0 ? 5 : 40, 0.15, 1);
+            recorded.addArray("bimodal", 1, recorded.random.nextBoolean() ? 10 : 60, 0.2, 1);
+            recorded.addArray("alternates", 1, i % 2 == 0 ? 5 : 40, 0.15, 1);
         }
-        return r.runs;
+        return recorded.runs;
     }
 
-    /** Inputs grow tenfold from one array to the next; the owner's estimate doesn't follow. */
+    /** Run times grow tenfold from one array to the next, while the owner's estimate stays the same. */
     static List<PredictionEvaluation.Run> tenfoldIncrease(long seed) {
-        RecordedRuns r = new RecordedRuns(seed);
+        RecordedRuns recorded = new RecordedRuns(seed);
         for (int i = 0; i < 20; i++) {
-            r.addArray("grows", 10, 12, 0.35, 1);
+            recorded.addArray("grows", 10, 12, 0.35, 1);
         }
         for (int i = 0; i < 40; i++) {
-            r.addArray("grows", 10, 120, 0.35, 0.1);
+            recorded.addArray("grows", 10, 120, 0.35, 0.1);
         }
-        return r.runs;
+        return recorded.runs;
     }
 }
--- a/src/test/java/org/hollypick/core/graph/GraphArrayEquivalenceTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphArrayEquivalenceTest.java
@@ -23,13 +23,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A graph of n independent, equal nodes can't be told from an array of n tasks: order, starts, sizes and use of the
- * limit are the same.
+ * A graph of n independent, equal nodes is scheduled exactly like an array of n tasks: the order of starts, the
+ * machines, the attained service and the use of the team's limit are the same.
  */
 class GraphArrayEquivalenceTest {
     private static final MachineType MACHINE_TYPE = new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a", "b"));
 
-    /** One stretch of scheduling, everything in it drawn from a seed; what is decided is written down. */
+    /** A simulated run of the scheduler with random events drawn from a seed, which records the decisions. */
     private static final class SchedulingRun {
         private final Random random;
         private final boolean asGraph;
@@ -52,13 +52,13 @@
         private void addRandomJob(int number) {
             int tasks = 1 + random.nextInt(12);
             boolean drawnAsGraph = random.nextInt(2) == 0;
-            JobSpec.Priority rank = JobSpec.Priority.values()[1 + random.nextInt(3)];
-            JobSpec one = new JobSpec(
+            JobSpec.Priority priority = JobSpec.Priority.values()[1 + random.nextInt(3)];
+            JobSpec taskSpec = new JobSpec(
                     "req-" + number,
                     "c",
                     "team",
                     false,
-                    rank,
+                    priority,
                     1,
                     1 + random.nextInt(3),
                     0,
@@ -76,40 +76,40 @@
                     Double.NaN);
             if (asGraph && drawnAsGraph) {
                 Job[] job = {null};
-                // an array's tasks are tried again for ever
-                Graph g = new Graph(Integer.MAX_VALUE, i -> scheduler.releaseTask(job[0], i));
-                job[0] = scheduler.addJob(one, g, number, 5);
+                // An array's tasks are retried without limit.
+                Graph graph = new Graph(Integer.MAX_VALUE, i -> scheduler.releaseTask(job[0], i));
+                job[0] = scheduler.addJob(taskSpec, graph, number, 5);
                 List<NodeSpec> nodes = new ArrayList<>();
                 for (int i = 0; i < tasks; i++) {
-                    nodes.add(new NodeSpec("n" + i, one, List.of()));
+                    nodes.add(new NodeSpec("n" + i, taskSpec, List.of()));
                 }
-                g.append(nodes, null, null);
-                g.markDurable(tasks);
-                g.seal();
+                graph.append(nodes, null, null);
+                graph.markDurable(tasks);
+                graph.seal();
                 jobs.add(job[0]);
             } else {
-                JobSpec all = new JobSpec(
-                        one.id(),
-                        one.jobClass(),
-                        one.team(),
+                JobSpec arraySpec = new JobSpec(
+                        taskSpec.id(),
+                        taskSpec.jobClass(),
+                        taskSpec.team(),
                         false,
-                        rank,
+                        priority,
                         tasks,
-                        one.cpus(),
+                        taskSpec.cpus(),
                         0,
                         1,
                         null,
-                        one.zone(),
+                        taskSpec.zone(),
                         false,
                         false,
-                        one.spotAllowed(),
-                        one.image(),
+                        taskSpec.spotAllowed(),
+                        taskSpec.image(),
                         1,
                         10,
                         0,
                         0,
                         Double.NaN);
-                jobs.add(scheduler.addJob(all, number, 5));
+                jobs.add(scheduler.addJob(arraySpec, number, 5));
             }
         }
 
@@ -145,24 +145,24 @@
                             nowMillis);
         }
 
-        /** Every machine reports; tasks run, end, fail. */
+        /** Sends a heartbeat from every machine, in which tasks start to run, complete or fail at random. */
         private void sendHeartbeats() {
             for (Machine machine : List.copyOf(scheduler.machines())) {
                 List<TaskStatus> tasks = new ArrayList<>();
                 for (Assignment assignment : List.copyOf(machine.assignments.values())) {
-                    int what = random.nextInt(10);
+                    int outcome = random.nextInt(10);
                     if (assignment.stopRequested() && assignment.mayExist()) {
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, State.EXITED, "stopped"));
-                    } else if (assignment.state() == State.RUNNING && what < 4) {
+                    } else if (assignment.state() == State.RUNNING && outcome < 4) {
                         tasks.add(new TaskStatus(
-                                assignment.taskId, assignment.attempt, State.EXITED, what == 0 ? "error" : "done"));
+                                assignment.taskId, assignment.attempt, State.EXITED, outcome == 0 ? "error" : "done"));
                     } else if (assignment.mayExist()) {
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, ""));
                     }
                 }
                 sendHeartbeat(machine, tasks);
             }
-            for (Job job : jobs) { // what is done becomes durable
+            for (Job job : jobs) {
                 job.markCompletionsDurable();
                 scheduler.assignments().completionsCommitted(job);
             }
@@ -198,7 +198,7 @@
                     }
                     trace.add(step + " " + machine.id + " uses " + machine.usedCpus());
                 }
-                trace.add(step + " sizes " + new TreeMap<>(scheduler.attainedService()));
+                trace.add(step + " attained service " + new TreeMap<>(scheduler.attainedService()));
                 sendHeartbeats();
             }
             return trace;
@@ -215,8 +215,8 @@
                 assertEquals(array.get(i), graph.get(i), "seed " + seed + " at " + i);
             }
             assertEquals(array.size(), graph.size());
-            starts += (int) array.stream().filter(t -> t.contains(" on ")).count();
+            starts += (int) array.stream().filter(line -> line.contains(" on ")).count();
         }
-        assertTrue(starts > 300 * 20, "the stretches did little: " + starts);
+        assertTrue(starts > 300 * 20, "too few task starts in all runs: " + starts);
     }
 }
--- a/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
+++ b/src/test/java/org/hollypick/core/graph/GraphBenchmark.java
@@ -31,8 +31,8 @@
 import org.openjdk.jmh.infra.BenchmarkParams;
 
 /**
- * What a node costs beside a task of an array; not in CI, see CONTRIBUTING.md. Each figure is for all nodes together:
- * divide by their number.
+ * Compares the costs of a graph's nodes with those of an array's tasks. Not run in CI, see CONTRIBUTING.md. Each result
+ * is the time for all nodes together: divide it by their number.
  */
 @org.openjdk.jmh.annotations.State(Scope.Thread)
 @BenchmarkMode(Mode.SingleShotTime)
@@ -43,6 +43,7 @@
 public class GraphBenchmark {
     private static final MachineType MACHINE_TYPE =
             new MachineType("t", 1_000, 0, 100_000, 50, 1, 1, 0.4, 30, Set.of("a"));
+    private static final int CHAIN_LENGTH = 50;
     private static final Settings SETTINGS = new SettingsBuilder().build();
 
     @Param({"1000", "10000", "100000"})
@@ -78,24 +79,26 @@
                 Double.NaN);
     }
 
-    /** {@code chain}: every so many nodes a new chain begins; 1: all are independent. */
-    private List<NodeSpec> newNodeSpecs(int chain) {
-        JobSpec one = spec(1);
-        List<NodeSpec> list = new ArrayList<>();
+    /** Creates nodes in chains of {@code chainLength}; with 1, all nodes are independent. */
+    private List<NodeSpec> newNodeSpecs(int chainLength) {
+        JobSpec taskSpec = spec(1);
+        List<NodeSpec> specs = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            list.add(new NodeSpec("n" + i, one, i % chain == 0 ? List.of() : List.of("n" + (i - 1))));
+            specs.add(new NodeSpec("n" + i, taskSpec, i % chainLength == 0 ? List.of() : List.of("n" + (i - 1))));
         }
-        return list;
+        return specs;
     }
 
-    /** Only what the benchmark needs: the others' worlds would be its collector's work. */
+    /**
+     * Creates only the state that the benchmark needs, since other objects would add to the garbage collector's work.
+     */
     @Setup(Level.Invocation)
     public void prepare(BenchmarkParams params) {
         switch (params.getBenchmark().substring(params.getBenchmark().lastIndexOf('.') + 1)) {
-            case "validateAndAppend" -> nodeSpecs = newNodeSpecs(50);
+            case "validateAndAppend" -> nodeSpecs = newNodeSpecs(CHAIN_LENGTH);
             case "release" -> {
                 sealedGraph = new Graph(3, i -> {});
-                sealedGraph.append(newNodeSpecs(50), null, null);
+                sealedGraph.append(newNodeSpecs(CHAIN_LENGTH), null, null);
                 sealedGraph.markDurable(nodes);
                 sealedGraph.seal();
             }
@@ -109,53 +112,54 @@
             }
             default -> {
                 chainScheduler = newScheduler();
-                addGraph(chainScheduler, newNodeSpecs(50));
+                addGraph(chainScheduler, newNodeSpecs(CHAIN_LENGTH));
             }
         }
         System.gc();
     }
 
     private static Scheduler newScheduler() {
-        Scheduler s = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
+        Scheduler scheduler = new Scheduler(5, SETTINGS, 0.3, new WorkerLeases(SETTINGS, List.of(), 0, true));
         for (int i = 0; i < 4; i++) {
-            Machine machine = s.addMachine("m-" + i, MACHINE_TYPE, "a", true, false, 0);
+            Machine machine = scheduler.addMachine("m-" + i, MACHINE_TYPE, "a", true, false, 0);
             machine.markRegistered();
-            s.heartbeats()
+            scheduler
+                    .heartbeats()
                     .applyHeartbeat(
                             machine,
                             new Heartbeat(machine.id, "w:1", "t", "a", true, 1, 1, 5, Double.NaN, List.of()),
                             true,
                             0);
         }
-        return s;
+        return scheduler;
     }
 
-    private static void addGraph(Scheduler s, List<NodeSpec> nodes) {
+    private static void addGraph(Scheduler scheduler, List<NodeSpec> nodes) {
         Job[] job = {null};
-        Graph g = new Graph(3, i -> s.releaseTask(job[0], i));
-        job[0] = s.addJob(spec(1), g, 1, 5);
-        g.append(nodes, null, null);
-        g.markDurable(nodes.size());
-        g.seal();
+        Graph graph = new Graph(3, i -> scheduler.releaseTask(job[0], i));
+        job[0] = scheduler.addJob(spec(1), graph, 1, 5);
+        graph.append(nodes, null, null);
+        graph.markDurable(nodes.size());
+        graph.seal();
     }
 
-    /** Checked and taken in. */
+    /** Validates, appends and seals a graph. */
     @Benchmark
     public int validateAndAppend() {
-        Graph g = new Graph(3, i -> {});
-        g.validate(nodeSpecs, null, null);
-        g.append(nodeSpecs, null, null);
-        g.markDurable(nodes);
-        g.seal();
-        return g.count();
+        Graph graph = new Graph(3, i -> {});
+        graph.validate(nodeSpecs, null, null);
+        graph.append(nodeSpecs, null, null);
+        graph.markDurable(nodes);
+        graph.seal();
+        return graph.count();
     }
 
-    /** All done, one level after the other: each releases the next. */
+    /** Completes all nodes level by level; each level releases the next one. */
     @Benchmark
     public int release() {
         BitSet done = new BitSet(nodes);
-        for (int level = 0; level < 50; level++) {
-            for (int i = level; i < nodes; i += 50) {
+        for (int level = 0; level < CHAIN_LENGTH; level++) {
+            for (int i = level; i < nodes; i += CHAIN_LENGTH) {
                 done.set(i);
             }
             sealedGraph.completionsCommitted(done);
@@ -163,79 +167,83 @@
         return sealedGraph.count(NodeState.DONE);
     }
 
-    /** Placed, run, reported and recorded: every task of an array. */
+    /** Schedules an array's tasks, and processes their heartbeats and completions. */
     @Benchmark
     public int arrayTasks() {
         return run(arrayScheduler);
     }
 
-    /** The same for as many independent nodes. */
+    /** Does the same for the same number of independent nodes. */
     @Benchmark
     public int independentNodes() {
         return run(graphScheduler);
     }
 
-    /** The same for nodes in chains of fifty. */
+    /** Does the same for nodes in chains of {@link #CHAIN_LENGTH}. */
     @Benchmark
     public int chainedNodes() {
         return run(chainScheduler);
     }
 
-    private static int run(Scheduler s) {
-        Job job = s.jobs().iterator().next();
-        long now = 1_000;
-        long tick = 1;
-        int passes = 0;
+    private static int run(Scheduler scheduler) {
+        Job job = scheduler.jobs().iterator().next();
+        long nowMillis = 1_000;
+        long sequence = 1;
+        int cycles = 0;
         while (!job.isFinished()) {
-            now += 1_000;
-            passes++;
-            s.runSchedulingCycle(now);
-            for (Machine machine : s.machines()) {
+            nowMillis += 1_000;
+            cycles++;
+            scheduler.runSchedulingCycle(nowMillis);
+            for (Machine machine : scheduler.machines()) {
                 for (State state : List.of(State.RUNNING, State.EXITED)) {
                     List<TaskStatus> tasks = new ArrayList<>();
                     for (Assignment assignment : machine.assignments.values()) {
                         tasks.add(new TaskStatus(assignment.taskId, assignment.attempt, state, "done"));
                     }
-                    s.heartbeats()
+                    scheduler
+                            .heartbeats()
                             .applyHeartbeat(
                                     machine,
-                                    new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, tasks),
+                                    new Heartbeat(
+                                            machine.id, "w:1", "t", "a", true, 1, ++sequence, 5, Double.NaN, tasks),
                                     true,
-                                    now);
+                                    nowMillis);
                 }
-                s.heartbeats()
+                scheduler
+                        .heartbeats()
                         .applyHeartbeat(
                                 machine,
-                                new Heartbeat(machine.id, "w:1", "t", "a", true, 1, ++tick, 5, Double.NaN, List.of()),
+                                new Heartbeat(
+                                        machine.id, "w:1", "t", "a", true, 1, ++sequence, 5, Double.NaN, List.of()),
                                 true,
-                                now);
+                                nowMillis);
             }
             job.markCompletionsDurable();
-            s.assignments().completionsCommitted(job);
+            scheduler.assignments().completionsCommitted(job);
         }
-        return passes;
+        return cycles;
     }
 
-    /** Heap a node takes. */
+    /** Prints the heap memory per node. */
     public static void main(String[] args) {
         for (int n : new int[] {1_000, 10_000, 100_000}) {
-            GraphBenchmark b = new GraphBenchmark();
-            b.nodes = n;
-            List<NodeSpec> specs = b.newNodeSpecs(50);
+            GraphBenchmark benchmark = new GraphBenchmark();
+            benchmark.nodes = n;
+            List<NodeSpec> specs = benchmark.newNodeSpecs(CHAIN_LENGTH);
             System.gc();
             long before = usedHeapBytes();
-            Graph g = new Graph(3, i -> {});
-            g.append(specs, null, null);
-            g.markDurable(n);
-            g.seal();
+            Graph graph = new Graph(3, i -> {});
+            graph.append(specs, null, null);
+            graph.markDurable(n);
+            graph.seal();
             System.gc();
-            System.out.println(
-                    n + " nodes: " + (usedHeapBytes() - before) / n + " bytes a node, without their ids; " + g.count());
+            System.out.println(n + " nodes: " + (usedHeapBytes() - before) / n
+                    + " bytes per node, without the ids; count " + graph.count());
         }
     }
 
     private static long usedHeapBytes() {
-        Runtime vm = Runtime.getRuntime();
-        return vm.totalMemory() - vm.freeMemory();
+        Runtime runtime = Runtime.getRuntime();
+        return runtime.totalMemory() - runtime.freeMemory();
     }
 }
--- a/src/test/java/org/hollypick/core/graph/GraphTest.java
+++ b/src/test/java/org/hollypick/core/graph/GraphTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The graph against a slow, plain model that works everything out anew each time; and its log, from which a new leader
- * has to find the same.
+ * Compares the graph with a slow reference model that derives every node's state from scratch, and checks that a new
+ * leader restores the same state from the graph's log.
  */
 class GraphTest {
     private static JobSpec task(double cpus) {
@@ -52,11 +52,11 @@
                 Double.NaN);
     }
 
-    private static NodeSpec node(String id, String... awaits) {
-        return new NodeSpec(id, task(1), List.of(awaits));
+    private static NodeSpec node(String id, String... dependencies) {
+        return new NodeSpec(id, task(1), List.of(dependencies));
     }
 
-    /** The rules in their plainest form. */
+    /** The rules for the states of nodes, evaluated recursively. */
     private static final class ReferenceModel {
         private final Map<String, List<String>> dependencies = new HashMap<>();
         private final Map<String, String> continuations = new HashMap<>();
@@ -96,33 +96,34 @@
         }
     }
 
+    /** Applies random changes; then replays the log and the completed tasks into a new graph, as a new leader does. */
     @Property(tries = 400, seed = "20261201", shrinking = ShrinkingMode.OFF)
     void graphAndItsReplayedLogMatchTheReferenceModel(@ForAll long seed) throws JobCodec.InvalidException {
-        Random r = new Random(seed);
+        Random random = new Random(seed);
         ReferenceModel model = new ReferenceModel();
         Set<Integer> released = new TreeSet<>();
         Graph g = new Graph(2, released::add);
         List<GraphLogEntry> log = new ArrayList<>();
         BitSet done = new BitSet();
-        int specs = 0;
+        int loggedSpecs = 0;
         for (int step = 0; step < 60; step++) {
-            switch (r.nextInt(6)) {
+            switch (random.nextInt(6)) {
                 case 0, 1 -> {
-                    List<String> running = released.stream()
+                    List<String> ready = released.stream()
                             .map(g::id)
                             .filter(n -> model.ready(n))
                             .toList();
-                    String parent = model.sealed && !running.isEmpty() ? running.get(r.nextInt(running.size())) : null;
+                    String parent = model.sealed && !ready.isEmpty() ? ready.get(random.nextInt(ready.size())) : null;
                     if (model.sealed && parent == null) {
                         break;
                     }
-                    List<NodeSpec> batch = randomBatch(r, g, step);
-                    String next = parent != null && r.nextInt(3) == 0
-                            ? batch.get(r.nextInt(batch.size())).id()
+                    List<NodeSpec> batch = randomBatch(random, g, step);
+                    String continuation = parent != null && random.nextInt(3) == 0
+                            ? batch.get(random.nextInt(batch.size())).id()
                             : null;
-                    Optional<GraphRejection> rejection = g.validate(batch, parent, next);
-                    boolean cyclic = next != null && createsCycle(model, batch, parent, next);
-                    if (next != null && model.continuations.containsKey(parent)) {
+                    Optional<GraphRejection> rejection = g.validate(batch, parent, continuation);
+                    boolean cyclic = continuation != null && createsCycle(model, batch, parent, continuation);
+                    if (continuation != null && model.continuations.containsKey(parent)) {
                         assertTrue(rejection.isPresent());
                         break;
                     }
@@ -131,13 +132,13 @@
                         break;
                     }
                     int before = g.count();
-                    g.append(batch, parent, next);
+                    g.append(batch, parent, continuation);
                     batch.forEach(n -> model.dependencies.put(n.id(), n.dependencies()));
-                    if (next != null) {
-                        model.continuations.put(parent, next);
+                    if (continuation != null) {
+                        model.continuations.put(parent, continuation);
                     }
-                    log.add(GraphLogCodec.nodesAdded(g, before, g.count(), specs, parent, next));
-                    specs = g.specs().size();
+                    log.add(GraphLogCodec.nodesAdded(g, before, g.count(), loggedSpecs, parent, continuation));
+                    loggedSpecs = g.specs().size();
                     g.markDurable(g.count());
                 }
                 case 2 -> {
@@ -148,18 +149,18 @@
                     }
                 }
                 case 3, 4 -> {
-                    List<Integer> running =
+                    List<Integer> ready =
                             released.stream().filter(i -> model.ready(g.id(i))).toList();
-                    if (!running.isEmpty()) {
-                        int i = running.get(r.nextInt(running.size()));
+                    if (!ready.isEmpty()) {
+                        int i = ready.get(random.nextInt(ready.size()));
                         done.set(i);
                         model.completedTasks.add(g.id(i));
                         g.completionsCommitted(done);
                     }
                 }
                 default -> {
-                    if (g.count() > 0 && r.nextInt(3) == 0) {
-                        int i = r.nextInt(g.count());
+                    if (g.count() > 0 && random.nextInt(3) == 0) {
+                        int i = random.nextInt(g.count());
                         if (!model.done(g.id(i)) && !model.unsuccessful(g.id(i))) {
                             Graph.Termination termination = g.terminate(i, NodeState.CANCELLED, "asked");
                             for (int root : termination.roots()) {
@@ -172,57 +173,57 @@
             }
             assertMatches(model, g, released, "seed " + seed + " step " + step);
         }
-        // A new leader reads the log, then what is done.
-        Set<Integer> again = new TreeSet<>();
-        Graph read = new Graph(2, again::add);
+        Set<Integer> releasedAgain = new TreeSet<>();
+        Graph replayed = new Graph(2, releasedAgain::add);
         for (GraphLogEntry entry : GraphLogCodec.decodeRecord(GraphLogCodec.encodeRecord("req-1", log))) {
-            GraphLogCodec.replay(entry, read, (n, v) -> {});
+            GraphLogCodec.replay(entry, replayed, (n, v) -> {});
         }
-        read.completionsCommitted(done);
-        assertMatches(model, read, again, "seed " + seed + " read again");
+        replayed.completionsCommitted(done);
+        assertMatches(model, replayed, releasedAgain, "seed " + seed + " replayed");
     }
 
-    private static List<NodeSpec> randomBatch(Random r, Graph g, int step) {
+    private static List<NodeSpec> randomBatch(Random random, Graph graph, int step) {
         List<NodeSpec> batch = new ArrayList<>();
-        for (int i = 0; i < 1 + r.nextInt(4); i++) {
-            List<String> awaits = new ArrayList<>();
+        for (int i = 0; i < 1 + random.nextInt(4); i++) {
+            List<String> dependencies = new ArrayList<>();
             for (NodeSpec n : batch) {
-                if (r.nextInt(3) == 0) {
-                    awaits.add(n.id());
+                if (random.nextInt(3) == 0) {
+                    dependencies.add(n.id());
                 }
             }
-            for (int k = 0; k < 2 && g.count() > 0; k++) {
-                if (r.nextInt(3) == 0) {
-                    awaits.add(g.id(r.nextInt(g.count())));
+            for (int k = 0; k < 2 && graph.count() > 0; k++) {
+                if (random.nextInt(3) == 0) {
+                    dependencies.add(graph.id(random.nextInt(graph.count())));
                 }
             }
             batch.add(new NodeSpec(
                     "n" + step + "." + i,
-                    task(1 + r.nextInt(2)),
-                    awaits.stream().distinct().toList()));
+                    task(1 + random.nextInt(2)),
+                    dependencies.stream().distinct().toList()));
         }
         return batch;
     }
 
-    private static boolean createsCycle(ReferenceModel model, List<NodeSpec> batch, String parent, String next) {
-        ReferenceModel with = new ReferenceModel();
-        with.dependencies.putAll(model.dependencies);
-        with.continuations.putAll(model.continuations);
-        batch.forEach(n -> with.dependencies.put(n.id(), n.dependencies()));
-        return with.dependsOn(next, parent, new HashSet<>());
+    private static boolean createsCycle(
+            ReferenceModel model, List<NodeSpec> batch, String parent, String continuation) {
+        ReferenceModel extended = new ReferenceModel();
+        extended.dependencies.putAll(model.dependencies);
+        extended.continuations.putAll(model.continuations);
+        batch.forEach(n -> extended.dependencies.put(n.id(), n.dependencies()));
+        return extended.dependsOn(continuation, parent, new HashSet<>());
     }
 
-    private static void assertMatches(ReferenceModel model, Graph g, Set<Integer> released, String where) {
-        for (int i = 0; i < g.count(); i++) {
-            String n = g.id(i);
-            NodeState s = g.state(i);
+    private static void assertMatches(ReferenceModel model, Graph graph, Set<Integer> released, String context) {
+        for (int i = 0; i < graph.count(); i++) {
+            String n = graph.id(i);
+            NodeState s = graph.state(i);
             assertEquals(
                     model.unsuccessful(n),
                     s == NodeState.CANCELLED || s == NodeState.FAILED,
-                    where + " dead " + n + " " + s);
-            assertEquals(model.done(n), s == NodeState.DONE, where + " done " + n + " " + s);
-            assertEquals(model.ready(n), g.mayStart(i), where + " ready " + n + " " + s);
-            assertTrue(!model.ready(n) || released.contains(i), where + " released " + n);
+                    context + " unsuccessful " + n + " " + s);
+            assertEquals(model.done(n), s == NodeState.DONE, context + " done " + n + " " + s);
+            assertEquals(model.ready(n), graph.mayStart(i), context + " ready " + n + " " + s);
+            assertTrue(!model.ready(n) || released.contains(i), context + " released " + n);
         }
     }
 
@@ -233,68 +234,68 @@
             chain.add(i == 0 ? node("0") : node(Integer.toString(i), Integer.toString(i - 1)));
         }
         int[] released = {0};
-        Graph g = new Graph(0, i -> released[0]++);
-        assertEquals(Optional.empty(), g.validate(chain, null, null));
-        g.append(chain, null, null);
-        g.markDurable(g.count());
-        g.seal();
+        Graph graph = new Graph(0, i -> released[0]++);
+        assertEquals(Optional.empty(), graph.validate(chain, null, null));
+        graph.append(chain, null, null);
+        graph.markDurable(graph.count());
+        graph.seal();
         assertEquals(1, released[0]);
-        assertEquals(100_000, g.terminate(0, NodeState.FAILED, "x").nodes().length);
+        assertEquals(100_000, graph.terminate(0, NodeState.FAILED, "x").nodes().length);
         List<NodeSpec> fan = new ArrayList<>();
         fan.add(node("root"));
         for (int i = 0; i < 10_000; i++) {
             fan.add(node("c" + i, "root"));
         }
         int[] children = {0};
-        Graph wide = new Graph(0, i -> children[0]++);
-        wide.append(fan, null, null);
-        wide.markDurable(wide.count());
-        wide.seal();
+        Graph fanGraph = new Graph(0, i -> children[0]++);
+        fanGraph.append(fan, null, null);
+        fanGraph.markDurable(fanGraph.count());
+        fanGraph.seal();
         BitSet done = new BitSet();
         done.set(0);
-        wide.completionsCommitted(done);
+        fanGraph.completionsCommitted(done);
         assertEquals(10_001, children[0]);
     }
 
     @Test
     void invalidBatchesAreRejectedWithAReason() {
-        Graph g = new Graph(0, i -> {});
-        assertTrue(g.validate(List.of(node("a", "b"), node("b", "a")), null, null)
+        Graph graph = new Graph(0, i -> {});
+        assertTrue(graph.validate(List.of(node("a", "b"), node("b", "a")), null, null)
                 .orElseThrow()
                 .message()
                 .contains("cycle"));
-        assertTrue(g.validate(List.of(node("a", "a")), null, null)
+        assertTrue(graph.validate(List.of(node("a", "a")), null, null)
                 .orElseThrow()
                 .message()
                 .contains("cycle"));
-        assertTrue(g.validate(List.of(node("a", "x")), null, null)
+        assertTrue(graph.validate(List.of(node("a", "x")), null, null)
                 .orElseThrow()
                 .message()
                 .contains("x, which is unknown"));
-        assertTrue(g.validate(List.of(node("a"), node("a")), null, null)
+        assertTrue(graph.validate(List.of(node("a"), node("a")), null, null)
                 .orElseThrow()
                 .message()
                 .contains("twice"));
-        g.append(List.of(node("a"), node("b", "a")), null, null);
-        assertEquals(Optional.empty(), g.validate(List.of(node("a")), null, null), "known, and the same");
+        graph.append(List.of(node("a"), node("b", "a")), null, null);
+        assertEquals(Optional.empty(), graph.validate(List.of(node("a")), null, null), "existing node, unchanged");
         assertEquals(
                 GraphRejection.Reason.CONFLICT,
-                g.validate(List.of(new NodeSpec("a", task(2), List.of())), null, null)
+                graph.validate(List.of(new NodeSpec("a", task(2), List.of())), null, null)
                         .orElseThrow()
                         .reason());
         assertEquals(
                 GraphRejection.Reason.CONFLICT,
-                g.validate(List.of(node("b")), null, null).orElseThrow().reason(),
-                "awaits something else");
+                graph.validate(List.of(node("b")), null, null).orElseThrow().reason(),
+                "different dependencies");
         assertEquals(
                 GraphRejection.Reason.CONFLICT,
-                g.validate(List.of(node("b", "a")), "a", null).orElseThrow().reason(),
-                "has another parent");
-        // c stands for a, and awaits b, which awaits a: nobody would ever be done.
+                graph.validate(List.of(node("b", "a")), "a", null).orElseThrow().reason(),
+                "different parent");
+        // c provides the result of a and depends on b, which depends on a: none of them would ever be done.
         assertEquals(
                 GraphRejection.Reason.INVALID,
-                g.validate(List.of(node("c", "b")), "a", "c").orElseThrow().reason());
-        assertEquals(Optional.empty(), g.validate(List.of(node("c")), "a", "c"));
-        assertArrayEquals(new int[0], g.takeExhaustedNodes());
+                graph.validate(List.of(node("c", "b")), "a", "c").orElseThrow().reason());
+        assertEquals(Optional.empty(), graph.validate(List.of(node("c")), "a", "c"));
+        assertArrayEquals(new int[0], graph.takeExhaustedNodes());
     }
 }
