--- a/src/main/java/org/hollypick/core/estimate/RunHistory.java
+++ b/src/main/java/org/hollypick/core/estimate/RunHistory.java
@@ -179,7 +179,9 @@
     /** The interquartile range of the completed runs in steps; with too few runs, the ratios have the smaller one. */
     private double spread(short[] values) {
         if (completed < MIN_RUNS_FOR_SPREAD) {
-            return values == times ? Double.MAX_VALUE : 0; // with few runs, the owner's estimate predicts better
+            return values == times
+                    ? Double.MAX_VALUE
+                    : 0; // with few runs, ratios to the owner's estimate predict better
         }
         short[] sorted = new short[completed];
         int length = 0;
--- a/src/main/java/org/hollypick/core/graph/BatchValidator.java
+++ b/src/main/java/org/hollypick/core/graph/BatchValidator.java
@@ -158,9 +158,8 @@
                             "node " + nodes.id(parent) + " delegates its result to " + nodes.id(recorded) + " already");
         }
         if (known != NONE && (nodes.delegator(known) != NONE || nodes.parent(known) != parent)) {
-            return conflict(
-                    "node " + continuationId
-                            + " can't be the continuation: its delegator didn't add it, or it is the continuation of another node");
+            return conflict("node " + continuationId
+                    + " can't be the continuation: its delegator didn't add it, or another node delegates to it");
         }
         return dependsOnParent(continuationId)
                 ? invalid("the continuation " + continuationId + " depends on " + nodes.id(parent)
