--- a/src/main/java/org/hollypick/core/graph/BatchValidator.java
+++ b/src/main/java/org/hollypick/core/graph/BatchValidator.java
@@ -56,10 +56,10 @@
             if (known != NONE) {
                 Optional<String> difference = difference(known, spec);
                 if (difference.isPresent()) {
-                    return conflict("node " + spec.id() + " already exists with a different " + difference.get());
+                    return conflict("node " + spec.id() + " is known with another " + difference.get());
                 }
             } else if (newNodes.put(spec.id(), spec) != null) {
-                return invalid("node " + spec.id() + " occurs twice in one request");
+                return invalid("node " + spec.id() + " stands twice in one call");
             }
         }
         return Optional.empty();
@@ -80,12 +80,12 @@
                 .toArray();
         int[] recorded = nodes.dependencies(known).clone();
         Arrays.sort(recorded);
-        return Arrays.equals(repeated, recorded) ? Optional.empty() : Optional.of("set of dependencies");
+        return Arrays.equals(repeated, recorded) ? Optional.empty() : Optional.of("set of nodes that it awaits");
     }
 
     private Optional<GraphRejection> checkSize() {
         return nodes.size() + newNodes.size() > JobConstants.MAX_TASKS_PER_JOB
-                ? invalid("the graph would have more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes")
+                ? invalid("more than " + JobConstants.MAX_TASKS_PER_JOB + " nodes")
                 : Optional.empty();
     }
 
@@ -138,32 +138,30 @@
         }
         return unmetDependencies.isEmpty()
                 ? Optional.empty()
-                : invalid("a dependency cycle through or before node "
+                : invalid("a cycle through "
                         + unmetDependencies.keySet().iterator().next());
     }
 
     private Optional<GraphRejection> checkContinuation() {
         if (parent == NONE) {
-            return invalid("a continuation without a parent node: only a running node can delegate its result");
+            return invalid("only a running node hands on its result");
         }
         if (!exists(continuationId)) {
-            return invalid("the continuation " + continuationId + " doesn't exist");
+            return invalid("the continuation " + continuationId + " is unknown");
         }
         int known = nodes.indexOf(continuationId);
         int recorded = nodes.continuation(parent);
         if (recorded != NONE) {
             return recorded == known
                     ? Optional.empty()
-                    : conflict(
-                            "node " + nodes.id(parent) + " delegates its result to " + nodes.id(recorded) + " already");
+                    : conflict("node " + nodes.id(parent) + " hands on to " + nodes.id(recorded) + " already");
         }
         if (known != NONE && (nodes.delegator(known) != NONE || nodes.parent(known) != parent)) {
             return conflict("node " + continuationId
-                    + " can't be the continuation: its delegator didn't add it, or another node delegates to it");
+                    + " can't be its continuation: it is no child of it, or stands for another");
         }
         return dependsOnParent(continuationId)
-                ? invalid("the continuation " + continuationId + " depends on " + nodes.id(parent)
-                        + ", whose result it would provide")
+                ? invalid("the continuation " + continuationId + " needs " + nodes.id(parent) + ", which it stands for")
                 : Optional.empty();
     }
 
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -55,7 +55,7 @@
     public Optional<GraphRejection> validate(List<NodeSpec> batch, String parentId, String continuationId) {
         int parent = parentId == null ? NONE : nodes.indexOf(parentId);
         if (parentId != null && parent == NONE) {
-            return Optional.of(GraphRejection.invalid("no such parent node: " + parentId));
+            return Optional.of(GraphRejection.invalid("unknown parent " + parentId));
         }
         return new BatchValidator(nodes, batch, parent, continuationId).validate();
     }
@@ -97,7 +97,7 @@
             terminateRoots(
                     new int[] {node},
                     NodeState.CANCELLED,
-                    "its continuation " + nodes.id(continuation) + " failed or was cancelled: "
+                    "its continuation " + nodes.id(continuation) + " can't be done: "
                             + nodes.terminationReason(continuation));
         }
     }
@@ -190,7 +190,7 @@
             if (i == 0) {
                 terminate(roots[i], state, reason, terminated, affected);
             } else {
-                String inherited = "its result was delegated from " + nodes.id(roots[0]) + ": " + reason;
+                String inherited = "its result stood for " + nodes.id(roots[0]) + ": " + reason;
                 terminate(roots[i], NodeState.CANCELLED, inherited, terminated, affected);
             }
         }
