--- a/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -2,24 +2,25 @@
 
 import org.hollypick.config.constants.AutoscalingConstants;
 
-/** An exponentially weighted mean of arrivals per second. */
+/** An exponentially weighted moving average of arrivals per second. */
 final class ArrivalMean {
+    /** Avoids a division by zero if nothing elapsed between two calls. */
     private static final double MIN_INTERVAL_S = 0.001;
 
     private final double windowS;
     private double mean;
-    /** The share of the window that has been observed; corrects the mean while it is young. */
+    /** Sum of the weights of all observations, up to 1; corrects the bias of the mean towards its initial 0. */
     private double observedShare;
 
     private long updatedAt;
     private double observedS;
 
-    /** {@code windowS}: seconds over which past arrivals are forgotten. */
+    /** {@code windowS}: time constant in seconds after which past arrivals have little weight. */
     ArrivalMean(double windowS) {
         this.windowS = windowS;
     }
 
-    /** A mean over the same time as this one, of something that hasn't arrived so far. */
+    /** A mean of 0 with the same observation time as this one, for a source whose first arrival comes now. */
     ArrivalMean copyWithoutArrivals() {
         ArrivalMean copy = new ArrivalMean(windowS);
         copy.observedShare = observedShare;
@@ -28,7 +29,7 @@
         return copy;
     }
 
-    /** So much has arrived since the last call. */
+    /** Adds the amount that has arrived since the last call; the first call only starts the observation. */
     void recordArrivals(double amount, long now) {
         if (updatedAt > 0) {
             double intervalS = Math.max(MIN_INTERVAL_S, (now - updatedAt) / 1000.0);
@@ -40,12 +41,15 @@
         updatedAt = now;
     }
 
-    /** Sets the mean to 0; the time that has been observed stays, so that a single later arrival counts as one. */
+    /**
+     * Sets the mean to 0 and keeps the observation time. Without it a single later arrival would be extrapolated to a
+     * high rate.
+     */
     void reset() {
         mean = 0;
     }
 
-    /** The mean; 0 until enough time was observed. */
+    /** The mean; 0 until it was observed for {@link AutoscalingConstants#MEAN_MIN_S} seconds. */
     double perSecond() {
         return observedS >= AutoscalingConstants.MEAN_MIN_S ? mean / observedShare : 0;
     }
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -19,19 +19,19 @@
  * arrays run on spot machines, and on on-demand ones while the cloud refuses spot machines. Confined to the event loop.
  */
 public final class Autoscaler {
-    /** A pool of machine that the cloud offers: a machine type in a zone, as spot or on-demand instance. */
+    /** A machine type that the cloud offers in a zone, as spot or on-demand instances. */
     public record CapacityPool(String type, String zone, boolean spot) {}
 
-    /** A request to start so many machines of one pool. */
+    /** A request to start {@code count} machines of one pool. */
     public record ScaleOut(CapacityPool pool, int count) {}
 
     /**
-     * What to do now.
+     * What the leader should do now.
      *
      * @param scaleOut the machines to start
      * @param scaleIn the machines to terminate
-     * @param moves replicas to stop, so that they start again on a machine that is kept
-     * @param decision what the scale-out rests on
+     * @param moves the replicas to stop, so that they start again on another machine
+     * @param decision the figures on which the scale-out is based
      */
     public record Plan(
             List<ScaleOut> scaleOut, List<Machine> scaleIn, List<Assignment> moves, ScaleOutDecision decision) {}
@@ -41,29 +41,33 @@
     private final InstanceSelector instanceSelector = new InstanceSelector();
     private final ScaleInPlanner scaleInPlanner;
 
-    /** {@code firstTerm}: there was no leader before, so many users may be starting at once. */
+    /**
+     * Creates the autoscaler of a leader term.
+     *
+     * @param firstTerm whether there was no leader before: then the burst of first submissions isn't counted as load
+     */
     public Autoscaler(OperatorSettings operator, boolean firstTerm) {
         this.operator = operator;
         this.load = new LoadEstimate(firstTerm ? AutoscalingConstants.WARM_UP_MS : 0);
         this.scaleInPlanner = new ScaleInPlanner(operator);
     }
 
-    /** Users can't submit jobs now, so missing arrivals don't mean a lower load. */
+    /** Records that users can't submit jobs now, so that missing arrivals don't count as a lower load. */
     public void submissionsUnavailable(long now) {
         load.submissionsUnavailable(now);
     }
 
-    /** The cloud refused machines of that pool; it isn't asked for them for a while. */
+    /** Stops requests from the pool for a while, since the cloud had too few machines of it. */
     public void recordRefusal(CapacityPool pool, long now) {
         instanceSelector.recordRefusal(pool, now);
     }
 
-    /** Mean cores that arriving job arrays keep busy. */
+    /** Mean number of cores that arriving job arrays keep busy. */
     public double meanArrayLoadCores() {
         return load.meanArrayCores();
     }
 
-    /** Plans while all zones are reachable. */
+    /** Plans scale out and scale in while all zones are reachable. */
     public Plan plan(Scheduler scheduler, Map<String, MachineType> types, List<String> zones, long now) {
         return plan(scheduler, types, zones, Set.of(), now);
     }
@@ -72,8 +76,8 @@
      * Plans scale out and scale in.
      *
      * @param types the machine types that the cloud offers, by name
-     * @param partitionedZones zones that can't be reached: their machines count, since most will recover, but none are
-     *     started there
+     * @param partitionedZones zones that can't be reached: their machines count as capacity, since most will recover,
+     *     but none are started there
      */
     public Plan plan(
             Scheduler scheduler,
@@ -112,24 +116,25 @@
         return scaleIn(scheduler, demand, services, arrays, scaleOut, decision, now);
     }
 
-    /** What the services need of the on-demand machines. */
+    /** On-demand capacity that services need, and what they leave to job arrays. */
     private static final class ServiceCapacity {
+        /** Cores that services need in all zones, including their standby capacity. */
         private double neededCores;
         /** Cores of runnable on-demand machines that services don't need. */
         private double runnableSpareCores;
-        /** What the teams' quotas leave beside services and their standby. */
+        /** Cores that the teams' quotas leave after the services and their standby capacity. */
         private double quotaCores;
-        /** On-demand cores that services don't need, by zone; negative where they are missing. */
+        /** On-demand cores that services don't need, by zone; negative where services need more. */
         private final Map<String, Double> spareCoresByZone = new HashMap<>();
     }
 
     /**
-     * The cores that job arrays have, and may have.
+     * The capacity of job arrays.
      *
-     * @param supplyCores of machines that count as capacity, beside what services need
-     * @param runnableCores the part of it that can run tasks
-     * @param usableCores what the teams' quotas allow
-     * @param reservedCores to keep for the mean load, as far as the quotas allow it
+     * @param supplyCores cores of all machines that count as capacity, less those that services need
+     * @param runnableCores the part of them that can run tasks
+     * @param usableCores cores that job arrays can use within the teams' quotas
+     * @param reservedCores cores to reserve for the mean load, within the teams' quotas
      */
     private record ArrayCapacity(double supplyCores, double runnableCores, double usableCores, double reservedCores) {}
 
@@ -144,64 +149,67 @@
         services.quotaCores = demand.quotaCoresAfterServices();
         for (String zone : zones) {
             boolean reachable = !partitionedZones.contains(zone);
-            double standby = Math.min(standbyCores(demand, zone, zones.size()), services.quotaCores);
-            double needed = demand.serviceCores(zone) + standby;
-            double missing = needed - supply.onDemandCores(zone);
-            services.neededCores += needed;
-            services.spareCoresByZone.put(zone, -missing);
+            double standbyCores = Math.min(standbyCores(demand, zone, zones.size()), services.quotaCores);
+            double zoneNeededCores = demand.serviceCores(zone) + standbyCores;
+            double missingCores = zoneNeededCores - supply.onDemandCores(zone);
+            services.neededCores += zoneNeededCores;
+            services.spareCoresByZone.put(zone, -missingCores);
             if (reachable) {
-                services.quotaCores -= standby;
-                if (missing > 0 && demand.serviceSpec() != null) {
+                services.quotaCores -= standbyCores;
+                if (missingCores > 0 && demand.serviceSpec() != null) {
                     scaleOut.addAll(instanceSelector
-                            .select(demand.serviceSpec(), List.of(zone), false, missing)
+                            .select(demand.serviceSpec(), List.of(zone), false, missingCores)
                             .requests());
-                    supply.addOnDemand(zone, missing, true);
+                    supply.addOnDemand(zone, missingCores, true);
                 }
-                services.runnableSpareCores += Math.max(0, supply.runnableOnDemandCores(zone) - needed);
+                services.runnableSpareCores += Math.max(0, supply.runnableOnDemandCores(zone) - zoneNeededCores);
             }
         }
         return services;
     }
 
     /**
-     * Machines out of reach may come back, so what is kept for the load counts them. But no task can start there now,
-     * so the quotas bound the capacity that can run tasks, and leave room beside machines out of reach.
+     * Computes the capacity of job arrays. Unreachable machines may recover, so they count towards the cores reserved
+     * for the mean load. But no task can start on them now, so the quotas only limit the capacity that can run tasks:
+     * unreachable machines don't take up any of that limit.
      */
     private ArrayCapacity arrayCapacity(CapacityDemand demand, CapacitySupply supply, ServiceCapacity services) {
-        double loadCores = demand.limitToQuotas(load.reservedArrayCoresByTeam(AutoscalingConstants.LOAD_HEADROOM));
+        double reservedCores = demand.limitToQuotas(load.reservedArrayCoresByTeam(AutoscalingConstants.LOAD_HEADROOM));
         return new ArrayCapacity(
                 supply.spotCores() + Math.max(0, supply.onDemandCores() - services.neededCores),
                 supply.runnableSpotCores() + services.runnableSpareCores,
                 Math.min(demand.usableArrayCores(AutoscalingConstants.CATCH_UP_S), services.quotaCores),
-                Math.min(loadCores, services.quotaCores));
+                Math.min(reservedCores, services.quotaCores));
     }
 
-    /** Cores that are kept free in a zone for services to come. */
+    /** Cores to keep free in a zone for future services. */
     private double standbyCores(CapacityDemand demand, String zone, int zones) {
         if (demand.serviceSpec() == null) {
             return 0;
         }
-        double arriving = load.arrivingServiceCoresPerSecond() * AutoscalingConstants.STANDBY_S / zones;
-        double share = demand.serviceCores(zone) * AutoscalingConstants.STANDBY_SHARE;
-        return Math.max(operator.warmCores(), Math.max(arriving, share));
+        double arrivingCores = load.arrivingServiceCoresPerSecond() * AutoscalingConstants.STANDBY_S / zones;
+        double shareOfServices = demand.serviceCores(zone) * AutoscalingConstants.STANDBY_SHARE;
+        return Math.max(operator.warmCores(), Math.max(arrivingCores, shareOfServices));
     }
 
     private List<ScaleOut> scaleOutForArrays(
             CapacityDemand demand, CapacitySupply supply, List<String> zones, ArrayCapacity arrays) {
         JobSpec spec = demand.arraySpec();
         double bootS = instanceSelector.minBootS();
-        double packable = demand.packableArrayCores(arrays.runnableCores(), supply);
-        // Tasks that a team's quota keeps from running need no machine, however long they wait.
-        double allowed = arrays.usableCores() - packable;
-        double missing = demand.missingArrayCores(packable, bootS, AutoscalingConstants.CATCH_UP_S);
-        double spotCores = Math.max(arrays.reservedCores() - arrays.supplyCores(), Math.min(allowed, missing));
+        double packableCores = demand.packableArrayCores(arrays.runnableCores(), supply);
+        // Tasks beyond their team's quota need no machines, however long they are pending.
+        double allowedCores = arrays.usableCores() - packableCores;
+        double missingCores = demand.missingArrayCores(packableCores, bootS, AutoscalingConstants.CATCH_UP_S);
+        double spotCores =
+                Math.max(arrays.reservedCores() - arrays.supplyCores(), Math.min(allowedCores, missingCores));
         InstanceSelector.Selection spot = instanceSelector.select(spec, zones, true, spotCores);
         if (spot.hasCapacity()) {
             return spot.requests();
         }
-        double missingOnDemand = demand.missingArrayCores(packable, bootS, AutoscalingConstants.CATCH_UP_ON_DEMAND_S);
-        double onDemandCores =
-                Math.min(missingOnDemand, Math.min(allowed, maxOnDemandArrayCores() - arrays.runnableCores()));
+        double missingOnDemandCores =
+                demand.missingArrayCores(packableCores, bootS, AutoscalingConstants.CATCH_UP_ON_DEMAND_S);
+        double onDemandCores = Math.min(
+                missingOnDemandCores, Math.min(allowedCores, maxOnDemandArrayCores() - arrays.runnableCores()));
         List<ScaleOut> requests = new ArrayList<>(spot.requests());
         requests.addAll(
                 instanceSelector.select(spec, zones, false, onDemandCores).requests());
@@ -220,16 +228,19 @@
         double neededCores =
                 Math.max(arrays.reservedCores(), demand.allowedArrayCores() * AutoscalingConstants.BUSY_MARGIN);
         double surplusCores = Math.min(arrays.supplyCores(), arrays.runnableCores()) - neededCores;
-        double surplus = ScaleInPlanner.markSurplus(machines, services.spareCoresByZone, surplusCores);
+        double remainingSurplusCores = ScaleInPlanner.markSurplus(machines, services.spareCoresByZone, surplusCores);
         List<Assignment> moves = scheduler.reconciliationComplete()
-                ? ReplicaMover.plan(machines, services.spareCoresByZone, surplus, now)
+                ? ReplicaMover.plan(machines, services.spareCoresByZone, remainingSurplusCores, now)
                 : List.of();
         List<Machine> terminated = scaleInPlanner.machinesToTerminate(
                 machines, services.spareCoresByZone, arrays.supplyCores() - arrays.reservedCores(), now);
         return new Plan(scaleOut, terminated, moves, decision);
     }
 
-    /** Beyond this spot machines catch up soon enough once they are available; unlimited until the load is known. */
+    /**
+     * Cores up to which on-demand machines are started for job arrays. Spot machines catch up on the work beyond them
+     * soon enough once they are available again. Unlimited until the mean load is known.
+     */
     private double maxOnDemandArrayCores() {
         return load.meanArrayCores() > 0
                 ? load.meanArrayCores() * AutoscalingConstants.ON_DEMAND_LOAD / load.confidence()
--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -13,14 +13,14 @@
 import org.hollypick.core.assignment.Assignment;
 
 /**
- * The capacity that the live jobs need, as far as the teams' quotas let them run: services first, then job arrays. Jobs
- * that only run on on-demand instances count as services here. Confined to the event loop.
+ * The capacity that ready jobs need within the teams' quotas, which services take before job arrays. Jobs that only run
+ * on on-demand instances count as services here. Confined to the event loop.
  */
 final class CapacityDemand {
-    /** Failures of a job after which its pending tasks need no capacity any more. */
+    /** Failures since a job last completed a task, beyond which its pending tasks no longer count as demand. */
     private static final int MAX_FAILURES = 2;
 
-    /** The share of its expected run time that a running task has left at least. */
+    /** Lower bound of a running task's remaining time, as a share of its expected run time. */
     private static final double MIN_REMAINING_SHARE = 0.1;
 
     private final Scheduler scheduler;
@@ -29,9 +29,9 @@
     private final long now;
     private final QuotaBudget budget;
     private final Map<String, Double> serviceCoresByZone = new HashMap<>();
-    /** The arrays' work that capacity within reach has to do, by team. */
+    /** Work of job arrays that is pending or running on reachable machines, by team. */
     private final Object2DoubleOpenHashMap<String> arrayCoreSecondsByTeam = new Object2DoubleOpenHashMap<>();
-    /** Cores of the arrays' tasks that the quotas allow on capacity within reach, by team. */
+    /** Cores that the quotas allow to the tasks of this work, by team. */
     private final Object2DoubleOpenHashMap<String> allowedArrayCoresByTeam = new Object2DoubleOpenHashMap<>();
 
     private QuotaBudget budgetAfterServices;
@@ -40,7 +40,7 @@
     private JobSpec serviceSpec;
     private JobSpec arraySpec;
     private boolean arraySpecIsAllowed;
-    /** The pending tasks of arrays that the quotas allow. */
+    /** The pending tasks of job arrays that the quotas allow. */
     private final TaskPacking allowedTasks = new TaskPacking();
 
     private CapacityDemand(Scheduler scheduler, List<String> zones, Set<String> partitionedZones, long now) {
@@ -51,7 +51,7 @@
         this.budget = new QuotaBudget(scheduler.quotas());
     }
 
-    /** Adds up the ready jobs of the scheduler. */
+    /** Adds up the demand of the scheduler's ready jobs. */
     static CapacityDemand of(Scheduler scheduler, List<String> zones, Set<String> partitionedZones, long now) {
         CapacityDemand demand = new CapacityDemand(scheduler, zones, partitionedZones, now);
         List<Job> services = new ArrayList<>();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Replicas that may only go to a partitioned zone need capacity there, and hold none of the quota: they can't start
-     * now, and others may use it meanwhile.
+     * Adds the pending replicas of a service. Those that only partitioned zones can take count as demand there but take
+     * no quota: they can't start now, and other tasks may use the quota meanwhile.
      */
     private void addPendingReplicas(Job job) {
         int pending = pendingTasks(job);
@@ -109,7 +109,10 @@
         });
     }
 
-    /** How the pending replicas spread over the zones where they may still go: for spread jobs, how many may. */
+    /**
+     * The weight of each allowed zone in the distribution of pending replicas: for jobs that spread over zones the
+     * number of replicas that it can still take, otherwise 1.
+     */
     private Map<String, Double> zoneWeights(Job job) {
         JobSpec spec = job.spec;
         Map<String, Double> weights = new HashMap<>();
@@ -139,7 +142,7 @@
 
     // ---- job arrays ----
 
-    /** The running tasks of a job are added up by what they take, most often the same: there are thousands. */
+    /** Adds running tasks in groups with the same description: a job may have thousands, most of them alike. */
     private void addRunningTasks(Job job) {
         RunningTasks tasks = null;
         for (Assignment assignment : job.assignments.values()) {
@@ -156,20 +159,19 @@
         if (tasks != null) {
             JobSpec spec = tasks.spec;
             arrayCores += tasks.unreachable * spec.cpus();
-            budget.takeUnconditionally(
-                    spec, tasks.unreachable); // they hold their quota there until their leases have expired
+            budget.takeUnconditionally(spec, tasks.unreachable); // they hold quota until their leases expire
             arrayCoreSecondsByTeam.addTo(spec.team(), spec.cpus() * tasks.remainingS);
             addArrayTasks(spec, tasks.reachable);
         }
     }
 
-    /** Running tasks that take the same. */
+    /** Running tasks of a job with the same description. */
     private static final class RunningTasks {
         private final JobSpec spec;
         private final double expectedS;
         private int reachable;
         private int unreachable;
-        /** Seconds that the reachable tasks have left, added up. */
+        /** Sum of the expected remaining seconds of the reachable tasks. */
         private double remainingS;
 
         RunningTasks(JobSpec spec, double expectedS) {
@@ -204,7 +206,7 @@
         allowedTasks.add(spec, addArrayTasks(spec, count));
     }
 
-    /** @return how many of them the quota allows */
+    /** @return the number of tasks that the quota allows */
     private int addArrayTasks(JobSpec spec, int count) {
         arrayCores += count * spec.cpus();
         int allowed = budget.takeAvailable(spec, count);
@@ -212,7 +214,7 @@
         return allowed;
     }
 
-    /** Prefers a pending task that its quota allows to other pending ones, and these to running ones. */
+    /** Prefers a pending task that its quota allows, then any other pending task, then the first task of any job. */
     private void chooseArraySpec(Job job, boolean anyAllowed) {
         if (pendingTasks(job) > 0 && (anyAllowed || !arraySpecIsAllowed)) {
             arraySpec = job.spec(job.pendingTasks.nextSetBit(0));
@@ -224,22 +226,22 @@
 
     // ---- results ----
 
-    /** Cores that services need in a zone, the pending ones included as far as the quotas allow. */
+    /** Cores that services need in a zone, including pending replicas as far as the quotas allow them. */
     double serviceCores(String zone) {
         return serviceCoresByZone.getOrDefault(zone, 0.0);
     }
 
-    /** A service by which machine types are chosen; null if there is none. */
+    /** A service for which to choose machine types; null if there is none. */
     JobSpec serviceSpec() {
         return serviceSpec;
     }
 
-    /** Cores that the quotas of all teams leave beside the services; infinity if a team has no limit. */
+    /** Cores left of the quotas of all teams after the services; infinity if a team has no limit. */
     double quotaCoresAfterServices() {
         return budgetAfterServices.remainingCpus();
     }
 
-    /** A task of a job array, if possible a pending one, by which machine types are chosen; null if there is none. */
+    /** A task of a job array for which to choose machine types, if possible a pending one; null if there is none. */
     JobSpec arraySpec() {
         return arraySpec;
     }
@@ -249,7 +251,7 @@
         return arrayCores;
     }
 
-    /** Cores of the job arrays' tasks that the quotas allow on capacity within reach, beside the services. */
+    /** Cores of pending and reachable running tasks of job arrays that the quotas allow after the services. */
     double allowedArrayCores() {
         double cores = 0;
         for (double teamCores : allowedArrayCoresByTeam.values()) {
@@ -259,8 +261,8 @@
     }
 
     /**
-     * The part of the runnable cores that the arrays' tasks can use: where tasks that the quotas allow find no room on
-     * any machine, the cores left on each are too few for them.
+     * The part of the runnable cores that job arrays can use. If tasks that the quotas allow fit on no machine, the
+     * remaining free cores are too fragmented for them and don't count.
      */
     double packableArrayCores(double runnableCores, CapacitySupply supply) {
         if (!scheduler.quotas().anyLimited()) {
@@ -271,8 +273,8 @@
     }
 
     /**
-     * Cores within reach that job arrays can use: of a team with a limit what its quota allows, of another one as many
-     * as have its work done in {@code catchUpS} seconds.
+     * Cores of reachable machines that job arrays can use: for a team with a limit what its quota allows, for any other
+     * team as many as complete its work within {@code catchUpS} seconds.
      */
     double usableArrayCores(double catchUpS) {
         double cores = 0;
@@ -285,11 +287,12 @@
     }
 
     /**
-     * Cores that are missing to have the present work of job arrays done {@code catchUpS} seconds after new machines
-     * are up; before that they can't help. Work that a quota keeps waiting for longer counts only as far as it can be
-     * done by then.
+     * Cores that have to be added to complete the current work of job arrays {@code catchUpS} seconds after the new
+     * machines have booted; until then these contribute nothing. Work that a quota delays for longer counts only as far
+     * as it can be completed by then.
      *
-     * @param runnableCores cores that can run tasks of job arrays
+     * @param runnableCores existing cores that can run tasks of job arrays
+     * @param bootS boot time of new machines in seconds
      */
     double missingArrayCores(double runnableCores, double bootS, double catchUpS) {
         if (!hasPendingArrays) {
@@ -299,14 +302,14 @@
         double coreSeconds = 0;
         for (Object2DoubleMap.Entry<String> work : arrayCoreSecondsByTeam.object2DoubleEntrySet()) {
             boolean limited = scheduler.quotas().isLimited(work.getKey());
-            double most =
+            double maxCoreSeconds =
                     limited ? allowedArrayCoresByTeam.getDouble(work.getKey()) * horizonS : Double.POSITIVE_INFINITY;
-            coreSeconds += Math.min(work.getDoubleValue(), most);
+            coreSeconds += Math.min(work.getDoubleValue(), maxCoreSeconds);
         }
         return (coreSeconds - runnableCores * horizonS) / catchUpS;
     }
 
-    /** What of the given cores of job arrays, by team, the quotas allow beside the services. */
+    /** The sum of cores for job arrays, each team's limited to what its quota leaves after the services. */
     double limitToQuotas(Map<String, Double> coresByTeam) {
         double cores = 0;
         for (Map.Entry<String, Double> team : coresByTeam.entrySet()) {
--- a/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
@@ -11,8 +11,8 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * The cores of the machines that count as capacity, those that boot included. A machine in a partitioned zone counts,
- * since most will recover, but isn't runnable: no task can start there before it does. Confined to the event loop.
+ * The cores of the machines that count as capacity, including those that are booting. A machine in a partitioned zone
+ * counts, since most will recover, but isn't runnable: no task can start on it until then. Confined to the event loop.
  */
 final class CapacitySupply {
     private double spotCores;
@@ -22,14 +22,14 @@
     private final Map<String, Double> onDemandCoresByZone = new HashMap<>();
     private final Map<String, Double> runnableOnDemandCoresByZone = new HashMap<>();
 
-    /** Adds up the machines, and passes on each one that counts. */
+    /** Adds up the machines that count as capacity, and passes each of them to {@code onCounted}. */
     static CapacitySupply of(
-            Collection<Machine> machines, Set<String> partitionedZones, long now, Consumer<Machine> counted) {
+            Collection<Machine> machines, Set<String> partitionedZones, long now, Consumer<Machine> onCounted) {
         CapacitySupply supply = new CapacitySupply();
         for (Machine machine : machines) {
             if (counts(machine, partitionedZones, now)) {
                 supply.add(machine, isRunnable(machine, partitionedZones));
-                counted.accept(machine);
+                onCounted.accept(machine);
             }
         }
         return supply;
@@ -46,7 +46,7 @@
                 && !isLost;
     }
 
-    /** Whether the machine takes tasks, or will once it has booted or was reconciled. */
+    /** Whether the machine can run tasks, now or once it has booted or was reconciled. */
     private static boolean isRunnable(Machine machine, Set<String> partitionedZones) {
         return !machine.unreachable() && !machine.awaitsHeartbeat() && !partitionedZones.contains(machine.zone);
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /** On-demand machines are being started in the zone. */
+    /** Adds on-demand cores, of machines that exist or that are about to be started, to the zone. */
     void addOnDemand(String zone, double cores, boolean runnable) {
         onDemandCoresByZone.merge(zone, cores, Double::sum);
         onDemandCores += cores;
@@ -73,17 +73,17 @@
         }
     }
 
-    /** Cores of the spot machines that count. */
+    /** Cores of the spot machines that count as capacity. */
     double spotCores() {
         return spotCores;
     }
 
-    /** Cores of the on-demand machines that count. */
+    /** Cores of the on-demand machines that count as capacity. */
     double onDemandCores() {
         return onDemandCores;
     }
 
-    /** Cores of the zone's on-demand machines that count. */
+    /** Cores of the zone's on-demand machines that count as capacity. */
     double onDemandCores(String zone) {
         return onDemandCoresByZone.getOrDefault(zone, 0.0);
     }
@@ -98,12 +98,12 @@
         return runnableOnDemandCoresByZone.getOrDefault(zone, 0.0);
     }
 
-    /** The machines that can run tasks, or will once they are up. */
+    /** The machines that can run tasks, now or once they have booted or were reconciled. */
     List<Machine> runnableMachines() {
         return runnableMachines;
     }
 
-    /** Cores of all machines that count. */
+    /** Cores of all machines that count as capacity. */
     double cores() {
         return spotCores + onDemandCores;
     }
--- a/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
+++ b/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
@@ -12,63 +12,69 @@
 import org.hollypick.core.autoscaling.Autoscaler.ScaleOut;
 
 /**
- * Chooses the machines to start: of the kinds that a job may use and that the cloud didn't just refuse, the one with
- * the cheapest core. Confined to the event loop.
+ * Chooses the machines to start: from the capacity pool with the lowest price per core, among those that the job may
+ * use and that the cloud didn't refuse recently. Confined to the event loop.
  */
 final class InstanceSelector {
-    /** Until when a pool isn't requested, after the cloud refused it. */
+    /** Boot time assumed if the cloud offers no machine types. */
+    private static final double DEFAULT_BOOT_S = 60;
+
+    /** Time in milliseconds before which a pool isn't requested again, since the cloud refused it. */
     private final Object2LongOpenHashMap<CapacityPool> refusedUntil = new Object2LongOpenHashMap<>();
-    /** Usable machines of each pool, those that the present plan starts included. */
+    /** Number of machines that count as capacity, including those that the current plan starts. */
     private final Object2IntOpenHashMap<CapacityPool> machinesByPool = new Object2IntOpenHashMap<>();
 
     private Map<String, MachineType> types = Map.of();
     private long now;
 
-    /** The cloud had no machine of that pool. */
+    /** Stops requests from the pool for a while, since the cloud had too few machines of it. */
     void recordRefusal(CapacityPool pool, long refusedAt) {
         refusedUntil.put(pool, refusedAt + AutoscalingConstants.NO_CAPACITY_MS);
     }
 
-    /** Begins a plan, without any machines. */
+    /** Starts a new plan, with no machines counted yet. */
     void startPlan(Map<String, MachineType> offeredTypes, long planAt) {
         types = offeredTypes;
         now = planAt;
         machinesByPool.clear();
     }
 
-    /** One more usable machine of that pool. */
-    void addMachines(CapacityPool pool, int additional) {
-        machinesByPool.addTo(pool, additional);
+    /** Adds machines that count as capacity to the pool's number of machines. */
+    void addMachines(CapacityPool pool, int count) {
+        machinesByPool.addTo(pool, count);
     }
 
-    /** Seconds that the fastest type takes to boot. */
+    /** Shortest boot time of the offered machine types, in seconds. */
     double minBootS() {
-        return types.values().stream().mapToDouble(MachineType::bootS).min().orElse(60);
+        return types.values().stream().mapToDouble(MachineType::bootS).min().orElse(DEFAULT_BOOT_S);
     }
 
     /**
-     * The machines to start for so many cores.
+     * Chooses the machines to start for a job.
      *
-     * @return empty if {@code cores} isn't positive
+     * @param zones the zones in which machines may be started
+     * @param spot whether to start spot or on-demand instances
+     * @param cores the number of cores to add; nothing is requested if it isn't positive
      */
     Selection select(JobSpec job, List<String> zones, boolean spot, double cores) {
         List<ScaleOut> requests = new ArrayList<>();
-        double missing = cores;
-        for (int i = 0; i < AutoscalingConstants.MAX_SCALE_OUT_REQUESTS && missing > 0; i++) {
+        double missingCores = cores;
+        for (int i = 0; i < AutoscalingConstants.MAX_SCALE_OUT_REQUESTS && missingCores > 0; i++) {
             CapacityPool pool = cheapestPool(job, zones, spot);
             if (pool == null) {
                 return new Selection(requests, false);
             }
-            double coresEach = types.get(pool.type()).cpus();
-            int count = Math.min((int) Math.ceil(missing / coresEach), AutoscalingConstants.MAX_INSTANCES_PER_REQUEST);
+            double coresPerMachine = types.get(pool.type()).cpus();
+            int count = Math.min(
+                    (int) Math.ceil(missingCores / coresPerMachine), AutoscalingConstants.MAX_INSTANCES_PER_REQUEST);
             requests.add(new ScaleOut(pool, count));
             addMachines(pool, count);
-            missing -= count * coresEach;
+            missingCores -= count * coresPerMachine;
         }
         return new Selection(requests, true);
     }
 
-    /** Cores of the machines that these requests ask for. */
+    /** Cores of the requested machines. */
     double requestedCores(List<ScaleOut> requests) {
         double cores = 0;
         for (ScaleOut request : requests) {
@@ -77,12 +83,16 @@
         return cores;
     }
 
-    /** The machines to start; {@code isAvailable}: false if the cloud refused all kinds that the job may use. */
+    /**
+     * The machines to start.
+     *
+     * @param hasCapacity false if no pool is left for the job: none is suitable, or the cloud refused them recently
+     */
     record Selection(List<ScaleOut> requests, boolean hasCapacity) {}
 
     /**
-     * The pool with the cheapest core; of equal ones the one with the fewest machines, so that zones stay even: a zone
-     * can be lost, and services need capacity in each.
+     * The pool with the lowest price per core. Among equal prices it is the one with the fewest machines, which keeps
+     * the zones balanced: a zone may fail, and services need capacity in each.
      *
      * @return null if there is none
      */
--- a/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
+++ b/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
@@ -8,8 +8,8 @@
 import org.hollypick.core.Scheduler;
 
 /**
- * Estimates the load from the jobs that arrive. What was there when the term began, and the many submissions when a
- * cluster starts, say nothing about what follows and aren't counted. Confined to the event loop.
+ * Estimates the load from arriving jobs. Jobs that existed when the term began and the burst of submissions when a
+ * cluster starts don't predict the later load and aren't counted. Confined to the event loop.
  */
 final class LoadEstimate {
     private final long warmUpMillis;
@@ -18,21 +18,21 @@
     private final ArrivalMean serviceCores = new ArrivalMean(AutoscalingConstants.SERVICE_WINDOW_S);
     private long startedAt;
     private long lastArrayArrivedAt;
-    /** Job arrays a second until the last one arrived, as far as that could be trusted. */
+    /** Mean job arrays per second when the last one arrived, multiplied by the {@link #confidence} at that time. */
     private double arrayRateAtLastArrival;
 
-    /** {@code warmUpMillis}: how long after the first update nothing is counted. */
+    /** {@code warmUpMillis}: time after the first update during which arrivals aren't counted. */
     LoadEstimate(long warmUpMillis) {
         this.warmUpMillis = warmUpMillis;
     }
 
-    /** Takes what has arrived since the last update. */
+    /** Adds the jobs that have arrived since the last update. */
     void update(Scheduler scheduler, long now) {
         Arrivals arrivals = scheduler.takeArrivals();
         if (startedAt == 0) {
             startedAt = now;
         }
-        if (now - startedAt > warmUpMillis) { // never at the first update: that is what the term finds
+        if (now - startedAt > warmUpMillis) { // never at the first update, whose arrivals existed before the term
             updateTeams(arrivals.arrayCoreSeconds(), now);
             arrayJobs.recordArrivals(arrivals.arrayJobs(), now);
             serviceCores.recordArrivals(arrivals.serviceCores(), now);
@@ -42,7 +42,7 @@
             arrayRateAtLastArrival = arrayJobs.perSecond() * confidence();
         } else if ((now - lastArrayArrivedAt) / 1000.0 * arrayRateAtLastArrival
                 > AutoscalingConstants.MISSED_ARRIVALS) {
-            // So many arrivals are missing that the mean is outdated, and the capacity kept for it is wasted.
+            // So many expected arrivals are missing that the mean is outdated and capacity kept for it is wasted.
             arrayCoreSecondsByTeam.values().forEach(ArrivalMean::reset);
             arrayJobs.reset();
             arrayRateAtLastArrival = 0;
@@ -56,12 +56,12 @@
         arrayCoreSecondsByTeam.forEach((team, mean) -> mean.recordArrivals(coreSeconds.getDouble(team), now));
     }
 
-    /** Users can't submit jobs now, so missing arrivals don't mean a lower load. */
+    /** Records that users can't submit jobs now, so that missing arrivals don't count as a lower load. */
     void submissionsUnavailable(long now) {
         lastArrayArrivedAt = now;
     }
 
-    /** Mean cores that arriving job arrays of all teams keep busy. */
+    /** Mean number of cores that arriving job arrays of all teams keep busy. */
     double meanArrayCores() {
         double cores = 0;
         for (ArrivalMean mean : arrayCoreSecondsByTeam.values()) {
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Cores to keep for the job arrays to come, by team: their mean load, as far as it can be trusted.
+     * Cores to reserve for future job arrays, by team: their mean load, reduced by the {@link #confidence} in it.
      *
-     * @param headroom multiple of the mean that is kept
+     * @param headroom multiple of the mean to reserve
      */
     Map<String, Double> reservedArrayCoresByTeam(double headroom) {
         Map<String, Double> cores = new HashMap<>();
@@ -81,12 +81,12 @@
         return cores;
     }
 
-    /** Cores of services that arrive in a second. */
+    /** Mean cores of the services that arrive per second. */
     double arrivingServiceCoresPerSecond() {
         return serviceCores.perSecond();
     }
 
-    /** How far the mean of job arrays can be trusted, up to 1: the mean of many jobs more than that of a few. */
+    /** Confidence in the mean load of job arrays, from 0 to 1: it grows with the number of jobs in the window. */
     double confidence() {
         double jobs = arrayJobs.perSecond() * AutoscalingConstants.LOAD_WINDOW_S;
         return jobs / (jobs + AutoscalingConstants.LOAD_DOUBT_JOBS);
--- a/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
+++ b/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
@@ -6,11 +6,11 @@
 import org.hollypick.core.TeamQuotas;
 
 /**
- * Deals out the teams' quotas to their tasks, in the order in which these are passed: what a quota doesn't allow can't
- * run, whatever machines there are. A team without a limit is allowed everything. Confined to the event loop.
+ * Allocates the teams' quotas to their tasks, in the order of the calls: a task beyond its team's quota can't run,
+ * however many machines there are. A team without a limit has an infinite quota. Confined to the event loop.
  */
 final class QuotaBudget {
-    /** For rounding errors in sums of decimal amounts. */
+    /** Allows for rounding errors in sums of decimal amounts. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final TeamQuotas quotas;
@@ -34,8 +34,10 @@
             return (int) Math.min(tasks, Math.min(byCpus, byGpus));
         }
 
-        private static double maxTasks(double available, double each) {
-            return each > 0 ? Math.floor(Math.max(0, available + ROUNDING_TOLERANCE) / each) : Double.POSITIVE_INFINITY;
+        private static double maxTasks(double available, double perTask) {
+            return perTask > 0
+                    ? Math.floor(Math.max(0, available + ROUNDING_TOLERANCE) / perTask)
+                    : Double.POSITIVE_INFINITY;
         }
 
         void take(JobSpec spec, int tasks) {
@@ -48,27 +50,27 @@
         this.quotas = quotas;
     }
 
-    /** What is left now; later takings don't change it. */
+    /** A copy of what is left now; later changes of this budget don't affect it. */
     QuotaBudget copy() {
         QuotaBudget copy = new QuotaBudget(quotas);
         remainingByTeam.forEach((team, remaining) -> copy.remainingByTeam.put(team, remaining.copy()));
         return copy;
     }
 
-    /** Takes what these tasks need, whether or not it is left: they run already. */
+    /** Takes what running tasks use, even if it exceeds what is left. */
     void takeUnconditionally(JobSpec spec, int tasks) {
         remaining(spec.team()).take(spec, tasks);
     }
 
-    /** Takes what is left for these tasks, and returns how many of them it is enough for. */
+    /** Takes the quota of as many of the tasks as it allows, and returns their number. */
     int takeAvailable(JobSpec spec, int tasks) {
         RemainingQuota remaining = remaining(spec.team());
-        int fitting = remaining.maxTasks(spec, tasks);
-        remaining.take(spec, fitting);
-        return fitting;
+        int allowed = remaining.maxTasks(spec, tasks);
+        remaining.take(spec, allowed);
+        return allowed;
     }
 
-    /** Cores left of the team's quota; infinity if it has no limit. */
+    /** Cores left of the team's quota, at least 0; infinity if it has no limit. */
     double remainingCpus(String team) {
         return Math.max(0, remaining(team).cpus);
     }
--- a/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
@@ -11,10 +11,10 @@
 import org.hollypick.core.placement.MachineSelector;
 
 /**
- * Evicts services from machines that aren't needed. Services end one by one and leave every machine partly used, none
- * empty. While there are more on-demand machines than needed those with the fewest replicas in a zone are emptied: each
- * replica that has run for a while moves to a machine of the zone that has capacity and holds its image, so it is only
- * down for an exchange of commands.
+ * Evicts services from on-demand machines that aren't needed, so that these can be terminated: services end one at a
+ * time and leave every machine partly used and none idle. While a zone has more on-demand machines than needed, those
+ * with the fewest service cores are evicted. Each replica that has run for a while moves to another machine of the zone
+ * that has room and holds its image already, so that it is only down until it was stopped and launched again.
  */
 final class ReplicaMover {
     private final Collection<Machine> machines;
@@ -26,7 +26,12 @@
         this.now = now;
     }
 
-    /** The replicas to stop now, so that they start elsewhere; marks the machines that are emptied now or next. */
+    /**
+     * The replicas to stop now, so that they start elsewhere. Marks the machines that are evicted now or next.
+     *
+     * @param spareOnDemandCores on-demand cores that services don't need, by zone
+     * @param surplusCores cores that aren't needed; limits the excess of each zone
+     */
     static List<Assignment> plan(
             Collection<Machine> machines, Map<String, Double> spareOnDemandCores, double surplusCores, long now) {
         ReplicaMover mover = new ReplicaMover(machines, now);
@@ -38,15 +43,16 @@
     }
 
     private void planZone(String zone, double excessCores, double allServiceCores) {
-        double evictable = excessCores / AutoscalingConstants.MOVE_MARGIN;
-        double excess = excessCores;
-        for (Machine machine : emptiestFirst(zone)) {
+        double evictableCores = excessCores / AutoscalingConstants.MOVE_MARGIN;
+        double remainingExcessCores = excessCores;
+        for (Machine machine : fewestServiceCoresFirst(zone)) {
             double cores = machine.type.cpus();
-            evictable -= cores; // also for those that are empty already and are about to be terminated
-            excess -= cores;
-            boolean evicting = evictable >= 0 && machine.serviceCpus() > 0;
-            boolean evictedNext =
-                    !evicting && excess >= 0 && cores <= allServiceCores * AutoscalingConstants.DRAINED_NEXT_SHARE;
+            evictableCores -= cores; // machines without services count too: they are about to be terminated
+            remainingExcessCores -= cores;
+            boolean evicting = evictableCores >= 0 && machine.serviceCpus() > 0;
+            boolean evictedNext = !evicting
+                    && remainingExcessCores >= 0
+                    && cores <= allServiceCores * AutoscalingConstants.DRAINED_NEXT_SHARE;
             machine.planEviction(evicting, evictedNext);
             if (evicting) {
                 moveReplicas(machine);
@@ -55,9 +61,10 @@
     }
 
     /**
-     * The usable on-demand machines of a zone: those already being emptied, then those with the fewest service cores.
+     * The on-demand machines of a zone that are being evicted, followed by the schedulable ones with the fewest service
+     * cores first.
      */
-    private List<Machine> emptiestFirst(String zone) {
+    private List<Machine> fewestServiceCoresFirst(String zone) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : machines) {
             if (!machine.spot && machine.zone.equals(zone) && (machine.isEvicting() || machine.schedulable())) {
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -22,41 +22,47 @@
     }
 
     /**
-     * Marks machines as surplus, the emptiest first: job arrays leave them alone while there are others, so that they
-     * empty and can be terminated.
+     * Marks the least used machines as surplus and all others as needed. Job arrays prefer other machines to surplus
+     * ones, so that these become idle and can be terminated.
      *
-     * @param spareOnDemandCores by zone
-     * @param surplusCores cores that are more than needed
-     * @return cores that are more than needed beyond the marked machines
+     * @param spareOnDemandCores on-demand cores that services don't need, by zone
+     * @param surplusCores cores that aren't needed
+     * @return cores that aren't needed beside those of the marked machines
      */
     static double markSurplus(
             Collection<Machine> machines, Map<String, Double> spareOnDemandCores, double surplusCores) {
         Map<String, Double> spareByZone = new HashMap<>(spareOnDemandCores);
-        double remaining = surplusCores;
-        List<Machine> emptiestFirst = new ArrayList<>(machines);
-        emptiestFirst.sort(Comparator.comparingDouble(machine -> machine.usedCpus() / machine.type.cpus()));
-        for (Machine machine : emptiestFirst) {
+        double remainingCores = surplusCores;
+        List<Machine> leastUsedFirst = new ArrayList<>(machines);
+        leastUsedFirst.sort(Comparator.comparingDouble(machine -> machine.usedCpus() / machine.type.cpus()));
+        for (Machine machine : leastUsedFirst) {
             double cores = machine.type.cpus();
             double zoneSpare = spareByZone.getOrDefault(machine.zone, 0.0);
             machine.setSurplus(machine.schedulable()
                     && machine.serviceCpus() <= 0
-                    && remaining >= cores
+                    && remainingCores >= cores
                     && (machine.spot || zoneSpare >= cores));
             if (machine.isSurplus()) {
-                remaining -= cores;
+                remainingCores -= cores;
                 if (!machine.spot) {
                     spareByZone.put(machine.zone, zoneSpare - cores);
                 }
             }
         }
-        return remaining;
+        return remainingCores;
     }
 
-    /** Faulty machines that are idle, and machines that were idle for long, the most expensive cores first. */
+    /**
+     * The machines to terminate: idle ones that are faulty, whatever the spare capacity, and then those that exceeded
+     * their idle timeout, the highest price per core first, while there is spare capacity.
+     *
+     * @param spareOnDemandCores on-demand cores that services don't need, by zone
+     * @param spareArrayCores cores that job arrays don't need
+     */
     List<Machine> machinesToTerminate(
             Collection<Machine> machines, Map<String, Double> spareOnDemandCores, double spareArrayCores, long now) {
         List<Machine> terminated = new ArrayList<>();
-        List<Machine> expendable = new ArrayList<>();
+        List<Machine> idleTooLong = new ArrayList<>();
         for (Machine machine : machines) {
             if (machine.isScalingIn() || !machine.reconciled() || !machine.idle()) {
                 continue;
@@ -64,17 +70,17 @@
             if (machine.faults.isQuarantined()) {
                 terminated.add(machine);
             } else if (hasExceededIdleTimeout(machine, now)) {
-                expendable.add(machine);
+                idleTooLong.add(machine);
             }
         }
-        expendable.sort(Comparator.comparingDouble(machine -> -pricePerCore(machine)));
-        double remaining = spareArrayCores;
+        idleTooLong.sort(Comparator.comparingDouble(machine -> -pricePerCore(machine)));
+        double remainingCores = spareArrayCores;
         Map<String, Double> spareByZone = new HashMap<>(spareOnDemandCores);
-        for (Machine machine : expendable) {
+        for (Machine machine : idleTooLong) {
             double cores = machine.type.cpus();
             double zoneSpare = spareByZone.getOrDefault(machine.zone, 0.0);
-            if (remaining >= cores && (machine.spot || zoneSpare >= cores)) {
-                remaining -= cores;
+            if (remainingCores >= cores && (machine.spot || zoneSpare >= cores)) {
+                remainingCores -= cores;
                 if (!machine.spot) {
                     spareByZone.put(machine.zone, zoneSpare - cores);
                 }
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleOutDecision.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleOutDecision.java
@@ -1,14 +1,14 @@
 package org.hollypick.core.autoscaling;
 
 /**
- * What a scale-out decision rests on, in cores.
+ * The figures on which a scale-out decision is based, all in cores.
  *
- * @param serviceCores what services need, with the standby for services to come
- * @param arrayCores what pending and running tasks of job arrays take
- * @param usableArrayCores what the teams' quotas let job arrays use beside the services
- * @param loadCores what is kept for job arrays to come, by their mean load
- * @param supplyCores machines that count as capacity, those of partitioned zones included
- * @param runnableCores those among them that can run tasks, or will once they are up
+ * @param serviceCores what services need, including the standby capacity for future services
+ * @param arrayCores what pending and running tasks of job arrays need
+ * @param usableArrayCores what job arrays can use within the teams' quotas, after the services
+ * @param loadCores what is reserved for future job arrays by their mean load
+ * @param supplyCores machines that count as capacity, including those of partitioned zones
+ * @param runnableCores the part of them that can run tasks, now or once they have booted or were reconciled
  * @param requestedCores the machines to start
  */
 public record ScaleOutDecision(
