--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerBenchmark.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerBenchmark.java
@@ -25,7 +25,8 @@
 import org.openjdk.jmh.annotations.State;
 
 /**
- * What one autoscaling plan takes: six teams at their quotas, every machine full, four jobs waiting for each machine's.
+ * Measures one autoscaling plan and one scheduling cycle with six teams at their quotas, all machines full and many
+ * pending tasks: four tasks were submitted per core.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -34,9 +35,10 @@
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 50, Set.of("a", "b"));
     private static final List<String> ZONES = List.of("a", "b");
     private static final int TEAMS = 6;
-    private static final int TASKS = 90;
+    private static final int TASKS_PER_JOB = 90;
+    private static final int TASKS_PER_CORE = 4;
 
-    /** Machines, all of them full. */
+    /** Number of machines, all of them full. */
     @Param({"1100", "4000"})
     public int machines;
 
@@ -44,7 +46,7 @@
     private Autoscaler autoscaler;
     private long now = 2_000;
 
-    /** Fills the machines, and lets further jobs wait. */
+    /** Fills all machines and leaves further jobs pending. */
     @Setup
     public void fill() {
         Map<String, Settings.Team> teams = new HashMap<>();
@@ -65,7 +67,7 @@
                             true,
                             0);
         }
-        int jobs = (int) (4 * machines * TYPE.cpus() / TASKS);
+        int jobs = (int) (TASKS_PER_CORE * machines * TYPE.cpus() / TASKS_PER_JOB);
         for (int i = 0; i < jobs; i++) {
             scheduler.addJob(spec(i), i, 5);
         }
@@ -75,7 +77,7 @@
     private static JobSpec spec(int number) {
         return JobSpecBuilder.array("req-" + number)
                 .team("team-" + number % TEAMS)
-                .tasks(TASKS)
+                .tasks(TASKS_PER_JOB)
                 .cpus(1 + number % 4)
                 .estimateS(60)
                 .build();
--- a/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/AutoscalerTest.java
@@ -22,7 +22,9 @@
 import org.hollypick.core.assignment.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-/** What is rented, returned and emptied; each test is a cause of waiting or waste that was found. */
+/**
+ * Scale-out, scale-in and eviction plans. Each test guards against a fault that made tasks wait or left machines idle.
+ */
 class AutoscalerTest {
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, 50, Set.of("a", "b"));
     private static final Map<String, MachineType> TYPES = Map.of("t", TYPE);
@@ -35,14 +37,17 @@
     private int machines;
 
     private Machine machine(String zone, boolean spot, long now) {
-        Machine m = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
-        m.markRegistered();
-        m.images.put("img", now);
+        Machine machine = scheduler.addMachine(String.format("n-%03d", machines++), TYPE, zone, spot, false, now);
+        machine.markRegistered();
+        machine.images.put("img", now);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
-                        m, new Heartbeat(m.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()), true, now);
-        return m;
+                        machine,
+                        new Heartbeat(machine.id, "w:1", "t", zone, spot, 1, 1, 5, Double.NaN, List.of()),
+                        true,
+                        now);
+        return machine;
     }
 
     private Job service(String id, int tasks) {
@@ -101,29 +106,40 @@
 
     private static int requestedMachines(Autoscaler.Plan plan, String zone, boolean spot) {
         return plan.scaleOut().stream()
-                .filter(r -> r.pool().zone().equals(zone) && r.pool().spot() == spot)
+                .filter(request ->
+                        request.pool().zone().equals(zone) && request.pool().spot() == spot)
                 .mapToInt(Autoscaler.ScaleOut::count)
                 .sum();
     }
 
     private void reportAllTasksRunning(long now) {
-        for (Machine m : scheduler.machines()) {
-            TaskStatus[] tasks = m.assignments.values().stream()
-                    .map(p -> new TaskStatus(p.taskId, p.attempt, State.RUNNING, ""))
+        for (Machine machine : scheduler.machines()) {
+            TaskStatus[] tasks = machine.assignments.values().stream()
+                    .map(assignment -> new TaskStatus(assignment.taskId, assignment.attempt, State.RUNNING, ""))
                     .toArray(TaskStatus[]::new);
             scheduler
                     .heartbeats()
                     .applyHeartbeat(
-                            m,
-                            new Heartbeat(m.id, "w:1", "t", m.zone, m.spot, 1, now, 5, Double.NaN, List.of(tasks)),
+                            machine,
+                            new Heartbeat(
+                                    machine.id,
+                                    "w:1",
+                                    "t",
+                                    machine.zone,
+                                    machine.spot,
+                                    1,
+                                    now,
+                                    5,
+                                    Double.NaN,
+                                    List.of(tasks)),
                             true,
                             now);
         }
     }
 
     /**
-     * What waits was split evenly over the zones, though one held its half already: the other stayed short by half of
-     * it.
+     * Pending replicas of a spread service were divided evenly over the zones, although one zone already ran its half:
+     * the other one got capacity for only half of them.
      */
     @Test
     void pendingReplicasOfASpreadServiceCountInTheZonesThatCanStillTakeThem() {
@@ -132,11 +148,11 @@
         scheduler.runSchedulingCycle(0);
         assertEquals(16, job.assignments.size());
         Autoscaler.Plan plan = autoscaler.plan(scheduler, TYPES, ZONES, 1_000);
-        assertEquals(1, requestedMachines(plan, "a", false), "only room for services to come");
-        assertEquals(2, requestedMachines(plan, "b", false), "all sixteen that wait, and room for services to come");
+        assertEquals(1, requestedMachines(plan, "a", false), "only standby capacity");
+        assertEquals(2, requestedMachines(plan, "b", false), "all 16 pending replicas, and standby capacity");
     }
 
-    /** Machines that boot for long counted as room to come, so a zone stayed short for as long as they took. */
+    /** Machines that booted too slowly still counted as capacity, so a zone had too little until they were up. */
     @Test
     void machinesThatBootTooSlowlyDoNotCountAsCapacity() {
         service("req-1", 8);
@@ -146,7 +162,7 @@
         assertEquals(1, requestedMachines(autoscaler.plan(scheduler, TYPES, ZONES, 90_000), "a", false));
     }
 
-    /** At equal prices one zone got all of them, and the other had no slack for services. */
+    /** At equal prices one zone got all new machines, and the other had no spare capacity for services. */
     @Test
     void scaleOutIsBalancedOverZonesAtEqualPrices() {
         machine("a", true, 0);
@@ -160,7 +176,7 @@
                 plan.scaleOut().toString());
     }
 
-    /** All that waited at a term's start was taken for the usual load, and far too much was kept. */
+    /** Jobs pending at the start of a term were counted into the mean load, and far too much capacity was kept. */
     @Test
     void submissionsDuringWarmUpAreNotCountedIntoTheMeanLoad() {
         array("req-1", 1_000);
@@ -179,8 +195,8 @@
     }
 
     /**
-     * The mean forgets over minutes: after the last job of a day, machines for jobs that no longer came cost a third of
-     * it.
+     * The mean load decreases over minutes: machines that were kept for further jobs after the last job of a day made
+     * up a third of the day's cost.
      */
     @Test
     void spareArrayCapacityIsTerminatedWhenArraysStopArriving() {
@@ -195,15 +211,15 @@
         }
         scheduler.jobs().clear();
         assertTrue(
-                autoscaler.plan(scheduler, TYPES, ZONES, now + 8_000).scaleIn().isEmpty(), "a pause");
+                autoscaler.plan(scheduler, TYPES, ZONES, now + 8_000).scaleIn().isEmpty(), "a short pause");
         autoscaler.submissionsUnavailable(now + 20_000);
         assertTrue(
-                autoscaler.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size() < 4, "nobody could submit");
+                autoscaler.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size() < 4, "users could not submit");
         now += 20_000;
         assertEquals(
                 4,
                 autoscaler.plan(scheduler, TYPES, ZONES, now + 30_000).scaleIn().size());
-        // A single late one brought all that room back, booting machines for nothing.
+        // A single late job restored all of that capacity and started machines for nothing.
         array("req-late", 1);
         assertTrue(autoscaler
                 .plan(scheduler, TYPES, ZONES, now + 31_000)
@@ -211,7 +227,7 @@
                 .isEmpty());
     }
 
-    /** Services end one by one: without moves all machines stay, each nearly empty. */
+    /** Services end one at a time: without moves all machines are kept, each of them nearly empty. */
     @Test
     void replicasMoveOffTheEmptiestMachinesAfterTheirMinimumRunTime() {
         for (int i = 0; i < 12; i++) {
@@ -219,23 +235,25 @@
             service("req-" + i, 2);
         }
         scheduler.runSchedulingCycle(0);
-        // Spread by hand: one replica a machine and more, as ends leave them.
+        // 24 replicas on 12 machines: few on each, as after other services have ended.
         reportAllTasksRunning(1_000);
-        assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(), "they have only just started");
+        assertTrue(
+                autoscaler.plan(scheduler, TYPES, ZONES, 10_000).moves().isEmpty(),
+                "the replicas have only just started");
         Autoscaler.Plan plan = autoscaler.plan(scheduler, TYPES, ZONES, 100_000);
         assertFalse(plan.moves().isEmpty());
-        plan.moves().forEach(p -> {
-            assertTrue(p.machine.isEvicting());
-            assertFalse(p.machine.schedulable(), "nothing new goes to a machine that is emptied");
+        plan.moves().forEach(assignment -> {
+            assertTrue(assignment.machine.isEvicting());
+            assertFalse(assignment.machine.schedulable(), "no new tasks on a machine that is being evicted");
         });
-        // Without the image elsewhere a move would cost a fetch.
-        scheduler.machines().forEach(m -> m.images.clear());
+        // No machine holds the image any more: a move would have to fetch it.
+        scheduler.machines().forEach(machine -> machine.images.clear());
         assertTrue(autoscaler.plan(scheduler, TYPES, ZONES, 101_000).moves().isEmpty());
     }
 
     /**
-     * Moved replicas went to the emptiest machines, those to be emptied next: most moves were for nothing. Among few
-     * machines spread counts more.
+     * Moved replicas went to the machines with the fewest replicas, which were evicted next: most moves were useless.
+     * With few machines, spreading replicas is more important.
      */
     @Test
     void newReplicasAvoidMachinesToBeEvictedNextInLargeClusters() {
@@ -249,21 +267,22 @@
         autoscaler
                 .plan(scheduler, TYPES, ZONES, 100_000)
                 .moves()
-                .forEach(p -> scheduler.assignments().stop(p, 0));
-        assertTrue(scheduler.machines().stream().anyMatch(m -> m.isEvictedNext() && m.schedulable()));
+                .forEach(assignment -> scheduler.assignments().stop(assignment, 0));
+        assertTrue(scheduler.machines().stream().anyMatch(machine -> machine.isEvictedNext() && machine.schedulable()));
         Job late = service("req-late", 2);
         scheduler.runSchedulingCycle(101_000);
-        late.assignments.values().forEach(p -> assertFalse(p.machine.isEvictedNext()));
+        late.assignments.values().forEach(assignment -> assertFalse(assignment.machine.isEvictedNext()));
         assertEquals(2, late.assignments.size());
     }
 
     /**
-     * A third of all machines stood idle: what waited for nothing but its team's limit was rented for, again and again.
+     * A third of all machines were idle: machines were started again and again for tasks that only waited for their
+     * team's quota.
      */
     @Test
     void tasksBeyondATeamsQuotaCauseNoScaleOut() {
         Settings limited = new SettingsBuilder().zones(ZONES).team("team", 64).build();
-        Scheduler few = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
+        Scheduler limitedScheduler = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
         JobSpec array = new JobSpec(
                 "req-1",
                 "batch",
@@ -285,8 +304,9 @@
                 0,
                 0,
                 Double.NaN);
-        few.addJob(array, 1, 5);
-        Autoscaler.Plan plan = new Autoscaler(OperatorSettings.defaults(), true).plan(few, TYPES, ZONES, 1_000);
+        limitedScheduler.addJob(array, 1, 5);
+        Autoscaler.Plan plan =
+                new Autoscaler(OperatorSettings.defaults(), true).plan(limitedScheduler, TYPES, ZONES, 1_000);
         assertEquals(
                 4, plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum(), "64 cores");
         scheduler.addJob(array, 1, 5);
@@ -294,7 +314,7 @@
         assertTrue(plan.scaleOut().stream().mapToInt(Autoscaler.ScaleOut::count).sum() > 4, "without a limit");
     }
 
-    /** A scheduler whose only team may use that many cores. */
+    /** A scheduler whose only team may use {@code cores} cores. */
     private static Scheduler withLimit(double cores) {
         Settings limited =
                 new SettingsBuilder().zones(ZONES).team("team", cores).build();
@@ -357,11 +377,11 @@
 
     private static double requestedCores(Autoscaler.Plan plan) {
         return plan.scaleOut().stream()
-                .mapToDouble(r -> r.count() * TYPE.cpus())
+                .mapToDouble(request -> request.count() * TYPE.cpus())
                 .sum();
     }
 
-    /** Plans until the mean load of arrays is known: one of 30 tasks, 1,800 core-seconds, arrives each second. */
+    /** Plans until the mean load is known: each second an array of 30 tasks, 1,800 core-seconds, arrives. */
     private static long planUntilArrayLoadIsKnown(Autoscaler autoscaler, Scheduler scheduler) {
         long now = 0;
         for (; now < 200_000; now += 1_000) {
@@ -372,26 +392,26 @@
         return now;
     }
 
-    /** Room for the mean load was rented far beyond what the limits let run: twice the limits, a third of it idle. */
+    /** Capacity for the mean load was requested far beyond the quotas: twice as much, and a third of it was idle. */
     @Test
     void headroomForFutureArraysStaysWithinTheQuotas() {
         Scheduler limited = withLimit(320);
         Autoscaler autoscaler = new Autoscaler(OperatorSettings.defaults(), true);
         long now = planUntilArrayLoadIsKnown(autoscaler, limited);
         assertTrue(autoscaler.meanArrayLoadCores() > 1_000, "mean load " + autoscaler.meanArrayLoadCores());
-        assertEquals(320, requestedCores(autoscaler.plan(limited, TYPES, ZONES, now)), "all of the limit");
+        assertEquals(320, requestedCores(autoscaler.plan(limited, TYPES, ZONES, now)), "all of the quota");
         addService(limited, "req-service", 160);
         double requestedCores = requestedCores(autoscaler.plan(limited, TYPES, ZONES, now + 1_000));
-        double wholeMachines = ZONES.size() * TYPE.cpus(); // the last one of each zone is rented whole
+        double wholeMachines = ZONES.size() * TYPE.cpus(); // the last one of each zone may exceed the quota
         assertTrue(
                 requestedCores >= 320 && requestedCores <= 320 + wholeMachines,
-                "services, room for more, and arrays: " + requestedCores);
+                "services, standby capacity and arrays: " + requestedCores);
         addService(limited, "req-more", 160);
         Autoscaler.Plan plan = autoscaler.plan(limited, TYPES, ZONES, now + 2_000);
-        assertEquals(320, requestedCores(plan), "services take all of the limit");
+        assertEquals(320, requestedCores(plan), "services take all of the quota");
     }
 
-    /** What services await beyond their team's limit can't start either. */
+    /** Replicas beyond their team's quota can't start, whatever capacity there is. */
     @Test
     void pendingServicesBeyondTheQuotaCauseNoScaleOut() {
         Scheduler limited = withLimit(320);
@@ -402,8 +422,8 @@
     }
 
     /**
-     * A quota of GPUs alone counted as no limit: with room for four GPUs' worth of tasks in the quota, machines were
-     * rented for all that waited.
+     * A quota of GPUs without one of cores was treated as no limit: although it allowed tasks for only four more GPUs,
+     * machines were started for all pending tasks.
      */
     @Test
     void tasksBeyondATeamsGpuQuotaCauseNoScaleOut() {
@@ -412,8 +432,8 @@
                 .zones(ZONES)
                 .teams(Map.of("team", new Settings.Team("team", 0, 0, 0, 8)))
                 .build();
-        Scheduler few = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
-        few.addJob(
+        Scheduler limitedScheduler = new Scheduler(5, limited, 0.3, new WorkerLeases(limited, List.of(), 0, true));
+        limitedScheduler.addJob(
                 JobSpecBuilder.array("req-1")
                         .tasks(400)
                         .cpus(2)
@@ -424,16 +444,18 @@
                 5);
         Autoscaler autoscaler = new Autoscaler(OperatorSettings.defaults(), true);
         for (long now = 1_000; now <= 3_000; now += 1_000) {
-            // Each plan counts the machines of the one before: the first goes by cores, the next see the GPUs taken.
-            for (Autoscaler.ScaleOut request :
-                    autoscaler.plan(few, Map.of("g", gpuType), ZONES, now).scaleOut()) {
+            // Each plan counts the machines of the previous one: the first is sized by cores, later ones also by GPUs.
+            for (Autoscaler.ScaleOut request : autoscaler
+                    .plan(limitedScheduler, Map.of("g", gpuType), ZONES, now)
+                    .scaleOut()) {
                 for (int i = 0; i < request.count(); i++) {
-                    few.addMachine("n-" + machines++, gpuType, request.pool().zone(), true, false, now);
+                    limitedScheduler.addMachine(
+                            "n-" + machines++, gpuType, request.pool().zone(), true, false, now);
                 }
             }
         }
-        double gpus = few.machines().size() * gpuType.gpus();
-        assertTrue(gpus >= 8, "room for the quota: " + gpus);
-        assertTrue(gpus <= 8 + ZONES.size() * gpuType.gpus(), "GPUs rented: " + gpus);
+        double gpus = limitedScheduler.machines().size() * gpuType.gpus();
+        assertTrue(gpus >= 8, "GPUs for the whole quota: " + gpus);
+        assertTrue(gpus <= 8 + ZONES.size() * gpuType.gpus(), "GPUs requested: " + gpus);
     }
 }
--- a/src/test/java/org/hollypick/core/autoscaling/ScaleOutWithinQuotasTest.java
+++ b/src/test/java/org/hollypick/core/autoscaling/ScaleOutWithinQuotasTest.java
@@ -25,27 +25,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The plans of the autoscaler against a plain model, for random teams, jobs and machines.
+ * Compares the autoscaler's plans with a simple reference model, for random teams, jobs and machines.
  *
- * <p>What happened: of 9,000 cores that six quotas allowed, 17,552 stood rented with 329 machines idle, since neither
- * the mean load nor pending replicas were bounded by the quotas (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
- * A bound on all machines was no mend: with half of them out of reach, tasks waited below their quota for 138 s and no
- * machine was asked for. So both sides are checked: nothing is started that the quotas keep idle, and nothing that the
- * quotas allow is left without room.
+ * <p>Guards against two faults. Six quotas allowed 9,000 cores in all, but machines with 17,552 were started and 329 of
+ * them were idle, since neither the mean load nor pending replicas were limited by the quotas
+ * (docs/incidents/2026-12-03-scale-out-beyond-quota.md). With a limit on the cores of all machines instead, while half
+ * of them were unreachable, tasks within their quota waited for 138 s and no machine was requested. So the test checks
+ * both bounds: no machine is started that the quotas keep idle, and tasks that the quotas allow get capacity.
  */
 class ScaleOutWithinQuotasTest {
     private static final int CASES = 600;
     private static final double BOOT_S = 50;
     private static final MachineType TYPE = new MachineType("t", 16, 0, 64, 50, 1, 1, 0.4, BOOT_S, Set.of("a", "b"));
     private static final List<String> ZONES = List.of("a", "b");
-    /** Whole machines are started for the last cores of each zone and kind. */
-    private static final double WHOLE_MACHINES = 2 * ZONES.size() * TYPE.cpus();
+    /**
+     * Cores by which requests may exceed the demand: each is rounded up to whole machines, per zone, spot and
+     * on-demand.
+     */
+    private static final double MAX_ROUNDING_CORES = 2 * ZONES.size() * TYPE.cpus();
 
-    /** Plans in a row, each of which sees the machines that those before started. */
+    /** Consecutive plans; each of them counts the machines that the previous ones started. */
     private static final int PLANS = 5;
 
     private static final long PLANNED_AT_MS = 10_000;
-    /** The operators' bound: no job waits for longer beside room that it may use. */
+    /** The operators' limit for a job's waiting time while there is capacity that it may use. */
     private static final double MAX_WAIT_S = 90;
 
     private enum Condition {
@@ -62,7 +65,7 @@
         }
     }
 
-    /** One random cluster, and what a plain model says of the plan for it. */
+    /** One random cluster, and the reference model of what its plan may request. */
     private static final class Case {
         private final long seed;
         private final Random random;
@@ -155,7 +158,7 @@
             return scheduler.addJob(spec, 1, 5);
         }
 
-        // ---- the plain model ----
+        // ---- reference model ----
 
         private boolean isRunnable(Machine machine) {
             Condition condition = conditions.get(machine);
@@ -174,7 +177,9 @@
             return free;
         }
 
-        /** Cores of what the quotas allow to start and that finds no room: the largest first, each wherever it fits. */
+        /**
+         * Cores of tasks that the quotas allow to start but that fit on no machine, by first-fit-decreasing packing.
+         */
         private double unplacedStartableCores() {
             List<Double> startable = new ArrayList<>();
             startableTasks().values().forEach(startable::addAll);
@@ -187,7 +192,9 @@
             return unplaced;
         }
 
-        /** By team, the cores of each pending task that the quota allows beside all that runs, in the jobs' order. */
+        /**
+         * The cores of each pending task that the quota allows beside the running tasks, by team, in the jobs' order.
+         */
         private Map<String, List<Double>> startableTasks() {
             Map<String, Double> used = new HashMap<>();
             for (Job job : scheduler.jobs()) {
@@ -219,8 +226,9 @@
         }
 
         /**
-         * Core-seconds that capacity within reach has to do, of each team as far as the tasks that its quota lets run
-         * at once can do it in time. Tasks in a partitioned zone hold their quota there.
+         * Core-seconds of work for the reachable machines. The work of a team with a limit counts as far as the tasks
+         * that its quota allows at once complete it within {@link #MAX_WAIT_S}. Tasks in a partitioned zone hold their
+         * quota there.
          */
         private double remainingWorkCoreSeconds() {
             Map<String, Double> work = new HashMap<>();
@@ -240,8 +248,8 @@
             double sum = 0;
             for (Map.Entry<String, Double> team : work.entrySet()) {
                 boolean isLimited = limits.get(team.getKey()) < Double.POSITIVE_INFINITY;
-                double most = cores.getOrDefault(team.getKey(), 0.0) * MAX_WAIT_S;
-                sum += isLimited ? Math.min(team.getValue(), most) : team.getValue();
+                double maxCoreSeconds = cores.getOrDefault(team.getKey(), 0.0) * MAX_WAIT_S;
+                sum += isLimited ? Math.min(team.getValue(), maxCoreSeconds) : team.getValue();
             }
             return sum;
         }
@@ -258,7 +266,7 @@
                     .sum();
         }
 
-        /** Has the machines start that the plan asks for. */
+        /** Adds the machines that the plan requests to the cluster, booting. */
         private void startRequestedMachines(Autoscaler.Plan plan) {
             for (Autoscaler.ScaleOut request : plan.scaleOut()) {
                 for (int i = 0; i < request.count(); i++) {
@@ -285,16 +293,17 @@
                 startRequestedMachines(plan);
                 double requested = runnableCores() - before;
                 assertTrue(
-                        requested == 0 || requested <= allowed + WHOLE_MACHINES,
-                        "seed " + seed + ": " + requested + " cores requested beside " + before + ", quotas " + quotas
-                                + ", startable without room " + unplaced);
+                        requested == 0 || requested <= allowed + MAX_ROUNDING_CORES,
+                        "seed " + seed + ": " + requested + " cores requested beside " + before
+                                + " runnable ones, quotas " + quotas
+                                + ", cores of startable tasks that fit on no machine " + unplaced);
                 unplaced = unplacedStartableCores();
             }
             double doneAfterS = remainingWorkCoreSeconds() / Math.max(1, runnableCores());
             assertTrue(
                     unplaced == 0 || doneAfterS <= MAX_WAIT_S,
-                    "seed " + seed + ": " + unplaced + " cores may start and have no room beside " + runnableCores()
-                            + ", all done after " + doneAfterS + " s");
+                    "seed " + seed + ": " + unplaced + " cores of startable tasks fit on no machine, runnable cores "
+                            + runnableCores() + ", work completed after " + doneAfterS + " s");
         }
     }
 }
