--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -17,8 +17,8 @@
  * on on-demand instances count as services here. Confined to the event loop.
  */
 final class CapacityDemand {
-    /** Failures since a job last completed a task, beyond which its pending tasks no longer count as demand. */
-    private static final int MAX_FAILURES = 2;
+    /** Failures of a job in a row beyond which its pending tasks no longer count as demand. */
+    private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
     /** Lower bound of a running task's remaining time, as a share of its expected run time. */
     private static final double MIN_REMAINING_SHARE = 0.1;
@@ -29,9 +29,9 @@
     private final long now;
     private final QuotaBudget budget;
     private final Map<String, Double> serviceCoresByZone = new HashMap<>();
-    /** Work of job arrays that is pending or running on reachable machines, by team. */
+    /** Work of the pending and reachable running tasks of job arrays, by team. */
     private final Object2DoubleOpenHashMap<String> arrayCoreSecondsByTeam = new Object2DoubleOpenHashMap<>();
-    /** Cores that the quotas allow to the tasks of this work, by team. */
+    /** Cores of the pending and reachable running tasks of job arrays that the quotas allow, by team. */
     private final Object2DoubleOpenHashMap<String> allowedArrayCoresByTeam = new Object2DoubleOpenHashMap<>();
 
     private QuotaBudget budgetAfterServices;
@@ -70,7 +70,7 @@
     }
 
     private static int pendingTasks(Job job) {
-        return job.consecutiveFailures() > MAX_FAILURES ? 0 : job.pendingTasks.cardinality();
+        return job.consecutiveFailures() > MAX_CONSECUTIVE_FAILURES ? 0 : job.pendingTasks.cardinality();
     }
 
     // ---- services ----
