--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -4,31 +4,31 @@
 import org.hollypick.core.JobSpec;
 
 /**
- * One attempt of a task that is, or may be, on a machine: its state as last reported, whether it has to stop, and
- * whether copies of its launch may still be executed. Confined to the event loop.
+ * One attempt to run a task on a machine: its last reported state, whether it has to stop, and whether a launch command
+ * for it may still be executed. Confined to the event loop.
  */
 public final class Assignment {
-    /** The state of an attempt, as the agent reports it. */
+    /** The state of an attempt as its agent reports it. */
     public enum State {
-        /** Assigned, and not reported yet. */
+        /** Assigned, but not reported by the agent yet. */
         LAUNCHING,
-        /** The machine pulls the image. */
+        /** The machine is pulling the image. */
         PULLING_IMAGE,
-        /** The task runs. */
+        /** The task is running. */
         RUNNING,
-        /** The task saves a checkpoint, since it has to stop. */
+        /** The task is saving a checkpoint before it stops. */
         CHECKPOINTING,
-        /** The task ended, or its machine has gone. */
+        /** The task ended, or its machine no longer exists. */
         EXITED
     }
 
-    /** The separator of a job's id and a task's index in {@link #taskId}. */
+    /** Separates the job's id from the task's index in {@link #taskId}. */
     public static final char TASK_INDEX_SEPARATOR = '/';
 
     public final Job job;
     /** The task's index in its job. */
     public final int index;
-    /** What the task requires. */
+    /** The task's requirements, which may differ from those of the job's other tasks. */
     public final JobSpec spec;
 
     public final long attempt;
@@ -45,12 +45,12 @@
     private boolean directLaunchUnacknowledged;
     private boolean directLaunchInFlight;
     private boolean launchInHeartbeatResponse;
-    /** The machine's task list that held it last; 0 before any did. */
+    /** The number of the machine's last task list that contained this attempt; 0 if none has. */
     long lastListedIn;
-    /** Whether its resources on the machine are taken. */
+    /** Whether the task's resources are included in the machine's used resources. */
     boolean holdsResources;
 
-    /** Assigns a task; the caller adds the assignment to its machine and its job. */
+    /** Creates an assignment in state {@code LAUNCHING}; the caller adds it to its machine and its job. */
     public Assignment(Job job, int index, long attempt, Machine machine, long now) {
         this.job = job;
         this.index = index;
@@ -63,12 +63,12 @@
 
     // ---- state ----
 
-    /** The state as last reported. */
+    /** The last reported state. */
     public State state() {
         return state;
     }
 
-    /** Follows a reported state, and keeps the running totals of the machine and the job in step. */
+    /** Sets the state, and updates the counts of the machine and the job that depend on it. */
     public void transitionTo(State next, long now) {
         if (state == next) {
             return;
@@ -77,38 +77,37 @@
             runningAt = now;
         }
         machine.adjustCounts(this, -1);
-        job.changeRunningCount(holdsImage() ? -1 : 0);
+        job.changeRunningCount(isRunningOrCheckpointing() ? -1 : 0);
         state = next;
         machine.adjustCounts(this, 1);
-        job.changeRunningCount(holdsImage() ? 1 : 0);
+        job.changeRunningCount(isRunningOrCheckpointing() ? 1 : 0);
     }
 
-    /** Whether the task may be on the machine. */
+    /** Whether the task may still be on the machine. */
     public boolean mayExist() {
         return state != State.EXITED;
     }
 
-    /** Whether it runs, or saves its checkpoint. */
-    private boolean holdsImage() {
+    private boolean isRunningOrCheckpointing() {
         return state == State.RUNNING || state == State.CHECKPOINTING;
     }
 
-    /** Whether it still waits for its image, as far as is known. */
+    /** Whether the last reported state precedes {@code RUNNING}: the task may still be waiting for its image. */
     public boolean starting() {
         return state == State.LAUNCHING || state == State.PULLING_IMAGE;
     }
 
-    /** When it was first reported as running, in milliseconds; 0 if it wasn't. */
+    /** When the state last became {@code RUNNING}, in milliseconds; 0 if it never did. */
     public long runningAt() {
         return runningAt;
     }
 
-    /** Whether it was ever reported as running. */
+    /** Whether the task was ever reported as running. */
     public boolean hasRun() {
         return runningAt > 0;
     }
 
-    /** Seconds since it was first reported as running; meaningless unless {@link #hasRun}. */
+    /** Seconds since {@link #runningAt}; meaningless unless {@link #hasRun}. */
     public double runtimeS(long now) {
         return (now - runningAt) / 1000.0;
     }
@@ -116,10 +115,10 @@
     // ---- stop ----
 
     /**
-     * Requests that the task stops: kill commands go out until the agent reports it exited.
+     * Requests that the task stop: kill commands are sent until the agent reports that it has exited.
      *
-     * @param graceS seconds to save a checkpoint
-     * @return false if it was requested before with no longer a grace period
+     * @param graceS seconds that the task has to save a checkpoint
+     * @return false if a stop was already requested with the same or a shorter grace period, which then stays
      */
     public boolean requestStop(double graceS) {
         if (stopRequested && graceS >= this.graceS) {
@@ -135,50 +134,61 @@
         return stopRequested;
     }
 
-    /** Seconds that the task has to save a checkpoint once it has to stop. */
+    /** Seconds that the task has to save a checkpoint when it is stopped. */
     public double graceS() {
         return graceS;
     }
 
-    /** What the exited attempt achieved is durable, if anything. */
+    /** Records that the result of the exited attempt, if it has one, is durable. */
     public void markRemovable() {
         removable = true;
     }
 
-    /** Whether the agent may forget the exited attempt. */
+    /** Whether the agent may be told to forget the exited attempt. */
     public boolean mayBeCleared() {
         return removable && !launchMayStillExecute();
     }
 
     // ---- launch ----
 
-    /** The launch goes out in the response to the machine's newest heartbeat. */
+    /** Records that the launch is sent in the response to the machine's newest heartbeat. */
     public void launchSentInHeartbeatResponse() {
         launchInHeartbeatResponse = true;
     }
 
-    /** The response to the machine's last heartbeat was taken or lost. */
+    /** Records that the response to the machine's previous heartbeat was received or lost. */
     void heartbeatResponseSettled() {
         launchInHeartbeatResponse = false;
     }
 
-    /** The launch goes out in a direct call. */
+    /** Records that the launch is sent in a direct call. */
     public void launchSentDirectly() {
         directLaunchInFlight = true;
     }
 
-    /** The direct call has ended; {@code mayExecuteLate}: with an unknown outcome, while the incarnation lasts. */
+    /**
+     * Records that the direct call has ended.
+     *
+     * @param mayExecuteLate whether the agent may still execute the launch: the outcome of the call is unknown and the
+     *     agent's incarnation hasn't ended
+     */
     public void directLaunchCompleted(boolean mayExecuteLate) {
         directLaunchInFlight = false;
         directLaunchUnacknowledged |= mayExecuteLate;
     }
 
-    /** Whether a copy of the launch may still be executed: clearing the attempt now could start it once more. */
+    /**
+     * Whether a launch command may still be executed. If the agent forgot the attempt now, a late launch would start it
+     * again.
+     */
     public boolean launchMayStillExecute() {
         return directLaunchMayExecute() || launchInHeartbeatResponse;
     }
 
-    /** Whether a launch that was sent directly may still be executed, while the agent's incarnation and token last. */
+    /**
+     * Whether a launch sent in a direct call may still be executed. None is once the agent's incarnation or token has
+     * changed.
+     */
     public boolean directLaunchMayExecute() {
         return directLaunchUnacknowledged || directLaunchInFlight;
     }
--- a/src/main/java/org/hollypick/core/assignment/Command.java
+++ b/src/main/java/org/hollypick/core/assignment/Command.java
@@ -7,13 +7,13 @@
  * @param graceS for {@link Verb#KILL}: seconds to save a checkpoint
  */
 public record Command(Verb verb, String task, long attempt, double graceS) {
-    /** What to do with a task. */
+    /** The action on the task. */
     public enum Verb {
-        /** Starts it, unless the attempt was started before. */
+        /** Starts the task, unless this attempt was started before. */
         LAUNCH,
-        /** Stops it. */
+        /** Stops the task. */
         KILL,
-        /** Forgets that it exited. */
+        /** Removes the exited attempt from the agent's task list. */
         CLEAR
     }
 }
--- a/src/main/java/org/hollypick/core/assignment/DirectCalls.java
+++ b/src/main/java/org/hollypick/core/assignment/DirectCalls.java
@@ -1,8 +1,8 @@
 package org.hollypick.core.assignment;
 
 /**
- * The leader's direct calls to one machine's agent, of which at most one is in flight. Times are milliseconds of the
- * event loop's clock. Confined to the event loop.
+ * The state of the leader's direct calls to one machine's agent; at most one call is in flight. Times are milliseconds
+ * of the event loop's clock. Confined to the event loop.
  */
 public final class DirectCalls {
     private boolean directCallInFlight;
@@ -11,42 +11,42 @@
 
     DirectCalls() {}
 
-    /** A heartbeat came, or the response to a direct call. */
+    /** Resets the count of unacknowledged calls, when a heartbeat or the response to a direct call is received. */
     void resetUnacknowledgedCalls() {
         unacknowledgedCalls = 0;
     }
 
-    /** Whether a direct call is in flight: there is one at a time. */
+    /** Whether a direct call is in flight. */
     public boolean directCallInFlight() {
         return directCallInFlight;
     }
 
-    /** A direct call goes out. */
+    /** Records that a direct call is sent. */
     public void beginDirectCall() {
         directCallInFlight = true;
     }
 
-    /** The direct call ended. */
+    /** Records that the direct call has ended, with or without a response. */
     public void endDirectCall() {
         directCallInFlight = false;
     }
 
-    /** A direct call got no response. */
+    /** Records that a direct call got no response. */
     public void recordUnacknowledgedCall() {
         unacknowledgedCalls++;
     }
 
-    /** Direct calls without a response since the last contact. */
+    /** The number of direct calls without a response since the agent was last heard from. */
     public int unacknowledgedCalls() {
         return unacknowledgedCalls;
     }
 
-    /** No direct call goes out before {@code until}. */
+    /** Allows no direct call before {@code until}. */
     public void delayDirectCalls(long until) {
         directCallNotBefore = until;
     }
 
-    /** No direct call goes out before this time, in milliseconds. */
+    /** The earliest time of the next direct call, in milliseconds. */
     public long directCallNotBefore() {
         return directCallNotBefore;
     }
--- a/src/main/java/org/hollypick/core/assignment/FaultHistory.java
+++ b/src/main/java/org/hollypick/core/assignment/FaultHistory.java
@@ -8,7 +8,10 @@
  * to the event loop.
  */
 public final class FaultHistory {
-    /** The jobs whose tasks failed on the machine since one last succeeded there. */
+    /**
+     * Ids of the jobs whose tasks failed on the machine. Emptied when a task that was assigned after the last failure
+     * completes there, and when a quarantine expires.
+     */
     public final Set<String> failedJobs = new HashSet<>();
 
     private long lastFailureAt;
@@ -17,12 +20,12 @@
 
     FaultHistory() {}
 
-    /** Whether it is quarantined: its failures are the machine's own, and it gets no new tasks for a while. */
+    /** Whether the machine is quarantined: failures are attributed to it, and it gets no new tasks for a while. */
     public boolean isQuarantined() {
         return quarantined;
     }
 
-    /** Begins the quarantine, or prolongs it. */
+    /** Begins the quarantine or extends it. */
     public void quarantine(long until) {
         quarantined = true;
         quarantinedUntil = until;
@@ -33,18 +36,18 @@
         quarantined = false;
     }
 
-    /** Whether it is quarantined, and has been for long enough. */
+    /** Whether the machine is quarantined and the quarantine's time is over. */
     public boolean isQuarantineOver(long now) {
         return quarantined && now >= quarantinedUntil;
     }
 
-    /** A task of the job failed on it. */
+    /** Records that a task of the job failed on the machine. */
     public void recordFailure(String jobId, long now) {
         lastFailureAt = now;
         failedJobs.add(jobId);
     }
 
-    /** When a task last failed on it, in milliseconds. */
+    /** When a task last failed on the machine, in milliseconds; 0 if none has. */
     public long lastFailureAt() {
         return lastFailureAt;
     }
--- a/src/main/java/org/hollypick/core/assignment/Heartbeat.java
+++ b/src/main/java/org/hollypick/core/assignment/Heartbeat.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * A heartbeat of an agent, with the status of its machine. Numbers are unsigned.
+ * A heartbeat of an agent, with the state of its machine. Incarnation, sequence number and token are unsigned.
  *
  * @param machine the machine's id
- * @param address where the agent takes direct calls; empty if unknown
+ * @param address where the agent accepts direct calls; empty if unknown
  * @param type the machine type's name
  * @param spot whether the cloud may preempt the machine
- * @param incarnation of the agent: grows with each of its lives
- * @param sequence grows with each heartbeat of an incarnation
+ * @param incarnation the agent's incarnation, which increases when its lease expires and its tasks end
+ * @param sequence the sequence number, which increases with each heartbeat of an incarnation
  * @param token the highest fencing token that the agent has seen
- * @param evictionNoticeS seconds until the cloud takes the machine; NaN unless it announced that
+ * @param evictionNoticeS seconds until the cloud reclaims the machine; NaN if it has announced no eviction
  * @param tasks all tasks on the machine
  */
 public record Heartbeat(
@@ -26,13 +26,13 @@
         long token,
         double evictionNoticeS,
         List<TaskStatus> tasks) {
-    /** Whether it follows the heartbeat with this incarnation and sequence number. */
+    /** Whether this heartbeat is newer than the one with the given incarnation and sequence number. */
     public boolean newerThan(long otherIncarnation, long otherSequence) {
         int byIncarnation = Long.compareUnsigned(incarnation, otherIncarnation);
         return byIncarnation > 0 || (byIncarnation == 0 && Long.compareUnsigned(sequence, otherSequence) > 0);
     }
 
-    /** Whether the cloud announced that it takes the machine. */
+    /** Whether the cloud has announced that it will reclaim the machine. */
     public boolean hasEvictionNotice() {
         return !Double.isNaN(evictionNoticeS);
     }
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -9,11 +9,11 @@
 import org.hollypick.core.health.HeartbeatValidity;
 
 /**
- * A machine, its agent's incarnation and lease as far as they are known, and everything that may be on it. Times are
- * milliseconds of the event loop's clock. Confined to the event loop.
+ * A machine as this leader knows it: its agent's incarnation and lease, its used resources, and all assignments that
+ * may exist on it. Times are milliseconds of the event loop's clock. Confined to the event loop.
  */
 public final class Machine {
-    /** The cloud's name for it. */
+    /** The cloud's id of the machine. */
     public final String id;
 
     private String address = "";
@@ -21,45 +21,49 @@
     public final String zone;
     public final boolean spot;
 
-    /** Whether its record is durable; before that, nothing may be launched on it. */
+    /** Whether the machine's record is durable; before that, nothing may be launched on it. */
     private boolean registered;
 
     private boolean reconciled;
     private boolean hasOrphanedTasks;
     private boolean heartbeatReceived;
     private boolean confirmedLive;
-    /** No command may go out from then on, until the next incarnation is heard of. */
+    /** When the known incarnation ended; 0 while it lasts. No command is sent until a new incarnation is known. */
     private long incarnationExpiredAt;
-    /** Whether a heartbeat request, not only responses to direct calls, came in the known incarnation. */
+    /** Whether a heartbeat request, and not only responses to direct calls, was received in the known incarnation. */
     private boolean heartbeatInIncarnation;
     /**
-     * It reaches no controller: direct commands may reach it, but don't renew its lease, with which all it is given
-     * would end.
+     * Whether the agent's heartbeats apparently reach no controller. Direct calls may reach the agent but don't renew its lease,
+     * so new tasks would end when the lease expires.
      */
     private boolean awaitsHeartbeat;
     /** Whether responses and commands reach the agent. */
     public final HeartbeatValidity validity = new HeartbeatValidity();
-    /** Direct calls to its agent. */
+    /** The direct calls to the agent. */
     public final DirectCalls directCalls = new DirectCalls();
-    /** Whether peers of this controller reach it. */
+    /** Whether peers of this controller reach the machine. */
     public final PeerContact peerContact = new PeerContact();
-    /** Failures of tasks on it, and its quarantine. */
+    /** The task failures on the machine, and its quarantine. */
     public final FaultHistory faults = new FaultHistory();
 
     private long incarnation;
     private long heartbeatSequence;
-    /** The highest token that it has shown: a larger sequence number beside a lower one is an earlier incarnation's. */
+    /**
+     * The token of the newest heartbeat. A heartbeat with a larger sequence number but a lower token was sent before
+     * the agent restarted.
+     */
     private long seenToken;
-    /** Heartbeats of earlier incarnations are outdated. */
+    /** Heartbeats of incarnations before this one are outdated. */
     private long minIncarnation;
 
     private long incarnationSeenAt;
-    /** When the last heartbeat was acknowledged, in milliseconds; the lease can't have been renewed later. */
+    /** When the newest acknowledged heartbeat was received; the lease can't have been renewed later. */
     private long heartbeatAcknowledgedAt;
     /**
-     * When an assignment was last listed for the first time. An agent that begins again within its lease, its counts
-     * going on, has a lease from that beginning, which no heartbeat tells apart from an empty machine; but whatever it
-     * lists began there.
+     * When an assignment was last listed for the first time. An agent that restarts within its lease and keeps its
+     * incarnation and sequence number has a new lease from the restart on, but its heartbeats look like those of an
+     * empty machine. Tasks that it lists afterwards were started under the new lease, so the lease began before they
+     * were listed.
      */
     private long newAssignmentListedAt;
 
@@ -70,16 +74,16 @@
     private boolean draining;
 
     private long noRoomUntil;
-    /** More than is needed: arrays go elsewhere while they can. */
+    /** Whether the machine exceeds the needed capacity: job arrays prefer other machines. */
     private boolean surplus;
-    /** Its replicas move elsewhere, so that it can be returned; it gets nothing new. */
+    /** Whether the replicas on the machine are being moved so that it can be terminated; it gets no new tasks. */
     private boolean evicting;
-    /** Its replicas will move after those of the machines that are emptied now. */
+    /** Whether the replicas on the machine will be moved after those of the machines being evicted now. */
     private boolean evictedNext;
-    /** In the first Tyrex partition. */
+    /** Whether the machine is in the first Tyrex partition. */
     private boolean inFirstPartition;
 
-    /** By attempt: those never repeat, whatever the task. */
+    /** Assignments by attempt number, which is unique over all tasks. */
     public final Long2ObjectLinkedOpenHashMap<Assignment> assignments = new Long2ObjectLinkedOpenHashMap<>();
 
     private List<TaskStatus> reportedTasks = List.of();
@@ -88,14 +92,14 @@
     private double usedCpus;
     private double usedGpus;
     private double usedMemoryGb;
-    /** Running totals over what may be there: tasks, those still without image, cores of services. */
+    /** Totals over the assignments that may exist here: their number, those still starting, cores of services. */
     private int liveAssignments;
 
-    private int starting;
+    private int startingTasks;
     private double serviceCpus;
-    private long taskLists;
+    private long taskListNumber;
 
-    /** A machine that is known from now on, and holds nothing. */
+    /** Creates a machine without assignments, which isn't registered yet. */
     public Machine(String id, MachineType type, String zone, boolean spot, long now) {
         this.id = id;
         this.type = type;
@@ -105,15 +109,15 @@
         this.idleSince = now;
     }
 
-    /** An assignment is decided, or was found in a heartbeat: it takes its resources from now on. */
+    /** Adds an assignment that was decided or was found in a heartbeat, and allocates its resources. */
     public void add(Assignment assignment) {
         assignments.put(assignment.attempt, assignment);
         adjustCounts(assignment, 1);
         assignment.holdsResources = true;
-        use(assignment, 1);
+        adjustUsage(assignment, 1);
     }
 
-    /** The assignment that a command or a heartbeat names; null if there is none. */
+    /** The assignment with this task id and attempt number; null if there is none. */
     public Assignment assignmentOf(String task, long attempt) {
         Assignment assignment = assignments.get(attempt);
         return assignment != null && assignment.taskId.equals(task) ? assignment : null;
@@ -122,61 +126,61 @@
     void adjustCounts(Assignment assignment, int sign) {
         if (assignment.mayExist()) {
             liveAssignments += sign;
-            starting += assignment.starting() ? sign : 0;
+            startingTasks += assignment.starting() ? sign : 0;
             serviceCpus += assignment.spec.service() ? sign * assignment.spec.cpus() : 0;
         }
     }
 
-    /** Nothing can be on it that isn't accounted for. */
+    /** Whether this leader knows of every task that may be on the machine. */
     public boolean accountedFor() {
         return reconciled && !hasOrphanedTasks;
     }
 
     // ---- address, registration and contact ----
 
-    /** The address at which its agent is called; empty while unknown. */
+    /** The address for direct calls to the agent; empty while unknown. */
     public String address() {
         return address;
     }
 
-    /** The cloud named its address. */
+    /** Sets the address, as reported by the cloud. */
     public void setAddress(String address) {
         this.address = address;
     }
 
-    /** It is known from a durable record: its silence is counted from {@code now}. */
+    /** Restores the machine from its durable record. Time without a heartbeat counts from {@code now}. */
     public void restoreFromRecord(String recordedAddress, long now) {
         address = recordedAddress;
         lastHeartbeatAt = now;
     }
 
-    /** Whether its record is durable; before that, nothing may be launched on it. */
+    /** Whether the machine's record is durable; before that, nothing may be launched on it. */
     public boolean isRegistered() {
         return registered;
     }
 
-    /** Its record is durable. */
+    /** Records that the machine's record is durable. */
     public void markRegistered() {
         registered = true;
     }
 
-    /** A heartbeat came, or the response to a direct call: no call counts as unacknowledged any more. */
+    /** Records a heartbeat or the response to a direct call, and resets the count of unacknowledged calls. */
     public void recordContact(long now) {
         lastHeartbeatAt = now;
         directCalls.resetUnacknowledgedCalls();
     }
 
-    /** When its last heartbeat or response to a direct call came, in milliseconds. */
+    /** When the last heartbeat or response to a direct call was received, in milliseconds. */
     public long lastHeartbeatAt() {
         return lastHeartbeatAt;
     }
 
-    /** A heartbeat that was received at {@code receivedAt} is acknowledged: its lease may be renewed from then. */
+    /** Records that a heartbeat received at {@code receivedAt} is acknowledged, which may renew the lease from then. */
     public void acknowledgeHeartbeat(long receivedAt) {
         heartbeatAcknowledgedAt = receivedAt;
     }
 
-    /** No acknowledgement of this term reached it. */
+    /** Records that no acknowledgement of this term has reached the agent. */
     public void clearHeartbeatAcknowledgement() {
         heartbeatAcknowledgedAt = 0;
     }
@@ -191,57 +195,59 @@
 
     // ---- scheduling and autoscaling ----
 
-    /** Whether it is in the first Tyrex partition. */
+    /** Whether the machine is in the first Tyrex partition. */
     public boolean isInFirstPartition() {
         return inFirstPartition;
     }
 
-    /** Puts it into the first Tyrex partition or the second. */
+    /** Moves the machine to the first Tyrex partition, or to the second. */
     public void setInFirstPartition(boolean first) {
         inFirstPartition = first;
     }
 
-    /** It refused a task for want of room: it gets none before {@code until}. */
+    /** Records that the agent refused a task for lack of resources; the machine gets no tasks before {@code until}. */
     public void recordNoRoom(long until) {
         noRoomUntil = until;
     }
 
-    /** Whether it refused a task for want of room so lately that it gets none now. */
+    /** Whether the machine gets no tasks because its agent recently refused one for lack of resources. */
     public boolean reportedNoRoom(long now) {
         return now < noRoomUntil;
     }
 
-    /** Whether its termination was requested. */
+    /** Whether the machine's termination was requested. */
     public boolean isScalingIn() {
         return scalingIn;
     }
 
-    /** Its termination is requested; it gets nothing new. */
+    /** Records that the machine's termination is requested; it gets no new tasks. */
     public void beginScaleIn() {
         scalingIn = true;
     }
 
-    /** Whether it is more than is needed: arrays go elsewhere while they can. */
+    /** Whether the machine exceeds the needed capacity: job arrays prefer other machines. */
     public boolean isSurplus() {
         return surplus;
     }
 
-    /** Marks it as more than is needed, or as needed. */
+    /** Sets whether the machine exceeds the needed capacity. */
     public void setSurplus(boolean surplus) {
         this.surplus = surplus;
     }
 
-    /** Whether its replicas move elsewhere, so that it can be terminated; it gets nothing new. */
+    /** Whether the replicas on the machine are being moved so that it can be terminated; it gets no new tasks. */
     public boolean isEvicting() {
         return evicting;
     }
 
-    /** Whether its replicas will move after those of the machines that are being evicted now. */
+    /** Whether the replicas on the machine will be moved after those of the machines being evicted now. */
     public boolean isEvictedNext() {
         return evictedNext;
     }
 
-    /** Decides whether its replicas move elsewhere now, or after those of other machines; not both. */
+    /**
+     * Sets whether the replicas on the machine are moved now, or after those of other machines; at most one is true.
+     */
     public void planEviction(boolean now, boolean next) {
         evicting = now;
         evictedNext = next;
@@ -249,12 +255,12 @@
 
     // ---- heartbeats and incarnations ----
 
-    /** Whether it was reconciled under the current token, or nothing of earlier terms can be on it. */
+    /** Whether the agent reported under the current token, or no task of an earlier term can be on the machine. */
     public boolean reconciled() {
         return reconciled;
     }
 
-    /** It reported under the current token, or nothing of earlier terms can be on it any more. */
+    /** Records that the agent reported under the current token, or that tasks of earlier terms can't exist any more. */
     public void markReconciled() {
         reconciled = true;
     }
@@ -264,22 +270,25 @@
         return heartbeatReceived;
     }
 
-    /** Whether it showed the current token or answered a call: a heartbeat alone may be a delayed copy. */
+    /**
+     * Whether the agent reported the current token or responded to a direct call. A heartbeat alone may be a delayed
+     * copy from a machine that no longer exists.
+     */
     public boolean confirmedLive() {
         return confirmedLive;
     }
 
-    /** It showed the current token, or answered a call. */
+    /** Records that the agent reported the current token or responded to a direct call. */
     public void markConfirmedLive() {
         confirmedLive = true;
     }
 
-    /** Since when the known incarnation is over, in milliseconds; 0 while it isn't. */
+    /** When the known incarnation ended, in milliseconds; 0 while it lasts. */
     public long incarnationExpiredAt() {
         return incarnationExpiredAt;
     }
 
-    /** Whether its last incarnation ended without a heartbeat, and none came since. */
+    /** Whether the previous incarnation ended without a heartbeat request and none has been received since. */
     public boolean awaitsHeartbeat() {
         return awaitsHeartbeat;
     }
@@ -294,17 +303,17 @@
         return heartbeatSequence;
     }
 
-    /** When the known incarnation was first heard of, in milliseconds; it began before that. */
+    /** When the known incarnation was first reported, in milliseconds; it began before that. */
     public long incarnationSeenAt() {
         return incarnationSeenAt;
     }
 
-    /** Whether it reported a task that isn't assigned to it: of a job that ended, or a second attempt. */
+    /** Whether the newest heartbeat lists a task that isn't assigned here: of a job that ended, or another attempt. */
     public boolean hasOrphanedTasks() {
         return hasOrphanedTasks;
     }
 
-    /** Whether the newest heartbeat lists a task that isn't assigned to it. */
+    /** Sets whether the newest heartbeat lists a task that isn't assigned to this machine. */
     public void setOrphanedTasks(boolean orphanedTasks) {
         hasOrphanedTasks = orphanedTasks;
     }
@@ -314,43 +323,43 @@
         return reportedTasks;
     }
 
-    /** Nothing that was reported can be on it any more. */
+    /** Discards the reported tasks: none of them can be on the machine any more. */
     public void clearReportedTasks() {
         reportedTasks = List.of();
         hasOrphanedTasks = false;
     }
 
-    /** Since when it holds nothing, in milliseconds; meaningless unless {@link #idle}. */
+    /** When the machine became idle, in milliseconds; meaningless unless {@link #idle}. */
     public long idleSince() {
         return idleSince;
     }
 
-    /** It holds nothing from now on, if it didn't before. */
+    /** Records that the machine is idle from {@code now} on. An earlier time doesn't replace a later one. */
     public void becameIdle(long now) {
         idleSince = Math.max(idleSince, now);
     }
 
     // ---- draining ----
 
-    /** Whether the cloud announced that it takes the machine. */
+    /** Whether the cloud has announced that it will reclaim the machine. */
     public boolean draining() {
         return draining;
     }
 
-    /** The cloud announced that it takes the machine. */
+    /** Records that the cloud has announced that it will reclaim the machine. */
     public void beginDraining() {
         draining = true;
     }
 
-    /** Whether the heartbeat is a duplicate of the newest one that was processed, or older. */
+    /** Whether the heartbeat is the newest processed one or an older one. */
     public boolean hasProcessed(Heartbeat heartbeat) {
         return heartbeatReceived && !heartbeat.newerThan(incarnation, heartbeatSequence);
     }
 
     /**
-     * Whether a heartbeat says nothing whatever its sequence number: of an incarnation that is over, or with a larger
-     * sequence number and a lower token than the machine has shown. An agent's token never falls, so such a heartbeat
-     * was written by an earlier incarnation.
+     * Whether the heartbeat must be ignored whatever its sequence number: it is of an incarnation that has ended, or it
+     * has a larger sequence number but a lower token than the newest one. An agent's token doesn't decrease while it
+     * runs, so such a heartbeat was sent before the agent restarted.
      */
     public boolean isOutdated(Heartbeat heartbeat) {
         return Long.compareUnsigned(heartbeat.incarnation(), minIncarnation) < 0
@@ -360,13 +369,13 @@
                         && Long.compareUnsigned(heartbeat.token(), seenToken) < 0);
     }
 
-    /** The known incarnation is over since the agent reports another one; see {@link #awaitsHeartbeat}. */
+    /** Ends the known incarnation, when the agent reports another one; see {@link #awaitsHeartbeat}. */
     public void endIncarnation() {
         awaitsHeartbeat = !heartbeatInIncarnation;
         heartbeatInIncarnation = false;
     }
 
-    /** The agent's first heartbeat, or its first one of another incarnation, was received. */
+    /** Begins an incarnation, when its first heartbeat or response to a direct call is received. */
     public void beginIncarnation(long now) {
         incarnationSeenAt = now;
         incarnationExpiredAt = 0;
@@ -376,7 +385,9 @@
         }
     }
 
-    /** The agent restarted without tasks, as a direct call shows; the incarnation that it is known by is over. */
+    /**
+     * Ends the known incarnation, when the response to a direct call shows that the agent has restarted without tasks.
+     */
     public void expireRestartedIncarnation(long now) {
         incarnationExpiredAt = now;
         incarnationSeenAt = now;
@@ -384,14 +395,14 @@
     }
 
     /**
-     * Whether a lease may be running: a heartbeat came in the known incarnation, or a task may be there. An incarnation
-     * may also be known from the response to a direct call alone: its lease began before that response came.
+     * Whether the agent may hold a lease: the known incarnation hasn't ended, or there are assignments. An incarnation
+     * may be known only from the response to a direct call; its lease began before that response was received.
      */
     public boolean mayHoldLease() {
         return (heartbeatReceived && !incarnationExpired()) || !assignments.isEmpty();
     }
 
-    /** The lease of the known incarnation has expired; only heartbeats of a later incarnation count from now on. */
+    /** Ends the known incarnation, when its lease has expired; from then on only later incarnations are accepted. */
     public void expireIncarnation(long now) {
         if (heartbeatReceived) {
             incarnationExpiredAt = now;
@@ -399,7 +410,7 @@
         }
     }
 
-    /** The heartbeat is the newest one from now on. */
+    /** Records the heartbeat as the newest one. */
     public void recordHeartbeat(Heartbeat heartbeat) {
         seenToken = heartbeat.token();
         incarnation = heartbeat.incarnation();
@@ -411,8 +422,8 @@
     }
 
     /**
-     * The newest heartbeat came as a request of the agent. An agent has one in flight, so the response to the one
-     * before was taken or lost by now.
+     * Records that the newest heartbeat was a request of the agent. An agent has one heartbeat in flight at a time, so
+     * the response to the previous one was received or lost by now.
      */
     public void heartbeatRequestReceived() {
         for (Assignment assignment : assignments.values()) {
@@ -422,76 +433,79 @@
         heartbeatInIncarnation = true;
     }
 
-    /** A new list of reported tasks begins: {@link #unlistedAssignments} tells which assignments it doesn't hold. */
+    /** Begins a new list of reported tasks. {@link #unlistedAssignments} returns the assignments that it lacks. */
     public void beginTaskList() {
-        taskLists++;
+        taskListNumber++;
     }
 
-    /** The newest heartbeat lists the assignment. */
+    /** Records that the newest heartbeat lists the assignment. */
     public void markListed(Assignment assignment, long now) {
         if (assignment.lastListedIn == 0) {
             newAssignmentListedAt = now;
         }
-        assignment.lastListedIn = taskLists;
+        assignment.lastListedIn = taskListNumber;
     }
 
     /**
-     * From when the lease of the agent's present life counts at the latest: whatever is known to be there was renewed,
-     * first heard of or begun by then.
+     * The latest time at which the agent's current lease can have been started or renewed, as far as is known: the last
+     * acknowledged heartbeat, the first report of the incarnation, or the first listing of a task.
      */
     public long leaseStartedAt() {
         return Math.max(Math.max(heartbeatAcknowledgedAt, incarnationSeenAt), newAssignmentListedAt);
     }
 
-    /** The assignments that the newest list of reported tasks does not hold. */
+    /** The assignments that the newest list of reported tasks doesn't contain. */
     public List<Assignment> unlistedAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
-            if (assignment.lastListedIn != taskLists) {
+            if (assignment.lastListedIn != taskListNumber) {
                 list.add(assignment);
             }
         }
         return list;
     }
 
-    /** Its room may be used by others: it exited, or is killed at once by a command ahead of theirs. */
+    /**
+     * Frees the assignment's resources for other tasks: it exited, or is killed without a grace period by a command
+     * that precedes their launch.
+     */
     public void release(Assignment assignment) {
         if (assignment.holdsResources) {
             assignment.holdsResources = false;
-            use(assignment, -1);
+            adjustUsage(assignment, -1);
         }
     }
 
-    private void use(Assignment assignment, int sign) {
+    private void adjustUsage(Assignment assignment, int sign) {
         usedCpus += sign * assignment.spec.cpus();
         usedGpus += sign * assignment.spec.gpus();
         usedMemoryGb += sign * assignment.spec.memoryGb();
     }
 
-    /** Cores that its assignments take. */
+    /** The cores allocated to assignments. */
     public double usedCpus() {
         return usedCpus;
     }
 
-    /** GPUs that its assignments take. */
+    /** The GPUs allocated to assignments. */
     public double usedGpus() {
         return usedGpus;
     }
 
-    /** Gigabytes of memory that its assignments take. */
+    /** The gigabytes of memory allocated to assignments. */
     public double usedMemoryGb() {
         return usedMemoryGb;
     }
 
-    /** Whether a task of the job fits beside what its assignments take. */
+    /** Whether the free resources are enough for a task of the job. */
     public boolean hasRoom(JobSpec job) {
-        double slack = 1e-6; // sums of decimal amounts
+        double slack = 1e-6; // for rounding errors in sums of decimal amounts
         return usedCpus + job.cpus() <= type.cpus() + slack
                 && usedGpus + job.gpus() <= type.gpus() + slack
                 && usedMemoryGb + job.memoryGb() <= type.memoryGb() + slack;
     }
 
-    /** Whether it may be given new tasks. */
+    /** Whether new tasks may be assigned to the machine. */
     public boolean schedulable() {
         return registered
                 && reconciled
@@ -506,32 +520,32 @@
                 && !evicting;
     }
 
-    /** Whether no assignment may exist on it. */
+    /** Whether no assignment may exist on the machine. */
     public boolean idle() {
         return liveAssignments == 0;
     }
 
-    /** Whether nothing can be sent to its agent: no response reaches it, or its incarnation expired. */
+    /** Whether nothing can be sent to the agent: responses don't reach it, or its known incarnation has ended. */
     public boolean unreachable() {
         return validity.isUnreachableInbound() || incarnationExpired();
     }
 
-    /** Whether the known incarnation is over. */
+    /** Whether the known incarnation has ended. */
     public boolean incarnationExpired() {
         return incarnationExpiredAt > 0;
     }
 
-    /** Tasks that may be there but wait for their image. */
+    /** The number of tasks that may exist here and may still be waiting for their image. */
     public int startingTasks() {
-        return starting;
+        return startingTasks;
     }
 
-    /** Cores that services take on it. */
+    /** The cores of the services that may exist on the machine. */
     public double serviceCpus() {
         return serviceCpus;
     }
 
-    /** The assignments that may exist on it. */
+    /** The assignments that may exist on the machine. */
     public List<Assignment> liveAssignments() {
         List<Assignment> list = new ArrayList<>();
         for (Assignment assignment : assignments.values()) {
--- a/src/main/java/org/hollypick/core/assignment/PeerContact.java
+++ b/src/main/java/org/hollypick/core/assignment/PeerContact.java
@@ -1,8 +1,8 @@
 package org.hollypick.core.assignment;
 
 /**
- * What the leader knows of a machine's reachability from its peers. Times are milliseconds of the event loop's clock.
- * Confined to the event loop.
+ * Whether the leader's peers reach a machine, from the leader's requests to them. Times are milliseconds of the event
+ * loop's clock. Confined to the event loop.
  */
 public final class PeerContact {
     private long reachedByPeerAt;
@@ -13,9 +13,9 @@
     PeerContact() {}
 
     /**
-     * Another controller reached it while this one didn't.
+     * Records that another controller reached the machine while this one didn't.
      *
-     * @param unbroken whether that was so until now, so that the period goes on
+     * @param unbroken whether this continues the current period in which only peers reach the machine
      */
     public void recordReachedByPeer(boolean unbroken, long now) {
         if (!unbroken) {
@@ -24,32 +24,32 @@
         reachedByPeerAt = now;
     }
 
-    /** When another controller last reached it while this one didn't, in milliseconds; 0 for never. */
+    /** When another controller last reached the machine while this one didn't, in milliseconds; 0 for never. */
     public long reachedByPeerAt() {
         return reachedByPeerAt;
     }
 
-    /** Since when, without a break, another controller has reached it while this one didn't, in milliseconds. */
+    /** The start of the current period in which other controllers reach the machine and this one doesn't. */
     public long reachedByPeerSince() {
         return reachedByPeerSince;
     }
 
-    /** The other controllers are asked whether they reach it. */
+    /** Records that the other controllers are asked whether they reach the machine. */
     public void recordPeerCheckRequest(long now) {
         peerCheckRequestedAt = now;
     }
 
-    /** When the other controllers were last asked whether they reach it, in milliseconds; 0 for never. */
+    /** When the other controllers were last asked whether they reach the machine, in milliseconds; 0 for never. */
     public long peerCheckRequestedAt() {
         return peerCheckRequestedAt;
     }
 
-    /** Another controller tried it in vain. */
+    /** Records that another controller failed to reach the machine. */
     public void recordPeerCheckFailure(long now) {
         peerCheckFailedAt = now;
     }
 
-    /** When another controller last tried it in vain, in milliseconds; 0 for never. */
+    /** When another controller last failed to reach the machine, in milliseconds; 0 for never. */
     public long peerCheckFailedAt() {
         return peerCheckFailedAt;
     }
