--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -33,8 +33,8 @@
     /** Whether a heartbeat request, and not only responses to direct calls, was received in the known incarnation. */
     private boolean heartbeatInIncarnation;
     /**
-     * Whether the agent's heartbeats apparently reach no controller. Direct calls may reach the agent but don't renew its lease,
-     * so new tasks would end when the lease expires.
+     * Whether the agent's heartbeats apparently reach no controller. Direct calls may reach the agent but don't renew
+     * its lease, so new tasks would end when the lease expires.
      */
     private boolean awaitsHeartbeat;
     /** Whether responses and commands reach the agent. */
--- a/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -5,37 +5,37 @@
 import org.hollypick.config.constants.RelayConstants;
 
 /**
- * Spreads the agents' heartbeats over the controllers. Knows which controller each machine sends its heartbeats to, and
- * redirects machines of a controller that has far more than its share: a few a second, since each redirect costs a
- * heartbeat. The leader, which also schedules, gets a smaller share than the others. All times are milliseconds of the
- * event loop's clock. Used by the leader only; confined to the event loop.
+ * Balances the agents' heartbeats over the controllers. Tracks which controller each machine sends its heartbeats to,
+ * and redirects machines away from a controller that has far more than its share. Redirects are limited to a few per
+ * second, since each costs a heartbeat. The leader, which also schedules, gets a smaller share than the others. Times
+ * are milliseconds of the event loop's clock. Used by the leader only; confined to the event loop.
  */
 public final class HeartbeatBalancer {
     private final String leader;
     /** The controller that received a machine's last heartbeat, by machine id. */
     private final Map<String, String> controllerOfMachine = new HashMap<>();
 
-    /** Machines by the controller that received their last heartbeat. */
+    /** The number of machines whose last heartbeat each controller received. */
     private final Map<String, Integer> machineCounts = new HashMap<>();
     /** When each controller was last known to relay heartbeats. */
     private final Map<String, Long> relayedAtMillis = new HashMap<>();
 
-    /** Redirects that may be given now: a token bucket that is refilled when a controller has too many machines. */
+    /** Tokens of the bucket that limits redirects; refilled whenever a controller has too many machines. */
     private double redirectBudget;
 
     private long budgetRefilledAtMillis;
 
     /**
-     * Starts without machines.
+     * Creates a balancer without machines.
      *
-     * @param leader the name of this controller
+     * @param leader the name of this controller, the leader
      */
     public HeartbeatBalancer(String leader, long nowMillis) {
         this.leader = leader;
         this.budgetRefilledAtMillis = nowMillis;
     }
 
-    /** Records that a controller relays heartbeats, whether or not it has a machine. */
+    /** Records that a controller relays heartbeats, whether or not any machine sends heartbeats to it. */
     public void recordRelay(String controller, long nowMillis) {
         relayedAtMillis.put(controller, nowMillis);
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Forgets a terminated machine. */
+    /** Removes a terminated machine. */
     public void removeMachine(String machineId) {
         String previous = controllerOfMachine.remove(machineId);
         if (previous != null) {
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Chooses where a machine whose heartbeat just arrived through {@code controller} has to send the next ones. A
-     * redirect counts against the redirects of this second.
+     * Chooses the controller to which a machine should send its next heartbeats, after one arrived through
+     * {@code controller}. A redirect takes a token from the bucket.
      *
-     * @return null if it stays with its controller
+     * @return null if the machine isn't redirected
      */
     public String redirectFrom(String controller, long nowMillis) {
         double totalWeight = weight(leader);
@@ -107,7 +107,7 @@
                         + RelayConstants.UNBALANCED_MACHINES;
     }
 
-    /** The other controller that is furthest below its share, or null if none is below it. */
+    /** The other controller with the lowest load relative to its share; null if none is below its share. */
     private String leastLoadedExcept(String controller, double machinesPerWeight, long nowMillis) {
         String leastLoaded = null;
         double lowestLoad = 1;
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -9,42 +9,43 @@
 import org.hollypick.core.assignment.TaskStatus;
 
 /**
- * Whether a machine's heartbeats are new, and whether the answers to them reach it (docs/heartbeat-validity.md). An
- * agent has one heartbeat in flight at a time: a newer one that still lacks the effect of the last answer's commands
- * shows that this answer didn't reach it. One for each machine in one term. Confined to the event loop.
+ * Tracks whether a machine's heartbeats are new, and whether the responses to them reach the agent
+ * (docs/heartbeat-validity.md). An agent has one heartbeat in flight at a time, so a newer heartbeat that doesn't show
+ * the effect of the previous response's commands proves that this response wasn't received. One instance per machine
+ * and term. Confined to the event loop.
  */
 public final class HeartbeatValidity {
-    /** What a heartbeat is beside those received before. */
+    /** A heartbeat's relation to those received before. */
     public enum Freshness {
-        /** Newer than all before. */
+        /** Newer than all heartbeats before. */
         NEW,
-        /** The newest one once more, while its agent may still wait for the answer. */
+        /** A copy of the newest heartbeat, received while the agent may still be waiting for the response. */
         REPEATED,
-        /** Older than the newest, or a copy of it that nobody waits for any more. */
+        /** Older than the newest heartbeat, or a copy of it to which the agent no longer awaits the response. */
         OUTDATED
     }
 
     private boolean anyReceived;
-    /** Incarnation, sequence number and arrival of the newest heartbeat. */
+    /** Incarnation, sequence number and time of receipt of the newest heartbeat. */
     private long newestIncarnation;
 
     private long newestSequence;
     private long newestReceivedAt;
 
-    /** Whether the newest heartbeat was answered, with which commands, and for which incarnation. */
+    /** Whether a response to the newest heartbeat was sent, with which commands and to which incarnation. */
     private boolean responseSent;
 
     private List<Command> sentCommands = List.of();
     private long respondedIncarnation;
-    /** Whether the agent had seen this term's token by the newest heartbeat. */
+    /** Whether the agent had seen this term's token when it sent the newest heartbeat. */
     private boolean tokenSeen;
 
     private int unacknowledgedResponses;
     private int unacknowledgedCalls;
-    /** Since when the machine counts as unreachable inbound; 0 if it doesn't. */
+    /** When the machine became unreachable inbound; 0 if it isn't. */
     private long unreachableInboundSince;
 
-    /** Compares a heartbeat with those before; a new one becomes the newest. */
+    /** Classifies a heartbeat by those received before, and records it if it is new. */
     public Freshness classify(Heartbeat heartbeat, long now) {
         if (!anyReceived || heartbeat.newerThan(newestIncarnation, newestSequence)) {
             anyReceived = true;
@@ -54,20 +55,20 @@
             return Freshness.NEW;
         }
         boolean same = heartbeat.incarnation() == newestIncarnation && heartbeat.sequence() == newestSequence;
-        boolean awaitsAnswer = now - newestReceivedAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS;
-        return same && awaitsAnswer ? Freshness.REPEATED : Freshness.OUTDATED;
+        boolean awaitsResponse = now - newestReceivedAt < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS;
+        return same && awaitsResponse ? Freshness.REPEATED : Freshness.OUTDATED;
     }
 
-    /** When the newest heartbeat was first received. */
+    /** When the newest heartbeat was first received, in milliseconds. */
     public long newestReceivedAt() {
         return newestReceivedAt;
     }
 
     /**
-     * Draws from a new heartbeat whether the last answer reached the agent.
+     * Determines from a new heartbeat whether the agent received the previous response.
      *
      * @param seenThisToken whether the agent has seen this term's token
-     * @param pendingCommands what the machine would be sent now
+     * @param pendingCommands the commands that would be sent to the agent now
      */
     public void heartbeatReceived(Heartbeat heartbeat, boolean seenThisToken, List<Command> pendingCommands, long now) {
         if (responseSent) {
@@ -86,8 +87,8 @@
     }
 
     /**
-     * Whether a command of the last answer would be sent again. Attempts are compared before task names: this runs for
-     * hundreds of heartbeats a second.
+     * Whether a command of the previous response would be sent again. Attempts are compared before the whole commands,
+     * since this runs for hundreds of heartbeats a second.
      */
     private boolean anyStillPending(List<Command> pendingCommands) {
         for (Command sent : sentCommands) {
@@ -109,7 +110,7 @@
         return false;
     }
 
-    /** Whether the heartbeat is as it would be after the command. */
+    /** Whether the heartbeat shows the state that the command leads to. */
     private static boolean showsEffect(Heartbeat heartbeat, Command command) {
         Assignment.State state = null;
         for (TaskStatus status : heartbeat.tasks()) {
@@ -124,41 +125,46 @@
         };
     }
 
-    /** The newest heartbeat is answered with these commands. */
+    /** Records that the response to the newest heartbeat is sent, with these commands. */
     public void responseSent(List<Command> commands) {
         responseSent = true;
         sentCommands = commands;
         respondedIncarnation = newestIncarnation;
     }
 
-    /** No recent answer reached the machine, by its heartbeats or since its lease expired though it was answered. */
+    /**
+     * Records that no recent response reached the machine: its heartbeats show so, or its lease expired although
+     * responses were sent.
+     */
     public void markUnreachableInbound(long now) {
         unreachableInboundSince = unreachableInboundSince == 0 ? now : unreachableInboundSince;
     }
 
-    /** An answer or a direct call certainly reached the agent. */
+    /** Records that a response or a direct call was certainly received by the agent. */
     public void deliveryConfirmed() {
         unacknowledgedResponses = 0;
         unacknowledgedCalls = 0;
         unreachableInboundSince = 0;
     }
 
-    /** A direct call got no answer. */
+    /** Records that a direct call got no response. */
     public void directCallUnacknowledged() {
         unacknowledgedCalls++;
     }
 
-    /** Whether the machine gets no work, and no answer while tasks may be on it. */
+    /**
+     * Whether responses don't reach the machine. It then gets no new tasks, and no responses while tasks may be on it.
+     */
     public boolean isUnreachableInbound() {
         return unreachableInboundSince > 0;
     }
 
-    /** Since when it is unreachable inbound; 0 if it isn't. */
+    /** When the machine became unreachable inbound, in milliseconds; 0 if it isn't. */
     public long unreachableInboundSince() {
         return unreachableInboundSince;
     }
 
-    /** Whether heartbeats arrive but neither answers nor direct calls seem to reach the machine. */
+    /** Whether heartbeats are received, but neither responses nor direct calls seem to reach the machine. */
     public boolean isSuspected() {
         return isUnreachableInbound()
                 || (unacknowledgedResponses > 0
@@ -166,8 +172,8 @@
     }
 
     /**
-     * Whether direct calls don't reach the machine and no answer has been shown to since. One task at a time is enough
-     * to find out.
+     * Whether direct calls got no response, and no message is known to have reached the agent since. One starting task
+     * at a time is enough to find out whether commands reach it.
      */
     public boolean isDeliveryUnconfirmed() {
         return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -13,21 +13,23 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * Chooses a machine for a task: where the task is allowed, which machine is best, and what is preempted for it. Times
- * are milliseconds of the event loop's clock. Stateless; reads jobs and machines, so it is called on the event loop.
+ * Chooses a machine for a task: checks placement constraints, scores the machines, and selects the tasks to preempt.
+ * Times are milliseconds of the event loop's clock. Stateless; reads jobs and machines, so it must be called on the
+ * event loop.
  */
 public final class MachineSelector {
     /** For rounding errors in sums of decimal amounts. */
     private static final double SLACK = 1e-6;
-    /** What a machine filled with work is better by than an empty one, in seconds of image fetching. */
+    /** Score of a fully used machine over an empty one, in seconds of image fetching. */
     private static final double PACKING_BONUS_S = 2;
-    /** What a spot instance is better by for arrays, in seconds of image fetching. */
+    /** Score of a spot instance over an on-demand one for job arrays, in seconds of image fetching. */
     private static final double SPOT_BONUS_S = 3;
-    /** The part of a fetch that is still ahead, on average, if the image is being fetched already. */
+    /** Average share of the fetch time that remains if the image is already being fetched. */
     private static final double REMAINING_FETCH_SHARE = 0.6;
-    /** What each fetch in progress adds to the time of another one, as a share of that. */
+    /** Share of its own fetch time by which an image is delayed by each other fetch in progress. */
     private static final double CONCURRENT_FETCH_SHARE = 0.5;
 
+    /** Concurrent fetches from which on more don't lengthen the estimate. */
     private static final int MAX_CONCURRENT_FETCHES = 4;
 
     private MachineSelector() {}
@@ -36,8 +38,8 @@
     public record Placement(Machine machine, List<Assignment> victims) {}
 
     /**
-     * Whether the job's constraints allow a task of it on the machine, given where its other tasks may be: type, zone,
-     * spot instances, replicas spread over zones or all in one. Doesn't look at free room.
+     * Whether the job's constraints allow one of its tasks on the machine, given where its other tasks may be: machine
+     * type, zone, spot instances, and replicas spread over zones or all in one zone. Ignores free resources.
      */
     public static boolean isAllowed(Job job, JobSpec spec, Machine machine) {
         if (!machine.type.fits(spec)
@@ -51,7 +53,10 @@
         return !spec.oneZone() || job.assignedInZone(machine.zone) == job.assignments.size();
     }
 
-    /** Whether the machine takes new tasks now; one that is on trial takes one at a time. */
+    /**
+     * Whether the machine accepts new tasks now. While it is unconfirmed that commands reach the agent, only one task
+     * may be starting at a time.
+     */
     public static boolean acceptsTasks(Machine machine, long now) {
         return machine.schedulable()
                 && !machine.reportedNoRoom(now)
@@ -65,8 +70,8 @@
     }
 
     /**
-     * Whether a replica of a service could start at once on another on-demand machine of its zone: one that has room
-     * and the image, and holds no replica of the same job.
+     * Whether a replica of a service could start at once on another on-demand machine of its zone: one that has free
+     * resources and the image, and no replica of the same job.
      */
     public static boolean canMove(Assignment assignment, Collection<Machine> machines, long now) {
         Object2IntOpenHashMap<Machine> replicas = replicasByMachine(assignment.job);
@@ -86,9 +91,9 @@
     }
 
     /**
-     * The best machine with room for a task of an array.
+     * The best machine with free resources for a task of a job array.
      *
-     * @param spec the task's own description, which may differ from the job's
+     * @param spec the task's own specification, which may differ from the job's
      * @return null if there is none
      */
     public static Machine chooseForArray(Job job, JobSpec spec, Collection<Machine> machines, long now) {
@@ -106,14 +111,17 @@
         return best;
     }
 
-    /** How many replicas of a service may be on each machine. */
+    /** The number of a service's replicas that may exist on each machine. */
     private static Object2IntOpenHashMap<Machine> replicasByMachine(Job job) {
         Object2IntOpenHashMap<Machine> replicas = new Object2IntOpenHashMap<>();
         job.assignments.values().forEach(assignment -> replicas.addTo(assignment.machine, 1));
         return replicas;
     }
 
-    /** In seconds, higher is better: the image's fetch time first, then spot instances, then tight packing. */
+    /**
+     * The score of a machine for a task of a job array, in seconds of image fetching; higher is better. Prefers a short
+     * fetch, then spot instances, then well-filled machines, and avoids surplus machines.
+     */
     private static double arrayScore(JobSpec spec, Machine machine) {
         return -fetchSeconds(spec, machine)
                 + PACKING_BONUS_S * machine.usedCpus() / machine.type.cpus()
@@ -122,11 +130,12 @@
     }
 
     /**
-     * In seconds, higher is better: the image's fetch time first, then few replicas of the same job, no machine that is
-     * soon evicted, and none with a large share of all services, which would be lost together with it. Among very many
-     * machines no share is large, and services fill one machine after the other.
+     * The score of a machine for a replica of a service, in seconds of image fetching; higher is better. Prefers a
+     * short fetch, and avoids machines with replicas of the same job, machines that are evicted next, and machines with
+     * a large share of all services, which would all be lost if the machine failed. With very many machines no share is
+     * large, so services fill one machine after the other.
      *
-     * @param replicas how many of the job's replicas the machine may hold
+     * @param replicas the number of the job's replicas that may exist on the machine
      */
     private static double serviceScore(Job job, Machine machine, int replicas, double allServiceCpus) {
         double share = (machine.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServiceCpus);
@@ -136,7 +145,7 @@
                 - (machine.isEvictedNext() ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
-    /** Estimated seconds until the machine has the image: more if others are being fetched. */
+    /** Estimated seconds until the machine has the image; other fetches in progress lengthen them. */
     private static double fetchSeconds(JobSpec spec, Machine machine) {
         if (machine.images.containsKey(spec.image())) {
             return 0;
@@ -164,10 +173,10 @@
     }
 
     /**
-     * The best machine for a replica of a service: one that has room, or gets it by preempting work of lower priority.
-     * The work that would be lost counts against the machine.
+     * The best machine for a replica of a service, which has free resources or gets them by preempting tasks with a
+     * lower priority. The work that would be lost lowers the machine's score.
      *
-     * @param allServiceCpus cores of all services on all machines
+     * @param allServiceCpus the cores of all services on all machines
      * @return null if there is none
      */
     public static Placement chooseForService(Job job, Collection<Machine> machines, double allServiceCpus, long now) {
@@ -181,7 +190,7 @@
             }
             double score = serviceScore(job, machine, replicas.getInt(machine), allServiceCpus);
             if (best != null && score <= bestScore) {
-                continue; // lost work can only lower the score
+                continue; // preemption can only lower the score
             }
             List<Assignment> victims = machine.hasRoom(job.spec) ? List.of() : victims(job, machine);
             if (victims == null) {
@@ -197,6 +206,7 @@
         return best == null ? null : new Placement(best, bestVictims);
     }
 
+    /** The core-seconds of work that are lost if these tasks are preempted. */
     private static double lostCoreSeconds(List<Assignment> victims, long now) {
         double lost = 0;
         for (Assignment assignment : victims) {
@@ -208,9 +218,10 @@
     }
 
     /**
-     * The tasks to preempt so that a task of the job fits: of lower priority, the lowest and the latest started first.
+     * Selects the tasks to preempt so that a task of the job fits, among those with a lower priority: the lowest
+     * priority first, then the latest assigned.
      *
-     * @return null if it doesn't fit even without all of them
+     * @return null if preempting all of them wouldn't free enough resources
      */
     private static List<Assignment> victims(Job job, Machine machine) {
         List<Assignment> lower = new ArrayList<>();
--- a/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -3,16 +3,20 @@
 import org.hollypick.config.constants.ElectionConstants;
 
 /**
- * How long a candidate leaves a vacant leadership to other controllers, by how many of the probed machines it reaches:
- * the controller that reaches most becomes leader, and of two that reach the same the one that needs no peer for it.
+ * Computes how long a candidate waits before it claims a vacant leadership, from the number of probed machines that it
+ * reaches. The controller that reaches most machines becomes leader; of two that reach the same number, the one that
+ * reaches them without the help of peers.
  *
- * <p>Of the probed machines, {@code direct} answered this controller, {@code byPeers} answered only a peer, and
- * {@code bestPeer} answered the peer that reached most. Pure, any thread.
+ * <p>Parameters are numbers of machines: {@code probed} were probed, of which {@code direct} responded to this
+ * controller, {@code byPeers} responded only to a peer, and {@code bestPeer} responded to the peer that reached most.
+ * Stateless; safe to call from any thread.
  */
 public final class CandidacyDelay {
     private CandidacyDelay() {}
 
-    /** The delay before the candidacy, in milliseconds. */
+    /**
+     * The delay before the candidacy, in milliseconds; 0 if no machine was probed or most of them responded directly.
+     */
     public static long delayMs(int probed, int direct, int byPeers) {
         if (probed == 0 || majorityResponded(probed, direct)) {
             return 0;
@@ -25,20 +29,23 @@
         return Math.round(delayMs);
     }
 
-    /** Whether nearly all machines are reached, directly or by way of peers. */
+    /** Whether nearly all machines are reached, directly or through peers. */
     public static boolean reachesNearlyAll(int probed, int direct, int byPeers) {
         return direct + byPeers >= probed * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
     /**
-     * Whether a peer would lead better: alone it reaches more machines than this controller does, and hardly fewer than
-     * this controller does with the help of all peers.
+     * Whether a peer would be the better leader: it directly reaches more machines than this controller, and nearly as
+     * many as this controller and all its peers together.
      */
     public static boolean peerLeadsBetter(int direct, int byPeers, int bestPeer) {
         return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.BETTER_LEADER_SHARE;
     }
 
-    /** Whether more than half of the machines answered: the rest need not be waited for, since some always hang. */
+    /**
+     * Whether more than half of the machines responded directly. The others needn't be waited for, since some machines
+     * always hang.
+     */
     public static boolean majorityResponded(int probed, int direct) {
         return direct * 2 > probed;
     }
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -5,20 +5,20 @@
 import org.hollypick.config.constants.SchedulingConstants;
 
 /**
- * The balanced cutoff of section IV-D of the Tyrex paper: the job size that splits the work of all jobs into two parts
- * of the same relative variation. "Squared variation" stands for the squared coefficient of variation, the variance
- * over the squared mean. Stateless.
+ * Computes the balanced cutoff of section IV-D of the Tyrex paper: the job size that splits the work of all jobs into
+ * two parts with the same relative variation. "Squared variation" means the squared coefficient of variation, which is
+ * the variance divided by the squared mean. Stateless.
  */
 public final class Cutoff {
-    /** Halvings of the interval that holds the cutoff: after these it is as narrow as a double allows. */
+    /** Bisection steps after which the interval around the cutoff is as narrow as a double allows. */
     private static final int BISECTION_STEPS = 60;
 
-    /** Distance from the ends of a gap, as a share of a search step: at the ends the variations aren't smooth. */
+    /** Distance kept from the ends of a gap, as a share of a search step; the variations aren't smooth at the ends. */
     private static final double OPEN_END_SHARE = 1e-6;
 
     private Cutoff() {}
 
-    /** The squared variation of some sizes: 0 if they are all equal, NaN if their mean is 0. */
+    /** The squared variation of the sizes: 0 if they are all equal, NaN if their mean is 0. */
     public static double squaredVariation(double[] sizes) {
         double sum = 0;
         double sumOfSquares = 0;
@@ -36,8 +36,8 @@
 
     /**
      * The lowest cutoff at which min(size, cutoff) over all sizes and (size - cutoff) over the sizes above the cutoff
-     * have the same squared variation, if any. Between two neighbouring sizes both are smooth in the cutoff, so each
-     * gap is searched for a change of the sign of their difference.
+     * have the same squared variation, if there is one. Between two neighbouring sizes both variations are smooth
+     * functions of the cutoff, so each gap is searched for a sign change of their difference.
      */
     public static OptionalDouble findBalanced(double[] sizes) {
         double[] sorted = sizes.clone();
@@ -61,8 +61,9 @@
             }
             int countAbove = count - i - 1;
             double meanAbove = (sum - sumBelow) / countAbove;
-            // Subtracting the cutoff leaves the variance as it is. Equal sizes have none, where the difference of the
-            // sums would leave a rounding error.
+            // Subtracting the cutoff doesn't change the variance. If all sizes above are equal it is exactly 0, which
+            // the
+            // difference of the sums would miss by a rounding error.
             double varianceAbove = sorted[count - 1] == high
                     ? 0
                     : Math.max(0, (sumOfSquares - squaresBelow) / countAbove - meanAbove * meanAbove);
@@ -76,18 +77,19 @@
     }
 
     /**
-     * A gap between two neighbouring sizes, with the sums from which both variations follow for any cutoff inside it.
+     * A gap between two neighbouring sizes, with the values from which both variations are computed for any cutoff in
+     * it.
      *
-     * @param count all sizes
-     * @param countAbove the sizes above the gap
-     * @param sumBelow the sum of the sizes below it
-     * @param squaresBelow the sum of their squares
-     * @param meanAbove the mean of the sizes above it
-     * @param varianceAbove the variance of these
+     * @param count the number of all sizes
+     * @param countAbove the number of sizes above the gap
+     * @param sumBelow the sum of the sizes below the gap
+     * @param squaresBelow the sum of the squares of the sizes below the gap
+     * @param meanAbove the mean of the sizes above the gap
+     * @param varianceAbove the variance of the sizes above the gap
      */
     private record Gap(
             int count, int countAbove, double sumBelow, double squaresBelow, double meanAbove, double varianceAbove) {
-        /** The squared variation of the parts below the cutoff less that of the parts above it. */
+        /** The squared variation of the parts below the cutoff minus that of the parts above it. */
         double difference(double cutoff) {
             double variationBelow = squaredVariation(
                     sumBelow + countAbove * cutoff, squaresBelow + countAbove * cutoff * cutoff, count);
@@ -95,7 +97,7 @@
             return variationBelow - variationAbove;
         }
 
-        /** The first sign change between the open ends. A gap can hold two, so it is searched in steps. */
+        /** The first sign change inside the gap, if any. A gap can contain two, so it is searched in steps. */
         OptionalDouble findCutoff(double low, double high) {
             double step = (high - low) / SchedulingConstants.CUTOFF_SEARCH_STEPS;
             double left = low + step * OPEN_END_SHARE;
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -16,9 +16,9 @@
     private Tyrex() {}
 
     /**
-     * The jobs that have to move from the first partition to the second now, in the order of {@code jobs}. Exception to
-     * the design (docs/design.md, "jobs that fail everywhere"): the sizes of such jobs stay zero until their users act,
-     * so they aren't counted.
+     * Selects the jobs to demote from the first partition to the second now, in the order of {@code jobs}. Jobs that
+     * fail everywhere aren't counted, since their sizes stay zero until their users act. This is an exception to the
+     * design (docs/design.md, "jobs that fail everywhere").
      */
     public static List<Job> selectJobsToDemote(Collection<Job> jobs) {
         List<Job> firstPartition = new ArrayList<>();
