--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -28,35 +28,35 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a report is worth, against an agent whose truth is known: which answers it took, which of its reports are
- * copies, and when it began again.
+ * Compares what the leader concludes from heartbeats with the known state of an agent: which responses it received,
+ * which heartbeats are delayed copies, and when it restarted.
  */
 class HeartbeatValidityTest {
     private static final long TOKEN = 7;
 
-    private static Heartbeat report(long session, long tick, long token, TaskStatus... tasks) {
-        return new Heartbeat("n-1", "addr:1", "t", "a", true, session, tick, token, Double.NaN, List.of(tasks));
+    private static Heartbeat heartbeat(long incarnation, long sequence, long token, TaskStatus... tasks) {
+        return new Heartbeat("n-1", "addr:1", "t", "a", true, incarnation, sequence, token, Double.NaN, List.of(tasks));
     }
 
     /**
-     * An agent that takes some answers and loses others, and whose older reports come again in between: deaf is one
-     * that took none of the last three, never one that took the one before the present report; and copies change
-     * nothing.
+     * An agent receives some responses and loses others, and delayed copies of its heartbeats arrive in between. It
+     * counts as unreachable inbound exactly when it has lost the last three responses; copies have no effect.
      */
     @Property(tries = 300, seed = "20261202")
     void agentIsUnreachableInboundAfterThreeLostResponses(
-            @ForAll @LongRange(min = 1, max = 1_000_000) long seed, @ForAll @IntRange(min = 0, max = 100) int taken) {
+            @ForAll @LongRange(min = 1, max = 1_000_000) long seed,
+            @ForAll @IntRange(min = 0, max = 100) int receivedPercent) {
         Random random = new Random(seed);
         HeartbeatValidity validity = new HeartbeatValidity();
         List<Heartbeat> sent = new ArrayList<>();
         long token = 0;
         long attempt = 0;
         List<TaskStatus> tasks = new ArrayList<>();
-        List<Command> wanted = new ArrayList<>();
-        int missed = 0;
-        for (int tick = 1; tick <= 40; tick++) {
-            long now = tick * 5_000L;
-            Heartbeat heartbeat = report(1, tick, token, tasks.toArray(new TaskStatus[0]));
+        List<Command> pending = new ArrayList<>();
+        int lostResponses = 0;
+        for (int sequence = 1; sequence <= 40; sequence++) {
+            long now = sequence * 5_000L;
+            Heartbeat heartbeat = heartbeat(1, sequence, token, tasks.toArray(new TaskStatus[0]));
             for (int copies = random.nextInt(3); copies > 0 && !sent.isEmpty(); copies--) {
                 assertEquals(
                         HeartbeatValidity.Freshness.OUTDATED,
@@ -68,25 +68,26 @@
                     HeartbeatValidity.Freshness.OUTDATED,
                     validity.classify(heartbeat, now + ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS));
             sent.add(heartbeat);
-            wanted.removeIf(o -> tasks.stream().anyMatch(t -> t.attempt() == o.attempt()));
-            validity.heartbeatReceived(heartbeat, token == TOKEN, wanted, now);
+            pending.removeIf(command -> tasks.stream().anyMatch(status -> status.attempt() == command.attempt()));
+            validity.heartbeatReceived(heartbeat, token == TOKEN, pending, now);
             assertEquals(
-                    missed >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
+                    lostResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
                     validity.isUnreachableInbound(),
-                    "after " + missed + " lost answers");
-            wanted.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
-            validity.responseSent(List.copyOf(wanted));
-            if (random.nextInt(100) < taken) {
+                    "after " + lostResponses + " lost responses");
+            pending.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
+            validity.responseSent(List.copyOf(pending));
+            if (random.nextInt(100) < receivedPercent) {
                 token = TOKEN;
-                wanted.forEach(o -> tasks.add(new TaskStatus(o.task(), o.attempt(), Assignment.State.RUNNING, "")));
-                missed = 0;
+                pending.forEach(command ->
+                        tasks.add(new TaskStatus(command.task(), command.attempt(), Assignment.State.RUNNING, "")));
+                lostResponses = 0;
             } else {
-                missed++;
+                lostResponses++;
             }
         }
     }
 
-    // ---- what the leader concludes ----
+    // ---- effects on machines and jobs ----
 
     private static final long LEASE_MS = 20_000;
     private final Settings settings =
@@ -99,7 +100,7 @@
                 id, new MachineType("t", 8, 0, 64, 50, 1, 1, 0.4, 30, Set.of("a")), "a", true, registered, 0);
     }
 
-    private Job job(long under) {
+    private Job job(long createdUnderToken) {
         return scheduler.addJob(
                 new JobSpec(
                         "req-1",
@@ -123,54 +124,68 @@
                         0,
                         Double.NaN),
                 1,
-                under);
+                createdUnderToken);
     }
 
     /**
-     * Its session ends again and again, and each new one was counted from when it was heard of: the failover never
-     * ended.
+     * A machine whose incarnation ended again and again was never reconciled, since the wait for its lease started anew
+     * with each incarnation, so that the failover never completed.
      */
     @Test
     void incarnationThatBeganInThisTermHoldsNoEarlierTasks() {
         Machine machine = machine("n-1", true);
-        for (int session = 1; session < 4; session++) {
-            scheduler.heartbeats().applyHeartbeat(machine, report(session, session, 3), true, 15_000L * session);
-            scheduler.expireLeases(15_000L * session);
-            assertEquals(session > 1, scheduler.reconciliationComplete(), "in session " + session);
+        for (int incarnation = 1; incarnation < 4; incarnation++) {
+            scheduler
+                    .heartbeats()
+                    .applyHeartbeat(machine, heartbeat(incarnation, incarnation, 3), true, 15_000L * incarnation);
+            scheduler.expireLeases(15_000L * incarnation);
+            assertEquals(incarnation > 1, scheduler.reconciliationComplete(), "in incarnation " + incarnation);
         }
     }
 
-    /** A late copy showed the task on a machine where it had been; the newer attempt, which runs, was told to end. */
+    /**
+     * A delayed copy of a heartbeat listed the task on a machine where it no longer was, and the newer attempt, which
+     * was running elsewhere, was stopped.
+     */
     @Test
     void ofTwoReportedAttemptsTheNewerIsKept() {
         Job job = job(5);
-        Machine old = machine("n-1", true);
-        Machine now = machine("n-2", true);
+        Machine previous = machine("n-1", true);
+        Machine current = machine("n-2", true);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
-                        old, report(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 0);
+                        previous,
+                        heartbeat(1, 5, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")),
+                        true,
+                        0);
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
-                        now, report(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")), true, 0);
-        assertEquals(now, job.assignments.get(0).machine);
-        assertTrue(scheduler.commands().pendingCommands(now).isEmpty());
+                        current,
+                        heartbeat(1, 5, 3, new TaskStatus("req-1/0", 11, Assignment.State.RUNNING, "")),
+                        true,
+                        0);
+        assertEquals(current, job.assignments.get(0).machine);
+        assertTrue(scheduler.commands().pendingCommands(current).isEmpty());
         scheduler
                 .heartbeats()
                 .applyHeartbeat(
-                        old, report(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")), true, 100);
-        assertEquals(now, job.assignments.get(0).machine);
+                        previous,
+                        heartbeat(1, 6, 3, new TaskStatus("req-1/0", 10, Assignment.State.RUNNING, "")),
+                        true,
+                        100);
+        assertEquals(current, job.assignments.get(0).machine);
     }
 
     /**
-     * A report of an earlier life has larger counts: taken for the newest it made tasks of the present one seem gone,
-     * and they were started again elsewhere.
+     * A heartbeat from before a restart has a larger sequence number. Accepted as the newest, it made the tasks started
+     * since seem lost, and they were started again elsewhere.
      */
     @Test
     void heartbeatWithAHigherSequenceAndALowerTokenIsRejected() {
         Machine machine = machine("n-1", true);
-        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 5, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.runSchedulingCycle(0);
         Assignment assignment = job.assignments.get(0);
@@ -178,39 +193,40 @@
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report(
+                        heartbeat(
                                 1,
                                 6,
                                 TOKEN,
                                 new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
                         true,
                         1_000);
-        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, report(1, 99, 3), true, 2_000));
+        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 99, 3), true, 2_000));
         assertEquals(assignment, job.assignments.get(0));
     }
 
     /**
-     * After a lease that had ended, orders under its session went to an agent that had begun again with that session:
-     * the task ran there and elsewhere.
+     * After a lease had expired, commands for its incarnation were sent to an agent that had restarted with the same
+     * incarnation, and the task ran there and elsewhere.
      */
     @Test
     void heartbeatsOfAnExpiredIncarnationAreIgnored() {
         Machine machine = machine("n-1", true);
-        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 5, TOKEN), true, 0);
         scheduler.expireLeases(LEASE_MS + 2_000);
         assertTrue(machine.incarnationExpired() && !machine.schedulable());
-        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, report(1, 6, TOKEN), true, LEASE_MS + 3_000));
-        scheduler.heartbeats().applyHeartbeat(machine, report(2, 1, TOKEN), true, LEASE_MS + 4_000);
+        assertFalse(scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 6, TOKEN), true, LEASE_MS + 3_000));
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(2, 1, TOKEN), true, LEASE_MS + 4_000);
         assertTrue(machine.schedulable());
     }
 
     /**
-     * Begun again, as the answer to a question shows: what it had is gone, but for what an order under way may bring.
+     * When the response to a direct call shows that the agent has restarted, its tasks are lost, except those that a
+     * launch command still in flight may start.
      */
     @Test
     void tasksOfARestartedAgentArePendingAgain() {
         Machine machine = machine("n-1", true);
-        scheduler.heartbeats().applyHeartbeat(machine, report(1, 50, TOKEN), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 50, TOKEN), true, 0);
         Job job = job(TOKEN);
         scheduler.runSchedulingCycle(0);
         Assignment assignment = job.assignments.get(0);
@@ -218,26 +234,26 @@
                 .heartbeats()
                 .applyHeartbeat(
                         machine,
-                        report(
+                        heartbeat(
                                 1,
                                 51,
                                 TOKEN,
                                 new TaskStatus(assignment.taskId, assignment.attempt, Assignment.State.RUNNING, "")),
                         true,
                         500);
-        scheduler.heartbeats().applyAgentRestart(machine, report(1, 1, TOKEN), 1_000);
+        scheduler.heartbeats().applyAgentRestart(machine, heartbeat(1, 1, TOKEN), 1_000);
         assertTrue(job.pendingTasks.get(0));
         assertFalse(machine.schedulable());
     }
 
-    /** A machine that nobody knows of, by a late copy of a report: it isn't there, and took tasks. */
+    /** A machine that no longer existed was known from a delayed copy of a heartbeat, and got tasks. */
     @Test
     void machineIsSchedulableOnlyAfterItShowsTheCurrentToken() {
         Machine machine = machine("n-1", false);
         machine.markRegistered();
-        scheduler.heartbeats().applyHeartbeat(machine, report(1, 5, 0), true, 0);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 5, 0), true, 0);
         assertFalse(machine.schedulable());
-        scheduler.heartbeats().applyHeartbeat(machine, report(1, 6, TOKEN), true, 500);
+        scheduler.heartbeats().applyHeartbeat(machine, heartbeat(1, 6, TOKEN), true, 500);
         assertTrue(machine.schedulable());
     }
 }
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -12,43 +12,46 @@
 import org.hollypick.config.constants.ElectionConstants;
 import org.hollypick.config.constants.ReachabilityConstants;
 
-/** The route of a request and the delay of a candidacy, against plain rules over the whole history of events. */
+/**
+ * Compares the selected route with a reference model that evaluates the whole history of events, and checks the order
+ * of candidacy delays.
+ */
 class RoutingTest {
     private static final int PEERS = 3;
 
-    /** One event on a route; the rules go through all of them for each question. */
-    private record Event(String what, int peer, long at, long sentAt) {}
+    /** One event on a route; the reference model evaluates all of them each time. */
+    private record Event(String kind, int peer, long at, long sentAt) {}
 
-    private static boolean direct(List<Event> all) {
-        boolean direct = true;
-        for (int i = 0; i < all.size(); i++) {
-            Event h = all.get(i);
-            if (h.what.equals("answered")) {
-                direct = true;
-            } else if (h.what.equals("failed")) {
+    private static boolean isDirectUp(List<Event> events) {
+        boolean up = true;
+        for (int i = 0; i < events.size(); i++) {
+            Event event = events.get(i);
+            if (event.kind.equals("answered")) {
+                up = true;
+            } else if (event.kind.equals("failed")) {
                 int upTo = i;
-                boolean outweighed =
-                        all.subList(0, upTo).stream().anyMatch(o -> o.what.equals("answered") && o.at > h.sentAt);
-                direct &= outweighed;
+                boolean respondedSince = events.subList(0, upTo).stream()
+                        .anyMatch(earlier -> earlier.kind.equals("answered") && earlier.at > event.sentAt);
+                up &= respondedSince;
             }
         }
-        return direct;
+        return up;
     }
 
-    private static boolean rests(List<Event> all, int peer, long now) {
-        return all.stream()
-                .anyMatch(h -> h.what.equals("peerFailed")
-                        && h.peer == peer
-                        && now < h.at + ReachabilityConstants.ROUTE_RETRY_MS);
+    private static boolean failedRecently(List<Event> events, int peer, long now) {
+        return events.stream()
+                .anyMatch(event -> event.kind.equals("peerFailed")
+                        && event.peer == peer
+                        && now < event.at + ReachabilityConstants.ROUTE_RETRY_MS);
     }
 
-    private static boolean proven(List<Event> all, int peer) {
-        for (int i = all.size() - 1; i >= 0; i--) {
-            Event h = all.get(i);
-            if (h.what.equals("peerAnswered")) {
-                return h.peer == peer;
+    private static boolean isLastSuccessful(List<Event> events, int peer) {
+        for (int i = events.size() - 1; i >= 0; i--) {
+            Event event = events.get(i);
+            if (event.kind.equals("peerAnswered")) {
+                return event.peer == peer;
             }
-            if (h.what.equals("peerFailed") && h.peer == peer) {
+            if (event.kind.equals("peerFailed") && event.peer == peer) {
                 return false;
             }
         }
@@ -60,7 +63,7 @@
         Random random = new Random(seed);
         long now = 1_000;
         RouteSelector route = new RouteSelector(PEERS, now);
-        List<Event> all = new ArrayList<>(List.of(new Event("answered", -1, now, now)));
+        List<Event> events = new ArrayList<>(List.of(new Event("answered", -1, now, now)));
         for (int step = 0; step < 60; step++) {
             now += 1 + random.nextInt(700);
             int peer = random.nextInt(PEERS);
@@ -68,60 +71,66 @@
             switch (random.nextInt(4)) {
                 case 0 -> {
                     route.directAnswered(now);
-                    all.add(new Event("answered", -1, now, sentAt));
+                    events.add(new Event("answered", -1, now, sentAt));
                 }
                 case 1 -> {
-                    boolean before = direct(all);
-                    boolean turned = route.directFailed(sentAt);
-                    all.add(new Event("failed", -1, now, sentAt));
-                    assertEquals(before && !direct(all), turned);
+                    boolean wasUp = isDirectUp(events);
+                    boolean wentDown = route.directFailed(sentAt);
+                    events.add(new Event("failed", -1, now, sentAt));
+                    assertEquals(wasUp && !isDirectUp(events), wentDown);
                 }
                 case 2 -> {
                     route.peerFailed(peer, now);
-                    all.add(new Event("peerFailed", peer, now, now));
+                    events.add(new Event("peerFailed", peer, now, now));
                 }
                 default -> {
                     route.peerAnswered(peer);
-                    all.add(new Event("peerAnswered", peer, now, now));
+                    events.add(new Event("peerAnswered", peer, now, now));
                 }
             }
-            assertEquals(direct(all), route.isDirect());
-            int chosen = route.selectPeer(now);
-            boolean anyRested = false;
+            assertEquals(isDirectUp(events), route.isDirect());
+            int selected = route.selectPeer(now);
+            boolean anyAvailable = false;
             for (int p = 0; p < PEERS; p++) {
-                anyRested |= !rests(all, p, now);
-                assertEquals(proven(all, p), route.isLastSuccessful(p));
+                anyAvailable |= !failedRecently(events, p, now);
+                assertEquals(isLastSuccessful(events, p), route.isLastSuccessful(p));
             }
             assertEquals(
-                    !direct(all) && anyRested,
-                    chosen >= 0,
-                    "a peer is chosen when the direct way is bad and one isn't at rest");
-            assertTrue(chosen < 0 || !rests(all, chosen, now));
+                    !isDirectUp(events) && anyAvailable,
+                    selected >= 0,
+                    "a peer is selected if and only if the direct route is down and some peer hasn't failed recently");
+            assertTrue(selected < 0 || !failedRecently(events, selected, now));
         }
     }
 
     /**
-     * Who reaches more never waits longer; needing no other is better; and reaching half of the machines is worth less
-     * than all of them by way of others.
+     * A candidate that reaches more machines never waits longer, nor does one that reaches them directly instead of
+     * through peers. Reaching half of the machines directly means a longer delay than reaching all of them through
+     * peers.
      */
     @Property(tries = 1_000)
-    void candidatesThatReachMoreMachinesWaitLess(
-            @ForAll @IntRange(min = 1, max = 40) int asked,
+    void candidatesThatReachMoreMachinesNeverWaitLonger(
+            @ForAll @IntRange(min = 1, max = 40) int probed,
             @ForAll @IntRange(max = 40) int direct,
             @ForAll @IntRange(max = 40) int byPeers) {
-        int d = Math.min(direct, asked);
-        int p = Math.min(byPeers, asked - d);
-        long wait = CandidacyDelay.delayMs(asked, d, p);
-        assertTrue(wait >= 0
-                && wait <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
-        assertTrue(d == asked || CandidacyDelay.delayMs(asked, d + 1, Math.min(p, asked - d - 1)) <= wait);
-        assertTrue(d + p == asked
-                || CandidacyDelay.delayMs(asked, d, p + 1) <= wait
-                || CandidacyDelay.majorityResponded(asked, d));
-        assertTrue(CandidacyDelay.delayMs(asked, d, 0) >= CandidacyDelay.delayMs(asked, d, asked - d)
-                || CandidacyDelay.majorityResponded(asked, d));
-        assertTrue(asked % 2 != 0
-                || CandidacyDelay.delayMs(asked, asked / 2, 0)
-                        > CandidacyDelay.delayMs(asked, 0, asked) + ElectionConstants.CANDIDACY_STEP_MS);
+        int reachedDirectly = Math.min(direct, probed);
+        int reachedByPeers = Math.min(byPeers, probed - reachedDirectly);
+        long delayMs = CandidacyDelay.delayMs(probed, reachedDirectly, reachedByPeers);
+        assertTrue(delayMs >= 0
+                && delayMs
+                        <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
+        assertTrue(reachedDirectly == probed
+                || CandidacyDelay.delayMs(
+                                probed, reachedDirectly + 1, Math.min(reachedByPeers, probed - reachedDirectly - 1))
+                        <= delayMs);
+        assertTrue(reachedDirectly + reachedByPeers == probed
+                || CandidacyDelay.delayMs(probed, reachedDirectly, reachedByPeers + 1) <= delayMs
+                || CandidacyDelay.majorityResponded(probed, reachedDirectly));
+        assertTrue(CandidacyDelay.delayMs(probed, reachedDirectly, 0)
+                        >= CandidacyDelay.delayMs(probed, reachedDirectly, probed - reachedDirectly)
+                || CandidacyDelay.majorityResponded(probed, reachedDirectly));
+        assertTrue(probed % 2 != 0
+                || CandidacyDelay.delayMs(probed, probed / 2, 0)
+                        > CandidacyDelay.delayMs(probed, 0, probed) + ElectionConstants.CANDIDACY_STEP_MS);
     }
 }
--- a/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
+++ b/src/test/java/org/hollypick/core/tyrex/CutoffTest.java
@@ -9,33 +9,42 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The balanced cutoff against a slow plain model that follows the paper's definition word by word. */
+/** Compares the balanced cutoff with a slow reference model that follows the paper's definition literally. */
 class CutoffTest {
-    /** Squared variation of min(x, p) less that of x - p over the x above p; NaN if undefined. */
-    private static double plainDifference(double[] x, double p) {
-        double[] left = Arrays.stream(x).map(v -> Math.min(v, p)).toArray();
-        double[] right = Arrays.stream(x).filter(v -> v > p).map(v -> v - p).toArray();
-        return plainCv2(left) - plainCv2(right);
+    /**
+     * The squared variation of min(size, cutoff) over all sizes minus that of (size - cutoff) over the sizes above the
+     * cutoff; NaN if undefined.
+     */
+    private static double referenceDifference(double[] sizes, double cutoff) {
+        double[] below =
+                Arrays.stream(sizes).map(size -> Math.min(size, cutoff)).toArray();
+        double[] above = Arrays.stream(sizes)
+                .filter(size -> size > cutoff)
+                .map(size -> size - cutoff)
+                .toArray();
+        return referenceSquaredVariation(below) - referenceSquaredVariation(above);
     }
 
-    private static double plainCv2(double[] x) {
-        double mean = Arrays.stream(x).average().orElse(Double.NaN);
-        double variance =
-                Arrays.stream(x).map(v -> (v - mean) * (v - mean)).average().orElse(Double.NaN);
+    private static double referenceSquaredVariation(double[] sizes) {
+        double mean = Arrays.stream(sizes).average().orElse(Double.NaN);
+        double variance = Arrays.stream(sizes)
+                .map(size -> (size - mean) * (size - mean))
+                .average()
+                .orElse(Double.NaN);
         return variance / (mean * mean);
     }
 
-    private static double[] sample(Random random) {
-        double[] x = new double[2 + random.nextInt(40)];
-        for (int i = 0; i < x.length; i++) {
-            double v = switch (random.nextInt(4)) {
+    private static double[] randomSizes(Random random) {
+        double[] sizes = new double[2 + random.nextInt(40)];
+        for (int i = 0; i < sizes.length; i++) {
+            double size = switch (random.nextInt(4)) {
                 case 0 -> 0;
                 case 1 -> 1 + random.nextInt(5); // ties
                 default -> 10 / Math.pow(1 - random.nextDouble(), 1.2); // heavy tail
             };
-            x[i] = v;
+            sizes[i] = size;
         }
-        return x;
+        return sizes;
     }
 
     @Test
@@ -43,30 +52,34 @@
         Random random = new Random(42);
         int found = 0;
         int none = 0;
-        for (int n = 0; n < 400; n++) {
-            double[] x = sample(random);
-            OptionalDouble cutoff = Cutoff.findBalanced(x);
-            double max = Arrays.stream(x).max().orElse(0);
-            boolean changes = false;
-            double before = Double.NaN;
-            double first = 0;
-            for (int k = 1; k < 4_000 && !changes; k++) {
-                double p = max * k / 4_000;
-                double d = plainDifference(x, p);
-                // only a smooth crossing counts: both sides of it between the same two sizes
-                double low = max * (k - 1) / 4_000;
-                boolean sameGap = Arrays.stream(x).noneMatch(v -> v > low - 1e-9 && v <= p + 1e-9);
-                changes = sameGap && !Double.isNaN(before) && !Double.isNaN(d) && before < 0 != d < 0;
-                first = p;
-                before = d;
+        for (int sample = 0; sample < 400; sample++) {
+            double[] sizes = randomSizes(random);
+            OptionalDouble cutoff = Cutoff.findBalanced(sizes);
+            double max = Arrays.stream(sizes).max().orElse(0);
+            boolean signChanged = false;
+            double previousDifference = Double.NaN;
+            double firstSignChange = 0;
+            for (int step = 1; step < 4_000 && !signChanged; step++) {
+                double candidate = max * step / 4_000;
+                double difference = referenceDifference(sizes, candidate);
+                // A sign change counts only inside a gap between two neighbouring sizes, where the variations are
+                // smooth.
+                double low = max * (step - 1) / 4_000;
+                boolean sameGap = Arrays.stream(sizes).noneMatch(size -> size > low - 1e-9 && size <= candidate + 1e-9);
+                signChanged = sameGap
+                        && !Double.isNaN(previousDifference)
+                        && !Double.isNaN(difference)
+                        && previousDifference < 0 != difference < 0;
+                firstSignChange = candidate;
+                previousDifference = difference;
             }
-            if (changes) {
-                assertTrue(cutoff.isPresent(), "sample " + n);
-                assertTrue(cutoff.getAsDouble() <= first + 1e-9, "sample " + n);
+            if (signChanged) {
+                assertTrue(cutoff.isPresent(), "sample " + sample);
+                assertTrue(cutoff.getAsDouble() <= firstSignChange + 1e-9, "sample " + sample);
             }
             if (cutoff.isPresent()) {
                 found++;
-                assertEquals(0, plainDifference(x, cutoff.getAsDouble()), 1e-3, "sample " + n);
+                assertEquals(0, referenceDifference(sizes, cutoff.getAsDouble()), 1e-3, "sample " + sample);
             } else {
                 none++;
             }
