--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -44,10 +44,11 @@
         dispatcher.on(
                 PeerMessageCodec.RENEWAL_GRANT_PATH,
                 (body, responder) -> responder.accept(grantRenewal(PeerMessageCodec.readRenewalGrantRequest(body))));
-        dispatcher.on(PeerMessageCodec.RELEASE_PATH, (body, responder) -> {
-            long memberRevision = PeerMessageCodec.readReleaseRequest(body).memberRevision();
+        dispatcher.on(PeerMessageCodec.RELAY_REVOCATION_PATH, (body, responder) -> {
+            long memberRevision =
+                    PeerMessageCodec.readRelayRevocationRequest(body).memberRevision();
             heartbeatRelay.release(memberRevision);
-            responder.accept(ok(PeerMessageCodec.writeReleaseResponse(memberRevision != 0)));
+            responder.accept(ok(PeerMessageCodec.writeRelayRevocationResponse(memberRevision != 0)));
         });
         dispatcher.on(HeartbeatRelayCodec.PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
     }
@@ -70,7 +71,7 @@
 
     /** For how many milliseconds a peer may relay this leader's responses: no longer than this leader may act. */
     private long relayValidityMs(LeaderTerm term) {
-        long leaseMs = membership.leaderLeaseUntil(term.token()) - eventLoop.now();
+        long leaseMs = membership.leaderLeaseValidUntil(term.token()) - eventLoop.now();
         return Math.min(RelayConstants.RELAY_VALIDITY_MS, leaseMs);
     }
 
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -23,7 +23,7 @@
     /** When an evaluation is complete. */
     enum Scope {
         /** As soon as most machines have answered directly: peers are asked only if that takes long. */
-        FIRST_ANSWERS,
+        DIRECT_MAJORITY,
         /** When all machines have answered or timed out, directly and by way of all peers. */
         ALL_PEERS
     }
@@ -32,30 +32,31 @@
      * The outcome of an evaluation.
      *
      * @param probed how many machines were probed
-     * @param direct how many of them answered this controller
-     * @param byPeers how many of them answered only a peer
-     * @param bestPeer how many of them answered the peer that reached most
+     * @param reachedDirectly how many of them answered this controller
+     * @param reachedOnlyByPeers how many of them answered only a peer
+     * @param reachedByBestPeer how many of them answered the peer that reached most
      */
-    public record Result(int probed, int direct, int byPeers, int bestPeer) {
+    public record Result(int probed, int reachedDirectly, int reachedOnlyByPeers, int reachedByBestPeer) {
         /** For how many milliseconds this controller leaves a vacant leadership to others. */
         public long candidacyDelayMs() {
-            return CandidacyDelay.delayMs(probed, direct, byPeers);
+            return CandidacyDelay.delayMs(probed, reachedDirectly, reachedOnlyByPeers);
         }
 
         /** Whether nearly all machines are reached, directly or by way of peers. */
         public boolean reachesNearlyAll() {
-            return CandidacyDelay.reachesNearlyAll(probed, direct, byPeers);
+            return CandidacyDelay.reachesNearlyAll(probed, reachedDirectly, reachedOnlyByPeers);
         }
 
         /** Whether a peer would lead better. */
         public boolean peerLeadsBetter() {
-            return CandidacyDelay.peerLeadsBetter(direct, byPeers, bestPeer);
+            return CandidacyDelay.peerLeadsBetter(reachedDirectly, reachedOnlyByPeers, reachedByBestPeer);
         }
 
         /** The fields of a log line. */
         @Override
         public String toString() {
-            return "probed=" + probed + " direct=" + direct + " by_peers=" + byPeers + " best_peer=" + bestPeer;
+            return "probed=" + probed + " direct=" + reachedDirectly + " by_peers=" + reachedOnlyByPeers + " best_peer="
+                    + reachedByBestPeer;
         }
     }
 
@@ -77,23 +78,23 @@
         if (addressByMachine.isEmpty()) {
             evaluated.accept(new Result(0, 0, 0, 0));
         } else {
-            new Round(addressByMachine, scope, evaluated).start();
+            new ProbeRound(addressByMachine, scope, evaluated).start();
         }
     }
 
     /** One evaluation: machines are probed directly, and by way of the peers if most of them do not answer soon. */
-    private final class Round {
+    private final class ProbeRound {
         private final Map<String, String> probed;
         private final Scope scope;
         private final Consumer<Result> evaluated;
         private final Set<String> reachedDirectly = new HashSet<>();
         private final Set<String> reachedByPeers = new HashSet<>();
-        private int bestPeer;
+        private int reachedByBestPeer;
         private int openRequests;
         private boolean peersAsked;
         private boolean complete;
 
-        Round(Map<String, String> addressByMachine, Scope scope, Consumer<Result> evaluated) {
+        ProbeRound(Map<String, String> addressByMachine, Scope scope, Consumer<Result> evaluated) {
             this.probed = new HashMap<>(addressByMachine);
             this.scope = scope;
             this.evaluated = evaluated;
@@ -132,7 +133,8 @@
                 reachedByPeers.addAll(answered.reached());
                 // A peer that does not reach the key-value store cannot lead, whatever machines it reaches.
                 if (answered.reachesStore()) {
-                    bestPeer = Math.max(bestPeer, answered.reached().size());
+                    reachedByBestPeer =
+                            Math.max(reachedByBestPeer, answered.reached().size());
                 }
             });
             requestCompleted();
@@ -143,7 +145,7 @@
             if (complete) {
                 return;
             }
-            if (scope == Scope.FIRST_ANSWERS
+            if (scope == Scope.DIRECT_MAJORITY
                     && CandidacyDelay.majorityResponded(probed.size(), reachedDirectly.size())) {
                 complete(new Result(probed.size(), reachedDirectly.size(), 0, 0));
             } else if (openRequests == 0 && !peersAsked) {
@@ -151,7 +153,7 @@
             } else if (openRequests == 0) {
                 reachedByPeers.removeAll(reachedDirectly);
                 reachedByPeers.retainAll(probed.keySet());
-                complete(new Result(probed.size(), reachedDirectly.size(), reachedByPeers.size(), bestPeer));
+                complete(new Result(probed.size(), reachedDirectly.size(), reachedByPeers.size(), reachedByBestPeer));
             }
         }
 
--- a/src/main/java/org/hollypick/cluster/ClusterRecordCodec.java
+++ b/src/main/java/org/hollypick/cluster/ClusterRecordCodec.java
@@ -17,7 +17,7 @@
     /** How many times the leader record was written. */
     private static final String TERM = "terms";
     /** The hash of the team limits that all leaders so far have enforced; absent if there is none. */
-    private static final String LIMITS_MARK = "limits";
+    private static final String LIMITS_HASH = "limits";
     /** The zone of a member. */
     private static final String ZONE = "location";
     /** The address at which peers reach a member. */
@@ -37,7 +37,7 @@
                 data.path(LEADER).asText(),
                 Codec.u64(data.path(MEMBER_REVISION)),
                 data.path(TERM).asLong(),
-                data.path(LIMITS_MARK).asText(LeaderRecord.NO_LIMITS_MARK));
+                data.path(LIMITS_HASH).asText(LeaderRecord.NO_LIMITS_HASH));
     }
 
     static ObjectNode write(LeaderRecord leaderRecord) {
@@ -45,8 +45,8 @@
                 .put(LEADER, leaderRecord.leader())
                 .put(MEMBER_REVISION, leaderRecord.memberRevision())
                 .put(TERM, leaderRecord.term());
-        if (!leaderRecord.limitsMark().equals(LeaderRecord.NO_LIMITS_MARK)) {
-            data.put(LIMITS_MARK, leaderRecord.limitsMark());
+        if (!leaderRecord.limitsHash().equals(LeaderRecord.NO_LIMITS_HASH)) {
+            data.put(LIMITS_HASH, leaderRecord.limitsHash());
         }
         return data;
     }
--- a/src/main/java/org/hollypick/cluster/IsolationDetector.java
+++ b/src/main/java/org/hollypick/cluster/IsolationDetector.java
@@ -31,10 +31,10 @@
 
     /** Whether this controller is isolated now. */
     boolean isIsolated() {
-        return !session.reachesStore() && (eventLoop.now() < isolatedUntil || reachesNobody());
+        return !session.reachesStore() && (eventLoop.now() < isolatedUntil || reachesNeitherStoreNorPeers());
     }
 
-    private boolean reachesNobody() {
+    private boolean reachesNeitherStoreNorPeers() {
         long lastContactAt = Math.max(lastPeerResponseAt, session.renewedAt());
         return !settings.siblings().isEmpty() && eventLoop.now() - lastContactAt > ElectionConstants.SESSION_TTL_MS;
     }
--- a/src/main/java/org/hollypick/cluster/LeaderDirectory.java
+++ b/src/main/java/org/hollypick/cluster/LeaderDirectory.java
@@ -93,7 +93,7 @@
     }
 
     /** Takes note of a leader that a peer reported. */
-    void learn(Leader leader) {
+    void recordLeaderKnownToPeer(Leader leader) {
         if (leaderKnownToPeer == null || Long.compareUnsigned(leader.token(), leaderKnownToPeer.token()) > 0) {
             leaderKnownToPeer = leader;
         }
--- a/src/main/java/org/hollypick/cluster/LeaderElection.java
+++ b/src/main/java/org/hollypick/cluster/LeaderElection.java
@@ -37,7 +37,7 @@
 
     private final EventLoop eventLoop;
     private final LeaderRecordWriter writer;
-    private final GroupMembership group;
+    private final MemberRegistration registration;
     private final PeerLeaderLease peerLease;
     private final LeaderDirectory directory;
     private final CandidacyEvaluation evaluation;
@@ -51,13 +51,13 @@
             EventLoop eventLoop,
             Settings settings,
             LeaderRecordWriter writer,
-            GroupMembership group,
+            MemberRegistration registration,
             PeerLeaderLease peerLease,
             LeaderDirectory directory,
             CandidacyEvaluation evaluation) {
         this.eventLoop = eventLoop;
         this.writer = writer;
-        this.group = group;
+        this.registration = registration;
         this.peerLease = peerLease;
         this.directory = directory;
         this.evaluation = evaluation;
@@ -73,7 +73,7 @@
 
     /** Campaigns if nobody can lead under the leader record and no campaign is under way. */
     void campaignIfVacant() {
-        if (state != State.IDLE || !directory.isLoaded() || !group.isRegistered() || !directory.isVacant()) {
+        if (state != State.IDLE || !directory.isLoaded() || !registration.isRegistered() || !directory.isVacant()) {
             return;
         }
         if (peerLease.forbidsCandidacy() || eventLoop.now() < noCandidacyAfterResignationUntil) {
@@ -86,7 +86,7 @@
     }
 
     private void evaluateCandidacy() {
-        evaluation.evaluate(CandidacyEvaluation.Scope.FIRST_ANSWERS, result -> {
+        evaluation.evaluate(CandidacyEvaluation.Scope.DIRECT_MAJORITY, result -> {
             long delayMs = result.candidacyDelayMs();
             if (delayMs > 0) {
                 LOG.info("candidacy.delayed delay_ms={} {}", delayMs, result);
@@ -96,7 +96,7 @@
     }
 
     private void becomeLeader() {
-        if (!group.isRegistered() || !directory.isVacant() || peerLease.forbidsCandidacy()) {
+        if (!registration.isRegistered() || !directory.isVacant() || peerLease.forbidsCandidacy()) {
             state = State.IDLE;
             return;
         }
@@ -105,10 +105,10 @@
     }
 
     /** Rewrites the leader record, which ends the validity of every command under the present fencing token. */
-    void fence(long token, boolean limitsKept) {
-        if (state == State.IDLE && group.isRegistered()) {
+    void requestNewFencingToken(long token, boolean limitsEnforced) {
+        if (state == State.IDLE && registration.isRegistered()) {
             state = State.WRITING;
-            writer.fence(token, limitsKept, this::written);
+            writer.rewriteAsLeader(token, limitsEnforced, this::written);
         }
     }
 
--- a/src/main/java/org/hollypick/cluster/LeaderLease.java
+++ b/src/main/java/org/hollypick/cluster/LeaderLease.java
@@ -8,23 +8,27 @@
  */
 final class LeaderLease {
     private final EventLoop eventLoop;
-    private final GroupMembership group;
+    private final MemberRegistration registration;
     private final LeaderDirectory directory;
     private final PeerLeaderLease peerLease;
 
-    LeaderLease(EventLoop eventLoop, GroupMembership group, LeaderDirectory directory, PeerLeaderLease peerLease) {
+    LeaderLease(
+            EventLoop eventLoop,
+            MemberRegistration registration,
+            LeaderDirectory directory,
+            PeerLeaderLease peerLease) {
         this.eventLoop = eventLoop;
-        this.group = group;
+        this.registration = registration;
         this.directory = directory;
         this.peerLease = peerLease;
     }
 
     /** What the right to act under this fencing token rests on now. */
     LeaderLeaseSource source(long token) {
-        if (token == 0 || token != directory.fencingToken(group.memberRevision())) {
+        if (token == 0 || token != directory.fencingToken(registration.memberRevision())) {
             return LeaderLeaseSource.NONE;
         }
-        StoreSession session = group.session();
+        StoreSession session = registration.session();
         if (session.isValid()) {
             return LeaderLeaseSource.SESSION;
         }
@@ -34,6 +38,6 @@
 
     /** Until when this controller may act, or might act, as leader under this fencing token. */
     long validUntil(long token) {
-        return Math.max(group.session().validUntil(), peerLease.validUntil(token));
+        return Math.max(registration.session().validUntil(), peerLease.validUntil(token));
     }
 }
--- a/src/main/java/org/hollypick/cluster/LeaderRecord.java
+++ b/src/main/java/org/hollypick/cluster/LeaderRecord.java
@@ -7,10 +7,10 @@
  * @param leader the name of the leading controller
  * @param memberRevision the revision of the leader's member key, which identifies its incarnation
  * @param term how many times the record was written, this write included
- * @param limitsMark the team limits that all leaders so far have enforced, as a hash; empty if they did not all enforce
+ * @param limitsHash the team limits that all leaders so far have enforced, as a hash; empty if they did not all enforce
  *     the same ones
  */
-record LeaderRecord(String leader, long memberRevision, long term, String limitsMark) {
-    /** The {@code limitsMark} of a record whose leaders did not all enforce the same limits. */
-    static final String NO_LIMITS_MARK = "";
+record LeaderRecord(String leader, long memberRevision, long term, String limitsHash) {
+    /** The {@code limitsHash} of a record whose leaders did not all enforce the same limits. */
+    static final String NO_LIMITS_HASH = "";
 }
--- a/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
+++ b/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
@@ -18,23 +18,23 @@
     private final KeyValueStoreClient store;
     private final Settings settings;
     private final StoreReplica replica;
-    private final GroupMembership group;
+    private final MemberRegistration registration;
     private final LeaderDirectory directory;
-    private final LimitsMark limitsMark;
+    private final LimitsEnforcement limitsEnforcement;
 
     LeaderRecordWriter(
             KeyValueStoreClient store,
             Settings settings,
             StoreReplica replica,
-            GroupMembership group,
+            MemberRegistration registration,
             LeaderDirectory directory,
-            LimitsMark limitsMark) {
+            LimitsEnforcement limitsEnforcement) {
         this.store = store;
         this.settings = settings;
         this.replica = replica;
-        this.group = group;
+        this.registration = registration;
         this.directory = directory;
-        this.limitsMark = limitsMark;
+        this.limitsEnforcement = limitsEnforcement;
     }
 
     /** Makes this controller the leader, provided that the named leader's member key is as the replica shows it. */
@@ -46,23 +46,27 @@
             transaction.expectRevision(predecessorKey, replica.revisionOf(predecessorKey));
         }
         String cause = predecessor == null ? "first" : "failover predecessor=" + predecessor;
-        write(transaction, limitsMark.isKeptByAllLeaders(), cause, written);
+        write(transaction, limitsEnforcement.enforcedByAllLeaders(), cause, written);
     }
 
     /** Writes the record again as leader under this fencing token: its new revision is the new fencing token. */
-    void fence(long token, boolean limitsKept, Consumer<CommitResult> written) {
-        write(transactionAfter(token), limitsKept, "fence", written);
+    void rewriteAsLeader(long token, boolean limitsEnforced, Consumer<CommitResult> written) {
+        write(transactionAfter(token), limitsEnforced, "fence", written);
     }
 
     private CompareAndSwap transactionAfter(long leaderRecordRevision) {
         return new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, leaderRecordRevision)
-                .expectRevision(StoreKeys.member(settings.node()), group.memberRevision());
+                .expectRevision(StoreKeys.member(settings.node()), registration.memberRevision());
     }
 
-    private void write(CompareAndSwap transaction, boolean limitsKept, String cause, Consumer<CommitResult> written) {
+    private void write(
+            CompareAndSwap transaction, boolean limitsEnforced, String cause, Consumer<CommitResult> written) {
         LeaderRecord leaderRecord = new LeaderRecord(
-                settings.node(), group.memberRevision(), directory.term() + 1, limitsMark.next(limitsKept));
+                settings.node(),
+                registration.memberRevision(),
+                directory.term() + 1,
+                limitsEnforcement.hashForNextRecord(limitsEnforced));
         transaction.put(StoreKeys.LEADER_RECORD, ClusterRecordCodec.write(leaderRecord));
         store.commitUrgently(transaction, result -> {
             LOG.info("leader_record.written status={} cause={}", result.status(), cause);
--- a/src/main/java/org/hollypick/cluster/LinearizableReads.java
+++ b/src/main/java/org/hollypick/cluster/LinearizableReads.java
@@ -19,11 +19,11 @@
     /** Requests that need a read of the revision which isn't sent yet. */
     private List<Consumer<Boolean>> waitingForRead = new ArrayList<>();
 
-    private final List<CatchUp> waitingForReplica = new ArrayList<>();
+    private final List<PendingReads> waitingForReplica = new ArrayList<>();
     private boolean readInProgress;
 
     /** Requests that wait until the replica reaches a revision. */
-    private record CatchUp(long revision, long deadlineMillis, List<Consumer<Boolean>> callbacks) {}
+    private record PendingReads(long revision, long deadline, List<Consumer<Boolean>> callbacks) {}
 
     LinearizableReads(EventLoop eventLoop, KeyValueStoreClient store, StoreReplica replica) {
         this.eventLoop = eventLoop;
@@ -60,19 +60,19 @@
     }
 
     private void awaitReplica(long revision, List<Consumer<Boolean>> callbacks) {
-        long deadlineMillis = eventLoop.now() + StoreConstants.WATCH_CATCH_UP_MS;
-        waitingForReplica.add(new CatchUp(revision, deadlineMillis, callbacks));
-        eventLoop.after(StoreConstants.WATCH_CATCH_UP_MS, this::answerReached);
-        answerReached();
+        long deadline = eventLoop.now() + StoreConstants.WATCH_CATCH_UP_MS;
+        waitingForReplica.add(new PendingReads(revision, deadline, callbacks));
+        eventLoop.after(StoreConstants.WATCH_CATCH_UP_MS, this::completeReads);
+        completeReads();
     }
 
     /** Answers the requests whose revision the replica has reached, and those whose time is up. */
-    void answerReached() {
-        for (CatchUp catchUp : new ArrayList<>(waitingForReplica)) {
-            boolean reached = hasReached(catchUp.revision);
-            if (reached || eventLoop.now() >= catchUp.deadlineMillis) {
-                waitingForReplica.remove(catchUp);
-                catchUp.callbacks.forEach(callback -> callback.accept(reached));
+    void completeReads() {
+        for (PendingReads reads : new ArrayList<>(waitingForReplica)) {
+            boolean reached = hasReached(reads.revision);
+            if (reached || eventLoop.now() >= reads.deadline) {
+                waitingForReplica.remove(reads);
+                reads.callbacks.forEach(callback -> callback.accept(reached));
             }
         }
     }
--- a/src/main/java/org/hollypick/cluster/GroupMembership.java
+++ b/src/main/java/org/hollypick/cluster/MemberRegistration.java
@@ -16,8 +16,8 @@
  * identifies this incarnation. While the key exists at that revision, no other controller can become leader in place of
  * this incarnation. Confined to the event loop.
  */
-final class GroupMembership {
-    private static final Logger LOG = LoggerFactory.getLogger(GroupMembership.class);
+final class MemberRegistration {
+    private static final Logger LOG = LoggerFactory.getLogger(MemberRegistration.class);
 
     private final EventLoop eventLoop;
     private final KeyValueStoreClient store;
@@ -25,7 +25,7 @@
     private final ResignationBackoff resignations;
     private final Runnable changed;
     private final StoreSession session;
-    private final RelayRelease relayRelease;
+    private final RelayRevocation relayRevocation;
     /** When peers no longer relay any response that an earlier process of this controller gave. */
     private final long earlierRelaysExpireAt;
 
@@ -33,7 +33,7 @@
     private int registeredIncarnation;
 
     /** {@code changed} runs whenever this controller's right to act may have changed. */
-    GroupMembership(
+    MemberRegistration(
             EventLoop eventLoop,
             KeyValueStoreClient store,
             Settings settings,
@@ -45,7 +45,7 @@
         this.resignations = resignations;
         this.changed = changed;
         this.session = new StoreSession(eventLoop, store, this::register, changed);
-        this.relayRelease = new RelayRelease(eventLoop, settings);
+        this.relayRevocation = new RelayRevocation(eventLoop, settings);
         this.earlierRelaysExpireAt = eventLoop.now() + ClockBounds.atMost(RelayConstants.RELAY_VALIDITY_MS);
     }
 
@@ -84,7 +84,7 @@
     /** A successor may start when the session ends, so peers must have stopped relaying before. */
     private void endEarlierSession(long earlierSession, long memberRevision) {
         long expiresInMs = earlierRelaysExpireAt - eventLoop.now();
-        relayRelease.await(
+        relayRevocation.await(
                 memberRevision,
                 expiresInMs,
                 () -> store.endSession(earlierSession, status -> {
@@ -105,7 +105,7 @@
         long endedSession = session.id();
         long endedMemberRevision = memberRevision();
         session.reopen();
-        relayRelease.await(
+        relayRevocation.await(
                 endedMemberRevision,
                 ClockBounds.atMost(RelayConstants.RELAY_VALIDITY_MS),
                 () -> store.endSession(
--- a/src/main/java/org/hollypick/cluster/Membership.java
+++ b/src/main/java/org/hollypick/cluster/Membership.java
@@ -13,12 +13,12 @@
  * the event loop.
  */
 public final class Membership {
-    private final GroupMembership group;
+    private final MemberRegistration registration;
     private final LeaderDirectory directory;
     private final IsolationDetector isolation;
     private final PeerLeaderLease peerLease;
     private final LeaderLease leaderLease;
-    private final LimitsMark limitsMark;
+    private final LimitsEnforcement limitsEnforcement;
     private final CandidacyEvaluation evaluation;
     private final LeaderElection election;
     private final ResignationBackoff resignations;
@@ -29,38 +29,39 @@
             EventLoop eventLoop, KeyValueStoreClient store, Settings settings, StoreReplica replica, Runnable changed) {
         this.changed = changed;
         this.resignations = new ResignationBackoff(eventLoop, settings, replica);
-        this.group = new GroupMembership(eventLoop, store, settings, resignations, changed);
+        this.registration = new MemberRegistration(eventLoop, store, settings, resignations, changed);
         this.directory = new LeaderDirectory(settings, replica);
-        this.isolation = new IsolationDetector(eventLoop, settings, group.session());
-        this.peerLease = new PeerLeaderLease(eventLoop, settings, group, directory, isolation);
-        this.leaderLease = new LeaderLease(eventLoop, group, directory, peerLease);
-        this.limitsMark = new LimitsMark(settings, directory);
+        this.isolation = new IsolationDetector(eventLoop, settings, registration.session());
+        this.peerLease = new PeerLeaderLease(eventLoop, settings, registration, directory, isolation);
+        this.leaderLease = new LeaderLease(eventLoop, registration, directory, peerLease);
+        this.limitsEnforcement = new LimitsEnforcement(settings, directory);
         this.evaluation = new CandidacyEvaluation(eventLoop, settings, replica);
-        LeaderRecordWriter writer = new LeaderRecordWriter(store, settings, replica, group, directory, limitsMark);
-        this.election = new LeaderElection(eventLoop, settings, writer, group, peerLease, directory, evaluation);
+        LeaderRecordWriter writer =
+                new LeaderRecordWriter(store, settings, replica, registration, directory, limitsEnforcement);
+        this.election = new LeaderElection(eventLoop, settings, writer, registration, peerLease, directory, evaluation);
         peerLease.requestPeriodically();
     }
 
     /** Joins the group of controllers. */
     public void start() {
-        group.start();
+        registration.start();
     }
 
     // ---- the session with the key-value store ----
 
     /** Whether this controller's session with the key-value store is valid now. */
     public boolean hasValidSession() {
-        return group.session().isValid();
+        return registration.session().isValid();
     }
 
     /** The session that keys of this controller may be attached to; null while none is valid. */
     public Long validSessionId() {
-        return hasValidSession() ? group.session().id() : null;
+        return hasValidSession() ? registration.session().id() : null;
     }
 
     /** Whether the key-value store answered lately. */
     public boolean reachesStore() {
-        return group.session().reachesStore();
+        return registration.session().reachesStore();
     }
 
     /** Whether users are better served by another controller, since this one reaches too little. */
@@ -70,7 +71,7 @@
 
     /** The revision of this incarnation's member key, which no other incarnation ever has; 0 while there is none. */
     public long memberRevision() {
-        return group.memberRevision();
+        return registration.memberRevision();
     }
 
     // ---- who leads ----
@@ -112,7 +113,7 @@
 
     /** This incarnation's fencing token if the leader record names it, else 0. */
     public long fencingToken() {
-        return directory.fencingToken(group.memberRevision());
+        return directory.fencingToken(registration.memberRevision());
     }
 
     /** Whether this controller may act as leader under this fencing token now. */
@@ -126,7 +127,7 @@
     }
 
     /** Until when this controller may act, or might act, as leader under this fencing token. */
-    public long leaderLeaseUntil(long token) {
+    public long leaderLeaseValidUntil(long token) {
         return leaderLease.validUntil(token);
     }
 
@@ -151,24 +152,24 @@
      * Gets a new fencing token for the leader under this one, by rewriting the leader record: agents then execute no
      * older command any more. Does nothing if this controller does not hold the leader lease.
      */
-    public void fence(long token) {
-        fence(token, limitsKept());
+    public void requestNewFencingToken(long token) {
+        requestNewFencingToken(token, limitsEnforcedByAllLeaders());
     }
 
-    /** As {@link #fence}, and records that the limits of this controller are enforced from now on. */
-    public void recordLimitsKept(long token) {
-        fence(token, true);
+    /** As {@link #requestNewFencingToken}, and records that the limits of this controller are enforced from now on. */
+    public void recordLimitsEnforced(long token) {
+        requestNewFencingToken(token, true);
     }
 
-    private void fence(long token, boolean limitsKept) {
+    private void requestNewFencingToken(long token, boolean limitsEnforced) {
         if (holdsLeaderLease(token)) {
-            election.fence(token, limitsKept);
+            election.requestNewFencingToken(token, limitsEnforced);
         }
     }
 
     /** Whether all leaders so far have enforced the team limits that this controller enforces. */
-    public boolean limitsKept() {
-        return limitsMark.isKeptByAllLeaders();
+    public boolean limitsEnforcedByAllLeaders() {
+        return limitsEnforcement.enforcedByAllLeaders();
     }
 
     /** Whether the last resignation in the cluster is long enough ago for another one. */
@@ -180,7 +181,7 @@
     public void resign() {
         resignations.recordResignation();
         election.suspendCandidacy();
-        group.rejoin();
+        registration.rejoin();
         changed.run();
     }
 }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -134,7 +134,7 @@
         }
         // A successor of a version that does not know of these renewals would take the leases for expired ones.
         return term.allPeersRequestedGrants()
-                ? membership.leaderLeaseUntil(ownToken) + ClockBounds.atLeast(grantMs)
+                ? membership.leaderLeaseValidUntil(ownToken) + ClockBounds.atLeast(grantMs)
                 : WorkerLeases.NEVER;
     }
 
--- a/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
+++ b/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
@@ -17,7 +17,7 @@
 final class PeerLeaderLease {
     private final EventLoop eventLoop;
     private final Settings settings;
-    private final GroupMembership group;
+    private final MemberRegistration registration;
     private final LeaderDirectory directory;
     private final IsolationDetector isolation;
     private final UnanimousPeerCall peers;
@@ -32,12 +32,12 @@
     PeerLeaderLease(
             EventLoop eventLoop,
             Settings settings,
-            GroupMembership group,
+            MemberRegistration registration,
             LeaderDirectory directory,
             IsolationDetector isolation) {
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.group = group;
+        this.registration = registration;
         this.directory = directory;
         this.isolation = isolation;
         this.peers = new UnanimousPeerCall(eventLoop, settings);
@@ -47,7 +47,7 @@
 
     /** Requests the lease whenever renewals have failed for a while, from now on. */
     void requestPeriodically() {
-        long sinceRenewalMs = eventLoop.now() - group.session().renewedAt();
+        long sinceRenewalMs = eventLoop.now() - registration.session().renewedAt();
         if (!settings.siblings().isEmpty() && sinceRenewalMs > ElectionConstants.LEASE_GRANT_AFTER_MS) {
             request();
         }
@@ -63,7 +63,7 @@
                 body -> {
                     LeaderLeaseResponse response = PeerMessageCodec.readLeaderLeaseResponse(body);
                     isolation.peerResponded(response.reachesStore());
-                    response.currentLeader().ifPresent(directory::learn);
+                    response.currentLeader().ifPresent(directory::recordLeaderKnownToPeer);
                     return response.granted();
                 },
                 () -> {
@@ -75,7 +75,7 @@
     }
 
     private long ownToken() {
-        return directory.fencingToken(group.memberRevision());
+        return directory.fencingToken(registration.memberRevision());
     }
 
     /** Until when all peers granted the lease for this fencing token; {@link WorkerLeases#NEVER} if they did not. */
@@ -94,7 +94,7 @@
             noCandidacyUntil = Math.max(noCandidacyUntil, expiresAt);
         }
         return new LeaderLeaseResponse(
-                granted, group.session().reachesStore(), Optional.ofNullable(directory.currentLeader()));
+                granted, registration.session().reachesStore(), Optional.ofNullable(directory.currentLeader()));
     }
 
     /**
@@ -107,7 +107,7 @@
                 && token != 0
                 && directory.leaderRecordRevision() == token
                 && !directory.isVacant()
-                && !group.session().reachesStore();
+                && !registration.session().reachesStore();
     }
 
     /**
--- a/src/main/java/org/hollypick/cluster/PeerMessageCodec.java
+++ b/src/main/java/org/hollypick/cluster/PeerMessageCodec.java
@@ -12,7 +12,7 @@
 import org.hollypick.cluster.PeerMessages.LeaderLeaseResponse;
 import org.hollypick.cluster.PeerMessages.ReachabilityReport;
 import org.hollypick.cluster.PeerMessages.ReachabilityRequest;
-import org.hollypick.cluster.PeerMessages.ReleaseRequest;
+import org.hollypick.cluster.PeerMessages.RelayRevocationRequest;
 import org.hollypick.cluster.PeerMessages.RenewalGrantRequest;
 import org.hollypick.cluster.PeerMessages.RenewalGrantResponse;
 import org.hollypick.config.constants.ReachabilityConstants;
@@ -27,7 +27,7 @@
     /** Asks for a leader lease. */
     public static final String LEADER_LEASE_PATH = "/promise";
     /** Asks to relay no more responses of an incarnation. */
-    public static final String RELEASE_PATH = "/release";
+    public static final String RELAY_REVOCATION_PATH = "/release";
     /** Asks the leader for the right to renew agents' leases while partitioned. */
     public static final String RENEWAL_GRANT_PATH = "/keep";
     /** Asks which machines a peer reaches. */
@@ -42,7 +42,7 @@
     /** The revision of a member key. */
     private static final String MEMBER_REVISION = "member";
     /** Whether the peer relays no more responses of that incarnation. */
-    private static final String RELEASED = "released";
+    private static final String RELAY_REVOKED = "released";
     /** The name of the asking controller. */
     private static final String CONTROLLER = "node";
     /** The revision that the asking controller's replica has reached. */
@@ -100,23 +100,23 @@
     }
 
     /** Encodes a request to relay no more responses of an incarnation. */
-    public static ObjectNode write(ReleaseRequest request) {
+    public static ObjectNode write(RelayRevocationRequest request) {
         return Codec.object().put(MEMBER_REVISION, request.memberRevision());
     }
 
     /** Decodes a request to relay no more responses of an incarnation. */
-    public static ReleaseRequest readReleaseRequest(JsonNode body) {
-        return new ReleaseRequest(body == null ? 0 : Codec.u64(body.path(MEMBER_REVISION)));
+    public static RelayRevocationRequest readRelayRevocationRequest(JsonNode body) {
+        return new RelayRevocationRequest(body == null ? 0 : Codec.u64(body.path(MEMBER_REVISION)));
     }
 
-    /** Encodes the answer to a {@link ReleaseRequest}: whether the peer relays no more responses. */
-    public static ObjectNode writeReleaseResponse(boolean released) {
-        return Codec.object().put(RELEASED, released);
+    /** Encodes the answer to a {@link RelayRevocationRequest}: whether the peer relays no more responses. */
+    public static ObjectNode writeRelayRevocationResponse(boolean released) {
+        return Codec.object().put(RELAY_REVOKED, released);
     }
 
-    /** Decodes the answer to a {@link ReleaseRequest}: whether the peer relays no more responses. */
-    public static boolean readReleaseResponse(JsonNode body) {
-        return body.path(RELEASED).asBoolean();
+    /** Decodes the answer to a {@link RelayRevocationRequest}: whether the peer relays no more responses. */
+    public static boolean readRelayRevocationResponse(JsonNode body) {
+        return body.path(RELAY_REVOKED).asBoolean();
     }
 
     /** Encodes a request for the right to renew agents' leases. */
--- a/src/main/java/org/hollypick/cluster/PeerMessages.java
+++ b/src/main/java/org/hollypick/cluster/PeerMessages.java
@@ -29,7 +29,7 @@
      *
      * @param memberRevision the revision of the member key of that incarnation; 0 if the request names none
      */
-    public record ReleaseRequest(long memberRevision) {}
+    public record RelayRevocationRequest(long memberRevision) {}
 
     /**
      * A controller asks the leader whether it may renew agents' leases while it is partitioned from the leader.
--- a/src/main/java/org/hollypick/cluster/RelayRelease.java
+++ b/src/main/java/org/hollypick/cluster/RelayRevocation.java
@@ -1,6 +1,6 @@
 package org.hollypick.cluster;
 
-import org.hollypick.cluster.PeerMessages.ReleaseRequest;
+import org.hollypick.cluster.PeerMessages.RelayRevocationRequest;
 import org.hollypick.config.Settings;
 import org.hollypick.io.EventLoop;
 
@@ -8,11 +8,11 @@
  * Makes sure that no peer relays responses any more that an incarnation of this controller gave as leader, before its
  * session ends and a successor may start. Confined to the event loop.
  */
-final class RelayRelease {
+final class RelayRevocation {
     private final EventLoop eventLoop;
     private final UnanimousPeerCall peers;
 
-    RelayRelease(EventLoop eventLoop, Settings settings) {
+    RelayRevocation(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
         this.peers = new UnanimousPeerCall(eventLoop, settings);
     }
@@ -28,9 +28,9 @@
         RunOnce continuation = new RunOnce(released);
         eventLoop.after(Math.max(0, expiresInMs), continuation);
         peers.send(
-                PeerMessageCodec.RELEASE_PATH,
-                PeerMessageCodec.write(new ReleaseRequest(memberRevision)),
-                PeerMessageCodec::readReleaseResponse,
+                PeerMessageCodec.RELAY_REVOCATION_PATH,
+                PeerMessageCodec.write(new RelayRevocationRequest(memberRevision)),
+                PeerMessageCodec::readRelayRevocationResponse,
                 continuation);
     }
 
--- a/src/main/java/org/hollypick/cluster/StoreKeys.java
+++ b/src/main/java/org/hollypick/cluster/StoreKeys.java
@@ -60,12 +60,12 @@
 
     /** A record of the machine registry, used once. */
     public static String machines(String controller, long token, long count) {
-        return MACHINES + usedOnce(controller, token, count);
+        return MACHINES + singleUseKey(controller, token, count);
     }
 
     /** The dependencies of one job, as far as its own record has no room for them; used once. */
     public static String dependencies(String controller, long memberRevision, long count) {
-        return DEPENDENCIES + usedOnce(controller, memberRevision, count);
+        return DEPENDENCIES + singleUseKey(controller, memberRevision, count);
     }
 
     /** A record of the runtime statistics. */
@@ -80,7 +80,7 @@
 
     /** An entry of the log of a graph, used once. */
     public static String graphLog(String graphId, long token, long count) {
-        return GRAPH_LOG + usedOnce(graphId, token, count);
+        return GRAPH_LOG + singleUseKey(graphId, token, count);
     }
 
     /** The count in the key of a log entry, by which the entries of one token are ordered. */
@@ -98,7 +98,7 @@
         return ATTAINED_SERVICE + controller;
     }
 
-    private static String usedOnce(String owner, long revision, long count) {
+    private static String singleUseKey(String owner, long revision, long count) {
         return owner + "/" + Long.toUnsignedString(revision) + "/" + count;
     }
 }
--- a/src/main/java/org/hollypick/cluster/StoreReplica.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -52,7 +52,7 @@
             appliedRevision = revision;
             loaded = true;
             changeListener.accept(new ArrayList<>(loadedEntries.keySet()));
-            linearizableReads.answerReached();
+            linearizableReads.completeReads();
         }
 
         @Override
@@ -67,7 +67,7 @@
             if (!changedKeys.isEmpty()) {
                 changeListener.accept(changedKeys);
             }
-            linearizableReads.answerReached();
+            linearizableReads.completeReads();
         }
 
         /** Whether the change is newer than the entry. */
--- a/src/main/java/org/hollypick/cluster/StoreWatcher.java
+++ b/src/main/java/org/hollypick/cluster/StoreWatcher.java
@@ -37,7 +37,7 @@
     /** The newest revision up to which the listener got every change. */
     private long watchedRevision;
 
-    private long watchSentAtMillis;
+    private long watchSentAt;
 
     StoreWatcher(EventLoop eventLoop, KeyValueStoreClient store, String prefix, Listener listener) {
         this.eventLoop = eventLoop;
@@ -88,7 +88,7 @@
     }
 
     private void watch() {
-        watchSentAtMillis = eventLoop.now();
+        watchSentAt = eventLoop.now();
         store.watch(prefix, watchedRevision, this::watchAnswered);
     }
 
@@ -111,9 +111,9 @@
 
     /** Keeps a gap between two watches, which bounds the requests that a busy stream costs. */
     private void watchAgain() {
-        long gapMillis = StoreConstants.WATCH_GAP_MS - (eventLoop.now() - watchSentAtMillis);
-        if (gapMillis > 0) {
-            eventLoop.after(gapMillis, this::watch);
+        long gapMs = StoreConstants.WATCH_GAP_MS - (eventLoop.now() - watchSentAt);
+        if (gapMs > 0) {
+            eventLoop.after(gapMs, this::watch);
         } else {
             watch();
         }
--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -212,7 +212,7 @@
     }
 
     /** A hash of the limits of all teams, by which controllers find out whether theirs are the same. */
-    public String limitsMark() {
+    public String limitsHash() {
         Hasher hasher = Hashing.murmur3_128().newHasher();
         teams.values().stream()
                 .sorted(Comparator.comparing(Team::name))
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -94,7 +94,7 @@
         LeaderLeaseSource source = membership.leaderLeaseSource(components.token);
         if (source != loggedLeaseSource) {
             loggedLeaseSource = source;
-            long remainingMs = membership.leaderLeaseUntil(components.token) - now;
+            long remainingMs = membership.leaderLeaseValidUntil(components.token) - now;
             LOG.info("leader_lease.changed source={} remaining_ms={} token={}", source, remainingMs, components.token);
         }
     }
@@ -131,11 +131,11 @@
     private void updateLeaderRecord(long now) {
         if (components.jobTermination.needsNewFencingToken(now)
                 || scheduler.assignments().attemptNumbersNearlyExhausted()) {
-            membership.fence(components.token);
+            membership.requestNewFencingToken(components.token);
         } else if (settings.anyLimit()
-                && !membership.limitsKept()
+                && !membership.limitsEnforcedByAllLeaders()
                 && scheduler.quotas().allTeamsWithinLimits()) {
-            membership.recordLimitsKept(components.token);
+            membership.recordLimitsEnforced(components.token);
         }
     }
 
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -97,7 +97,7 @@
         OperatorSettings operatorSettings = context.operatorSettings();
         Scheduler scheduler =
                 new Scheduler(token, settings, operatorSettings.firstShare(), leases, operatorSettings.estimates());
-        if (membership.limitsKept()) {
+        if (membership.limitsEnforcedByAllLeaders()) {
             scheduler.quotas().setEarlierLeadersEnforcedLimits();
         }
         return scheduler;
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -16,12 +16,12 @@
  * has 35 s.
  */
 class PartitionedLeaseRenewalTest {
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
             (r, s) -> new Controller(r, s, OperatorSettings.defaults());
     /** Two leases' time, nearly: longer than a lease, shorter than a lease that is kept. */
-    private static final long CUT_MS = 28_000;
+    private static final long PARTITION_MS = 28_000;
 
-    private static ClusterScenario day(long seed, BiFunction<EventLoop, Settings, Controller> version) {
+    private static ClusterScenario startedScenario(long seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.placeControllerInZone(2, "b");
         scenario.advance(5_000);
@@ -30,8 +30,9 @@
         return scenario;
     }
 
-    private static ClusterScenario led(long seed, int leader, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario scenario = day(seed, version);
+    private static ClusterScenario scenarioLedBy(
+            long seed, int leader, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = startedScenario(seed, version);
         for (int node = 0; node < 3; node++) {
             if (node != leader) {
                 scenario.faults.crash(node, 12_000);
@@ -43,11 +44,11 @@
         return scenario;
     }
 
-    private static void survives(ClusterScenario scenario) {
+    private static void assertTasksSurviveZonePartition(ClusterScenario scenario) {
         int lost = scenario.checker.tasks.lostWithLease;
         int starts = scenario.checker.tasks.starts;
-        scenario.network.partitionZone("b", CUT_MS);
-        scenario.advance(CUT_MS + 5_000);
+        scenario.network.partitionZone("b", PARTITION_MS);
+        scenario.advance(PARTITION_MS + 5_000);
         assertEquals(lost, scenario.checker.tasks.lostWithLease, "leases were kept");
         assertEquals(starts, scenario.checker.tasks.starts, "nothing was started again, since nothing ended");
         scenario.advance(60_000);
@@ -57,23 +58,23 @@
 
     /** Half of every spread service has to be in the zone: it ran on unreachable, and ended with the leases. */
     @Test
-    void workInACutZoneGoesOnWithTheLeaderOutside() {
-        survives(led(3, 0, NEW));
+    void tasksInPartitionedZoneKeepTheirLeasesWhenLeaderIsOutside() {
+        assertTasksSurviveZonePartition(scenarioLedBy(3, 0, CURRENT_VERSION));
     }
 
     @Test
-    void workInACutZoneGoesOnWithTheLeaderInside() {
-        survives(led(3, 2, NEW));
+    void tasksInPartitionedZoneKeepTheirLeasesWhenLeaderIsInside() {
+        assertTasksSurviveZonePartition(scenarioLedBy(3, 2, CURRENT_VERSION));
     }
 
     /**
      * The successor may not take renewed leases for ended ones, and finds what runs before it starts anything twice.
      */
     @Test
-    void workInACutZoneOutlivesTheLeadersCrash() {
-        ClusterScenario scenario = led(3, 0, NEW);
+    void tasksInPartitionedZoneKeepTheirLeasesWhenLeaderOutsideCrashes() {
+        ClusterScenario scenario = scenarioLedBy(3, 0, CURRENT_VERSION);
         scenario.world.at(12_000, () -> scenario.faults.crash(0, 8_000));
-        survives(scenario);
+        assertTasksSurviveZonePartition(scenario);
     }
 
     /**
@@ -81,10 +82,10 @@
      * there, nothing was started, though half of the machines were heard.
      */
     @Test
-    void aTeamAtItsLimitGoesOnWhileAZoneIsPartitioned() {
+    void teamAtItsLimitStartsTasksWhileZoneIsPartitioned() {
         int starts = 0;
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario scenario = new ClusterScenario(seed, 4, null, null, NEW);
+            ClusterScenario scenario = new ClusterScenario(seed, 4, null, null, CURRENT_VERSION);
             scenario.placeControllerInZone(2, "b");
             scenario.advance(5_000);
             scenario.workload.submitJobs(60, 90_000);
@@ -104,21 +105,21 @@
 
     /** A cut longer than anyone may keep leases: the work there ends, and starts again once it may. */
     @Test
-    void partitionedRenewalEndsInTimeForCancelledTasks() {
+    void leaseRenewalInLongPartitionEndsBeforeCancelledTasksAreDue() {
         for (int seed = 1; seed <= 20; seed++) {
-            assertEquals(List.of(), longCut(seed, NEW).checker.violations, "seed " + seed);
+            assertEquals(List.of(), runLongPartition(seed, CURRENT_VERSION).checker.violations, "seed " + seed);
         }
     }
 
     @Test
     void randomZonePartitionsViolateNoInvariant() {
         for (int seed = 1; seed <= 150; seed++) {
-            ClusterScenario scenario = drawn(seed, NEW);
+            ClusterScenario scenario = runRandomFaults(seed, CURRENT_VERSION);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
     }
 
-    private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+    private static ClusterScenario runRandomFaults(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.placeControllerInZone(2, "b");
         scenario.workload.submitJobs(30, 150_000);
@@ -134,8 +135,8 @@
         return scenario;
     }
 
-    private static ClusterScenario longCut(int seed, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario scenario = day(seed, version);
+    private static ClusterScenario runLongPartition(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = startedScenario(seed, version);
         scenario.workload.submitJobs(30, 10_000);
         scenario.advance(16_000); // their users cancel services within a minute
         scenario.network.partitionZone("b", 70_000);
@@ -147,10 +148,11 @@
     @Test
     void checkerDetectsLeasesHeldForTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy =
-                (r, s) -> NEW.apply(r, ClusterScenario.withLongerCancellation(s, 60));
+                (r, s) -> CURRENT_VERSION.apply(r, ClusterScenario.withLongerCancellation(s, 60));
         boolean noticed = false;
         for (int seed = 1; seed <= 20 && !noticed; seed++) {
-            noticed = longCut(seed, greedy).checker.violations.stream().anyMatch(b -> b.startsWith("ran_cancelled"));
+            noticed = runLongPartition(seed, greedy).checker.violations.stream()
+                    .anyMatch(b -> b.startsWith("ran_cancelled"));
         }
         assertTrue(noticed);
     }
@@ -160,8 +162,8 @@
      * leader took itself to be cut off and resigned.
      */
     @Test
-    void manySilentMachinesDoNotTakeAllCalls() {
-        ClusterScenario scenario = new ClusterScenario(2, 24, null, null, NEW);
+    void unreachableMachinesDoNotBlockDirectCallsToOtherMachines() {
+        ClusterScenario scenario = new ClusterScenario(2, 24, null, null, CURRENT_VERSION);
         scenario.placeControllerInZone(2, "b");
         scenario.advance(5_000);
         scenario.workload.submitUncancelledServices(40);
--- a/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -8,7 +8,7 @@
 
 /** A leader that only some machines can't reach: are they lost, or is it the path? The other controllers can tell. */
 class PeerReachabilityTest {
-    private static ClusterScenario day(long seed) {
+    private static ClusterScenario startedScenario(long seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4);
         scenario.advance(5_000);
         scenario.workload.submitUncancelledServices(6);
@@ -21,9 +21,9 @@
      * (inc-fd28).
      */
     @Test
-    void machinesReachableFromPeersAreNotTerminatedAndEndTheLeadership() {
+    void machinesReachableFromPeersAreNotTerminatedAndLeaderIsReplaced() {
         for (int seed = 1; seed <= 8; seed++) {
-            ClusterScenario scenario = day(seed);
+            ClusterScenario scenario = startedScenario(seed);
             int before = scenario.leaderIndex();
             int lost = scenario.checker.tasks.lostWithLease;
             List<String> cut = scenario.cloud.agents().stream()
@@ -44,8 +44,8 @@
 
     /** Machines that hang answer nobody: asking the others may not hold up their replacement. */
     @Test
-    void machinesThatHangAreReturnedAsBefore() {
-        ClusterScenario scenario = day(1);
+    void hungMachinesAreTerminatedWithoutDelayByPeerChecks() {
+        ClusterScenario scenario = startedScenario(1);
         int before = scenario.leaderIndex();
         List<FakeAgent> hung = scenario.cloud.agents().subList(0, 3);
         List<String> names = hung.stream().map(w -> w.name).toList();
