--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -15,13 +15,13 @@
  */
 final class LeaderMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
-    private static final int HISTOGRAM_DIGITS = 2;
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 2;
     private static final double REPORTED_PERCENTILE = 99;
 
     private final Scheduler scheduler;
     private final InstanceProvisioner provisioner;
     /** How late the reconcile loop runs, in milliseconds: what this process's share of processor time does to it. */
-    private final Histogram latenessMs = new Histogram(HISTOGRAM_DIGITS);
+    private final Histogram latenessMs = new Histogram(HISTOGRAM_SIGNIFICANT_DIGITS);
 
     LeaderMetrics(Scheduler scheduler, InstanceProvisioner provisioner) {
         this.scheduler = scheduler;
@@ -35,7 +35,7 @@
 
     /** Sums over the machines; cores by the state and kind of their machine. */
     private static final class MachineTotals {
-        private double ordinaryCores;
+        private double onDemandCores;
         private double spotCores;
         private double bootingCores;
         private double usedCores;
@@ -49,7 +49,7 @@
             } else if (machine.spot) {
                 spotCores += machine.type.cpus();
             } else {
-                ordinaryCores += machine.type.cpus();
+                onDemandCores += machine.type.cpus();
             }
             usedCores += machine.usedCpus();
             serviceCores += machine.serviceCpus();
@@ -91,7 +91,7 @@
                 scheduler.reconciliationComplete(),
                 scheduler.machines().size(),
                 machines.idleMachines,
-                machines.ordinaryCores,
+                machines.onDemandCores,
                 machines.spotCores,
                 machines.bootingCores,
                 machines.usedCores,
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -19,7 +19,7 @@
     private final Membership membership;
     private final FailureDetector failureDetector;
     private final BooleanSupplier holdsLeaderLease;
-    private boolean measurementInProgress;
+    private boolean evaluationInProgress;
 
     ResignationPolicy(
             long token,
@@ -41,7 +41,7 @@
     void evaluate(long now) {
         if (failureDetector.isIsolated(now)
                 && (membership.isResignationAllowed() || failureDetector.leasesAboutToExpire(now))) {
-            measureAndResignIfBetter();
+            resignIfPeerReachesMore();
         }
     }
 
@@ -49,13 +49,13 @@
      * Resigns if a peer alone reaches the machines that this leader reaches only with the help of all; or if those that
      * can't be asked may do better, unless this leader reaches nearly all machines in some way.
      */
-    private void measureAndResignIfBetter() {
-        if (measurementInProgress) {
+    private void resignIfPeerReachesMore() {
+        if (evaluationInProgress) {
             return;
         }
-        measurementInProgress = true;
+        evaluationInProgress = true;
         membership.evaluateCandidacy(reachability -> {
-            measurementInProgress = false;
+            evaluationInProgress = false;
             boolean peersMayDoBetter =
                     failureDetector.noPeerAnswers(eventLoop.now()) && !reachability.reachesNearlyAll();
             if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.peerLeadsBetter())) {
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -68,7 +68,7 @@
         Runnable requestReconcile = callbacks::requestReconcile;
         this.token = token;
         this.localHealth = new LocalHealth(eventLoop.now());
-        this.scheduler = scheduler(token, context, firstTerm);
+        this.scheduler = createScheduler(token, context, firstTerm);
         TermContext term = new TermContext(
                 eventLoop, settings, scheduler, context.machineTypes(), holdsLeaderLease, requestReconcile);
         this.agentManager = new AgentManager(term, context.agentClient(), localHealth);
@@ -84,10 +84,10 @@
         this.runtimeStatistics = operatorSettings.estimates()
                 ? new RuntimeStatisticsStore(eventLoop, replica, store, settings, scheduler)
                 : null;
-        this.graphs = operatorSettings.graphs() ? graphService(context, requestReconcile) : null;
+        this.graphs = operatorSettings.graphs() ? createGraphService(context, requestReconcile) : null;
     }
 
-    private static Scheduler scheduler(long token, ControllerContext context, boolean firstTerm) {
+    private static Scheduler createScheduler(long token, ControllerContext context, boolean firstTerm) {
         Settings settings = context.settings();
         Membership membership = context.membership();
         List<String> peers =
@@ -103,7 +103,7 @@
         return scheduler;
     }
 
-    private GraphService graphService(ControllerContext context, Runnable requestReconcile) {
+    private GraphService createGraphService(ControllerContext context, Runnable requestReconcile) {
         GraphContext graphContext = new GraphContext(
                 context.eventLoop(),
                 context.settings(),
--- a/src/main/java/org/hollypick/control/TermContext.java
+++ b/src/main/java/org/hollypick/control/TermContext.java
@@ -11,7 +11,7 @@
  * What the parts of one leader term share. Confined to the event loop.
  *
  * @param machineTypes the cloud's machine types by name; filled as they become known
- * @param leaderLease whether this controller holds the leader lease of the term now
+ * @param leaderLeaseHeld whether this controller holds the leader lease of the term now
  * @param reconcileRequest requests a reconcile step soon; requests that come close together share one
  */
 public record TermContext(
@@ -19,7 +19,7 @@
         Settings settings,
         Scheduler scheduler,
         Map<String, MachineType> machineTypes,
-        BooleanSupplier leaderLease,
+        BooleanSupplier leaderLeaseHeld,
         Runnable reconcileRequest) {
     /** The event loop's clock, in milliseconds. */
     public long now() {
@@ -28,7 +28,7 @@
 
     /** Whether this controller may act for the term now. */
     public boolean holdsLeaderLease() {
-        return leaderLease.getAsBoolean();
+        return leaderLeaseHeld.getAsBoolean();
     }
 
     /** Has what changed acted on soon. */
--- a/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
@@ -27,7 +27,7 @@
      * Adds the part's completions, which belong into {@code record}; returns false if that has no room or has to wait.
      */
     boolean add(CompletionPart part, CompletionRecord record) {
-        boolean accepted = records.contains(record) || (!record.isRevisionUncertain() && hasRoomForRecord());
+        boolean accepted = records.contains(record) || (!record.isRevisionUncertain() && hasCapacityForRecord());
         if (accepted) {
             records.add(record);
             completions.add(new Completions(part, part.slice(part.job().completedTasks)));
@@ -35,7 +35,7 @@
         return accepted;
     }
 
-    private boolean hasRoomForRecord() {
+    private boolean hasCapacityForRecord() {
         return records.size() < settings.txnOps() && (records.size() + 1) * settings.valueBytes() <= MAX_BYTES;
     }
 
--- a/src/main/java/org/hollypick/control/jobs/CompletionPart.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionPart.java
@@ -9,25 +9,26 @@
  * A range of one job's tasks whose completions are stored together, under one name in a record.
  *
  * @param name the field's name in the record
- * @param from the first task
- * @param to the task after the last
+ * @param firstTask the first task
+ * @param endTask the task after the last
  */
-record CompletionPart(Job job, String name, int from, int to) {
+record CompletionPart(Job job, String name, int firstTask, int endTask) {
     private static final int BITS_PER_BASE64_CHARACTER = 6;
 
     /**
-     * The job's part that starts at task {@code from}. A part that starts at a multiple of the largest part's size is
-     * named by its number. Any other is named by its first task, in a form that earlier versions, which don't know it,
-     * don't take for any job's.
+     * The job's part that starts at task {@code firstTask}. A part that starts at a multiple of the largest part's size
+     * is named by its number. Any other is named by its first task, in a form that earlier versions, which don't know
+     * it, don't take for any job's.
      *
      * @param chunkTasks the tasks of a part
      */
-    static CompletionPart of(Job job, int from, int chunkTasks) {
+    static CompletionPart of(Job job, int firstTask, int chunkTasks) {
         String id = job.spec.id();
         boolean numbered =
                 !job.mayGrow() && (chunkTasks == JobConstants.COMPLETION_CHUNK_TASKS || job.spec.tasks() <= chunkTasks);
-        String name = numbered ? id + "/" + from / JobConstants.COMPLETION_CHUNK_TASKS : id + "@" + from + "/0";
-        return new CompletionPart(job, name, from, end(job, from + chunkTasks));
+        String name =
+                numbered ? id + "/" + firstTask / JobConstants.COMPLETION_CHUNK_TASKS : id + "@" + firstTask + "/0";
+        return new CompletionPart(job, name, firstTask, boundedEnd(job, firstTask + chunkTasks));
     }
 
     /**
@@ -44,14 +45,15 @@
         if (job == null) {
             return null;
         }
-        int from = numbered
+        int firstTask = numbered
                 ? Integer.parseInt(name.substring(slash + 1)) * JobConstants.COMPLETION_CHUNK_TASKS
                 : Integer.parseInt(name.substring(at + 1, slash));
-        return new CompletionPart(job, name, from, end(job, from + JobConstants.COMPLETION_CHUNK_TASKS));
+        return new CompletionPart(
+                job, name, firstTask, boundedEnd(job, firstTask + JobConstants.COMPLETION_CHUNK_TASKS));
     }
 
     /** A part of a job that may grow has its full length from the start. */
-    private static int end(Job job, int end) {
+    private static int boundedEnd(Job job, int end) {
         return job.mayGrow() ? end : Math.min(job.spec.tasks(), end);
     }
 
@@ -64,12 +66,12 @@
 
     /** An upper bound for the part's bytes in a record: its bits in base64, its name and what is around it. */
     int maxBytes() {
-        return (to - from) / BITS_PER_BASE64_CHARACTER + JobConstants.COMPLETION_PART_OVERHEAD_BYTES;
+        return (endTask - firstTask) / BITS_PER_BASE64_CHARACTER + JobConstants.COMPLETION_PART_OVERHEAD_BYTES;
     }
 
     /** The part's bits of a set of the job's tasks, counted from the part's first task. */
     BitSet slice(BitSet tasks) {
-        return tasks.get(from, to);
+        return tasks.get(firstTask, endTask);
     }
 
     /** Whether tasks completed that aren't durable as completed. */
@@ -83,13 +85,13 @@
 
     /** Takes in what a record says: these tasks completed, and that is durable. */
     void restore(BitSet completed) {
-        completed.stream().forEach(i -> job.completedTasks.set(from + i));
+        completed.stream().forEach(i -> job.completedTasks.set(firstTask + i));
         job.markCompletionsDurable();
         job.pendingTasks.andNot(job.completedTasks);
     }
 
     /** These tasks, of a {@link #slice}, are durable as completed now. */
     void markDurable(BitSet completed) {
-        completed.stream().forEach(i -> job.durablyCompleted().set(from + i));
+        completed.stream().forEach(i -> job.durablyCompleted().set(firstTask + i));
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/CompletionRecord.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionRecord.java
@@ -30,12 +30,12 @@
     }
 
     /** A write of the record succeeded. */
-    void writtenAt(long newRevision) {
+    void markWritten(long newRevision) {
         revision = newRevision;
     }
 
     /** A linearizable read showed the record's revision. */
-    void revisionLookedUp(long currentRevision) {
+    void resolveRevision(long currentRevision) {
         revision = currentRevision;
         revisionUncertain = false;
     }
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -123,13 +123,13 @@
         if (current != null && current.maxBytes() <= maxRecordBytes) {
             return current;
         }
-        CompletionRecord record = recordWithRoomFor(part);
+        CompletionRecord record = recordWithCapacityFor(part);
         record.addPart(part);
         recordsByPart.put(part.name(), record);
         return record;
     }
 
-    private CompletionRecord recordWithRoomFor(CompletionPart part) {
+    private CompletionRecord recordWithCapacityFor(CompletionPart part) {
         for (CompletionRecord record : records) {
             if (record.maxBytes() + part.maxBytes() <= maxRecordBytes) {
                 return record;
@@ -152,7 +152,7 @@
         store.commit(transaction, result -> {
             requestInFlight = false;
             if (result.committed()) {
-                written(batch, result.revision());
+                writeCommitted(batch, result.revision());
             } else {
                 writeFailed(batch, result);
             }
@@ -168,9 +168,9 @@
         });
     }
 
-    private void written(CompletionBatch batch, long revision) {
+    private void writeCommitted(CompletionBatch batch, long revision) {
         for (CompletionRecord record : batch.records()) {
-            record.writtenAt(revision);
+            record.markWritten(revision);
             record.parts().forEach(part -> removeFromOtherRecords(part.name(), record));
         }
         for (CompletionBatch.Completions completions : batch.completions()) {
@@ -211,7 +211,7 @@
         replica.linearizableRead(fresh -> {
             requestInFlight = false;
             if (fresh) {
-                uncertain.forEach(record -> record.revisionLookedUp(replica.revisionOf(record.key())));
+                uncertain.forEach(record -> record.resolveRevision(replica.revisionOf(record.key())));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -22,24 +22,24 @@
     private final Scheduler scheduler;
     private final KeyValueStoreClient store;
     private final TerminalRecordWriter recordWriter;
-    private final Consumer<TerminalWrite> becameDurable;
+    private final Consumer<TerminalWrite> onDurable;
     /**
      * Jobs whose records weren't as expected: each is written in a transaction of its own and so holds up no others.
      */
-    private final Set<String> writtenAlone = new HashSet<>();
+    private final Set<String> jobsInSeparateTransactions = new HashSet<>();
 
     private int batchesInFlight;
 
-    /** {@code becameDurable} receives each write that is known to be durable. */
+    /** {@code onDurable} receives each write that is known to be durable. */
     FinishedJobWriter(
             Scheduler scheduler,
             KeyValueStoreClient store,
             TerminalRecordWriter recordWriter,
-            Consumer<TerminalWrite> becameDurable) {
+            Consumer<TerminalWrite> onDurable) {
         this.scheduler = scheduler;
         this.store = store;
         this.recordWriter = recordWriter;
-        this.becameDurable = becameDurable;
+        this.onDurable = onDurable;
     }
 
     /**
@@ -76,7 +76,7 @@
             TerminalWrite write =
                     recordWriter.prepare(job, job.isSuccessful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
             bytes += RecordSize.bytes(write.record());
-            boolean alone = writtenAlone.contains(write.jobId());
+            boolean alone = jobsInSeparateTransactions.contains(write.jobId());
             boolean full = alone || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
             if (full && !batch.isEmpty()) {
                 break;
@@ -98,23 +98,23 @@
         recordWriter.commit(batch, result -> {
             batchesInFlight--;
             separateConflictingJobs(result);
-            batch.forEach(write -> writeFinished(write, result.committed()));
+            batch.forEach(write -> handleWriteResult(write, result.committed()));
         });
     }
 
     private void separateConflictingJobs(CommitResult result) {
         for (String key : result.conflictingKeys()) {
             if (key.startsWith(StoreKeys.JOBS)) {
-                writtenAlone.add(key.substring(StoreKeys.JOBS.length()));
+                jobsInSeparateTransactions.add(key.substring(StoreKeys.JOBS.length()));
             }
         }
     }
 
-    private void writeFinished(TerminalWrite write, boolean durable) {
+    private void handleWriteResult(TerminalWrite write, boolean durable) {
         Job job = write.job();
         job.endTerminalWrite();
         if (durable) {
-            becameDurable.accept(write);
+            onDurable.accept(write);
         } else if (job.isLive()) {
             scheduler.outbox().addNewCompletions(job);
         }
@@ -122,6 +122,6 @@
 
     /** The job's terminal record is durable, whoever wrote it. */
     void jobTerminated(String id) {
-        writtenAlone.remove(id);
+        jobsInSeparateTransactions.remove(id);
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -46,7 +46,7 @@
         this.replica = replica;
         this.dependencies = dependencies;
         this.submissionWriter =
-                new SubmissionWriter(eventLoop, settings, store, membership, dependencies, this::recordExists);
+                new SubmissionWriter(eventLoop, settings, store, membership, dependencies, this::markRecordExists);
     }
 
     /** The records under {@code keys} changed in the replica. */
@@ -83,7 +83,7 @@
         return durableAheadOfReplica.contains(id) || replica.get(StoreKeys.job(id)) != null;
     }
 
-    private void recordExists(String id, long revision) {
+    private void markRecordExists(String id, long revision) {
         replica.observe(revision);
         if (replica.get(StoreKeys.job(id)) == null) {
             durableAheadOfReplica.add(id);
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -86,7 +86,7 @@
     }
 
     /** The response to the write of the job's terminal record says that it is durable. */
-    private void markTerminalByResponse(Job job, TerminalStatus status) {
+    private void markTerminalAfterCommit(Job job, TerminalStatus status) {
         boolean replicaWasFirst = !scheduler.hasJob(job.spec.id());
         if (!replicaWasFirst) {
             terminalAheadOfReplica.add(job.spec.id());
@@ -134,7 +134,7 @@
                 write.jobId(),
                 write.status().wireName(),
                 token);
-        markTerminalByResponse(write.job(), write.status());
+        markTerminalAfterCommit(write.job(), write.status());
     }
 
     // ---- cancellation ----
@@ -200,8 +200,8 @@
             cancellation.writeFinished();
             LOG.info("job.cancellation_written job={} status={} token={}", job.spec.id(), result.status(), token);
             if (result.committed()) {
-                cancellationDurableAt(result.revision());
-                markTerminalByResponse(job, TerminalStatus.CANCELLED);
+                updateLastCancellationRevision(result.revision());
+                markTerminalAfterCommit(job, TerminalStatus.CANCELLED);
             }
             cancellation.answerCallers(result.committed());
         });
@@ -209,11 +209,11 @@
 
     /** The replica holds the cancelled record of a job that was live in this term. */
     public void cancelledRecordFound(Job job, long revision) {
-        cancellationDurableAt(revision);
+        updateLastCancellationRevision(revision);
         markTerminal(job, TerminalStatus.CANCELLED);
     }
 
-    private void cancellationDurableAt(long revision) {
+    private void updateLastCancellationRevision(long revision) {
         if (Long.compareUnsigned(revision, lastCancellationRevision) > 0) {
             lastCancellationRevision = revision;
         }
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -41,7 +41,7 @@
     /** In a kind: its name. */
     private static final String KIND_NAME = "k";
     /** In a kind: how many runs were seen of it in all. */
-    private static final String RUNS_SEEN = "n";
+    private static final String OBSERVED_RUNS = "n";
     /** In a kind: its latest runs, {@link #NUMBERS_PER_RUN} numbers each. */
     private static final String RUNS = "r";
 
@@ -85,7 +85,7 @@
     }
 
     /** The number of the record that a kind belongs to. */
-    private static int recordOf(String kind) {
+    private static int recordNumberOf(String kind) {
         return Hashing.consistentHash(
                 Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8),
                 EstimateConstants.STATISTICS_RECORDS);
@@ -123,7 +123,7 @@
     /** Writes the next record with new statistics, once the write interval passed and the store has spare capacity. */
     public void flush() {
         for (String kind : estimates.takeUpdatedKinds()) {
-            LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(recordOf(kind));
+            LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(recordNumberOf(kind));
             kinds.remove(kind);
             kinds.put(kind, true);
         }
@@ -186,7 +186,7 @@
     }
 
     private static ObjectNode encode(Estimates.Snapshot kind) {
-        ObjectNode encoded = Codec.object().put(KIND_NAME, kind.kind()).put(RUNS_SEEN, kind.observedRuns());
+        ObjectNode encoded = Codec.object().put(KIND_NAME, kind.kind()).put(OBSERVED_RUNS, kind.observedRuns());
         ArrayNode runs = encoded.putArray(RUNS);
         for (short[] run : kind.runs()) {
             for (int i = 0; i < NUMBERS_PER_RUN; i++) {
@@ -207,6 +207,6 @@
                     (short) numbers.path(i).asInt();
         }
         return new Estimates.Snapshot(
-                encoded.path(KIND_NAME).asText(), encoded.path(RUNS_SEEN).asLong(), runs);
+                encoded.path(KIND_NAME).asText(), encoded.path(OBSERVED_RUNS).asLong(), runs);
     }
 }
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -33,36 +33,36 @@
     private final KeyValueStoreClient store;
     private final Membership membership;
     private final JobDependencies dependencies;
-    private final ObjLongConsumer<String> recordExists;
-    private long dependencyListsWritten;
+    private final ObjLongConsumer<String> onRecordExists;
+    private long usedDependencyKeys;
 
-    /** {@code recordExists} receives the id of each job that has a record, and a revision at which it had one. */
+    /** {@code onRecordExists} receives the id of each job that has a record, and a revision at which it had one. */
     SubmissionWriter(
             EventLoop eventLoop,
             Settings settings,
             KeyValueStoreClient store,
             Membership membership,
             JobDependencies dependencies,
-            ObjLongConsumer<String> recordExists) {
+            ObjLongConsumer<String> onRecordExists) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.store = store;
         this.membership = membership;
         this.dependencies = dependencies;
-        this.recordExists = recordExists;
+        this.onRecordExists = onRecordExists;
     }
 
     /** Writes the record of a job that depends on the jobs {@code dependencyIds}, each of which has a record. */
     void write(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> finished) {
-        List<String> undecided = undecidedDependencies(dependencyIds);
+        List<String> undecided = dependenciesToRecord(dependencyIds);
         int maxBytes = RecordSize.limitBytes(settings);
         if (RecordSize.bytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, undecided, null)) <= maxBytes) {
             writeJobRecord(spec, undecided, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, finished);
             return;
         }
-        String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), dependencyListsWritten);
-        dependencyListsWritten++;
-        DependencyLists dependencyLists = new DependencyLists(key, split(undecided, maxBytes));
+        String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), usedDependencyKeys);
+        usedDependencyKeys++;
+        DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(undecided, maxBytes));
         if (RecordSize.bytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists)) > maxBytes) {
             finished.accept(SubmissionOutcome.TOO_LARGE);
         } else {
@@ -74,7 +74,7 @@
      * The dependencies that the record has to name: those that aren't completed, which is final. One that is cancelled
      * decides the job's fate alone.
      */
-    private List<String> undecidedDependencies(Collection<String> dependencyIds) {
+    private List<String> dependenciesToRecord(Collection<String> dependencyIds) {
         List<String> undecided = new ArrayList<>();
         for (String id : dependencyIds) {
             if (dependencies.isCancelled(id)) {
@@ -87,7 +87,7 @@
         return undecided;
     }
 
-    private static List<List<String>> split(List<String> ids, int maxBytes) {
+    private static List<List<String>> splitIntoLists(List<String> ids, int maxBytes) {
         List<List<String>> lists = new ArrayList<>();
         int remainingBytes = 0;
         for (String id : ids) {
@@ -155,7 +155,7 @@
         store.commit(transaction, result -> {
             boolean existed = result.conflictingKeys().contains(key);
             if (result.committed() || existed) {
-                recordExists.accept(spec.id(), result.revision());
+                onRecordExists.accept(spec.id(), result.revision());
                 finished.accept(existed ? SubmissionOutcome.ALREADY_EXISTS : SubmissionOutcome.CREATED);
             } else if (result.conflicted() && attempts > 1) {
                 eventLoop.after(
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -106,7 +106,7 @@
                 scheduler.token(),
                 call.incarnation(),
                 commands,
-                term.leaderLease(),
+                term.leaderLeaseHeld(),
                 response -> completed(call, response));
     }
 
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -175,6 +175,6 @@
         }
         term.requestReconcile();
         return ServerResponse.of(200, AgentCodec.encodeCommands(scheduler.token(), commands))
-                .onlyWhile(term.leaderLease());
+                .onlyWhile(term.leaderLeaseHeld());
     }
 }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
@@ -45,7 +45,7 @@
             return;
         }
         LOG.info("scale_in.requested machines={} reason={}", machineIds, reason);
-        cloud.terminate(machineIds, term.leaderLease(), confirmed -> completed(machineIds, confirmed));
+        cloud.terminate(machineIds, term.leaderLeaseHeld(), confirmed -> completed(machineIds, confirmed));
     }
 
     private void completed(List<String> machineIds, boolean confirmed) {
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -58,7 +58,7 @@
             return;
         }
         ScaleOutRequest request = new ScaleOutRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
-        cloud.scaleOut(request, term.leaderLease(), result -> completed(pool, request, result));
+        cloud.scaleOut(request, term.leaderLeaseHeld(), result -> completed(pool, request, result));
     }
 
     private void completed(Autoscaler.CapacityPool pool, ScaleOutRequest request, ScaleOutResult result) {
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -14,9 +14,9 @@
 
 /** What was learned outlives controllers, outages and tighter limits; and a job's finish is told by any of them. */
 class RuntimeStatisticsTest {
-    private int jobs;
+    private int submittedJobs;
 
-    private static ClusterScenario day(long seed) {
+    private static ClusterScenario startScenario(long seed) {
         ClusterScenario scenario = new ClusterScenario(
                 seed,
                 2,
@@ -27,8 +27,8 @@
         return scenario;
     }
 
-    private String array(ClusterScenario scenario, int tasks, String... awaits) {
-        String id = String.format("req-6%05d", jobs++);
+    private String submitArray(ClusterScenario scenario, int tasks, String... awaits) {
+        String id = String.format("req-6%05d", submittedJobs++);
         ObjectNode b = Codec.object()
                 .put("name_id", id)
                 .put("jobkind", "sweep")
@@ -54,7 +54,7 @@
         return id;
     }
 
-    private static JsonNode estimate(ClusterScenario scenario, String id) {
+    private static JsonNode awaitEstimate(ClusterScenario scenario, String id) {
         Response r = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
         for (int i = 0; i < 200 && r.status() != 200; i++) {
             scenario.advance(200);
@@ -64,29 +64,29 @@
         return r.body();
     }
 
-    private static double p50(JsonNode estimate) {
+    private static double medianDoneInS(JsonNode estimate) {
         return estimate.path("done_in_s").path("p50").asDouble();
     }
 
-    private void learn(ClusterScenario scenario) {
+    private void collectRunHistory(ClusterScenario scenario) {
         for (int i = 0; i < 6; i++) {
-            array(scenario, 12);
+            submitArray(scenario, 12);
             scenario.advance(25_000);
         }
         scenario.advance(40_000);
     }
 
     @Test
-    void anArrayIsDoneWhenItWasSaid() {
+    void mostArraysFinishWithinTheirEstimatedInterval() {
         int inside = 0;
         int all = 0;
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario scenario = day(seed);
-            learn(scenario);
+            ClusterScenario scenario = startScenario(seed);
+            collectRunHistory(scenario);
             for (int i = 0; i < 4; i++) {
-                String id = array(scenario, 10);
+                String id = submitArray(scenario, 10);
                 scenario.advance(1_000);
-                JsonNode told = estimate(scenario, id).path("done_in_s");
+                JsonNode told = awaitEstimate(scenario, id).path("done_in_s");
                 long from = scenario.world.now;
                 while (!scenario.users
                         .request("GET", "/submissions/" + id, null)
@@ -111,11 +111,11 @@
 
     /** Takeover, loss of all, an outage, tighter limits: the successor says nearly what its predecessor said. */
     @Test
-    void whatWasLearnedOutlivesEveryController() {
+    void runHistorySurvivesCrashesOutagesAndTighterStoreLimits() {
         for (int trouble = 0; trouble < 4; trouble++) {
-            ClusterScenario scenario = day(20 + trouble);
-            learn(scenario);
-            int before = estimate(scenario, array(scenario, 8))
+            ClusterScenario scenario = startScenario(20 + trouble);
+            collectRunHistory(scenario);
+            int before = awaitEstimate(scenario, submitArray(scenario, 8))
                     .path("history")
                     .path("n")
                     .asInt();
@@ -134,8 +134,8 @@
                 }
             }
             scenario.advance(40_000);
-            String after = array(scenario, 8);
-            JsonNode told = estimate(scenario, after);
+            String after = submitArray(scenario, 8);
+            JsonNode told = awaitEstimate(scenario, after);
             assertTrue(told.path("history").path("n").asInt() >= 20, "trouble " + trouble + ": " + told);
             assertEquals(0, scenario.store.oversizedTransactions);
             assertEquals(List.of(), scenario.checker.violations);
@@ -143,23 +143,23 @@
     }
 
     @Test
-    void whatAJobAwaitsIsPartOfItsTime() {
-        ClusterScenario scenario = day(3);
-        learn(scenario);
-        String first = array(scenario, 8);
-        String second = array(scenario, 8, first);
+    void estimateOfADependentJobIncludesItsDependency() {
+        ClusterScenario scenario = startScenario(3);
+        collectRunHistory(scenario);
+        String first = submitArray(scenario, 8);
+        String second = submitArray(scenario, 8, first);
         scenario.advance(500);
-        JsonNode one = estimate(scenario, first);
-        JsonNode both = estimate(scenario, second);
-        assertTrue(p50(both) > p50(one) + 3, one + " and " + both);
+        JsonNode one = awaitEstimate(scenario, first);
+        JsonNode both = awaitEstimate(scenario, second);
+        assertTrue(medianDoneInS(both) > medianDoneInS(one) + 3, one + " and " + both);
         assertEquals("what it awaits", both.path("reason").asText());
     }
 
     /** A record that can't be read is set aside, and one of a newer format is left as it is. */
     @Test
-    void strangeRecordsAreLeftAlone() {
-        ClusterScenario scenario = day(4);
-        learn(scenario);
+    void unreadableRecordsAreIgnoredAndNewerFormatsAreKept() {
+        ClusterScenario scenario = startScenario(4);
+        collectRunHistory(scenario);
         ObjectNode newer = Codec.object().put("v", 99).put("new", "format");
         ObjectNode broken = Codec.object().put("v", 1);
         broken.putArray("kinds").add(7);
@@ -168,9 +168,12 @@
         }
         scenario.faults.crash(scenario.leaderIndex(), 9_000);
         scenario.advance(30_000);
-        learn(scenario);
-        assertTrue(
-                estimate(scenario, array(scenario, 4)).path("history").path("n").asInt() > 5);
+        collectRunHistory(scenario);
+        assertTrue(awaitEstimate(scenario, submitArray(scenario, 4))
+                        .path("history")
+                        .path("n")
+                        .asInt()
+                > 5);
         for (int slot = 0; slot < 8; slot += 2) {
             assertEquals(newer, scenario.store.valueOf("h/e/" + slot));
         }
