--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -52,7 +52,7 @@
         if (response.failedWith(Response.Failure.NO_CAPACITY)) {
             return ProbeResult.NOT_ATTEMPTED;
         }
-        boolean reached = response.ok() && AgentCodec.isHeartbeatOf(machineId, response.body());
+        boolean reached = response.ok() && AgentCodec.identifiesMachine(machineId, response.body());
         return reached ? ProbeResult.REACHED : ProbeResult.NOT_REACHED;
     }
 }
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -32,7 +32,7 @@
     /** The sequence number within the agent's incarnation: counts heartbeats and answers to direct calls. */
     static final String SEQUENCE = "tick";
     /** Seconds until the cloud takes the machine; null if it doesn't. */
-    static final String NOTICE_SECONDS = "warning_s";
+    static final String EVICTION_NOTICE_S = "warning_s";
     /** The tasks on the machine. */
     static final String TASKS = "shards";
 
@@ -57,7 +57,7 @@
     private static final String VERB_KILL = "kill";
     private static final String VERB_CLEAR = "clear";
     /** Seconds that a killed task has to write a checkpoint. */
-    private static final String GRACE_SECONDS = "leeway_s";
+    private static final String GRACE_S = "leeway_s";
 
     private AgentCodec() {}
 
@@ -92,9 +92,9 @@
         heartbeat.incarnation = Codec.u64(body.path(WireNames.AGENT_INCARNATION));
         heartbeat.sequence = Codec.u64(body.path(SEQUENCE));
         heartbeat.token = Codec.u64(body.path(WireNames.FENCING_TOKEN));
-        JsonNode notice = body.path(NOTICE_SECONDS);
-        heartbeat.noticeSeconds = notice.isNumber() ? notice.asDouble() : Double.NaN;
-        body.path(TASKS).forEach(task -> heartbeat.tasks.add(taskStatus(task)));
+        JsonNode notice = body.path(EVICTION_NOTICE_S);
+        heartbeat.evictionNoticeS = notice.isNumber() ? notice.asDouble() : Double.NaN;
+        body.path(TASKS).forEach(task -> heartbeat.tasks.add(decodeTaskStatus(task)));
         return heartbeat.build();
     }
 
@@ -106,20 +106,20 @@
                 && body.path(SEQUENCE).isIntegralNumber();
     }
 
-    private static TaskStatus taskStatus(JsonNode task) {
+    private static TaskStatus decodeTaskStatus(JsonNode task) {
         return new TaskStatus(
                 task.path(TASK).asText(),
                 Codec.u64(task.path(ATTEMPT)),
-                state(task.path(TASK_STATE).asText()),
+                decodeState(task.path(TASK_STATE).asText()),
                 task.path(EXIT_REASON).asText(""));
     }
 
     /** Whether the body, whatever else it holds, names that machine. */
-    static boolean isHeartbeatOf(String machineId, JsonNode body) {
+    static boolean identifiesMachine(String machineId, JsonNode body) {
         return body.path(MACHINE_ID).asText().equals(machineId);
     }
 
-    static State state(String text) {
+    static State decodeState(String text) {
         return switch (text) {
             case STATE_PULLING_IMAGE -> State.PULLING_IMAGE;
             case STATE_CHECKPOINTING -> State.CHECKPOINTING;
@@ -132,7 +132,7 @@
     public static ObjectNode encodeCommands(long token, List<Command> commands) {
         ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray(COMMANDS);
-        commands.forEach(command -> encode(command, list.addObject()));
+        commands.forEach(command -> encodeCommand(command, list.addObject()));
         return body;
     }
 
@@ -141,10 +141,10 @@
         return encodeCommands(token, commands).put(WireNames.AGENT_INCARNATION, incarnation);
     }
 
-    private static void encode(Command command, ObjectNode node) {
+    private static void encodeCommand(Command command, ObjectNode node) {
         switch (command.verb()) {
             case LAUNCH -> node.put(VERB, VERB_LAUNCH);
-            case KILL -> node.put(VERB, VERB_KILL).put(GRACE_SECONDS, command.graceS());
+            case KILL -> node.put(VERB, VERB_KILL).put(GRACE_S, command.graceS());
             case CLEAR -> node.put(VERB, VERB_CLEAR);
         }
         node.put(TASK, command.task()).put(ATTEMPT, command.attempt());
--- a/src/main/java/org/hollypick/agent/HeartbeatBuilder.java
+++ b/src/main/java/org/hollypick/agent/HeartbeatBuilder.java
@@ -19,7 +19,7 @@
     long incarnation;
     long sequence;
     long token;
-    double noticeSeconds = Double.NaN;
+    double evictionNoticeS = Double.NaN;
     final List<TaskStatus> tasks = new ArrayList<>();
 
     /** Whether everything was read without which a heartbeat means nothing. */
@@ -28,6 +28,6 @@
     }
 
     Heartbeat build() {
-        return new Heartbeat(machine, address, type, zone, spot, incarnation, sequence, token, noticeSeconds, tasks);
+        return new Heartbeat(machine, address, type, zone, spot, incarnation, sequence, token, evictionNoticeS, tasks);
     }
 }
--- a/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
+++ b/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
@@ -52,7 +52,7 @@
                 heartbeat.sequence = unsignedLong(value);
             }
             case WireNames.FENCING_TOKEN -> heartbeat.token = unsignedLong(value);
-            case AgentCodec.NOTICE_SECONDS -> heartbeat.noticeSeconds = number(value);
+            case AgentCodec.EVICTION_NOTICE_S -> heartbeat.evictionNoticeS = number(value);
             case AgentCodec.TASKS -> readTasks(value);
             default -> parser.skipChildren();
         }
@@ -79,7 +79,7 @@
             switch (name) {
                 case AgentCodec.TASK -> task = text(value);
                 case AgentCodec.ATTEMPT -> attempt = unsignedLong(value);
-                case AgentCodec.TASK_STATE -> state = AgentCodec.state(text(value));
+                case AgentCodec.TASK_STATE -> state = AgentCodec.decodeState(text(value));
                 case AgentCodec.EXIT_REASON -> exitReason = text(value);
                 default -> parser.skipChildren();
             }
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -98,7 +98,7 @@
                 machines.serviceCores,
                 pending.batchCores,
                 pending.serviceCores,
-                Math.round(provisioner.load()),
+                Math.round(provisioner.meanArrayLoadCores()),
                 machines.startingTasks,
                 latenessMs.getValueAtPercentile(REPORTED_PERCENTILE),
                 latenessMs.getMaxValue());
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -61,7 +61,7 @@
                 keys.add(key);
             }
         });
-        components.machineRegistry.load(this::addMachine);
+        components.machineRegistry.loadMachines(this::addMachine);
         recordsChanged(keys);
     }
 
@@ -82,7 +82,7 @@
 
     /** The records under {@code keys} changed in the replica. */
     void recordsChanged(Collection<String> keys) {
-        components.machineRegistry.changed(keys);
+        components.machineRegistry.recordsChanged(keys);
         for (String key : keys) {
             if (key.startsWith(StoreKeys.LEADER_COMPLAINTS)) {
                 complaintChanged(replica.get(key));
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -40,7 +40,7 @@
      */
     void evaluate(long now) {
         if (failureDetector.isIsolated(now)
-                && (membership.isResignationAllowed() || failureDetector.leasesAboutToExpire(now))) {
+                && (membership.isResignationAllowed() || failureDetector.agentLeasesAboutToExpire(now))) {
             resignIfPeerReachesMore();
         }
     }
@@ -57,7 +57,7 @@
         membership.evaluateCandidacy(reachability -> {
             evaluationInProgress = false;
             boolean peersMayDoBetter =
-                    failureDetector.noPeerAnswers(eventLoop.now()) && !reachability.reachesNearlyAll();
+                    failureDetector.isPeerReachabilityUnknown(eventLoop.now()) && !reachability.reachesNearlyAll();
             if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.peerLeadsBetter())) {
                 LOG.info("leader.resigned token={} {} {}", token, failureDetector.summary(), reachability);
                 membership.resign();
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -172,7 +172,7 @@
 
     private void writeMachineRegistrations(Runnable requestReconcile) {
         scheduler.outbox().takeMachinesToRegister().forEach(machineRegistry::add);
-        scheduler.outbox().takeMachinesToUnregister().forEach(machineRegistry::drop);
+        scheduler.outbox().takeMachinesToUnregister().forEach(machineRegistry::remove);
         machineRegistry.flush(machines -> {
             machines.forEach(scheduler::markRegistered);
             requestReconcile.run();
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -58,7 +58,7 @@
     }
 
     /** As many of the commands as a message may hold (64 KiB); the others follow with the next message. */
-    static List<Command> limitToMessage(List<Command> commands) {
+    static List<Command> limitToOneMessage(List<Command> commands) {
         return commands.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
                 ? commands
                 : commands.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
@@ -67,13 +67,13 @@
     /** Sends pending commands, urgent ones first, to as many machines as there is room for. */
     void dispatchPending() {
         SchedulerOutbox outbox = scheduler.outbox();
-        outbox.takeMachinesWithUrgentCommands(limiter.room()).forEach(machine -> call(machine, false));
-        outbox.takeMachinesWithPendingCommands(limiter.room()).forEach(machine -> call(machine, false));
+        outbox.takeMachinesWithUrgentCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
+        outbox.takeMachinesWithPendingCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
     }
 
     /** Calls a machine even without commands, to get its answer, if there is room for another call. */
     void probe(Machine machine) {
-        if (limiter.room() > 0) {
+        if (limiter.availableCalls() > 0) {
             call(machine, true);
         }
     }
@@ -88,7 +88,7 @@
             return;
         }
         boolean toUnresponsive = machine.directCalls.unacknowledgedCalls() > 0 || machine.validity.isSuspected();
-        if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
+        if (toUnresponsive && !limiter.mayCallUnresponsive()) {
             return;
         }
         boolean known = machine.heartbeatReceived();
@@ -100,14 +100,14 @@
                 toUnresponsive,
                 term.now());
         scheduler.commands().sentDirectly(machine, commands);
-        limiter.started(toUnresponsive);
+        limiter.callStarted(toUnresponsive);
         agentClient.sendCommands(
                 machine.address(),
                 scheduler.token(),
                 call.incarnation(),
                 commands,
                 term.leaderLeaseHeld(),
-                response -> completed(call, response));
+                response -> callCompleted(call, response));
     }
 
     private boolean mayCall(Machine machine) {
@@ -120,25 +120,25 @@
 
     private List<Command> commandsFor(Machine machine) {
         return machine.heartbeatReceived() && !machine.incarnationExpired()
-                ? limitToMessage(scheduler.commands().pendingCommands(machine))
+                ? limitToOneMessage(scheduler.commands().pendingCommands(machine))
                 : List.of();
     }
 
-    private void completed(DirectCall call, AgentResponse response) {
+    private void callCompleted(DirectCall call, AgentResponse response) {
         long now = term.now();
-        limiter.completed(call.toUnresponsive(), response, now - call.startedAt(), now);
+        limiter.callCompleted(call.toUnresponsive(), response, now - call.startedAt(), now);
         scheduler
                 .commands()
                 .directCallCompleted(call.machine(), call.commands(), call.incarnation(), response.isSettled());
         if (response.outcome() == AgentResponse.Outcome.ACKNOWLEDGED) {
-            acknowledged(call, response.heartbeat());
+            applyAcknowledgement(call, response.heartbeat());
         } else {
-            unacknowledged(call.machine(), response, now);
+            recordUnacknowledged(call.machine(), response, now);
         }
         onCallCompleted.run();
     }
 
-    private void unacknowledged(Machine machine, AgentResponse response, long now) {
+    private void recordUnacknowledged(Machine machine, AgentResponse response, long now) {
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
             machine.directCalls.recordUnacknowledgedCall();
             if (localHealth.isHealthy(now)) {
@@ -151,7 +151,7 @@
     }
 
     /** @param heartbeat what the agent answered; null if it can't be read */
-    private void acknowledged(DirectCall call, Heartbeat heartbeat) {
+    private void applyAcknowledgement(DirectCall call, Heartbeat heartbeat) {
         Machine machine = call.machine();
         if (heartbeat == null
                 || scheduler.machine(machine.id) != machine
@@ -163,7 +163,7 @@
         machine.validity.deliveryConfirmed();
         scheduler.heartbeats().confirmLive(machine);
         HeartbeatHandler.apply(scheduler, machine, heartbeat, false, now);
-        if (showsRestart(call, heartbeat) && !machine.incarnationExpired()) {
+        if (indicatesRestart(call, heartbeat) && !machine.incarnationExpired()) {
             LOG.info(
                     "agent.restarted machine={} incarnation={} sequence={} known_incarnation={} known_sequence={}",
                     machine.id,
@@ -179,7 +179,7 @@
     }
 
     /** The answer was made after the known sequence number and should be newer: the agent counts anew. */
-    private static boolean showsRestart(DirectCall call, Heartbeat heartbeat) {
+    private static boolean indicatesRestart(DirectCall call, Heartbeat heartbeat) {
         return call.knownSequence().isPresent()
                 && !heartbeat.newerThan(call.incarnation(), call.knownSequence().getAsLong());
     }
--- a/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -21,23 +21,23 @@
     }
 
     /** How many more calls the window has room for; negative after it shrank. */
-    int room() {
+    int availableCalls() {
         return window.size() - inFlight;
     }
 
     /** Whether another call to an unresponsive machine may be made. */
-    boolean hasRoomForUnresponsive() {
+    boolean mayCallUnresponsive() {
         return inFlightToUnresponsive < FailureDetectionConstants.MAX_DIRECT_CALLS_UNRESPONSIVE;
     }
 
     /** Counts a call that is about to be sent. */
-    void started(boolean toUnresponsive) {
+    void callStarted(boolean toUnresponsive) {
         inFlight++;
         inFlightToUnresponsive += toUnresponsive ? 1 : 0;
     }
 
     /** Counts a call that ended after {@code latencyMillis}. */
-    void completed(boolean toUnresponsive, AgentResponse response, long latencyMillis, long now) {
+    void callCompleted(boolean toUnresponsive, AgentResponse response, long latencyMillis, long now) {
         inFlight--;
         inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
         if (response.outcome() == AgentResponse.Outcome.NO_CAPACITY) {
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -20,24 +20,24 @@
  */
 public final class FailureDetector {
     /** So few unresponsive machines say nothing about the network. */
-    private static final int UNRELATED_FAILURES = 2;
+    private static final int MAX_UNRELATED_FAILURES = 2;
 
     private final TermContext term;
     private final Settings settings;
     private final Scheduler scheduler;
     private final LocalHealth localHealth;
-    private final PeerReachabilityTracker reachability;
+    private final PeerReachabilityTracker peerReachability;
     private final Consumer<Machine> probe;
     private final long startedAt;
     private final TokenBucket terminationBudget;
     /** Since when nearly no machine responds; 0 if some do. */
     private long isolatedSince;
     /** Since when peers reach several machines that this leader doesn't; 0 if they don't. */
-    private long reachedByPeersSince;
+    private long reachedOnlyByPeersSince;
 
     private long complaintReceivedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
     /** Until when no machine counts as lost, since most machines, or most of a zone, were unresponsive together. */
-    private long recoveringUntil;
+    private long recoveryGraceEndsAt;
 
     private Set<String> partitionedZones = Set.of();
     private String summary = "";
@@ -48,7 +48,7 @@
         this.settings = term.settings();
         this.scheduler = term.scheduler();
         this.localHealth = localHealth;
-        this.reachability = new PeerReachabilityTracker(term.eventLoop(), settings, scheduler::machine);
+        this.peerReachability = new PeerReachabilityTracker(term.eventLoop(), settings, scheduler::machine);
         this.probe = probe;
         this.startedAt = term.now();
         this.terminationBudget = new TokenBucket(0, startedAt);
@@ -62,31 +62,32 @@
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
-        ResponsivenessSurvey survey = new ResponsivenessSurvey(scheduler.machines(), reachability, settings, now);
+        ResponsivenessSnapshot survey =
+                new ResponsivenessSnapshot(scheduler.machines(), peerReachability, settings, now);
         survey.overdue().forEach(probe);
-        reachability.requestChecks(survey.unacknowledged());
-        updateReachedByPeers(survey, now);
+        peerReachability.requestChecks(survey.unacknowledged());
+        updateReachedOnlyByPeers(survey, now);
         updateIsolation(survey, now);
-        return localHealth.isHealthy(now) && now >= recoveringUntil ? withinBudget(survey.lost(), now) : List.of();
+        return localHealth.isHealthy(now) && now >= recoveryGraceEndsAt ? withinBudget(survey.lost(), now) : List.of();
     }
 
-    private void updateReachedByPeers(ResponsivenessSurvey survey, long now) {
+    private void updateReachedOnlyByPeers(ResponsivenessSnapshot survey, long now) {
         int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
         if (reachedByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
-            reachedByPeersSince = 0;
-        } else if (reachedByPeersSince <= 0) {
-            reachedByPeersSince = now;
+            reachedOnlyByPeersSince = 0;
+        } else if (reachedOnlyByPeersSince <= 0) {
+            reachedOnlyByPeersSince = now;
         }
         summary = "responsive=" + survey.responsiveCount() + " unresponsive=" + survey.unresponsiveCount()
                 + " reached_by_peers=" + reachedByPeers;
     }
 
-    private void updateIsolation(ResponsivenessSurvey survey, long now) {
+    private void updateIsolation(ResponsivenessSnapshot survey, long now) {
         partitionedZones = survey.partitionedZones();
         double share = survey.unresponsiveShare();
-        boolean related = survey.unresponsiveCount() > UNRELATED_FAILURES;
+        boolean related = survey.unresponsiveCount() > MAX_UNRELATED_FAILURES;
         if ((related && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitionedZones.isEmpty()) {
-            recoveringUntil = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
+            recoveryGraceEndsAt = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
         }
         if (!related || share < FailureDetectionConstants.ISOLATED_SHARE) {
             isolatedSince = 0;
@@ -125,9 +126,9 @@
     }
 
     /** Whether machines have been out of reach for so long that their leases would expire during another wait. */
-    public boolean leasesAboutToExpire(long now) {
+    public boolean agentLeasesAboutToExpire(long now) {
         long isolationStart = isolatedSince > 0 ? isolatedSince : now;
-        long reachedByPeersStart = reachedByPeersSince > 0 ? reachedByPeersSince : now;
+        long reachedByPeersStart = reachedOnlyByPeersSince > 0 ? reachedOnlyByPeersSince : now;
         long outOfReachMillis = now - Math.min(isolationStart, reachedByPeersStart);
         return outOfReachMillis > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
@@ -138,12 +139,12 @@
      */
     public void complaintReceived(List<String> machines) {
         complaintReceivedAt = machines.isEmpty() ? complaintReceivedAt : term.now();
-        machines.forEach(reachability::reachedByPeer);
+        machines.forEach(peerReachability::recordReachedByPeer);
     }
 
     /** Whether the peers' view is unknown: none answers checks, or one that can't be reached filed a complaint. */
-    public boolean noPeerAnswers(long now) {
-        return !reachability.hasRecentPeerAnswer(now)
+    public boolean isPeerReachabilityUnknown(long now) {
+        return !peerReachability.hasRecentPeerReport(now)
                 || now - complaintReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
@@ -158,6 +159,6 @@
         int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
         boolean nearlyAll = isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
         return reachedByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
-                || (nearlyAll && (reachedByPeers > 0 || !reachability.hasRecentPeerAnswer(now)));
+                || (nearlyAll && (reachedByPeers > 0 || !peerReachability.hasRecentPeerReport(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -23,11 +23,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
     /** Texts in the bodies of rejections. */
-    private static final String REJECTED_OTHER_TERM = "not for this node";
+    private static final String REJECTED_TERMINATED_OR_NEWER_TERM = "not for this node";
 
     private static final String REJECTED_UNKNOWN_TYPE = "machine type not known yet";
     private static final String REJECTED_EARLIER_INCARNATION = "a report of an earlier session";
-    private static final String REJECTED_OLDER_HEARTBEAT = "an older report";
+    private static final String REJECTED_OUTDATED_HEARTBEAT = "an older report";
     private static final String REJECTED_UNREACHABLE_INBOUND = "answers don't reach the machine";
 
     private final TermContext term;
@@ -45,7 +45,7 @@
     ServerResponse handle(Heartbeat heartbeat, String relay) {
         if (Long.compareUnsigned(heartbeat.token(), scheduler.token()) > 0
                 || scheduler.isTerminated(heartbeat.machine())) {
-            return ServerResponse.retryLater(REJECTED_OTHER_TERM);
+            return ServerResponse.retryLater(REJECTED_TERMINATED_OR_NEWER_TERM);
         }
         long now = term.now();
         Machine machine = findOrAdd(heartbeat, now);
@@ -56,7 +56,7 @@
             return ServerResponse.retryLater(REJECTED_EARLIER_INCARNATION);
         }
         return switch (machine.validity.classify(heartbeat, now)) {
-            case OUTDATED -> ServerResponse.retryLater(REJECTED_OLDER_HEARTBEAT);
+            case OUTDATED -> ServerResponse.retryLater(REJECTED_OUTDATED_HEARTBEAT);
             case REPEATED -> handleCurrent(machine, heartbeat, false, relay, now);
             case NEW -> handleCurrent(machine, heartbeat, true, relay, now);
         };
@@ -108,7 +108,7 @@
             scheduler.scheduleOn(machine, now);
         }
         List<Command> commands =
-                CommandDispatcher.limitToMessage(scheduler.commands().pendingCommands(machine));
+                CommandDispatcher.limitToOneMessage(scheduler.commands().pendingCommands(machine));
         if (isNew) {
             updateValidity(machine, heartbeat, newIncarnation, commands, now);
             if (machine.validity.isUnreachableInbound() && !(machine.reconciled() && machine.idle())) {
--- a/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
@@ -25,13 +25,13 @@
     private final Settings settings;
     private final CompareAndSwap compareAndSwap;
     private final int maxWrites;
-    private final BiConsumer<String, JsonNode> onCopyNeeded;
+    private final BiConsumer<String, JsonNode> onCopyRequired;
     /** Keys of the records rewritten or deleted here. */
     private final Set<String> changedKeys = new HashSet<>();
     /** Keys of the records that have to wait for another compare-and-swap. */
     private final Set<String> postponedKeys = new HashSet<>();
 
-    private int valueBytes;
+    private int valueBytesWritten;
 
     /**
      * {@code maxWrites}: bound of the writes in the compare-and-swap, those that are in it already included;
@@ -49,12 +49,12 @@
         this.settings = settings;
         this.compareAndSwap = compareAndSwap;
         this.maxWrites = maxWrites;
-        this.onCopyNeeded = onCopyNeeded;
-        this.valueBytes = compareAndSwap.writeCount() * settings.valueBytes();
+        this.onCopyRequired = onCopyNeeded;
+        this.valueBytesWritten = compareAndSwap.writeCount() * settings.valueBytes();
     }
 
     /** Removes the machines; returns those that no record names any more once the compare-and-swap is done. */
-    Set<String> remove(Set<String> machineIds) {
+    Set<String> removeMachines(Set<String> machineIds) {
         Set<String> removed = new HashSet<>();
         for (String machineId : machineIds) {
             boolean fromAll = true;
@@ -87,12 +87,12 @@
         int bytes = RecordSize.bytes(remaining);
         boolean tooLarge = bytes > RecordSize.limitBytes(settings);
         if (compareAndSwap.writeCount() >= maxWrites
-                || valueBytes + bytes > MAX_VALUE_BYTES
-                || (tooLarge && !areNamedElsewhere(remaining, key))) {
+                || valueBytesWritten + bytes > MAX_VALUE_BYTES
+                || (tooLarge && !areAllInOtherRecords(remaining, key))) {
             postponedKeys.add(key);
             return false;
         }
-        valueBytes += bytes;
+        valueBytesWritten += bytes;
         changedKeys.add(key);
         compareAndSwap.expectRevision(key, revision);
         if (remaining.isEmpty() || tooLarge) {
@@ -104,7 +104,7 @@
     }
 
     /** Whether all machines of a record that is too large stand in others too; has those copied that don't. */
-    private boolean areNamedElsewhere(ObjectNode machines, String tooLargeKey) {
+    private boolean areAllInOtherRecords(ObjectNode machines, String tooLargeKey) {
         boolean all = true;
         for (Map.Entry<String, JsonNode> machine : machines.properties()) {
             boolean elsewhere = false;
@@ -116,7 +116,7 @@
             }
             all &= elsewhere;
             if (!elsewhere && !pending) {
-                onCopyNeeded.accept(machine.getKey(), machine.getValue());
+                onCopyRequired.accept(machine.getKey(), machine.getValue());
             }
         }
         return all;
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -53,13 +53,13 @@
     private final Predicate<String> isTerminated;
     private final MachineRecordIndex index = new MachineRecordIndex();
 
-    private final Map<String, Machine> toAdd = new LinkedHashMap<>();
+    private final Map<String, Machine> machinesToAdd = new LinkedHashMap<>();
     /** Stored forms of machines that need another record, since one that names them can't be rewritten. */
-    private final Map<String, JsonNode> toCopy = new LinkedHashMap<>();
+    private final Map<String, JsonNode> encodedMachinesToCopy = new LinkedHashMap<>();
 
-    private final Set<String> toRemove = new LinkedHashSet<>();
+    private final Set<String> machineIdsToRemove = new LinkedHashSet<>();
     /** Records created in this term, which makes their keys unique. */
-    private long recordCount;
+    private long recordsCreated;
 
     private boolean writeInFlight;
     private long nextWriteAt;
@@ -81,11 +81,11 @@
     }
 
     /** Passes on the id and the stored form of every machine that the records name, each once. */
-    public void load(BiConsumer<String, JsonNode> machineConsumer) {
+    public void loadMachines(BiConsumer<String, JsonNode> machineConsumer) {
         List<String> keys = replica.entries().keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.MACHINES))
                 .toList();
-        changed(keys);
+        recordsChanged(keys);
         Set<String> loaded = new HashSet<>();
         for (String key : keys) {
             replica.get(key).data().fields().forEachRemaining(machine -> {
@@ -97,7 +97,7 @@
     }
 
     /** Records of these keys, of machines or not, were written or deleted in the replica. */
-    public void changed(Collection<String> keys) {
+    public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
             if (!key.startsWith(StoreKeys.MACHINES)) {
                 continue;
@@ -110,7 +110,7 @@
             entry.data().fieldNames().forEachRemaining(machineId -> {
                 index.add(machineId, key);
                 if (isTerminated.test(machineId)) {
-                    toRemove.add(machineId); // a write whose outcome was unknown was applied after all
+                    machineIdsToRemove.add(machineId); // a write whose outcome was unknown was applied after all
                 }
             });
         }
@@ -118,14 +118,14 @@
 
     /** Has the machine recorded by a later {@link #flush}. */
     public void add(Machine machine) {
-        toAdd.put(machine.id, machine);
+        machinesToAdd.put(machine.id, machine);
     }
 
     /** The machine is terminated: a later {@link #flush} removes it. */
-    public void drop(String machineId) {
-        toAdd.remove(machineId);
-        toCopy.remove(machineId);
-        toRemove.add(machineId);
+    public void remove(String machineId) {
+        machinesToAdd.remove(machineId);
+        encodedMachinesToCopy.remove(machineId);
+        machineIdsToRemove.add(machineId);
     }
 
     /**
@@ -133,16 +133,17 @@
      * that are durable now.
      */
     public void flush(Consumer<List<Machine>> onRegistered) {
-        boolean nothingToWrite = toAdd.isEmpty() && toCopy.isEmpty() && toRemove.isEmpty();
+        boolean nothingToWrite =
+                machinesToAdd.isEmpty() && encodedMachinesToCopy.isEmpty() && machineIdsToRemove.isEmpty();
         if (writeInFlight || nothingToWrite || eventLoop.now() < nextWriteAt) {
             return;
         }
         CompareAndSwap compareAndSwap = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
-        Map<String, String> addedKeys = createRecords(compareAndSwap, storedFormsToAdd());
+        Map<String, String> addedKeys = createRecords(compareAndSwap, encodedMachinesToAdd());
         List<Machine> added = new ArrayList<>();
         addedKeys.keySet().forEach(machineId -> {
-            if (toAdd.containsKey(machineId)) {
-                added.add(toAdd.get(machineId));
+            if (machinesToAdd.containsKey(machineId)) {
+                added.add(machinesToAdd.get(machineId));
             }
         });
         Set<String> removed = removeMachines(compareAndSwap);
@@ -154,7 +155,7 @@
         store.commit(compareAndSwap, result -> {
             writeInFlight = false;
             if (result.committed()) {
-                written(addedKeys, removed);
+                applyCommittedWrite(addedKeys, removed);
                 onRegistered.accept(added);
             } else {
                 logRejection(result, compareAndSwap, addedKeys.size());
@@ -162,13 +163,13 @@
         });
     }
 
-    private void written(Map<String, String> addedKeys, Set<String> removed) {
+    private void applyCommittedWrite(Map<String, String> addedKeys, Set<String> removed) {
         addedKeys.forEach((machineId, key) -> {
-            toAdd.remove(machineId);
-            toCopy.remove(machineId);
+            machinesToAdd.remove(machineId);
+            encodedMachinesToCopy.remove(machineId);
             index.add(machineId, key);
         });
-        toRemove.removeAll(removed);
+        machineIdsToRemove.removeAll(removed);
         index.removeMachines(removed);
     }
 
@@ -178,10 +179,10 @@
         }
     }
 
-    private Map<String, JsonNode> storedFormsToAdd() {
+    private Map<String, JsonNode> encodedMachinesToAdd() {
         Map<String, JsonNode> storedForms = new LinkedHashMap<>();
-        toAdd.forEach((machineId, machine) -> storedForms.put(machineId, MachineRecordCodec.encode(machine)));
-        toCopy.forEach(storedForms::putIfAbsent);
+        machinesToAdd.forEach((machineId, machine) -> storedForms.put(machineId, MachineRecordCodec.encode(machine)));
+        encodedMachinesToCopy.forEach(storedForms::putIfAbsent);
         return storedForms;
     }
 
@@ -194,11 +195,11 @@
         for (Map.Entry<String, JsonNode> machine : storedForms.entrySet()) {
             int bytes = RecordSize.bytes(machine.getValue()) + machine.getKey().length() + SEPARATOR_BYTES;
             if (roomBytes < bytes) {
-                if (!hasRoomForRecord(compareAndSwap)) {
+                if (!canAddRecord(compareAndSwap)) {
                     break;
                 }
                 record = Codec.object();
-                key = StoreKeys.machines(settings.node(), token, recordCount++);
+                key = StoreKeys.machines(settings.node(), token, recordsCreated++);
                 compareAndSwap.expectAbsent(key).put(key, record);
                 roomBytes = RecordSize.limitBytes(settings) - BRACE_BYTES;
             }
@@ -209,7 +210,7 @@
         return keys;
     }
 
-    private boolean hasRoomForRecord(CompareAndSwap compareAndSwap) {
+    private boolean canAddRecord(CompareAndSwap compareAndSwap) {
         int writes = compareAndSwap.writeCount();
         return writes != settings.txnOps()
                 && (writes + 1) * settings.valueBytes() <= MachineRecordShrinker.MAX_VALUE_BYTES;
@@ -219,7 +220,8 @@
     private Set<String> removeMachines(CompareAndSwap compareAndSwap) {
         int spareWrites = store.hasSpareWriteCapacity() ? StoreConstants.SHRINKING_WRITES : 0;
         int maxWrites = Math.min(settings.txnOps(), compareAndSwap.writeCount() + spareWrites);
-        return new MachineRecordShrinker(replica, index, settings, compareAndSwap, maxWrites, toCopy::putIfAbsent)
-                .remove(toRemove);
+        return new MachineRecordShrinker(
+                        replica, index, settings, compareAndSwap, maxWrites, encodedMachinesToCopy::putIfAbsent)
+                .removeMachines(machineIdsToRemove);
     }
 }
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -27,7 +27,7 @@
     private long requestedAt;
     private long firstRequestedAt;
     /** When a peer last answered with what it reaches and what it doesn't. */
-    private long peerAnsweredAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
+    private long peerReportReceivedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
 
     private int requestsInFlight;
 
@@ -50,7 +50,7 @@
         firstRequestedAt = firstRequestedAt == 0 ? now : firstRequestedAt;
         requestsInFlight = settings.siblings().size();
         for (Settings.Sibling peer : settings.siblings()) {
-            PeerReachability.request(eventLoop, peer.addr(), addresses, this::checked);
+            PeerReachability.request(eventLoop, peer.addr(), addresses, this::peerCheckCompleted);
         }
     }
 
@@ -68,21 +68,21 @@
     }
 
     /** A peer answered a check, or failed to. */
-    private void checked(Optional<ReachabilityReport> answer) {
+    private void peerCheckCompleted(Optional<ReachabilityReport> answer) {
         requestsInFlight--;
-        answer.ifPresent(this::checked);
+        answer.ifPresent(this::peerCheckCompleted);
     }
 
-    private void checked(ReachabilityReport report) {
-        report.reached().forEach(this::reachedByPeer);
+    private void peerCheckCompleted(ReachabilityReport report) {
+        report.reached().forEach(this::recordReachedByPeer);
         if (report.listsFailures()) {
-            peerAnsweredAt = eventLoop.now();
-            report.failed().forEach(this::peerCheckFailed);
+            peerReportReceivedAt = eventLoop.now();
+            report.failed().forEach(this::recordPeerCheckFailure);
         }
     }
 
     /** A peer reaches the machine or receives its heartbeats. */
-    void reachedByPeer(String machineId) {
+    void recordReachedByPeer(String machineId) {
         Machine machine = machineById.apply(machineId);
         if (machine == null || machine.directCalls.unacknowledgedCalls() == 0) {
             return;
@@ -91,7 +91,7 @@
         machine.peerContact.recordReachedByPeer(isReachedOnlyByPeer(machine, now), now);
     }
 
-    private void peerCheckFailed(String machineId) {
+    private void recordPeerCheckFailure(String machineId) {
         Machine machine = machineById.apply(machineId);
         if (machine != null) {
             machine.peerContact.recordPeerCheckFailure(eventLoop.now());
@@ -99,8 +99,8 @@
     }
 
     /** Whether a peer answered a check lately. */
-    boolean hasRecentPeerAnswer(long now) {
-        return now - peerAnsweredAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
+    boolean hasRecentPeerReport(long now) {
+        return now - peerReportReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /** Whether no controller reaches the machine: a peer tried in vain too, or none answered for long enough. */
@@ -112,7 +112,7 @@
                 || now - firstRequestedAt < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS) {
             return false;
         }
-        return !hasRecentPeerAnswer(now)
+        return !hasRecentPeerReport(now)
                 || (machine.peerContact.peerCheckFailedAt() > 0
                         && now - machine.peerContact.peerCheckFailedAt() < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -17,7 +17,7 @@
  * One pass over the machines at one time: how many respond, in all and by zone, and which are to be probed, to be
  * checked by peers, or lost. Changes no machine. Confined to the event loop.
  */
-final class ResponsivenessSurvey {
+final class ResponsivenessSnapshot {
     private final PeerReachabilityTracker reachability;
     private final long now;
     /** Silence after which an ordinary machine is probed: agents send heartbeats within a quarter more than this. */
@@ -25,14 +25,14 @@
     /** The same for a machine whose last call went unacknowledged or that runs services. */
     private final long earlyProbeAfterMillis;
 
-    private final Tally total = new Tally();
-    private final Map<String, Tally> byZone = new HashMap<>();
+    private final ResponsivenessCounts total = new ResponsivenessCounts();
+    private final Map<String, ResponsivenessCounts> byZone = new HashMap<>();
     private final List<Machine> lost = new ArrayList<>();
     private final List<Machine> unacknowledged = new ArrayList<>();
     private final List<Machine> overdue = new ArrayList<>();
 
     /** Machines counted by whether they respond; one that does neither clearly is in no count. */
-    private static final class Tally {
+    private static final class ResponsivenessCounts {
         private int responsive;
         private int unresponsive;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    ResponsivenessSurvey(
+    ResponsivenessSnapshot(
             Collection<Machine> machines, PeerReachabilityTracker reachability, Settings settings, long now) {
         this.reachability = reachability;
         this.now = now;
@@ -62,9 +62,9 @@
     }
 
     private void count(Machine machine) {
-        Tally zone = byZone.computeIfAbsent(machine.zone, name -> new Tally());
+        ResponsivenessCounts zone = byZone.computeIfAbsent(machine.zone, name -> new ResponsivenessCounts());
         boolean suspected = machine.validity.isSuspected();
-        if (silenceMillis(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
+        if (millisSinceLastContact(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
             total.responsive++;
             zone.responsive++;
         }
@@ -80,7 +80,7 @@
         }
         if (isUnreachableWithoutWork(machine)) {
             lost.add(machine);
-        } else if (isSilent(machine) && !reachability.mayRecoverThroughPeer(machine, now)) {
+        } else if (isUnresponsive(machine) && !reachability.mayRecoverThroughPeer(machine, now)) {
             if (reachability.isUnreachableFromAll(machine, now)) {
                 lost.add(machine);
             }
@@ -98,11 +98,11 @@
         return now - Math.max(machine.idleSince(), unreachableSince) > ReachabilityConstants.UNREACHABLE_RETURN_MS;
     }
 
-    private boolean isSilent(Machine machine) {
+    private boolean isUnresponsive(Machine machine) {
         long limitMillis = machine.validity.isSuspected()
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
-        return silenceMillis(machine) > limitMillis
+        return millisSinceLastContact(machine) > limitMillis
                 && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 
@@ -110,10 +110,10 @@
         // Only the loss of services is worth probing more often.
         boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isSuspected()
-                || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
+                || millisSinceLastContact(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
 
-    private long silenceMillis(Machine machine) {
+    private long millisSinceLastContact(Machine machine) {
         return now - machine.lastHeartbeatAt();
     }
 
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -60,10 +60,10 @@
     }
 
     private void readPage(String after, long startedAt, Map<String, Instance> read) {
-        cloud.listInstances(after, page -> pageRead(after, page, startedAt, read));
+        cloud.listInstances(after, page -> pageReceived(after, page, startedAt, read));
     }
 
-    private void pageRead(String after, Optional<InstancePage> page, long startedAt, Map<String, Instance> read) {
+    private void pageReceived(String after, Optional<InstancePage> page, long startedAt, Map<String, Instance> read) {
         if (page.isEmpty() || !term.holdsLeaderLease()) {
             inProgress = false;
             return;
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -61,7 +61,7 @@
     }
 
     /** Mean cores that arriving job arrays keep busy. */
-    public double load() {
+    public double meanArrayLoadCores() {
         return autoscaler.meanArrayLoadCores();
     }
 
@@ -79,7 +79,7 @@
         logDecision(plan.decision(), now);
         scaleOutRequester.requestUnlessInFlight(plan.scaleOut());
         terminator.terminate(plan.scaleIn(), TerminationReason.IDLE);
-        plan.moves().forEach(this::move);
+        plan.moves().forEach(this::moveReplica);
         term.requestReconcile();
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Stops a service's replica, so that it starts again on a machine that is kept. */
-    private void move(Assignment assignment) {
+    private void moveReplica(Assignment assignment) {
         LOG.info("assignment.move_requested task={} machine={}", assignment.taskId, assignment.machine.id);
         scheduler.assignments().stop(assignment, 0);
     }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
@@ -20,7 +20,7 @@
     private final Scheduler scheduler;
     private final CloudClient cloud;
     /** Ids of the machines in requests that aren't answered yet. */
-    private final Set<String> inFlight = new HashSet<>();
+    private final Set<String> machineIdsInFlight = new HashSet<>();
 
     InstanceTerminator(TermContext term, CloudClient cloud) {
         this.term = term;
@@ -36,7 +36,7 @@
         int count = Math.min(machines.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST);
         List<String> machineIds = new ArrayList<>();
         for (Machine machine : machines.subList(0, count)) {
-            if (inFlight.add(machine.id)) {
+            if (machineIdsInFlight.add(machine.id)) {
                 machine.beginScaleIn();
                 machineIds.add(machine.id);
             }
@@ -49,7 +49,7 @@
     }
 
     private void completed(List<String> machineIds, boolean confirmed) {
-        machineIds.forEach(inFlight::remove);
+        machineIds.forEach(machineIdsInFlight::remove);
         if (confirmed) {
             machineIds.forEach(scheduler::markTerminated);
         }
@@ -59,7 +59,7 @@
     /** Requests again the termination of machines for which it wasn't confirmed. */
     void retryUnconfirmed() {
         List<Machine> unconfirmed = scheduler.machines().stream()
-                .filter(machine -> machine.isScalingIn() && !inFlight.contains(machine.id))
+                .filter(machine -> machine.isScalingIn() && !machineIdsInFlight.contains(machine.id))
                 .toList();
         terminate(unconfirmed, TerminationReason.RETRY);
     }
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -25,7 +25,7 @@
     private final Scheduler scheduler;
     private final CloudClient cloud;
     private final ObjLongConsumer<Autoscaler.CapacityPool> onRefused;
-    private int inFlight;
+    private int requestsInFlight;
     /** Requests of this term, which makes their ids unique. */
     private long requestCount;
 
@@ -39,11 +39,11 @@
 
     /** Sends the requests, unless earlier ones are in flight: the machines may be on their way already. */
     void requestUnlessInFlight(List<Autoscaler.ScaleOut> scaleOut) {
-        if (inFlight > 0) {
+        if (requestsInFlight > 0) {
             return;
         }
         for (Autoscaler.ScaleOut request : scaleOut) {
-            inFlight++;
+            requestsInFlight++;
             send(request.pool(), nextRequestId(), request.count());
         }
     }
@@ -54,7 +54,7 @@
 
     private void send(Autoscaler.CapacityPool pool, String requestId, int count) {
         if (!term.holdsLeaderLease()) {
-            inFlight--;
+            requestsInFlight--;
             return;
         }
         ScaleOutRequest request = new ScaleOutRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
@@ -74,7 +74,7 @@
             term.eventLoop().after(RETRY_MS, () -> send(pool, request.requestId(), request.count()));
             return;
         }
-        inFlight--;
+        requestsInFlight--;
         long now = term.now();
         boolean granted = result.outcome() == ScaleOutResult.Outcome.GRANTED;
         if (granted) {
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -18,11 +18,11 @@
     private static final long LEASE_MS = 15_000;
     private static final long FIVE_MINUTES_MS = 300_000;
 
-    private static ClusterScenario day(long seed) {
-        return day(seed, 3);
+    private static ClusterScenario newScenario(long seed) {
+        return newScenario(seed, 3);
     }
 
-    private static ClusterScenario day(long seed, int services) {
+    private static ClusterScenario newScenario(long seed, int services) {
         ClusterScenario day = new ClusterScenario(seed, 4);
         day.advance(5_000);
         day.workload.submitUncancelledServices(services);
@@ -30,23 +30,24 @@
         return day;
     }
 
-    private static List<FakeAgent> zone(ClusterScenario day) {
+    private static List<FakeAgent> agentsInZoneA(ClusterScenario day) {
         List<FakeAgent> some =
                 day.cloud.agents().stream().filter(w -> w.zone.equals("a")).toList();
         assertTrue(some.size() >= 2);
         return some;
     }
 
-    private static List<String> arrays(ClusterScenario day) {
+    private static List<String> batchJobs(ClusterScenario day) {
         return day.checker.submitted.entrySet().stream()
                 .filter(e -> e.getValue().path("shape").asText().equals("batch"))
                 .map(e -> e.getKey())
                 .toList();
     }
 
-    private static void assertOver(ClusterScenario day, long seed) {
+    private static void assertBatchJobsTerminalWithoutViolations(ClusterScenario day, long seed) {
         assertEquals(List.of(), day.checker.violations, "seed " + seed);
-        arrays(day).forEach(id -> assertTrue(day.checker.isTerminal(id), "seed " + seed + ": " + id + " isn't over"));
+        batchJobs(day)
+                .forEach(id -> assertTrue(day.checker.isTerminal(id), "seed " + seed + ": " + id + " isn't over"));
     }
 
     /**
@@ -54,16 +55,16 @@
      * started for as long as they reported.
      */
     @Test
-    void aZoneWithoutInboundTrafficDelaysAFailoverForALeaseAtMost() {
+    void batchJobsCompleteAfterFailoverWhileAZoneReceivesNothing() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = day(seed, 5);
+            ClusterScenario day = newScenario(seed, 5);
             day.workload.submitBatchJobs(12, 1_000);
             day.world.at(1_500, () -> {
-                zone(day).forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
+                agentsInZoneA(day).forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
                 day.faults.crashAll();
             });
             day.advance(2 * LEASE_MS + 120_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
@@ -73,16 +74,16 @@
      * not only until the one that the leader last renewed.
      */
     @Test
-    void whatAWorkerThatBeganAgainWasGivenIsWaitedForByItsOwnLease() {
+    void taskLaunchedOnARestartedAgentIsNotRestartedBeforeTheLeaseOfTheRestartExpires() {
         for (int seed = 1; seed <= 3; seed++) {
-            ClusterScenario day = day(seed);
+            ClusterScenario day = newScenario(seed);
             day.workload.durationFactor = 6;
-            List<FakeAgent> some = zone(day);
+            List<FakeAgent> some = agentsInZoneA(day);
             day.network.delayHeartbeats(some.stream().map(w -> w.name).toList(), 60_000);
             day.world.at(6_000, () -> some.forEach(w -> w.restart(200, false)));
             day.world.at(7_000, () -> day.workload.submitBatchJobs(8, 1_000));
             day.advance(300_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
@@ -91,10 +92,10 @@
      * Now one tries them at most.
      */
     @Test
-    void blackHolesDrawNoWork() {
+    void machinesUnreachableInboundGetAtMostOneLaunchEach() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = day(seed);
-            List<FakeAgent> deaf = zone(day);
+            ClusterScenario day = newScenario(seed);
+            List<FakeAgent> deaf = agentsInZoneA(day);
             deaf.forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
             Set<String> launches = new HashSet<>();
             Set<String> addresses = deaf.stream().map(w -> w.address).collect(Collectors.toSet());
@@ -113,7 +114,7 @@
                     });
             day.workload.submitBatchJobs(20, 100_000);
             day.advance(270_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
             assertTrue(
                     launches.size() <= deaf.size(),
                     "seed " + seed + ": launches sent to machines that don't hear: " + launches.size());
@@ -122,10 +123,10 @@
 
     /** A third of all, for less than a lease: what runs there goes on, and none is returned. */
     @Test
-    void aShortLossOfInboundTrafficOfManyCostsNothing() {
+    void inboundLossShorterThanALeaseLosesNoTaskAndNoBusyMachine() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = day(seed, 5);
-            List<FakeAgent> some = zone(day);
+            ClusterScenario day = newScenario(seed, 5);
+            List<FakeAgent> some = agentsInZoneA(day);
             int lost = day.checker.tasks.lostWithLease;
             some.forEach(w -> day.network.dropInbound(w, 8_000));
             day.advance(60_000);
@@ -144,9 +145,9 @@
 
     /** Every second machine deaf to one controller only: it tries the next, and its work goes on. */
     @Test
-    void oneBrokenInboundPathCostsNothing() {
+    void noTaskIsLostWhenHalfOfTheMachinesReceiveNothingFromOneController() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = day(seed);
+            ClusterScenario day = newScenario(seed);
             int lost = day.checker.tasks.lostWithLease;
             List<FakeAgent> some = new ArrayList<>(day.cloud.agents());
             some.removeIf(w -> w.name.hashCode() % 2 == 0);
@@ -155,7 +156,7 @@
             day.workload.submitBatchJobs(10, 60_000);
             day.advance(150_000);
             assertEquals(lost, day.checker.tasks.lostWithLease, "seed " + seed);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
@@ -164,9 +165,9 @@
      * tasks to end.
      */
     @Test
-    void copiesReviveNothing() {
+    void delayedHeartbeatCopiesDoNotKeepAHungMachine() {
         for (int seed = 1; seed <= 10; seed++) {
-            ClusterScenario day = day(seed);
+            ClusterScenario day = newScenario(seed);
             day.world.copyShare = 0.5;
             day.workload.submitBatchJobs(40, 120_000);
             day.advance(30_000);
@@ -180,7 +181,7 @@
                     "seed " + seed + ": a copy kept a machine that hangs");
             day.faults.crashAll();
             day.advance(150_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
@@ -189,9 +190,9 @@
      * seemed to run on.
      */
     @Test
-    void aMachineThatIsBackAtOnceIsUsedAgain() {
+    void restartedMachinesAreUsedAgainWithinTwoLeases() {
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario day = day(seed);
+            ClusterScenario day = newScenario(seed);
             boolean anew = seed % 2 == 0;
             List<FakeAgent> some = new ArrayList<>(day.cloud.agents().stream()
                     .filter(w -> w.activeTasks() > 0)
@@ -206,15 +207,15 @@
             assertEquals(before, day.checker.tasks.runningCount(), "seed " + seed + ": replicas run again");
             day.workload.submitBatchJobs(20, 30_000);
             day.advance(120_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
     /** It stayed ready for its users, though it could tell them nothing for as long as the cut lasted. */
     @Test
-    void aControllerWithoutStateServiceAndOthersLetsUsersAndMachinesGo() {
+    void controllerWithoutStoreAndPeersIsNeitherReadyNorLeader() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = day(seed);
+            ClusterScenario day = newScenario(seed);
             int lost = day.checker.tasks.lostWithLease;
             int node = seed % 2 == 0 ? day.leaderIndex() : (day.leaderIndex() + 1) % 3;
             day.network.partitionFromStoreAndPeers(node, 60_000);
@@ -227,16 +228,16 @@
             assertEquals(200, day.users.readinessStatus(node), "seed " + seed);
             assertEquals(lost, day.checker.tasks.lostWithLease, "seed " + seed);
             day.advance(60_000);
-            assertOver(day, seed);
+            assertBatchJobsTerminalWithoutViolations(day, seed);
         }
     }
 
     /** All of it together with the older faults. */
     @Test
-    void noJobIsLostAfterAllFaults() {
+    void randomFaultsViolateNoInvariantAndJobsAreAnsweredWithin15Seconds() {
         List<Long> first = new ArrayList<>();
         for (int seed = 1; seed <= 60; seed++) {
-            ClusterScenario day = drawn(seed, null);
+            ClusterScenario day = runRandomFaults(seed, null);
             assertEquals(List.of(), day.checker.violations, "seed " + seed);
             first.addAll(day.checker.firstAnswerMs.values());
         }
@@ -246,7 +247,7 @@
                 "first answers after the troubles: p99 " + first.get(first.size() * 99 / 100));
     }
 
-    private static ClusterScenario drawn(long seed, String withheld) {
+    private static ClusterScenario runRandomFaults(long seed, String withheld) {
         ClusterScenario day = new ClusterScenario(seed, 2);
         day.workload.submitJobs(25, 90_000);
         day.randomFaults.scheduleFaults(12, 20_000, 100_000);
@@ -258,8 +259,8 @@
 
     /** One job's answers withheld while all others are served. */
     @Test
-    void checkerDetectsAJobThatIsForgotten() {
-        assertTrue(
-                drawn(1, "req-000003").checker.violations.stream().anyMatch(b -> b.startsWith("forgotten req-000003")));
+    void checkerDetectsAJobThatIsNotAnsweredAfterFaults() {
+        assertTrue(runRandomFaults(1, "req-000003").checker.violations.stream()
+                .anyMatch(b -> b.startsWith("forgotten req-000003")));
     }
 }
--- a/src/test/java/org/hollypick/sim/QuotaWithMachinesOutOfReachTest.java
+++ b/src/test/java/org/hollypick/sim/QuotaWithUnreachableMachinesTest.java
@@ -25,14 +25,14 @@
  * nothing was asked for. 88 of the 176 cores that counted as capacity were in a zone out of reach, and replicas that
  * only that zone may take held the rest of the quota.
  */
-class QuotaWithMachinesOutOfReachTest {
-    private static final long LESS_THAN_A_LEASE_MS = 9_000;
-    private static final long MORE_THAN_A_LEASE_MS = 70_000;
-    private static final double TEAM_CORES = 80;
+class QuotaWithUnreachableMachinesTest {
+    private static final long SHORTER_THAN_LEASE_MS = 9_000;
+    private static final long LONGER_THAN_LEASE_MS = 70_000;
+    private static final double QUOTA_CORES_PER_TEAM = 80;
     private static final List<String> TEAMS = List.of("team", "team-1");
-    private static final double QUOTAS = TEAM_CORES * TEAMS.size();
+    private static final double TOTAL_QUOTA_CORES = QUOTA_CORES_PER_TEAM * TEAMS.size();
     /** One whole machine for each of two zones and two kinds may stand beyond the quotas. */
-    private static final double WHOLE_MACHINES = 4 * FakeCloud.CPUS;
+    private static final double CORES_BEYOND_QUOTAS = 4 * FakeCloud.CPUS;
 
     private enum Direction {
         INBOUND,
@@ -43,23 +43,23 @@
     /**
      * Each team has a service of up to 48 of its 80 cores, and submits more arrays than the rest of its quota takes.
      */
-    private static ClusterScenario atTheQuota(long seed) {
+    private static ClusterScenario scenarioAtTheQuotas(long seed) {
         ClusterScenario day = ClusterScenario.withQuotas(
                 seed,
                 4,
                 TEAMS,
-                TEAM_CORES,
+                QUOTA_CORES_PER_TEAM,
                 (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()));
         day.workload.teams = TEAMS;
         day.advance(5_000);
         day.workload.submitUncancelledServices(2);
         day.advance(40_000);
-        submitArrays(day, 24, 30_000);
+        submitBatchJobs(day, 24, 30_000);
         day.advance(20_000);
         return day;
     }
 
-    private static void submitArrays(ClusterScenario day, int count, long withinMs) {
+    private static void submitBatchJobs(ClusterScenario day, int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             int tasks = 8 + day.world.random.nextInt(16);
             double seconds = 6 + day.world.random.nextInt(12);
@@ -83,7 +83,7 @@
         }
     }
 
-    private static List<String> unfinishedArrays(ClusterScenario day) {
+    private static List<String> unfinishedBatchJobs(ClusterScenario day) {
         List<String> unfinished = new ArrayList<>();
         day.checker.submitted.forEach((id, job) -> {
             if (job.path(UserProtocol.SHAPE).asText().equals(UserProtocol.BATCH) && !day.checker.isTerminal(id)) {
@@ -93,49 +93,49 @@
         return unfinished;
     }
 
-    private static double rentedCores(ClusterScenario day) {
+    private static double provisionedCores(ClusterScenario day) {
         return day.cloud.machineNames().size() * FakeCloud.CPUS;
     }
 
-    private static void play(long seed, Direction direction, long ms) {
+    private static void runWithUnreachableZone(long seed, Direction direction, long ms) {
         String label = "seed " + seed + ", " + direction + " for " + ms;
-        ClusterScenario day = atTheQuota(seed);
+        ClusterScenario day = scenarioAtTheQuotas(seed);
         assertTrue(
-                rentedCores(day) <= QUOTAS + WHOLE_MACHINES,
-                label + ": " + rentedCores(day) + " cores rented before the fault");
+                provisionedCores(day) <= TOTAL_QUOTA_CORES + CORES_BEYOND_QUOTAS,
+                label + ": " + provisionedCores(day) + " cores rented before the fault");
         dropTraffic(day, direction, ms);
         day.world.at(1_500, () -> day.faults.crash(day.leaderIndex(), 4_000));
         day.advance(ms + 15_000);
         day.world.at(0, () -> day.checker.faultsEnded(day.world.now));
         day.advance(150_000);
-        assertEquals(List.of(), unfinishedArrays(day), label);
+        assertEquals(List.of(), unfinishedBatchJobs(day), label);
         assertEquals(List.of(), day.checker.violations, label);
         assertTrue(
-                rentedCores(day) <= QUOTAS + WHOLE_MACHINES,
-                label + ": " + rentedCores(day) + " cores rented long after the fault");
+                provisionedCores(day) <= TOTAL_QUOTA_CORES + CORES_BEYOND_QUOTAS,
+                label + ": " + provisionedCores(day) + " cores rented long after the fault");
     }
 
     @Test
-    void jobsEndAndRentalsReturnToTheQuotas() {
+    void batchJobsCompleteAndProvisionedCoresStayWithinQuotasAfterAZoneWasUnreachable() {
         for (int seed = 1; seed <= 8; seed++) {
             for (Direction direction : Direction.values()) {
-                play(seed, direction, seed % 2 == 0 ? LESS_THAN_A_LEASE_MS : MORE_THAN_A_LEASE_MS);
+                runWithUnreachableZone(seed, direction, seed % 2 == 0 ? SHORTER_THAN_LEASE_MS : LONGER_THAN_LEASE_MS);
             }
         }
     }
 
     /** Its arrays wait for its quota alone: no machine is rented for them, and the other team gets what it is owed. */
     @Test
-    void aTeamThatFloodsLeavesTheOtherItsShare() {
+    void backlogOfOneTeamDoesNotDelayTheOtherTeam() {
         for (int seed = 1; seed <= 8; seed++) {
-            ClusterScenario day = atTheQuota(seed);
+            ClusterScenario day = scenarioAtTheQuotas(seed);
             day.workload.teams = List.of(TEAMS.get(0));
-            submitArrays(day, 60, 20_000);
+            submitBatchJobs(day, 60, 20_000);
             day.advance(40_000);
             assertTrue(
-                    rentedCores(day) <= QUOTAS + WHOLE_MACHINES,
-                    "seed " + seed + ": " + rentedCores(day) + " cores rented for one team's flood");
-            dropTraffic(day, Direction.BOTH, MORE_THAN_A_LEASE_MS);
+                    provisionedCores(day) <= TOTAL_QUOTA_CORES + CORES_BEYOND_QUOTAS,
+                    "seed " + seed + ": " + provisionedCores(day) + " cores rented for one team's flood");
+            dropTraffic(day, Direction.BOTH, LONGER_THAN_LEASE_MS);
             day.workload.teams = List.of(TEAMS.get(1));
             Map<String, Long> submittedAt = new HashMap<>();
             for (int i = 0; i < 4; i++) {
