--- a/src/main/java/org/hollypick/api/GraphEndpoints.java
+++ b/src/main/java/org/hollypick/api/GraphEndpoints.java
@@ -84,7 +84,7 @@
             return;
         }
         boolean last = GraphRequestCodec.isLastPart(request.body());
-        graphs.requests().submit(graphId, options, nodes, last, respondTo(responder));
+        graphs.requestHandler().submit(graphId, options, nodes, last, respondTo(responder));
     }
 
     private void appendChildren(GraphService graphs, GraphRequest request, Consumer<ServerResponse> responder)
@@ -108,7 +108,7 @@
             return;
         }
         String continuationId = GraphRequestCodec.continuation(request.body()).orElse(null);
-        graphs.requests().appendChildren(parent, nodes, continuationId, respondTo(responder));
+        graphs.requestHandler().appendChildren(parent, nodes, continuationId, respondTo(responder));
     }
 
     /** The response if one of the nodes could never run. */
@@ -140,7 +140,7 @@
         }
         Optional<LiveGraph> live =
                 localJobs.activeTerm().flatMap(term -> term.graphs().find(graphId));
-        if (live.isPresent() && live.get().hasUndurableChanges()) {
+        if (live.isPresent() && live.get().hasUncommittedChanges()) {
             return undurableChanges();
         }
         if (live.isEmpty()) {
@@ -166,7 +166,8 @@
         }
         switch (request.endpoint()) {
             case READ_RESULT -> responder.accept(result(live.get(), request.nodeId()));
-            case CANCEL_NODE -> graphs.requests().cancelNode(request.graphId(), request.nodeId(), respondTo(responder));
+            case CANCEL_NODE ->
+                graphs.requestHandler().cancelNode(request.graphId(), request.nodeId(), respondTo(responder));
             default -> recordResult(graphs, request, responder);
         }
     }
@@ -175,11 +176,11 @@
             throws MalformedRequestException {
         NodeAttempt attempt = GraphRequestCodec.attempt(request.graphId(), request.nodeId(), request.body());
         JsonNode result = GraphRequestCodec.result(request.body());
-        graphs.requests().recordResult(attempt, result, respondTo(responder));
+        graphs.requestHandler().recordResult(attempt, result, respondTo(responder));
     }
 
     private static ServerResponse result(LiveGraph live, String nodeId) {
-        if (live.hasUndurableChanges()) {
+        if (live.hasUncommittedChanges()) {
             return undurableChanges();
         }
         if (!live.graph().contains(nodeId)) {
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -126,7 +126,7 @@
 
         @Override
         public ObjectNode terminalRecord(Job job, TerminalStatus status) {
-            Optional<ObjectNode> graphRecord = graphs == null ? Optional.empty() : graphs.endRecord(job, status);
+            Optional<ObjectNode> graphRecord = graphs == null ? Optional.empty() : graphs.terminalRecord(job, status);
             return graphRecord.orElseGet(() -> JobRecordCodec.encodeTerminal(status, job.completedTasks.cardinality()));
         }
 
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -28,13 +28,13 @@
     private final GraphContext context;
     private final String graphId;
     private final LongSupplier recordNumbers;
-    private final int recordCapacityBytes;
+    private final int maxRecordBytes;
     private final ArrayDeque<PendingEntry> pending = new ArrayDeque<>();
     private boolean writeInFlight;
     /** The store rejected a write: another controller leads, or the graph has ended. Nothing is written any more. */
     private boolean rejected;
 
-    private long nextWriteNotBefore;
+    private long nextWriteAtMillis;
 
     /**
      * Something that waits to be durable.
@@ -50,14 +50,14 @@
 
     /** The longest run of pending entries that one transaction holds. */
     private static final class Batch {
-        private final int recordCapacityBytes;
+        private final int maxRecordBytes;
         private final int maxRecords;
         private final List<PendingEntry> entries = new ArrayList<>();
         private final List<List<GraphLogEntry>> records = new ArrayList<>();
         private int bytesLeftInRecord;
 
-        Batch(int recordCapacityBytes, int maxRecords) {
-            this.recordCapacityBytes = recordCapacityBytes;
+        Batch(int maxRecordBytes, int maxRecords) {
+            this.maxRecordBytes = maxRecordBytes;
             this.maxRecords = maxRecords;
         }
 
@@ -69,7 +69,7 @@
                         return false;
                     }
                     records.add(new ArrayList<>());
-                    bytesLeftInRecord = recordCapacityBytes;
+                    bytesLeftInRecord = maxRecordBytes;
                 }
                 records.get(records.size() - 1).add(added.entry);
                 bytesLeftInRecord -= added.bytes;
@@ -88,7 +88,7 @@
         this.context = context;
         this.graphId = graphId;
         this.recordNumbers = recordNumbers;
-        this.recordCapacityBytes = RecordSize.limitBytes(context.settings());
+        this.maxRecordBytes = RecordSize.maxBytes(context.settings());
     }
 
     /** Adds an entry and calls {@code onDurable} once it is durable. */
@@ -115,7 +115,7 @@
 
     /** Whether an entry fits into a record of its own. */
     boolean fits(GraphLogEntry entry) {
-        return GraphLogCodec.recordBytes(graphId, entry) <= recordCapacityBytes;
+        return GraphLogCodec.recordBytes(graphId, entry) <= maxRecordBytes;
     }
 
     /**
@@ -128,13 +128,13 @@
         if (writeInFlight
                 || rejected
                 || pending.isEmpty()
-                || context.eventLoop().now() < nextWriteNotBefore
+                || context.eventLoop().now() < nextWriteAtMillis
                 || context.store().shouldShedWrite()) {
             return;
         }
         Batch batch = nextBatch();
         if (batch.records.isEmpty()) { // only markers, added while the last entry was being written
-            complete(batch);
+            onBatchDurable(batch);
             return;
         }
         writeInFlight = true;
@@ -144,7 +144,7 @@
     private Batch nextBatch() {
         int recordsInBody =
                 NetworkConstants.MAX_BODY_BYTES * 3 / 4 / context.settings().valueBytes();
-        Batch batch = new Batch(recordCapacityBytes, Math.min(context.settings().txnOps(), recordsInBody));
+        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), recordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
@@ -167,27 +167,27 @@
     /** Sends the same keys until the outcome is known: an entry must never be stored twice. */
     private void commit(CompareAndSwap changes, Batch batch, Runnable onWritten) {
         context.store().commit(changes, result -> {
-            if (result.committed() || wasWrittenByEarlierTry(result)) {
+            if (result.committed() || wasCommittedByEarlierAttempt(result)) {
                 writeInFlight = false;
-                nextWriteNotBefore = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
-                complete(batch);
+                nextWriteAtMillis = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
+                onBatchDurable(batch);
                 onWritten.run();
             } else if (result.conflicted() || result.invalid()) {
-                writeRejected(result);
+                onWriteRejected(result);
             } else {
                 context.eventLoop().after(ElectionConstants.SESSION_RETRY_MS, () -> commit(changes, batch, onWritten));
             }
         });
     }
 
-    private void complete(Batch batch) {
+    private void onBatchDurable(Batch batch) {
         for (PendingEntry entry : batch.entries) {
             pending.poll();
             entry.onDurable.run();
         }
     }
 
-    private void writeRejected(CommitResult result) {
+    private void onWriteRejected(CommitResult result) {
         if (result.invalid()) {
             LOG.error("graph.log_record_rejected graph={}", graphId);
         }
@@ -196,7 +196,7 @@
     }
 
     /** Only the keys that the transaction creates stand in its way: an earlier try was carried out after all. */
-    private static boolean wasWrittenByEarlierTry(CommitResult result) {
+    private static boolean wasCommittedByEarlierAttempt(CommitResult result) {
         return result.conflicted()
                 && result.conflictingKeys().stream().allMatch(key -> key.startsWith(StoreKeys.GRAPH_LOG));
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
@@ -24,12 +24,12 @@
 public final class GraphRequestHandler {
     private final GraphContext context;
     private final GraphService graphs;
-    private final int recordCapacityBytes;
+    private final int maxRecordBytes;
 
     GraphRequestHandler(GraphContext context, GraphService graphs) {
         this.context = context;
         this.graphs = graphs;
-        this.recordCapacityBytes = RecordSize.limitBytes(context.settings());
+        this.maxRecordBytes = RecordSize.maxBytes(context.settings());
     }
 
     // ---- the client's requests ----
@@ -41,7 +41,7 @@
      */
     public void submit(
             String graphId, GraphOptions options, List<NodeSpec> nodes, boolean last, Consumer<GraphResponse> respond) {
-        Optional<LiveGraph> known = graphs.findLive(graphId);
+        Optional<LiveGraph> known = graphs.findLoaded(graphId);
         if (isOverloaded(graphId)) {
             reject(overloaded(), respond);
         } else if (known.isPresent()) {
@@ -59,7 +59,7 @@
             reject(rejection.get(), respond);
             return;
         }
-        graphs.store(created, stored -> {
+        graphs.createRecord(created, stored -> {
             if (stored) {
                 appendClientNodes(created, nodes, last, respond);
             } else {
@@ -92,7 +92,7 @@
 
     /** Cancels a node and all nodes that depend on it. */
     public void cancelNode(String graphId, String nodeId, Consumer<GraphResponse> respond) {
-        LiveGraph live = graphs.findLive(graphId).orElse(null);
+        LiveGraph live = graphs.findLoaded(graphId).orElse(null);
         if (live == null || !live.graph().contains(nodeId) || live.job().isEmpty()) {
             reject(GraphRejection.notFound("no such node"), respond);
             return;
@@ -123,7 +123,7 @@
             reject(rejection.get(), respond);
             return;
         }
-        LiveGraph live = graphs.findLive(parent.graphId()).orElseThrow();
+        LiveGraph live = graphs.findLoaded(parent.graphId()).orElseThrow();
         rejection = validate(live, nodes, parent.nodeId(), continuationId);
         if (rejection.isPresent()) {
             reject(rejection.get(), respond);
@@ -141,7 +141,7 @@
             reject(rejection.get(), respond);
             return;
         }
-        LiveGraph live = graphs.findLive(attempt.graphId()).orElseThrow();
+        LiveGraph live = graphs.findLoaded(attempt.graphId()).orElseThrow();
         int node = live.graph().indexOf(attempt.nodeId());
         Optional<JsonNode> known = live.ownResult(node);
         rejection = checkResult(live, known, result);
@@ -157,8 +157,8 @@
     }
 
     private Optional<GraphRejection> checkResult(LiveGraph live, Optional<JsonNode> known, JsonNode result) {
-        int bytes = RecordSize.bytes(result);
-        int maxBytes = Math.min(GraphConstants.GRAPH_RESULT_BYTES, recordCapacityBytes / 2);
+        int bytes = RecordSize.encodedBytes(result);
+        int maxBytes = Math.min(GraphConstants.GRAPH_RESULT_BYTES, maxRecordBytes / 2);
         if (bytes > maxBytes) {
             return Optional.of(GraphRejection.invalid(
                     "a result of more than " + maxBytes + " bytes: store it elsewhere, and give a reference"));
@@ -181,7 +181,7 @@
         if (isOverloaded(attempt.graphId())) {
             return Optional.of(overloaded());
         }
-        Optional<LiveGraph> found = graphs.findLive(attempt.graphId());
+        Optional<LiveGraph> found = graphs.findLoaded(attempt.graphId());
         if (found.isEmpty()) {
             return Optional.of(GraphRejection.notFound("no such graph"));
         }
@@ -224,7 +224,7 @@
     /** Why nodes may not be added to a graph, whose log entries have to fit a record each. */
     private Optional<GraphRejection> validate(
             LiveGraph live, List<NodeSpec> nodes, String parentId, String continuationId) {
-        int maxDependencies = recordCapacityBytes / GraphConstants.GRAPH_DEPENDENCY_BYTES;
+        int maxDependencies = maxRecordBytes / GraphConstants.GRAPH_DEPENDENCY_BYTES;
         for (NodeSpec node : nodes) {
             if (node.dependencies().size() > maxDependencies) {
                 return Optional.of(GraphRejection.invalid("node " + node.id() + " awaits more than " + maxDependencies
@@ -236,7 +236,8 @@
 
     /** Whether a change couldn't be recorded soon, so that it is rejected before it is made. */
     private boolean isOverloaded(String graphId) {
-        int pending = graphs.findLive(graphId).map(LiveGraph::pendingLogEntries).orElse(0);
+        int pending =
+                graphs.findLoaded(graphId).map(LiveGraph::pendingLogEntries).orElse(0);
         return context.store().shouldShedWrite() || pending > GraphConstants.GRAPH_WRITE_BACKLOG;
     }
 
--- a/src/main/java/org/hollypick/control/graphs/GraphRetention.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRetention.java
@@ -21,7 +21,7 @@
     private final long retentionMillis;
     private final Consumer<String> onDeleted;
     /** Ended graphs that still have a log, by id: when they ended. */
-    private final Map<String, Long> endedAt = new LinkedHashMap<>();
+    private final Map<String, Long> endedAtMillis = new LinkedHashMap<>();
 
     private boolean deletionInFlight;
 
@@ -35,12 +35,12 @@
 
     /** The graph has ended now. */
     void graphEnded(String graphId) {
-        endedAt.put(graphId, context.eventLoop().now());
+        endedAtMillis.put(graphId, context.eventLoop().now());
     }
 
     /** The graph ended before this term: it is kept as if it had ended when the term came to know it. */
     void graphEndedEarlier(String graphId) {
-        endedAt.putIfAbsent(graphId, context.eventLoop().now());
+        endedAtMillis.putIfAbsent(graphId, context.eventLoop().now());
     }
 
     /** Finds the ended graphs that earlier terms left. */
@@ -61,7 +61,7 @@
         if (deletionInFlight || !context.store().hasSpareWriteCapacity()) {
             return;
         }
-        for (Map.Entry<String, Long> ended : endedAt.entrySet()) {
+        for (Map.Entry<String, Long> ended : endedAtMillis.entrySet()) {
             if (now - ended.getValue() > retentionMillis) {
                 deleteSome(ended.getKey());
                 return;
@@ -73,7 +73,7 @@
         List<String> keys = logReader.keys(graphId);
         if (keys.isEmpty()) {
             onDeleted.accept(graphId);
-            endedAt.remove(graphId);
+            endedAtMillis.remove(graphId);
             return;
         }
         CompareAndSwap changes = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, context.fencingToken());
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -32,7 +32,7 @@
     private final GraphFactory factory;
     private final GraphLogReader logReader;
     private final GraphRetention retention;
-    private final GraphRequestHandler requests;
+    private final GraphRequestHandler requestHandler;
     private final Map<String, LiveGraph> graphs = new LinkedHashMap<>();
     private long nextLogRecordNumber;
 
@@ -46,12 +46,12 @@
         this.factory = factory;
         this.logReader = new GraphLogReader(context.replica());
         this.retention = new GraphRetention(context, logReader, retentionMillis, graphs::remove);
-        this.requests = new GraphRequestHandler(context, this);
+        this.requestHandler = new GraphRequestHandler(context, this);
     }
 
     /** Handles requests that change graphs. */
-    public GraphRequestHandler requests() {
-        return requests;
+    public GraphRequestHandler requestHandler() {
+        return requestHandler;
     }
 
     // ---- lookup ----
@@ -70,7 +70,7 @@
     }
 
     /** A graph that was live in this term, or was asked for since it ended. */
-    Optional<LiveGraph> findLive(String graphId) {
+    Optional<LiveGraph> findLoaded(String graphId) {
         return Optional.ofNullable(graphs.get(graphId));
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Writes the own record of a new graph, and tells whether that succeeded; only then the graph has a job. */
-    void store(LiveGraph created, Consumer<Boolean> onOutcome) {
+    void createRecord(LiveGraph created, Consumer<Boolean> onOutcome) {
         graphs.put(created.id(), created);
         String key = StoreKeys.job(created.id());
         CompareAndSwap changes = new CompareAndSwap()
@@ -174,7 +174,7 @@
     }
 
     /** The record that the end of a graph's job leaves; empty if the job is no graph. */
-    public Optional<ObjectNode> endRecord(Job job, TerminalStatus status) {
+    public Optional<ObjectNode> terminalRecord(Job job, TerminalStatus status) {
         LiveGraph live = graphs.get(job.spec.id());
         if (live == null || live.job().orElse(null) != job) {
             return Optional.empty();
@@ -228,7 +228,7 @@
     private void cancelIfNeverSealed(LiveGraph live, Job job, long now) {
         if (!live.graph().isSealed()
                 && !live.isSealRequested()
-                && now - live.createdAt() > GraphConstants.GRAPH_SEAL_TIMEOUT_MS) {
+                && now - live.knownSinceMillis() > GraphConstants.GRAPH_SEAL_TIMEOUT_MS) {
             live.rejectFurtherNodes();
             LOG.info("graph.seal_timed_out graph={} token={}", live.id(), context.fencingToken());
             cancel(job);
--- a/src/main/java/org/hollypick/control/graphs/LiveGraph.java
+++ b/src/main/java/org/hollypick/control/graphs/LiveGraph.java
@@ -28,7 +28,7 @@
     private final NodeResults results = new NodeResults();
     private final GraphLog log;
     private final NodeLogWriter nodeLogWriter;
-    private final long createdAt;
+    private final long knownSinceMillis;
     /** Nodes that were released before the job was there. */
     private final IntArrayList releasedBeforeJob = new IntArrayList();
     /** Null until the graph's own record is durable, and if the graph ended before this term. */
@@ -37,7 +37,7 @@
     private boolean sealRequested;
     private boolean ended;
     /** Terminations and results that are known here and not durable yet: a successor may not find them. */
-    private int undurableChanges;
+    private int uncommittedChanges;
 
     LiveGraph(String id, GraphOptions options, GraphContext context, GraphFactory factory, LongSupplier recordNumbers) {
         this.id = id;
@@ -46,7 +46,7 @@
         this.graph = factory.create(options.retries(), this::nodeReleased);
         this.log = new GraphLog(context, id, recordNumbers);
         this.nodeLogWriter = new NodeLogWriter(graph, log);
-        this.createdAt = context.eventLoop().now();
+        this.knownSinceMillis = context.eventLoop().now();
     }
 
     /** The graph's id, which is its job's. */
@@ -64,8 +64,8 @@
     }
 
     /** When this term came to know the graph, by the event loop's clock. */
-    long createdAt() {
-        return createdAt;
+    long knownSinceMillis() {
+        return knownSinceMillis;
     }
 
     // ---- job ----
@@ -190,16 +190,16 @@
     }
 
     private void appendChange(GraphLogEntry entry, Runnable onDurable) {
-        undurableChanges++;
+        uncommittedChanges++;
         log.append(entry, () -> {
-            undurableChanges--;
+            uncommittedChanges--;
             onDurable.run();
         });
     }
 
     /** Whether something that users could be told about its nodes isn't durable yet. */
-    public boolean hasUndurableChanges() {
-        return undurableChanges > 0 && !ended;
+    public boolean hasUncommittedChanges() {
+        return uncommittedChanges > 0 && !ended;
     }
 
     // ---- log ----
--- a/src/main/java/org/hollypick/control/graphs/NodeResults.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeResults.java
@@ -13,7 +13,7 @@
 
     void put(int node, JsonNode result) {
         byNode.put(node, result);
-        totalBytes += RecordSize.bytes(result);
+        totalBytes += RecordSize.encodedBytes(result);
     }
 
     Optional<JsonNode> get(int node) {
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -84,7 +84,7 @@
     private ObjectNode encode(Map<String, Double> serviceByJob) {
         ObjectNode record = Codec.object();
         ObjectNode encoded = record.putObject(SERVICE_BY_JOB);
-        int remainingBytes = RecordSize.limitBytes(settings) - RecordSize.bytes(record);
+        int remainingBytes = RecordSize.maxBytes(settings) - RecordSize.encodedBytes(record);
         List<Map.Entry<String, Double>> largestFirst = serviceByJob.entrySet().stream()
                 .sorted(Comparator.comparingDouble((Map.Entry<String, Double> entry) -> Math.abs(entry.getValue()))
                         .reversed())
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -52,7 +52,7 @@
         this.store = store;
         this.settings = settings;
         this.scheduler = scheduler;
-        this.maxRecordBytes = RecordSize.limitBytes(settings);
+        this.maxRecordBytes = RecordSize.maxBytes(settings);
         this.chunkTasks = CompletionPart.maxTasks(maxRecordBytes);
     }
 
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -75,7 +75,7 @@
         for (Job job : finishedJobs) {
             TerminalWrite write =
                     recordWriter.prepare(job, job.isSuccessful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
-            bytes += RecordSize.bytes(write.record());
+            bytes += RecordSize.encodedBytes(write.record());
             boolean alone = jobsInSeparateTransactions.contains(write.jobId());
             boolean full = alone || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
             if (full && !batch.isEmpty()) {
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -165,13 +165,13 @@
      */
     private ObjectNode encode(Map<String, Boolean> kinds) {
         ArrayDeque<ObjectNode> latestLast = new ArrayDeque<>();
-        int remainingBytes = RecordSize.limitBytes(settings) - RECORD_OVERHEAD_BYTES;
+        int remainingBytes = RecordSize.maxBytes(settings) - RECORD_OVERHEAD_BYTES;
         List<String> latestFirst = new ArrayList<>(kinds.keySet());
         Collections.reverse(latestFirst);
         for (String kind : latestFirst) {
             Estimates.Snapshot snapshot = estimates.snapshot(kind, EstimateConstants.STATISTICS_RUNS);
             ObjectNode encoded = snapshot == null ? null : encode(snapshot);
-            int bytes = encoded == null ? 0 : RecordSize.bytes(encoded) + 1;
+            int bytes = encoded == null ? 0 : RecordSize.encodedBytes(encoded) + 1;
             if (encoded == null || bytes > remainingBytes) {
                 kinds.remove(kind);
             } else {
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -55,15 +55,16 @@
     /** Writes the record of a job that depends on the jobs {@code dependencyIds}, each of which has a record. */
     void write(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> finished) {
         List<String> undecided = dependenciesToRecord(dependencyIds);
-        int maxBytes = RecordSize.limitBytes(settings);
-        if (RecordSize.bytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, undecided, null)) <= maxBytes) {
+        int maxBytes = RecordSize.maxBytes(settings);
+        if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, undecided, null)) <= maxBytes) {
             writeJobRecord(spec, undecided, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, finished);
             return;
         }
         String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), usedDependencyKeys);
         usedDependencyKeys++;
         DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(undecided, maxBytes));
-        if (RecordSize.bytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists)) > maxBytes) {
+        if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists))
+                > maxBytes) {
             finished.accept(SubmissionOutcome.TOO_LARGE);
         } else {
             writeDependencyLists(spec, dependencyLists, 0, finished);
@@ -94,7 +95,7 @@
             int bytes = id.length() + LIST_ELEMENT_OVERHEAD_BYTES;
             if (remainingBytes < bytes) {
                 lists.add(new ArrayList<>());
-                remainingBytes = maxBytes - RecordSize.bytes(JobRecordCodec.encodeDependencyList(List.of()));
+                remainingBytes = maxBytes - RecordSize.encodedBytes(JobRecordCodec.encodeDependencyList(List.of()));
             }
             lists.get(lists.size() - 1).add(id);
             remainingBytes -= bytes;
--- a/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
@@ -84,8 +84,8 @@
 
     /** Whether the record could be rewritten; deletes one that names no machine, or is too large to be written. */
     private boolean rewrite(String key, long revision, ObjectNode remaining) {
-        int bytes = RecordSize.bytes(remaining);
-        boolean tooLarge = bytes > RecordSize.limitBytes(settings);
+        int bytes = RecordSize.encodedBytes(remaining);
+        boolean tooLarge = bytes > RecordSize.maxBytes(settings);
         if (compareAndSwap.writeCount() >= maxWrites
                 || valueBytesWritten + bytes > MAX_VALUE_BYTES
                 || (tooLarge && !areAllInOtherRecords(remaining, key))) {
@@ -123,6 +123,6 @@
     }
 
     private boolean isRewritable(StoreReplica.Entry entry) {
-        return entry != null && RecordSize.bytes(entry.data()) <= RecordSize.limitBytes(settings);
+        return entry != null && RecordSize.encodedBytes(entry.data()) <= RecordSize.maxBytes(settings);
     }
 }
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -193,7 +193,9 @@
         String key = null;
         int roomBytes = 0;
         for (Map.Entry<String, JsonNode> machine : storedForms.entrySet()) {
-            int bytes = RecordSize.bytes(machine.getValue()) + machine.getKey().length() + SEPARATOR_BYTES;
+            int bytes = RecordSize.encodedBytes(machine.getValue())
+                    + machine.getKey().length()
+                    + SEPARATOR_BYTES;
             if (roomBytes < bytes) {
                 if (!canAddRecord(compareAndSwap)) {
                     break;
@@ -201,7 +203,7 @@
                 record = Codec.object();
                 key = StoreKeys.machines(settings.node(), token, recordsCreated++);
                 compareAndSwap.expectAbsent(key).put(key, record);
-                roomBytes = RecordSize.limitBytes(settings) - BRACE_BYTES;
+                roomBytes = RecordSize.maxBytes(settings) - BRACE_BYTES;
             }
             record.set(machine.getKey(), machine.getValue());
             keys.put(machine.getKey(), key);
--- a/src/main/java/org/hollypick/records/GraphLogCodec.java
+++ b/src/main/java/org/hollypick/records/GraphLogCodec.java
@@ -224,6 +224,6 @@
 
     /** Bytes that an entry takes in a record of its own. */
     public static int recordBytes(String graphId, GraphLogEntry entry) {
-        return RecordSize.bytes(encodeRecord(graphId, List.of(entry)));
+        return RecordSize.encodedBytes(encodeRecord(graphId, List.of(entry)));
     }
 }
--- a/src/main/java/org/hollypick/records/GraphRecordCodec.java
+++ b/src/main/java/org/hollypick/records/GraphRecordCodec.java
@@ -67,7 +67,7 @@
     }
 
     /** The description in a live graph's record that holds its id, class, team and priority. */
-    static JsonNode base(JsonNode record) {
+    static JsonNode encodedJobSpec(JsonNode record) {
         return record.path(OPTIONS).path(BASE);
     }
 
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -39,7 +39,7 @@
     /** Whether all tasks have to run in one zone. */
     private static final String ONE_ZONE = "together";
     /** Whether the tasks are to be spread over machines. */
-    private static final String SPREAD = "spread";
+    private static final String SPREAD_OVER_ZONES = "spread";
     /** Whether the tasks may run on spot instances. */
     private static final String SPOT_ALLOWED = "lendable";
 
@@ -50,14 +50,14 @@
     /** Seconds between a task's checkpoints. */
     private static final String CHECKPOINT_INTERVAL_SECONDS = "bookmark_s";
     /** Seconds that a task needs to save its state. */
-    private static final String SAVE_SECONDS = "stow_s";
+    private static final String CHECKPOINT_SAVE_SECONDS = "stow_s";
     /** The deadline, in seconds; absent for none. */
-    private static final String DUE_SECONDS = "due_s";
+    private static final String DEADLINE_SECONDS = "due_s";
     /** In a submission: the ids of the jobs that have to complete before this one starts. */
     private static final String DEPENDENCIES = "awaits";
 
     private static final Pattern ID_PATTERN = Pattern.compile("req-[0-9]{1,18}");
-    private static final double MAX_AMOUNT = 1e9;
+    private static final double MAX_NUMBER = 1e9;
     private static final int MAX_TEXT_LENGTH = 200;
 
     private JobCodec() {}
@@ -76,13 +76,13 @@
 
     /** Decodes a submission. It has to name its team; records of earlier versions may have none. */
     public static JobSpec decodeSubmission(JsonNode body) throws InvalidException {
-        text(body, TEAM);
+        decodeText(body, TEAM);
         return decode(body);
     }
 
     /** Decodes a specification; the first field that is invalid is named. */
     public static JobSpec decode(JsonNode body) throws InvalidException {
-        String id = text(body, ID);
+        String id = decodeText(body, ID);
         if (!isId(id)) {
             throw new InvalidException(ID);
         }
@@ -90,15 +90,16 @@
         Priority priority = decodePriority(body);
         int tasks = decodeTasks(body);
         Set<String> machineTypes = decodeMachineTypes(body);
-        String zone = isAbsent(body.path(ZONE)) ? null : text(body, ZONE);
-        double dueSeconds = isAbsent(body.path(DUE_SECONDS)) ? Double.NaN : amount(body, DUE_SECONDS);
-        double cpus = amount(body, CPUS);
-        double gpus = amount(body, GPUS);
-        double memoryGb = amount(body, MEMORY_GB);
+        String zone = isAbsent(body.path(ZONE)) ? null : decodeText(body, ZONE);
+        double deadlineSeconds =
+                isAbsent(body.path(DEADLINE_SECONDS)) ? Double.NaN : decodeNumber(body, DEADLINE_SECONDS);
+        double cpus = decodeNumber(body, CPUS);
+        double gpus = decodeNumber(body, GPUS);
+        double memoryGb = decodeNumber(body, MEMORY_GB);
         return new JobSpec(
                 id,
-                text(body, JOB_CLASS),
-                isAbsent(body.path(TEAM)) ? "" : text(body, TEAM),
+                decodeText(body, JOB_CLASS),
+                isAbsent(body.path(TEAM)) ? "" : decodeText(body, TEAM),
                 service,
                 priority,
                 tasks,
@@ -107,19 +108,19 @@
                 memoryGb,
                 machineTypes,
                 zone,
-                flag(body, ONE_ZONE),
-                flag(body, SPREAD),
-                flag(body, SPOT_ALLOWED),
-                text(body, IMAGE),
-                amount(body, IMAGE_GB),
-                amount(body, ESTIMATE_SECONDS),
-                amount(body, CHECKPOINT_INTERVAL_SECONDS),
-                amount(body, SAVE_SECONDS),
-                dueSeconds);
+                decodeBoolean(body, ONE_ZONE),
+                decodeBoolean(body, SPREAD_OVER_ZONES),
+                decodeBoolean(body, SPOT_ALLOWED),
+                decodeText(body, IMAGE),
+                decodeNumber(body, IMAGE_GB),
+                decodeNumber(body, ESTIMATE_SECONDS),
+                decodeNumber(body, CHECKPOINT_INTERVAL_SECONDS),
+                decodeNumber(body, CHECKPOINT_SAVE_SECONDS),
+                deadlineSeconds);
     }
 
     private static boolean decodeKind(JsonNode body) throws InvalidException {
-        return switch (text(body, KIND)) {
+        return switch (decodeText(body, KIND)) {
             case BATCH -> false;
             case SERVICE -> true;
             default -> throw new InvalidException(KIND);
@@ -183,7 +184,7 @@
 
     /** Decodes the priority of a specification. */
     public static Priority decodePriority(JsonNode body) throws InvalidException {
-        return switch (text(body, PRIORITY)) {
+        return switch (decodeText(body, PRIORITY)) {
             case PRIORITY_PRODUCTION -> Priority.PRODUCTION;
             case PRIORITY_HIGH -> Priority.HIGH;
             case PRIORITY_NORMAL -> Priority.NORMAL;
@@ -221,15 +222,15 @@
             body.put(ZONE, spec.zone());
         }
         body.put(ONE_ZONE, spec.oneZone())
-                .put(SPREAD, spec.spreadOverZones())
+                .put(SPREAD_OVER_ZONES, spec.spreadOverZones())
                 .put(SPOT_ALLOWED, spec.spotAllowed())
                 .put(IMAGE, spec.image())
                 .put(IMAGE_GB, spec.imageGb())
                 .put(ESTIMATE_SECONDS, spec.estimateS())
                 .put(CHECKPOINT_INTERVAL_SECONDS, spec.checkpointIntervalS())
-                .put(SAVE_SECONDS, spec.checkpointSaveS());
+                .put(CHECKPOINT_SAVE_SECONDS, spec.checkpointSaveS());
         if (!Double.isNaN(spec.deadlineS())) {
-            body.put(DUE_SECONDS, spec.deadlineS());
+            body.put(DEADLINE_SECONDS, spec.deadlineS());
         }
         return body;
     }
@@ -238,7 +239,7 @@
         return value.isMissingNode() || value.isNull();
     }
 
-    private static String text(JsonNode body, String field) throws InvalidException {
+    private static String decodeText(JsonNode body, String field) throws InvalidException {
         JsonNode value = body.path(field);
         if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > MAX_TEXT_LENGTH) {
             throw new InvalidException(field);
@@ -246,16 +247,16 @@
         return value.asText();
     }
 
-    private static double amount(JsonNode body, String field) throws InvalidException {
+    private static double decodeNumber(JsonNode body, String field) throws InvalidException {
         JsonNode value = body.path(field);
-        boolean valid = value.isNumber() && value.asDouble() >= 0 && value.asDouble() <= MAX_AMOUNT;
+        boolean valid = value.isNumber() && value.asDouble() >= 0 && value.asDouble() <= MAX_NUMBER;
         if (!valid) {
             throw new InvalidException(field);
         }
         return value.asDouble();
     }
 
-    private static boolean flag(JsonNode body, String field) throws InvalidException {
+    private static boolean decodeBoolean(JsonNode body, String field) throws InvalidException {
         JsonNode value = body.path(field);
         if (!value.isBoolean()) {
             throw new InvalidException(field);
--- a/src/main/java/org/hollypick/records/JobRecordCodec.java
+++ b/src/main/java/org/hollypick/records/JobRecordCodec.java
@@ -106,7 +106,7 @@
     /** The priority in a live record, of a job or a task graph. */
     public static JobSpec.Priority priority(JsonNode record) throws JobCodec.InvalidException {
         return JobCodec.decodePriority(
-                GraphRecordCodec.isGraph(record) ? GraphRecordCodec.base(record) : record.path(SPEC));
+                GraphRecordCodec.isGraph(record) ? GraphRecordCodec.encodedJobSpec(record) : record.path(SPEC));
     }
 
     /** Whether the record is that of a live service. */
--- a/src/main/java/org/hollypick/records/RecordSize.java
+++ b/src/main/java/org/hollypick/records/RecordSize.java
@@ -10,12 +10,12 @@
     private RecordSize() {}
 
     /** The most bytes that a record may have: less than the store's limit, which may count otherwise. */
-    public static int limitBytes(Settings settings) {
+    public static int maxBytes(Settings settings) {
         return (int) (settings.valueBytes() * StoreConstants.USABLE_VALUE_SHARE);
     }
 
     /** The bytes of a record's encoding. */
-    public static int bytes(JsonNode value) {
+    public static int encodedBytes(JsonNode value) {
         return Codec.write(value, true).length;
     }
 }
--- a/src/test/java/org/hollypick/records/CodecTest.java
+++ b/src/test/java/org/hollypick/records/RecordAndHeartbeatCodecTest.java
@@ -18,8 +18,8 @@
 /**
  * Reports are read as a stream: it must find what the plain way through a tree finds, and garbage must find nothing.
  */
-class CodecTest {
-    private static ObjectNode drawn(Random random) {
+class RecordAndHeartbeatCodecTest {
+    private static ObjectNode randomHeartbeat(Random random) {
         ObjectNode b = Codec.object()
                 .put("bothy", "n-" + random.nextInt(1_000))
                 .put("tenure", random.nextInt(5))
@@ -51,20 +51,20 @@
     }
 
     @Test
-    void aStreamedReportIsWhatTheTreeSays() {
+    void heartbeatDecodedFromBytesEqualsHeartbeatDecodedFromTree() {
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
-            ObjectNode b = drawn(random);
+            ObjectNode b = randomHeartbeat(random);
             Heartbeat streamed = AgentCodec.decodeHeartbeat(Codec.write(b, false));
             assertEquals(AgentCodec.decodeHeartbeat(b), streamed);
         }
     }
 
     @Test
-    void brokenReportsAreNone() {
+    void truncatedHeartbeatsDecodeToNullAndCorruptedOnesThrowNoException() {
         Random random = new Random(2);
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = Codec.write(drawn(random), false);
+            byte[] bytes = Codec.write(randomHeartbeat(random), false);
             byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
             assertNull(AgentCodec.decodeHeartbeat(cut));
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
@@ -76,7 +76,7 @@
 
     /** Its record named an empty team, which no reader took: a job without a team was accepted and never ran. */
     @Test
-    void aJobWithoutATeamCanBeReadAgain() throws JobCodec.InvalidException {
+    void jobWithoutTeamIsDecodedFromItsEncoding() throws JobCodec.InvalidException {
         JobSpec spec = new JobSpec(
                 "req-1",
                 "c",
@@ -103,7 +103,7 @@
 
     /** A graph's record holds whatever was packed, and one that was cut short or isn't one is told apart. */
     @Test
-    void packedEntriesComeBackOrAreRefused() throws JobCodec.InvalidException {
+    void packedEntriesAreDecodedAndMalformedOnesAreRejected() throws JobCodec.InvalidException {
         ObjectNode record = GraphLogCodec.encodeRecord(
                 "req-1",
                 List.of(
--- a/src/test/java/org/hollypick/sim/GraphFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/GraphFaultsTest.java
@@ -26,10 +26,11 @@
 
 /** Graphs that grow, hand on and are cancelled, on days with faults; each rule of the jobs holds, and their own. */
 class GraphFaultsTest {
-    private static final OperatorSettings ON = OperatorSettings.parse("{:graphs true}");
-    private static final BiFunction<EventLoop, Settings, Controller> NEW = (r, s) -> new Controller(r, s, ON);
+    private static final OperatorSettings GRAPHS_ENABLED = OperatorSettings.parse("{:graphs true}");
+    private static final BiFunction<EventLoop, Settings, Controller> CONTROLLER =
+            (r, s) -> new Controller(r, s, GRAPHS_ENABLED);
 
-    private static ClusterScenario day(
+    private static ClusterScenario runScenario(
             int seed,
             BiFunction<EventLoop, Settings, Controller> version,
             List<GraphUser> users,
@@ -56,7 +57,7 @@
     void graphsCompleteWithoutFaults() {
         for (int seed = 1; seed <= 20; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            ClusterScenario scenario = day(seed, NEW, users, false, d -> {});
+            ClusterScenario scenario = runScenario(seed, CONTROLLER, users, false, d -> {});
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             for (GraphUser u : users) {
                 assertEquals("done", u.told, "seed " + seed + " " + u.id);
@@ -70,8 +71,8 @@
         int refused = 0;
         for (int seed = 1; seed <= 150; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            ClusterScenario scenario =
-                    day(seed, NEW, users, true, cluster -> cluster.randomFaults.scheduleFaults(6, 10_000, 120_000));
+            ClusterScenario scenario = runScenario(
+                    seed, CONTROLLER, users, true, cluster -> cluster.randomFaults.scheduleFaults(6, 10_000, 120_000));
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
             for (GraphUser u : users) {
@@ -83,11 +84,11 @@
         assertTrue(refused > 0, "late children of cancelled graphs were refused");
     }
 
-    private static boolean breaks(
+    private static boolean violatesRule(
             String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 40; seed++) {
             try {
-                if (day(seed, version, new ArrayList<>(), true, troubles).checker.violations.stream()
+                if (runScenario(seed, version, new ArrayList<>(), true, troubles).checker.violations.stream()
                         .anyMatch(b -> b.startsWith(rule))) {
                     return true;
                 }
@@ -100,8 +101,8 @@
 
     /** Children that are told before they are durable are lost with the leader. */
     @Test
-    void checkerDetectsChildrenConfirmedTooEarly() {
-        assertTrue(breaks(
+    void checkerDetectsChildrenAcknowledgedBeforeTheyAreDurable() {
+        assertTrue(violatesRule(
                 "too_early",
                 (r, s) -> new Controller(
                         new DelegatingEventLoop(r) {
@@ -120,7 +121,7 @@
                             }
                         },
                         s,
-                        ON),
+                        GRAPHS_ENABLED),
                 d -> {
                     for (int i = 0; i < 8; i++) {
                         d.world.at(15_000 + i * 11_000, () -> d.faults.crash(d.leaderIndex(), 4_000));
@@ -128,17 +129,18 @@
                 }));
     }
 
-    private static BiFunction<EventLoop, Settings, Controller> with(BiFunction<Integer, IntConsumer, Graph> maker) {
-        return (r, s) ->
-                new Controller(r, s, ON, new JobDependencies(), (retries, release) -> maker.apply(retries, release));
+    private static BiFunction<EventLoop, Settings, Controller> controllerWithGraphs(
+            BiFunction<Integer, IntConsumer, Graph> maker) {
+        return (r, s) -> new Controller(
+                r, s, GRAPHS_ENABLED, new JobDependencies(), (retries, release) -> maker.apply(retries, release));
     }
 
     /** If a cancelled node counts as done, what needs it runs for nothing, and the graph is called done without it. */
     @Test
-    void checkerDetectsACancelledNodeThatCountsAsDone() {
-        assertTrue(breaks(
+    void checkerDetectsCancelledNodeThatCountsAsDone() {
+        assertTrue(violatesRule(
                 "lost",
-                with((retries, release) -> new Graph(retries, release) {
+                controllerWithGraphs((retries, release) -> new Graph(retries, release) {
                     @Override
                     public int[] terminateRoots(int[] roots, NodeState state, String reason) {
                         BitSet pretended = new BitSet();
@@ -155,9 +157,9 @@
     /** A parent that runs again submits its children again: if they aren't known again, each is run twice. */
     @Test
     void checkerDetectsChildrenThatRunTwice() {
-        assertTrue(breaks(
+        assertTrue(violatesRule(
                 "doubled",
-                with((retries, release) -> new Graph(retries, release) {
+                controllerWithGraphs((retries, release) -> new Graph(retries, release) {
                     private int again;
 
                     @Override
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -19,19 +19,19 @@
  */
 class GraphSizeTest {
     private static final int NODES = 100_000;
-    private static final int A_CALL = 700;
-    private static final String ID = "req-000100";
+    private static final int NODES_PER_REQUEST = 700;
+    private static final String GRAPH_ID = "req-000100";
 
     @Test
-    void aHundredThousandNodesAreRecordedAndTakenOver() {
+    void graphOfHundredThousandNodesIsStoredAndContinuedAfterFailover() {
         ClusterScenario scenario = new ClusterScenario(
                 1, 4, null, null, (r, s) -> new Controller(r, s, OperatorSettings.parse("{:graphs true}")));
         scenario.advance(5_000);
         int before = scenario.leaderIndex();
         long from = scenario.world.now;
         int changes = scenario.store.appliedOperations;
-        for (int first = 0; first < NODES; first += A_CALL) {
-            submit(scenario, first, Math.min(NODES, first + A_CALL));
+        for (int first = 0; first < NODES; first += NODES_PER_REQUEST) {
+            submit(scenario, first, Math.min(NODES, first + NODES_PER_REQUEST));
         }
         double seconds = (scenario.world.now - from) / 1000.0;
         int written = scenario.store.appliedOperations - changes;
@@ -70,7 +70,7 @@
 
     private static void submit(ClusterScenario scenario, int from, int to) {
         ObjectNode call = Codec.object()
-                .put("name_id", ID)
+                .put("name_id", GRAPH_ID)
                 .put("jobkind", "graph")
                 .put("owner", "team")
                 .put("rank", "standard")
@@ -89,7 +89,7 @@
             }
         }
         if (from == 0) {
-            scenario.checker.jobSubmitted(ID, call, scenario.world.now);
+            scenario.checker.jobSubmitted(GRAPH_ID, call, scenario.world.now);
             scenario.checker.tasks.graphProgram = (name, attempt, finish) -> scenario.world.at(1_000, finish);
         }
         Response[] answer = {null};
