--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -47,10 +47,10 @@
         dispatcher.on(PeerMessageCodec.RELAY_REVOCATION_PATH, (body, responder) -> {
             long memberRevision =
                     PeerMessageCodec.readRelayRevocationRequest(body).memberRevision();
-            heartbeatRelay.release(memberRevision);
+            heartbeatRelay.discardResponsesOf(memberRevision);
             responder.accept(ok(PeerMessageCodec.writeRelayRevocationResponse(memberRevision != 0)));
         });
-        dispatcher.on(HeartbeatRelayCodec.PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
+        dispatcher.on(HeartbeatRelayCodec.BATCH_PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
     }
 
     private ServerResponse grantRenewal(RenewalGrantRequest request) {
@@ -77,8 +77,8 @@
 
     /** Serves the requests to the key-value store of peers that do not reach it. */
     void serveRelayedStoreRequests(RequestRouter storeRequests) {
-        dispatcher.on(RequestRouter.PATH, storeRequests::forward);
-        dispatcher.on(RequestRouter.WATCH_PATH, storeRequests::forward);
+        dispatcher.on(RequestRouter.FORWARD_PATH, storeRequests::forward);
+        dispatcher.on(RequestRouter.FORWARD_WATCH_PATH, storeRequests::forward);
     }
 
     /** Serves the requests which machines this controller reaches. */
--- a/src/main/java/org/hollypick/cloud/CloudCodec.java
+++ b/src/main/java/org/hollypick/cloud/CloudCodec.java
@@ -65,7 +65,7 @@
     /** Whether a list of machines goes on. */
     private static final String TRUNCATED = "truncated";
 
-    private static final int OUT_OF_CAPACITY = 503;
+    private static final int HTTP_UNAVAILABLE = 503;
 
     private CloudCodec() {}
 
@@ -122,7 +122,7 @@
         if (response.failedWith(Response.Failure.NO_RESPONSE)) {
             return ScaleOutResult.Outcome.NO_RESPONSE;
         }
-        return response.status() == OUT_OF_CAPACITY
+        return response.status() == HTTP_UNAVAILABLE
                 ? ScaleOutResult.Outcome.OUT_OF_CAPACITY
                 : ScaleOutResult.Outcome.FAILED;
     }
--- a/src/main/java/org/hollypick/cluster/MemberRegistration.java
+++ b/src/main/java/org/hollypick/cluster/MemberRegistration.java
@@ -131,7 +131,7 @@
         // the others would take for a new incarnation while this one still acts.
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectAbsent(key)
-                .putWithLease(key, ClusterRecordCodec.write(member), session.id());
+                .putWithSession(key, ClusterRecordCodec.write(member), session.id());
         store.commitUrgently(transaction, result -> {
             if (incarnation != session.incarnation()) {
                 return;
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -23,10 +23,10 @@
  */
 public final class RequestRouter {
     /** The path by which peers are asked to forward a request. */
-    public static final String PATH = "/state";
+    public static final String FORWARD_PATH = "/state";
 
     /** The path by which peers are asked to forward a watch; watches have connections of their own. */
-    public static final String WATCH_PATH = "/watch";
+    public static final String FORWARD_WATCH_PATH = "/watch";
 
     private static final int HTTP_UNAVAILABLE = 503;
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
@@ -150,7 +150,7 @@
         }
         LOG.info("store.route.failed_over");
         scheduleProbe();
-        endWatches(RouteSelector.DIRECT);
+        abortWatches(RouteSelector.DIRECT);
         for (RoutedRequest routed : new ArrayList<>(inFlight)) {
             if (routed.kind == Kind.REPEATABLE
                     && routed.peer == RouteSelector.DIRECT
@@ -185,7 +185,7 @@
             Request request = new Request(
                     peers.get(peer).addr(),
                     "POST",
-                    routed.isWatch() ? WATCH_PATH : PATH,
+                    routed.isWatch() ? FORWARD_WATCH_PATH : FORWARD_PATH,
                     ForwardingCodec.encode(routed.request),
                     routed.request.timeoutMs(),
                     true);
@@ -193,19 +193,19 @@
             if (routed.isWatch()) {
                 inFlight.add(routed);
             }
-            eventLoop.send(request, this::responded);
+            eventLoop.send(request, this::responseReceived);
             if (!routed.isWatch()) {
-                eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, this::failOverIfSilent);
+                eventLoop.after(ReachabilityConstants.ROUTE_FAILOVER_MS, this::failOverIfUnanswered);
             }
         }
 
-        private void responded(Response response) {
+        private void responseReceived(Response response) {
             peerResponded = true;
             if (routed.isComplete()) {
                 return;
             }
             if (response.ok()) {
-                forwarded(ForwardingCodec.decodeResponse(response.body()));
+                storeResponseReceived(ForwardingCodec.decodeResponse(response.body()));
                 return;
             }
             peerFailed(peer);
@@ -216,7 +216,7 @@
             }
         }
 
-        private void forwarded(Response storeResponse) {
+        private void storeResponseReceived(Response storeResponse) {
             if (!storeResponse.isAnswered() || storeResponse.status() == HTTP_UNAVAILABLE) {
                 peerFailed(peer);
             } else {
@@ -225,7 +225,7 @@
             routed.complete(storeResponse);
         }
 
-        private void failOverIfSilent() {
+        private void failOverIfUnanswered() {
             if (peerResponded || routed.isComplete()) {
                 return;
             }
@@ -238,11 +238,11 @@
 
     private void peerFailed(int peer) {
         route.peerFailed(peer, eventLoop.now());
-        endWatches(peer);
+        abortWatches(peer);
     }
 
     /** Ends the watches on that route; whoever watches begins again, by another one. */
-    private void endWatches(int peer) {
+    private void abortWatches(int peer) {
         for (RoutedRequest routed : new ArrayList<>(inFlight)) {
             if (routed.isWatch() && routed.peer == peer) {
                 routed.complete(Response.noResponse());
--- a/src/main/java/org/hollypick/relay/HeartbeatQueue.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatQueue.java
@@ -21,7 +21,7 @@
     }
 
     /** Whether one more heartbeat of this length would exceed the bounds. */
-    boolean isFullFor(byte[] heartbeat) {
+    boolean lacksCapacityFor(byte[] heartbeat) {
         return heartbeats.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
                 || bytes + heartbeat.length > RelayConstants.RELAY_QUEUE_BYTES;
     }
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -40,12 +40,12 @@
     private final HeartbeatQueue queue = new HeartbeatQueue();
     private int batchesInFlight;
     private boolean flushScheduled;
-    private long sendNotBefore;
+    private long sendNotBeforeMillis;
     private int consecutiveFailures;
     /** Revisions of member keys whose leader wants none of its responses relayed any more. */
-    private final LongOpenHashSet releasedMembers = new LongOpenHashSet();
+    private final LongOpenHashSet discardedMemberRevisions = new LongOpenHashSet();
     /** The token of a leader of an older version, which takes no batches; 0 if none was met. */
-    private long tokenWithoutBatches;
+    private long batchUnsupportedToken;
 
     /**
      * @param leaderHandler handles a heartbeat on this controller while it is the leader; returns null while it is not
@@ -70,19 +70,19 @@
         ServerResponse local = respondLocally(heartbeat);
         if (local != null) {
             responder.accept(local);
-        } else if (heartbeat.length > RelayConstants.RELAY_BATCH_BYTES || leaderTakesNoBatches()) {
+        } else if (heartbeat.length > RelayConstants.RELAY_BATCH_BYTES || leaderLacksBatchSupport()) {
             responder.accept(redirectToLeader());
-        } else if (queue.isFullFor(heartbeat)) {
+        } else if (queue.lacksCapacityFor(heartbeat)) {
             responder.accept(ServerResponse.retryLater("too many reports wait"));
         } else {
-            long expiresAt = eventLoop.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS;
-            queue.add(new QueuedHeartbeat(heartbeat, expiresAt, responder));
+            long expiresAtMillis = eventLoop.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS;
+            queue.add(new QueuedHeartbeat(heartbeat, expiresAtMillis, responder));
             scheduleFlush(RelayConstants.RELAY_BATCH_MS);
         }
     }
 
-    private boolean leaderTakesNoBatches() {
-        return tokenWithoutBatches != 0 && tokenWithoutBatches == currentToken();
+    private boolean leaderLacksBatchSupport() {
+        return batchUnsupportedToken != 0 && batchUnsupportedToken == currentLeaderToken();
     }
 
     /** The response of this controller itself, as leader or while it renews leases in a partition; null if neither. */
@@ -107,11 +107,11 @@
 
     private void flush() {
         long now = eventLoop.now();
-        respondOrKeep(now);
+        respondLocallyOrExpire(now);
         Leader leader = membership.currentLeader();
         String leaderAddress = leader == null ? null : settings.meshAddr(leader.controller());
         while (leaderAddress != null
-                && now >= sendNotBefore
+                && now >= sendNotBeforeMillis
                 && batchesInFlight < RelayConstants.RELAY_BATCHES_IN_FLIGHT
                 && !queue.isEmpty()) {
             sendBatch(leaderAddress, leader, now);
@@ -122,14 +122,14 @@
     }
 
     /** Answers what can be answered here, or has waited too long; the rest stays queued, in order. */
-    private void respondOrKeep(long now) {
+    private void respondLocallyOrExpire(long now) {
         int queued = queue.size();
         for (int i = 0; i < queued; i++) {
             QueuedHeartbeat next = queue.poll();
             ServerResponse local = respondLocally(next.heartbeat());
             if (local != null) {
                 next.responder().accept(local);
-            } else if (now >= next.expiresAt()) {
+            } else if (now >= next.expiresAtMillis()) {
                 next.responder().accept(ServerResponse.retryLater("no leader"));
             } else {
                 queue.add(next);
@@ -137,7 +137,7 @@
         }
     }
 
-    private long currentToken() {
+    private long currentLeaderToken() {
         Leader leader = membership.currentLeader();
         return leader == null ? 0 : leader.token();
     }
@@ -150,20 +150,20 @@
                 new Request(
                         leaderAddress,
                         "POST",
-                        HeartbeatRelayCodec.PATH,
+                        HeartbeatRelayCodec.BATCH_PATH,
                         HeartbeatRelayCodec.encodeBatch(settings.node(), leader.token(), heartbeats),
                         RelayConstants.RELAY_TIMEOUT_MS,
                         true),
                 response -> {
                     batchesInFlight--;
-                    batchAnswered(batch, leader, now, response);
+                    batchCompleted(batch, leader, now, response);
                     if (!queue.isEmpty()) {
                         scheduleFlush(0);
                     }
                 });
     }
 
-    private void batchAnswered(List<QueuedHeartbeat> batch, Leader leader, long sentAt, Response response) {
+    private void batchCompleted(List<QueuedHeartbeat> batch, Leader leader, long sentAt, Response response) {
         List<ServerResponse> responses =
                 response.ok() ? HeartbeatRelayCodec.decodeResponses(response.body()) : List.of();
         if (response.ok() && responses.size() == batch.size()) {
@@ -174,15 +174,15 @@
             relayResponses(batch, responses, leader, validUntil);
         } else if (response.status() == 404) {
             LOG.info("heartbeat_relay.unsupported_by_leader token={}", leader.token());
-            tokenWithoutBatches = leader.token();
+            batchUnsupportedToken = leader.token();
             batch.forEach(queued -> queued.responder().accept(redirectToLeader()));
         } else {
             // Sent again until each one's time is over: the leader knows a copy for what it is. With growing pauses,
             // since the leader may be overloaded.
             batch.forEach(queue::add);
-            leaderComplaint.batchFailed(leader.token(), machinesOf(batch));
+            leaderComplaint.batchFailed(leader.token(), machineIds(batch));
             int doublings = Math.min(consecutiveFailures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS);
-            sendNotBefore = eventLoop.now() + (RelayConstants.RELAY_RETRY_MS << doublings);
+            sendNotBeforeMillis = eventLoop.now() + (RelayConstants.RELAY_RETRY_MS << doublings);
         }
     }
 
@@ -192,13 +192,13 @@
             ServerResponse response = responses
                     .get(i)
                     .onlyWhile(() -> eventLoop.now() < validUntil
-                            && currentToken() == leader.token()
-                            && !releasedMembers.contains(leader.memberRevision()));
+                            && currentLeaderToken() == leader.token()
+                            && !discardedMemberRevisions.contains(leader.memberRevision()));
             batch.get(i).responder().accept(response);
         }
     }
 
-    private static Set<String> machinesOf(List<QueuedHeartbeat> batch) {
+    private static Set<String> machineIds(List<QueuedHeartbeat> batch) {
         Set<String> machines = new LinkedHashSet<>();
         for (QueuedHeartbeat queued : batch) {
             if (machines.size() >= ReachabilityConstants.LEADER_COMPLAINT_MACHINES) {
@@ -216,8 +216,8 @@
      * Drops every response of the leader with that member revision, those still to come included: its process ended, or
      * it resigned.
      */
-    public void release(long memberRevision) {
-        releasedMembers.add(memberRevision);
+    public void discardResponsesOf(long memberRevision) {
+        discardedMemberRevisions.add(memberRevision);
     }
 
     private ServerResponse redirectToLeader() {
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -18,7 +18,7 @@
  */
 public final class HeartbeatRelayCodec {
     /** Where the leader takes batches. */
-    public static final String PATH = "/reports";
+    public static final String BATCH_PATH = "/reports";
 
     /** The controller that relays. */
     private static final String SENDER = "node";
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -33,68 +33,68 @@
     private final Membership membership;
     private final KeyValueStoreClient store;
     /** Since when batches have failed; 0 if the last one was delivered. */
-    private long failingSince;
+    private long failingSinceMillis;
 
     /** The token of the leader that batches fail to reach. */
     private long failingToken;
 
-    private long writtenAt;
+    private long writtenAtMillis;
     /** Machines whose heartbeats couldn't be relayed, and when: they go from one controller to the next. */
-    private final Object2LongLinkedOpenHashMap<String> undelivered = new Object2LongLinkedOpenHashMap<>();
+    private final Object2LongLinkedOpenHashMap<String> undeliveredMachines = new Object2LongLinkedOpenHashMap<>();
 
     LeaderComplaint(EventLoop eventLoop, Settings settings, Membership membership, KeyValueStoreClient store) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.membership = membership;
         this.store = store;
-        this.writtenAt = eventLoop.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
+        this.writtenAtMillis = eventLoop.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
     /** The leader took a batch. */
     void batchDelivered() {
-        failingSince = 0;
+        failingSinceMillis = 0;
     }
 
     /** A batch with heartbeats of these machines did not reach the leader under that token. */
     void batchFailed(long token, Collection<String> machines) {
         long now = eventLoop.now();
-        if (failingSince == 0 || failingToken != token) {
-            failingSince = now;
+        if (failingSinceMillis == 0 || failingToken != token) {
+            failingSinceMillis = now;
             failingToken = token;
-            undelivered.clear();
+            undeliveredMachines.clear();
         }
-        machines.forEach(machine -> undelivered.putAndMoveToLast(machine, now));
-        forgetOldest(now);
+        machines.forEach(machine -> undeliveredMachines.putAndMoveToLast(machine, now));
+        removeOldest(now);
         Long sessionId = membership.validSessionId();
-        if (isDue(now) && sessionId != null && membership.isLeaderRegistered() && !undelivered.isEmpty()) {
+        if (isDue(now) && sessionId != null && membership.isLeaderRegistered() && !undeliveredMachines.isEmpty()) {
             write(token, sessionId, now);
         }
     }
 
-    private void forgetOldest(long now) {
-        while (!undelivered.isEmpty()
-                && (undelivered.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
-                        || now - undelivered.getLong(undelivered.firstKey())
+    private void removeOldest(long now) {
+        while (!undeliveredMachines.isEmpty()
+                && (undeliveredMachines.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                        || now - undeliveredMachines.getLong(undeliveredMachines.firstKey())
                                 > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
-            undelivered.removeFirstLong();
+            undeliveredMachines.removeFirstLong();
         }
     }
 
     private boolean isDue(long now) {
-        return now - failingSince >= ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
-                && now - writtenAt >= ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
+        return now - failingSinceMillis >= ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
+                && now - writtenAtMillis >= ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
     private void write(long token, long sessionId, long now) {
-        writtenAt = now;
+        writtenAtMillis = now;
         ObjectNode complaint = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode machines = complaint.putArray(MACHINES);
-        undelivered.keySet().forEach(machines::add);
+        undeliveredMachines.keySet().forEach(machines::add);
         LOG.info("leader_complaint.written token={} machines={}", token, machines.size());
         store.commitUrgently(
                 new CompareAndSwap()
                         .expectRevision(StoreKeys.LEADER_RECORD, token)
-                        .putWithLease(StoreKeys.leaderComplaint(settings.node()), complaint, sessionId),
+                        .putWithSession(StoreKeys.leaderComplaint(settings.node()), complaint, sessionId),
                 result -> {});
     }
 
--- a/src/main/java/org/hollypick/store/CompareAndSwap.java
+++ b/src/main/java/org/hollypick/store/CompareAndSwap.java
@@ -55,7 +55,7 @@
     }
 
     /** Stores a value under a key that the store deletes when that session with it ends or expires. */
-    public CompareAndSwap putWithLease(String key, JsonNode value, long sessionId) {
+    public CompareAndSwap putWithSession(String key, JsonNode value, long sessionId) {
         writes.add(new Put(key, value, sessionId));
         return this;
     }
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -18,14 +18,14 @@
 
 /** Reports that other controllers hand on to the leader, and its answers that they pass back. */
 class HeartbeatRelayTest {
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
             (r, s) -> new Controller(r, s, OperatorSettings.defaults());
 
     /**
      * The others stand still with the leader's answers in hand; it ends meanwhile, and another one leads when they go
      * on.
      */
-    private static ClusterScenario standstill(
+    private static ClusterScenario pauseRelaysAndCrashLeader(
             int seed, long freezeMs, long restartMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 6, null, null, version);
         scenario.workload.submitJobs(80, 110_000);
@@ -49,16 +49,19 @@
     }
 
     @Test
-    void whatWasAnsweredBeforeAStandstillIsNotPassedOnAfterTheLeadersEnd() {
+    void responsesReceivedBeforeAPauseAreNotRelayedAfterTheLeaderCrashes() {
         for (int seed = 1; seed <= 6; seed++) {
-            assertEquals(List.of(), standstill(seed, 9_000, 6_000, NEW).checker.violations, "seed " + seed);
+            assertEquals(
+                    List.of(),
+                    pauseRelaysAndCrashLeader(seed, 9_000, 6_000, CURRENT_VERSION).checker.violations,
+                    "seed " + seed);
         }
     }
 
     /** Without the bound that the leader tells, its orders would reach machines while another one leads. */
     @Test
-    void checkerDetectsAnswersPassedOnForTooLong() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+    void checkerDetectsResponsesRelayedAfterTheirValidityExpired() {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
                 new DelegatingEventLoop(r) {
                     @Override
                     public void send(Request call, Consumer<Response> callback) {
@@ -73,7 +76,7 @@
                 s);
         boolean noticed = false;
         for (int seed = 1; seed <= 40 && !noticed; seed++) {
-            noticed = standstill(seed, 9_000, 6_000, faulty).checker.violations.stream()
+            noticed = pauseRelaysAndCrashLeader(seed, 9_000, 6_000, faulty).checker.violations.stream()
                     .anyMatch(b -> b.startsWith("answered_without_right"));
         }
         assertTrue(noticed);
@@ -84,9 +87,12 @@
      * have dropped what that one answered.
      */
     @Test
-    void whatAnEarlierSelfAnsweredIsNotPassedOnAfterAQuickRestart() {
+    void responsesOfAPreviousIncarnationAreNotRelayedAfterAQuickRestart() {
         for (int seed = 1; seed <= 6; seed++) {
-            assertEquals(List.of(), standstill(seed, 700, 50L * seed, NEW).checker.violations, "seed " + seed);
+            assertEquals(
+                    List.of(),
+                    pauseRelaysAndCrashLeader(seed, 700, 50L * seed, CURRENT_VERSION).checker.violations,
+                    "seed " + seed);
         }
     }
 
@@ -95,8 +101,8 @@
      * still rest on.
      */
     @Test
-    void checkerDetectsAStoreSessionOfAnEarlierIncarnationThatEndsAtOnce() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+    void checkerDetectsAPreviousStoreSessionEndedBeforeItsResponsesAreDiscarded() {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
                 new DelegatingEventLoop(r) {
                     @Override
                     public void send(Request call, Consumer<Response> callback) {
@@ -113,7 +119,7 @@
                 s);
         boolean noticed = false;
         for (int seed = 1; seed <= 40 && !noticed; seed++) {
-            noticed = standstill(seed, 700, 50, faulty).checker.violations.stream()
+            noticed = pauseRelaysAndCrashLeader(seed, 700, 50, faulty).checker.violations.stream()
                     .anyMatch(b -> b.startsWith("answered_without_right"));
         }
         assertTrue(noticed);
@@ -121,7 +127,7 @@
 
     /** All machines stay with the controllers that are left, at once and without looking for the leader. */
     @Test
-    void aNewLeaderHearsOfMachinesThroughTheOthers() {
+    void newLeaderReceivesHeartbeatsThroughRelaysBeforeTaskLeasesExpire() {
         ClusterScenario scenario = new ClusterScenario(5, 8);
         scenario.advance(3_000);
         scenario.workload.submitUncancelledServices(12);
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -20,24 +20,24 @@
 
 /** How one controller shares out its part of the key-value store's limits among its own requests. */
 class KeyValueStoreClientTest {
-    private static final long ANSWER_MS = 10;
+    private static final long RESPONSE_MS = 10;
     private static final double REQUESTS_PER_SECOND = 120;
-    private static final double CHANGES_PER_SECOND = 30;
-    private static final double ALL = 25;
-    private static final double LEAST = 10;
+    private static final double WRITES_PER_SECOND = 30;
+    private static final double PLANNED_WRITES_PER_SECOND = 25;
+    private static final double LEADER_SHARE_WRITES_PER_SECOND = 10;
     private static final int SECONDS = 30;
 
     /** A key-value store that executes every request after a few milliseconds, and a clock. */
-    private static final class Service implements EventLoop {
-        private record Task(long at, long number, Runnable run) {}
+    private static final class SimulatedStore implements EventLoop {
+        private record Task(long dueAt, long sequence, Runnable action) {}
 
         private final PriorityQueue<Task> tasks =
-                new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
-        private final List<Request> calls = new ArrayList<>();
+                new PriorityQueue<>(Comparator.comparingLong(Task::dueAt).thenComparingLong(Task::sequence));
+        private final List<Request> requests = new ArrayList<>();
         private long now;
-        private long number;
-        private boolean answersEvents;
-        private int changes;
+        private long nextSequence;
+        private boolean reportsWritesToWatches;
+        private int unreportedWrites;
 
         @Override
         public long now() {
@@ -51,40 +51,40 @@
 
         @Override
         public void after(long ms, Runnable task) {
-            tasks.add(new Task(now + ms, number++, task));
+            tasks.add(new Task(now + ms, nextSequence++, task));
         }
 
         @Override
         public void send(Request request, Consumer<Response> callback) {
-            calls.add(request);
+            requests.add(request);
             ObjectNode body = Codec.object().put("epoch", 1);
-            if (answersEvents && request.path().startsWith("/commit")) {
-                changes++;
-            } else if (answersEvents && request.path().startsWith("/watch")) {
+            if (reportsWritesToWatches && request.path().startsWith("/commit")) {
+                unreportedWrites++;
+            } else if (reportsWritesToWatches && request.path().startsWith("/watch")) {
                 ArrayNode events = body.putArray("events");
-                for (; changes > 0; changes--) {
+                for (; unreportedWrites > 0; unreportedWrites--) {
                     events.addObject().put("put", "h/j/1");
                 }
             }
-            after(ANSWER_MS, () -> callback.accept(new Response(200, body)));
+            after(RESPONSE_MS, () -> callback.accept(new Response(200, body)));
         }
 
-        private void run(long untilMs) {
-            while (tasks.peek().at <= untilMs) {
+        private void runUntil(long untilMs) {
+            while (tasks.peek().dueAt <= untilMs) {
                 Task next = tasks.poll();
-                now = next.at;
-                next.run.run();
+                now = next.dueAt;
+                next.action.run();
             }
             now = untilMs;
         }
 
-        private long sent(String path) {
-            return calls.stream().filter(c -> c.path().startsWith(path)).count();
+        private long countRequests(String path) {
+            return requests.stream().filter(c -> c.path().startsWith(path)).count();
         }
     }
 
-    private final Service service = new Service();
-    private final KeyValueStoreClient store = new KeyValueStoreClient(service, settings());
+    private final SimulatedStore simulatedStore = new SimulatedStore();
+    private final KeyValueStoreClient client = new KeyValueStoreClient(simulatedStore, settings());
 
     private static Settings settings() {
         List<Settings.Sibling> others =
@@ -93,69 +93,74 @@
                 .controller("n1", "n1:1", "n1:2")
                 .siblings(others)
                 .externalServices("cloud:1", "state:1")
-                .storeRates(REQUESTS_PER_SECOND, CHANGES_PER_SECOND)
+                .storeRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND)
                 .build();
     }
 
     @Test
-    void readsDoNotWaitBehindChanges() {
+    void readsAreSentWhileCommitsWaitForTheWriteBudget() {
         for (int i = 0; i < 60; i++) {
-            store.commit(new CompareAndSwap().put("h/j/" + i, Codec.object()), r -> {});
+            client.commit(new CompareAndSwap().put("h/j/" + i, Codec.object()), r -> {});
         }
-        service.run(1_000);
-        long asked = service.now();
+        simulatedStore.runUntil(1_000);
+        long asked = simulatedStore.now();
         List<Long> answered = new ArrayList<>();
-        store.get("h/j/0", r -> answered.add(service.now() - asked));
-        service.run(asked + 200);
-        assertEquals(List.of(ANSWER_MS), answered);
-        assertTrue(service.sent("/commit") < 60, "changes are still waiting");
+        client.get("h/j/0", r -> answered.add(simulatedStore.now() - asked));
+        simulatedStore.runUntil(asked + 200);
+        assertEquals(List.of(RESPONSE_MS), answered);
+        assertTrue(simulatedStore.countRequests("/commit") < 60, "changes are still waiting");
     }
 
     @Test
-    void aLeaderMayMakeTheChangesThatOthersLeaveUnused() {
-        WriteShare share = new WriteShare(ALL, LEAST, 0);
+    void leaderMayUseWritesThatOtherControllersLeaveUnused() {
+        WriteShare share = new WriteShare(PLANNED_WRITES_PER_SECOND, LEADER_SHARE_WRITES_PER_SECOND, 0);
         for (long now = 100; now <= 5_000; now += 100) {
             share.ownWritesCommitted(1, now);
             share.writesObserved(1, now);
         }
-        assertEquals(ALL, share.writesPerSecond(5_000), 0.01);
+        assertEquals(PLANNED_WRITES_PER_SECOND, share.writesPerSecond(5_000), 0.01);
         for (long now = 5_100; now <= 10_000; now += 100) {
             share.ownWritesCommitted(1, now);
             share.writesObserved(2, now);
         }
-        assertEquals(ALL - 10, share.writesPerSecond(10_000), 0.01);
+        assertEquals(PLANNED_WRITES_PER_SECOND - 10, share.writesPerSecond(10_000), 0.01);
         for (long now = 10_100; now <= 15_000; now += 100) {
             share.writesObserved(2, now);
         }
-        assertEquals(LEAST, share.writesPerSecond(15_000), 0.01, "the others use all of theirs");
+        assertEquals(
+                LEADER_SHARE_WRITES_PER_SECOND, share.writesPerSecond(15_000), 0.01, "the others use all of theirs");
     }
 
     @Test
-    void aWatchThatShowsNothingTellsNothingOfTheOthers() {
-        WriteShare share = new WriteShare(ALL, LEAST, 0);
-        assertEquals(LEAST, share.writesPerSecond(4_000), 0.01, "not known yet");
+    void windowsWithoutObservedWritesDoNotChangeTheLeadersRate() {
+        WriteShare share = new WriteShare(PLANNED_WRITES_PER_SECOND, LEADER_SHARE_WRITES_PER_SECOND, 0);
+        assertEquals(LEADER_SHARE_WRITES_PER_SECOND, share.writesPerSecond(4_000), 0.01, "not known yet");
         for (long now = 4_100; now <= 9_000; now += 100) {
             share.writesObserved(1, now);
         }
-        assertEquals(ALL - 10, share.writesPerSecond(9_000), 0.01);
-        assertEquals(ALL - 10, share.writesPerSecond(60_000), 0.01);
+        assertEquals(PLANNED_WRITES_PER_SECOND - 10, share.writesPerSecond(9_000), 0.01);
+        assertEquals(PLANNED_WRITES_PER_SECOND - 10, share.writesPerSecond(60_000), 0.01);
     }
 
     /** The leader's queue empties at the rate of all controllers while the others change nothing. */
     @Test
-    void aLeaderSendsMoreWhileOthersAreQuiet() {
-        store.setLeader(true);
-        service.answersEvents = true;
-        store.watch("h/", 0, r -> watchAgain());
+    void leaderCommitsAboveItsOwnShareWhileOtherControllersWriteNothing() {
+        client.setLeader(true);
+        simulatedStore.reportsWritesToWatches = true;
+        client.watch("h/", 0, r -> watchAgain());
         for (long at = 0; at < SECONDS * 1_000; at += 50) {
-            service.after(
-                    at, () -> store.commit(new CompareAndSwap().put("h/j/" + service.now(), Codec.object()), r -> {}));
+            simulatedStore.after(
+                    at,
+                    () -> client.commit(
+                            new CompareAndSwap().put("h/j/" + simulatedStore.now(), Codec.object()), r -> {}));
         }
-        service.run(SECONDS * 1_000);
-        assertTrue(service.sent("/commit") > SECONDS * 15, "sent " + service.sent("/commit"));
+        simulatedStore.runUntil(SECONDS * 1_000);
+        assertTrue(
+                simulatedStore.countRequests("/commit") > SECONDS * 15,
+                "sent " + simulatedStore.countRequests("/commit"));
     }
 
     private void watchAgain() {
-        service.after(60, () -> store.watch("h/", 0, r -> watchAgain()));
+        simulatedStore.after(60, () -> client.watch("h/", 0, r -> watchAgain()));
     }
 }
