--- a/src/main/java/org/hollypick/control/ControllerContext.java
+++ b/src/main/java/org/hollypick/control/ControllerContext.java
@@ -14,13 +14,13 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * The parts of a controller that outlive its terms of leadership: each {@link LeaderTerm} works on them. They are
- * confined to the event loop.
+ * The components of a controller that live as long as its process; each {@link LeaderTerm} uses them. Confined to the
+ * event loop.
  *
  * @param replica the watched replica of the store's records
  * @param dependencies the dependency graph of the jobs in {@code replica}
- * @param machineTypes by name; the controller refreshes their prices in place
- * @param graphFactory creates task graphs, if the operators switched these on
+ * @param machineTypes the cloud's machine types by name; refreshed in place, with their prices
+ * @param graphFactory creates task graphs, if they are enabled in the operator settings
  */
 public record ControllerContext(
         EventLoop eventLoop,
--- a/src/main/java/org/hollypick/control/IntervalTimer.java
+++ b/src/main/java/org/hollypick/control/IntervalTimer.java
@@ -1,8 +1,6 @@
 package org.hollypick.control;
 
-/**
- * Tells when a task that repeats at a fixed interval is due again. Due at once when new. Confined to the event loop.
- */
+/** Tracks when a periodic task is due. A new timer is due at once. Confined to the event loop. */
 final class IntervalTimer {
     private final long intervalMs;
     private long nextDueAt;
@@ -16,12 +14,12 @@
         return now >= nextDueAt;
     }
 
-    /** The task ran at {@code now}: the interval starts anew. */
+    /** Starts a new interval at {@code now}. */
     void restart(long now) {
         nextDueAt = now + intervalMs;
     }
 
-    /** If the task is due, starts the next interval and returns true. */
+    /** Starts a new interval if the task is due; returns whether it was. */
     boolean restartIfDue(long now) {
         boolean due = isDue(now);
         if (due) {
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs at an interval what a leader's machines and waiting jobs amount to, and how late its reconcile loop runs.
- * Confined to the event loop.
+ * Logs totals of the machines and pending tasks of a leader, and the lateness of its reconcile loop. Confined to the
+ * event loop.
  */
 final class LeaderMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
@@ -20,7 +20,9 @@
 
     private final Scheduler scheduler;
     private final InstanceProvisioner provisioner;
-    /** How late the reconcile loop runs, in milliseconds: what this process's share of processor time does to it. */
+    /**
+     * Milliseconds by which iterations of the reconcile loop are late: shows whether this process lacks processor time.
+     */
     private final Histogram latenessMs = new Histogram(HISTOGRAM_SIGNIFICANT_DIGITS);
 
     LeaderMetrics(Scheduler scheduler, InstanceProvisioner provisioner) {
@@ -28,12 +30,16 @@
         this.provisioner = provisioner;
     }
 
-    /** The reconcile loop ran again, {@code elapsedMs} milliseconds after the time before. */
+    /**
+     * Records the lateness of an iteration of the reconcile loop, {@code elapsedMs} milliseconds after the one before.
+     */
     void recordIteration(long elapsedMs) {
         latenessMs.recordValue(Math.max(0, elapsedMs - ReconcileConstants.RECONCILE_INTERVAL_MS));
     }
 
-    /** Sums over the machines; cores by the state and kind of their machine. */
+    /**
+     * Totals of the machines. The cores of a machine without a heartbeat count as booting, others as spot or on-demand.
+     */
     private static final class MachineTotals {
         private double onDemandCores;
         private double spotCores;
@@ -58,7 +64,7 @@
         }
     }
 
-    /** Cores that pending tasks ask for. */
+    /** Cores requested by pending tasks. */
     private static final class PendingTotals {
         private double batchCores;
         private double serviceCores;
@@ -75,7 +81,7 @@
         }
     }
 
-    /** Logs the totals of now and the lateness since the last call. */
+    /** Logs the current totals, and the lateness since the last call. */
     void log() {
         MachineTotals machines = new MachineTotals();
         scheduler.machines().forEach(machines::add);
--- a/src/main/java/org/hollypick/control/LeaderTerm.java
+++ b/src/main/java/org/hollypick/control/LeaderTerm.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership, under one fencing token. It acts on machines, instances and records only while
- * {@link #holdsLeaderLease}. A term that ended never starts again: the controller makes another. Confined to the event
- * loop.
+ * One term of leadership under one fencing token. Changes machines, instances and records only while
+ * {@link #holdsLeaderLease} is true. An ended term never starts again: each term is a new instance. Confined to the
+ * event loop.
  */
 public final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -32,7 +32,11 @@
     private final ReconcileLoop reconcileLoop;
     private boolean ended;
 
-    /** {@code token}: the revision of the leader record that names this controller. */
+    /**
+     * Creates a term that has not started.
+     *
+     * @param token the fencing token: the revision of the leader record that names this controller
+     */
     public LeaderTerm(long token, ControllerContext context) {
         this.eventLoop = context.eventLoop();
         this.membership = context.membership();
@@ -41,7 +45,10 @@
         this.recordChangeHandler = new RecordChangeHandler(context, components, reconcileLoop::requestReconcile);
     }
 
-    /** Lets the term's parts call back into it: they are made before the loop and the handler that they call. */
+    /**
+     * Forwards calls of the components to the reconcile loop and the record change handler, which are created after the
+     * components.
+     */
     private final class ComponentCallbacks implements TermComponents.Callbacks {
         @Override
         public boolean holdsLeaderLease() {
@@ -60,8 +67,8 @@
     }
 
     /**
-     * Loads the durable records and starts to reconcile. The replica holds every change up to the leader record's
-     * revision, and earlier leaders can't write after it.
+     * Loads the durable records and starts the reconcile loop. No write of an earlier leader is missing: the replica
+     * holds every change up to the revision of the leader record, and later writes of earlier leaders are rejected.
      */
     public void start() {
         recordChangeHandler.loadAll();
@@ -81,7 +88,7 @@
         reconcileLoop.start();
     }
 
-    /** The leader record names another controller or incarnation: this term acts no more. */
+    /** Ends the term, after this controller's fencing token changed: nothing is reconciled any more. */
     public void end() {
         LOG.info("leader_term.ended token={}", token());
         ended = true;
@@ -93,12 +100,12 @@
         return components.token;
     }
 
-    /** The jobs, machines and assignments as this leader knows them. */
+    /** The scheduler, with the jobs, machines and assignments of this term. */
     public Scheduler scheduler() {
         return components.scheduler;
     }
 
-    /** Cancels jobs and writes their terminal records. */
+    /** The component that cancels jobs and writes their terminal records. */
     public JobTermination jobTermination() {
         return components.jobTermination;
     }
@@ -106,7 +113,7 @@
     /**
      * The service for task graphs.
      *
-     * @return null unless the operators switched them on
+     * @return null if task graphs are disabled in the operator settings
      */
     public GraphService graphs() {
         return components.graphs;
@@ -117,12 +124,21 @@
         return !ended && membership.holdsLeaderLease(token());
     }
 
-    /** Answers an agent's heartbeat, which arrived through the controller {@code via}, while the leader lease holds. */
-    public ServerResponse heartbeatReceived(Heartbeat heartbeat, String via) {
-        return components.agentManager.heartbeatReceived(heartbeat, via);
+    /**
+     * Responds to an agent's heartbeat. A response that renews the agent's lease is sent only while the leader lease is
+     * held.
+     *
+     * @param relay the controller that received the heartbeat from the agent
+     */
+    public ServerResponse heartbeatReceived(Heartbeat heartbeat, String relay) {
+        return components.agentManager.heartbeatReceived(heartbeat, relay);
     }
 
-    /** Answers a peer that requests the right to renew agents' leases while it is partitioned from this leader. */
+    /**
+     * Responds to a peer that requests a grant to renew agents' leases while a network partition separates it from this
+     * leader. The grant is given only once all peers have requested grants in this term, and the peer's replica shows
+     * all cancellations.
+     */
     public ServerResponse grantPartitionedRenewal(RenewalGrantRequest request) {
         long now = eventLoop.now();
         WorkerLeases leases = components.scheduler.leases();
@@ -134,7 +150,7 @@
         return ServerResponse.of(200, PeerMessageCodec.write(response)).onlyWhile(this::holdsLeaderLease);
     }
 
-    /** The records under {@code keys} changed in the replica. */
+    /** Applies the changes of the records under {@code keys} in the replica. */
     public void recordsChanged(Collection<String> keys) {
         recordChangeHandler.recordsChanged(keys);
     }
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings machines, tasks and durable records to what the scheduler wants: at a regular interval, and soon after each
- * event that asks for it. It acts only while this controller holds the leader lease. Confined to the event loop.
+ * Runs the scheduler and applies its decisions to machines, tasks and durable records: at a regular interval, and
+ * shortly after each {@link #requestReconcile}. Acts only while this controller holds the leader lease. Confined to the
+ * event loop.
  */
 final class ReconcileLoop {
     private static final Logger LOG = LoggerFactory.getLogger(ReconcileLoop.class);
@@ -39,7 +40,7 @@
     private boolean stopped;
     private boolean reconcilePending;
     private long lastIterationAt;
-    /** What the leader lease rested on when it was last logged; null before that. */
+    /** The source of the leader lease when it was last logged; null before that. */
     private LeaderLeaseSource loggedLeaseSource;
 
     ReconcileLoop(ControllerContext context, TermComponents components, BooleanSupplier holdsLeaderLease) {
@@ -54,12 +55,12 @@
         this.lastIterationAt = eventLoop.now() - ReconcileConstants.RECONCILE_INTERVAL_MS;
     }
 
-    /** Runs the first iteration at once and the others at the regular interval, until {@link #stop}. */
+    /** Runs the first iteration now and the others at the regular interval, until {@link #stop}. */
     void start() {
         runIteration();
     }
 
-    /** No further iteration or reconciliation starts. */
+    /** Stops the loop: no further iteration or reconciliation starts. */
     void stop() {
         stopped = true;
     }
@@ -85,7 +86,7 @@
         long elapsedMs = now - lastIterationAt;
         components.metrics.recordIteration(elapsedMs);
         if (elapsedMs > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
-            components.localHealth.markDegraded(now); // this process itself was delayed, so silence proves nothing yet
+            components.localHealth.markDegraded(now); // heartbeats may be missing because this process was delayed
         }
         lastIterationAt = now;
     }
@@ -126,7 +127,8 @@
     }
 
     /**
-     * Asks for a new fencing token, or records once that the quota limits hold, after leaders that didn't keep them.
+     * Requests a new fencing token if one is needed. Otherwise records in the leader record that the team limits are
+     * enforced from now on, once all teams are within their limits, if earlier leaders did not enforce them.
      */
     private void updateLeaderRecord(long now) {
         if (components.jobTermination.needsNewFencingToken(now)
--- a/src/main/java/org/hollypick/control/RecordChangeHandler.java
+++ b/src/main/java/org/hollypick/control/RecordChangeHandler.java
@@ -27,8 +27,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies the records of the replica to the leader's state: jobs that were submitted or became terminal, jobs that are
- * ready or cancelled by their dependencies, machines, and complaints of agents. Confined to the event loop.
+ * Applies the replica's records to the leader's state: jobs that were submitted or became terminal, jobs that are ready
+ * or cancelled because of their dependencies, machines, and complaints of controllers that can't reach the leader.
+ * Confined to the event loop.
  */
 final class RecordChangeHandler {
     private static final Logger LOG = LoggerFactory.getLogger(RecordChangeHandler.class);
@@ -53,7 +54,7 @@
         this.requestReconcile = requestReconcile;
     }
 
-    /** Takes in all records, when the term starts. */
+    /** Applies all records of the replica when the term starts. */
     void loadAll() {
         List<String> keys = new ArrayList<>();
         replica.entries().keySet().forEach(key -> {
@@ -75,12 +76,12 @@
         machine.restoreFromRecord(decoded.address(), eventLoop.now());
     }
 
-    /** Stands for a type that the cloud no longer offers: it has no room for tasks. */
+    /** Creates a placeholder, without capacity for tasks, for a machine type that the cloud no longer offers. */
     private static MachineType unknownType(String name) {
         return new MachineType(name, 0, 0, 0, 0, 1, 1, 1, 60, Set.of());
     }
 
-    /** The records under {@code keys} changed in the replica. */
+    /** Applies the changes of the records under {@code keys} in the replica. */
     void recordsChanged(Collection<String> keys) {
         components.machineRegistry.recordsChanged(keys);
         for (String key : keys) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Also finds the terminal records that a write of this term stored although its response was lost. */
+    /** Marks the job as terminal, also when a write of this term stored the record although its response was lost. */
     private void terminalRecordFound(String id, StoreReplica.Entry entry) {
         jobTermination.terminalRecordApplied(id);
         Job job = scheduler.job(id);
@@ -132,7 +133,7 @@
         if (dependencies.isCancelled(id)) {
             components.dependentCancellation.add(id, entry.revision());
         } else if (scheduler.hasJob(id)) {
-            return; // it was taken in before
+            return; // the job was added before
         } else if (GraphRecordCodec.isGraph(entry.data())) {
             if (components.graphs != null) {
                 components.graphs.recordObserved(id, entry.data(), entry.revision());
@@ -158,7 +159,10 @@
         }
     }
 
-    /** Terminal records that are durable make the jobs that depend on them ready, or cancel them too. */
+    /**
+     * Updates the jobs whose dependencies changed: their readiness and priority, or their cancellation along with a
+     * dependency.
+     */
     void applyDependencyChanges() {
         for (String id : dependencies.takeChangedJobs()) {
             Job job = scheduler.job(id);
--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Starts to compare the peers' reachability with this controller's, if the machines are out of reach and resigning
-     * is allowed again, or the agents' leases can't wait for that.
+     * Starts to compare which machines this leader and its peers reach, if this leader is isolated, and either the
+     * pause since the last resignation has passed or agents' leases are about to expire.
      */
     void evaluate(long now) {
         if (failureDetector.isIsolated(now)
@@ -46,8 +46,9 @@
     }
 
     /**
-     * Resigns if a peer alone reaches the machines that this leader reaches only with the help of all; or if those that
-     * can't be asked may do better, unless this leader reaches nearly all machines in some way.
+     * Probes machines directly and through the peers, and resigns if one peer alone reaches more than this leader
+     * directly, and nearly all that this leader reaches by any route. Also resigns if the peers' view is unknown,
+     * unless this leader reaches nearly all machines by some route.
      */
     private void resignIfPeerReachesMore() {
         if (evaluationInProgress) {
@@ -56,9 +57,9 @@
         evaluationInProgress = true;
         membership.evaluateCandidacy(reachability -> {
             evaluationInProgress = false;
-            boolean peersMayDoBetter =
+            boolean peersMayReachMore =
                     failureDetector.isPeerReachabilityUnknown(eventLoop.now()) && !reachability.reachesNearlyAll();
-            if (holdsLeaderLease.getAsBoolean() && (peersMayDoBetter || reachability.peerLeadsBetter())) {
+            if (holdsLeaderLease.getAsBoolean() && (peersMayReachMore || reachability.peerLeadsBetter())) {
                 LOG.info("leader.resigned token={} {} {}", token, failureDetector.summary(), reachability);
                 membership.resign();
             }
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -27,17 +27,17 @@
 import org.hollypick.records.TerminalStatus;
 import org.hollypick.store.KeyValueStoreClient;
 
-/** The parts of one term of leadership and their wiring. Confined to the event loop. */
+/** The components of one term of leadership, which are created and connected here. Confined to the event loop. */
 final class TermComponents {
-    /** How the parts call back into their term. */
+    /** Calls from the components to their term. */
     interface Callbacks {
         /** Whether this controller may act as the term's leader now. */
         boolean holdsLeaderLease();
 
-        /** Something changed that a reconciliation has to act on. */
+        /** Requests a reconciliation, after a change that it has to act on. */
         void requestReconcile();
 
-        /** The states of jobs changed, so that others may be ready or cancelled. */
+        /** Called when jobs changed state, which may make dependent jobs ready or cancelled. */
         void jobStatesChanged();
     }
 
@@ -52,9 +52,9 @@
     final AttainedServiceStore attainedService;
     final JobTermination jobTermination;
     final LeaderMetrics metrics;
-    /** Null unless the operators switched estimates on. */
+    /** Null if estimates are disabled in the operator settings. */
     final RuntimeStatisticsStore runtimeStatistics;
-    /** Null unless the operators switched task graphs on. */
+    /** Null if task graphs are disabled in the operator settings. */
     final GraphService graphs;
 
     TermComponents(long token, ControllerContext context, Callbacks callbacks) {
@@ -116,7 +116,10 @@
                 graphContext, context.graphFactory(), context.operatorSettings().graphKeepMs());
     }
 
-    /** Task graphs have terminal records of their own, and their logs are kept for a while after them. */
+    /**
+     * Handles jobs that end. Task graphs have terminal records of a form of their own, and their logs are kept for a
+     * while after the end.
+     */
     private final class TerminationListener implements JobTermination.Listener {
         private final Callbacks callbacks;
 
@@ -143,7 +146,7 @@
         }
     }
 
-    /** Restores what earlier leaders recorded about the jobs that the scheduler knows by now. */
+    /** Restores what earlier leaders recorded about the jobs that the scheduler holds. */
     void loadJobState() {
         completionStore.load();
         attainedService.load();
@@ -155,7 +158,7 @@
         }
     }
 
-    /** Writes what changed in the term to the store, what users wait for first. */
+    /** Writes the term's changes to the store. Those that users wait for come first. */
     void writeChanges(boolean storeReachable, Runnable requestReconcile) {
         if (graphs != null) {
             graphs.reconcile();
--- a/src/main/java/org/hollypick/control/TermContext.java
+++ b/src/main/java/org/hollypick/control/TermContext.java
@@ -8,11 +8,11 @@
 import org.hollypick.io.EventLoop;
 
 /**
- * What the parts of one leader term share. Confined to the event loop.
+ * The objects that the components of one leader term share. Confined to the event loop.
  *
- * @param machineTypes the cloud's machine types by name; filled as they become known
+ * @param machineTypes the cloud's machine types by name; refreshed in place
  * @param leaderLeaseHeld whether this controller holds the leader lease of the term now
- * @param reconcileRequest requests a reconcile step soon; requests that come close together share one
+ * @param reconcileRequest requests a reconciliation after a short delay; requests that come close together share one
  */
 public record TermContext(
         EventLoop eventLoop,
@@ -31,7 +31,7 @@
         return leaderLeaseHeld.getAsBoolean();
     }
 
-    /** Has what changed acted on soon. */
+    /** Requests a reconciliation after a short delay, to act on a change. */
     public void requestReconcile() {
         reconcileRequest.run();
     }
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -16,13 +16,13 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * The durable copy of the live jobs' attained service, by which Tyrex ranks them: one record for each controller that
- * led, written at an interval and read by the next leader. Confined to the event loop.
+ * Stores the attained service of the live jobs, by which Tyrex orders them, for the next leader. Each controller that
+ * leads writes a record of its own at an interval. Confined to the event loop.
  */
 public final class AttainedServiceStore {
-    /** The field with the attained service by job. */
+    /** Field: the attained service by job id. */
     private static final String SERVICE_BY_JOB = "sizes";
-    /** Quotes, colon and comma around an entry. */
+    /** Bytes of the quotes, colon and comma around an entry. */
     private static final int ENTRY_OVERHEAD_BYTES = 4;
 
     private final StoreReplica replica;
@@ -31,7 +31,7 @@
     private final Scheduler scheduler;
     private String lastWrittenRecord = "";
 
-    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
+    /** Creates a store that reads from {@code replica} and writes under the scheduler's fencing token. */
     public AttainedServiceStore(
             StoreReplica replica, Settings settings, KeyValueStoreClient store, Scheduler scheduler) {
         this.replica = replica;
@@ -78,8 +78,8 @@
     }
 
     /**
-     * The largest values that a record has room for, rounded to a tenth. A job that is left out starts at zero under
-     * the next leader.
+     * Encodes the largest values that fit into a record, rounded to a tenth of a second. The attained service of a job
+     * that is left out starts at zero under the next leader.
      */
     private ObjectNode encode(Map<String, Double> serviceByJob) {
         ObjectNode record = Codec.object();
--- a/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
@@ -8,11 +8,11 @@
 import org.hollypick.config.Settings;
 import org.hollypick.config.constants.NetworkConstants;
 
-/** The records that one transaction rewrites, and the completions that become durable with it. */
+/** The records that one transaction rewrites, and the completions that are durable once it is committed. */
 final class CompletionBatch {
     private static final int MAX_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
 
-    /** The completed tasks of a part, as of when they were added to the batch. */
+    /** The completed tasks of a part when it was added to the batch. */
     record Completions(CompletionPart part, BitSet completed) {}
 
     private final Set<CompletionRecord> records = new LinkedHashSet<>();
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Adds the part's completions, which belong into {@code record}; returns false if that has no room or has to wait.
+     * Adds the part's completions, which are stored in {@code record}. Returns false if the transaction has no capacity
+     * for the record, or if the revision of the record is uncertain and has to be looked up first.
      */
     boolean add(CompletionPart part, CompletionRecord record) {
         boolean accepted = records.contains(record) || (!record.isRevisionUncertain() && hasCapacityForRecord());
--- a/src/main/java/org/hollypick/control/jobs/CompletionPart.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionPart.java
@@ -6,21 +6,21 @@
 import org.hollypick.core.Job;
 
 /**
- * A range of one job's tasks whose completions are stored together, under one name in a record.
+ * A range of one job's tasks whose completions are stored together, as one field of a record.
  *
  * @param name the field's name in the record
- * @param firstTask the first task
- * @param endTask the task after the last
+ * @param firstTask the index of the first task
+ * @param endTask the index after that of the last task
  */
 record CompletionPart(Job job, String name, int firstTask, int endTask) {
     private static final int BITS_PER_BASE64_CHARACTER = 6;
 
     /**
-     * The job's part that starts at task {@code firstTask}. A part that starts at a multiple of the largest part's size
-     * is named by its number. Any other is named by its first task, in a form that earlier versions, which don't know
-     * it, don't take for any job's.
+     * Creates the job's part that starts at {@code firstTask}. It is named by its number if the job can't grow and all
+     * its parts start at multiples of the largest part's size. Otherwise it is named by its first task; earlier
+     * versions read such a name as that of a part of a job that doesn't exist, and ignore it.
      *
-     * @param chunkTasks the tasks of a part
+     * @param chunkTasks the number of tasks in each part but the last
      */
     static CompletionPart of(Job job, int firstTask, int chunkTasks) {
         String id = job.spec.id();
@@ -32,7 +32,7 @@
     }
 
     /**
-     * The part that a record names.
+     * Parses the name of a part.
      *
      * @param liveJobs finds a live job by its id
      * @return null if the job isn't live
@@ -52,29 +52,31 @@
                 job, name, firstTask, boundedEnd(job, firstTask + JobConstants.COMPLETION_CHUNK_TASKS));
     }
 
-    /** A part of a job that may grow has its full length from the start. */
+    /**
+     * Limits the end of a part to the job's tasks. A part of a job that may grow has its full length from the start.
+     */
     private static int boundedEnd(Job job, int end) {
         return job.mayGrow() ? end : Math.min(job.spec.tasks(), end);
     }
 
-    /** The most tasks that a part may have, if a record has {@code maxBytes}. */
+    /** The largest number of tasks that a part may have in a record of at most {@code maxBytes}. */
     static int maxTasks(int maxBytes) {
         return Math.min(
                 JobConstants.COMPLETION_CHUNK_TASKS,
                 (maxBytes - JobConstants.COMPLETION_PART_OVERHEAD_BYTES) * BITS_PER_BASE64_CHARACTER);
     }
 
-    /** An upper bound for the part's bytes in a record: its bits in base64, its name and what is around it. */
+    /** An upper bound for the part's bytes in a record: its bits in base64, its name, and the quotes and separators. */
     int maxBytes() {
         return (endTask - firstTask) / BITS_PER_BASE64_CHARACTER + JobConstants.COMPLETION_PART_OVERHEAD_BYTES;
     }
 
-    /** The part's bits of a set of the job's tasks, counted from the part's first task. */
+    /** The part's range of a set of the job's tasks: bit 0 is the part's first task. */
     BitSet slice(BitSet tasks) {
         return tasks.get(firstTask, endTask);
     }
 
-    /** Whether tasks completed that aren't durable as completed. */
+    /** Whether the part has completed tasks whose completion isn't durable. */
     boolean hasNewCompletions() {
         return !slice(job.completedTasks).equals(slice(job.durablyCompleted()));
     }
@@ -83,14 +85,17 @@
         return job.isLive();
     }
 
-    /** Takes in what a record says: these tasks completed, and that is durable. */
+    /**
+     * Applies completed tasks that were read from a record, as a {@link #slice}, to the job: their completion is
+     * durable.
+     */
     void restore(BitSet completed) {
         completed.stream().forEach(i -> job.completedTasks.set(firstTask + i));
         job.markCompletionsDurable();
         job.pendingTasks.andNot(job.completedTasks);
     }
 
-    /** These tasks, of a {@link #slice}, are durable as completed now. */
+    /** Marks the completion of these tasks, a {@link #slice}, as durable. */
     void markDurable(BitSet completed) {
         completed.stream().forEach(i -> job.durablyCompleted().set(firstTask + i));
     }
--- a/src/main/java/org/hollypick/control/jobs/CompletionRecord.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionRecord.java
@@ -7,9 +7,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.records.TaskBitmapCodec;
 
-/**
- * One record of completions: its key, the revision that this leader knows, and its parts. Confined to the event loop.
- */
+/** A record of completed tasks: its key, its last known revision, and its parts. Confined to the event loop. */
 final class CompletionRecord {
     private final String key;
     private final Map<String, CompletionPart> partsByName = new LinkedHashMap<>();
@@ -29,18 +27,21 @@
         return revision;
     }
 
-    /** A write of the record succeeded. */
+    /** Sets the revision that a successful write of the record returned. */
     void markWritten(long newRevision) {
         revision = newRevision;
     }
 
-    /** A linearizable read showed the record's revision. */
+    /** Sets the revision that a linearizable read showed, which is therefore certain. */
     void resolveRevision(long currentRevision) {
         revision = currentRevision;
         revisionUncertain = false;
     }
 
-    /** A write of the record has no known outcome: its revision has to be looked up before the next. */
+    /**
+     * Marks the revision as uncertain, after a write with unknown outcome: it has to be looked up before the next
+     * write.
+     */
     void markRevisionUncertain() {
         revisionUncertain = true;
     }
@@ -61,7 +62,7 @@
         return partsByName.values();
     }
 
-    /** An upper bound for the bytes of the parts that are still needed. */
+    /** An upper bound for the bytes of the parts of live jobs. */
     int maxBytes() {
         return partsByName.values().stream()
                 .filter(CompletionPart::isLive)
@@ -69,7 +70,7 @@
                 .sum();
     }
 
-    /** The record's value as of now. */
+    /** Encodes the completed tasks of all parts. */
     ObjectNode encode() {
         ObjectNode value = Codec.object();
         for (CompletionPart part : partsByName.values()) {
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -18,11 +18,11 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * The durable checkpoint of which tasks of the live jobs completed: many jobs to a record, since writes per second are
- * scarce. Each write is conditional on the revision that it replaces, so one that is applied late can't undo
- * completions that were relied on since. A record that is too large to be written again, since the limits were lowered,
- * passes its parts on to others one by one: a part is removed only once the other record is durable, and a reader takes
- * in what any record says. Confined to the event loop.
+ * Stores which tasks of the live jobs are completed. A record holds the tasks of many jobs, because the store's write
+ * rate is limited. Each write is conditional on the revision that it replaces, so a write that is applied late can't
+ * undo completions that were relied on since. If a record is too large to be written again, because the store's limits
+ * were lowered, its parts move to other records one by one: a part is removed from the old record only once the other
+ * record is durable, and {@link #load} combines the contents of all records. Confined to the event loop.
  */
 public final class CompletionStore {
     private final EventLoop eventLoop;
@@ -40,7 +40,7 @@
     private boolean requestInFlight;
     private long nextWriteNotBefore;
 
-    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
+    /** Creates a store that reads from {@code replica} and writes under the scheduler's fencing token. */
     public CompletionStore(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -56,7 +56,7 @@
         this.chunkTasks = CompletionPart.maxTasks(maxRecordBytes);
     }
 
-    /** Restores what earlier leaders recorded about the live jobs. */
+    /** Restores the completed tasks of the live jobs that earlier leaders recorded. */
     public void load() {
         replica.entries().forEach((key, entry) -> {
             if (key.startsWith(StoreKeys.CHECKPOINTS)) {
@@ -78,7 +78,10 @@
         });
     }
 
-    /** Writes new completions, one transaction at a time and after everything that users wait for. */
+    /**
+     * Writes new completions, one transaction at a time, while the store has spare write capacity: users don't wait for
+     * these writes.
+     */
     public void flush() {
         if (requestInFlight
                 || !scheduler.outbox().hasNewCompletions()
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Adds the job's new completions to the batch, as far as it has room; returns whether all are in it. */
+    /** Adds the job's new completions to the batch, as far as they fit; returns whether all were added. */
     private boolean addAllParts(Job job, CompletionBatch batch) {
         List<CompletionPart> changedParts = new ArrayList<>();
         for (int from = 0; from < job.tasks(); from += chunkTasks) {
@@ -117,7 +120,9 @@
         return addedAll;
     }
 
-    /** The record that the part is written to: the one that it is in, unless that is too large by now. */
+    /**
+     * The record to write the part to: the one that holds it, or another if that one is too large to be written again.
+     */
     private CompletionRecord recordFor(CompletionPart part) {
         CompletionRecord current = recordsByPart.get(part.name());
         if (current != null && current.maxBytes() <= maxRecordBytes) {
@@ -188,7 +193,7 @@
                         scheduler.outbox().addNewCompletions(completions.part().job()));
     }
 
-    /** If the part is durable in the record that it is written to, the others needn't keep it. */
+    /** Removes the part from the other records, if {@code durableIn} is the record that it is written to now. */
     private void removeFromOtherRecords(String partName, CompletionRecord durableIn) {
         if (recordsByPart.get(partName) != durableIn) {
             return;
@@ -200,7 +205,7 @@
         }
     }
 
-    /** A linearizable read shows the revision of each record whose last write has no known outcome. */
+    /** Looks up, by a linearizable read, the revisions of the records whose last write has an unknown outcome. */
     private void lookUpUncertainRevisions() {
         List<CompletionRecord> uncertain =
                 records.stream().filter(CompletionRecord::isRevisionUncertain).toList();
@@ -208,9 +213,9 @@
             return;
         }
         requestInFlight = true;
-        replica.linearizableRead(fresh -> {
+        replica.linearizableRead(upToDate -> {
             requestInFlight = false;
-            if (fresh) {
+            if (upToDate) {
                 uncertain.forEach(record -> record.resolveRevision(replica.revisionOf(record.key())));
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the terminal records of jobs that are cancelled since a dependency was. Every controller derives their state
- * from the dependency's record alone, so these writes can wait: they go out many to a transaction, after everything
- * that users wait for. Confined to the event loop.
+ * Writes the terminal records of jobs that are cancelled because a dependency was cancelled. Every controller derives
+ * their state from the dependency's record, so these writes are not urgent: they are batched, and sent only while the
+ * store has spare write capacity. Confined to the event loop.
  */
 public final class DependentCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(DependentCancellation.class);
@@ -28,13 +28,13 @@
     private final KeyValueStoreClient store;
     private final Settings settings;
     private final long token;
-    /** Revisions of the live records that are to be replaced, by job. */
+    /** The revision of the live record to be replaced, by job id. */
     private final Map<String, Long> pendingRevisions = new LinkedHashMap<>();
 
     private boolean writeInFlight;
     private long retryNotBefore;
 
-    /** Writes under the fencing token {@code token}. */
+    /** Creates a writer under the fencing token {@code token}. */
     public DependentCancellation(
             EventLoop eventLoop, StoreReplica replica, KeyValueStoreClient store, Settings settings, long token) {
         this.eventLoop = eventLoop;
@@ -44,7 +44,11 @@
         this.token = token;
     }
 
-    /** Queues the terminal record of a cancelled job; {@code revision}: that of its live record. */
+    /**
+     * Queues the terminal record of a cancelled job.
+     *
+     * @param revision the revision of the job's live record
+     */
     public void add(String id, long revision) {
         pendingRevisions.put(id, revision);
     }
@@ -73,7 +77,7 @@
             if (result.committed()) {
                 pendingRevisions.keySet().removeAll(jobIds);
             } else {
-                // by then the replica shows what was written otherwise
+                // after this delay the replica shows terminal records that other writes stored
                 retryNotBefore = eventLoop.now() + ElectionConstants.SESSION_RETRY_MS;
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -24,13 +24,14 @@
     private final TerminalRecordWriter recordWriter;
     private final Consumer<TerminalWrite> onDurable;
     /**
-     * Jobs whose records weren't as expected: each is written in a transaction of its own and so holds up no others.
+     * Ids of jobs whose records had an unexpected revision. Each is written in a transaction of its own, whose
+     * conflicts don't affect other jobs.
      */
     private final Set<String> jobsInSeparateTransactions = new HashSet<>();
 
     private int batchesInFlight;
 
-    /** {@code onDurable} receives each write that is known to be durable. */
+    /** Creates a writer; {@code onDurable} receives each write that is known to be durable. */
     FinishedJobWriter(
             Scheduler scheduler,
             KeyValueStoreClient store,
@@ -43,9 +44,9 @@
     }
 
     /**
-     * Writes the terminal records that are due, several to a transaction. While requests are queued for the store,
-     * fewer transactions are in flight: more would keep new jobs from being accepted, and fewer would answer users
-     * late.
+     * Writes the terminal records that are due, in batches. While requests to the store are queued, fewer batches are
+     * in flight: more of them would keep new jobs from being accepted, and still fewer would delay the terminal states
+     * that users see.
      */
     void writeFinishedJobs() {
         List<Job> finishedJobs = new ArrayList<>();
@@ -68,7 +69,7 @@
                 : JobConstants.TERMINAL_WRITES_WHILE_QUEUED;
     }
 
-    /** The first of the jobs, as many as one transaction has room for. */
+    /** Prepares the writes of the first jobs, as many as fit into one transaction. */
     private List<TerminalWrite> nextBatch(List<Job> finishedJobs) {
         List<TerminalWrite> batch = new ArrayList<>();
         int bytes = 0;
@@ -76,13 +77,13 @@
             TerminalWrite write =
                     recordWriter.prepare(job, job.isSuccessful() ? TerminalStatus.COMPLETED : TerminalStatus.CANCELLED);
             bytes += RecordSize.encodedBytes(write.record());
-            boolean alone = jobsInSeparateTransactions.contains(write.jobId());
-            boolean full = alone || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
+            boolean separate = jobsInSeparateTransactions.contains(write.jobId());
+            boolean full = separate || batch.size() >= store.maxBatchWrites() || bytes > MAX_BATCH_BYTES;
             if (full && !batch.isEmpty()) {
                 break;
             }
             batch.add(write);
-            if (alone) {
+            if (separate) {
                 break;
             }
         }
@@ -120,7 +121,7 @@
         }
     }
 
-    /** The job's terminal record is durable, whoever wrote it. */
+    /** Discards what is kept about the job, whose terminal state is durable by this or another write. */
     void jobTerminated(String id) {
         jobsInSeparateTransactions.remove(id);
     }
--- a/src/main/java/org/hollypick/control/jobs/JobStore.java
+++ b/src/main/java/org/hollypick/control/jobs/JobStore.java
@@ -23,19 +23,22 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * The durable records of jobs, on any controller: creates them for submissions, and feeds the dependency graph from
- * those in the replica. Confined to the event loop.
+ * Creates the records of submitted jobs, and updates the dependency graph from the job records in the replica. Every
+ * controller has one, whether it leads or not. Confined to the event loop.
  */
 public final class JobStore {
     private final StoreReplica replica;
     private final JobDependencies dependencies;
     private final SubmissionWriter submissionWriter;
-    /** Jobs that certainly have a record which the replica doesn't show yet: a repeated submission costs no write. */
+    /**
+     * Ids of jobs that certainly have a record which the replica doesn't show yet: a repeated submission needs no
+     * write.
+     */
     private final Set<String> durableAheadOfReplica = new HashSet<>();
-    /** Jobs whose records are being written, and the callers that submitted them again meanwhile. */
+    /** Callers that submitted a job again while its record is being written, by job id. */
     private final Map<String, List<Consumer<SubmissionOutcome>>> writesInFlight = new HashMap<>();
 
-    /** {@code dependencies} is kept up to date with the replica by {@link #recordsChanged}. */
+    /** Creates a store that keeps {@code dependencies} up to date with the replica by {@link #recordsChanged}. */
     public JobStore(
             EventLoop eventLoop,
             Settings settings,
@@ -49,7 +52,7 @@
                 new SubmissionWriter(eventLoop, settings, store, membership, dependencies, this::markRecordExists);
     }
 
-    /** The records under {@code keys} changed in the replica. */
+    /** Applies the changes of the records under {@code keys} in the replica. */
     public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
             StoreReplica.Entry entry = key.startsWith(StoreKeys.JOBS) ? replica.get(key) : null;
@@ -91,22 +94,22 @@
     }
 
     /**
-     * Creates the record of an accepted job. A repeated submission waits for the write in flight: one of its own would
-     * fail, and count against the store's write limit.
+     * Creates the record of an accepted job. A repeated submission waits for the write in flight: a second write would
+     * conflict with the first, and count against the store's write limit.
      *
-     * @param dependencyIds the jobs that it depends on, each of which has a record
-     * @param finished receives the outcome
+     * @param dependencyIds the ids of the jobs that the job depends on, each of which has a record
+     * @param onOutcome receives the outcome
      */
-    public void create(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> finished) {
+    public void create(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> onOutcome) {
         List<Consumer<SubmissionOutcome>> repeatedCallers = writesInFlight.get(spec.id());
         if (repeatedCallers != null) {
-            repeatedCallers.add(finished);
+            repeatedCallers.add(onOutcome);
             return;
         }
         writesInFlight.put(spec.id(), new ArrayList<>());
         submissionWriter.write(spec, dependencyIds, outcome -> {
             List<Consumer<SubmissionOutcome>> waitingCallers = writesInFlight.remove(spec.id());
-            finished.accept(outcome);
+            onOutcome.accept(outcome);
             SubmissionOutcome repeatedOutcome =
                     outcome == SubmissionOutcome.CREATED ? SubmissionOutcome.ALREADY_EXISTS : outcome;
             waitingCallers.forEach(caller -> caller.accept(repeatedOutcome));
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -19,22 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Ends the jobs of one term: writes their terminal records and applies what is durable to the scheduler and the
- * dependencies. A terminal state is visible to users only once it is durable; while the outcome of a write is
- * unresolved, this controller doesn't answer for the job. Confined to the event loop.
+ * Ends the jobs of one term: writes their terminal records, and applies durable terminal states to the scheduler and
+ * the dependency graph. A terminal state is visible to users only once it is durable; while the outcome of such a write
+ * is unknown, users are not answered from this controller's state of the job. Confined to the event loop.
  */
 public final class JobTermination {
     private static final Logger LOG = LoggerFactory.getLogger(JobTermination.class);
 
-    /** What a term does about jobs that end. */
+    /** Callbacks for jobs that end. */
     public interface Listener {
-        /** The record that is to be stored for a job that ends with {@code status}. */
+        /** Creates the record to be stored for a job that ends with {@code status}. */
         ObjectNode terminalRecord(Job job, TerminalStatus status);
 
-        /** The job's terminal record is durable. */
+        /** Called when the job's terminal state is durable, or follows from a dependency's that is. */
         void jobTerminated(String id);
 
-        /** The states of jobs changed: others may be ready or cancelled, and there may be something to write. */
+        /**
+         * Called when jobs changed state, which may make dependent jobs ready or cancelled, and records due to be
+         * written.
+         */
         void jobStatesChanged();
     }
 
@@ -48,12 +51,15 @@
     private final FinishedJobWriter finishedJobWriter;
     /** Live jobs whose cancellation was requested, by id. */
     private final Map<String, PendingCancellation> pendingCancellations = new LinkedHashMap<>();
-    /** Jobs that are terminal by the response to a write, while the replica still holds their live record. */
+    /**
+     * Ids of jobs whose terminal record is durable by the response to a write, while the replica holds their live
+     * record.
+     */
     private final Set<String> terminalAheadOfReplica = new HashSet<>();
 
     private long lastCancellationRevision;
 
-    /** Writes under the scheduler's fencing token. */
+    /** Creates a component that writes under the scheduler's fencing token. */
     public JobTermination(
             EventLoop eventLoop,
             Scheduler scheduler,
@@ -74,27 +80,30 @@
 
     /**
      * Whether this term ended the job though the replica still holds its live record. The job mustn't be added again
-     * from that record: users would be told that it is live, and its tasks would start once more.
+     * from that record: users would see it as live, and its tasks would start again.
      */
     public boolean isTerminalAheadOfReplica(String id) {
         return terminalAheadOfReplica.contains(id);
     }
 
-    /** The replica holds the job's terminal record. */
+    /** Called when the replica holds the job's terminal record. */
     public void terminalRecordApplied(String id) {
         terminalAheadOfReplica.remove(id);
     }
 
-    /** The response to the write of the job's terminal record says that it is durable. */
+    /**
+     * Marks the job as terminal, after the response to the write of its terminal record showed that the record is
+     * durable.
+     */
     private void markTerminalAfterCommit(Job job, TerminalStatus status) {
-        boolean replicaWasFirst = !scheduler.hasJob(job.spec.id());
-        if (!replicaWasFirst) {
+        boolean appliedFromReplica = !scheduler.hasJob(job.spec.id());
+        if (!appliedFromReplica) {
             terminalAheadOfReplica.add(job.spec.id());
         }
         markTerminal(job, status);
     }
 
-    /** The job's terminal state is durable, or follows from a dependency's that is. */
+    /** Marks the job as terminal. Its terminal state is durable, or follows from a dependency's that is. */
     public void markTerminal(Job job, TerminalStatus status) {
         String id = job.spec.id();
         scheduler.removeJob(id);
@@ -116,8 +125,8 @@
     }
 
     /**
-     * Whether the job may be terminal by a write that is unresolved, its own or the cancellation of a dependency:
-     * another controller may tell users so already.
+     * Whether the job may be terminal by a write with unknown outcome, of its own terminal record or of the
+     * cancellation of a dependency. Another controller may have reported the terminal state to users already.
      */
     public boolean hasUnresolvedTerminalWrite(Job job) {
         return recordWriter.hasUnresolvedWrite(job);
@@ -140,11 +149,12 @@
     // ---- cancellation ----
 
     /**
-     * Cancels a job: its tasks are cancelled at once, and its terminal record is written, again and again until that is
-     * known to be durable.
+     * Cancels a job: stops its tasks at once, and writes its terminal record, repeatedly until the record is known to
+     * be durable.
      *
-     * @param caller receives true once the cancellation is durable, and false if that takes longer than a user waits:
-     *     another controller may tell the cancellation all the same by then
+     * @param caller receives true once the cancellation is durable; false if the job completes instead, if a write
+     *     fails, or after {@link JobConstants#CANCELLATION_RESPONSE_TIMEOUT_MS}. After a failed write or the timeout,
+     *     another controller may still report the cancellation.
      */
     public void cancel(Job job, Consumer<Boolean> caller) {
         PendingCancellation cancellation =
@@ -168,18 +178,18 @@
         return new PendingCancellation(job, eventLoop.now());
     }
 
-    /** Whether the job is live and its cancellation was requested; it may be durable already. */
+    /** Whether the job is live and its cancellation was requested. The cancellation may be durable already. */
     public boolean isCancellationRequested(String id) {
         return pendingCancellations.containsKey(id);
     }
 
     /**
-     * Writes the pending cancellations. None is written while a task of the job may yet start, by a launch in flight or
-     * once its image is fetched: so nothing of the job starts after anyone can be told that it is cancelled, and the
-     * tasks that are left are in the heartbeats and are stopped by the responses to them.
+     * Writes the pending cancellations. None is written while a task of the job may still start, by a launch in flight
+     * or once its image is fetched. Thus no task starts after users can learn of the cancellation, and the remaining
+     * tasks appear in heartbeats, whose responses stop them.
      *
-     * @param storeReachable whether the store answers; without a caller that waits, a cancellation is written only then
-     *     and when the store has capacity to spare
+     * @param storeReachable whether the store responds; a cancellation without a waiting caller is written only then,
+     *     and only while the store has spare write capacity
      */
     public void writeCancellations(boolean storeReachable) {
         long now = eventLoop.now();
@@ -207,7 +217,7 @@
         });
     }
 
-    /** The replica holds the cancelled record of a job that was live in this term. */
+    /** Marks a live job as cancelled, after the replica showed its cancelled record. */
     public void cancelledRecordFound(Job job, long revision) {
         updateLastCancellationRevision(revision);
         markTerminal(job, TerminalStatus.CANCELLED);
@@ -224,15 +234,19 @@
         return lastCancellationRevision;
     }
 
-    /** Whether a replica that holds every change up to {@code appliedRevision} shows all durable cancellations. */
+    /**
+     * Whether a replica that holds every change up to {@code appliedRevision} shows all cancellations; false while the
+     * outcome of one is unknown.
+     */
     public boolean replicaShowsAllCancellations(long appliedRevision) {
         return !recordWriter.hasUnresolvedCancellations()
                 && Long.compareUnsigned(appliedRevision, lastCancellationRevision) >= 0;
     }
 
     /**
-     * Whether a launch in flight, on a machine whose lease is still renewed, has held up a cancellation for so long
-     * that a new fencing token has to end it: agents refuse what was sent under an older token.
+     * Whether a new fencing token is needed to stop a launch in flight, which has delayed a cancellation by more than
+     * {@link JobConstants#FENCING_DELAY_MS} on a machine whose lease was renewed within that time. Agents reject what
+     * was sent under an older token.
      */
     public boolean needsNewFencingToken(long now) {
         long oldest = now - JobConstants.FENCING_DELAY_MS;
--- a/src/main/java/org/hollypick/control/jobs/PendingCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/PendingCancellation.java
@@ -24,7 +24,7 @@
         return job;
     }
 
-    /** Whether the job was to be cancelled before {@code time}. */
+    /** Whether the cancellation was requested before {@code time}. */
     boolean wasRequestedBefore(long time) {
         return requestedAt < time;
     }
@@ -33,7 +33,7 @@
         waitingCallers.add(caller);
     }
 
-    /** A caller waits no longer; returns whether it was still waiting. */
+    /** Removes a caller; returns whether it was still waiting. */
     boolean removeCaller(Consumer<Boolean> caller) {
         return waitingCallers.remove(caller);
     }
@@ -46,7 +46,7 @@
         return writeInFlight;
     }
 
-    /** Whether the last write is so long ago that it may be repeated though no caller waits. */
+    /** Whether the last write began long enough ago to be repeated without a waiting caller. */
     boolean isRewriteDue(long now) {
         return now - lastWrittenAt >= JobConstants.CANCELLATION_REWRITE_MS;
     }
@@ -60,7 +60,7 @@
         writeInFlight = false;
     }
 
-    /** Answers all callers that wait. */
+    /** Passes the result to all waiting callers and removes them. */
     void answerCallers(boolean durable) {
         List<Consumer<Boolean>> callers = new ArrayList<>(waitingCallers);
         waitingCallers.clear();
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -26,27 +26,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The durable copy of the run time statistics, for the next leader. The kinds of tasks are spread by hash over a few
- * records, one of which is written at an interval, after everything that users wait for. Each write is conditional on
- * the leader record and on the revision that it replaces, so one that is applied late undoes nothing. Confined to the
- * event loop.
+ * Stores the run time statistics for the next leader. The kinds of tasks are distributed by hash over a few records,
+ * one of which is written at an interval, if the store has spare write capacity. Each write is conditional on the
+ * leader record and on the revision that it replaces, so a write that is applied late can't overwrite newer statistics.
+ * Confined to the event loop.
  */
 public final class RuntimeStatisticsStore {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeStatisticsStore.class);
 
-    /** The number of the record's format. */
+    /** Field: the version of the record's format. */
     private static final String FORMAT = "v";
-    /** The list of the record's kinds, the one with the latest run last. */
+    /** Field: the list of the record's kinds, the one with the latest run last. */
     private static final String KINDS = "kinds";
-    /** In a kind: its name. */
+    /** Field of a kind: its name. */
     private static final String KIND_NAME = "k";
-    /** In a kind: how many runs were seen of it in all. */
+    /** Field of a kind: the number of runs ever observed. */
     private static final String OBSERVED_RUNS = "n";
-    /** In a kind: its latest runs, {@link #NUMBERS_PER_RUN} numbers each. */
+    /** Field of a kind: its latest runs, {@link #NUMBERS_PER_RUN} numbers each. */
     private static final String RUNS = "r";
 
     private static final int NUMBERS_PER_RUN = 3;
-    /** Bytes of a record beside its kinds, at most. */
+    /** Bytes of a record besides its kinds, at most. */
     private static final int RECORD_OVERHEAD_BYTES = 32;
 
     private final EventLoop eventLoop;
@@ -55,13 +55,15 @@
     private final Settings settings;
     private final long token;
     private final Estimates estimates;
-    /** For each record its kinds, the one with the latest run last, and whether it has runs that aren't written yet. */
+    /**
+     * By record number: the record's kinds, the one with the latest run last, each with whether it has unwritten runs.
+     */
     private final List<LinkedHashMap<String, Boolean>> kindsByRecord = new ArrayList<>();
 
     private long nextWriteAt;
     private int nextRecord;
 
-    /** Reads from {@code replica} and writes under the scheduler's fencing token. */
+    /** Creates a store that reads from {@code replica} and writes under the scheduler's fencing token. */
     public RuntimeStatisticsStore(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -84,7 +86,7 @@
         nextWriteAt = eventLoop.now() + EstimateConstants.STATISTICS_WRITE_INTERVAL_MS;
     }
 
-    /** The number of the record that a kind belongs to. */
+    /** The number of the record that stores a kind. */
     private static int recordNumberOf(String kind) {
         return Hashing.consistentHash(
                 Hashing.murmur3_32_fixed().hashString(kind, StandardCharsets.UTF_8),
@@ -95,7 +97,10 @@
         return entry.data().path(FORMAT).asInt() > EstimateConstants.STATISTICS_FORMAT;
     }
 
-    /** Restores the statistics that earlier leaders recorded. A record that can't be read is ignored. */
+    /**
+     * Restores the statistics that earlier leaders recorded. Ignores records of a newer format; an invalid record is
+     * restored up to its first invalid kind.
+     */
     public void load() {
         for (int i = 0; i < EstimateConstants.STATISTICS_RECORDS; i++) {
             StoreReplica.Entry entry = replica.get(StoreKeys.runtimeStatistics(i));
@@ -112,7 +117,7 @@
                 estimates.restore(kind);
                 kindsByRecord.get(number).put(kind.kind(), false);
             }
-        } catch (RuntimeException e) { // the statistics are collected anew
+        } catch (RuntimeException e) { // the remaining kinds are observed again
             LOG.error(
                     "runtime_statistics.record_rejected key={} reason={}",
                     StoreKeys.runtimeStatistics(number),
@@ -120,7 +125,9 @@
         }
     }
 
-    /** Writes the next record with new statistics, once the write interval passed and the store has spare capacity. */
+    /**
+     * Writes the next record with new statistics, once the write interval has passed and the store has spare capacity.
+     */
     public void flush() {
         for (String kind : estimates.takeUpdatedKinds()) {
             LinkedHashMap<String, Boolean> kinds = kindsByRecord.get(recordNumberOf(kind));
@@ -161,7 +168,8 @@
     }
 
     /**
-     * The record's value; {@code kinds}, in the order of their runs, lose what it has no room for, the oldest first.
+     * Encodes as many kinds as fit into a record, the one with the latest run first, and removes the others from
+     * {@code kinds}.
      */
     private ObjectNode encode(Map<String, Boolean> kinds) {
         ArrayDeque<ObjectNode> latestLast = new ArrayDeque<>();
@@ -199,7 +207,9 @@
     private static Estimates.Snapshot decode(JsonNode encoded) {
         JsonNode numbers = encoded.path(RUNS);
         if (!encoded.path(KIND_NAME).isTextual() || numbers.size() % NUMBERS_PER_RUN != 0) {
-            throw new IllegalArgumentException("kind or runs");
+            throw new IllegalArgumentException("kind " + encoded.path(KIND_NAME) + ": field " + KIND_NAME
+                    + " must be a text and is " + encoded.path(KIND_NAME).getNodeType() + ", field " + RUNS
+                    + " must have a multiple of " + NUMBERS_PER_RUN + " numbers and has " + numbers.size());
         }
         short[][] runs = new short[numbers.size() / NUMBERS_PER_RUN][NUMBERS_PER_RUN];
         for (int i = 0; i < numbers.size(); i++) {
--- a/src/main/java/org/hollypick/control/jobs/SubmissionOutcome.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionOutcome.java
@@ -4,10 +4,12 @@
 public enum SubmissionOutcome {
     /** The job's record was stored. */
     CREATED,
-    /** The job has a record already: the submission is a repeated one. */
+    /** The job already has a record: this is a repeated submission. */
     ALREADY_EXISTS,
-    /** No record can hold the job. */
+    /** The job doesn't fit into a record. */
     TOO_LARGE,
-    /** It isn't known whether the record was stored, or the store has no capacity: the user has to submit again. */
+    /**
+     * It is unknown whether the record was stored, or the store has no capacity: the user has to submit the job again.
+     */
     RETRY_LATER
 }
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -20,12 +20,12 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * Writes the records of submitted jobs. Dependencies that a job's own record has no room for are written before it, in
- * records under keys that were never used; the job's record names them, and it alone makes the job exist. Confined to
- * the event loop.
+ * Writes the records of submitted jobs. Dependencies that don't fit into a job's own record are written first, to
+ * records under keys that were never used before. The job exists only once its own record, which refers to the others,
+ * is written. Confined to the event loop.
  */
 final class SubmissionWriter {
-    /** Quotes and comma around an id in a list. */
+    /** Bytes of the quotes and comma around an id in a list. */
     private static final int LIST_ELEMENT_OVERHEAD_BYTES = 3;
 
     private final EventLoop eventLoop;
@@ -34,9 +34,14 @@
     private final Membership membership;
     private final JobDependencies dependencies;
     private final ObjLongConsumer<String> onRecordExists;
+    /** Number of keys used for dependency lists, which makes the next one unique. */
     private long usedDependencyKeys;
 
-    /** {@code onRecordExists} receives the id of each job that has a record, and a revision at which it had one. */
+    /**
+     * Creates a writer.
+     *
+     * @param onRecordExists receives the id of each job that has a record, and a revision at which the record existed
+     */
     SubmissionWriter(
             EventLoop eventLoop,
             Settings settings,
@@ -53,39 +58,40 @@
     }
 
     /** Writes the record of a job that depends on the jobs {@code dependencyIds}, each of which has a record. */
-    void write(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> finished) {
-        List<String> undecided = dependenciesToRecord(dependencyIds);
+    void write(JobSpec spec, Collection<String> dependencyIds, Consumer<SubmissionOutcome> onOutcome) {
+        List<String> recordedDependencies = dependenciesToRecord(dependencyIds);
         int maxBytes = RecordSize.maxBytes(settings);
-        if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, undecided, null)) <= maxBytes) {
-            writeJobRecord(spec, undecided, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, finished);
+        if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, recordedDependencies, null))
+                <= maxBytes) {
+            writeJobRecord(spec, recordedDependencies, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, onOutcome);
             return;
         }
         String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), usedDependencyKeys);
         usedDependencyKeys++;
-        DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(undecided, maxBytes));
+        DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(recordedDependencies, maxBytes));
         if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists))
                 > maxBytes) {
-            finished.accept(SubmissionOutcome.TOO_LARGE);
+            onOutcome.accept(SubmissionOutcome.TOO_LARGE);
         } else {
-            writeDependencyLists(spec, dependencyLists, 0, finished);
+            writeDependencyLists(spec, dependencyLists, 0, onOutcome);
         }
     }
 
     /**
-     * The dependencies that the record has to name: those that aren't completed, which is final. One that is cancelled
-     * decides the job's fate alone.
+     * The dependencies that the record has to name. Those that are completed are left out, since completion is final.
+     * If one is cancelled, that one is enough, since the job is cancelled with it.
      */
     private List<String> dependenciesToRecord(Collection<String> dependencyIds) {
-        List<String> undecided = new ArrayList<>();
+        List<String> recordedDependencies = new ArrayList<>();
         for (String id : dependencyIds) {
             if (dependencies.isCancelled(id)) {
                 return List.of(id);
             }
             if (!dependencies.isDone(id)) {
-                undecided.add(id);
+                recordedDependencies.add(id);
             }
         }
-        return undecided;
+        return recordedDependencies;
     }
 
     private static List<List<String>> splitIntoLists(List<String> ids, int maxBytes) {
@@ -104,13 +110,13 @@
     }
 
     private void writeDependencyLists(
-            JobSpec spec, DependencyLists dependencyLists, int from, Consumer<SubmissionOutcome> finished) {
+            JobSpec spec, DependencyLists dependencyLists, int from, Consumer<SubmissionOutcome> onOutcome) {
         if (from >= dependencyLists.lists().size()) {
-            writeJobRecord(spec, List.of(), dependencyLists, JobConstants.SUBMISSION_WRITE_ATTEMPTS, finished);
+            writeJobRecord(spec, List.of(), dependencyLists, JobConstants.SUBMISSION_WRITE_ATTEMPTS, onOutcome);
             return;
         }
         if (store.shouldShedWrite()) {
-            finished.accept(SubmissionOutcome.RETRY_LATER);
+            onOutcome.accept(SubmissionOutcome.RETRY_LATER);
             return;
         }
         CompareAndSwap transaction = new CompareAndSwap();
@@ -126,26 +132,27 @@
         }
         store.commit(transaction, result -> {
             if (result.committed()) {
-                writeDependencyLists(spec, dependencyLists, to, finished);
+                writeDependencyLists(spec, dependencyLists, to, onOutcome);
             } else {
-                finished.accept(SubmissionOutcome.RETRY_LATER);
+                onOutcome.accept(SubmissionOutcome.RETRY_LATER);
             }
         });
     }
 
     /**
-     * The write is conditional on the leader record: so a later leader knows that no earlier one can have started the
-     * job. That condition may fail since this controller's replica is behind, hence the further attempts.
+     * Writes the job's record on the condition that the leader record is unchanged, so that a later leader knows that
+     * no earlier one can have started the job. The write is attempted again if the condition fails, since this
+     * controller's replica may be outdated.
      */
     private void writeJobRecord(
             JobSpec spec,
             List<String> dependencyIds,
             DependencyLists dependencyLists,
             int attempts,
-            Consumer<SubmissionOutcome> finished) {
+            Consumer<SubmissionOutcome> onOutcome) {
         long leaderRecordRevision = membership.leaderRecordRevision();
         if (leaderRecordRevision == 0 || store.shouldShedWrite()) {
-            finished.accept(SubmissionOutcome.RETRY_LATER);
+            onOutcome.accept(SubmissionOutcome.RETRY_LATER);
             return;
         }
         String key = StoreKeys.job(spec.id());
@@ -157,13 +164,13 @@
             boolean existed = result.conflictingKeys().contains(key);
             if (result.committed() || existed) {
                 onRecordExists.accept(spec.id(), result.revision());
-                finished.accept(existed ? SubmissionOutcome.ALREADY_EXISTS : SubmissionOutcome.CREATED);
+                onOutcome.accept(existed ? SubmissionOutcome.ALREADY_EXISTS : SubmissionOutcome.CREATED);
             } else if (result.conflicted() && attempts > 1) {
                 eventLoop.after(
                         2 * StoreConstants.WATCH_GAP_MS,
-                        () -> writeJobRecord(spec, dependencyIds, dependencyLists, attempts - 1, finished));
+                        () -> writeJobRecord(spec, dependencyIds, dependencyLists, attempts - 1, onOutcome));
             } else {
-                finished.accept(SubmissionOutcome.RETRY_LATER);
+                onOutcome.accept(SubmissionOutcome.RETRY_LATER);
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/TerminalRecordWriter.java
@@ -15,16 +15,16 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * Commits terminal records, under the leader's fencing token and on the condition that the job's record is still the
- * one that the leader knows. It keeps account of the writes whose outcome is unresolved: while a job has one, this
- * controller's own state of the job is no answer to users. Confined to the event loop.
+ * Commits terminal records under the leader's fencing token, on the condition that the job's live record is still the
+ * one that this leader read. Tracks the writes whose outcome is unknown: while a job has one, users can't be answered
+ * from this controller's state of the job. Confined to the event loop.
  */
 final class TerminalRecordWriter {
     private final long token;
     private final KeyValueStoreClient store;
     private final JobDependencies dependencies;
     private final BiFunction<Job, TerminalStatus, ObjectNode> recordFactory;
-    /** Jobs whose cancellation was sent and may be, or become, durable. */
+    /** Ids of jobs whose cancellation was sent and may be, or become, durable. */
     private final Set<String> unresolvedCancellations = new HashSet<>();
 
     TerminalRecordWriter(
@@ -42,7 +42,7 @@
         return new TerminalWrite(job, status, recordFactory.apply(job, status));
     }
 
-    /** Commits all the writes in one transaction. Only a missing response leaves them unresolved. */
+    /** Commits all the writes in one transaction. Their outcome stays unknown only if the store does not respond. */
     void commit(List<TerminalWrite> writes, Consumer<CommitResult> onResult) {
         CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
         for (TerminalWrite write : writes) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The job's terminal record is durable. */
+    /** Discards what is kept about the job, whose terminal state is durable. */
     void jobTerminated(String id) {
         unresolvedCancellations.remove(id);
     }
@@ -78,7 +78,9 @@
         return !unresolvedCancellations.isEmpty();
     }
 
-    /** Whether the job may be terminal by a write that is unresolved: its own, or the cancellation of a dependency. */
+    /**
+     * Whether the job may be terminal by a write with unknown outcome: its own, or the cancellation of a dependency.
+     */
     boolean hasUnresolvedWrite(Job job) {
         return job.hasUnresolvedTerminalWrites()
                 || (hasUnresolvedCancellations() && dependencies.dependsOnAny(job.spec.id(), unresolvedCancellations));
--- a/src/main/java/org/hollypick/control/jobs/TerminalWrite.java
+++ b/src/main/java/org/hollypick/control/jobs/TerminalWrite.java
@@ -4,7 +4,7 @@
 import org.hollypick.core.Job;
 import org.hollypick.records.TerminalStatus;
 
-/** The terminal record of one job, as it is to be written. */
+/** A terminal record to be written for a job. */
 record TerminalWrite(Job job, TerminalStatus status, ObjectNode record) {
     String jobId() {
         return job.spec.id();
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -12,7 +12,10 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** What was learned outlives controllers, outages and tighter limits; and a job's finish is told by any of them. */
+/**
+ * Checks estimates of when jobs complete, and that the run history behind them survives failovers, store outages and
+ * tighter store limits.
+ */
 class RuntimeStatisticsTest {
     private int submittedJobs;
 
@@ -22,14 +25,15 @@
                 2,
                 null,
                 new StoreLimits(2_048, 4, 25),
-                (r, s) -> new Controller(r, s, OperatorSettings.parse("{:estimates true}")));
+                (eventLoop, settings) ->
+                        new Controller(eventLoop, settings, OperatorSettings.parse("{:estimates true}")));
         scenario.advance(5_000);
         return scenario;
     }
 
-    private String submitArray(ClusterScenario scenario, int tasks, String... awaits) {
+    private String submitArray(ClusterScenario scenario, int tasks, String... dependencyIds) {
         String id = String.format("req-6%05d", submittedJobs++);
-        ObjectNode b = Codec.object()
+        ObjectNode submission = Codec.object()
                 .put("name_id", id)
                 .put("jobkind", "sweep")
                 .put("owner", "team")
@@ -47,21 +51,22 @@
                 .put("expect_s", 10.0)
                 .put("bookmark_s", 0.0)
                 .put("stow_s", 0.0);
-        for (String other : awaits) {
-            b.withArray("awaits").add(other);
+        for (String dependencyId : dependencyIds) {
+            submission.withArray("awaits").add(dependencyId);
         }
-        assertEquals(201, scenario.users.request("POST", "/submissions", b).status());
+        assertEquals(
+                201, scenario.users.request("POST", "/submissions", submission).status());
         return id;
     }
 
     private static JsonNode awaitEstimate(ClusterScenario scenario, String id) {
-        Response r = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
-        for (int i = 0; i < 200 && r.status() != 200; i++) {
+        Response response = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
+        for (int i = 0; i < 200 && response.status() != 200; i++) {
             scenario.advance(200);
-            r = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
+            response = scenario.users.request("GET", "/submissions/" + id + "/estimate", null);
         }
-        assertEquals(200, r.status());
-        return r.body();
+        assertEquals(200, response.status());
+        return response.body();
     }
 
     private static double medianDoneInS(JsonNode estimate) {
@@ -78,16 +83,16 @@
 
     @Test
     void mostArraysFinishWithinTheirEstimatedInterval() {
-        int inside = 0;
-        int all = 0;
+        int withinInterval = 0;
+        int arrays = 0;
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = startScenario(seed);
             collectRunHistory(scenario);
             for (int i = 0; i < 4; i++) {
                 String id = submitArray(scenario, 10);
                 scenario.advance(1_000);
-                JsonNode told = awaitEstimate(scenario, id).path("done_in_s");
-                long from = scenario.world.now;
+                JsonNode estimate = awaitEstimate(scenario, id).path("done_in_s");
+                long estimatedAt = scenario.world.now;
                 while (!scenario.users
                         .request("GET", "/submissions/" + id, null)
                         .body()
@@ -96,31 +101,35 @@
                         .equals("done")) {
                     scenario.advance(100);
                 }
-                double took = (scenario.world.now - from) / 1000.0;
-                all++;
-                inside += took >= told.path("p10").asDouble() * 0.8
-                                && took <= told.path("p90").asDouble() * 1.25
+                double remainingS = (scenario.world.now - estimatedAt) / 1000.0;
+                arrays++;
+                withinInterval += remainingS >= estimate.path("p10").asDouble() * 0.8
+                                && remainingS <= estimate.path("p90").asDouble() * 1.25
                         ? 1
                         : 0;
             }
             assertEquals(List.of(), scenario.checker.violations);
         }
-        System.out.println("arrays done within a quarter of their band: " + inside + " of " + all);
-        assertTrue(inside >= all * 0.6, inside + " of " + all);
+        System.out.println("arrays completed within their estimated interval, widened by a quarter: " + withinInterval
+                + " of " + arrays);
+        assertTrue(withinInterval >= arrays * 0.6, withinInterval + " of " + arrays);
     }
 
-    /** Takeover, loss of all, an outage, tighter limits: the successor says nearly what its predecessor said. */
+    /**
+     * Crashes of the leader or all controllers, during a store outage or after tighter limits, must not lose the
+     * history.
+     */
     @Test
     void runHistorySurvivesCrashesOutagesAndTighterStoreLimits() {
-        for (int trouble = 0; trouble < 4; trouble++) {
-            ClusterScenario scenario = startScenario(20 + trouble);
+        for (int fault = 0; fault < 4; fault++) {
+            ClusterScenario scenario = startScenario(20 + fault);
             collectRunHistory(scenario);
-            int before = awaitEstimate(scenario, submitArray(scenario, 8))
+            int observedRuns = awaitEstimate(scenario, submitArray(scenario, 8))
                     .path("history")
                     .path("n")
                     .asInt();
-            assertTrue(before >= 20, "learned " + before);
-            switch (trouble) {
+            assertTrue(observedRuns >= 20, "observed runs: " + observedRuns);
+            switch (fault) {
                 case 0 -> scenario.faults.crash(scenario.leaderIndex(), 9_000);
                 case 1 -> scenario.faults.crashAll();
                 case 2 -> {
@@ -134,9 +143,9 @@
                 }
             }
             scenario.advance(40_000);
-            String after = submitArray(scenario, 8);
-            JsonNode told = awaitEstimate(scenario, after);
-            assertTrue(told.path("history").path("n").asInt() >= 20, "trouble " + trouble + ": " + told);
+            String id = submitArray(scenario, 8);
+            JsonNode estimate = awaitEstimate(scenario, id);
+            assertTrue(estimate.path("history").path("n").asInt() >= 20, "fault " + fault + ": " + estimate);
             assertEquals(0, scenario.store.oversizedTransactions);
             assertEquals(List.of(), scenario.checker.violations);
         }
@@ -149,22 +158,24 @@
         String first = submitArray(scenario, 8);
         String second = submitArray(scenario, 8, first);
         scenario.advance(500);
-        JsonNode one = awaitEstimate(scenario, first);
-        JsonNode both = awaitEstimate(scenario, second);
-        assertTrue(medianDoneInS(both) > medianDoneInS(one) + 3, one + " and " + both);
-        assertEquals("what it awaits", both.path("reason").asText());
+        JsonNode firstEstimate = awaitEstimate(scenario, first);
+        JsonNode secondEstimate = awaitEstimate(scenario, second);
+        assertTrue(
+                medianDoneInS(secondEstimate) > medianDoneInS(firstEstimate) + 3,
+                firstEstimate + " and " + secondEstimate);
+        assertEquals("what it awaits", secondEstimate.path("reason").asText());
     }
 
-    /** A record that can't be read is set aside, and one of a newer format is left as it is. */
+    /** A leader must neither fail on an invalid record nor overwrite one that a newer version wrote. */
     @Test
     void unreadableRecordsAreIgnoredAndNewerFormatsAreKept() {
         ClusterScenario scenario = startScenario(4);
         collectRunHistory(scenario);
         ObjectNode newer = Codec.object().put("v", 99).put("new", "format");
-        ObjectNode broken = Codec.object().put("v", 1);
-        broken.putArray("kinds").add(7);
-        for (int slot = 0; slot < 8; slot++) {
-            scenario.store.write("h/e/" + slot, slot % 2 == 0 ? newer : broken);
+        ObjectNode invalid = Codec.object().put("v", 1);
+        invalid.putArray("kinds").add(7);
+        for (int number = 0; number < 8; number++) {
+            scenario.store.write("h/e/" + number, number % 2 == 0 ? newer : invalid);
         }
         scenario.faults.crash(scenario.leaderIndex(), 9_000);
         scenario.advance(30_000);
@@ -174,8 +185,8 @@
                         .path("n")
                         .asInt()
                 > 5);
-        for (int slot = 0; slot < 8; slot += 2) {
-            assertEquals(newer, scenario.store.valueOf("h/e/" + slot));
+        for (int number = 0; number < 8; number += 2) {
+            assertEquals(newer, scenario.store.valueOf("h/e/" + number));
         }
         assertEquals(List.of(), scenario.checker.violations);
     }
