--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -14,29 +14,29 @@
 import org.hollypick.io.TokenBucket;
 
 /**
- * Client of the cloud's API, within its rate limit: over the limit a request fails without being sent, and callers try
- * again by and by. Requests that change something are sent only while their {@code validWhile} holds at that moment.
- * Confined to the event loop.
+ * Client of the cloud's API that keeps to its rate limit: a request beyond the limit fails without being sent, and
+ * callers retry later. Requests that start or terminate machines are sent only if their {@code validWhile} is true at
+ * the moment of sending. Confined to the event loop.
  */
 public final class CloudClient {
-    /** Part of the cloud's rate limit that is used. */
+    /** Share of the cloud's rate limit that is used. */
     private static final double RATE_LIMIT_SHARE = 0.8;
 
-    /** Machines in one page of the list. */
+    /** Machines per page of the list of machines. */
     private static final int PAGE_SIZE = 500;
 
     private final EventLoop eventLoop;
     private final String address;
     private final TokenBucket rateLimit;
 
-    /** A client of the cloud that the settings name. */
+    /** Creates a client of the cloud named in the settings. */
     public CloudClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
         this.address = settings.cloud();
         this.rateLimit = new TokenBucket(settings.cloudRps() * RATE_LIMIT_SHARE, eventLoop.now());
     }
 
-    /** Lists the machine types by name; the callback gets nothing if the cloud didn't answer. */
+    /** Lists the machine types by name; the callback receives an empty result if the request failed. */
     public void listMachineTypes(Consumer<Optional<Map<String, MachineType>>> callback) {
         get(
                 CloudCodec.PATH_MACHINE_TYPES,
@@ -44,7 +44,7 @@
                         response.ok() ? Optional.of(CloudCodec.machineTypes(response.body())) : Optional.empty()));
     }
 
-    /** Requests machines. */
+    /** Requests new machines. */
     public void scaleOut(ScaleOutRequest request, BooleanSupplier validWhile, Consumer<ScaleOutResult> callback) {
         send(
                 Request.of(
@@ -57,7 +57,7 @@
                 response -> callback.accept(CloudCodec.scaleOutResult(response)));
     }
 
-    /** Terminates machines; the callback gets whether the cloud confirmed it for all of them. */
+    /** Terminates machines; the callback receives whether the cloud confirmed the request for all of them. */
     public void terminate(Collection<String> machineIds, BooleanSupplier validWhile, Consumer<Boolean> callback) {
         send(
                 Request.of(
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Lists a page of the machines; the callback gets nothing if the cloud didn't answer.
+     * Lists one page of the machines; the callback receives an empty result if the request failed.
      *
      * @param after the machine id after which the page begins; null for the first page
      */
--- a/src/main/java/org/hollypick/cloud/CloudCodec.java
+++ b/src/main/java/org/hollypick/cloud/CloudCodec.java
@@ -14,25 +14,25 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Response;
 
-/** The cloud's messages. Its field names differ from the code's and stand only here. */
+/** Encodes and decodes the cloud's messages. The cloud's field names differ from the code's and occur only here. */
 final class CloudCodec {
-    /** Paths of the calls. */
+    /** Paths of the cloud's API. */
     static final String PATH_MACHINE_TYPES = "/machine_types";
 
     static final String PATH_INSTANCES = "/hosts";
     static final String PATH_TERMINATE = "/hosts/return";
 
-    /** The machine types on offer. */
+    /** The machine types that the cloud offers. */
     private static final String MACHINE_TYPES = "flavours";
     /** The name of a machine type in the list of types. */
     private static final String MACHINE_TYPE_NAME = "sku";
-    /** The zones in which a machine type is on offer. */
+    /** The zones in which a machine type is available. */
     private static final String ZONES = "halls";
 
     private static final String CPUS = "cores";
     private static final String GPUS = "gpus";
     private static final String MEMORY_GB = "ram_gb";
-    /** Room for container images. */
+    /** Storage for container images. */
     private static final String IMAGE_CACHE_GB = "cache_gb";
     /** Rate at which images are pulled. */
     private static final String PULL_GB_PER_SECOND = "pull_gb_per_s";
@@ -40,7 +40,7 @@
     private static final String ON_DEMAND_PRICE = "price";
     /** Price per hour of a spot machine. */
     private static final String SPOT_PRICE = "market_price";
-    /** Usual time from the request until the agent runs. */
+    /** Usual time from the scale-out request until the agent runs. */
     private static final String BOOT_SECONDS = "ready_s";
 
     /** The idempotency key of a scale-out request. */
@@ -51,9 +51,9 @@
     private static final String ZONE = "hall";
     /** Whether a machine is a spot instance. */
     private static final String SPOT = "lendable";
-    /** How many machines are requested. */
+    /** The number of machines requested. */
     private static final String COUNT = "number";
-    /** Machines: their ids, or in a list what is known of each. */
+    /** Machines: ids in a scale-out response and in a request to terminate machines, objects in a list. */
     private static final String MACHINES = "bothies";
 
     private static final String MACHINE_ID = "name_id";
@@ -62,7 +62,7 @@
     private static final String STATUS_RUNNING = "running";
     private static final String STATUS_FAILED = "failed";
     private static final String AGE_SECONDS = "age_s";
-    /** Whether a list of machines goes on. */
+    /** Whether more machines follow a page of the list. */
     private static final String TRUNCATED = "truncated";
 
     private static final int HTTP_UNAVAILABLE = 503;
--- a/src/main/java/org/hollypick/cloud/InstancePage.java
+++ b/src/main/java/org/hollypick/cloud/InstancePage.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A part of the cloud's list of machines. Immutable.
+ * One page of the cloud's list of machines. Immutable.
  *
- * @param truncated whether the list goes on after the last machine of this part
+ * @param truncated whether more machines follow the last one of this page
  */
 public record InstancePage(List<Instance> instances, boolean truncated) {}
--- a/src/main/java/org/hollypick/cloud/ScaleOutRequest.java
+++ b/src/main/java/org/hollypick/cloud/ScaleOutRequest.java
@@ -1,8 +1,8 @@
 package org.hollypick.cloud;
 
 /**
- * A request for machines of one kind. Immutable.
+ * A request for new machines of one type in one zone. Immutable.
  *
- * @param requestId makes the request idempotent: the same id again gives the same machines
+ * @param requestId the idempotency key: a request with the same id returns the same machines
  */
 public record ScaleOutRequest(String requestId, String type, String zone, boolean spot, int count) {}
--- a/src/main/java/org/hollypick/peer/ForwardingCodec.java
+++ b/src/main/java/org/hollypick/peer/ForwardingCodec.java
@@ -7,7 +7,10 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** The messages by which a controller asks another one to forward a request to the key-value store. Stateless. */
+/**
+ * Encodes and decodes the messages by which a controller has a peer forward a request to the key-value store.
+ * Stateless.
+ */
 final class ForwardingCodec {
     private static final String METHOD = "method";
     private static final String PATH = "path";
@@ -26,7 +29,7 @@
         return message;
     }
 
-    /** The request that is to be forwarded to that address, with a timeout that is bounded here. */
+    /** Decodes a request to forward to the given address; its timeout is limited to that of forwarded requests. */
     static Request decodeRequest(JsonNode message, String address) {
         JsonNode body = message.path(BODY);
         return Request.of(
@@ -43,7 +46,7 @@
         return message;
     }
 
-    /** What the forwarding controller got; a failure of its own request has a status of at most 0. */
+    /** Decodes the response that the forwarding peer received; if its request failed, the status is at most 0. */
     static Response decodeResponse(JsonNode message) {
         return new Response(message.path(STATUS).asInt(), message.path(BODY));
     }
--- a/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
+++ b/src/main/java/org/hollypick/peer/PeerRequestDispatcher.java
@@ -8,12 +8,13 @@
 import org.hollypick.io.ServerResponse;
 
 /**
- * Dispatches the requests of other controllers, JSON by POST, to a handler for each path. Confined to the event loop.
+ * Dispatches the requests of other controllers, which are POST requests with JSON bodies, to a handler for each path.
+ * Confined to the event loop.
  */
 public final class PeerRequestDispatcher {
     /** Handles the requests to one path. */
     public interface Handler {
-        /** Answers one request, now or later; {@code body}: null if it isn't JSON. */
+        /** Responds to one request, now or later; {@code body}: null if it isn't JSON. */
         void handle(JsonNode body, Consumer<ServerResponse> responder);
     }
 
@@ -24,7 +25,7 @@
         handlers.put(path, handler);
     }
 
-    /** Answers a request: by the handler of its path, or with 404 if there is none. */
+    /** Has the handler of the path respond to a request; responds with 404 if there is none. */
     public void handle(String method, String path, byte[] bytes, Consumer<ServerResponse> responder) {
         Handler handler = method.equals("POST") ? handlers.get(path) : null;
         if (handler == null) {
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -17,15 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes requests to the key-value store: directly, or, while the direct route is down, by way of a peer that reaches
- * the store. Forwarding changes no guarantee: on either route a request may be lost, late, or executed without a
- * response (docs/safety.md, "By way of a peer"). Confined to the event loop.
+ * Routes requests to the key-value store: directly, or, while the direct route is down, through a peer that reaches the
+ * store. Both routes give the same guarantees: a request may be lost, delayed, or executed without a response
+ * (docs/safety.md, "By way of a peer"). Confined to the event loop.
  */
 public final class RequestRouter {
-    /** The path by which peers are asked to forward a request. */
+    /** The path on which a controller receives requests that it forwards for a peer. */
     public static final String FORWARD_PATH = "/state";
 
-    /** The path by which peers are asked to forward a watch; watches have connections of their own. */
+    /**
+     * The path on which a controller receives watches that it forwards for a peer; watches use separate connections.
+     */
     public static final String FORWARD_WATCH_PATH = "/watch";
 
     private static final int HTTP_UNAVAILABLE = 503;
@@ -33,11 +35,11 @@
 
     /** Whether a request may be sent a second time while the first may still be executed. */
     public enum Kind {
-        /** It must not be sent again. */
+        /** The request must not be sent again. */
         ONCE,
-        /** It may be sent again by another route. */
+        /** The request may be sent again by another route. */
         REPEATABLE,
-        /** It takes long without showing whether its route works; it is ended when its route turns out to be down. */
+        /** A long poll, whose late response doesn't show that its route is down; aborted once its route is down. */
         WATCH
     }
 
@@ -45,12 +47,12 @@
     private final Request probe;
     private final List<Settings.Sibling> peers;
     private final RouteSelector route;
-    /** Requests on the direct route, and watches on any, that have no response yet. */
+    /** Requests on the direct route and watches on any route that have no response yet. */
     private final Set<RoutedRequest> inFlight = new LinkedHashSet<>();
-    /** Requests of peers that are being forwarded from here. */
+    /** The number of peers' requests that are being forwarded by this controller. */
     private int forwardedInFlight;
 
-    /** {@code probe}: a small request that shows whether the store answers directly. */
+    /** {@code probe}: a small request that shows whether the store responds on the direct route. */
     public RequestRouter(EventLoop eventLoop, List<Settings.Sibling> peers, Request probe) {
         this.eventLoop = eventLoop;
         this.peers = peers;
@@ -58,7 +60,7 @@
         this.route = new RouteSelector(peers.size(), eventLoop.now());
     }
 
-    /** A request on its way, maybe by several routes; its first response counts. */
+    /** A request in flight, possibly on several routes; only the first response is used. */
     private final class RoutedRequest {
         private final Request request;
         private final Kind kind;
@@ -105,7 +107,7 @@
         }
     }
 
-    /** A watch takes a route only after a small request has shown that the route works. */
+    /** Sends a watch only after a small request has shown that its route works. */
     private void probeBeforeWatch(RoutedRequest watch) {
         call(probe, Kind.REPEATABLE, response -> {
             if (response.isAnswered() && !watch.isComplete()) {
@@ -170,7 +172,7 @@
         });
     }
 
-    /** One try to send a request by way of a peer. */
+    /** One attempt to send a request through a peer. */
     private final class ForwardedAttempt {
         private final RoutedRequest routed;
         private final int peer;
@@ -212,7 +214,7 @@
             if (response.failedWith(Response.Failure.NO_RESPONSE)) {
                 routed.complete(response);
             } else {
-                RequestRouter.this.send(routed); // the peer didn't forward it
+                RequestRouter.this.send(routed); // the peer didn't forward the request
             }
         }
 
@@ -241,7 +243,7 @@
         abortWatches(peer);
     }
 
-    /** Ends the watches on that route; whoever watches begins again, by another one. */
+    /** Completes the watches on this route without a response; their callers watch again, on another route. */
     private void abortWatches(int peer) {
         for (RoutedRequest routed : new ArrayList<>(inFlight)) {
             if (routed.isWatch() && routed.peer == peer) {
@@ -251,9 +253,9 @@
     }
 
     /**
-     * Forwards a peer's request to the store, on the direct route only: so no request goes in circles.
+     * Forwards a peer's request to the store on the direct route only, so that requests aren't forwarded in a loop.
      *
-     * @param body the peer's message; null if it isn't JSON
+     * @param body the peer's message; null if the message isn't JSON
      */
     public void forward(JsonNode body, Consumer<ServerResponse> responder) {
         if (body == null || !route.isDirect() || forwardedInFlight >= ReachabilityConstants.MAX_FORWARDED_REQUESTS) {
--- a/src/main/java/org/hollypick/relay/HeartbeatQueue.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatQueue.java
@@ -6,7 +6,8 @@
 import org.hollypick.config.constants.RelayConstants;
 
 /**
- * Heartbeats that wait for the leader, first in, first out, bounded in number and bytes. Confined to the event loop.
+ * FIFO queue of heartbeats that wait to be relayed to the leader, bounded in number and bytes. Confined to the event
+ * loop.
  */
 final class HeartbeatQueue {
     private final ArrayDeque<QueuedHeartbeat> heartbeats = new ArrayDeque<>();
@@ -20,7 +21,7 @@
         return heartbeats.size();
     }
 
-    /** Whether one more heartbeat of this length would exceed the bounds. */
+    /** Whether the queue's bounds leave no capacity for this heartbeat. */
     boolean lacksCapacityFor(byte[] heartbeat) {
         return heartbeats.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
                 || bytes + heartbeat.length > RelayConstants.RELAY_QUEUE_BYTES;
@@ -31,14 +32,14 @@
         bytes += queued.heartbeat().length;
     }
 
-    /** The oldest one; the queue must not be empty. */
+    /** Removes and returns the oldest heartbeat; the queue must not be empty. */
     QueuedHeartbeat poll() {
         QueuedHeartbeat oldest = heartbeats.poll();
         bytes -= oldest.heartbeat().length;
         return oldest;
     }
 
-    /** Takes as many of the oldest as fit into one call to the leader. */
+    /** Removes the oldest heartbeats, as many as fit into one batch, and returns them in order. */
     List<QueuedHeartbeat> takeBatch() {
         List<QueuedHeartbeat> batch = new ArrayList<>();
         int batchBytes = 0;
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -24,12 +24,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Relays agents' heartbeats to the leader, many in one call, and the leader's responses back to the agents. It decides
- * nothing: to an agent it is a longer path to the leader (docs/safety.md, "Relayed heartbeats"). While there is no
- * leader it queues heartbeats for a moment, so that agents needn't look for one. Confined to the event loop.
+ * Relays agents' heartbeats to the leader in batches, and the leader's responses back to the agents. The relay adds no
+ * decision of its own to a response that it passes on: for an agent it is only a longer path to the leader
+ * (docs/safety.md, "Relayed heartbeats"). While there is no leader, heartbeats are queued for a short time, so that
+ * agents needn't search for the next leader. Confined to the event loop.
  */
 public final class HeartbeatRelay {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatRelay.class);
+    private static final int HTTP_NOT_FOUND = 404;
 
     private final EventLoop eventLoop;
     private final Settings settings;
@@ -42,12 +44,14 @@
     private boolean flushScheduled;
     private long sendNotBeforeMillis;
     private int consecutiveFailures;
-    /** Revisions of member keys whose leader wants none of its responses relayed any more. */
+    /** Member revisions of leaders whose responses must no longer be relayed. */
     private final LongOpenHashSet discardedMemberRevisions = new LongOpenHashSet();
-    /** The token of a leader of an older version, which takes no batches; 0 if none was met. */
+    /** The fencing token of a leader whose older version doesn't support batches; 0 if there was none. */
     private long batchUnsupportedToken;
 
     /**
+     * Creates a relay with an empty queue.
+     *
      * @param leaderHandler handles a heartbeat on this controller while it is the leader; returns null while it is not
      */
     public HeartbeatRelay(
@@ -65,7 +69,7 @@
         this.leaderComplaint = new LeaderComplaint(eventLoop, settings, membership, store);
     }
 
-    /** Takes an agent's heartbeat; the response follows within the time for which the agent waits. */
+    /** Handles an agent's heartbeat, here or by relaying it; the response is given before the agent's timeout. */
     public void heartbeatReceived(byte[] heartbeat, Consumer<ServerResponse> responder) {
         ServerResponse local = respondLocally(heartbeat);
         if (local != null) {
@@ -85,7 +89,9 @@
         return batchUnsupportedToken != 0 && batchUnsupportedToken == currentLeaderToken();
     }
 
-    /** The response of this controller itself, as leader or while it renews leases in a partition; null if neither. */
+    /**
+     * Responds as the leader, or while this controller renews leases in a partition; returns null if neither applies.
+     */
     private ServerResponse respondLocally(byte[] heartbeat) {
         ServerResponse asLeader = leaderHandler.apply(heartbeat);
         if (asLeader != null || membership.peerKnowsNewerLeader() || !leaseRenewal.isActive()) {
@@ -95,10 +101,10 @@
         return decoded == null ? ServerResponse.error(400, "not a report") : leaseRenewal.respond(decoded);
     }
 
-    private void scheduleFlush(long delayMs) {
+    private void scheduleFlush(long delayMillis) {
         if (!flushScheduled) {
             flushScheduled = true;
-            eventLoop.after(delayMs, () -> {
+            eventLoop.after(delayMillis, () -> {
                 flushScheduled = false;
                 flush();
             });
@@ -106,30 +112,33 @@
     }
 
     private void flush() {
-        long now = eventLoop.now();
-        respondLocallyOrExpire(now);
+        long nowMillis = eventLoop.now();
+        respondLocallyOrExpire(nowMillis);
         Leader leader = membership.currentLeader();
         String leaderAddress = leader == null ? null : settings.meshAddr(leader.controller());
         while (leaderAddress != null
-                && now >= sendNotBeforeMillis
+                && nowMillis >= sendNotBeforeMillis
                 && batchesInFlight < RelayConstants.RELAY_BATCHES_IN_FLIGHT
                 && !queue.isEmpty()) {
-            sendBatch(leaderAddress, leader, now);
+            sendBatch(leaderAddress, leader, nowMillis);
         }
         if (!queue.isEmpty()) {
             scheduleFlush(RelayConstants.RELAY_RETRY_MS);
         }
     }
 
-    /** Answers what can be answered here, or has waited too long; the rest stays queued, in order. */
-    private void respondLocallyOrExpire(long now) {
+    /**
+     * Responds to heartbeats that this controller can handle itself or that have expired; the rest stays queued, in
+     * order.
+     */
+    private void respondLocallyOrExpire(long nowMillis) {
         int queued = queue.size();
         for (int i = 0; i < queued; i++) {
             QueuedHeartbeat next = queue.poll();
             ServerResponse local = respondLocally(next.heartbeat());
             if (local != null) {
                 next.responder().accept(local);
-            } else if (now >= next.expiresAtMillis()) {
+            } else if (nowMillis >= next.expiresAtMillis()) {
                 next.responder().accept(ServerResponse.retryLater("no leader"));
             } else {
                 queue.add(next);
@@ -142,7 +151,7 @@
         return leader == null ? 0 : leader.token();
     }
 
-    private void sendBatch(String leaderAddress, Leader leader, long now) {
+    private void sendBatch(String leaderAddress, Leader leader, long nowMillis) {
         List<QueuedHeartbeat> batch = queue.takeBatch();
         List<byte[]> heartbeats = batch.stream().map(QueuedHeartbeat::heartbeat).toList();
         batchesInFlight++;
@@ -156,29 +165,31 @@
                         true),
                 response -> {
                     batchesInFlight--;
-                    batchCompleted(batch, leader, now, response);
+                    batchCompleted(batch, leader, nowMillis, response);
                     if (!queue.isEmpty()) {
                         scheduleFlush(0);
                     }
                 });
     }
 
-    private void batchCompleted(List<QueuedHeartbeat> batch, Leader leader, long sentAt, Response response) {
+    private void batchCompleted(List<QueuedHeartbeat> batch, Leader leader, long sentAtMillis, Response response) {
         List<ServerResponse> responses =
                 response.ok() ? HeartbeatRelayCodec.decodeResponses(response.body()) : List.of();
         if (response.ok() && responses.size() == batch.size()) {
             consecutiveFailures = 0;
             leaderComplaint.batchDelivered();
-            // Counted from the sending of the batch; the leader counts from later on.
-            long validUntil = sentAt + ClockBounds.atLeast(HeartbeatRelayCodec.decodeValidityMs(response.body()));
-            relayResponses(batch, responses, leader, validUntil);
-        } else if (response.status() == 404) {
+            // Counted from when the batch was sent. The leader counts from when it handles the batch, which is later,
+            // so the responses expire here first.
+            long validUntilMillis =
+                    sentAtMillis + ClockBounds.atLeast(HeartbeatRelayCodec.decodeValidityMs(response.body()));
+            relayResponses(batch, responses, leader, validUntilMillis);
+        } else if (response.status() == HTTP_NOT_FOUND) {
             LOG.info("heartbeat_relay.unsupported_by_leader token={}", leader.token());
             batchUnsupportedToken = leader.token();
             batch.forEach(queued -> queued.responder().accept(redirectToLeader()));
         } else {
-            // Sent again until each one's time is over: the leader knows a copy for what it is. With growing pauses,
-            // since the leader may be overloaded.
+            // Each heartbeat is sent again until it expires: the leader recognizes duplicates. The pauses grow, since
+            // the leader may be overloaded.
             batch.forEach(queue::add);
             leaderComplaint.batchFailed(leader.token(), machineIds(batch));
             int doublings = Math.min(consecutiveFailures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS);
@@ -187,11 +198,11 @@
     }
 
     private void relayResponses(
-            List<QueuedHeartbeat> batch, List<ServerResponse> responses, Leader leader, long validUntil) {
+            List<QueuedHeartbeat> batch, List<ServerResponse> responses, Leader leader, long validUntilMillis) {
         for (int i = 0; i < responses.size(); i++) {
             ServerResponse response = responses
                     .get(i)
-                    .onlyWhile(() -> eventLoop.now() < validUntil
+                    .onlyWhile(() -> eventLoop.now() < validUntilMillis
                             && currentLeaderToken() == leader.token()
                             && !discardedMemberRevisions.contains(leader.memberRevision()));
             batch.get(i).responder().accept(response);
@@ -213,8 +224,8 @@
     }
 
     /**
-     * Drops every response of the leader with that member revision, those still to come included: its process ended, or
-     * it resigned.
+     * Discards all responses of the leader with this member revision, including those not received yet: the leader's
+     * process has ended, or the leader has resigned.
      */
     public void discardResponsesOf(long memberRevision) {
         discardedMemberRevisions.add(memberRevision);
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -13,27 +13,31 @@
 import org.hollypick.io.WireNames;
 
 /**
- * Messages between controllers that carry agents' heartbeats: a batch with the bytes of each as they came, and a
- * response for each. Immutable, any thread.
+ * Encodes and decodes the messages by which controllers relay agents' heartbeats: a batch contains the bytes of each
+ * heartbeat as received, and the response to a batch contains a response to each heartbeat. Stateless; any thread.
  */
 public final class HeartbeatRelayCodec {
-    /** Where the leader takes batches. */
+    /** The path on which the leader receives batches. */
     public static final String BATCH_PATH = "/reports";
 
-    /** The controller that relays. */
+    /** The controller that relays the batch. */
     private static final String SENDER = "node";
 
     private static final String HEARTBEATS = "reports";
     private static final String RESPONSES = "answers";
-    /** For how many milliseconds the responses may be relayed. */
+    /** Milliseconds for which the responses may be relayed. */
     private static final String VALIDITY_MS = "right_ms";
 
     private static final String STATUS = "status";
     private static final String RETRY_AFTER_S = "retry";
     private static final String BODY = "body";
-    /** The controller to which an agent is sent. */
+    /** The controller that an agent is redirected to. */
     private static final String REDIRECT = "foreman";
 
+    private static final int HTTP_BAD_REQUEST = 400;
+    private static final int HTTP_MISDIRECTED_REQUEST = 421;
+    private static final int HTTP_UNAVAILABLE = 503;
+
     private HeartbeatRelayCodec() {}
 
     static JsonNode encodeBatch(String sender, long token, List<byte[]> heartbeats) {
@@ -44,10 +48,10 @@
     }
 
     /**
-     * The leader's side: handles each heartbeat of a batch.
+     * Handles each heartbeat of a batch on the leader.
      *
-     * @param validityMs for how many milliseconds from now the responses may be relayed
-     * @param handler handles a heartbeat, given its bytes and the controller that relays it
+     * @param validityMs milliseconds from now for which the responses may be relayed
+     * @param handler handles a heartbeat, given its bytes and the name of the controller that relays it
      */
     public static ServerResponse handleBatch(
             JsonNode body, long token, LongSupplier validityMs, BiFunction<byte[], String, ServerResponse> handler) {
@@ -66,7 +70,7 @@
                         .put(RETRY_AFTER_S, response.retryAfterS())
                         .set(BODY, response.body());
             } catch (IOException e) {
-                responses.addObject().put(STATUS, 400).set(BODY, Codec.object());
+                responses.addObject().put(STATUS, HTTP_BAD_REQUEST).set(BODY, Codec.object());
             }
         }
         JsonNode batchResponse =
@@ -82,15 +86,15 @@
         List<ServerResponse> responses = new ArrayList<>();
         for (JsonNode response : body.path(RESPONSES)) {
             responses.add(new ServerResponse(
-                    response.path(STATUS).asInt(503),
+                    response.path(STATUS).asInt(HTTP_UNAVAILABLE),
                     response.path(BODY),
                     response.path(RETRY_AFTER_S).asInt()));
         }
         return responses;
     }
 
-    /** Sends an agent to another controller. */
+    /** A response that redirects an agent to another controller. */
     public static ServerResponse redirect(String controller) {
-        return ServerResponse.of(421, Codec.object().put(REDIRECT, controller));
+        return ServerResponse.of(HTTP_MISDIRECTED_REQUEST, Codec.object().put(REDIRECT, controller));
     }
 }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -20,9 +20,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The record by which a controller tells a leader that it can't reach of machines that do reach this controller, by way
- * of the key-value store. A leader that misses these machines resigns. Only the decision who leads rests on it. The
- * record is attached to this controller's store session and goes with it. Confined to the event loop.
+ * Writes a record to the key-value store when this controller can't relay heartbeats to the leader. The record names
+ * machines whose heartbeats this controller receives; a leader that can't reach these machines may resign. The record
+ * only influences which controller leads. The record is attached to this controller's store session and deleted when
+ * the session ends. Confined to the event loop.
  */
 public final class LeaderComplaint {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderComplaint.class);
@@ -32,14 +33,20 @@
     private final Settings settings;
     private final Membership membership;
     private final KeyValueStoreClient store;
-    /** Since when batches have failed; 0 if the last one was delivered. */
+    /**
+     * Time of the first failed batch since a batch was delivered or the leader changed; 0 if the latest batch was
+     * delivered.
+     */
     private long failingSinceMillis;
 
-    /** The token of the leader that batches fail to reach. */
+    /** The fencing token of the leader to which batches fail. */
     private long failingToken;
 
     private long writtenAtMillis;
-    /** Machines whose heartbeats couldn't be relayed, and when: they go from one controller to the next. */
+    /**
+     * When a heartbeat of each machine last couldn't be relayed, oldest first. Entries expire, since such machines try
+     * the controllers in turn.
+     */
     private final Object2LongLinkedOpenHashMap<String> undeliveredMachines = new Object2LongLinkedOpenHashMap<>();
 
     LeaderComplaint(EventLoop eventLoop, Settings settings, Membership membership, KeyValueStoreClient store) {
@@ -50,43 +57,46 @@
         this.writtenAtMillis = eventLoop.now() - ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
-    /** The leader took a batch. */
+    /** Records that the leader responded to a batch. */
     void batchDelivered() {
         failingSinceMillis = 0;
     }
 
-    /** A batch with heartbeats of these machines did not reach the leader under that token. */
+    /** Records that a batch with heartbeats of these machines failed for the leader with this fencing token. */
     void batchFailed(long token, Collection<String> machines) {
-        long now = eventLoop.now();
+        long nowMillis = eventLoop.now();
         if (failingSinceMillis == 0 || failingToken != token) {
-            failingSinceMillis = now;
+            failingSinceMillis = nowMillis;
             failingToken = token;
             undeliveredMachines.clear();
         }
-        machines.forEach(machine -> undeliveredMachines.putAndMoveToLast(machine, now));
-        removeOldest(now);
+        machines.forEach(machine -> undeliveredMachines.putAndMoveToLast(machine, nowMillis));
+        removeOldest(nowMillis);
         Long sessionId = membership.validSessionId();
-        if (isDue(now) && sessionId != null && membership.isLeaderRegistered() && !undeliveredMachines.isEmpty()) {
-            write(token, sessionId, now);
+        if (isDue(nowMillis)
+                && sessionId != null
+                && membership.isLeaderRegistered()
+                && !undeliveredMachines.isEmpty()) {
+            write(token, sessionId, nowMillis);
         }
     }
 
-    private void removeOldest(long now) {
+    private void removeOldest(long nowMillis) {
         while (!undeliveredMachines.isEmpty()
                 && (undeliveredMachines.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
-                        || now - undeliveredMachines.getLong(undeliveredMachines.firstKey())
+                        || nowMillis - undeliveredMachines.getLong(undeliveredMachines.firstKey())
                                 > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
             undeliveredMachines.removeFirstLong();
         }
     }
 
-    private boolean isDue(long now) {
-        return now - failingSinceMillis >= ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
-                && now - writtenAtMillis >= ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
+    private boolean isDue(long nowMillis) {
+        return nowMillis - failingSinceMillis >= ReachabilityConstants.LEADER_COMPLAINT_AFTER_MS
+                && nowMillis - writtenAtMillis >= ReachabilityConstants.LEADER_COMPLAINT_INTERVAL_MS;
     }
 
-    private void write(long token, long sessionId, long now) {
-        writtenAtMillis = now;
+    private void write(long token, long sessionId, long nowMillis) {
+        writtenAtMillis = nowMillis;
         ObjectNode complaint = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode machines = complaint.putArray(MACHINES);
         undeliveredMachines.keySet().forEach(machines::add);
@@ -98,7 +108,7 @@
                 result -> {});
     }
 
-    /** The machines that a stored complaint names; none if it is meant for a leader with another token. */
+    /** The machines named in a stored complaint; none if the complaint is about a leader with another fencing token. */
     public static List<String> machines(JsonNode complaint, long token) {
         List<String> machines = new ArrayList<>();
         if (Codec.u64(complaint.path(WireNames.FENCING_TOKEN)) == token) {
--- a/src/main/java/org/hollypick/store/CompareAndSwap.java
+++ b/src/main/java/org/hollypick/store/CompareAndSwap.java
@@ -8,26 +8,26 @@
 import java.util.List;
 
 /**
- * A transaction under construction: writes that the store applies together, and only if every condition holds. The
- * store applies the writes in the order of their addition, under one new revision.
+ * Builder of a transaction: writes that the store applies atomically, and only if every condition holds. The store
+ * applies the writes in the order in which they were added, under one new revision.
  *
- * <p>Values are kept by reference and encoded when the transaction is committed, so a caller may go on filling a value
- * until then. Confined to the event loop.
+ * <p>Values are kept by reference and encoded when the transaction is committed, so a caller may modify a value until
+ * then. Confined to the event loop.
  */
 public final class CompareAndSwap {
     /** The revision of a key that doesn't exist. */
-    static final long ABSENT = 0;
+    static final long ABSENT_REVISION = 0;
 
     /** One change of one key. */
     sealed interface Write permits Put, Delete {
-        /** The key that is changed. */
+        /** The key that the write changes. */
         String key();
     }
 
     /**
      * Stores a value under a key.
      *
-     * @param sessionId the session with which the key is deleted; null for a key that stays
+     * @param sessionId the session whose end deletes the key; null if the key isn't attached to a session
      */
     record Put(String key, JsonNode value, Long sessionId) implements Write {}
 
@@ -37,52 +37,54 @@
     private final Object2LongLinkedOpenHashMap<String> expectedRevisions = new Object2LongLinkedOpenHashMap<>();
     private final List<Write> writes = new ArrayList<>();
 
-    /** Requires that the key was last written under that revision. */
+    /** Adds the condition that the key was last written under this revision. */
     public CompareAndSwap expectRevision(String key, long revision) {
         expectedRevisions.put(key, revision);
         return this;
     }
 
-    /** Requires that the key doesn't exist. */
+    /** Adds the condition that the key doesn't exist. */
     public CompareAndSwap expectAbsent(String key) {
-        return expectRevision(key, ABSENT);
+        return expectRevision(key, ABSENT_REVISION);
     }
 
-    /** Stores a value under a key. */
+    /** Adds a write that stores a value under a key. */
     public CompareAndSwap put(String key, JsonNode value) {
         writes.add(new Put(key, value, null));
         return this;
     }
 
-    /** Stores a value under a key that the store deletes when that session with it ends or expires. */
+    /**
+     * Adds a write of a key that is attached to a session: the store deletes the key when the session ends or expires.
+     */
     public CompareAndSwap putWithSession(String key, JsonNode value, long sessionId) {
         writes.add(new Put(key, value, sessionId));
         return this;
     }
 
-    /** Deletes a key. */
+    /** Adds the deletion of a key. */
     public CompareAndSwap delete(String key) {
         writes.add(new Delete(key));
         return this;
     }
 
-    /** How many keys it changes, which is what it costs of the store's write limit. */
+    /** The number of writes, which is the cost of the transaction under the store's write limit. */
     public int writeCount() {
         return writes.size();
     }
 
-    /** The changes, in the order of their addition. */
+    /** The writes, in the order in which they were added. */
     List<Write> writes() {
         return Collections.unmodifiableList(writes);
     }
 
-    /** The conditions: revisions by key, in the order of their addition. */
+    /** The conditions: the expected revision of each key, in the order in which they were added. */
     Iterable<Object2LongMap.Entry<String>> expectedRevisions() {
         return expectedRevisions.object2LongEntrySet();
     }
 
-    /** Whether that write creates its key: the transaction requires that it doesn't exist. */
+    /** Whether the write creates its key, that is, the transaction requires that the key doesn't exist. */
     boolean creates(Write write) {
-        return expectedRevisions.containsKey(write.key()) && expectedRevisions.getLong(write.key()) == ABSENT;
+        return expectedRevisions.containsKey(write.key()) && expectedRevisions.getLong(write.key()) == ABSENT_REVISION;
     }
 }
--- a/src/main/java/org/hollypick/store/KeyValue.java
+++ b/src/main/java/org/hollypick/store/KeyValue.java
@@ -6,7 +6,7 @@
 /**
  * A key of the store with its value.
  *
- * @param revision the revision under which it was last written; unsigned
- * @param sessionId the session with which it is deleted; empty for a key that stays, and in pages of a listing
+ * @param revision the revision under which the key was last written; unsigned
+ * @param sessionId the session whose end deletes the key; empty if there is none, and in pages of a listing
  */
 public record KeyValue(String key, JsonNode value, long revision, OptionalLong sessionId) {}
--- a/src/main/java/org/hollypick/store/KeyValuePage.java
+++ b/src/main/java/org/hollypick/store/KeyValuePage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A part of the keys under a prefix, in the order of the keys.
+ * One page of the keys under a prefix, in key order.
  *
  * @param revision the store's revision when the page was read; unsigned
- * @param truncated whether keys after the last of these exist
+ * @param truncated whether more keys follow the last one of this page
  */
 public record KeyValuePage(List<KeyValue> entries, long revision, boolean truncated) {}
--- a/src/main/java/org/hollypick/store/KeyValueStoreClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -10,9 +10,9 @@
 import org.hollypick.peer.RequestRouter;
 
 /**
- * Client of the consensus-backed key-value store. Reads and commits wait in a queue for this controller's share of the
- * store's rate limits; sessions, watches and urgent commits are sent at once and charged to the budget afterwards. Each
- * callback runs exactly once. Confined to the event loop.
+ * Client of the consensus-backed key-value store. Reads and commits are queued until this controller's share of the
+ * store's rate limits allows them; session requests, watches and urgent commits are charged to that share but sent at
+ * once. Each callback runs exactly once. Confined to the event loop.
  */
 public final class KeyValueStoreClient {
     private final EventLoop eventLoop;
@@ -24,7 +24,8 @@
     private final StoreRequestQueue queue;
 
     /**
-     * A client of the store that the settings name; it starts with the write share of a controller that doesn't lead.
+     * Creates a client of the store named in the settings. Its write share is that of a follower until
+     * {@link #setLeader} is called.
      */
     public KeyValueStoreClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
@@ -43,19 +44,17 @@
         });
     }
 
-    /** The router of the requests to the store, which also forwards those of other controllers. */
+    /** The router of requests to the store, which also forwards requests of other controllers. */
     public RequestRouter router() {
         return router;
     }
 
-    /** Follows this controller's role: the leader's share of the writes is larger. */
+    /** Sets whether this controller leads: the leader has a larger share of the writes. */
     public void setLeader(boolean leader) {
         budget.setLeader(leader, eventLoop.now());
     }
 
-    /**
-     * Whether a new write should be rejected at once, since it would wait here for too long. Counts such rejections.
-     */
+    /** Whether a new write should be rejected at once, since it would time out in the queue. Counts such rejections. */
     public boolean shouldShedWrite() {
         boolean overloaded = queue.isOverloaded();
         if (overloaded) {
@@ -64,17 +63,20 @@
         return overloaded;
     }
 
-    /** Whether there is room for writes that can be deferred: no request waits, and the write budget is half full. */
+    /** Whether deferrable writes may be sent: no request is queued, and at least half of the write budget is left. */
     public boolean hasSpareWriteCapacity() {
         return areQueuesEmpty() && budget.hasSpareWrites(eventLoop.now());
     }
 
-    /** Whether every request so far was sent as soon as it came. */
+    /** Whether no request is queued. */
     public boolean areQueuesEmpty() {
         return queue.isEmpty();
     }
 
-    /** How many writes to put into one transaction at most, if there are many. */
+    /**
+     * The maximum number of writes for one batched transaction: bounded by the store's limit for a transaction, and by
+     * the writes that this controller may make in {@link StoreConstants#WRITE_BATCH_S}.
+     */
     public int maxBatchWrites() {
         return (int) Math.max(1, Math.min(settings.txnOps(), budget.writesPerSecond() * StoreConstants.WRITE_BATCH_S));
     }
@@ -84,22 +86,22 @@
         queue.addRead(requests.get(key), response -> callback.accept(StoreCodec.decodeGet(response)));
     }
 
-    /** Reads the store's revision, which is at least that of every write answered before this call. */
+    /** Reads the store's revision, which is at least that of every write confirmed before this call. */
     public void readRevision(Consumer<StoreResult<Long>> callback) {
         queue.addRead(requests.readRevision(), response -> callback.accept(StoreCodec.decodeRevision(response)));
     }
 
     /**
-     * Reads some of the keys under a prefix with their values.
+     * Reads one page of the keys under a prefix with their values.
      *
-     * @param afterKey the last key of the page before; null for the first page
+     * @param afterKey the last key of the previous page; null for the first page
      */
     public void listPage(String prefix, String afterKey, Consumer<StoreResult<KeyValuePage>> callback) {
         queue.addRead(
                 requests.listPage(prefix, afterKey), response -> callback.accept(StoreCodec.decodePage(response)));
     }
 
-    /** Commits a transaction when its turn comes. */
+    /** Queues a transaction, which is committed as soon as the rate limits allow it. */
     public void commit(CompareAndSwap transaction, Consumer<CommitResult> callback) {
         queue.addCommit(
                 requests.commit(transaction),
@@ -107,7 +109,7 @@
                 response -> callback.accept(StoreCodec.decodeCommit(response)));
     }
 
-    /** Commits a transaction ahead of the queue: for leadership and membership, which must not wait. */
+    /** Commits a transaction without queueing it; for writes about leadership and membership, which must not wait. */
     public void commitUrgently(CompareAndSwap transaction, Consumer<CommitResult> callback) {
         budget.writesSent(transaction.writeCount(), eventLoop.now());
         usage.writesSent(transaction);
@@ -118,28 +120,28 @@
     }
 
     /**
-     * Opens a session, which keeps the keys that were put with it for as long as it is renewed. The result is its id.
-     * Repeating the request is harmless: a session that nobody uses expires.
+     * Opens a session and passes its id to the callback. Keys attached to the session exist only as long as the session
+     * is renewed. The request may be sent twice: an unused session expires.
      */
     public void grantSession(long ttlMillis, Consumer<StoreResult<Long>> callback) {
         sendSessionRequest(
                 requests.grantSession(ttlMillis), response -> callback.accept(StoreCodec.decodeSessionGrant(response)));
     }
 
-    /** Renews a session; {@link StoreStatus#NOT_FOUND} if it has expired. */
+    /** Renews a session; the status is {@link StoreStatus#NOT_FOUND} if the session has expired. */
     public void renewSession(long sessionId, Consumer<StoreStatus> callback) {
         sendSessionRequest(
                 requests.renewSession(sessionId),
                 response -> callback.accept(StoreCodec.decodeSessionRenewal(response)));
     }
 
-    /** Ends a session and deletes its keys; {@link StoreStatus#NOT_FOUND} if it had expired. */
+    /** Ends a session, which deletes its keys; the status is {@link StoreStatus#NOT_FOUND} if it has expired. */
     public void endSession(long sessionId, Consumer<StoreStatus> callback) {
         sendSessionRequest(
                 requests.endSession(sessionId), response -> callback.accept(StoreCodec.decodeSessionEnd(response)));
     }
 
-    /** Waits for changes under a prefix after that revision, for some seconds at most. */
+    /** Waits for changes under a prefix after the given revision, for at most {@link StoreConstants#WATCH_WAIT_MS}. */
     public void watch(String prefix, long afterRevision, Consumer<StoreResult<WatchResponse>> callback) {
         sendUrgently(
                 requests.watch(prefix, afterRevision),
--- a/src/main/java/org/hollypick/store/StoreCodec.java
+++ b/src/main/java/org/hollypick/store/StoreCodec.java
@@ -11,8 +11,8 @@
 import org.hollypick.io.WireNames;
 
 /**
- * The bodies of the key-value store's wire protocol: encodes transactions and decodes answers. Together with
- * {@link StoreRequests}, which knows the paths, the only place where the protocol's names stand. Stateless.
+ * Encodes and decodes the bodies of the key-value store's wire protocol. Names of that protocol occur only here, in
+ * {@link StoreRequests} (paths and parameters) and in {@link WireNames} (names shared with other protocols). Stateless.
  */
 final class StoreCodec {
     /** The conditions of a transaction. */
@@ -30,10 +30,10 @@
     /** The keys whose conditions didn't hold. */
     private static final String CONFLICTING_KEYS = "failed";
 
-    /** The store's revision at the time of the answer. */
+    /** The store's revision at the time of the response. */
     private static final String STORE_REVISION = "epoch";
 
-    /** For how long a session lives unless it is renewed. */
+    /** Milliseconds until a session expires unless it is renewed. */
     private static final String SESSION_TTL_MILLIS = "life_ms";
 
     private static final String KEY = "key";
@@ -89,7 +89,10 @@
         return StoreResult.of(response, StoreCodec::decodeKeyValue);
     }
 
-    /** The store's revision as the answer to a key that doesn't exist tells it. */
+    /**
+     * Decodes the store's revision from the response to a read of a key that doesn't exist. If the key is found after
+     * all, the result is {@link StoreStatus#UNAVAILABLE}.
+     */
     static StoreResult<Long> decodeRevision(Response response) {
         return switch (StoreStatus.of(response)) {
             case NOT_FOUND -> new StoreResult<>(StoreStatus.OK, storeRevision(response.body()));
--- a/src/main/java/org/hollypick/store/StoreRateBudget.java
+++ b/src/main/java/org/hollypick/store/StoreRateBudget.java
@@ -5,17 +5,17 @@
 import org.hollypick.io.TokenBucket;
 
 /**
- * This controller's share of the store's limits: requests and writes a second. The requests are split evenly among the
- * controllers. The leader's share of the writes is larger, since it records progress and machines, and it also has what
- * the others leave unused. Confined to the event loop.
+ * This controller's share of the store's limits on requests and writes per second. Requests are split evenly among the
+ * controllers. The leader has a larger share of the writes, since it records the progress of jobs and machines, and may
+ * also use what the other controllers leave unused. Confined to the event loop.
  */
 final class StoreRateBudget {
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final int peerCount;
-    /** Writes a second that all controllers plan to make together. */
+    /** Writes per second that the controllers together plan to make. */
     private final double plannedWritesPerSecond;
-    /** The leader's changing share of the writes; null unless this controller leads. */
+    /** The leader's variable share of the writes; null unless this controller leads. */
     private WriteShare leaderShare;
 
     StoreRateBudget(Settings settings, long nowMillis) {
@@ -28,7 +28,7 @@
         setLeader(false, nowMillis);
     }
 
-    /** Follows this controller's role, which decides its share of the writes. */
+    /** Sets whether this controller leads, which determines its share of the writes. */
     void setLeader(boolean leader, long nowMillis) {
         double leaderRate =
                 peerCount == 0 ? plannedWritesPerSecond : plannedWritesPerSecond * StoreConstants.LEADER_WRITE_SHARE;
@@ -40,23 +40,23 @@
         return plannedWritesPerSecond * (1 - StoreConstants.LEADER_WRITE_SHARE) / Math.max(1, peerCount);
     }
 
-    /** A watch showed that many writes, of any controller. */
+    /** Records that a watch reported this many writes, of any controller. */
     void writesObserved(int count, long nowMillis) {
         if (leaderShare != null) {
             leaderShare.writesObserved(count, nowMillis);
-            followLeaderShare(nowMillis);
+            applyLeaderShare(nowMillis);
         }
     }
 
-    /** That many writes of this controller were committed. */
+    /** Records that this many writes of this controller were committed. */
     void ownWritesCommitted(int count, long nowMillis) {
         if (leaderShare != null) {
             leaderShare.ownWritesCommitted(count, nowMillis);
-            followLeaderShare(nowMillis);
+            applyLeaderShare(nowMillis);
         }
     }
 
-    private void followLeaderShare(long nowMillis) {
+    private void applyLeaderShare(long nowMillis) {
         writes.setRate(leaderShare.writesPerSecond(nowMillis), writes.size());
     }
 
@@ -65,27 +65,27 @@
         return requests.has(1, nowMillis);
     }
 
-    /** Whether that many writes may be sent now. */
+    /** Whether this many writes may be sent now. */
     boolean allowsWrites(int count, long nowMillis) {
         return writes.has(count, nowMillis);
     }
 
-    /** Whether at least half of the writes that may be sent at once are left. */
+    /** Whether at least half of the largest allowed burst of writes is left. */
     boolean hasSpareWrites(long nowMillis) {
         return writes.has(writes.size() / 2, nowMillis);
     }
 
-    /** Accounts for a request that is being sent, allowed or not. */
+    /** Charges the budget for a request that is being sent, even if it exceeds the budget. */
     void requestSent(long nowMillis) {
         requests.take(1, nowMillis);
     }
 
-    /** Accounts for writes that are being sent, allowed or not. */
+    /** Charges the budget for writes that are being sent, even if they exceed the budget. */
     void writesSent(int count, long nowMillis) {
         writes.take(count, nowMillis);
     }
 
-    /** Writes a second that this controller may make now. */
+    /** Writes per second that this controller may make now. */
     double writesPerSecond() {
         return writes.rate();
     }
--- a/src/main/java/org/hollypick/store/StoreRequestQueue.java
+++ b/src/main/java/org/hollypick/store/StoreRequestQueue.java
@@ -8,9 +8,10 @@
 import org.hollypick.io.Response;
 
 /**
- * Requests that wait for their turn within this controller's {@link StoreRateBudget}. Reads and commits wait apart, so
- * that a read, which needs no share of the writes, never waits behind a commit. A request that finds no room or waits
- * for too long is answered as not sent. Confined to the event loop.
+ * Queue of requests that wait until this controller's {@link StoreRateBudget} allows them. Reads and commits have
+ * separate queues: a read, which costs no writes, never waits behind a commit that the write budget doesn't allow yet.
+ * A request whose queue is full, or that waits for too long, fails with {@link Response#notSent()}. Confined to the
+ * event loop.
  */
 final class StoreRequestQueue {
     private static final double MILLIS_PER_SECOND = 1000.0;
@@ -27,8 +28,8 @@
     /**
      * A request in the queue.
      *
-     * @param transaction what it commits; null for a read
-     * @param enqueuedAtMillis when it came, by the steady clock
+     * @param transaction the transaction to commit; null for a read
+     * @param enqueuedAtMillis when the request was queued, by the steady clock
      */
     record Item(Request request, CompareAndSwap transaction, long enqueuedAtMillis, Consumer<Response> callback) {
         boolean isCommit() {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** {@code sender}: sends a request whose turn it is; the budget has been charged for it. */
+    /** {@code sender}: sends a request that has left the queue; the budget has been charged for the request. */
     StoreRequestQueue(EventLoop eventLoop, StoreRateBudget budget, StoreUsage usage, Consumer<Item> sender) {
         this.eventLoop = eventLoop;
         this.budget = budget;
@@ -52,12 +53,12 @@
         this.sender = sender;
     }
 
-    /** Adds a read, and sends it at once if the budget allows it. */
+    /** Queues a read, and sends it at once if the budget allows that. */
     void addRead(Request request, Consumer<Response> callback) {
         add(reads, new Item(request, null, eventLoop.now(), callback));
     }
 
-    /** Adds a commit, and sends it at once if the budget allows it. */
+    /** Queues a commit, and sends it at once if the budget allows that. */
     void addCommit(Request request, CompareAndSwap transaction, Consumer<Response> callback) {
         add(commits, new Item(request, transaction, eventLoop.now(), callback));
     }
@@ -73,12 +74,12 @@
         drain();
     }
 
-    /** Whether nothing waits. */
+    /** Whether no request is queued. */
     boolean isEmpty() {
         return reads.isEmpty() && commits.isEmpty();
     }
 
-    /** Whether a commit that is added now would wait for longer than it may, or finds no room. */
+    /** Whether a commit that is added now would be rejected because the queue is full, or would probably time out. */
     boolean isOverloaded() {
         double admittedWrites = budget.writesPerSecond()
                 * StoreConstants.STORE_QUEUE_TIMEOUT_MS
@@ -109,9 +110,10 @@
     }
 
     /**
-     * The queue whose head may be sent now; of both, the one whose head has waited longer.
+     * Selects the queue whose first request may be sent now; if that holds for both, the one whose first request has
+     * waited longer.
      *
-     * @return null if the budget allows neither
+     * @return null if no request may be sent now
      */
     private ArrayDeque<Item> nextQueue(long nowMillis) {
         if (!budget.allowsRequest(nowMillis)) {
--- a/src/main/java/org/hollypick/store/StoreRequests.java
+++ b/src/main/java/org/hollypick/store/StoreRequests.java
@@ -8,7 +8,7 @@
 
 /** Builds the requests of the key-value store's protocol: methods, paths, bodies and timeouts. Immutable. */
 final class StoreRequests {
-    /** A key that is never written: the answer that it doesn't exist carries the store's revision. */
+    /** A key that is never written: the response that the key doesn't exist contains the store's revision. */
     private static final String ABSENT_KEY = "h/never";
 
     private static final String KEYS_PATH = "/keys";
@@ -20,12 +20,12 @@
 
     private final String address;
 
-    /** Requests to the store at that address. */
+    /** Creates a builder of requests to the store at this address. */
     StoreRequests(String address) {
         this.address = address;
     }
 
-    /** A small request that shows whether the store answers. */
+    /** A small request that shows whether the store responds. */
     Request probe() {
         return get(ABSENT_KEY, ReachabilityConstants.ROUTE_RETRY_MS);
     }
@@ -38,12 +38,12 @@
         return Request.of(address, "GET", KEYS_PATH + "/" + key, null, timeoutMillis);
     }
 
-    /** A read of a key that doesn't exist, for the store's revision. */
+    /** A read of a key that doesn't exist; the response contains the store's revision. */
     Request readRevision() {
         return get(ABSENT_KEY);
     }
 
-    /** {@code afterKey}: the last key of the page before; null for the first page. */
+    /** {@code afterKey}: the last key of the previous page; null for the first page. */
     Request listPage(String prefix, String afterKey) {
         String start = afterKey == null ? "" : "&from=" + afterKey;
         return request("GET", KEYS_PATH + "?prefix=" + prefix + start + "&page=" + PAGE_SIZE, null);
@@ -53,7 +53,7 @@
         return request("POST", COMMIT_PATH, StoreCodec.encode(transaction));
     }
 
-    /** Waits for changes after that revision. */
+    /** A request that waits for changes after the given revision. */
     Request watch(String prefix, long afterRevision) {
         String path = WATCH_PATH + "?prefix=" + prefix + "&from=" + Long.toUnsignedString(afterRevision) + "&wait_ms="
                 + StoreConstants.WATCH_WAIT_MS;
--- a/src/main/java/org/hollypick/store/StoreResult.java
+++ b/src/main/java/org/hollypick/store/StoreResult.java
@@ -7,7 +7,7 @@
 /**
  * The outcome of a request that reads from the key-value store or opens a session.
  *
- * @param value what the store answered; null unless the status is {@link StoreStatus#OK}
+ * @param value the decoded response; null unless the status is {@link StoreStatus#OK}
  */
 public record StoreResult<T>(StoreStatus status, T value) {
     /** Whether there is a value. */
@@ -15,6 +15,7 @@
         return status == StoreStatus.OK;
     }
 
+    /** Decodes a response; {@code decoder} is only called for a successful one. */
     static <T> StoreResult<T> of(Response response, Function<JsonNode, T> decoder) {
         StoreStatus status = StoreStatus.of(response);
         return new StoreResult<>(status, status == StoreStatus.OK ? decoder.apply(response.body()) : null);
--- a/src/main/java/org/hollypick/store/StoreStatus.java
+++ b/src/main/java/org/hollypick/store/StoreStatus.java
@@ -2,23 +2,25 @@
 
 import org.hollypick.io.Response;
 
-/** How a request to the key-value store ended. */
+/** The outcome of a request to the key-value store. */
 public enum StoreStatus {
-    /** The store carried the request out. */
+    /** The store executed the request. */
     OK,
     /** The key or session doesn't exist. */
     NOT_FOUND,
     /** A condition of a transaction doesn't hold; nothing was written. */
     CONFLICT,
-    /** The store refuses the request for good: it is too large, or its session doesn't exist. Nothing was written. */
+    /**
+     * The store permanently rejects the request: it is too large, or its session doesn't exist. Nothing was written.
+     */
     INVALID,
     /** The revision to watch from is too old: the store no longer has the changes since then. */
     COMPACTED,
-    /** Any other answer, such as one of an overloaded store, or of one without a quorum. */
+    /** Any other response, such as that of a store that is overloaded or has no quorum. */
     UNAVAILABLE,
-    /** Never sent, so it can't be carried out late either. */
+    /** The request was never sent, so it can't be executed later either. */
     NOT_SENT,
-    /** Sent but not answered: it may have been carried out, or may still be. */
+    /** The request was sent, but no response was received: it may have been executed, or may still be. */
     NO_RESPONSE;
 
     private static final int HTTP_BAD_REQUEST = 400;
--- a/src/main/java/org/hollypick/store/WatchResponse.java
+++ b/src/main/java/org/hollypick/store/WatchResponse.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The changes under a prefix since the revision that was asked for, oldest first; none if nothing changed while the
- * watch waited.
+ * The changes under a prefix after the requested revision, oldest first; none if nothing changed while the watch
+ * waited.
  *
- * @param revision the revision up to which these are all changes; unsigned
+ * @param revision the revision up to which {@code changes} is complete; unsigned
  */
 public record WatchResponse(List<KeyChange> changes, long revision) {}
--- a/src/main/java/org/hollypick/store/WriteShare.java
+++ b/src/main/java/org/hollypick/store/WriteShare.java
@@ -3,16 +3,17 @@
 import org.hollypick.config.constants.StoreConstants;
 
 /**
- * How many writes a second a leader may make: its own share, and what the other controllers leave unused of theirs. A
- * watch shows the leader every write; the others' are those that aren't its own. The others keep to their shares, and
- * get them back within {@link StoreConstants#WRITE_SHARE_WINDOWS} windows. Confined to the event loop.
+ * The write rate of a leader: its own share, plus what the other controllers leave unused of theirs. The leader
+ * observes all writes through its watch; those that aren't its own are the others'. The other controllers always keep
+ * to their shares. When their writes increase, the leader's rate decreases accordingly within
+ * {@link StoreConstants#WRITE_SHARE_WINDOWS} windows. Confined to the event loop.
  */
 final class WriteShare {
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final double plannedWritesPerSecond;
     private final double minimumWritesPerSecond;
-    /** Writes of the other controllers in the last windows in which any write was observed; a ring. */
+    /** Writes of the other controllers in the latest windows in which any write was observed; a ring buffer. */
     private final int[] othersWritesByWindow = new int[StoreConstants.WRITE_SHARE_WINDOWS];
 
     private int countedWindows;
@@ -21,8 +22,8 @@
     private int ownInWindow;
 
     /**
-     * {@code plannedWritesPerSecond}: what all controllers plan to write together; {@code minimumWritesPerSecond}: the
-     * leader's own share of that.
+     * {@code plannedWritesPerSecond}: the writes that all controllers together plan to make;
+     * {@code minimumWritesPerSecond}: the leader's own share of these.
      */
     WriteShare(double plannedWritesPerSecond, double minimumWritesPerSecond, long nowMillis) {
         this.plannedWritesPerSecond = plannedWritesPerSecond;
@@ -30,13 +31,13 @@
         this.windowStartedAtMillis = nowMillis;
     }
 
-    /** A watch showed that many writes, of any controller. */
+    /** Records that a watch reported this many writes, of any controller. */
     void writesObserved(int count, long nowMillis) {
         closeElapsedWindow(nowMillis);
         observedInWindow += count;
     }
 
-    /** That many writes of this controller were committed. */
+    /** Records that this many writes of this controller were committed. */
     void ownWritesCommitted(int count, long nowMillis) {
         closeElapsedWindow(nowMillis);
         ownInWindow += count;
@@ -47,8 +48,8 @@
         if (elapsedMillis < StoreConstants.WRITE_SHARE_WINDOW_MS) {
             return;
         }
-        // A window without any write, or one that lasted too long, may be due to a watch that was held up, as in an
-        // outage: it shows nothing about the others.
+        // A window without an observed write, or one that lasted too long, may be caused by a delayed watch, as in an
+        // outage. Such a window doesn't show how much the other controllers write, so it isn't counted.
         boolean onTime = elapsedMillis < 2 * StoreConstants.WRITE_SHARE_WINDOW_MS;
         if (observedInWindow > 0) {
             if (onTime) {
@@ -60,7 +61,7 @@
         windowStartedAtMillis = nowMillis;
     }
 
-    /** Writes a second that the leader may make now. */
+    /** Writes per second that the leader may make now. */
     double writesPerSecond(long nowMillis) {
         closeElapsedWindow(nowMillis);
         if (countedWindows < othersWritesByWindow.length) {
