--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -16,27 +16,31 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** Reports that other controllers hand on to the leader, and its answers that they pass back. */
+/** Tests the relaying of heartbeats to the leader, and of the leader's responses back to the agents. */
 class HeartbeatRelayTest {
     private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
 
     /**
-     * The others stand still with the leader's answers in hand; it ends meanwhile, and another one leads when they go
-     * on.
+     * Five times, pauses a controller that is sending a batch of heartbeats to the leader, and crashes the leader 40 ms
+     * later. The paused controller can relay the leader's responses only after the pause.
+     *
+     * @param pauseMs how long the relaying controller is paused
+     * @param restartMs how long the leader's process is down
      */
     private static ClusterScenario pauseRelaysAndCrashLeader(
-            int seed, long freezeMs, long restartMs, BiFunction<EventLoop, Settings, Controller> version) {
+            int seed, long pauseMs, long restartMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 6, null, null, version);
         scenario.workload.submitJobs(80, 110_000);
         boolean[] armed = {false};
-        scenario.world.sending = (from, call) -> {
-            if (armed[0] && call.path().equals("/reports")) {
+        scenario.world.sending = (from, request) -> {
+            if (armed[0] && request.path().equals("/reports")) {
                 armed[0] = false;
                 int leader = scenario.leaderIndex();
-                int other = Integer.parseInt(from.substring("bothy-".length()));
-                // It hears of the new leader record later still.
-                scenario.faults.freeze(other, freezeMs);
+                int relay = Integer.parseInt(from.substring("bothy-".length()));
+                // The link to the store is cut for longer than the pause, so that this controller receives the new
+                // leader record even later.
+                scenario.faults.freeze(relay, pauseMs);
                 scenario.world.cut(from, "state:1", 12_000);
                 scenario.world.at(40, () -> scenario.faults.crash(leader, restartMs));
             }
@@ -58,33 +62,36 @@
         }
     }
 
-    /** Without the bound that the leader tells, its orders would reach machines while another one leads. */
+    /**
+     * If relays ignored the validity that the leader sends with its responses, commands of the crashed leader would
+     * reach machines while another controller leads.
+     */
     @Test
     void checkerDetectsResponsesRelayedAfterTheirValidityExpired() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
-                new DelegatingEventLoop(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (eventLoop, settings) -> CURRENT_VERSION.apply(
+                new DelegatingEventLoop(eventLoop) {
                     @Override
-                    public void send(Request call, Consumer<Response> callback) {
-                        super.send(call, a -> {
-                            if (call.path().equals("/reports") && a.ok()) {
-                                ((ObjectNode) a.body()).put("right_ms", 60_000);
+                    public void send(Request request, Consumer<Response> callback) {
+                        super.send(request, response -> {
+                            if (request.path().equals("/reports") && response.ok()) {
+                                ((ObjectNode) response.body()).put("right_ms", 60_000);
                             }
-                            callback.accept(a);
+                            callback.accept(response);
                         });
                     }
                 },
-                s);
-        boolean noticed = false;
-        for (int seed = 1; seed <= 40 && !noticed; seed++) {
-            noticed = pauseRelaysAndCrashLeader(seed, 9_000, 6_000, faulty).checker.violations.stream()
-                    .anyMatch(b -> b.startsWith("answered_without_right"));
+                settings);
+        boolean detected = false;
+        for (int seed = 1; seed <= 40 && !detected; seed++) {
+            detected = pauseRelaysAndCrashLeader(seed, 9_000, 6_000, faulty).checker.violations.stream()
+                    .anyMatch(violation -> violation.startsWith("answered_without_right"));
         }
-        assertTrue(noticed);
+        assertTrue(detected);
     }
 
     /**
-     * The leader is back before anyone has missed it, and ends its earlier self's store session: not before the others
-     * have dropped what that one answered.
+     * The leader restarts before its failure is detected and ends the store session of its previous incarnation, but
+     * only after the other controllers have discarded the responses of that incarnation.
      */
     @Test
     void responsesOfAPreviousIncarnationAreNotRelayedAfterAQuickRestart() {
@@ -97,50 +104,53 @@
     }
 
     /**
-     * Without the others' word, and without the wait, a restarted node would end a store session that answers under way
-     * still rest on.
+     * If a restarted controller ended the store session of its previous incarnation without waiting until the other
+     * controllers have discarded that incarnation's responses, these could be relayed after another leader has started.
      */
     @Test
     void checkerDetectsAPreviousStoreSessionEndedBeforeItsResponsesAreDiscarded() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
-                new DelegatingEventLoop(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (eventLoop, settings) -> CURRENT_VERSION.apply(
+                new DelegatingEventLoop(eventLoop) {
                     @Override
-                    public void send(Request call, Consumer<Response> callback) {
-                        if (call.path().equals("/release")) {
-                            r.after(
+                    public void send(Request request, Consumer<Response> callback) {
+                        if (request.path().equals("/release")) {
+                            eventLoop.after(
                                     1,
                                     () -> callback.accept(
                                             new Response(200, Codec.object().put("released", true))));
                         } else {
-                            super.send(call, callback);
+                            super.send(request, callback);
                         }
                     }
                 },
-                s);
-        boolean noticed = false;
-        for (int seed = 1; seed <= 40 && !noticed; seed++) {
-            noticed = pauseRelaysAndCrashLeader(seed, 700, 50, faulty).checker.violations.stream()
-                    .anyMatch(b -> b.startsWith("answered_without_right"));
+                settings);
+        boolean detected = false;
+        for (int seed = 1; seed <= 40 && !detected; seed++) {
+            detected = pauseRelaysAndCrashLeader(seed, 700, 50, faulty).checker.violations.stream()
+                    .anyMatch(violation -> violation.startsWith("answered_without_right"));
         }
-        assertTrue(noticed);
+        assertTrue(detected);
     }
 
-    /** All machines stay with the controllers that are left, at once and without looking for the leader. */
+    /**
+     * After the leader has crashed, the remaining controllers relay the heartbeats of all machines to the new leader,
+     * so that machines needn't search for it and no lease expires.
+     */
     @Test
     void newLeaderReceivesHeartbeatsThroughRelaysBeforeTaskLeasesExpire() {
         ClusterScenario scenario = new ClusterScenario(5, 8);
         scenario.advance(3_000);
         scenario.workload.submitUncancelledServices(12);
         scenario.advance(60_000);
-        int lost = scenario.checker.tasks.lostWithLease;
+        int lostBefore = scenario.checker.tasks.lostWithLease;
         scenario.faults.crash(scenario.leaderIndex(), 40_000);
         scenario.advance(12_000);
         long token = scenario.store.revisionOf("h/roster");
         assertTrue(
-                scenario.cloud.agents().stream().allMatch(w -> w.fencingToken() >= token),
-                "every machine has seen the new leader's token");
+                scenario.cloud.agents().stream().allMatch(agent -> agent.fencingToken() >= token),
+                "every machine should have received the new leader's token");
         scenario.advance(60_000);
-        assertEquals(lost, scenario.checker.tasks.lostWithLease);
+        assertEquals(lostBefore, scenario.checker.tasks.lostWithLease);
         assertEquals(List.of(), scenario.checker.violations);
     }
 }
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -18,16 +18,18 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** How one controller shares out its part of the key-value store's limits among its own requests. */
+/** Tests how a controller sends its requests within its share of the key-value store's rate limits. */
 class KeyValueStoreClientTest {
     private static final long RESPONSE_MS = 10;
     private static final double REQUESTS_PER_SECOND = 120;
     private static final double WRITES_PER_SECOND = 30;
     private static final double PLANNED_WRITES_PER_SECOND = 25;
     private static final double LEADER_SHARE_WRITES_PER_SECOND = 10;
-    private static final int SECONDS = 30;
+    private static final int DURATION_S = 30;
 
-    /** A key-value store that executes every request after a few milliseconds, and a clock. */
+    /**
+     * An event loop with a simulated clock and a key-value store that responds to every request after a fixed delay.
+     */
     private static final class SimulatedStore implements EventLoop {
         private record Task(long dueAt, long sequence, Runnable action) {}
 
@@ -78,8 +80,10 @@
             now = untilMs;
         }
 
-        private long countRequests(String path) {
-            return requests.stream().filter(c -> c.path().startsWith(path)).count();
+        private long countRequests(String pathPrefix) {
+            return requests.stream()
+                    .filter(request -> request.path().startsWith(pathPrefix))
+                    .count();
         }
     }
 
@@ -87,11 +91,11 @@
     private final KeyValueStoreClient client = new KeyValueStoreClient(simulatedStore, settings());
 
     private static Settings settings() {
-        List<Settings.Sibling> others =
+        List<Settings.Sibling> siblings =
                 List.of(new Settings.Sibling("n2", "a", "n2:2"), new Settings.Sibling("n3", "a", "n3:2"));
         return new SettingsBuilder()
                 .controller("n1", "n1:1", "n1:2")
-                .siblings(others)
+                .siblings(siblings)
                 .externalServices("cloud:1", "state:1")
                 .storeRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND)
                 .build();
@@ -100,15 +104,15 @@
     @Test
     void readsAreSentWhileCommitsWaitForTheWriteBudget() {
         for (int i = 0; i < 60; i++) {
-            client.commit(new CompareAndSwap().put("h/j/" + i, Codec.object()), r -> {});
+            client.commit(new CompareAndSwap().put("h/j/" + i, Codec.object()), result -> {});
         }
         simulatedStore.runUntil(1_000);
-        long asked = simulatedStore.now();
-        List<Long> answered = new ArrayList<>();
-        client.get("h/j/0", r -> answered.add(simulatedStore.now() - asked));
-        simulatedStore.runUntil(asked + 200);
-        assertEquals(List.of(RESPONSE_MS), answered);
-        assertTrue(simulatedStore.countRequests("/commit") < 60, "changes are still waiting");
+        long readAt = simulatedStore.now();
+        List<Long> responseTimes = new ArrayList<>();
+        client.get("h/j/0", result -> responseTimes.add(simulatedStore.now() - readAt));
+        simulatedStore.runUntil(readAt + 200);
+        assertEquals(List.of(RESPONSE_MS), responseTimes);
+        assertTrue(simulatedStore.countRequests("/commit") < 60, "some commits should still be queued");
     }
 
     @Test
@@ -128,13 +132,16 @@
             share.writesObserved(2, now);
         }
         assertEquals(
-                LEADER_SHARE_WRITES_PER_SECOND, share.writesPerSecond(15_000), 0.01, "the others use all of theirs");
+                LEADER_SHARE_WRITES_PER_SECOND,
+                share.writesPerSecond(15_000),
+                0.01,
+                "not below the leader's own share");
     }
 
     @Test
     void windowsWithoutObservedWritesDoNotChangeTheLeadersRate() {
         WriteShare share = new WriteShare(PLANNED_WRITES_PER_SECOND, LEADER_SHARE_WRITES_PER_SECOND, 0);
-        assertEquals(LEADER_SHARE_WRITES_PER_SECOND, share.writesPerSecond(4_000), 0.01, "not known yet");
+        assertEquals(LEADER_SHARE_WRITES_PER_SECOND, share.writesPerSecond(4_000), 0.01, "no writes observed yet");
         for (long now = 4_100; now <= 9_000; now += 100) {
             share.writesObserved(1, now);
         }
@@ -142,25 +149,25 @@
         assertEquals(PLANNED_WRITES_PER_SECOND - 10, share.writesPerSecond(60_000), 0.01);
     }
 
-    /** The leader's queue empties at the rate of all controllers while the others change nothing. */
+    /** The leader may send commits at the planned rate of all controllers while the others write nothing. */
     @Test
     void leaderCommitsAboveItsOwnShareWhileOtherControllersWriteNothing() {
         client.setLeader(true);
         simulatedStore.reportsWritesToWatches = true;
-        client.watch("h/", 0, r -> watchAgain());
-        for (long at = 0; at < SECONDS * 1_000; at += 50) {
+        client.watch("h/", 0, result -> watchAgain());
+        for (long at = 0; at < DURATION_S * 1_000; at += 50) {
             simulatedStore.after(
                     at,
                     () -> client.commit(
-                            new CompareAndSwap().put("h/j/" + simulatedStore.now(), Codec.object()), r -> {}));
+                            new CompareAndSwap().put("h/j/" + simulatedStore.now(), Codec.object()), result -> {}));
         }
-        simulatedStore.runUntil(SECONDS * 1_000);
+        simulatedStore.runUntil(DURATION_S * 1_000);
         assertTrue(
-                simulatedStore.countRequests("/commit") > SECONDS * 15,
-                "sent " + simulatedStore.countRequests("/commit"));
+                simulatedStore.countRequests("/commit") > DURATION_S * 15,
+                "commits sent: " + simulatedStore.countRequests("/commit"));
     }
 
     private void watchAgain() {
-        simulatedStore.after(60, () -> client.watch("h/", 0, r -> watchAgain()));
+        simulatedStore.after(60, () -> client.watch("h/", 0, result -> watchAgain()));
     }
 }
