--- a/src/main/java/org/hollypick/agent/AgentClient.java
+++ b/src/main/java/org/hollypick/agent/AgentClient.java
@@ -13,13 +13,13 @@
 public final class AgentClient {
     private final EventLoop eventLoop;
 
-    /** A client that sends its requests through the event loop. */
+    /** Creates a client that sends its requests through the event loop. */
     public AgentClient(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
     /**
-     * Sends commands; with none it only asks for the agent's state.
+     * Sends commands; a call without commands only asks for the agent's state.
      *
      * @param token the leader's fencing token
      * @param incarnation the agent's incarnation that the commands are for
@@ -41,7 +41,7 @@
         eventLoop.send(request.onlyWhile(validWhile), response -> callback.accept(AgentResponse.of(response)));
     }
 
-    /** Probes whether the machine's agent answers at the address. */
+    /** Probes whether the machine's agent responds at the address. */
     public void probe(String machineId, String address, long timeoutMs, Consumer<ProbeResult> callback) {
         eventLoop.send(
                 Request.of(address, "GET", AgentCodec.PATH_INSPECT, null, timeoutMs),
--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -13,7 +13,7 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.WireNames;
 
-/** The messages between controllers and agents. Their field names differ from the code's and stand only here. */
+/** Encodes and decodes the messages between controllers and agents, whose field names differ from the code's names. */
 public final class AgentCodec {
     /** Paths of the agent's API. */
     static final String PATH_COMMANDS = "/commands";
@@ -22,23 +22,23 @@
 
     /** The id of the machine that sends a heartbeat. */
     static final String MACHINE_ID = "bothy";
-    /** Where the agent listens. */
+    /** Address at which the agent takes direct calls. */
     static final String ADDRESS = "addr";
 
     static final String MACHINE_TYPE = "flavour";
     static final String ZONE = "hall";
     /** Whether the machine is a spot instance. */
     static final String SPOT = "lendable";
-    /** The sequence number within the agent's incarnation: counts heartbeats and answers to direct calls. */
+    /** Sequence number within the agent's incarnation, counting heartbeats and responses to direct calls. */
     static final String SEQUENCE = "tick";
-    /** Seconds until the cloud takes the machine; null if it doesn't. */
+    /** Seconds until the cloud preempts the machine; null unless that was announced. */
     static final String EVICTION_NOTICE_S = "warning_s";
     /** The tasks on the machine. */
     static final String TASKS = "shards";
 
-    /** The id of a task: its job and index. */
+    /** The task's id: the id of its job and its index. */
     static final String TASK = "shard";
-    /** The number of an attempt to run a task, never used twice. */
+    /** Number of an attempt to run a task; unique over all attempts. */
     static final String ATTEMPT = "try";
 
     static final String TASK_STATE = "status";
@@ -49,7 +49,7 @@
     private static final String STATE_CHECKPOINTING = "saving";
     private static final String STATE_EXITED = "exited";
 
-    /** The commands in an answer to a heartbeat or in a direct call. */
+    /** Commands in the response to a heartbeat or in a direct call. */
     private static final String COMMANDS = "orders";
 
     private static final String VERB = "verb";
@@ -64,20 +64,20 @@
     /**
      * Decodes the heartbeat in a request's body.
      *
-     * @return null if the bytes aren't a heartbeat
+     * @return null if the bytes are not a heartbeat
      */
     public static Heartbeat decodeHeartbeat(byte[] cbor) {
         try (JsonParser parser = Codec.cborParser(cbor)) {
             return new HeartbeatStreamReader(parser).read();
         } catch (IOException | RuntimeException e) {
-            return null; // malformed input from outside must never harm the controller
+            return null; // malformed input must not make the controller fail
         }
     }
 
     /**
-     * Decodes the heartbeat in an agent's answer.
+     * Decodes the heartbeat in an agent's response.
      *
-     * @return null if it isn't one
+     * @return null if the body is not a heartbeat
      */
     public static Heartbeat decodeHeartbeat(JsonNode body) {
         if (!isHeartbeat(body)) {
@@ -114,7 +114,7 @@
                 task.path(EXIT_REASON).asText(""));
     }
 
-    /** Whether the body, whatever else it holds, names that machine. */
+    /** Whether the body contains that machine id; other fields are not checked. */
     static boolean identifiesMachine(String machineId, JsonNode body) {
         return body.path(MACHINE_ID).asText().equals(machineId);
     }
@@ -128,7 +128,7 @@
         };
     }
 
-    /** Encodes the answer to a heartbeat: the leader's fencing token and commands. */
+    /** Encodes the response to a heartbeat: the leader's fencing token and commands. */
     public static ObjectNode encodeCommands(long token, List<Command> commands) {
         ObjectNode body = Codec.object().put(WireNames.FENCING_TOKEN, token);
         ArrayNode list = body.putArray(COMMANDS);
--- a/src/main/java/org/hollypick/agent/AgentResponse.java
+++ b/src/main/java/org/hollypick/agent/AgentResponse.java
@@ -4,29 +4,33 @@
 import org.hollypick.io.Response;
 
 /**
- * How a call to an agent ended. Immutable.
+ * Result of a direct call to an agent. Immutable.
  *
- * @param status the HTTP status, or the code of a failure, for the log
- * @param heartbeat the agent's state after the call; null if the call wasn't acknowledged or the answer can't be read
+ * @param status the HTTP status, or the code of a {@link Response.Failure}; for the log
+ * @param heartbeat the agent's state after the call; null if the call wasn't acknowledged or the response can't be
+ *     decoded
  */
 public record AgentResponse(Outcome outcome, int status, Heartbeat heartbeat) {
     private static final int STATUS_OK = 200;
     private static final int STATUS_BAD_REQUEST = 400;
     private static final int STATUS_CONFLICT = 409;
 
-    /** The kinds of outcomes that callers tell apart. */
+    /** Outcome of a call, as far as callers distinguish. */
     public enum Outcome {
-        /** The agent took the commands, or refused them for its incarnation or a higher token, and showed its state. */
+        /**
+         * The agent accepted the commands, or refused them because of its incarnation or a higher token; either way the
+         * response contains its state.
+         */
         ACKNOWLEDGED,
-        /** The agent refused the message as malformed: no command of it was executed. */
+        /** The agent refused the message as malformed: none of its commands was executed. */
         REJECTED,
-        /** The agent answered with an error: commands may have been executed. */
+        /** The agent responded with an error: the commands may have been executed. */
         ERROR,
-        /** The commands may have been executed, or may be yet. */
+        /** No response was received: the commands may have been executed, or may be executed later. */
         NO_RESPONSE,
         /** No connection could be made: no command was sent. */
         NOT_SENT,
-        /** Not sent for want of capacity in this process, which says nothing about the agent. */
+        /** The call was not sent for lack of capacity in this process, which is no evidence about the agent. */
         NO_CAPACITY
     }
 
@@ -53,12 +57,12 @@
         };
     }
 
-    /** Whether the agent answered, with whatever status. */
+    /** Whether the agent responded, with any status. */
     public boolean isAnswered() {
         return outcome == Outcome.ACKNOWLEDGED || outcome == Outcome.REJECTED || outcome == Outcome.ERROR;
     }
 
-    /** Whether no command of the call can be executed from now on. */
+    /** Whether no command of the call can still be executed later. */
     public boolean isSettled() {
         return outcome != Outcome.ERROR && outcome != Outcome.NO_RESPONSE;
     }
--- a/src/main/java/org/hollypick/agent/HeartbeatBuilder.java
+++ b/src/main/java/org/hollypick/agent/HeartbeatBuilder.java
@@ -5,24 +5,26 @@
 import org.hollypick.core.assignment.Heartbeat;
 import org.hollypick.core.assignment.TaskStatus;
 
-/** What has been read of a heartbeat so far; fields that it doesn't have keep their defaults. */
+/** Collects the fields of a heartbeat while it is decoded; missing fields keep their defaults. */
 final class HeartbeatBuilder {
     String machine = "";
     String address = "";
     String type = "";
     String zone = "";
     boolean spot;
-    /** Whether an incarnation, and a sequence number, was read. */
+    /** Whether a valid incarnation was read. */
     boolean hasIncarnation;
 
+    /** Whether a valid sequence number was read. */
     boolean hasSequence;
+
     long incarnation;
     long sequence;
     long token;
     double evictionNoticeS = Double.NaN;
     final List<TaskStatus> tasks = new ArrayList<>();
 
-    /** Whether everything was read without which a heartbeat means nothing. */
+    /** Whether all mandatory fields were read: the machine id, the incarnation and the sequence number. */
     boolean isComplete() {
         return !machine.isEmpty() && hasIncarnation && hasSequence;
     }
--- a/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
+++ b/src/main/java/org/hollypick/agent/HeartbeatStreamReader.java
@@ -9,8 +9,8 @@
 import org.hollypick.io.WireNames;
 
 /**
- * Reads one heartbeat from a stream without building a tree: heartbeats are most of what a busy leader reads. Fields of
- * other types than expected read as empty, unknown ones are skipped.
+ * Decodes one heartbeat from a stream without building a tree, since heartbeats are most of the input of a busy leader.
+ * A field of an unexpected type reads as empty; unknown fields are skipped.
  */
 final class HeartbeatStreamReader {
     private final JsonParser parser;
@@ -97,7 +97,7 @@
         return value == JsonToken.VALUE_NUMBER_INT ? parser.getNumberValue().longValue() : 0;
     }
 
-    /** NaN for what isn't a number. */
+    /** Returns the number, or NaN if the value isn't a number. */
     private double number(JsonToken value) throws IOException {
         return value.isNumeric() ? parser.getDoubleValue() : Double.NaN;
     }
--- a/src/main/java/org/hollypick/agent/ProbeResult.java
+++ b/src/main/java/org/hollypick/agent/ProbeResult.java
@@ -1,11 +1,11 @@
 package org.hollypick.agent;
 
-/** What a probe showed of an agent. */
+/** Result of probing an agent. */
 public enum ProbeResult {
-    /** The agent of the machine answered. */
+    /** The agent of the machine responded. */
     REACHED,
-    /** It didn't, or an agent of another machine did. */
+    /** No agent responded at the address, or the agent of another machine did. */
     NOT_REACHED,
-    /** The probe wasn't sent for want of capacity in this process, which says nothing about the agent. */
+    /** The probe was not sent for lack of capacity in this process, which is no evidence about the agent. */
     NOT_ATTEMPTED
 }
--- a/src/main/java/org/hollypick/control/machines/AgentManager.java
+++ b/src/main/java/org/hollypick/control/machines/AgentManager.java
@@ -7,8 +7,8 @@
 import org.hollypick.io.ServerResponse;
 
 /**
- * The agents in one leader term: their heartbeats, the commands to them, reconciliation after a failover and failure
- * detection, one type each. Confined to the event loop.
+ * Manages the agents during one leader term: heartbeats, commands, reconciliation after a failover and failure
+ * detection, each in a class of its own. Confined to the event loop.
  */
 public final class AgentManager {
     private final TermContext term;
@@ -17,7 +17,7 @@
     private final ReconciliationProbe reconciliationProbe;
     private final FailureDetector failureDetector;
 
-    /** {@code localHealth} learns from direct calls whether this controller is overloaded. */
+    /** Creates the manager; {@code localHealth} receives the latencies of direct calls, which show local overload. */
     public AgentManager(TermContext term, AgentClient agentClient, LocalHealth localHealth) {
         this.term = term;
         this.commandDispatcher = new CommandDispatcher(term, agentClient, localHealth, this::directCallCompleted);
@@ -26,22 +26,22 @@
         this.failureDetector = new FailureDetector(term, localHealth, commandDispatcher::probe);
     }
 
-    /** Handles an agent's heartbeat that {@code relay}, a controller, received; the response carries commands. */
+    /** Handles a heartbeat that the controller {@code relay} received; the response carries commands. */
     public ServerResponse heartbeatReceived(Heartbeat heartbeat, String relay) {
         return heartbeatHandler.handle(heartbeat, relay);
     }
 
-    /** Sends pending commands, those for services first, as many calls at once as allowed. */
+    /** Sends pending commands by direct calls, those for services first, up to the limit of calls in flight. */
     public void dispatchCommands() {
         commandDispatcher.dispatchPending();
     }
 
-    /** Calls machines that aren't reconciled under this term's token, until all are. */
+    /** Probes the machines that have not been reconciled under this term's fencing token yet. */
     public void probeUnreconciled() {
         reconciliationProbe.probeUnreconciled();
     }
 
-    /** Tells which machines are lost and whether this leader is isolated. */
+    /** Returns the detector of lost machines and of this leader's isolation. */
     public FailureDetector failureDetector() {
         return failureDetector;
     }
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -16,13 +16,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls agents directly, with the commands that shouldn't wait for the next heartbeat or just to get an answer. One
- * call at a time to each machine. Confined to the event loop.
+ * Calls agents directly, either with commands that should not wait for the next heartbeat or as a probe. At most one
+ * call is in flight to each machine. Confined to the event loop.
  */
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    /** Sent with a call that carries no commands, when no incarnation is known. */
+    /** Incarnation named in a call without commands to an agent whose incarnation is unknown. */
     private static final long FIRST_INCARNATION = 1;
 
     private final TermContext term;
@@ -33,11 +33,12 @@
     private final Runnable onCallCompleted;
 
     /**
-     * A call in flight.
+     * A direct call in flight.
      *
-     * @param incarnation the one that the commands are for
-     * @param knownSequence the newest sequence number that was known of the machine at sending; empty if none was
-     * @param toUnresponsive whether the machine was unresponsive at sending
+     * @param incarnation the agent's incarnation that the commands are for
+     * @param knownSequence the machine's newest known sequence number at the time of sending; empty if there was none
+     * @param toUnresponsive whether the machine was unresponsive at the time of sending
+     * @param startedAt when the call was sent, in milliseconds
      */
     private record DirectCall(
             Machine machine,
@@ -47,7 +48,7 @@
             boolean toUnresponsive,
             long startedAt) {}
 
-    /** {@code onCallCompleted} runs after each call's result was taken in. */
+    /** Creates the dispatcher; {@code onCallCompleted} runs after the result of each call was applied. */
     CommandDispatcher(TermContext term, AgentClient agentClient, LocalHealth localHealth, Runnable onCallCompleted) {
         this.term = term;
         this.scheduler = term.scheduler();
@@ -57,21 +58,21 @@
         this.onCallCompleted = onCallCompleted;
     }
 
-    /** As many of the commands as a message may hold (64 KiB); the others follow with the next message. */
+    /** Returns the first commands, up to the limit of one message (64 KiB); the others follow in the next message. */
     static List<Command> limitToOneMessage(List<Command> commands) {
         return commands.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
                 ? commands
                 : commands.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
     }
 
-    /** Sends pending commands, urgent ones first, to as many machines as there is room for. */
+    /** Sends pending commands, urgent ones first, to as many machines as further calls are allowed. */
     void dispatchPending() {
         SchedulerOutbox outbox = scheduler.outbox();
         outbox.takeMachinesWithUrgentCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
         outbox.takeMachinesWithPendingCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
     }
 
-    /** Calls a machine even without commands, to get its answer, if there is room for another call. */
+    /** Calls a machine, even without commands, to get its agent's state, if another call is allowed. */
     void probe(Machine machine) {
         if (limiter.availableCalls() > 0) {
             call(machine, true);
@@ -142,15 +143,19 @@
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
             machine.directCalls.recordUnacknowledgedCall();
             if (localHealth.isHealthy(now)) {
-                machine.validity
-                        .directCallUnacknowledged(); // while this controller is overloaded, silence proves nothing
+                // While this controller is overloaded, a missing response is no evidence against the machine.
+                machine.validity.directCallUnacknowledged();
             }
         }
         machine.directCalls.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
         LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
     }
 
-    /** @param heartbeat what the agent answered; null if it can't be read */
+    /**
+     * Applies the agent's state from the response to a direct call.
+     *
+     * @param heartbeat the agent's state; null if the response could not be decoded
+     */
     private void applyAcknowledgement(DirectCall call, Heartbeat heartbeat) {
         Machine machine = call.machine();
         if (heartbeat == null
@@ -178,7 +183,10 @@
         }
     }
 
-    /** The answer was made after the known sequence number and should be newer: the agent counts anew. */
+    /**
+     * Whether the response shows a restart of the agent: the agent wrote it after the newest known heartbeat, yet it is
+     * not newer by incarnation and sequence number, which a restarted agent counts from the start.
+     */
     private static boolean indicatesRestart(DirectCall call, Heartbeat heartbeat) {
         return call.knownSequence().isPresent()
                 && !heartbeat.newerThan(call.incarnation(), call.knownSequence().getAsLong());
--- a/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
+++ b/src/main/java/org/hollypick/control/machines/DirectCallLimiter.java
@@ -6,8 +6,8 @@
 import org.hollypick.core.health.LocalHealth;
 
 /**
- * Bounds the direct calls in flight: all of them by a window that adapts to response times, and those to unresponsive
- * machines by a fixed number, so that a partitioned zone doesn't take every call. Confined to the event loop.
+ * Limits the direct calls in flight: all of them by a window that adapts to response times, and those to unresponsive
+ * machines also by a fixed number, so that a partitioned zone cannot use up all calls. Confined to the event loop.
  */
 final class DirectCallLimiter {
     private final AdaptiveWindow window = new AdaptiveWindow();
@@ -15,12 +15,12 @@
     private int inFlight;
     private int inFlightToUnresponsive;
 
-    /** {@code localHealth} learns of response times and missing capacity too. */
+    /** Creates the limiter; {@code localHealth} also receives response times and calls unsent for lack of capacity. */
     DirectCallLimiter(LocalHealth localHealth) {
         this.localHealth = localHealth;
     }
 
-    /** How many more calls the window has room for; negative after it shrank. */
+    /** Returns how many more calls the window allows; may be negative after the window shrank. */
     int availableCalls() {
         return window.size() - inFlight;
     }
@@ -30,13 +30,13 @@
         return inFlightToUnresponsive < FailureDetectionConstants.MAX_DIRECT_CALLS_UNRESPONSIVE;
     }
 
-    /** Counts a call that is about to be sent. */
+    /** Records that a call is about to be sent. */
     void callStarted(boolean toUnresponsive) {
         inFlight++;
         inFlightToUnresponsive += toUnresponsive ? 1 : 0;
     }
 
-    /** Counts a call that ended after {@code latencyMillis}. */
+    /** Records that a call completed after {@code latencyMillis}. */
     void callCompleted(boolean toUnresponsive, AgentResponse response, long latencyMillis, long now) {
         inFlight--;
         inFlightToUnresponsive -= toUnresponsive ? 1 : 0;
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -15,11 +15,11 @@
 import org.hollypick.io.TokenBucket;
 
 /**
- * Tells from missing heartbeats and unacknowledged calls which machines are lost, which zones are partitioned, and
- * whether this leader itself is isolated or overloaded. Confined to the event loop.
+ * Detects lost machines, partitioned zones and the isolation of this leader itself from missing heartbeats,
+ * unacknowledged direct calls and the reports of peers. Confined to the event loop.
  */
 public final class FailureDetector {
-    /** So few unresponsive machines say nothing about the network. */
+    /** Unresponsive machines up to which their failures count as unrelated, not as a fault of the network. */
     private static final int MAX_UNRELATED_FAILURES = 2;
 
     private final TermContext term;
@@ -30,19 +30,21 @@
     private final Consumer<Machine> probe;
     private final long startedAt;
     private final TokenBucket terminationBudget;
-    /** Since when nearly no machine responds; 0 if some do. */
+    /** Since when nearly all machines have been unresponsive, in milliseconds; 0 if they aren't. */
     private long isolatedSince;
-    /** Since when peers reach several machines that this leader doesn't; 0 if they don't. */
+    /**
+     * Since when only peers have reached several of the machines, in milliseconds; 0 if there are few such machines.
+     */
     private long reachedOnlyByPeersSince;
 
     private long complaintReceivedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
-    /** Until when no machine counts as lost, since most machines, or most of a zone, were unresponsive together. */
+    /** Until when no machine counts as lost: set when most machines, or most of a zone, are unresponsive together. */
     private long recoveryGraceEndsAt;
 
     private Set<String> partitionedZones = Set.of();
     private String summary = "";
 
-    /** {@code probe} calls a machine directly, unless too many calls are in flight. */
+    /** Creates the detector; {@code probe} calls a machine directly, unless too many calls are in flight. */
     FailureDetector(TermContext term, LocalHealth localHealth, Consumer<Machine> probe) {
         this.term = term;
         this.settings = term.settings();
@@ -55,48 +57,50 @@
     }
 
     /**
-     * Probes the machines whose heartbeats are overdue, has peers check those that left a call unacknowledged, and
-     * returns those that are lost and may be terminated now.
+     * Probes the machines whose heartbeats are overdue, asks peers to check the machines with unacknowledged calls, and
+     * returns the lost machines that may be terminated now.
      */
     public List<Machine> detectUnresponsive(long now) {
         if (now - startedAt < FailureDetectionConstants.FAILOVER_GRACE_MS) {
             return List.of();
         }
-        ResponsivenessSnapshot survey =
+        ResponsivenessSnapshot snapshot =
                 new ResponsivenessSnapshot(scheduler.machines(), peerReachability, settings, now);
-        survey.overdue().forEach(probe);
-        peerReachability.requestChecks(survey.unacknowledged());
-        updateReachedOnlyByPeers(survey, now);
-        updateIsolation(survey, now);
-        return localHealth.isHealthy(now) && now >= recoveryGraceEndsAt ? withinBudget(survey.lost(), now) : List.of();
+        snapshot.overdue().forEach(probe);
+        peerReachability.requestChecks(snapshot.unacknowledged());
+        updateReachedOnlyByPeers(snapshot, now);
+        updateIsolation(snapshot, now);
+        return localHealth.isHealthy(now) && now >= recoveryGraceEndsAt
+                ? withinBudget(snapshot.lost(), now)
+                : List.of();
     }
 
-    private void updateReachedOnlyByPeers(ResponsivenessSnapshot survey, long now) {
-        int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
-        if (reachedByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
+    private void updateReachedOnlyByPeers(ResponsivenessSnapshot snapshot, long now) {
+        int reachedOnlyByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
+        if (reachedOnlyByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
             reachedOnlyByPeersSince = 0;
         } else if (reachedOnlyByPeersSince <= 0) {
             reachedOnlyByPeersSince = now;
         }
-        summary = "responsive=" + survey.responsiveCount() + " unresponsive=" + survey.unresponsiveCount()
-                + " reached_by_peers=" + reachedByPeers;
+        summary = "responsive=" + snapshot.responsiveCount() + " unresponsive=" + snapshot.unresponsiveCount()
+                + " reached_by_peers=" + reachedOnlyByPeers;
     }
 
-    private void updateIsolation(ResponsivenessSnapshot survey, long now) {
-        partitionedZones = survey.partitionedZones();
-        double share = survey.unresponsiveShare();
-        boolean related = survey.unresponsiveCount() > MAX_UNRELATED_FAILURES;
-        if ((related && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitionedZones.isEmpty()) {
+    private void updateIsolation(ResponsivenessSnapshot snapshot, long now) {
+        partitionedZones = snapshot.partitionedZones();
+        double share = snapshot.unresponsiveShare();
+        boolean failuresRelated = snapshot.unresponsiveCount() > MAX_UNRELATED_FAILURES;
+        if ((failuresRelated && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitionedZones.isEmpty()) {
             recoveryGraceEndsAt = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
         }
-        if (!related || share < FailureDetectionConstants.ISOLATED_SHARE) {
+        if (!failuresRelated || share < FailureDetectionConstants.ISOLATED_SHARE) {
             isolatedSince = 0;
         } else if (isolatedSince == 0) {
             isolatedSince = now;
         }
     }
 
-    /** So many a second at most: a leader may be wrong about what it takes for lost, the more so after a failover. */
+    /** Limits the terminations per second: the leader may misjudge machines as lost, most likely after a failover. */
     private List<Machine> withinBudget(List<Machine> lost, long now) {
         double share = now - startedAt < FailureDetectionConstants.EARLY_TERM_MS
                 ? FailureDetectionConstants.SCALE_IN_SHARE_EARLY
@@ -115,50 +119,58 @@
         return terminating;
     }
 
-    /** The counts of the last survey as key=value pairs, for the log. */
+    /** Returns the machine counts of the last detection as key=value pairs, for the log. */
     public String summary() {
         return summary;
     }
 
-    /** Zones that seem partitioned from this controller: an instance started there couldn't be reached. */
+    /** Returns the zones that seem partitioned from this controller, which could not reach a new instance there. */
     public Set<String> partitionedZones() {
         return partitionedZones;
     }
 
-    /** Whether machines have been out of reach for so long that their leases would expire during another wait. */
+    /**
+     * Whether machines have been unreachable for so long that their agents' leases expire unless this leader resigns
+     * now.
+     */
     public boolean agentLeasesAboutToExpire(long now) {
         long isolationStart = isolatedSince > 0 ? isolatedSince : now;
-        long reachedByPeersStart = reachedOnlyByPeersSince > 0 ? reachedOnlyByPeersSince : now;
-        long outOfReachMillis = now - Math.min(isolationStart, reachedByPeersStart);
-        return outOfReachMillis > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
+        long reachedOnlyByPeersStart = reachedOnlyByPeersSince > 0 ? reachedOnlyByPeersSince : now;
+        long unreachableMillis = now - Math.min(isolationStart, reachedOnlyByPeersStart);
+        return unreachableMillis > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
     }
 
     /**
-     * A controller that can't be reached directly reported, through the store, that it receives the heartbeats of these
-     * machines.
+     * Records a complaint, read from the store, of a controller that can't reach this leader but receives the
+     * heartbeats of these machines.
      */
     public void complaintReceived(List<String> machines) {
         complaintReceivedAt = machines.isEmpty() ? complaintReceivedAt : term.now();
         machines.forEach(peerReachability::recordReachedByPeer);
     }
 
-    /** Whether the peers' view is unknown: none answers checks, or one that can't be reached filed a complaint. */
+    /**
+     * Whether it is unknown which machines the peers reach: no peer has answered a check recently, or a peer that can't
+     * reach this leader has complained through the store.
+     */
     public boolean isPeerReachabilityUnknown(long now) {
         return !peerReachability.hasRecentPeerReport(now)
                 || now - complaintReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
     /**
-     * Whether another controller would make a better leader: it reaches machines that this one doesn't, and the cause
-     * is neither overload here nor a term that has just begun. False when peers reach no more than this one.
+     * Whether this leader seems cut off from its machines: peers reach several that it doesn't, or nearly all are
+     * unresponsive and peers may reach some of them. False while this controller is overloaded or its term has just
+     * begun.
      */
     public boolean isIsolated(long now) {
         if (!localHealth.isHealthy(now) || now - startedAt < ElectionConstants.MIN_TERM_MS) {
             return false;
         }
-        int reachedByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
-        boolean nearlyAll = isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
-        return reachedByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
-                || (nearlyAll && (reachedByPeers > 0 || !peerReachability.hasRecentPeerReport(now)));
+        int reachedOnlyByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
+        boolean nearlyAllUnresponsive =
+                isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
+        return reachedOnlyByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
+                || (nearlyAllUnresponsive && (reachedOnlyByPeers > 0 || !peerReachability.hasRecentPeerReport(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -15,14 +15,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes in agents' heartbeats and answers each with the machine's pending commands. An answer with status 200 renews
- * the agent's lease, so one is given only to the newest heartbeat of an agent that answers seem to reach. Confined to
- * the event loop.
+ * Applies agents' heartbeats and responds with the machine's pending commands. A response with status 200 renews the
+ * agent's lease, so it is sent only to the newest heartbeat of an agent, and not while responses seem to be lost on the
+ * way to a machine that may hold tasks. Confined to the event loop.
  */
 final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
 
-    /** Texts in the bodies of rejections. */
+    /** Error texts of rejections, part of the protocol with the agents. */
     private static final String REJECTED_TERMINATED_OR_NEWER_TERM = "not for this node";
 
     private static final String REJECTED_UNKNOWN_TYPE = "machine type not known yet";
@@ -34,14 +34,14 @@
     private final Scheduler scheduler;
     private final Consumer<Machine> probe;
 
-    /** {@code probe} calls a machine directly, unless too many calls are in flight. */
+    /** Creates the handler; {@code probe} calls a machine directly, unless too many calls are in flight. */
     HeartbeatHandler(TermContext term, Consumer<Machine> probe) {
         this.term = term;
         this.scheduler = term.scheduler();
         this.probe = probe;
     }
 
-    /** Handles a heartbeat that {@code relay}, a controller, received from the agent. */
+    /** Handles a heartbeat that the controller {@code relay} received from the agent. */
     ServerResponse handle(Heartbeat heartbeat, String relay) {
         if (Long.compareUnsigned(heartbeat.token(), scheduler.token()) > 0
                 || scheduler.isTerminated(heartbeat.machine())) {
@@ -63,17 +63,17 @@
     }
 
     /**
-     * Takes in what a heartbeat or the answer to a direct call shows; false if it is older than what is known.
+     * Applies a heartbeat, or the agent's state in the response to a direct call.
      *
-     * @param heartbeatRequest whether it came as a heartbeat, not as an answer
+     * @param sentByAgent true if the agent sent it as a request, false if it came in the response to a direct call
+     * @return false if it was outdated and not applied
      */
-    static boolean apply(
-            Scheduler scheduler, Machine machine, Heartbeat heartbeat, boolean heartbeatRequest, long now) {
+    static boolean apply(Scheduler scheduler, Machine machine, Heartbeat heartbeat, boolean sentByAgent, long now) {
         machine.recordContact(now);
-        return scheduler.heartbeats().applyHeartbeat(machine, heartbeat, heartbeatRequest, now);
+        return scheduler.heartbeats().applyHeartbeat(machine, heartbeat, sentByAgent, now);
     }
 
-    /** @return null if the machine is new and its type isn't known yet */
+    /** Returns the machine, adding it if it is new; null if it is new and its type isn't known yet. */
     private Machine findOrAdd(Heartbeat heartbeat, long now) {
         Machine machine = scheduler.machine(heartbeat.machine());
         if (machine != null) {
@@ -92,7 +92,9 @@
         return scheduler.addMachine(heartbeat.machine(), type, heartbeat.zone(), heartbeat.spot(), false, now);
     }
 
-    /** {@code isNew}: false for the newest heartbeat once more, while its agent may still wait for the answer. */
+    /**
+     * Handles the newest heartbeat; {@code isNew} is false for a copy of it whose response the agent may still await.
+     */
     private ServerResponse handleCurrent(Machine machine, Heartbeat heartbeat, boolean isNew, String relay, long now) {
         boolean firstOfTerm = !machine.heartbeatReceived();
         boolean newIncarnation = !firstOfTerm && heartbeat.incarnation() != machine.incarnation();
@@ -112,7 +114,7 @@
         if (isNew) {
             updateValidity(machine, heartbeat, newIncarnation, commands, now);
             if (machine.validity.isUnreachableInbound() && !(machine.reconciled() && machine.idle())) {
-                // An answer would only lengthen a lease that the agent itself lets expire.
+                // An acknowledgement would only extend the lease assumed here, while the agent lets its lease expire.
                 return ServerResponse.retryLater(REJECTED_UNREACHABLE_INBOUND);
             }
         }
@@ -130,7 +132,7 @@
         }
     }
 
-    /** Draws from a new heartbeat whether the answers before it reached the agent. */
+    /** Updates from a new heartbeat whether the responses before it reached the agent. */
     private void updateValidity(
             Machine machine, Heartbeat heartbeat, boolean newIncarnation, List<Command> commands, long now) {
         boolean wasUnreachable = machine.validity.isUnreachableInbound();
@@ -144,10 +146,11 @@
         if (machine.validity.isUnreachableInbound()
                 && !newIncarnation
                 && scheduler.leases().isExpired(machine.incarnationSeenAt(), now)) {
-            machine.validity.deliveryConfirmed(); // had no answer reached it, its incarnation would have ended
+            // Without any response the agent's lease would have expired and the agent begun another incarnation.
+            machine.validity.deliveryConfirmed();
         }
         if (!seenThisToken) {
-            machine.clearHeartbeatAcknowledgement(); // no answer of this term reached it
+            machine.clearHeartbeatAcknowledgement(); // the agent has received no response of this term
         }
         if (machine.validity.isUnreachableInbound() != wasUnreachable) {
             LOG.info(
--- a/src/main/java/org/hollypick/control/machines/MachineRecordIndex.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordIndex.java
@@ -6,26 +6,29 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The keys of the records that name each machine. Confined to the event loop. */
+/**
+ * Index of the machine records in the store: the keys of the records that contain each machine. Confined to the event
+ * loop.
+ */
 final class MachineRecordIndex {
     private final Map<String, Set<String>> keysByMachine = new HashMap<>();
 
-    /** The record under the key names the machine. */
+    /** Adds that the record under the key contains the machine. */
     void add(String machineId, String key) {
         keysByMachine.computeIfAbsent(machineId, id -> new HashSet<>()).add(key);
     }
 
-    /** The record under the key is deleted. */
+    /** Removes the key of a deleted record. */
     void removeKey(String key) {
         keysByMachine.values().forEach(keys -> keys.remove(key));
     }
 
-    /** No record names the machines any more. */
+    /** Removes machines that no record contains any more. */
     void removeMachines(Collection<String> machineIds) {
         machineIds.forEach(keysByMachine::remove);
     }
 
-    /** Keys of the records that name the machine; some may not be in the replica yet. */
+    /** Returns the keys of the records that contain the machine; the replica may lack some of these records yet. */
     Set<String> keysOf(String machineId) {
         return keysByMachine.getOrDefault(machineId, Set.of());
     }
--- a/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
@@ -13,11 +13,11 @@
 import org.hollypick.store.CompareAndSwap;
 
 /**
- * Removes machines from their records within one compare-and-swap, as far as it has room. Each rewritten record is
- * conditional on the revision that it was made from. Confined to the event loop; used for one compare-and-swap only.
+ * Removes machines from their records within one compare-and-swap, as far as its limits allow. Each rewritten record is
+ * conditional on the revision that it is derived from. Confined to the event loop; used for one compare-and-swap only.
  */
 final class MachineRecordShrinker {
-    /** Bytes of the values in one compare-and-swap at most: leaves room in the request for the rest. */
+    /** Maximum bytes of all values in one compare-and-swap: a quarter of the request body is left for the rest. */
     static final int MAX_VALUE_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
 
     private final StoreReplica replica;
@@ -26,16 +26,19 @@
     private final CompareAndSwap compareAndSwap;
     private final int maxWrites;
     private final BiConsumer<String, JsonNode> onCopyRequired;
-    /** Keys of the records rewritten or deleted here. */
+    /** Keys of the records that are rewritten or deleted in the compare-and-swap. */
     private final Set<String> changedKeys = new HashSet<>();
-    /** Keys of the records that have to wait for another compare-and-swap. */
+    /** Keys of the records that must wait for a later compare-and-swap. */
     private final Set<String> postponedKeys = new HashSet<>();
 
     private int valueBytesWritten;
 
     /**
-     * {@code maxWrites}: bound of the writes in the compare-and-swap, those that are in it already included;
-     * {@code onCopyNeeded} gets machines, with their stored form, that need another record before theirs can go.
+     * Creates a shrinker for one compare-and-swap.
+     *
+     * @param maxWrites the maximum number of writes in the compare-and-swap, including those already in it
+     * @param onCopyRequired receives the id and encoded form of each machine that must be copied into another record
+     *     before its present record can be deleted
      */
     MachineRecordShrinker(
             StoreReplica replica,
@@ -43,36 +46,38 @@
             Settings settings,
             CompareAndSwap compareAndSwap,
             int maxWrites,
-            BiConsumer<String, JsonNode> onCopyNeeded) {
+            BiConsumer<String, JsonNode> onCopyRequired) {
         this.replica = replica;
         this.index = index;
         this.settings = settings;
         this.compareAndSwap = compareAndSwap;
         this.maxWrites = maxWrites;
-        this.onCopyRequired = onCopyNeeded;
+        this.onCopyRequired = onCopyRequired;
         this.valueBytesWritten = compareAndSwap.writeCount() * settings.valueBytes();
     }
 
-    /** Removes the machines; returns those that no record names any more once the compare-and-swap is done. */
+    /** Removes the machines; returns those that no record contains any more once the compare-and-swap is committed. */
     Set<String> removeMachines(Set<String> machineIds) {
         Set<String> removed = new HashSet<>();
         for (String machineId : machineIds) {
-            boolean fromAll = true;
+            boolean removedFromAll = true;
             for (String key : index.keysOf(machineId)) {
-                fromAll &= removeFromRecord(machineId, key, machineIds);
+                removedFromAll &= removeFromRecord(machineId, key, machineIds);
             }
-            if (fromAll) {
+            if (removedFromAll) {
                 removed.add(machineId);
             }
         }
         return removed;
     }
 
-    /** Whether the record doesn't name the machine once the compare-and-swap is done. */
+    /**
+     * Removes machines from a record; returns whether the record lacks {@code machineId} after the compare-and-swap.
+     */
     private boolean removeFromRecord(String machineId, String key, Set<String> machineIds) {
         StoreReplica.Entry entry = replica.get(key);
         if (entry == null || postponedKeys.contains(key)) {
-            return false; // without an entry: it is written, but the replica doesn't show it yet
+            return false; // without an entry, the record was written but isn't in the replica yet
         }
         if (!entry.data().has(machineId) || changedKeys.contains(key)) {
             return true;
@@ -82,7 +87,11 @@
         return rewrite(key, entry.revision(), remaining);
     }
 
-    /** Whether the record could be rewritten; deletes one that names no machine, or is too large to be written. */
+    /**
+     * Rewrites a record without the removed machines, or deletes it if it is empty or too large to be written.
+     *
+     * @return false if the record must wait for a later compare-and-swap
+     */
     private boolean rewrite(String key, long revision, ObjectNode remaining) {
         int bytes = RecordSize.encodedBytes(remaining);
         boolean tooLarge = bytes > RecordSize.maxBytes(settings);
@@ -103,23 +112,23 @@
         return true;
     }
 
-    /** Whether all machines of a record that is too large stand in others too; has those copied that don't. */
+    /** Whether other records contain all machines of a record that is too large; requests copies of those missing. */
     private boolean areAllInOtherRecords(ObjectNode machines, String tooLargeKey) {
-        boolean all = true;
+        boolean allInOtherRecords = true;
         for (Map.Entry<String, JsonNode> machine : machines.properties()) {
-            boolean elsewhere = false;
-            boolean pending = false;
+            boolean inOtherRecord = false;
+            boolean inPendingRecord = false;
             for (String key : index.keysOf(machine.getKey())) {
                 StoreReplica.Entry entry = replica.get(key);
-                pending |= entry == null; // it is written, but the replica doesn't show it yet
-                elsewhere |= !key.equals(tooLargeKey) && isRewritable(entry);
+                inPendingRecord |= entry == null; // the record was written but isn't in the replica yet
+                inOtherRecord |= !key.equals(tooLargeKey) && isRewritable(entry);
             }
-            all &= elsewhere;
-            if (!elsewhere && !pending) {
+            allInOtherRecords &= inOtherRecord;
+            if (!inOtherRecord && !inPendingRecord) {
                 onCopyRequired.accept(machine.getKey(), machine.getValue());
             }
         }
-        return all;
+        return allInOtherRecords;
     }
 
     private boolean isRewritable(StoreReplica.Entry entry) {
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -31,16 +31,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The durable list of machines, many to a record, since the store takes few changes per second. A record is created
- * once, under a key that was never used, and then only shrinks; each write is conditional on the revision that it was
- * made from. So a write that is applied late can neither bring a machine back nor remove one that was added since. A
- * record that has become too large to be written, since the store's limits were tightened, is deleted once others name
- * its machines. Confined to the event loop.
+ * Stores the list of machines durably, many machines per record, since the store allows few changes per second. A
+ * record is created once, under a key that was never used, and then only shrinks; each write is conditional on the
+ * revision that it is derived from. A write that the store applies late can therefore neither restore a removed machine
+ * nor remove one that was added later. A record that became too large to be written, because the store's limits were
+ * tightened, is deleted once other records contain its machines. Confined to the event loop.
  */
 public final class MachineRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-    /** Bytes that a machine takes in a record beside its id and value: two quotes, a colon and a comma. */
+    /** Bytes that a machine takes in a record besides its id and value: two quotes, a colon and a comma. */
     private static final int SEPARATOR_BYTES = 4;
     /** Bytes of the braces around a record. */
     private static final int BRACE_BYTES = 2;
@@ -54,17 +54,22 @@
     private final MachineRecordIndex index = new MachineRecordIndex();
 
     private final Map<String, Machine> machinesToAdd = new LinkedHashMap<>();
-    /** Stored forms of machines that need another record, since one that names them can't be rewritten. */
+    /** Encoded machines, by id, to copy into another record because their present one is too large to be rewritten. */
     private final Map<String, JsonNode> encodedMachinesToCopy = new LinkedHashMap<>();
 
     private final Set<String> machineIdsToRemove = new LinkedHashSet<>();
-    /** Records created in this term, which makes their keys unique. */
+    /** Number of records created in this term; part of the next record's key, which makes keys unique. */
     private long recordsCreated;
 
     private boolean writeInFlight;
     private long nextWriteAt;
 
-    /** {@code token} fences the writes; {@code isTerminated} tells whether the machine with an id is terminated. */
+    /**
+     * Creates the registry of one term.
+     *
+     * @param token the fencing token on which every write is conditional
+     * @param isTerminated tells by id whether a machine is terminated
+     */
     public MachineRegistry(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -80,7 +85,7 @@
         this.isTerminated = isTerminated;
     }
 
-    /** Passes on the id and the stored form of every machine that the records name, each once. */
+    /** Indexes the stored records, and passes the id and encoded form of each stored machine to the consumer once. */
     public void loadMachines(BiConsumer<String, JsonNode> machineConsumer) {
         List<String> keys = replica.entries().keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.MACHINES))
@@ -96,7 +101,9 @@
         }
     }
 
-    /** Records of these keys, of machines or not, were written or deleted in the replica. */
+    /**
+     * Updates the index after records were written or deleted in the replica; ignores keys of other kinds of records.
+     */
     public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
             if (!key.startsWith(StoreKeys.MACHINES)) {
@@ -116,12 +123,12 @@
         }
     }
 
-    /** Has the machine recorded by a later {@link #flush}. */
+    /** Schedules the machine to be recorded by a later {@link #flush}. */
     public void add(Machine machine) {
         machinesToAdd.put(machine.id, machine);
     }
 
-    /** The machine is terminated: a later {@link #flush} removes it. */
+    /** Schedules a terminated machine to be removed from the records by a later {@link #flush}. */
     public void remove(String machineId) {
         machinesToAdd.remove(machineId);
         encodedMachinesToCopy.remove(machineId);
@@ -129,8 +136,8 @@
     }
 
     /**
-     * Writes what is to be added and removed, one compare-and-swap at a time; {@code onRegistered} gets the machines
-     * that are durable now.
+     * Writes the scheduled additions and removals, with one compare-and-swap in flight at a time; {@code onRegistered}
+     * receives the machines whose records have become durable.
      */
     public void flush(Consumer<List<Machine>> onRegistered) {
         boolean nothingToWrite =
@@ -180,34 +187,35 @@
     }
 
     private Map<String, JsonNode> encodedMachinesToAdd() {
-        Map<String, JsonNode> storedForms = new LinkedHashMap<>();
-        machinesToAdd.forEach((machineId, machine) -> storedForms.put(machineId, MachineRecordCodec.encode(machine)));
-        encodedMachinesToCopy.forEach(storedForms::putIfAbsent);
-        return storedForms;
+        Map<String, JsonNode> encodedMachines = new LinkedHashMap<>();
+        machinesToAdd.forEach(
+                (machineId, machine) -> encodedMachines.put(machineId, MachineRecordCodec.encode(machine)));
+        encodedMachinesToCopy.forEach(encodedMachines::putIfAbsent);
+        return encodedMachines;
     }
 
-    /** Adds new records for as many machines as there is room for; returns the key of the record for each. */
-    private Map<String, String> createRecords(CompareAndSwap compareAndSwap, Map<String, JsonNode> storedForms) {
+    /** Adds new records for as many machines as the limits allow; returns the record's key by machine id. */
+    private Map<String, String> createRecords(CompareAndSwap compareAndSwap, Map<String, JsonNode> encodedMachines) {
         Map<String, String> keys = new HashMap<>();
         ObjectNode record = null;
         String key = null;
-        int roomBytes = 0;
-        for (Map.Entry<String, JsonNode> machine : storedForms.entrySet()) {
+        int freeBytes = 0;
+        for (Map.Entry<String, JsonNode> machine : encodedMachines.entrySet()) {
             int bytes = RecordSize.encodedBytes(machine.getValue())
                     + machine.getKey().length()
                     + SEPARATOR_BYTES;
-            if (roomBytes < bytes) {
+            if (freeBytes < bytes) {
                 if (!canAddRecord(compareAndSwap)) {
                     break;
                 }
                 record = Codec.object();
                 key = StoreKeys.machines(settings.node(), token, recordsCreated++);
                 compareAndSwap.expectAbsent(key).put(key, record);
-                roomBytes = RecordSize.maxBytes(settings) - BRACE_BYTES;
+                freeBytes = RecordSize.maxBytes(settings) - BRACE_BYTES;
             }
             record.set(machine.getKey(), machine.getValue());
             keys.put(machine.getKey(), key);
-            roomBytes -= bytes;
+            freeBytes -= bytes;
         }
         return keys;
     }
@@ -218,7 +226,7 @@
                 && (writes + 1) * settings.valueBytes() <= MachineRecordShrinker.MAX_VALUE_BYTES;
     }
 
-    /** Returns the machines that no record names any more once the compare-and-swap is done. */
+    /** Removes machines from records; returns those that no record contains after the compare-and-swap is committed. */
     private Set<String> removeMachines(CompareAndSwap compareAndSwap) {
         int spareWrites = store.hasSpareWriteCapacity() ? StoreConstants.SHRINKING_WRITES : 0;
         int maxWrites = Math.min(settings.txnOps(), compareAndSwap.writeCount() + spareWrites);
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -17,8 +17,8 @@
 import org.hollypick.io.EventLoop;
 
 /**
- * Tells machines that are lost from those that only this leader can't reach: the other controllers probe those that
- * left its calls unacknowledged. Confined to the event loop.
+ * Distinguishes lost machines from those that only this leader can't reach, by asking the other controllers to probe
+ * the machines with unacknowledged calls. Confined to the event loop.
  */
 final class PeerReachabilityTracker {
     private final EventLoop eventLoop;
@@ -26,7 +26,7 @@
     private final Function<String, Machine> machineById;
     private long requestedAt;
     private long firstRequestedAt;
-    /** When a peer last answered with what it reaches and what it doesn't. */
+    /** When a peer last reported both the machines it reaches and those it doesn't, in milliseconds. */
     private long peerReportReceivedAt = -ReachabilityConstants.PEER_CHECK_VALID_MS;
 
     private int requestsInFlight;
@@ -37,7 +37,7 @@
         this.machineById = machineById;
     }
 
-    /** Has all peers probe some of the machines, those longest unchecked first; one round at a time. */
+    /** Asks all peers to probe the machines that were unchecked for longest; at most one round is in progress. */
     void requestChecks(List<Machine> unacknowledged) {
         long now = eventLoop.now();
         if (requestsInFlight > 0
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Addresses by machine of those to check now. */
+    /** Selects the machines to check and records the request; returns their addresses by machine id. */
     private static Map<String, String> selectForCheck(List<Machine> unacknowledged, long now) {
         List<Machine> longestUncheckedFirst = new ArrayList<>(unacknowledged);
         longestUncheckedFirst.sort(Comparator.comparingLong(machine -> machine.peerContact.peerCheckRequestedAt()));
@@ -67,10 +67,10 @@
         return addresses;
     }
 
-    /** A peer answered a check, or failed to. */
-    private void peerCheckCompleted(Optional<ReachabilityReport> answer) {
+    /** Handles the end of a check by one peer; the report is empty if the peer did not respond. */
+    private void peerCheckCompleted(Optional<ReachabilityReport> report) {
         requestsInFlight--;
-        answer.ifPresent(this::peerCheckCompleted);
+        report.ifPresent(this::peerCheckCompleted);
     }
 
     private void peerCheckCompleted(ReachabilityReport report) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** A peer reaches the machine or receives its heartbeats. */
+    /** Records that a peer reaches the machine or receives its heartbeats; ignored if no call is unacknowledged. */
     void recordReachedByPeer(String machineId) {
         Machine machine = machineById.apply(machineId);
         if (machine == null || machine.directCalls.unacknowledgedCalls() == 0) {
@@ -98,12 +98,12 @@
         }
     }
 
-    /** Whether a peer answered a check lately. */
+    /** Whether a peer has recently reported both the machines it reaches and those it doesn't. */
     boolean hasRecentPeerReport(long now) {
         return now - peerReportReceivedAt < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
-    /** Whether no controller reaches the machine: a peer tried in vain too, or none answered for long enough. */
+    /** Whether no controller seems to reach the machine: a peer's probe failed too, or no peer reported in time. */
     boolean isUnreachableFromAll(Machine machine, long now) {
         if (settings.siblings().isEmpty()) {
             return true;
@@ -117,21 +117,21 @@
                         && now - machine.peerContact.peerCheckFailedAt() < ReachabilityConstants.PEER_CHECK_VALID_MS);
     }
 
-    /** Whether a peer reached the machine a moment ago and this controller doesn't. */
+    /** Whether a peer recently reached the machine, while this controller's calls are unacknowledged. */
     private static boolean isReachedOnlyByPeer(Machine machine, long now) {
         return machine.directCalls.unacknowledgedCalls() > 0
                 && machine.peerContact.reachedByPeerAt() > 0
                 && now - machine.peerContact.reachedByPeerAt() < ReachabilityConstants.PEER_CHECK_VALID_MS;
     }
 
-    /** Whether a silent machine is to be kept: its heartbeats come by way of a peer, or may yet. */
+    /** Whether to keep an unresponsive machine: a peer reaches it, and its heartbeats are relayed or may soon be. */
     boolean mayRecoverThroughPeer(Machine machine, long now) {
         return isReachedOnlyByPeer(machine, now)
                 && (now - machine.peerContact.reachedByPeerSince() < ReachabilityConstants.REACHED_BY_PEER_PATIENCE_MS
                         || now - machine.lastHeartbeatAt() < settings.leaseS() * 1_000 / 2);
     }
 
-    /** Machines that peers reach and that left several calls of this controller unacknowledged. */
+    /** Returns how many machines peers reach that left several calls of this controller unacknowledged. */
     static int countReachedOnlyByPeers(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine machine : machines) {
--- a/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
+++ b/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
@@ -6,14 +6,14 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * After a failover, calls every machine that isn't reconciled yet: no other way shows sooner what runs where. Confined
- * to the event loop.
+ * Probes all machines that are not reconciled yet after a failover, the fastest way to find out which tasks run on
+ * them. Confined to the event loop.
  */
 final class ReconciliationProbe {
     private final TermContext term;
     private final Consumer<Machine> probe;
 
-    /** {@code probe} calls a machine directly, unless too many calls are in flight. */
+    /** Creates the probe loop; {@code probe} calls a machine directly, unless too many calls are in flight. */
     ReconciliationProbe(TermContext term, Consumer<Machine> probe) {
         this.term = term;
         this.probe = probe;
@@ -32,7 +32,10 @@
         }
     }
 
-    /** Its last heartbeat was just answered with a new token, so the agent sends the next one at once. */
+    /**
+     * Whether the next heartbeat is due at once: an agent sends one as soon as a response has shown it a new fencing
+     * token, and the response to its last heartbeat was just sent.
+     */
     private static boolean isHeartbeatExpected(Machine machine, long now) {
         return machine.heartbeatReceived()
                 && now - machine.heartbeatAcknowledgedAt() < FailureDetectionConstants.NEXT_HEARTBEAT_MS;
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -14,15 +14,15 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * One pass over the machines at one time: how many respond, in all and by zone, and which are to be probed, to be
- * checked by peers, or lost. Changes no machine. Confined to the event loop.
+ * Classification of all machines at one point in time: how many are responsive, in total and by zone, and which are
+ * lost, to be probed, or to be checked by peers. Changes no machine. Confined to the event loop.
  */
 final class ResponsivenessSnapshot {
     private final PeerReachabilityTracker reachability;
     private final long now;
-    /** Silence after which an ordinary machine is probed: agents send heartbeats within a quarter more than this. */
+    /** Time without contact after which most machines are probed: heartbeats are at most 1.25 intervals apart. */
     private final long probeAfterMillis;
-    /** The same for a machine whose last call went unacknowledged or that runs services. */
+    /** Time without contact after which machines with an unacknowledged call or with services are probed. */
     private final long earlyProbeAfterMillis;
 
     private final ResponsivenessCounts total = new ResponsivenessCounts();
@@ -31,7 +31,7 @@
     private final List<Machine> unacknowledged = new ArrayList<>();
     private final List<Machine> overdue = new ArrayList<>();
 
-    /** Machines counted by whether they respond; one that does neither clearly is in no count. */
+    /** Counts of machines; one without recent contact, unacknowledged call or suspicion is in neither count. */
     private static final class ResponsivenessCounts {
         private int responsive;
         private int unresponsive;
@@ -62,15 +62,15 @@
     }
 
     private void count(Machine machine) {
-        ResponsivenessCounts zone = byZone.computeIfAbsent(machine.zone, name -> new ResponsivenessCounts());
+        ResponsivenessCounts zoneCounts = byZone.computeIfAbsent(machine.zone, zone -> new ResponsivenessCounts());
         boolean suspected = machine.validity.isSuspected();
         if (millisSinceLastContact(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
             total.responsive++;
-            zone.responsive++;
+            zoneCounts.responsive++;
         }
         if (machine.directCalls.unacknowledgedCalls() > 0 || suspected) {
             total.unresponsive++;
-            zone.unresponsive++;
+            zoneCounts.unresponsive++;
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /** It can be given nothing and has nothing to finish, for long enough to be replaced. */
+    /** Whether the machine has been unreachable and without tasks for so long that it is to be replaced. */
     private boolean isUnreachableWithoutWork(Machine machine) {
         if (!machine.unreachable() || !machine.reconciled() || !machine.idle()) {
             return false;
@@ -107,7 +107,7 @@
     }
 
     private boolean isOverdue(Machine machine) {
-        // Only the loss of services is worth probing more often.
+        // An early probe costs a call: only after an unacknowledged one, or for services, is it worth that.
         boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isSuspected()
                 || millisSinceLastContact(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
@@ -117,18 +117,19 @@
         return now - machine.lastHeartbeatAt();
     }
 
-    /** Machines that are lost by all that is known here, in the order of the collection. */
+    /** Returns the machines that count as lost, in the order of the given collection. */
     List<Machine> lost() {
         return lost;
     }
 
-    /** Machines with an address that left a direct call unacknowledged. */
+    /** Returns the machines with an address and an unacknowledged direct call. */
     List<Machine> unacknowledged() {
         return unacknowledged;
     }
 
     /**
-     * Machines to probe, longest silence first: not all can be probed at once, and in a fixed order the last starve.
+     * Returns the machines to probe, those longest without contact first: not all can be probed at once, and in a fixed
+     * order the last ones would never be probed.
      */
     List<Machine> overdue() {
         return overdue;
@@ -143,14 +144,14 @@
     }
 
     /**
-     * Share of the unresponsive among the machines counted. Machines without a recent heartbeat or call are left out:
-     * with them in, a controller that is cut off from all would give them up one by one.
+     * Returns the share of unresponsive machines among those counted. Machines whose state is unclear are left out: if
+     * they lowered the share, a controller that is cut off from all machines would terminate them one by one.
      */
     double unresponsiveShare() {
         return total.unresponsiveShare();
     }
 
-    /** Zones of which nearly all machines are unresponsive. */
+    /** Returns the zones in which nearly all machines are unresponsive. */
     Set<String> partitionedZones() {
         return byZone.entrySet().stream()
                 .filter(zone -> zone.getValue().isPartitioned())
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -20,20 +20,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the scheduler's machines with the cloud's list: adds those it doesn't know, has those terminated that
- * failed to start, and drops those that were listed and aren't any more. Confined to the event loop.
+ * Reconciles the scheduler's machines with the cloud's list: adds unknown machines, requests the termination of
+ * machines that failed to start, and marks machines as terminated that are no longer listed. Confined to the event
+ * loop.
  */
 final class InstanceListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListReconciler.class);
 
-    /** Milliseconds on top of the list's greatest age before a machine that is missing counts as terminated. */
+    /** Milliseconds beyond the list's maximum age until a machine that is missing from it counts as terminated. */
     private static final long MISSING_SLACK_MS = 500;
 
     private final TermContext term;
     private final Scheduler scheduler;
     private final CloudClient cloud;
     private final InstanceTerminator terminator;
-    /** When each machine was first listed in this term. */
+    /** When each machine was first listed in this term, in milliseconds by machine id. */
     private final Map<String, Long> firstListedAt = new HashMap<>();
 
     private boolean inProgress;
@@ -46,12 +47,12 @@
         this.terminator = terminator;
     }
 
-    /** Whether a whole list was read in this term. */
+    /** Whether the complete list was read at least once in this term. */
     boolean hasCompleted() {
         return completedOnce;
     }
 
-    /** Reads the whole list, page by page, and reconciles; does nothing while that is in progress. */
+    /** Starts to read the complete list, page by page, and reconciles at the end; does nothing while in progress. */
     void start() {
         if (!inProgress) {
             inProgress = true;
@@ -59,27 +60,27 @@
         }
     }
 
-    private void readPage(String after, long startedAt, Map<String, Instance> read) {
-        cloud.listInstances(after, page -> pageReceived(after, page, startedAt, read));
+    private void readPage(String after, long startedAt, Map<String, Instance> listed) {
+        cloud.listInstances(after, page -> pageReceived(after, page, startedAt, listed));
     }
 
-    private void pageReceived(String after, Optional<InstancePage> page, long startedAt, Map<String, Instance> read) {
+    private void pageReceived(String after, Optional<InstancePage> page, long startedAt, Map<String, Instance> listed) {
         if (page.isEmpty() || !term.holdsLeaderLease()) {
             inProgress = false;
             return;
         }
-        String last = after;
+        String lastMachineId = after;
         for (Instance instance : page.get().instances()) {
-            last = instance.machineId();
-            read.put(last, instance);
+            lastMachineId = instance.machineId();
+            listed.put(lastMachineId, instance);
         }
-        if (page.get().truncated() && last != null && !last.equals(after)) {
-            readPage(last, startedAt, read);
+        if (page.get().truncated() && lastMachineId != null && !lastMachineId.equals(after)) {
+            readPage(lastMachineId, startedAt, listed);
             return;
         }
         inProgress = false;
         completedOnce = true;
-        reconcile(read, startedAt);
+        reconcile(listed, startedAt);
     }
 
     private void reconcile(Map<String, Instance> listed, long startedAt) {
@@ -105,7 +106,7 @@
         markMissingTerminated(listed, startedAt);
     }
 
-    /** @return null if the machine is new and its type isn't known yet */
+    /** Returns the machine, adding it if it is new; null if it is new and its type isn't known yet. */
     private Machine findOrAdd(Instance instance, long now) {
         Machine machine = scheduler.machine(instance.machineId());
         if (machine != null) {
@@ -133,7 +134,11 @@
         return now - machine.createdAt > bootLimitMillis;
     }
 
-    /** Once listed, a machine stays listed until it is terminated; a list is at most twice the lag old. */
+    /**
+     * Marks machines as terminated that were listed in this term and are missing now. Once listed, a machine stays
+     * listed until it is terminated; but a list may be as old as twice the listing lag, and so it counts only if it
+     * can't predate the machine's first listing.
+     */
     private void markMissingTerminated(Map<String, Instance> listed, long startedAt) {
         double waitMillis =
                 term.settings().listLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + MISSING_SLACK_MS;
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of the cloud in one leader term: carries out the autoscaler's plans and keeps the scheduler's machines
- * in step with the cloud's list. Confined to the event loop.
+ * Provisions cloud machines during one leader term: carries out the autoscaler's plans and reconciles the scheduler's
+ * machines with the cloud's list. Confined to the event loop.
  */
 public final class InstanceProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceProvisioner.class);
@@ -31,12 +31,14 @@
     private final ScaleOutRequester scaleOutRequester;
     private final InstanceListReconciler listReconciler;
     private final long startedAt;
-    /** When a decision that asks for nothing is logged again. */
+    /** When the next decision that requests no cores is logged, in milliseconds. */
     private long decisionLogDueAt;
 
     /**
-     * {@code acceptsJobs}: whether users can submit jobs now, so that missing arrivals mean a lower load;
-     * {@code firstTerm}: no earlier leader can have requested machines.
+     * Creates the provisioner of one term.
+     *
+     * @param acceptsJobs whether users can submit jobs now: only then does a lack of submissions mean a lower load
+     * @param firstTerm whether no earlier leader can have requested machines
      */
     public InstanceProvisioner(
             TermContext term,
@@ -55,17 +57,17 @@
         this.startedAt = term.now();
     }
 
-    /** Has the cloud terminate machines; those it confirms are dropped from the scheduler. */
+    /** Requests the termination of machines; the scheduler drops them once the cloud confirms. */
     public void terminate(List<Machine> machines, TerminationReason reason) {
         terminator.terminate(machines, reason);
     }
 
-    /** Mean cores that arriving job arrays keep busy. */
+    /** Returns the mean number of cores that arriving job arrays keep busy. */
     public double meanArrayLoadCores() {
         return autoscaler.meanArrayLoadCores();
     }
 
-    /** Plans and requests scale-out and scale-in; {@code partitionedZones}: where no machine is started now. */
+    /** Plans and requests scale-out and scale-in; no machine is started in {@code partitionedZones}. */
     public void scale(Set<String> partitionedZones, long now) {
         terminator.retryUnconfirmed();
         if (mayMissInstances(now)) {
@@ -83,7 +85,7 @@
         term.requestReconcile();
     }
 
-    /** Logs each decision that asks for machines, and the others at the interval of the metrics. */
+    /** Logs every decision that requests cores, and the others at the interval of the metrics. */
     private void logDecision(ScaleOutDecision decision, long now) {
         if (decision.requestedCores() <= 0 && now < decisionLogDueAt) {
             return;
@@ -101,7 +103,7 @@
                 Math.round(decision.runnableCores()));
     }
 
-    /** Whether machines that an earlier leader requested may not be known yet. */
+    /** Whether machines that an earlier leader requested may still be missing from the cloud's list. */
     private boolean mayMissInstances(long now) {
         if (firstTerm) {
             return false;
@@ -111,13 +113,13 @@
                 || (listMayBeOld && !scheduler.machines().isEmpty());
     }
 
-    /** Stops a service's replica, so that it starts again on a machine that is kept. */
+    /** Stops a service replica, which the scheduler then starts on a machine that is kept. */
     private void moveReplica(Assignment assignment) {
         LOG.info("assignment.move_requested task={} machine={}", assignment.taskId, assignment.machine.id);
         scheduler.assignments().stop(assignment, 0);
     }
 
-    /** Reads the cloud's list of machines, unless that is in progress, and reconciles the scheduler with it. */
+    /** Reconciles the scheduler with the cloud's list of machines, unless a reconciliation is in progress. */
     public void reconcileInstances() {
         listReconciler.start();
     }
--- a/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceTerminator.java
@@ -12,14 +12,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Has the cloud terminate machines, again until it confirms. Confined to the event loop. */
+/** Requests the termination of machines from the cloud until it is confirmed. Confined to the event loop. */
 final class InstanceTerminator {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceTerminator.class);
 
     private final TermContext term;
     private final Scheduler scheduler;
     private final CloudClient cloud;
-    /** Ids of the machines in requests that aren't answered yet. */
+    /** Ids of the machines in requests that have not completed yet. */
     private final Set<String> machineIdsInFlight = new HashSet<>();
 
     InstanceTerminator(TermContext term, CloudClient cloud) {
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Requests the termination of machines, of the first ones if there are too many for a request, and drops them from
-     * the scheduler when it is confirmed.
+     * Requests the termination of machines, up to the limit of one request, and marks them as terminated in the
+     * scheduler once the cloud confirms.
      */
     void terminate(List<Machine> machines, TerminationReason reason) {
         int count = Math.min(machines.size(), AutoscalingConstants.MAX_TERMINATIONS_PER_REQUEST);
@@ -56,7 +56,7 @@
         term.requestReconcile();
     }
 
-    /** Requests again the termination of machines for which it wasn't confirmed. */
+    /** Repeats the termination requests that completed without confirmation. */
     void retryUnconfirmed() {
         List<Machine> unconfirmed = scheduler.machines().stream()
                 .filter(machine -> machine.isScalingIn() && !machineIdsInFlight.contains(machine.id))
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests machines from the cloud and adds those that were started to the scheduler. A request without a response is
- * repeated under the same id, so that it counts once. Confined to the event loop.
+ * Requests machines from the cloud and adds the started ones to the scheduler. A request without a response is repeated
+ * under the same id, so that the cloud executes it only once. Confined to the event loop.
  */
 final class ScaleOutRequester {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequester.class);
@@ -26,10 +26,10 @@
     private final CloudClient cloud;
     private final ObjLongConsumer<Autoscaler.CapacityPool> onRefused;
     private int requestsInFlight;
-    /** Requests of this term, which makes their ids unique. */
+    /** Number of requests in this term; part of the next request's id, which makes ids unique. */
     private long requestCount;
 
-    /** {@code onRefused} gets each capacity pool of which the cloud gave fewer than requested, and the time. */
+    /** Creates the requester; {@code onRefused} receives each pool that granted too few machines, and the time. */
     ScaleOutRequester(TermContext term, CloudClient cloud, ObjLongConsumer<Autoscaler.CapacityPool> onRefused) {
         this.term = term;
         this.scheduler = term.scheduler();
@@ -37,7 +37,7 @@
         this.onRefused = onRefused;
     }
 
-    /** Sends the requests, unless earlier ones are in flight: the machines may be on their way already. */
+    /** Sends the requests, unless earlier ones are in flight, which may already bring the needed machines. */
     void requestUnlessInFlight(List<Autoscaler.ScaleOut> scaleOut) {
         if (requestsInFlight > 0) {
             return;
--- a/src/main/java/org/hollypick/control/provisioning/TerminationReason.java
+++ b/src/main/java/org/hollypick/control/provisioning/TerminationReason.java
@@ -4,13 +4,13 @@
 
 /** Why a machine is terminated, for the log. */
 public enum TerminationReason {
-    /** Nothing runs there and it isn't needed. */
+    /** No task runs on the machine and it isn't needed. */
     IDLE,
-    /** Its agent stopped responding. */
+    /** The machine's agent stopped responding. */
     UNRESPONSIVE,
-    /** The cloud reports it as failed, or its agent never sent a heartbeat. */
+    /** The cloud reports the machine as failed, or its agent never sent a heartbeat. */
     FAILED_TO_START,
-    /** An earlier request to terminate it wasn't confirmed. */
+    /** An earlier request to terminate the machine was not confirmed. */
     RETRY;
 
     @Override
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines whose reports arrive while nothing reaches them, copies of reports that come late, machines that are back at
- * once (docs/heartbeat-validity.md).
+ * Machines whose heartbeats arrive while no response or command reaches them, late copies of heartbeats, and machines
+ * whose agent restarts within its lease (docs/heartbeat-validity.md).
  */
 class InboundReachabilityTest {
     private static final long LEASE_MS = 15_000;
@@ -23,244 +23,263 @@
     }
 
     private static ClusterScenario newScenario(long seed, int services) {
-        ClusterScenario day = new ClusterScenario(seed, 4);
-        day.advance(5_000);
-        day.workload.submitUncancelledServices(services);
-        day.advance(40_000);
-        return day;
+        ClusterScenario scenario = new ClusterScenario(seed, 4);
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(services);
+        scenario.advance(40_000);
+        return scenario;
     }
 
-    private static List<FakeAgent> agentsInZoneA(ClusterScenario day) {
-        List<FakeAgent> some =
-                day.cloud.agents().stream().filter(w -> w.zone.equals("a")).toList();
-        assertTrue(some.size() >= 2);
-        return some;
+    private static List<FakeAgent> agentsInZoneA(ClusterScenario scenario) {
+        List<FakeAgent> agents = scenario.cloud.agents().stream()
+                .filter(agent -> agent.zone.equals("a"))
+                .toList();
+        assertTrue(agents.size() >= 2);
+        return agents;
     }
 
-    private static List<String> batchJobs(ClusterScenario day) {
-        return day.checker.submitted.entrySet().stream()
-                .filter(e -> e.getValue().path("shape").asText().equals("batch"))
-                .map(e -> e.getKey())
+    private static List<String> batchJobs(ClusterScenario scenario) {
+        return scenario.checker.submitted.entrySet().stream()
+                .filter(entry -> entry.getValue().path("shape").asText().equals("batch"))
+                .map(entry -> entry.getKey())
                 .toList();
     }
 
-    private static void assertBatchJobsTerminalWithoutViolations(ClusterScenario day, long seed) {
-        assertEquals(List.of(), day.checker.violations, "seed " + seed);
-        batchJobs(day)
-                .forEach(id -> assertTrue(day.checker.isTerminal(id), "seed " + seed + ": " + id + " isn't over"));
+    private static void assertBatchJobsTerminalWithoutViolations(ClusterScenario scenario, long seed) {
+        assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
+        batchJobs(scenario)
+                .forEach(id ->
+                        assertTrue(scenario.checker.isTerminal(id), "seed " + seed + ": " + id + " is not terminal"));
     }
 
     /**
-     * They showed the old token again and again, each answer lengthened their leases here, and no task of an older job
-     * started for as long as they reported.
+     * Guards against a new leader that extends the assumed leases of machines which receive no responses: their
+     * heartbeats kept showing the previous leader's token, each response extended the lease assumed for them, and tasks
+     * of earlier jobs did not start while the heartbeats went on.
      */
     @Test
     void batchJobsCompleteAfterFailoverWhileAZoneReceivesNothing() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = newScenario(seed, 5);
-            day.workload.submitBatchJobs(12, 1_000);
-            day.world.at(1_500, () -> {
-                agentsInZoneA(day).forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
-                day.faults.crashAll();
+            ClusterScenario scenario = newScenario(seed, 5);
+            scenario.workload.submitBatchJobs(12, 1_000);
+            scenario.world.at(1_500, () -> {
+                agentsInZoneA(scenario).forEach(agent -> scenario.network.dropInbound(agent, FIVE_MINUTES_MS));
+                scenario.faults.crashAll();
             });
-            day.advance(2 * LEASE_MS + 120_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            scenario.advance(2 * LEASE_MS + 120_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
     /**
-     * An agent that begins again within its lease, its counts going on, has a whole lease from that beginning. Its
-     * reports don't arrive, direct commands do: what was launched there by one is waited for until that lease is over,
-     * not only until the one that the leader last renewed.
+     * An agent that restarts within its lease and keeps its incarnation and sequence number holds a whole lease from
+     * the restart on. Its heartbeats are delayed while direct calls reach it: a task launched by such a call must not
+     * be started elsewhere before that lease expires, which is later than the lease that the leader renewed last.
      */
     @Test
-    void taskLaunchedOnARestartedAgentIsNotRestartedBeforeTheLeaseOfTheRestartExpires() {
+    void taskLaunchedOnARestartedAgentIsNotStartedElsewhereBeforeItsLeaseExpires() {
         for (int seed = 1; seed <= 3; seed++) {
-            ClusterScenario day = newScenario(seed);
-            day.workload.durationFactor = 6;
-            List<FakeAgent> some = agentsInZoneA(day);
-            day.network.delayHeartbeats(some.stream().map(w -> w.name).toList(), 60_000);
-            day.world.at(6_000, () -> some.forEach(w -> w.restart(200, false)));
-            day.world.at(7_000, () -> day.workload.submitBatchJobs(8, 1_000));
-            day.advance(300_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            ClusterScenario scenario = newScenario(seed);
+            scenario.workload.durationFactor = 6;
+            List<FakeAgent> agents = agentsInZoneA(scenario);
+            scenario.network.delayHeartbeats(
+                    agents.stream().map(agent -> agent.name).toList(), 60_000);
+            scenario.world.at(6_000, () -> agents.forEach(agent -> agent.restart(200, false)));
+            scenario.world.at(7_000, () -> scenario.workload.submitBatchJobs(8, 1_000));
+            scenario.advance(300_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
     /**
-     * They drew task after task: each new session began empty, and what was launched there counted as there for ever.
-     * Now one tries them at most.
+     * Guards against machines without inbound traffic that attract one task after another: each new incarnation reports
+     * no tasks, which made the machine look idle, and launches that it never received counted as present forever. The
+     * direct calls must launch no more tasks than there are such machines.
      */
     @Test
     void machinesUnreachableInboundGetAtMostOneLaunchEach() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = newScenario(seed);
-            List<FakeAgent> deaf = agentsInZoneA(day);
-            deaf.forEach(w -> day.network.dropInbound(w, FIVE_MINUTES_MS));
-            Set<String> launches = new HashSet<>();
-            Set<String> addresses = deaf.stream().map(w -> w.address).collect(Collectors.toSet());
-            day.world.at(
+            ClusterScenario scenario = newScenario(seed);
+            List<FakeAgent> unreachable = agentsInZoneA(scenario);
+            unreachable.forEach(agent -> scenario.network.dropInbound(agent, FIVE_MINUTES_MS));
+            Set<String> launchedAttempts = new HashSet<>();
+            Set<String> addresses =
+                    unreachable.stream().map(agent -> agent.address).collect(Collectors.toSet());
+            scenario.world.at(
                     30_000,
-                    () -> day.world.sending = (from, call) -> {
+                    () -> scenario.world.sending = (from, call) -> {
                         if (addresses.contains(call.address()) && call.path().equals("/commands")) {
                             call.body()
                                     .path("orders")
-                                    .forEach(o -> launches.add(
-                                            o.path("verb").asText().equals("launch")
-                                                    ? o.path("try").asText()
+                                    .forEach(command -> launchedAttempts.add(
+                                            command.path("verb").asText().equals("launch")
+                                                    ? command.path("try").asText()
                                                     : ""));
-                            launches.remove("");
+                            launchedAttempts.remove("");
                         }
                     });
-            day.workload.submitBatchJobs(20, 100_000);
-            day.advance(270_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            scenario.workload.submitBatchJobs(20, 100_000);
+            scenario.advance(270_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
             assertTrue(
-                    launches.size() <= deaf.size(),
-                    "seed " + seed + ": launches sent to machines that don't hear: " + launches.size());
+                    launchedAttempts.size() <= unreachable.size(),
+                    "seed " + seed + ": launches sent to machines without inbound traffic: " + launchedAttempts.size());
         }
     }
 
-    /** A third of all, for less than a lease: what runs there goes on, and none is returned. */
+    /**
+     * The machines of a zone receive nothing for less than a lease: their tasks go on, and no machine with tasks is
+     * terminated.
+     */
     @Test
     void inboundLossShorterThanALeaseLosesNoTaskAndNoBusyMachine() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = newScenario(seed, 5);
-            List<FakeAgent> some = agentsInZoneA(day);
-            int lost = day.checker.tasks.lostWithLease;
-            some.forEach(w -> day.network.dropInbound(w, 8_000));
-            day.advance(60_000);
-            assertEquals(lost, day.checker.tasks.lostWithLease, "seed " + seed);
+            ClusterScenario scenario = newScenario(seed, 5);
+            List<FakeAgent> agents = agentsInZoneA(scenario);
+            int lostBefore = scenario.checker.tasks.lostWithLease;
+            agents.forEach(agent -> scenario.network.dropInbound(agent, 8_000));
+            scenario.advance(60_000);
+            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
             assertTrue(
-                    day.cloud
+                    scenario.cloud
                             .machineNames()
-                            .containsAll(some.stream()
-                                    .filter(w -> w.reportedTasks() > 0)
-                                    .map(w -> w.name)
+                            .containsAll(agents.stream()
+                                    .filter(agent -> agent.reportedTasks() > 0)
+                                    .map(agent -> agent.name)
                                     .toList()),
-                    "seed " + seed + ": returned");
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
+                    "seed " + seed + ": a machine with tasks was terminated");
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
     }
 
-    /** Every second machine deaf to one controller only: it tries the next, and its work goes on. */
+    /**
+     * About half of the machines receive nothing from one controller: they send their heartbeats to the next one, and
+     * their tasks go on.
+     */
     @Test
     void noTaskIsLostWhenHalfOfTheMachinesReceiveNothingFromOneController() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = newScenario(seed);
-            int lost = day.checker.tasks.lostWithLease;
-            List<FakeAgent> some = new ArrayList<>(day.cloud.agents());
-            some.removeIf(w -> w.name.hashCode() % 2 == 0);
-            int node = seed % 3;
-            some.forEach(w -> day.network.dropInbound(w, node, 120_000));
-            day.workload.submitBatchJobs(10, 60_000);
-            day.advance(150_000);
-            assertEquals(lost, day.checker.tasks.lostWithLease, "seed " + seed);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            ClusterScenario scenario = newScenario(seed);
+            int lostBefore = scenario.checker.tasks.lostWithLease;
+            List<FakeAgent> agents = new ArrayList<>(scenario.cloud.agents());
+            agents.removeIf(agent -> agent.name.hashCode() % 2 == 0);
+            int controller = seed % 3;
+            agents.forEach(agent -> scenario.network.dropInbound(agent, controller, 120_000));
+            scenario.workload.submitBatchJobs(10, 60_000);
+            scenario.advance(150_000);
+            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
     /**
-     * Copies of reports of machines that are gone made machines of them, ended the silence of others, and told running
-     * tasks to end.
+     * Guards against late copies of heartbeats, which added terminated machines again, made hung machines look
+     * responsive, and caused running tasks to be killed.
      */
     @Test
     void delayedHeartbeatCopiesDoNotKeepAHungMachine() {
         for (int seed = 1; seed <= 10; seed++) {
-            ClusterScenario day = newScenario(seed);
-            day.world.copyShare = 0.5;
-            day.workload.submitBatchJobs(40, 120_000);
-            day.advance(30_000);
-            List<FakeAgent> some = new ArrayList<>(day.cloud.agents().subList(0, 4));
-            some.subList(0, 2).forEach(w -> w.hang(60_000));
-            some.subList(2, 4).forEach(day.cloud::reclaim);
-            List<String> hung = some.subList(0, 2).stream().map(w -> w.name).toList();
-            day.advance(16_000);
+            ClusterScenario scenario = newScenario(seed);
+            scenario.world.copyShare = 0.5;
+            scenario.workload.submitBatchJobs(40, 120_000);
+            scenario.advance(30_000);
+            List<FakeAgent> agents = new ArrayList<>(scenario.cloud.agents().subList(0, 4));
+            agents.subList(0, 2).forEach(agent -> agent.hang(60_000));
+            agents.subList(2, 4).forEach(scenario.cloud::reclaim);
+            List<String> hung =
+                    agents.subList(0, 2).stream().map(agent -> agent.name).toList();
+            scenario.advance(16_000);
             assertTrue(
-                    hung.stream().noneMatch(day.cloud.machineNames()::contains),
-                    "seed " + seed + ": a copy kept a machine that hangs");
-            day.faults.crashAll();
-            day.advance(150_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+                    hung.stream().noneMatch(scenario.cloud.machineNames()::contains),
+                    "seed " + seed + ": a copy of a heartbeat kept a hung machine");
+            scenario.faults.crashAll();
+            scenario.advance(150_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
     /**
-     * Its reports were older than what was known of it: it was refused for as long as it had run before, and its tasks
-     * seemed to run on.
+     * Guards against the rejection of a restarted agent's heartbeats: they seemed older than those known, were rejected
+     * for as long as the agent had run before the restart, and its tasks seemed to go on running.
      */
     @Test
     void restartedMachinesAreUsedAgainWithinTwoLeases() {
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario day = newScenario(seed);
-            boolean anew = seed % 2 == 0;
-            List<FakeAgent> some = new ArrayList<>(day.cloud.agents().stream()
-                    .filter(w -> w.activeTasks() > 0)
+            ClusterScenario scenario = newScenario(seed);
+            boolean losesState = seed % 2 == 0;
+            List<FakeAgent> agents = new ArrayList<>(scenario.cloud.agents().stream()
+                    .filter(agent -> agent.activeTasks() > 0)
                     .limit(3)
                     .toList());
-            int before = day.checker.tasks.runningCount();
-            some.forEach(w -> w.restart(50 + day.world.random.nextInt(250), anew));
+            int runningBefore = scenario.checker.tasks.runningCount();
+            agents.forEach(agent -> agent.restart(50 + scenario.world.random.nextInt(250), losesState));
             if (seed % 3 == 0) {
-                day.faults.crash(day.leaderIndex(), 100); // in the middle of an election
+                scenario.faults.crash(scenario.leaderIndex(), 100); // in the middle of an election
             }
-            day.advance(2 * LEASE_MS);
-            assertEquals(before, day.checker.tasks.runningCount(), "seed " + seed + ": replicas run again");
-            day.workload.submitBatchJobs(20, 30_000);
-            day.advance(120_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            scenario.advance(2 * LEASE_MS);
+            assertEquals(
+                    runningBefore,
+                    scenario.checker.tasks.runningCount(),
+                    "seed " + seed + ": replicas did not run again");
+            scenario.workload.submitBatchJobs(20, 30_000);
+            scenario.advance(120_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
-    /** It stayed ready for its users, though it could tell them nothing for as long as the cut lasted. */
+    /**
+     * Guards against a controller that reports itself ready although it can't answer users while it is partitioned from
+     * the store and its peers.
+     */
     @Test
     void controllerWithoutStoreAndPeersIsNeitherReadyNorLeader() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario day = newScenario(seed);
-            int lost = day.checker.tasks.lostWithLease;
-            int node = seed % 2 == 0 ? day.leaderIndex() : (day.leaderIndex() + 1) % 3;
-            day.network.partitionFromStoreAndPeers(node, 60_000);
-            day.workload.submitBatchJobs(10, 30_000);
-            day.advance(9_000);
-            assertEquals(503, day.users.readinessStatus(node), "seed " + seed);
-            assertTrue(day.leaderIndex() != node, "seed " + seed);
-            assertEquals(200, day.users.readinessStatus(day.leaderIndex()), "seed " + seed);
-            day.advance(60_000);
-            assertEquals(200, day.users.readinessStatus(node), "seed " + seed);
-            assertEquals(lost, day.checker.tasks.lostWithLease, "seed " + seed);
-            day.advance(60_000);
-            assertBatchJobsTerminalWithoutViolations(day, seed);
+            ClusterScenario scenario = newScenario(seed);
+            int lostBefore = scenario.checker.tasks.lostWithLease;
+            int controller = seed % 2 == 0 ? scenario.leaderIndex() : (scenario.leaderIndex() + 1) % 3;
+            scenario.network.partitionFromStoreAndPeers(controller, 60_000);
+            scenario.workload.submitBatchJobs(10, 30_000);
+            scenario.advance(9_000);
+            assertEquals(503, scenario.users.readinessStatus(controller), "seed " + seed);
+            assertTrue(scenario.leaderIndex() != controller, "seed " + seed);
+            assertEquals(200, scenario.users.readinessStatus(scenario.leaderIndex()), "seed " + seed);
+            scenario.advance(60_000);
+            assertEquals(200, scenario.users.readinessStatus(controller), "seed " + seed);
+            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            scenario.advance(60_000);
+            assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
 
-    /** All of it together with the older faults. */
+    /** Runs random faults of all kinds; the p99 of the jobs' first answers after the faults is below 15 s. */
     @Test
     void randomFaultsViolateNoInvariantAndJobsAreAnsweredWithin15Seconds() {
-        List<Long> first = new ArrayList<>();
+        List<Long> firstAnswerMs = new ArrayList<>();
         for (int seed = 1; seed <= 60; seed++) {
-            ClusterScenario day = runRandomFaults(seed, null);
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
-            first.addAll(day.checker.firstAnswerMs.values());
+            ClusterScenario scenario = runRandomFaults(seed, null);
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
+            firstAnswerMs.addAll(scenario.checker.firstAnswerMs.values());
         }
-        first.sort(null);
+        firstAnswerMs.sort(null);
         assertTrue(
-                first.get(first.size() * 99 / 100) < 15_000,
-                "first answers after the troubles: p99 " + first.get(first.size() * 99 / 100));
+                firstAnswerMs.get(firstAnswerMs.size() * 99 / 100) < 15_000,
+                "first answers after the faults, p99 in ms: " + firstAnswerMs.get(firstAnswerMs.size() * 99 / 100));
     }
 
-    private static ClusterScenario runRandomFaults(long seed, String withheld) {
-        ClusterScenario day = new ClusterScenario(seed, 2);
-        day.workload.submitJobs(25, 90_000);
-        day.randomFaults.scheduleFaults(12, 20_000, 100_000);
-        day.world.at(100_000, () -> day.unavailableJob = withheld);
-        day.world.at(195_000, () -> day.checker.faultsEnded(day.world.now));
-        day.advance(300_000);
-        return day;
+    private static ClusterScenario runRandomFaults(long seed, String unavailableJob) {
+        ClusterScenario scenario = new ClusterScenario(seed, 2);
+        scenario.workload.submitJobs(25, 90_000);
+        scenario.randomFaults.scheduleFaults(12, 20_000, 100_000);
+        scenario.world.at(100_000, () -> scenario.unavailableJob = unavailableJob);
+        scenario.world.at(195_000, () -> scenario.checker.faultsEnded(scenario.world.now));
+        scenario.advance(300_000);
+        return scenario;
     }
 
-    /** One job's answers withheld while all others are served. */
+    /** The controllers answer 503 about one job from 100 s on, while all others are served. */
     @Test
     void checkerDetectsAJobThatIsNotAnsweredAfterFaults() {
         assertTrue(runRandomFaults(1, "req-000003").checker.violations.stream()
-                .anyMatch(b -> b.startsWith("forgotten req-000003")));
+                .anyMatch(violation -> violation.startsWith("forgotten req-000003")));
     }
 }
