--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -214,7 +214,7 @@
             int runningBefore = scenario.checker.tasks.runningCount();
             agents.forEach(agent -> agent.restart(50 + scenario.world.random.nextInt(250), losesState));
             if (seed % 3 == 0) {
-                scenario.faults.crash(scenario.leaderIndex(), 100); // in the middle of an election
+                scenario.faults.crash(scenario.leaderIndex(), 100); // the agents restart during an election
             }
             scenario.advance(2 * LEASE_MS);
             assertEquals(
