--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -65,7 +65,7 @@
                 : commands.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
     }
 
-    /** Sends pending commands, urgent ones first, to as many machines as further calls are allowed. */
+    /** Sends pending commands, urgent ones first, until no further call is allowed. */
     void dispatchPending() {
         SchedulerOutbox outbox = scheduler.outbox();
         outbox.takeMachinesWithUrgentCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -19,7 +19,7 @@
  * unacknowledged direct calls and the reports of peers. Confined to the event loop.
  */
 public final class FailureDetector {
-    /** Unresponsive machines up to which their failures count as unrelated, not as a fault of the network. */
+    /** Number of unresponsive machines up to which the failures count as unrelated, not as a network fault. */
     private static final int MAX_UNRELATED_FAILURES = 2;
 
     private final TermContext term;
--- a/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
+++ b/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
@@ -13,7 +13,9 @@
     private final TermContext term;
     private final Consumer<Machine> probe;
 
-    /** Creates the probe loop; {@code probe} calls a machine directly, unless too many calls are in flight. */
+    /**
+     * Creates the reconciliation probe; {@code probe} calls a machine directly, unless too many calls are in flight.
+     */
     ReconciliationProbe(TermContext term, Consumer<Machine> probe) {
         this.term = term;
         this.probe = probe;
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -107,7 +107,7 @@
     }
 
     private boolean isOverdue(Machine machine) {
-        // An early probe costs a call: only after an unacknowledged one, or for services, is it worth that.
+        // Early probes cost extra calls: only unacknowledged calls and the possible loss of services justify them.
         boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isSuspected()
                 || millisSinceLastContact(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
