--- a/src/main/java/org/hollypick/control/graphs/GraphContext.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphContext.java
@@ -8,10 +8,10 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * What the leader's term provides for its graphs.
+ * The components of a leader's term that its graphs depend on.
  *
  * @param replica the controller's copy of the store
- * @param requestReconcile runs the term's reconcile loop as soon as may be, after there is something to write
+ * @param requestReconcile requests a cycle of the term's reconcile loop, after a change that has to be written
  */
 public record GraphContext(
         EventLoop eventLoop,
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Durable log of one graph. Entries are written in their order, as many to a record and records to a transaction as
- * fit, one transaction at a time. Each transaction is conditional on the fencing token and on the graph's own record,
- * and creates keys that were never used; while its outcome isn't known the very same one is sent again. Confined to the
- * event loop.
+ * Durable log of one graph. Entries are written in order, one transaction at a time; a transaction holds as many
+ * records, and a record as many entries, as the store's limits allow. Each transaction is conditional on the leader's
+ * fencing token and on the revision of the graph's own record, and creates keys that were never used before. While its
+ * outcome is unknown, the same transaction is sent again, so that no entry is stored twice. Confined to the event loop.
  */
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
@@ -31,16 +31,20 @@
     private final int maxRecordBytes;
     private final ArrayDeque<PendingEntry> pending = new ArrayDeque<>();
     private boolean writeInFlight;
-    /** The store rejected a write: another controller leads, or the graph has ended. Nothing is written any more. */
+    /**
+     * Set once the store has rejected a write: another controller leads, the graph has ended, or the record is invalid.
+     * No further entries are written.
+     */
     private boolean rejected;
 
     private long nextWriteAtMillis;
 
     /**
-     * Something that waits to be durable.
+     * An entry that isn't durable yet.
      *
-     * @param entry null for a marker, which only waits for what was appended before it
-     * @param bytes that the entry takes in a record of its own
+     * @param entry null for a marker, which counts as durable once all entries before it are
+     * @param bytes size of a record that holds only this entry
+     * @param onDurable called once the entry is durable
      */
     private record PendingEntry(GraphLogEntry entry, int bytes, Runnable onDurable) {
         boolean isMarker() {
@@ -48,7 +52,7 @@
         }
     }
 
-    /** The longest run of pending entries that one transaction holds. */
+    /** The first pending entries, as many as fit into one transaction. */
     private static final class Batch {
         private final int maxRecordBytes;
         private final int maxRecords;
@@ -61,7 +65,7 @@
             this.maxRecords = maxRecords;
         }
 
-        /** Adds the entry, if it fits. */
+        /** Adds the entry if it fits, and returns whether it did. */
         boolean add(PendingEntry added) {
             if (!added.isMarker()) {
                 if (bytesLeftInRecord < added.bytes) {
@@ -80,9 +84,9 @@
     }
 
     /**
-     * An empty log.
+     * Creates an empty log.
      *
-     * @param recordNumbers gives each number once in this term
+     * @param recordNumbers supplies the numbers in the keys of records, each one only once in this term
      */
     GraphLog(GraphContext context, String graphId, LongSupplier recordNumbers) {
         this.context = context;
@@ -91,12 +95,12 @@
         this.maxRecordBytes = RecordSize.maxBytes(context.settings());
     }
 
-    /** Adds an entry and calls {@code onDurable} once it is durable. */
+    /** Appends an entry and calls {@code onDurable} once it is durable. */
     void append(GraphLogEntry entry, Runnable onDurable) {
         pending.add(new PendingEntry(entry, GraphLogCodec.recordBytes(graphId, entry), onDurable));
     }
 
-    /** Calls {@code onDurable} once all that was appended so far is durable: at once, if it is. */
+    /** Calls {@code onDurable} once all entries appended so far are durable: immediately if they already are. */
     void whenDurable(Runnable onDurable) {
         if (pending.isEmpty()) {
             onDurable.run();
@@ -113,16 +117,17 @@
         return pending.isEmpty();
     }
 
-    /** Whether an entry fits into a record of its own. */
+    /** Whether an entry fits into a record that holds nothing else. */
     boolean fits(GraphLogEntry entry) {
         return GraphLogCodec.recordBytes(graphId, entry) <= maxRecordBytes;
     }
 
     /**
-     * Starts to write pending entries, unless a write is in flight or the store is overloaded.
+     * Starts to write pending entries, unless a write is in flight, an earlier one was rejected, the last one was
+     * committed less than {@link GraphConstants#GRAPH_WRITE_GAP_MS} ago, or the store is overloaded.
      *
      * @param graphRevision revision of the graph's own record
-     * @param onWritten called after each successful write
+     * @param onWritten called after the write was committed
      */
     void flush(long graphRevision, Runnable onWritten) {
         if (writeInFlight
@@ -133,7 +138,7 @@
             return;
         }
         Batch batch = nextBatch();
-        if (batch.records.isEmpty()) { // only markers, added while the last entry was being written
+        if (batch.records.isEmpty()) { // only markers, appended while the last entry was being written
             onBatchDurable(batch);
             return;
         }
@@ -142,9 +147,9 @@
     }
 
     private Batch nextBatch() {
-        int recordsInBody =
+        int maxRecordsInBody =
                 NetworkConstants.MAX_BODY_BYTES * 3 / 4 / context.settings().valueBytes();
-        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), recordsInBody));
+        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
@@ -164,7 +169,7 @@
         return changes;
     }
 
-    /** Sends the same keys until the outcome is known: an entry must never be stored twice. */
+    /** Commits a transaction and repeats it with the same keys until its outcome is known. */
     private void commit(CompareAndSwap changes, Batch batch, Runnable onWritten) {
         context.store().commit(changes, result -> {
             if (result.committed() || wasCommittedByEarlierAttempt(result)) {
@@ -195,7 +200,10 @@
         writeInFlight = false;
     }
 
-    /** Only the keys that the transaction creates stand in its way: an earlier try was carried out after all. */
+    /**
+     * Whether the only conditions that failed are those on the keys that the transaction creates: then an earlier
+     * attempt whose outcome was unknown had been committed.
+     */
     private static boolean wasCommittedByEarlierAttempt(CommitResult result) {
         return result.conflicted()
                 && result.conflictingKeys().stream().allMatch(key -> key.startsWith(StoreKeys.GRAPH_LOG));
--- a/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLogReader.java
@@ -9,7 +9,7 @@
 import org.hollypick.records.GraphLogEntry;
 import org.hollypick.records.JobCodec;
 
-/** Finds the stored log of a graph in the replica of the store. Confined to the event loop. */
+/** Reads the stored log of a graph from the replica of the store. Confined to the event loop. */
 final class GraphLogReader {
     private final StoreReplica replica;
 
@@ -17,7 +17,7 @@
         this.replica = replica;
     }
 
-    /** Keys of the graph's log records in the order in which they were written. */
+    /** Returns the keys of the graph's log records in the order in which the records were written. */
     List<String> keys(String graphId) {
         String prefix = StoreKeys.graphLog(graphId);
         List<String> keys = new ArrayList<>();
@@ -31,7 +31,7 @@
         return keys;
     }
 
-    /** The entries of one log record in their order. */
+    /** Decodes the entries of one log record in their order. */
     List<GraphLogEntry> entries(String key) throws JobCodec.InvalidException {
         return GraphLogCodec.decodeRecord(replica.get(key).data());
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
@@ -18,8 +18,8 @@
 import org.hollypick.records.RecordSize;
 
 /**
- * Handles requests that change graphs, on the leader. All of them are idempotent. A request is answered once all that
- * it changed is durable. Confined to the event loop.
+ * Handles requests that change graphs, on the leader. All requests are idempotent, and each is answered once its
+ * changes are durable. Confined to the event loop.
  */
 public final class GraphRequestHandler {
     private final GraphContext context;
@@ -32,20 +32,20 @@
         this.maxRecordBytes = RecordSize.maxBytes(context.settings());
     }
 
-    // ---- the client's requests ----
+    // ---- requests of clients ----
 
     /**
      * Creates a graph, or adds further nodes of the client to one that isn't sealed.
      *
-     * @param last whether the client will add no further nodes, so that the graph is sealed
+     * @param last whether the client will add no further nodes; the graph is then sealed
      */
     public void submit(
             String graphId, GraphOptions options, List<NodeSpec> nodes, boolean last, Consumer<GraphResponse> respond) {
-        Optional<LiveGraph> known = graphs.findLoaded(graphId);
+        Optional<LiveGraph> existing = graphs.findLoaded(graphId);
         if (isOverloaded(graphId)) {
             reject(overloaded(), respond);
-        } else if (known.isPresent()) {
-            appendClientNodes(known.get(), nodes, last, respond);
+        } else if (existing.isPresent()) {
+            appendClientNodes(existing.get(), nodes, last, respond);
         } else {
             create(graphId, options, nodes, last, respond);
         }
@@ -112,7 +112,8 @@
     // ---- requests of running tasks ----
 
     /**
-     * Adds children of a running node. Nodes that an earlier attempt added are known by their ids.
+     * Adds children of a running node. Nodes that an earlier attempt added are recognized by their ids and not added
+     * again.
      *
      * @param continuationId the node that the parent delegates its result to, or null
      */
@@ -134,7 +135,10 @@
         respondWhenDurable(live, () -> accepted(acceptance, live, nodes), respond);
     }
 
-    /** Keeps a running node's result: a small value, or a reference. The first one stands. */
+    /**
+     * Records a running node's result: a small value, or a reference to a larger one. Once a result is recorded, a
+     * different one is rejected.
+     */
     public void recordResult(NodeAttempt attempt, JsonNode result, Consumer<GraphResponse> respond) {
         Optional<GraphRejection> rejection = checkRunning(attempt);
         if (rejection.isPresent()) {
@@ -143,28 +147,28 @@
         }
         LiveGraph live = graphs.findLoaded(attempt.graphId()).orElseThrow();
         int node = live.graph().indexOf(attempt.nodeId());
-        Optional<JsonNode> known = live.ownResult(node);
-        rejection = checkResult(live, known, result);
+        Optional<JsonNode> existing = live.ownResult(node);
+        rejection = checkResult(live, existing, result);
         if (rejection.isPresent()) {
             reject(rejection.get(), respond);
             return;
         }
-        if (known.isEmpty()) {
+        if (existing.isEmpty()) {
             live.recordResult(node, result);
         }
-        Acceptance acceptance = known.isEmpty() ? Acceptance.CREATED : Acceptance.ALREADY_KNOWN;
+        Acceptance acceptance = existing.isEmpty() ? Acceptance.CREATED : Acceptance.ALREADY_KNOWN;
         respondWhenDurable(live, () -> accepted(acceptance, live, List.of()), respond);
     }
 
-    private Optional<GraphRejection> checkResult(LiveGraph live, Optional<JsonNode> known, JsonNode result) {
+    private Optional<GraphRejection> checkResult(LiveGraph live, Optional<JsonNode> existing, JsonNode result) {
         int bytes = RecordSize.encodedBytes(result);
         int maxBytes = Math.min(GraphConstants.GRAPH_RESULT_BYTES, maxRecordBytes / 2);
         if (bytes > maxBytes) {
             return Optional.of(GraphRejection.invalid(
                     "a result of more than " + maxBytes + " bytes: store it elsewhere, and give a reference"));
         }
-        if (known.isPresent()) {
-            return known.get().equals(result)
+        if (existing.isPresent()) {
+            return existing.get().equals(result)
                     ? Optional.empty()
                     : Optional.of(GraphRejection.conflict("another result is known"));
         }
@@ -176,7 +180,7 @@
 
     // ---- checks ----
 
-    /** Why a request of a task's attempt is rejected; empty if that attempt runs, as far as is known. */
+    /** Returns why a request of a task attempt is rejected; empty if the attempt is assigned and not being stopped. */
     private Optional<GraphRejection> checkRunning(NodeAttempt attempt) {
         if (isOverloaded(attempt.graphId())) {
             return Optional.of(overloaded());
@@ -200,7 +204,7 @@
             return Optional.empty();
         }
         if (ready && assignment == null && !context.scheduler().reconciliationComplete()) {
-            // After a failover the machine that runs it may not have sent a heartbeat yet.
+            // After a failover, the machine that runs the attempt may not have sent a heartbeat yet.
             return Optional.of(GraphRejection.retryLater("not every machine has reported yet"));
         }
         return Optional.of(GraphRejection.conflict(
@@ -211,7 +215,7 @@
         return assignment.attempt == attempt && assignment.mayExist() && !assignment.stopRequested();
     }
 
-    /** Why nothing may be added to the graph now. */
+    /** Returns why the graph can't be changed now; empty if it can. */
     private static Optional<GraphRejection> checkOpen(LiveGraph live) {
         if (live.isEnded()) {
             return Optional.of(graphEnded());
@@ -221,7 +225,10 @@
                 : Optional.empty();
     }
 
-    /** Why nodes may not be added to a graph, whose log entries have to fit a record each. */
+    /**
+     * Returns why nodes may not be added to a graph; empty if they may. A node's dependencies are limited so that the
+     * node's log entry fits into one record.
+     */
     private Optional<GraphRejection> validate(
             LiveGraph live, List<NodeSpec> nodes, String parentId, String continuationId) {
         int maxDependencies = maxRecordBytes / GraphConstants.GRAPH_DEPENDENCY_BYTES;
@@ -234,7 +241,7 @@
         return live.graph().validate(nodes, parentId, continuationId);
     }
 
-    /** Whether a change couldn't be recorded soon, so that it is rejected before it is made. */
+    /** Whether a change would wait too long to be written. Such a request is rejected before it changes anything. */
     private boolean isOverloaded(String graphId) {
         int pending =
                 graphs.findLoaded(graphId).map(LiveGraph::pendingLogEntries).orElse(0);
@@ -266,7 +273,10 @@
         return new GraphResponse.Accepted(acceptance, live.id(), taskIds);
     }
 
-    /** Responds once all changes so far are durable, or with a rejection when that takes too long. */
+    /**
+     * Responds once all changes so far are durable, or with a rejection after
+     * {@link GraphConstants#GRAPH_RESPONSE_TIMEOUT_MS}.
+     */
     private void respondWhenDurable(LiveGraph live, Supplier<GraphResponse> response, Consumer<GraphResponse> respond) {
         PendingResponse pending = new PendingResponse(respond);
         live.whenDurable(() -> pending.send(response));
@@ -280,7 +290,7 @@
         context.requestReconcile().run();
     }
 
-    /** A response that is sent once, by whoever comes first. */
+    /** A response that is sent once: when the changes are durable or on the timeout, whichever comes first. */
     private static final class PendingResponse {
         private final Consumer<GraphResponse> respond;
         private boolean sent;
--- a/src/main/java/org/hollypick/control/graphs/GraphResponse.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphResponse.java
@@ -4,28 +4,28 @@
 import org.hollypick.core.graph.GraphRejection;
 import org.hollypick.core.graph.NodeState;
 
-/** Answer to a request that changes a graph. */
+/** Response to a request that changes a graph. */
 public sealed interface GraphResponse {
     /** How a request was accepted. */
     enum Acceptance {
-        /** Something was added, and nothing is missing. */
+        /** The request changed the graph and announced no further nodes. */
         CREATED,
-        /** Something was added, and the client has announced further nodes. */
+        /** The request changed the graph and announced further nodes. */
         CREATED_PARTIALLY,
-        /** All of it was known already. */
+        /** The request changed nothing, since the graph had all of its content already. */
         ALREADY_KNOWN
     }
 
     /**
-     * All that was asked for is durable.
+     * All changes that were requested are durable.
      *
-     * @param taskIds the task of each node in the request, by node id and in its order
+     * @param taskIds the task id of each node in the request, by node id, in the order of the request
      */
     record Accepted(Acceptance acceptance, String graphId, Map<String, String> taskIds) implements GraphResponse {}
 
-    /** A node's cancellation is durable, or the node had ended before: as its state says. */
+    /** The node's cancellation is durable, or the node had reached another final state before, which is given. */
     record NodeCancelled(String nodeId, NodeState state) implements GraphResponse {}
 
-    /** Nothing was changed, or it isn't known whether it became durable; the rejection says whether to try again. */
+    /** Nothing was changed, or it is unknown whether the change is durable; the rejection says whether to retry. */
     record Rejected(GraphRejection rejection) implements GraphResponse {}
 }
--- a/src/main/java/org/hollypick/control/graphs/GraphRetention.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRetention.java
@@ -12,20 +12,24 @@
 import org.hollypick.store.CompareAndSwap;
 
 /**
- * Keeps nodes and results of ended graphs for a while, then deletes their logs, some records at a time and only while
- * the store has capacity to spare. Confined to the event loop.
+ * Deletes the logs of ended graphs after the retention time, some records per transaction and only while the store has
+ * spare write capacity. Until then the graphs' nodes and results can be read. Confined to the event loop.
  */
 final class GraphRetention {
     private final GraphContext context;
     private final GraphLogReader logReader;
     private final long retentionMillis;
     private final Consumer<String> onDeleted;
-    /** Ended graphs that still have a log, by id: when they ended. */
+    /** When each ended graph that still has a log ended, by graph id, on the event loop's clock. */
     private final Map<String, Long> endedAtMillis = new LinkedHashMap<>();
 
     private boolean deletionInFlight;
 
-    /** Calls {@code onDeleted} with the id of each graph whose log is gone. */
+    /**
+     * Creates the retention without graphs.
+     *
+     * @param onDeleted called with the id of each graph whose log has been deleted
+     */
     GraphRetention(GraphContext context, GraphLogReader logReader, long retentionMillis, Consumer<String> onDeleted) {
         this.context = context;
         this.logReader = logReader;
@@ -33,17 +37,20 @@
         this.onDeleted = onDeleted;
     }
 
-    /** The graph has ended now. */
+    /** Starts the retention time of a graph that has ended now. */
     void graphEnded(String graphId) {
         endedAtMillis.put(graphId, context.eventLoop().now());
     }
 
-    /** The graph ended before this term: it is kept as if it had ended when the term came to know it. */
+    /**
+     * Starts the retention time of a graph that ended before this term, unless it was started already. The time of the
+     * end isn't stored, so the retention time counts from now.
+     */
     void graphEndedEarlier(String graphId) {
         endedAtMillis.putIfAbsent(graphId, context.eventLoop().now());
     }
 
-    /** Finds the ended graphs that earlier terms left. */
+    /** Finds the ended graphs of earlier terms that still have a log. */
     void load() {
         context.replica().entries().forEach((key, entry) -> {
             if (key.startsWith(StoreKeys.GRAPH_LOG)) {
@@ -56,20 +63,20 @@
         });
     }
 
-    /** Deletes some records of the first graph whose time is over. */
+    /** Deletes some records of the first graph whose retention time has expired. */
     void deleteExpired(long now) {
         if (deletionInFlight || !context.store().hasSpareWriteCapacity()) {
             return;
         }
         for (Map.Entry<String, Long> ended : endedAtMillis.entrySet()) {
             if (now - ended.getValue() > retentionMillis) {
-                deleteSome(ended.getKey());
+                deleteLastRecords(ended.getKey());
                 return;
             }
         }
     }
 
-    private void deleteSome(String graphId) {
+    private void deleteLastRecords(String graphId) {
         List<String> keys = logReader.keys(graphId);
         if (keys.isEmpty()) {
             onDeleted.accept(graphId);
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The graphs of one leader's term from their creation to their end. Their nodes and results can be asked for until the
- * {@link GraphRetention} has deleted them. Confined to the event loop.
+ * Manages the graphs of one leader's term from their creation to their end. Nodes and results of an ended graph can be
+ * read until {@link GraphRetention} has deleted its log. Confined to the event loop.
  */
 public final class GraphService {
     private static final Logger LOG = LoggerFactory.getLogger(GraphService.class);
@@ -37,9 +37,9 @@
     private long nextLogRecordNumber;
 
     /**
-     * No graphs yet.
+     * Creates the service without graphs.
      *
-     * @param retentionMillis for how long nodes and results of an ended graph are kept
+     * @param retentionMillis how long nodes and results of an ended graph are kept
      */
     public GraphService(GraphContext context, GraphFactory factory, long retentionMillis) {
         this.context = context;
@@ -49,7 +49,7 @@
         this.requestHandler = new GraphRequestHandler(context, this);
     }
 
-    /** Handles requests that change graphs. */
+    /** Returns the handler of requests that change graphs. */
     public GraphRequestHandler requestHandler() {
         return requestHandler;
     }
@@ -57,8 +57,8 @@
     // ---- lookup ----
 
     /**
-     * Any graph whose nodes are known, whether it is live or has ended; empty if there is none, or its nodes were
-     * deleted after their retention time.
+     * Finds a live graph, or an ended one, which is loaded if necessary. Empty if there is no such graph, or if its log
+     * was deleted after the retention time.
      */
     public Optional<LiveGraph> find(String graphId) {
         LiveGraph known = graphs.get(graphId);
@@ -69,7 +69,7 @@
         return Optional.ofNullable(known);
     }
 
-    /** A graph that was live in this term, or was asked for since it ended. */
+    /** Finds a graph that was live in this term, or an ended one that {@link #find} has loaded. */
     Optional<LiveGraph> findLoaded(String graphId) {
         return Optional.ofNullable(graphs.get(graphId));
     }
@@ -80,7 +80,7 @@
         return new LiveGraph(graphId, options, context, factory, () -> nextLogRecordNumber++);
     }
 
-    /** Writes the own record of a new graph, and tells whether that succeeded; only then the graph has a job. */
+    /** Writes a new graph's own record and reports whether it was committed. The graph gets its job only then. */
     void createRecord(LiveGraph created, Consumer<Boolean> onOutcome) {
         graphs.put(created.id(), created);
         String key = StoreKeys.job(created.id());
@@ -99,7 +99,11 @@
         });
     }
 
-    /** The record may be there, or appear later: then the replica shows it, and a repeated request finds it. */
+    /**
+     * Removes a graph whose record wasn't written or whose write has an unknown outcome. If the replica has the graph's
+     * record nevertheless, the graph is loaded from there, so that a repeated request finds it; if the record appears
+     * later, {@link #recordObserved} is called then.
+     */
     private void creationFailed(LiveGraph created) {
         graphs.remove(created.id(), created);
         StoreReplica.Entry entry = context.replica().get(StoreKeys.job(created.id()));
@@ -114,15 +118,16 @@
 
     // ---- loading ----
 
-    /** Finds the ended graphs that earlier terms left, when the term starts. */
+    /** Finds the ended graphs of earlier terms, when the term starts. */
     public void loadEndedGraphs() {
         retention.load();
     }
 
     /**
-     * The replica shows the record of a live graph, and so all that earlier leaders recorded of the graph.
+     * Loads a live graph whose record is in the replica, unless the graph is loaded already. The replica then also has
+     * all log records of the graph that earlier leaders wrote.
      *
-     * @param revision of the record
+     * @param revision the record's revision
      */
     public void recordObserved(String graphId, JsonNode record, long revision) {
         if (graphs.containsKey(graphId)) {
@@ -150,7 +155,8 @@
             return Optional.empty();
         }
         try {
-            LiveGraph loaded = newGraph(graphId, new GraphOptions(null, 0, false)); // no task is started any more
+            LiveGraph loaded =
+                    newGraph(graphId, new GraphOptions(null, 0, false)); // without effect: no task will start
             loaded.replayLog(logReader);
             loaded.markEnded();
             retention.graphEndedEarlier(graphId);
@@ -162,9 +168,9 @@
         }
     }
 
-    // ---- end ----
+    // ---- termination ----
 
-    /** The graph's end is durable. */
+    /** Marks a graph as ended, once its end is durable, and starts its retention time. */
     public void markEnded(String graphId) {
         LiveGraph live = graphs.get(graphId);
         if (live != null && !live.isEnded()) {
@@ -173,7 +179,7 @@
         }
     }
 
-    /** The record that the end of a graph's job leaves; empty if the job is no graph. */
+    /** Returns the record that replaces the graph's own when its job ends; empty if the job isn't a graph's. */
     public Optional<ObjectNode> terminalRecord(Job job, TerminalStatus status) {
         LiveGraph live = graphs.get(job.spec.id());
         if (live == null || live.job().orElse(null) != job) {
@@ -194,7 +200,10 @@
 
     // ---- reconcile loop ----
 
-    /** One round of the reconcile loop: ends what has to end, writes the logs, deletes what was kept long enough. */
+    /**
+     * Runs one cycle of the reconcile loop: fails nodes that have no retries left, cancels graphs that weren't sealed
+     * in time, completes finished graphs, writes the logs, and deletes logs whose retention time has expired.
+     */
     public void reconcile() {
         long now = context.eventLoop().now();
         for (LiveGraph live : new ArrayList<>(graphs.values())) {
--- a/src/main/java/org/hollypick/control/graphs/LiveGraph.java
+++ b/src/main/java/org/hollypick/control/graphs/LiveGraph.java
@@ -16,9 +16,9 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * A graph that this term knows: its nodes, the job that schedules them, their results, and the log that makes changes
- * durable. A change takes effect in memory at once as far as it prevents something; what it allows waits until the
- * change is durable. Confined to the event loop.
+ * A graph that this term created or loaded: its nodes, the job that schedules them, their results, and the log that
+ * makes changes durable. The effects of a change that prevent something, such as the start of a cancelled node, apply
+ * in memory at once; those that permit something apply once the change is durable. Confined to the event loop.
  */
 public final class LiveGraph {
     private final String id;
@@ -29,14 +29,14 @@
     private final GraphLog log;
     private final NodeLogWriter nodeLogWriter;
     private final long knownSinceMillis;
-    /** Nodes that were released before the job was there. */
+    /** Nodes that were released before the job was attached. */
     private final IntArrayList releasedBeforeJob = new IntArrayList();
-    /** Null until the graph's own record is durable, and if the graph ended before this term. */
+    /** Null until the graph's own record is durable, and for a graph that ended before this term. */
     private Job job;
 
     private boolean sealRequested;
     private boolean ended;
-    /** Terminations and results that are known here and not durable yet: a successor may not find them. */
+    /** Number of terminations and results that aren't durable yet; a new leader may not find them. */
     private int uncommittedChanges;
 
     LiveGraph(String id, GraphOptions options, GraphContext context, GraphFactory factory, LongSupplier recordNumbers) {
@@ -49,7 +49,7 @@
         this.knownSinceMillis = context.eventLoop().now();
     }
 
-    /** The graph's id, which is its job's. */
+    /** The graph's id, which is also the id of its job. */
     public String id() {
         return id;
     }
@@ -63,7 +63,7 @@
         return graph;
     }
 
-    /** When this term came to know the graph, by the event loop's clock. */
+    /** When this term created or loaded the graph, on the event loop's clock. */
     long knownSinceMillis() {
         return knownSinceMillis;
     }
@@ -75,7 +75,7 @@
         return Optional.ofNullable(job);
     }
 
-    /** The graph's own record is durable, and this job schedules its nodes. */
+    /** Sets the job that schedules the nodes, once the graph's own record is durable. */
     void attachJob(Job attached) {
         job = attached;
         for (int node : releasedBeforeJob.toIntArray()) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Whether all nodes have reached a final state and all of that is durable. */
+    /** Whether all nodes have reached a final state and the whole log is durable. */
     boolean isDurablyFinished() {
         return job.isFinished() && log.isDurable();
     }
@@ -100,7 +100,7 @@
         return ended;
     }
 
-    /** The graph's end is durable; nothing changes any more. */
+    /** Marks the graph as ended, once its end is durable; it doesn't change afterwards. */
     void markEnded() {
         ended = true;
     }
@@ -118,54 +118,54 @@
         sealRequested = graph.isSealed();
     }
 
-    /** Adds nodes of the client that {@link Graph#validate} accepts. */
+    /** Adds nodes of the client that {@link Graph#validate} has accepted. */
     void appendNodes(List<NodeSpec> nodes) {
         graph.append(nodes, null, null);
         nodeLogWriter.appendNewNodes(null, null);
     }
 
     /**
-     * Adds nodes of a running node that {@link Graph#validate} accepts.
+     * Adds children of a running node that {@link Graph#validate} has accepted.
      *
      * @param continuationId the node that the parent delegates its result to, or null
-     * @return whether anything changed
+     * @return whether the graph changed
      */
     boolean appendChildren(String parentId, List<NodeSpec> nodes, String continuationId) {
         int countBefore = graph.count();
         boolean delegates = continuationId != null && !graph.hasContinuation(graph.indexOf(parentId));
         graph.append(nodes, parentId, continuationId);
         int parent = graph.indexOf(parentId);
-        if (!graph.mayStart(parent)) { // it delegated its result to a node that can't be done
+        if (!graph.mayStart(parent)) { // cancelled: its continuation failed or was cancelled
             scheduler.cancelTask(job, parent);
         }
         nodeLogWriter.appendNewNodes(parentId, delegates ? continuationId : null);
         return graph.count() > countBefore || delegates;
     }
 
-    /** Whether the client may add no further nodes, be that durable or not. */
+    /** Whether the client may add no further nodes, even if the graph isn't durably sealed yet. */
     boolean isSealRequested() {
         return sealRequested;
     }
 
-    /** Seals the graph once that is durable. */
+    /** Rejects further nodes of the client from now on, and seals the graph once the log entry is durable. */
     void requestSeal() {
         sealRequested = true;
         log.append(GraphLogCodec.graphSealed(), graph::seal);
     }
 
-    /** Accepts no further nodes of the client, without sealing the graph. */
+    /** Rejects further nodes of the client, without sealing the graph. */
     void rejectFurtherNodes() {
         sealRequested = true;
     }
 
     // ---- results and terminations ----
 
-    /** The result that stands for the node: its own, or that of the last of its continuations. */
+    /** The node's result: that of its own task, or of the last node in its chain of continuations. */
     public Optional<JsonNode> result(int node) {
         return results.get(graph.resultNode(node));
     }
 
-    /** The result that the node's own task gave. */
+    /** The result of the node's own task. */
     Optional<JsonNode> ownResult(int node) {
         return results.get(node);
     }
@@ -174,13 +174,18 @@
         return results.totalBytes();
     }
 
-    /** Keeps a node's result. */
+    /** Records the result of a node's own task. */
     void recordResult(int node, JsonNode result) {
         results.put(node, result);
         appendChange(GraphLogCodec.resultRecorded(node, result), () -> {});
     }
 
-    /** Fails or cancels a node at once, so that its task doesn't start, and what follows from it. */
+    /**
+     * Fails or cancels a node, and cancels its continuations and all nodes that can't complete without one of them. The
+     * tasks of these nodes don't start from now on, and running ones are stopped.
+     *
+     * @param onDurable called once the termination is durable
+     */
     void terminateNode(int node, NodeState state, String reason, Runnable onDurable) {
         Graph.Termination termination = graph.terminate(node, state, reason);
         for (int terminated : termination.nodes()) {
@@ -197,14 +202,14 @@
         });
     }
 
-    /** Whether something that users could be told about its nodes isn't durable yet. */
+    /** Whether terminations or results that a response to a user would contain aren't durable yet. */
     public boolean hasUncommittedChanges() {
         return uncommittedChanges > 0 && !ended;
     }
 
     // ---- log ----
 
-    /** Calls {@code onDurable} once all changes so far are durable: at once, if they are. */
+    /** Calls {@code onDurable} once all changes so far are durable: immediately if they already are. */
     void whenDurable(Runnable onDurable) {
         log.whenDurable(onDurable);
     }
--- a/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
@@ -5,7 +5,10 @@
 import org.hollypick.records.GraphLogCodec;
 import org.hollypick.records.GraphLogEntry;
 
-/** Appends the nodes that a graph got to its log, as many to an entry as fit a record. Confined to the event loop. */
+/**
+ * Appends a graph's new nodes to its log. An entry holds up to {@link GraphConstants#GRAPH_LOG_ENTRY_NODES} nodes,
+ * fewer if it doesn't fit into a record. Confined to the event loop.
+ */
 final class NodeLogWriter {
     private final Graph graph;
     private final GraphLog log;
@@ -17,14 +20,14 @@
         this.log = log;
     }
 
-    /** All that the graph has by now was read from its log. */
+    /** Marks all present nodes as logged, after they were read from the log. */
     void skipToEnd() {
         loggedNodes = graph.count();
         loggedSpecs = graph.specs().size();
     }
 
     /**
-     * Appends the nodes that were added since the last call; they become durable with their entries.
+     * Appends the nodes that were added to the graph since the last call; they are durable once their entries are.
      *
      * @param parentId the node that added them; null for nodes of the client
      * @param continuationId the node that the parent has just delegated its result to, or null
@@ -54,7 +57,7 @@
         loggedNodes = end;
     }
 
-    /** The continuation may be any of the new nodes, so it is named in the last entry. */
+    /** Encodes nodes. Only the last entry names the continuation, which may be any of the new nodes. */
     private GraphLogEntry entry(int from, int to, String parentId, String continuationId) {
         boolean last = to == graph.count();
         return GraphLogCodec.nodesAdded(graph, from, to, loggedSpecs, parentId, last ? continuationId : null);
--- a/src/main/java/org/hollypick/control/graphs/NodeResults.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeResults.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.hollypick.records.RecordSize;
 
-/** Results that the nodes of one graph gave, and their size. Confined to the event loop. */
+/** Results of the nodes of one graph, and their total size. Confined to the event loop. */
 final class NodeResults {
     private final Map<Integer, JsonNode> byNode = new HashMap<>();
     private int totalBytes;
@@ -20,7 +20,7 @@
         return Optional.ofNullable(byNode.get(node));
     }
 
-    /** Bytes of all results together. */
+    /** Encoded size of all results together, in bytes. */
     int totalBytes() {
         return totalBytes;
     }
