--- a/src/main/java/org/hollypick/records/GraphLogCodec.java
+++ b/src/main/java/org/hollypick/records/GraphLogCodec.java
@@ -13,8 +13,8 @@
 import org.hollypick.io.Codec;
 
 /**
- * Stored form of a graph's log, from which a new leader rebuilds the graph: entries, several of them packed into one
- * record. Names are short, since every controller holds all logs in memory.
+ * Encodes and decodes the log of a graph, from which a new leader rebuilds the graph. A record may hold several
+ * entries, packed into one string. Field names are short because every controller holds all logs in memory.
  */
 public final class GraphLogCodec {
     /** The kind of an entry. */
@@ -25,17 +25,22 @@
     private static final String NODES_TERMINATED = "e";
     private static final String RESULT_RECORDED = "r";
 
-    /** The first added node's index. */
+    /** Index of the first added node. */
     private static final String FROM = "from";
     /** Id of the node whose task added the nodes; absent for nodes of the client. */
     private static final String PARENT = "p";
     /** Id of the node that the parent delegated its result to; absent if there is none. */
     private static final String CONTINUATION = "t";
-    /** Task descriptions that no earlier entry holds. */
+    /** Task specifications that no earlier entry holds. */
     private static final String NEW_SPECS = "s";
-    /** Of added nodes: id, number of the description, and by how much each dependency's index is smaller. */
+    /**
+     * Of added nodes: an array for each, with the node's id, the index of its task specification, and for each
+     * dependency by how much its index is smaller than the node's. Of terminated nodes: the indexes of the roots. Of a
+     * result: the node's index.
+     */
     private static final String NODES = "n";
 
+    /** Position of the first dependency in the array of an added node. */
     private static final int FIRST_DEPENDENCY_FIELD = 2;
 
     /** The final state of the first terminated node. */
@@ -46,7 +51,7 @@
     /** Why nodes were terminated. */
     private static final String REASON = "why";
 
-    /** The result's content. */
+    /** The node's result, as its task sent it. */
     private static final String RESULT = "v";
 
     /** Of a record: the graph's id. */
@@ -56,20 +61,20 @@
 
     private GraphLogCodec() {}
 
-    /** Takes the results that a log holds. */
+    /** Receives the results that a log holds. */
     public interface ResultConsumer {
-        /** The node's result is known. */
+        /** Receives a node's result. */
         void accept(int node, JsonNode result);
     }
 
     // ---- writing ----
 
     /**
-     * Nodes that were added to a graph, which has them already.
+     * Creates an entry for nodes that were added to a graph. The graph has to contain them already.
      *
      * @param from index of the first node
-     * @param to index behind the last node
-     * @param firstSpec number of the first task description that no earlier entry holds
+     * @param to index after the last node
+     * @param firstSpec index of the first task specification that no earlier entry holds
      * @param parentId the node that added them; null for nodes of the client
      * @param continuationId the node that the parent delegated its result to with this entry, or null
      */
@@ -97,15 +102,17 @@
         return new GraphLogEntry(entry);
     }
 
-    /** The graph was sealed. */
+    /** Creates an entry for the sealing of the graph. */
     public static GraphLogEntry graphSealed() {
         return new GraphLogEntry(Codec.object().put(KIND, GRAPH_SEALED));
     }
 
     /**
-     * Nodes failed or were cancelled.
+     * Creates an entry for nodes that failed or were cancelled.
      *
-     * @param roots those from which all else that ended with them follows
+     * @param roots indexes of the nodes from which the terminations of all others follow
+     * @param state the final state of the first root; the others are cancelled
+     * @param reason why the first root was terminated
      */
     public static GraphLogEntry nodesTerminated(int[] roots, NodeState state, String reason) {
         ObjectNode entry = Codec.object()
@@ -119,7 +126,7 @@
         return new GraphLogEntry(entry);
     }
 
-    /** A node's task gave a result. */
+    /** Creates an entry for the result of a node's task. */
     public static GraphLogEntry resultRecorded(int node, JsonNode result) {
         ObjectNode entry = Codec.object().put(KIND, RESULT_RECORDED).put(NODES, node);
         entry.set(RESULT, result);
@@ -130,7 +137,9 @@
         return switch (state) {
             case FAILED -> FAILED;
             case CANCELLED -> CANCELLED;
-            default -> throw new IllegalArgumentException("not the state of a terminated node: " + state);
+            default ->
+                throw new IllegalArgumentException(
+                        "state of a terminated node is neither FAILED nor CANCELLED: " + state);
         };
     }
 
@@ -138,7 +147,9 @@
         return switch (state) {
             case FAILED -> NodeState.FAILED;
             case CANCELLED -> NodeState.CANCELLED;
-            default -> throw new JobCodec.InvalidException("state of a terminated node: " + state);
+            default ->
+                throw new JobCodec.InvalidException(
+                        "unknown state of terminated nodes in field " + STATE + ": " + state);
         };
     }
 
@@ -154,7 +165,7 @@
             case NODES_TERMINATED -> replayNodesTerminated(fields, graph);
             case RESULT_RECORDED -> results.accept(fields.path(NODES).asInt(), fields.path(RESULT));
             default ->
-                throw new JobCodec.InvalidException("entry of a kind that this version doesn't know: "
+                throw new JobCodec.InvalidException("unknown kind of log entry in field " + KIND + ": "
                         + fields.path(KIND).asText());
         }
     }
@@ -162,7 +173,8 @@
     private static void replayNodesAdded(JsonNode entry, Graph graph) throws JobCodec.InvalidException {
         int from = entry.path(FROM).asInt();
         if (from != graph.count()) {
-            throw new JobCodec.InvalidException("nodes from " + from + " after " + graph.count());
+            throw new JobCodec.InvalidException("log entry adds nodes from index " + from + " in field " + FROM
+                    + ", but the graph has " + graph.count() + " nodes");
         }
         List<JobSpec> specs = new ArrayList<>(graph.specs());
         for (JsonNode spec : entry.path(NEW_SPECS)) {
@@ -199,18 +211,20 @@
 
     // ---- records ----
 
-    /** A record of several entries. Packed into one string, which takes far less memory than a tree. */
+    /**
+     * Encodes several entries as one record. They are packed into one string, which takes far less memory than a tree.
+     */
     public static ObjectNode encodeRecord(String graphId, List<GraphLogEntry> entries) {
         ArrayNode list = Codec.array();
         entries.forEach(entry -> list.add(entry.encoded()));
         return Codec.object().put(GRAPH, graphId).put(PACKED_ENTRIES, PackedText.pack(Codec.write(list, false)));
     }
 
-    /** The entries of a record in their order. */
+    /** Decodes the entries of a record in their order. */
     public static List<GraphLogEntry> decodeRecord(JsonNode record) throws JobCodec.InvalidException {
         JsonNode list = Codec.read(PackedText.unpack(record.path(PACKED_ENTRIES).asText()), false);
         if (list == null || !list.isArray()) {
-            throw new JobCodec.InvalidException("packed entries");
+            throw new JobCodec.InvalidException("packed entries in field " + PACKED_ENTRIES + " aren't a list");
         }
         List<GraphLogEntry> entries = new ArrayList<>();
         list.forEach(entry -> entries.add(new GraphLogEntry(entry)));
@@ -222,7 +236,7 @@
         return record.path(GRAPH).asText();
     }
 
-    /** Bytes that an entry takes in a record of its own. */
+    /** Encoded size of a record that holds only this entry, in bytes. */
     public static int recordBytes(String graphId, GraphLogEntry entry) {
         return RecordSize.encodedBytes(encodeRecord(graphId, List.of(entry)));
     }
--- a/src/main/java/org/hollypick/records/GraphLogEntry.java
+++ b/src/main/java/org/hollypick/records/GraphLogEntry.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One change of a graph in its stored form; made and read by {@link GraphLogCodec} only. */
+/** One change of a graph in its stored form; created and read only by {@link GraphLogCodec}. */
 public final class GraphLogEntry {
     private final JsonNode encoded;
 
--- a/src/main/java/org/hollypick/records/GraphRecordCodec.java
+++ b/src/main/java/org/hollypick/records/GraphRecordCodec.java
@@ -9,8 +9,9 @@
 import org.hollypick.io.Codec;
 
 /**
- * Stored form of a graph's own record, which stands under the key of a job. While the graph is live it holds the
- * graph's options, and after its end a summary. What became of its nodes stands in its log: {@link GraphLogCodec}.
+ * Encodes and decodes a graph's own record, which is stored under the key of a job. While the graph is live, the record
+ * holds the graph's options; after its end, a summary. The nodes and their results are in the log:
+ * {@link GraphLogCodec}.
  */
 public final class GraphRecordCodec {
     /** Fencing token that the record's creation was conditional on. */
@@ -18,12 +19,14 @@
     /** Options of a live graph; its presence distinguishes a graph from a job. */
     private static final String OPTIONS = "graph";
 
+    /** In the options: a job specification that holds the graph's id, class, team and priority. */
     private static final String BASE = "base";
+
     private static final String RETRIES = "retries";
     private static final String CANCELS_ON_NODE_FAILURE = "end_on_failure";
-    /** True in what the end of a graph left. */
+    /** True in the record of an ended graph. */
     private static final String ENDED = "ended_graph";
-    /** How many nodes the graph had when it ended. */
+    /** Number of the graph's nodes when it ended. */
     private static final String NODE_COUNT = "nodes";
 
     private static final String FAILED_COUNT = "failed";
@@ -31,12 +34,12 @@
     /** Why the graph didn't end successfully; empty if it did. */
     private static final String REASON = "why";
 
-    /** Fields of an ended graph's record that users are shown under the same names. */
+    /** Fields of an ended graph's record that responses to users contain under the same names. */
     public static final List<String> END_SUMMARY_FIELDS = List.of(NODE_COUNT, FAILED_COUNT, CANCELLED_COUNT, REASON);
 
     private GraphRecordCodec() {}
 
-    /** The record of a live graph that is created under a leader's fencing token. */
+    /** Encodes the record of a live graph, whose creation is conditional on the leader's fencing token. */
     public static ObjectNode live(GraphOptions options, long fencingToken) {
         ObjectNode record = Codec.object().put(CREATED_UNDER_TOKEN, fencingToken);
         ObjectNode graph = record.putObject(OPTIONS)
@@ -46,7 +49,7 @@
         return record;
     }
 
-    /** The record that the end of a graph leaves: how many nodes ended in which state. */
+    /** Encodes the record of an ended graph: its status, and the number of nodes in each final state. */
     public static ObjectNode ended(TerminalStatus status, Graph graph, String reason) {
         return JobRecordCodec.encodeTerminal(status, graph.count(NodeState.DONE))
                 .put(ENDED, true)
@@ -56,7 +59,7 @@
                 .put(REASON, reason);
     }
 
-    /** Whether the record was left by the end of a graph. */
+    /** Whether the record is that of an ended graph. */
     public static boolean isEnded(JsonNode record) {
         return record.path(ENDED).asBoolean();
     }
@@ -66,7 +69,7 @@
         return record.has(OPTIONS);
     }
 
-    /** The description in a live graph's record that holds its id, class, team and priority. */
+    /** The encoded job specification in a live graph's record. */
     static JsonNode encodedJobSpec(JsonNode record) {
         return record.path(OPTIONS).path(BASE);
     }
--- a/src/main/java/org/hollypick/records/JobCodec.java
+++ b/src/main/java/org/hollypick/records/JobCodec.java
@@ -11,7 +11,10 @@
 import org.hollypick.core.JobSpec.Priority;
 import org.hollypick.io.Codec;
 
-/** A job's specification, as users submit it and as it is stored: both have the same names. Stateless, any thread. */
+/**
+ * Encodes and decodes a job's specification. Submissions and stored records use the same field names. Stateless, any
+ * thread.
+ */
 public final class JobCodec {
     private static final String ID = "name_id";
     private static final String JOB_CLASS = "jobkind";
@@ -38,7 +41,7 @@
     private static final String ZONE = "hall";
     /** Whether all tasks have to run in one zone. */
     private static final String ONE_ZONE = "together";
-    /** Whether the tasks are to be spread over machines. */
+    /** Whether no zone may hold more than half of the tasks, rounded up. */
     private static final String SPREAD_OVER_ZONES = "spread";
     /** Whether the tasks may run on spot instances. */
     private static final String SPOT_ALLOWED = "lendable";
@@ -62,7 +65,10 @@
 
     private JobCodec() {}
 
-    /** A field that is missing or invalid; the message names it. */
+    /**
+     * Thrown if a specification or a stored record can't be decoded. For a specification, the message is the name of
+     * the missing or invalid field.
+     */
     public static final class InvalidException extends Exception {
         InvalidException(String message) {
             super(message);
@@ -74,13 +80,13 @@
         return ID_PATTERN.matcher(id).matches();
     }
 
-    /** Decodes a submission. It has to name its team; records of earlier versions may have none. */
+    /** Decodes a submission, which has to name its team; stored records of earlier versions may have none. */
     public static JobSpec decodeSubmission(JsonNode body) throws InvalidException {
         decodeText(body, TEAM);
         return decode(body);
     }
 
-    /** Decodes a specification; the first field that is invalid is named. */
+    /** Decodes a specification; the exception names the first field that is missing or invalid. */
     public static JobSpec decode(JsonNode body) throws InvalidException {
         String id = decodeText(body, ID);
         if (!isId(id)) {
@@ -144,7 +150,7 @@
         return tasks.asInt();
     }
 
-    /** Null if the tasks may run on all machine types. */
+    /** Decodes the machine types; null if the tasks may run on all of them. */
     private static Set<String> decodeMachineTypes(JsonNode body) throws InvalidException {
         JsonNode list = body.path(MACHINE_TYPES);
         if (isAbsent(list)) {
--- a/src/main/java/org/hollypick/records/JobRecordCodec.java
+++ b/src/main/java/org/hollypick/records/JobRecordCodec.java
@@ -11,9 +11,9 @@
 import org.hollypick.io.Codec;
 
 /**
- * The records of jobs in the store. A live record has the job's specification and dependencies; a terminal record
- * replaces it and keeps only what users may ask. Stateless; a {@link StoreReplica} confines its callers to the event
- * loop.
+ * Encodes and decodes the records of jobs in the store. A live record holds the job's specification and dependencies;
+ * the terminal record that replaces it holds only what status requests are answered from. Stateless; calls with a
+ * {@link StoreReplica} are confined to the event loop.
  */
 public final class JobRecordCodec {
     /** Live: the revision of the leader record that the creation was conditional on. */
@@ -22,25 +22,25 @@
     private static final String SPEC = "spec";
     /** Live, and in a dependency list: ids of the jobs that have to complete before the job starts. */
     private static final String DEPENDENCIES = "awaits";
-    /** Live: names the {@link DependencyLists}, if there are any. */
+    /** Live: refers to the {@link DependencyLists}, if there are any. */
     private static final String DEPENDENCY_LISTS = "awaits_in";
-    /** In {@link #DEPENDENCY_LISTS}: the common beginning of their keys. */
+    /** In {@link #DEPENDENCY_LISTS}: the common prefix of the lists' keys. */
     private static final String LIST_KEY_PREFIX = "key";
-    /** In {@link #DEPENDENCY_LISTS}: how many there are. */
+    /** In {@link #DEPENDENCY_LISTS}: the number of lists. */
     private static final String LIST_COUNT = "parts";
     /** Terminal: the {@link TerminalStatus}. */
     private static final String STATUS = "status";
-    /** Terminal: how many tasks completed. */
+    /** Terminal: the number of completed tasks. */
     private static final String COMPLETED_TASKS = "done";
 
     private JobRecordCodec() {}
 
     /**
-     * The record of a live job.
+     * Encodes the record of a live job.
      *
      * @param leaderRecordRevision the revision of the leader record that the write is conditional on
-     * @param dependencyIds the dependencies that this record itself names
-     * @param dependencyLists the others; null if there are none
+     * @param dependencyIds ids of the dependencies that this record itself holds
+     * @param dependencyLists the other dependencies; null if there are none
      */
     public static ObjectNode encodeLive(
             JobSpec spec,
@@ -60,7 +60,7 @@
         return record;
     }
 
-    /** The record of one of a job's {@link DependencyLists}. */
+    /** Encodes the record of one list of a job's {@link DependencyLists}. */
     public static ObjectNode encodeDependencyList(Collection<String> dependencyIds) {
         ObjectNode record = Codec.object();
         record.set(DEPENDENCIES, encodeIds(dependencyIds));
@@ -73,7 +73,7 @@
         return list;
     }
 
-    /** The record of a terminal job. */
+    /** Encodes the record of a terminal job. */
     public static ObjectNode encodeTerminal(TerminalStatus status, int completedTasks) {
         return Codec.object().put(STATUS, status.wireName()).put(COMPLETED_TASKS, completedTasks);
     }
@@ -88,7 +88,7 @@
         return TerminalStatus.ofStored(record.path(STATUS).asText());
     }
 
-    /** How many tasks completed, in a terminal record. */
+    /** The number of completed tasks in a terminal record. */
     public static int completedTasks(JsonNode record) {
         return record.path(COMPLETED_TASKS).asInt();
     }
@@ -115,8 +115,8 @@
     }
 
     /**
-     * The ids of all the jobs that a live job depends on. For a dependency list that isn't in the replica its key
-     * stands in: no job of that id ever completes, so the job doesn't start.
+     * The ids of all jobs that a live job depends on. If a dependency list isn't in the replica, its key is returned in
+     * place of its ids: no job with that id ever completes, so the dependent job doesn't start.
      */
     public static List<String> dependencies(JsonNode record, StoreReplica replica) {
         List<String> ids = decodeIds(record);
--- a/src/main/java/org/hollypick/records/MachineRecordCodec.java
+++ b/src/main/java/org/hollypick/records/MachineRecordCodec.java
@@ -4,7 +4,7 @@
 import org.hollypick.core.assignment.Machine;
 import org.hollypick.io.Codec;
 
-/** One machine as it is stored in a record of registered machines. Stateless, any thread. */
+/** Encodes and decodes one machine in a record of registered machines. Stateless, any thread. */
 public final class MachineRecordCodec {
     private static final String TYPE = "type";
     private static final String ZONE = "zone";
@@ -14,13 +14,15 @@
     private MachineRecordCodec() {}
 
     /**
-     * What is stored of a machine.
+     * The stored properties of a machine.
      *
-     * @param address the host and port of its agent; empty if no record names it
+     * @param typeName the name of its machine type
+     * @param spot whether it is a spot instance
+     * @param address the host and port of its agent; empty if the record has none
      */
     public record MachineRecord(String typeName, String zone, boolean spot, String address) {}
 
-    /** The stored form of a machine. */
+    /** Encodes a machine. */
     public static JsonNode encode(Machine machine) {
         return Codec.object()
                 .put(TYPE, machine.type.name())
@@ -29,7 +31,7 @@
                 .put(ADDRESS, machine.address());
     }
 
-    /** What the stored form says of a machine. */
+    /** Decodes a machine; a field that is missing is empty or false. */
     public static MachineRecord decode(JsonNode record) {
         return new MachineRecord(
                 record.path(TYPE).asText(),
--- a/src/main/java/org/hollypick/records/PackedText.java
+++ b/src/main/java/org/hollypick/records/PackedText.java
@@ -6,7 +6,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Bytes as text for a record: deflated without a header, then in base64. */
+/** Packs bytes into text for a record: raw deflate without a header, then base64. */
 final class PackedText {
     private static final int PACK_BUFFER_BYTES = 4_096;
     private static final int UNPACK_BUFFER_BYTES = 8_192;
@@ -26,7 +26,11 @@
         return Base64.getEncoder().encodeToString(packed.toByteArray());
     }
 
-    /** The bytes that {@link #pack} was given; fails on any text that it didn't make. */
+    /**
+     * Restores the bytes that {@link #pack} was called with.
+     *
+     * @throws JobCodec.InvalidException if the text isn't base64, or its bytes aren't a complete deflate stream
+     */
     static byte[] unpack(String text) throws JobCodec.InvalidException {
         Inflater inflater = new Inflater(true);
         try {
@@ -36,13 +40,14 @@
             while (!inflater.finished()) {
                 int bytes = inflater.inflate(buffer);
                 if (bytes == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-                    throw new JobCodec.InvalidException("packed entries are cut short");
+                    throw new JobCodec.InvalidException("packed entries are truncated: incomplete deflate stream");
                 }
                 plain.write(buffer, 0, bytes);
             }
             return plain.toByteArray();
         } catch (DataFormatException | IllegalArgumentException e) {
-            throw new JobCodec.InvalidException("packed entries: " + e.getMessage());
+            throw new JobCodec.InvalidException(
+                    "packed entries are not the base64 text of a valid deflate stream: " + e.getMessage());
         } finally {
             inflater.end();
         }
--- a/src/main/java/org/hollypick/records/TerminalStatus.java
+++ b/src/main/java/org/hollypick/records/TerminalStatus.java
@@ -1,10 +1,13 @@
 package org.hollypick.records;
 
-/** The states in which a job ends. Each has one spelling, in stored records and in responses to users. */
+/** The final states of a job. Each has one name, in stored records and in responses to users. */
 public enum TerminalStatus {
     /** All tasks completed. */
     COMPLETED("done"),
-    /** Cancelled by its user, by a dependency that was cancelled, or since tasks of its graph failed. */
+    /**
+     * Cancelled by its user or with a dependency; or a graph that wasn't sealed in time, or some of whose nodes failed
+     * or were cancelled.
+     */
     CANCELLED("aborted");
 
     private final String wireName;
@@ -13,12 +16,12 @@
         this.wireName = wireName;
     }
 
-    /** The spelling in stored records and in responses. */
+    /** The name in stored records and in responses. */
     public String wireName() {
         return wireName;
     }
 
-    /** The status that a terminal record spells: any spelling but that of {@link #COMPLETED} means cancelled. */
+    /** The status of that name in a terminal record: any name other than that of {@link #COMPLETED} means cancelled. */
     static TerminalStatus ofStored(String status) {
         return status.equals(COMPLETED.wireName) ? COMPLETED : CANCELLED;
     }
