--- a/src/test/java/org/hollypick/records/RecordAndHeartbeatCodecTest.java
+++ b/src/test/java/org/hollypick/records/RecordAndHeartbeatCodecTest.java
@@ -16,47 +16,53 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reports are read as a stream: it must find what the plain way through a tree finds, and garbage must find nothing.
+ * Round trips through the codecs of records and heartbeats. Heartbeats are decoded by a streaming parser, which has to
+ * give the same result as decoding the parsed tree, and must not throw on malformed bytes.
  */
 class RecordAndHeartbeatCodecTest {
     private static ObjectNode randomHeartbeat(Random random) {
-        ObjectNode b = Codec.object()
+        ObjectNode heartbeat = Codec.object()
                 .put("bothy", "n-" + random.nextInt(1_000))
                 .put("tenure", random.nextInt(5))
                 .put("tick", random.nextLong() >>> 1);
         if (random.nextBoolean()) {
-            b.put("addr", "10.0.0.1:9000").put("flavour", "t").put("hall", "a").put("lendable", random.nextBoolean());
+            heartbeat
+                    .put("addr", "10.0.0.1:9000")
+                    .put("flavour", "t")
+                    .put("hall", "a")
+                    .put("lendable", random.nextBoolean());
         }
         if (random.nextBoolean()) {
-            b.putNull("warning_s")
+            heartbeat
+                    .putNull("warning_s")
                     .set(
                             "new_field",
                             Codec.object()
                                     .put("x", 1)
                                     .set("y", Codec.array().add(1).add("z")));
         } else {
-            b.put("warning_s", random.nextDouble() * 20).put("baton", random.nextInt(100));
+            heartbeat.put("warning_s", random.nextDouble() * 20).put("baton", random.nextInt(100));
         }
-        ArrayNode tasks = b.putArray("shards");
+        ArrayNode tasks = heartbeat.putArray("shards");
         for (int i = random.nextInt(6); i > 0; i--) {
-            ObjectNode t = tasks.addObject()
+            ObjectNode task = tasks.addObject()
                     .put("shard", "req-1/" + i)
                     .put("try", random.nextLong() >>> 1)
                     .put("status", new String[] {"fetching", "running", "saving", "exited"}[random.nextInt(4)]);
             if (random.nextBoolean()) {
-                t.put("cause", "done").put("saved", true);
+                task.put("cause", "done").put("saved", true);
             }
         }
-        return b;
+        return heartbeat;
     }
 
     @Test
     void heartbeatDecodedFromBytesEqualsHeartbeatDecodedFromTree() {
         Random random = new Random(1);
         for (int i = 0; i < 5_000; i++) {
-            ObjectNode b = randomHeartbeat(random);
-            Heartbeat streamed = AgentCodec.decodeHeartbeat(Codec.write(b, false));
-            assertEquals(AgentCodec.decodeHeartbeat(b), streamed);
+            ObjectNode heartbeat = randomHeartbeat(random);
+            Heartbeat streamed = AgentCodec.decodeHeartbeat(Codec.write(heartbeat, false));
+            assertEquals(AgentCodec.decodeHeartbeat(heartbeat), streamed);
         }
     }
 
@@ -65,16 +71,19 @@
         Random random = new Random(2);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = Codec.write(randomHeartbeat(random), false);
-            byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
-            assertNull(AgentCodec.decodeHeartbeat(cut));
+            byte[] truncated = Arrays.copyOf(bytes, random.nextInt(bytes.length));
+            assertNull(AgentCodec.decodeHeartbeat(truncated));
             bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
-            AgentCodec.decodeHeartbeat(bytes); // may still be a report, but never an exception
+            AgentCodec.decodeHeartbeat(bytes); // may still be a valid heartbeat, but must not throw
         }
         assertNull(AgentCodec.decodeHeartbeat(Codec.write(Codec.object().put("bothy", "n-1"), false)));
         assertNull(AgentCodec.decodeHeartbeat(Codec.write(Codec.array(), false)));
     }
 
-    /** Its record named an empty team, which no reader took: a job without a team was accepted and never ran. */
+    /**
+     * Guards against a job without a team being accepted but never run: its record once held an empty team, which the
+     * decoder rejected.
+     */
     @Test
     void jobWithoutTeamIsDecodedFromItsEncoding() throws JobCodec.InvalidException {
         JobSpec spec = new JobSpec(
@@ -101,7 +110,7 @@
         assertEquals(spec, JobCodec.decode(JobCodec.encode(spec)));
     }
 
-    /** A graph's record holds whatever was packed, and one that was cut short or isn't one is told apart. */
+    /** Packed log entries are restored; text that is truncated, or isn't packed entries, is rejected. */
     @Test
     void packedEntriesAreDecodedAndMalformedOnesAreRejected() throws JobCodec.InvalidException {
         ObjectNode record = GraphLogCodec.encodeRecord(
@@ -111,11 +120,11 @@
                         GraphLogCodec.resultRecorded(7, Codec.object().put("value", "x"))));
         assertEquals(2, GraphLogCodec.decodeRecord(record).size());
         String packed = record.path("b").asText();
-        for (String broken : List.of("", "no base64!", packed.substring(0, packed.length() / 2), "AAAA")) {
+        for (String malformed : List.of("", "no base64!", packed.substring(0, packed.length() / 2), "AAAA")) {
             assertThrows(
                     JobCodec.InvalidException.class,
-                    () -> GraphLogCodec.decodeRecord(Codec.object().put("b", broken)),
-                    broken);
+                    () -> GraphLogCodec.decodeRecord(Codec.object().put("b", malformed)),
+                    malformed);
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/GraphFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/GraphFaultsTest.java
@@ -24,31 +24,34 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** Graphs that grow, hand on and are cancelled, on days with faults; each rule of the jobs holds, and their own. */
+/**
+ * Graphs that grow, delegate results and are cancelled, in simulations with faults: no invariant of jobs or graphs is
+ * violated. The tests of the checker run faulty versions of the program, whose violations it has to detect.
+ */
 class GraphFaultsTest {
     private static final OperatorSettings GRAPHS_ENABLED = OperatorSettings.parse("{:graphs true}");
     private static final BiFunction<EventLoop, Settings, Controller> CONTROLLER =
-            (r, s) -> new Controller(r, s, GRAPHS_ENABLED);
+            (eventLoop, settings) -> new Controller(eventLoop, settings, GRAPHS_ENABLED);
 
     private static ClusterScenario runScenario(
             int seed,
             BiFunction<EventLoop, Settings, Controller> version,
             List<GraphUser> users,
             boolean cancels,
-            Consumer<ClusterScenario> troubles) {
+            Consumer<ClusterScenario> scheduleFaults) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, new StoreLimits(2_048, 4, 25), version);
         for (int i = 0; i < 5; i++) {
-            GraphUser u = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
-            users.add(u);
-            scenario.world.at(3_000 + scenario.world.random.nextInt(50_000), u::start);
+            GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
+            users.add(user);
+            scenario.world.at(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (cancels && i == 1) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(60_000), u::withdraw);
+                scenario.world.at(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
             } else if (cancels && i == 2) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), u::withdrawNode);
+                scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
             }
         }
         scenario.workload.submitJobs(8, 60_000);
-        troubles.accept(scenario);
+        scheduleFaults.accept(scenario);
         scenario.advance(330_000);
         return scenario;
     }
@@ -57,85 +60,98 @@
     void graphsCompleteWithoutFaults() {
         for (int seed = 1; seed <= 20; seed++) {
             List<GraphUser> users = new ArrayList<>();
-            ClusterScenario scenario = runScenario(seed, CONTROLLER, users, false, d -> {});
+            ClusterScenario scenario = runScenario(seed, CONTROLLER, users, false, cluster -> {});
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
-            for (GraphUser u : users) {
-                assertEquals("done", u.told, "seed " + seed + " " + u.id);
+            for (GraphUser user : users) {
+                assertEquals("done", user.told, "seed " + seed + " " + user.id);
             }
         }
     }
 
     @Test
     void growingGraphsWithCancellationsAndFaultsViolateNoInvariant() {
-        int over = 0;
-        int refused = 0;
+        int terminal = 0;
+        int rejectedChildren = 0;
         for (int seed = 1; seed <= 150; seed++) {
             List<GraphUser> users = new ArrayList<>();
             ClusterScenario scenario = runScenario(
                     seed, CONTROLLER, users, true, cluster -> cluster.randomFaults.scheduleFaults(6, 10_000, 120_000));
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
-            for (GraphUser u : users) {
-                over += u.told.equals("done") || u.told.equals("aborted") ? 1 : 0;
-                refused += u.refusedChildren;
+            for (GraphUser user : users) {
+                terminal += user.told.equals("done") || user.told.equals("aborted") ? 1 : 0;
+                rejectedChildren += user.refusedChildren;
             }
         }
-        assertTrue(over > 5 * 150 * 0.9, "over: " + over);
-        assertTrue(refused > 0, "late children of cancelled graphs were refused");
+        assertTrue(terminal > 5 * 150 * 0.9, "terminal graphs: " + terminal);
+        assertTrue(rejectedChildren > 0, "no late children of cancelled graphs were rejected");
     }
 
     private static boolean violatesRule(
-            String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
+            String rule,
+            BiFunction<EventLoop, Settings, Controller> version,
+            Consumer<ClusterScenario> scheduleFaults) {
         for (int seed = 1; seed <= 40; seed++) {
             try {
-                if (runScenario(seed, version, new ArrayList<>(), true, troubles).checker.violations.stream()
-                        .anyMatch(b -> b.startsWith(rule))) {
+                if (runScenario(seed, version, new ArrayList<>(), true, scheduleFaults).checker.violations.stream()
+                        .anyMatch(violation -> violation.startsWith(rule))) {
                     return true;
                 }
             } catch (NullPointerException e) {
-                // Records that contradict one another end a faulty version before its users see anything: another seed.
+                // The faulty version failed on its own contradictory records before users noticed: try the next seed.
             }
         }
         return false;
     }
 
-    /** Children that are told before they are durable are lost with the leader. */
+    /** Children that are acknowledged before they are durable are lost if the leader crashes. */
     @Test
     void checkerDetectsChildrenAcknowledgedBeforeTheyAreDurable() {
         assertTrue(violatesRule(
                 "too_early",
-                (r, s) -> new Controller(
-                        new DelegatingEventLoop(r) {
+                (eventLoop, settings) -> new Controller(
+                        new DelegatingEventLoop(eventLoop) {
                             @Override
-                            public void send(Request c, Consumer<Response> callback) {
-                                if (c.path().equals("/commit")
-                                        && c.body().path("then").toString().contains("h/x/")) {
-                                    r.after(
+                            public void send(Request request, Consumer<Response> callback) {
+                                if (request.path().equals("/commit")
+                                        && request.body()
+                                                .path("then")
+                                                .toString()
+                                                .contains("h/x/")) {
+                                    eventLoop.after(
                                             10,
                                             () -> callback.accept(new Response(
                                                     200, Codec.object().put("epoch", 1))));
-                                    r.after(2_500, () -> r.send(c, x -> {}));
+                                    eventLoop.after(2_500, () -> eventLoop.send(request, response -> {}));
                                 } else {
-                                    r.send(c, callback);
+                                    eventLoop.send(request, callback);
                                 }
                             }
                         },
-                        s,
+                        settings,
                         GRAPHS_ENABLED),
-                d -> {
+                scenario -> {
                     for (int i = 0; i < 8; i++) {
-                        d.world.at(15_000 + i * 11_000, () -> d.faults.crash(d.leaderIndex(), 4_000));
+                        scenario.world.at(
+                                15_000 + i * 11_000, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
                     }
                 }));
     }
 
     private static BiFunction<EventLoop, Settings, Controller> controllerWithGraphs(
-            BiFunction<Integer, IntConsumer, Graph> maker) {
-        return (r, s) -> new Controller(
-                r, s, GRAPHS_ENABLED, new JobDependencies(), (retries, release) -> maker.apply(retries, release));
+            BiFunction<Integer, IntConsumer, Graph> factory) {
+        return (eventLoop, settings) -> new Controller(
+                eventLoop,
+                settings,
+                GRAPHS_ENABLED,
+                new JobDependencies(),
+                (retries, release) -> factory.apply(retries, release));
     }
 
-    /** If a cancelled node counts as done, what needs it runs for nothing, and the graph is called done without it. */
+    /**
+     * If a cancelled node counts as done, the nodes that depend on it run without its result, and the graph is reported
+     * as done although the node was cancelled.
+     */
     @Test
     void checkerDetectsCancelledNodeThatCountsAsDone() {
         assertTrue(violatesRule(
@@ -143,24 +159,24 @@
                 controllerWithGraphs((retries, release) -> new Graph(retries, release) {
                     @Override
                     public int[] terminateRoots(int[] roots, NodeState state, String reason) {
-                        BitSet pretended = new BitSet();
-                        for (int i : roots) {
-                            pretended.set(i); // what awaits it runs as if it were done
+                        BitSet countedAsDone = new BitSet();
+                        for (int root : roots) {
+                            countedAsDone.set(root); // releases the nodes that depend on it
                         }
-                        completionsCommitted(pretended);
+                        completionsCommitted(countedAsDone);
                         return new int[0];
                     }
                 }),
-                d -> {}));
+                scenario -> {}));
     }
 
-    /** A parent that runs again submits its children again: if they aren't known again, each is run twice. */
+    /** A parent that is restarted submits its children again: if they aren't recognized, each one is run twice. */
     @Test
     void checkerDetectsChildrenThatRunTwice() {
         assertTrue(violatesRule(
                 "doubled",
                 controllerWithGraphs((retries, release) -> new Graph(retries, release) {
-                    private int again;
+                    private int resubmissions;
 
                     @Override
                     public Optional<GraphRejection> validate(
@@ -174,9 +190,10 @@
                         if (parentId != null
                                 && !batch.isEmpty()
                                 && indexOf(batch.get(0).id()) >= 0) {
-                            again++;
+                            resubmissions++;
                             List<NodeSpec> renamed = batch.stream()
-                                    .map(n -> new NodeSpec(n.id() + "-again" + again, n.task(), List.of()))
+                                    .map(node ->
+                                            new NodeSpec(node.id() + "-again" + resubmissions, node.task(), List.of()))
                                     .toList();
                             return super.append(renamed, parentId, null);
                         }
@@ -185,14 +202,17 @@
 
                     @Override
                     public int indexOf(String id) {
-                        return super.indexOf(super.indexOf(id + "-again" + again) >= 0 ? id + "-again" + again : id);
+                        return super.indexOf(
+                                super.indexOf(id + "-again" + resubmissions) >= 0 ? id + "-again" + resubmissions : id);
                     }
                 }),
-                d -> {
+                scenario -> {
                     for (int i = 0; i < 10; i++) {
-                        d.world.at(
+                        scenario.world.at(
                                 12_000 + i * 9_000,
-                                () -> d.cloud.agents().stream().findFirst().ifPresent(d.cloud::reclaim));
+                                () -> scenario.cloud.agents().stream()
+                                        .findFirst()
+                                        .ifPresent(scenario.cloud::reclaim));
                     }
                 }));
     }
