--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -25,6 +25,9 @@
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
+    /** Bytes of the values in one transaction at most; the rest of the request body is for its keys and conditions. */
+    private static final int MAX_VALUE_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
+
     private final GraphContext context;
     private final String graphId;
     private final LongSupplier recordNumbers;
@@ -147,8 +150,7 @@
     }
 
     private Batch nextBatch() {
-        int maxRecordsInBody =
-                NetworkConstants.MAX_BODY_BYTES * 3 / 4 / context.settings().valueBytes();
+        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().valueBytes();
         Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
--- a/src/main/java/org/hollypick/records/GraphLogCodec.java
+++ b/src/main/java/org/hollypick/records/GraphLogCodec.java
@@ -212,7 +212,8 @@
     // ---- records ----
 
     /**
-     * Encodes several entries as one record. They are packed into one string, which takes far less memory than a tree.
+     * Encodes several entries as one record. The entries are packed into one string, which takes far less memory than a
+     * JSON tree.
      */
     public static ObjectNode encodeRecord(String graphId, List<GraphLogEntry> entries) {
         ArrayNode list = Codec.array();
--- a/src/main/java/org/hollypick/records/MachineRecordCodec.java
+++ b/src/main/java/org/hollypick/records/MachineRecordCodec.java
@@ -16,9 +16,9 @@
     /**
      * The stored properties of a machine.
      *
-     * @param typeName the name of its machine type
-     * @param spot whether it is a spot instance
-     * @param address the host and port of its agent; empty if the record has none
+     * @param typeName the name of the machine type
+     * @param spot whether the machine is a spot instance
+     * @param address the host and port of the machine's agent; empty if the record has none
      */
     public record MachineRecord(String typeName, String zone, boolean spot, String address) {}
 
