--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -108,7 +108,7 @@
         this.publicRequests =
                 new PublicRequestDispatcher(heartbeatRelay, users, graphs, operator.estimates(), this::isReady);
         this.peerEndpoints = new PeerEndpoints(eventLoop, membership, terms);
-        peerEndpoints.serveLeases(heartbeatRelay);
+        peerEndpoints.serveLeasesAndHeartbeats(heartbeatRelay);
         peerEndpoints.serveRelayedStoreRequests(store.router());
         peerEndpoints.serveReachability(agentClient);
         peerEndpoints.serveUserRequests(users, operator.estimates());
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -36,7 +36,7 @@
     }
 
     /** Serves the requests about leader leases, agents' leases and relayed heartbeats. */
-    void serveLeases(HeartbeatRelay heartbeatRelay) {
+    void serveLeasesAndHeartbeats(HeartbeatRelay heartbeatRelay) {
         dispatcher.on(
                 PeerMessageCodec.LEADER_LEASE_PATH,
                 (body, responder) -> responder.accept(ok(PeerMessageCodec.write(
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -87,7 +87,7 @@
     }
 
     private void send(Request request, Consumer<Response> callback) {
-        if (!rateLimit.has(1, eventLoop.now())) {
+        if (!rateLimit.canTake(1, eventLoop.now())) {
             callback.accept(Response.notSent());
             return;
         }
--- a/src/main/java/org/hollypick/cluster/ResignationBackoff.java
+++ b/src/main/java/org/hollypick/cluster/ResignationBackoff.java
@@ -27,7 +27,7 @@
 
     /** Records that this controller resigns now. */
     void recordResignation() {
-        ownResignationTimes.add(eventLoop.timeOfDay());
+        ownResignationTimes.add(eventLoop.wallClockMs());
         if (ownResignationTimes.size() > ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS) {
             ownResignationTimes.removeLong(0);
         }
@@ -40,8 +40,8 @@
 
     /** Returns whether enough time has passed since the last resignation in the cluster for another one. */
     boolean allowsResignation() {
-        long timeOfDay = eventLoop.timeOfDay();
-        LongArrayList recent = recentResignationTimes(timeOfDay);
+        long wallClockMs = eventLoop.wallClockMs();
+        LongArrayList recent = recentResignationTimes(wallClockMs);
         if (recent.isEmpty()) {
             return true;
         }
@@ -50,10 +50,10 @@
             last = Math.max(last, time);
         }
         int doublings = Math.min(recent.size(), ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS);
-        return timeOfDay - last >= ElectionConstants.RESIGNATION_PAUSE_MS << doublings;
+        return wallClockMs - last >= ElectionConstants.RESIGNATION_PAUSE_MS << doublings;
     }
 
-    private LongArrayList recentResignationTimes(long timeOfDay) {
+    private LongArrayList recentResignationTimes(long wallClockMs) {
         LongArrayList times = new LongArrayList(ownResignationTimes);
         for (Settings.Sibling peer : settings.siblings()) {
             StoreReplica.Entry member = replica.get(StoreKeys.member(peer.node()));
@@ -61,8 +61,8 @@
                 times.addAll(ClusterRecordCodec.readMemberRecord(member.data()).resignationTimes());
             }
         }
-        times.removeIf(time -> time > timeOfDay + ClockConstants.CLOCK_MARGIN_MS
-                || timeOfDay - time > ElectionConstants.RESIGNATION_MEMORY_MS);
+        times.removeIf(time -> time > wallClockMs + ClockConstants.CLOCK_MARGIN_MS
+                || wallClockMs - time > ElectionConstants.RESIGNATION_MEMORY_MS);
         return times;
     }
 }
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -110,7 +110,7 @@
                 share * scheduler.machines().size()));
         List<Machine> terminating = new ArrayList<>();
         for (Machine machine : lost) {
-            if (!terminationBudget.has(1, now)) {
+            if (!terminationBudget.canTake(1, now)) {
                 break;
             }
             terminationBudget.take(1, now);
--- a/src/main/java/org/hollypick/io/ConnectionBudget.java
+++ b/src/main/java/org/hollypick/io/ConnectionBudget.java
@@ -60,7 +60,7 @@
     }
 
     /** What is left when every kind has at least its reserve; negative while some kinds hold others' reserves. */
-    private int spare() {
+    private int unreservedCapacity() {
         int spare = limit;
         for (Kind kind : Kind.values()) {
             spare -= Math.max(open.get(kind), reserves.get(kind));
@@ -69,13 +69,13 @@
     }
 
     /** Whether one more connection of that kind leaves the others their reserves. */
-    public boolean hasRoom(Kind kind) {
-        return open.get(kind) < reserves.get(kind) || spare() > 0;
+    public boolean hasCapacity(Kind kind) {
+        return open.get(kind) < reserves.get(kind) || unreservedCapacity() > 0;
     }
 
     /** Whether a connection of that kind should be closed after its answer. */
-    public boolean isCrowded(Kind kind) {
-        return open.get(kind) > reserves.get(kind) && spare() < 0;
+    public boolean shouldCloseAfterResponse(Kind kind) {
+        return open.get(kind) > reserves.get(kind) && unreservedCapacity() < 0;
     }
 
     /** For the log: open now, peak and reserve of each kind. */
--- a/src/main/java/org/hollypick/io/ConnectionPool.java
+++ b/src/main/java/org/hollypick/io/ConnectionPool.java
@@ -36,10 +36,10 @@
 
     private void start(HttpExchange exchange) {
         exchangesInFlight++;
-        exchange.started();
+        exchange.markStarted();
         ClientConnection connection;
         while ((connection = idle.pollLast()) != null) {
-            client.inUse(connection);
+            client.removeIdle(connection);
             if (connection.isOpen()) {
                 exchange.sendOver(connection);
                 return;
@@ -49,7 +49,7 @@
         if (client.mayConnect(exchange.kind())) {
             exchange.connect();
         } else {
-            exchange.failForCapacity("no socket left");
+            exchange.failForLackOfCapacity("no socket left");
         }
     }
 
@@ -60,7 +60,7 @@
         exchangesInFlight--;
         if (reusable != null && reusable.isOpen()) {
             idle.add(reusable);
-            client.idle(reusable, this);
+            client.addIdle(reusable, this);
         }
         HttpExchange next;
         while (exchangesInFlight < NetworkConstants.CONNECTIONS_PER_ADDRESS && (next = waiting.poll()) != null) {
@@ -68,17 +68,17 @@
                 start(next);
             }
         }
-        forgetIfUnused();
+        removeIfUnused();
     }
 
     /** An idle connection is about to be closed. */
-    void remove(ClientConnection connection) {
+    void removeIdle(ClientConnection connection) {
         idle.remove(connection);
     }
 
-    void forgetIfUnused() {
+    void removeIfUnused() {
         if (exchangesInFlight == 0 && idle.isEmpty() && waiting.isEmpty()) {
-            client.forget(this);
+            client.removePool(this);
         }
     }
 }
--- a/src/main/java/org/hollypick/io/EventLoop.java
+++ b/src/main/java/org/hollypick/io/EventLoop.java
@@ -11,7 +11,7 @@
     long now();
 
     /** The time of day, in milliseconds since the epoch; within some tens of milliseconds of other controllers'. */
-    long timeOfDay();
+    long wallClockMs();
 
     /** Runs the task on the event loop after that many milliseconds. */
     void after(long ms, Runnable task);
--- a/src/main/java/org/hollypick/io/HttpClient.java
+++ b/src/main/java/org/hollypick/io/HttpClient.java
@@ -28,7 +28,7 @@
     /** The idle connections of all pools, the one unused for longest first. */
     private final Map<ClientConnection, ConnectionPool> idleConnections = new LinkedHashMap<>();
 
-    private boolean capacityLossLogged;
+    private boolean capacityExhaustionLogged;
 
     /** {@code criticalAddresses}: services whose requests may use the connections kept for control traffic. */
     HttpClient(XnioIoThread thread, Connector connector, Set<String> criticalAddresses, int maxIdleConnections) {
@@ -62,32 +62,32 @@
 
     /** Whether a new connection may be opened; closes an idle one for it if need be. Control traffic always may. */
     boolean mayConnect(ConnectionBudget.Kind kind) {
-        if (!connector.budget().hasRoom(kind)) {
+        if (!connector.budget().hasCapacity(kind)) {
             closeIdle(idleConnections.size() - 1);
         }
-        return connector.budget().hasRoom(kind) || kind == ConnectionBudget.Kind.CONTROL;
+        return connector.budget().hasCapacity(kind) || kind == ConnectionBudget.Kind.CONTROL;
     }
 
     /** A connection of the pool waits for its next use. */
-    void idle(ClientConnection connection, ConnectionPool pool) {
+    void addIdle(ClientConnection connection, ConnectionPool pool) {
         idleConnections.put(connection, pool);
         closeIdle(maxIdleConnections);
     }
 
     /** The connection is in use again. */
-    void inUse(ClientConnection connection) {
+    void removeIdle(ClientConnection connection) {
         idleConnections.remove(connection);
     }
 
     /** Machines come and go; the pools of their addresses must not pile up. */
-    void forget(ConnectionPool pool) {
+    void removePool(ConnectionPool pool) {
         pools.remove(pool.key(), pool);
     }
 
     /** Logs the first request that wasn't sent for want of something in this process. */
-    void capacityLacking(String reason) {
-        if (!capacityLossLogged) {
-            capacityLossLogged = true;
+    void logFirstCapacityExhaustion(String reason) {
+        if (!capacityExhaustionLogged) {
+            capacityExhaustionLogged = true;
             LOG.info("request.capacity_exhausted reason={} connections={}", reason, connector.budget());
         }
     }
@@ -100,9 +100,9 @@
             ClientConnection connection = eldest.getKey();
             ConnectionPool pool = eldest.getValue();
             idleConnections.remove(connection);
-            pool.remove(connection);
+            pool.removeIdle(connection);
             IoUtils.safeClose(connection);
-            pool.forgetIfUnused();
+            pool.removeIfUnused();
         }
     }
 }
--- a/src/main/java/org/hollypick/io/HttpExchange.java
+++ b/src/main/java/org/hollypick/io/HttpExchange.java
@@ -64,7 +64,7 @@
     /** If this process was held up, what has arrived meanwhile is read before the timeout counts. */
     private void timedOut() {
         if (!isStarted) {
-            failForCapacity("waited for other calls to " + request.address());
+            failForLackOfCapacity("waited for other calls to " + request.address());
         } else if (!isInGracePeriod) {
             isInGracePeriod = true;
             scheduleTimeout(NetworkConstants.TIMEOUT_GRACE_MS);
@@ -80,8 +80,8 @@
     }
 
     /** Ends the exchange as one that wasn't sent for want of something in this process. */
-    void failForCapacity(String reason) {
-        client.capacityLacking(reason);
+    void failForLackOfCapacity(String reason) {
+        client.logFirstCapacityExhaustion(reason);
         fail(Response.noCapacity());
     }
 
@@ -112,7 +112,7 @@
     // ---- connection ----
 
     /** The exchange counts as one of the pool's exchanges in flight from now on. */
-    void started() {
+    void markStarted() {
         isStarted = true;
     }
 
@@ -134,7 +134,7 @@
         if (cause instanceof ConnectException || isFinished) {
             fail();
         } else {
-            failForCapacity(cause.toString()); // the other side can only refuse; the rest is this system's own
+            failForLackOfCapacity(cause.toString()); // the other side can only refuse; the rest is this system's own
         }
     }
 
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -22,7 +22,7 @@
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-    private static final String HEALTH_PATH = "/ready";
+    private static final String READINESS_PATH = "/ready";
     private static final String HEARTBEAT_PATH = "/hello";
     private static final int PARSE_TIMEOUT_MS = 10_000;
 
@@ -104,7 +104,7 @@
         }
 
         private ConnectionBudget.Kind kindOf(String path) {
-            if (isForPeers || path.equals(HEALTH_PATH)) {
+            if (isForPeers || path.equals(READINESS_PATH)) {
                 return ConnectionBudget.Kind.CONTROL;
             }
             return path.equals(HEARTBEAT_PATH) ? ConnectionBudget.Kind.HEARTBEATS : ConnectionBudget.Kind.USERS;
@@ -134,10 +134,10 @@
             if (exchange.isResponseStarted()) {
                 return;
             }
-            if (budget.isCrowded(exchange.getConnection().getAttachment(KIND))) {
+            if (budget.shouldCloseAfterResponse(exchange.getConnection().getAttachment(KIND))) {
                 exchange.setPersistent(false); // the other side connects again with its next request
             }
-            ServerResponse response = decided.atSending();
+            ServerResponse response = decided.orRefusalIfInvalid();
             exchange.setStatusCode(response.status());
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, Codec.contentType(isForPeers));
             if (response.retryAfterS() > 0) {
--- a/src/main/java/org/hollypick/io/ServerResponse.java
+++ b/src/main/java/org/hollypick/io/ServerResponse.java
@@ -24,7 +24,7 @@
     }
 
     /** What is to be sent now: this response, or a refusal if it isn't valid any more. */
-    public ServerResponse atSending() {
+    public ServerResponse orRefusalIfInvalid() {
         return validWhile.getAsBoolean() ? this : retryLater("no longer entitled to act");
     }
 
--- a/src/main/java/org/hollypick/io/XnioEventLoop.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -63,7 +63,7 @@
         for (JsonNode heartbeat : body.path(HEARTBEATS)) {
             try {
                 ServerResponse response =
-                        handler.apply(heartbeat.binaryValue(), sender).atSending();
+                        handler.apply(heartbeat.binaryValue(), sender).orRefusalIfInvalid();
                 responses
                         .addObject()
                         .put(STATUS, response.status())
--- a/src/main/java/org/hollypick/store/StoreRateBudget.java
+++ b/src/main/java/org/hollypick/store/StoreRateBudget.java
@@ -57,22 +57,22 @@
     }
 
     private void applyLeaderShare(long nowMillis) {
-        writes.setRate(leaderShare.writesPerSecond(nowMillis), writes.size());
+        writes.setRate(leaderShare.writesPerSecond(nowMillis), writes.capacity());
     }
 
     /** Whether a request may be sent now. */
     boolean allowsRequest(long nowMillis) {
-        return requests.has(1, nowMillis);
+        return requests.canTake(1, nowMillis);
     }
 
     /** Whether this many writes may be sent now. */
     boolean allowsWrites(int count, long nowMillis) {
-        return writes.has(count, nowMillis);
+        return writes.canTake(count, nowMillis);
     }
 
     /** Whether at least half of the largest allowed burst of writes is left. */
     boolean hasSpareWrites(long nowMillis) {
-        return writes.has(writes.size() / 2, nowMillis);
+        return writes.canTake(writes.capacity() / 2, nowMillis);
     }
 
     /** Charges the budget for a request that is being sent, even if it exceeds the budget. */
@@ -87,6 +87,6 @@
 
     /** Writes per second that this controller may make now. */
     double writesPerSecond() {
-        return writes.rate();
+        return writes.tokensPerSecond();
     }
 }
--- a/src/test/java/org/hollypick/KnownRedListTest.java
+++ b/src/test/java/org/hollypick/KnownRedListTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theBuildLeavesOutExactlyTheListedTests() throws IOException {
+    void buildExcludesExactlyTheListedTests() throws IOException {
         JavaClasses classes = new ClassFileImporter()
                 .withImportOption(location -> !location.contains("KnownRedListTest"))
                 .importPackages("org.hollypick");
@@ -39,27 +39,27 @@
     }
 
     @Test
-    void findsTaggedTests() {
+    void taggedTestsAreFound() {
         assertEquals(
                 Set.of("Tagged.red"), KnownRedList.taggedTests(new ClassFileImporter().importClasses(Tagged.class)));
     }
 
     @Test
-    void noticesATaggedTestThatIsNotListed() {
+    void taggedTestThatIsNotListedIsReported() {
         assertEquals(
                 List.of("tagged but not listed: Tagged.red"),
                 KnownRedList.differences(Set.of("Tagged.red"), List.of()));
     }
 
     @Test
-    void noticesAListedTestThatIsNotTagged() {
+    void listedTestThatIsNotTaggedIsReported() {
         assertEquals(
                 List.of("listed but not tagged: SomeTest.red"),
                 KnownRedList.differences(Set.of(), listOf("SomeTest.red", "SomeTest#red")));
     }
 
     @Test
-    void noticesACommandThatRunsAnotherTest() {
+    void commandThatRunsAnotherTestIsReported() {
         Set<String> tagged = Set.of("SomeTest.red");
         assertEquals(List.of(), KnownRedList.differences(tagged, listOf("SomeTest.red", "SomeTest#red")));
         assertEquals(
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void refusesALineThatLacksAField() {
+    void lineThatLacksAFieldIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> KnownRedList.parse(List.of("test: SomeTest.red; seed: 1")));
     }
 }
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -74,7 +74,7 @@
 
     /** Whoever uses the client library needs nothing of the server. */
     @ArchTest
-    static final ArchRule CLIENT_STANDS_ALONE = noClasses()
+    static final ArchRule CLIENT_DOES_NOT_DEPEND_ON_SERVER = noClasses()
             .that()
             .resideInAPackage("org.hollypick.client..")
             .should()
@@ -92,7 +92,7 @@
                     "org.hollypick.cli..");
 
     @ArchTest
-    static final ArchRule CORE_IS_PURE = noClasses()
+    static final ArchRule CORE_PERFORMS_NO_IO = noClasses()
             .that()
             .resideInAPackage("org.hollypick.core..")
             .should()
@@ -123,7 +123,7 @@
             "\"h/", List.of("cluster/StoreKeys.java", "store/StoreRequests.java"));
 
     @Test
-    void wireNamesStandInTheirCodecsOnly() throws IOException {
+    void wireNamesAppearOnlyInTheirCodecs() throws IOException {
         Path sources = Path.of("src/main/java/org/hollypick");
         try (Stream<Path> files = Files.walk(sources)) {
             List<String> misplaced = files.filter(file -> file.toString().endsWith(".java"))
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -37,12 +37,12 @@
             if (random.nextInt(5) == 0 && open.getOrDefault(kind, 0) > 0) {
                 budget.closed(kind);
                 open.merge(kind, -1, Integer::sum);
-            } else if (budget.hasRoom(kind)) {
+            } else if (budget.hasCapacity(kind)) {
                 budget.opened(kind);
                 open.merge(kind, 1, Integer::sum);
             }
             assertTrue(open.values().stream().mapToInt(count -> count).sum() <= sockets);
-            assertFalse(budget.isCrowded(kind), "a kind with room is crowded");
+            assertFalse(budget.shouldCloseAfterResponse(kind), "a kind with room is crowded");
         }
         for (ConnectionBudget.Kind kind : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(kind, 0) > 0) {
@@ -50,7 +50,7 @@
                 open.merge(kind, -1, Integer::sum);
             }
             for (int i = 0; i < sockets * NetworkConstants.CONTROL_SOCKET_SHARE; i++) {
-                assertTrue(budget.hasRoom(kind), kind + " can't use its reserve");
+                assertTrue(budget.hasCapacity(kind), kind + " can't use its reserve");
                 budget.opened(kind);
                 open.merge(kind, 1, Integer::sum);
             }
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -31,10 +31,10 @@
 /** The server and the client over a real loopback socket. */
 class HttpTest {
     private XnioWorker worker;
-    private XnioEventLoop network;
-    private ConnectionBudget connections;
+    private XnioEventLoop eventLoop;
+    private ConnectionBudget budget;
     private Undertow server;
-    private String addr;
+    private String serverAddress;
 
     @BeforeEach
     void start() throws Exception {
@@ -45,9 +45,9 @@
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
         DefaultByteBufferPool buffers = new DefaultByteBufferPool(true, 8192);
-        connections = new ConnectionBudget(100);
-        network = new XnioEventLoop(worker.getIoThread(), buffers, connections, Set.of(), 10);
-        addr = free();
+        budget = new ConnectionBudget(100);
+        eventLoop = new XnioEventLoop(worker.getIoThread(), buffers, budget, Set.of(), 10);
+        serverAddress = freeAddress();
         HttpServer.Service echo = (method, path, body, answer) -> {
             if (path.equals("/hang")) {
                 return;
@@ -70,7 +70,7 @@
                                                             ? ""
                                                             : tree.path("text").asText())));
         };
-        server = HttpServer.start(worker, buffers, connections, addr, echo, free(), echo);
+        server = HttpServer.start(worker, buffers, budget, serverAddress, echo, freeAddress(), echo);
     }
 
     @AfterEach
@@ -79,7 +79,7 @@
         worker.shutdownNow();
     }
 
-    private static String free() throws Exception {
+    private static String freeAddress() throws Exception {
         try (ServerSocket s = new ServerSocket(0)) {
             return "127.0.0.1:" + s.getLocalPort();
         }
@@ -87,42 +87,44 @@
 
     private Response call(Request call) throws Exception {
         BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
-        network.after(0, () -> network.send(call, got::add));
+        eventLoop.after(0, () -> eventLoop.send(call, got::add));
         Response response = got.poll(10, TimeUnit.SECONDS);
         assertNotNull(response);
         return response;
     }
 
     @Test
-    void carriesSmallAndLargeBodiesOnKeptConnections() throws Exception {
+    void smallAndLargeBodiesAreSentAndReceivedOverReusedConnections() throws Exception {
         for (String text : new String[] {"x", "y".repeat(60_000), "z"}) {
-            Response r = call(Request.of(addr, "POST", "/echo", Codec.object().put("text", text), 5_000));
+            Response r = call(
+                    Request.of(serverAddress, "POST", "/echo", Codec.object().put("text", text), 5_000));
             assertEquals(200, r.status());
             assertEquals(text, r.body().path("text").asText());
         }
         assertEquals(
                 "GET",
-                call(Request.of(addr, "GET", "/echo", null, 5_000))
+                call(Request.of(serverAddress, "GET", "/echo", null, 5_000))
                         .body()
                         .path("method")
                         .asText());
     }
 
     @Test
-    void tellsNoAnswerFromNotSent() throws Exception {
+    void requestWithoutResponseIsReportedDifferentlyFromRequestNotSent() throws Exception {
         assertEquals(
                 Response.Failure.NO_RESPONSE.code(),
-                call(Request.of(addr, "POST", "/hang", Codec.object(), 300)).status());
+                call(Request.of(serverAddress, "POST", "/hang", Codec.object(), 300))
+                        .status());
         assertEquals(
                 Response.Failure.NOT_SENT.code(),
-                call(Request.of(free(), "GET", "/", null, 2_000)).status());
+                call(Request.of(freeAddress(), "GET", "/", null, 2_000)).status());
     }
 
     /**
      * Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left.
      */
     @Test
-    void anAbandonedConnectionAttemptHoldsNoSocket() throws Exception {
+    void abandonedConnectionAttemptReleasesItsSocket() throws Exception {
         try (ServerSocket dark = new ServerSocket(0, 1)) {
             // Nobody accepts: beyond the backlog connections hang without an error.
             List<Socket> fill = new ArrayList<>();
@@ -142,10 +144,10 @@
                             .allMatch(s ->
                                     s == Response.Failure.NOT_SENT.code() || s == Response.Failure.NO_RESPONSE.code()),
                     answers.toString());
-            for (int i = 0; i < 100 && connections.open(ConnectionBudget.Kind.COMMANDS) > 0; i++) {
+            for (int i = 0; i < 100 && budget.open(ConnectionBudget.Kind.COMMANDS) > 0; i++) {
                 Thread.sleep(20);
             }
-            assertEquals(0, connections.open(ConnectionBudget.Kind.COMMANDS));
+            assertEquals(0, budget.open(ConnectionBudget.Kind.COMMANDS));
             for (Socket s : fill) {
                 s.close();
             }
@@ -157,28 +159,32 @@
      * have room all the same.
      */
     @Test
-    void aRequestWithoutCapacityIsReportedAsSuch() throws Exception {
+    void requestFailsWithNoCapacityWhileControlRequestsStillConnect() throws Exception {
         for (int i = 0; i < 100; i++) {
-            connections.opened(ConnectionBudget.Kind.HEARTBEATS);
+            budget.opened(ConnectionBudget.Kind.HEARTBEATS);
         }
         for (int i = 0; i < 12; i++) {
-            connections.opened(ConnectionBudget.Kind.COMMANDS);
+            budget.opened(ConnectionBudget.Kind.COMMANDS);
         }
         assertEquals(
                 Response.Failure.NO_CAPACITY.code(),
-                call(Request.of(addr, "GET", "/echo", null, 2_000)).status());
+                call(Request.of(serverAddress, "GET", "/echo", null, 2_000)).status());
         assertEquals(
-                404, call(new Request(addr, "GET", "/none", null, 2_000, true)).status());
+                404,
+                call(new Request(serverAddress, "GET", "/none", null, 2_000, true))
+                        .status());
         assertTrue(
-                raw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+                sendRaw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
                         .contains("Connection: close"),
                 "reports give way after their answer");
         assertFalse(
-                raw("GET /echo HTTP/1.1\r\nHost: x\r\n\r\n").contains("Connection: close"), "users have their floor");
+                sendRaw("GET /echo HTTP/1.1\r\nHost: x\r\n\r\n").contains("Connection: close"),
+                "users have their floor");
     }
 
-    private String raw(String request) throws Exception {
-        try (Socket s = new Socket("127.0.0.1", Integer.parseInt(addr.substring(addr.lastIndexOf(':') + 1)))) {
+    private String sendRaw(String request) throws Exception {
+        try (Socket s = new Socket(
+                "127.0.0.1", Integer.parseInt(serverAddress.substring(serverAddress.lastIndexOf(':') + 1)))) {
             s.setSoTimeout(5_000);
             s.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             InputStream in = s.getInputStream();
@@ -189,22 +195,25 @@
     }
 
     @Test
-    void survivesGarbageOversizeAndHalfRequests() throws Exception {
-        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n\u00ff\u00ff\u00ff")
+    void serverStillRespondsAfterMalformedOversizedAndIncompleteRequests() throws Exception {
+        assertTrue(sendRaw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n\u00ff\u00ff\u00ff")
                 .startsWith("HTTP/1.1 200"));
-        assertTrue(raw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\nabc")
+        assertTrue(sendRaw("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\nabc")
                 .startsWith("HTTP/1.1 4"));
-        assertTrue(raw("nonsense\r\n\r\n").isEmpty() || raw("nonsense\r\n\r\n").startsWith("HTTP/1.1 4"));
-        assertEquals(200, call(Request.of(addr, "GET", "/echo", null, 5_000)).status());
+        assertTrue(sendRaw("nonsense\r\n\r\n").isEmpty()
+                || sendRaw("nonsense\r\n\r\n").startsWith("HTTP/1.1 4"));
+        assertEquals(
+                200,
+                call(Request.of(serverAddress, "GET", "/echo", null, 5_000)).status());
     }
 
     @Test
-    void refusalsCarryRetryAfter() throws Exception {
-        assertTrue(raw("GET /later HTTP/1.1\r\nHost: x\r\n\r\n").contains("Retry-After: 1"));
+    void refusalsHaveARetryAfterHeader() throws Exception {
+        assertTrue(sendRaw("GET /later HTTP/1.1\r\nHost: x\r\n\r\n").contains("Retry-After: 1"));
     }
 
     @Test
-    void codecReadsWhatItWrites() {
+    void codecDecodesWhatItEncodedAndRejectsMalformedBytes() {
         byte[] bytes = Codec.write(Codec.object().put("a", 1.5).put("b", 7L), false);
         assertArrayEquals(bytes, Codec.write(Codec.read(bytes, false), false));
         assertEquals(null, Codec.read(new byte[] {(byte) 0xff, 0}, false));
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -89,8 +89,8 @@
                     }
 
                     @Override
-                    public long timeOfDay() {
-                        return r.timeOfDay();
+                    public long wallClockMs() {
+                        return r.wallClockMs();
                     }
 
                     @Override
--- a/src/test/java/org/hollypick/sim/ControllerProcess.java
+++ b/src/test/java/org/hollypick/sim/ControllerProcess.java
@@ -26,12 +26,12 @@
 
             @Override
             public void handle(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-                node.handle(method, path, body, a -> reply.accept(() -> reply(a.atSending())));
+                node.handle(method, path, body, a -> reply.accept(() -> reply(a.orRefusalIfInvalid())));
             }
 
             @Override
             public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-                node.handlePeerRequest(method, path, body, a -> reply.accept(() -> reply(a.atSending())));
+                node.handlePeerRequest(method, path, body, a -> reply.accept(() -> reply(a.orRefusalIfInvalid())));
             }
         };
     }
--- a/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
+++ b/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public long timeOfDay() {
-        return to.timeOfDay();
+    public long wallClockMs() {
+        return to.wallClockMs();
     }
 
     @Override
--- a/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
+++ b/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
@@ -158,7 +158,7 @@
     }
 
     private boolean admit(int operations) {
-        boolean isWithinRates = requestRate.has(1, world.now) && changeRate.has(operations, world.now);
+        boolean isWithinRates = requestRate.canTake(1, world.now) && changeRate.canTake(operations, world.now);
         if (isWithinRates) {
             requestRate.take(1, world.now);
             changeRate.take(operations, world.now);
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -370,7 +370,7 @@
         }
 
         @Override
-        public long timeOfDay() {
+        public long wallClockMs() {
             return now;
         }
 
@@ -438,7 +438,9 @@
             if (sockets != null && reporters.containsKey(from)) {
                 long used = reporters.get(from);
                 at(
-                        sockets.isCrowded(ConnectionBudget.Kind.HEARTBEATS) ? 0 : NetworkConstants.IDLE_CONNECTION_MS,
+                        sockets.shouldCloseAfterResponse(ConnectionBudget.Kind.HEARTBEATS)
+                                ? 0
+                                : NetworkConstants.IDLE_CONNECTION_MS,
                         () -> {
                             if (reporters.remove(from, used)) {
                                 sockets.closed(ConnectionBudget.Kind.HEARTBEATS);
@@ -472,7 +474,7 @@
                     ? ConnectionBudget.Kind.CONTROL
                     : ConnectionBudget.Kind.COMMANDS;
             if (sockets != null) {
-                if (kind == ConnectionBudget.Kind.COMMANDS && !sockets.hasRoom(kind)) {
+                if (kind == ConnectionBudget.Kind.COMMANDS && !sockets.hasCapacity(kind)) {
                     at(0, () -> awake(() -> callback.accept(Response.noCapacity())));
                     return;
                 }
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public long timeOfDay() {
+        public long wallClockMs() {
             return now;
         }
 
