--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process, without its sockets and clocks: creates all parts and connects them. It serves users and
- * agents at its public address and other controllers at its peer address. Confined to the event loop.
+ * A controller without its sockets and clocks, which the event loop provides: creates all components and connects them.
+ * Serves users and agents at the public address, and other controllers at the peer address. Confined to the event loop.
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
@@ -44,20 +44,20 @@
     private final PublicRequestDispatcher publicRequests;
     private final PeerEndpoints peerEndpoints;
 
-    /** A controller as it runs in production. */
+    /** Creates a controller as it runs in production. */
     public Controller(EventLoop eventLoop, Settings settings, OperatorSettings operator) {
         this(eventLoop, settings, operator, new JobDependencies());
     }
 
-    /** A controller with other rules for dependencies between jobs, for tests. */
+    /** Creates a controller with other rules for dependencies between jobs, for tests. */
     public Controller(EventLoop eventLoop, Settings settings, OperatorSettings operator, JobDependencies dependencies) {
         this(eventLoop, settings, operator, dependencies, Graph::new);
     }
 
     /**
-     * A controller with other graphs, for tests.
+     * Creates a controller with other graphs, for tests.
      *
-     * @param graphFactory creates graphs, if the operators switched them on
+     * @param graphFactory creates graphs; unused if the operator settings disable them
      */
     public Controller(
             EventLoop eventLoop,
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Joins the other controllers; requests are answered from then on. */
+    /** Registers this controller with the others and starts its components; requests are answered from then on. */
     public void start() {
         LOG.info("controller.started controller={} zone={}", settings.node(), settings.zone());
         membership.start();
@@ -135,12 +135,12 @@
         terms.leadershipChanged();
     }
 
-    /** Answers a request of a user, an agent or a health check. */
+    /** Handles a request from a user, an agent or a readiness check. */
     public void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder) {
         publicRequests.handle(method, target, body, responder);
     }
 
-    /** Answers a request of another controller. */
+    /** Handles a request from another controller. */
     public void handlePeerRequest(String method, String path, byte[] body, Consumer<ServerResponse> responder) {
         peerEndpoints.handle(method, path, body, responder);
     }
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -20,7 +20,7 @@
 import org.hollypick.relay.HeartbeatRelay;
 import org.hollypick.relay.HeartbeatRelayCodec;
 
-/** Connects the requests at the peer address, of other controllers, to the parts that serve them. */
+/** Dispatches the requests of other controllers, at the peer address, to the components that handle them. */
 final class PeerEndpoints {
 
     private final EventLoop eventLoop;
@@ -35,7 +35,7 @@
         this.terms = terms;
     }
 
-    /** Serves the requests about leader leases, agents' leases and relayed heartbeats. */
+    /** Registers the handlers for leader leases, the renewal of agents' leases, and relayed heartbeats. */
     void serveLeasesAndHeartbeats(HeartbeatRelay heartbeatRelay) {
         dispatcher.on(
                 PeerMessageCodec.LEADER_LEASE_PATH,
@@ -50,7 +50,8 @@
             heartbeatRelay.discardResponsesOf(memberRevision);
             responder.accept(ok(PeerMessageCodec.writeRelayRevocationResponse(memberRevision != 0)));
         });
-        dispatcher.on(HeartbeatRelayCodec.BATCH_PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
+        dispatcher.on(
+                HeartbeatRelayCodec.BATCH_PATH, (body, responder) -> responder.accept(handleRelayedHeartbeats(body)));
     }
 
     private ServerResponse grantRenewal(RenewalGrantRequest request) {
@@ -60,7 +61,7 @@
                 : ServerResponse.retryLater("not the leader under that token");
     }
 
-    private ServerResponse relayedHeartbeats(JsonNode body) {
+    private ServerResponse handleRelayedHeartbeats(JsonNode body) {
         if (!terms.holdsLeaderLease()) {
             return ServerResponse.retryLater("not the leader");
         }
@@ -69,19 +70,19 @@
                 .onlyWhile(term::holdsLeaderLease);
     }
 
-    /** For how many milliseconds a peer may relay this leader's responses: no longer than this leader may act. */
+    /** The milliseconds for which a peer may relay this leader's responses: at most the rest of the leader lease. */
     private long relayValidityMs(LeaderTerm term) {
         long leaseMs = membership.leaderLeaseValidUntil(term.token()) - eventLoop.now();
         return Math.min(RelayConstants.RELAY_VALIDITY_MS, leaseMs);
     }
 
-    /** Serves the requests to the key-value store of peers that do not reach it. */
+    /** Registers the handlers that forward requests to the key-value store for peers that can't reach it. */
     void serveRelayedStoreRequests(RequestRouter storeRequests) {
         dispatcher.on(RequestRouter.FORWARD_PATH, storeRequests::forward);
         dispatcher.on(RequestRouter.FORWARD_WATCH_PATH, storeRequests::forward);
     }
 
-    /** Serves the requests which machines this controller reaches. */
+    /** Registers the handler that reports which machines this controller reaches. */
     void serveReachability(AgentClient agentClient) {
         dispatcher.on(
                 PeerMessageCodec.REACHABILITY_PATH,
@@ -92,7 +93,7 @@
                         report -> responder.accept(ok(PeerMessageCodec.write(report)))));
     }
 
-    /** Serves the requests of users that came to a peer and need the leader. */
+    /** Registers the handlers for users' requests that a peer received and that need the leader. */
     void serveUserRequests(UserApi userApi, boolean servesEstimates) {
         users = userApi;
         dispatcher.on(PeerCodec.STATUS_PATH, (body, responder) -> responder.accept(userApi.statusForPeer(body)));
@@ -102,12 +103,12 @@
         }
     }
 
-    /** Serves the requests about graphs that came to a peer and need the leader. */
+    /** Registers the handler for requests about graphs that a peer received and that need the leader. */
     void serveGraphs(GraphApi graphs) {
         dispatcher.on(GraphApi.PEER_PATH, graphs::handleForwarded);
     }
 
-    /** Answers a request of another controller. */
+    /** Handles a request from another controller. */
     void handle(String method, String path, byte[] body, Consumer<ServerResponse> responder) {
         Optional<String> cancelledJob = method.equals("POST") ? PeerCodec.cancelledJob(path) : Optional.empty();
         if (cancelledJob.isPresent()) {
--- a/src/main/java/org/hollypick/PublicRequestDispatcher.java
+++ b/src/main/java/org/hollypick/PublicRequestDispatcher.java
@@ -9,17 +9,17 @@
 import org.hollypick.relay.HeartbeatRelay;
 
 /**
- * Passes the requests at the public address, of users, agents and health checks, on to the part that serves them, by
- * their path and method. Confined to the event loop.
+ * Dispatches the requests of users, agents and readiness checks, at the public address, to the components that handle
+ * them, by path and method. Confined to the event loop.
  */
 final class PublicRequestDispatcher {
     private static final String HEARTBEAT_PATH = "/hello";
     private static final String READINESS_PATH = "/ready";
     private static final String GRAPHS_PATH = "/graphs";
     private static final String JOBS_PATH = "/submissions";
-    /** After the path of a job: cancels it. */
+    /** The end of the path by which a job is cancelled. */
     private static final String CANCEL_SUFFIX = "/withdraw";
-    /** After the path of a job: estimates when it completes. */
+    /** The end of the path by which the completion time of a job is estimated. */
     private static final String ESTIMATE_SUFFIX = "/estimate";
 
     private final HeartbeatRelay heartbeatRelay;
@@ -31,7 +31,8 @@
     /**
      * Creates the dispatcher.
      *
-     * @param graphs null if graphs are switched off
+     * @param graphs null if graphs are disabled
+     * @param servesEstimates whether requests for the estimated completion time of a job are served
      * @param ready whether this controller is ready to serve users
      */
     PublicRequestDispatcher(
@@ -47,17 +48,17 @@
         this.ready = ready;
     }
 
-    /** Answers a request; the target is its path, with the query if there is one. */
+    /** Handles a request; {@code target}: its path, with the query if there is one. */
     void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder) {
         String path = withoutQuery(target);
         if (path.equals(HEARTBEAT_PATH)) {
-            onlyFor("POST", method, responder, () -> heartbeatRelay.heartbeatReceived(body, responder));
+            requireMethod("POST", method, responder, () -> heartbeatRelay.heartbeatReceived(body, responder));
         } else if (path.equals(READINESS_PATH)) {
-            onlyFor("GET", method, responder, () -> responder.accept(readiness()));
+            requireMethod("GET", method, responder, () -> responder.accept(readiness()));
         } else if (graphs != null && (path.equals(GRAPHS_PATH) || path.startsWith(GRAPHS_PATH + "/"))) {
             graphs.handle(method, target, body, responder);
         } else if (path.equals(JOBS_PATH)) {
-            onlyFor("POST", method, responder, () -> users.submit(Codec.read(body, false), responder));
+            requireMethod("POST", method, responder, () -> users.submit(Codec.read(body, false), responder));
         } else if (path.startsWith(JOBS_PATH + "/")) {
             handleJob(method, path.substring(JOBS_PATH.length() + 1), responder);
         } else {
@@ -70,14 +71,15 @@
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** A request about one job, by the path below that of all jobs. */
+    /** Handles a request about one job; {@code jobPath}: the part of the path after {@link #JOBS_PATH}. */
     private void handleJob(String method, String jobPath, Consumer<ServerResponse> responder) {
         if (jobPath.endsWith(CANCEL_SUFFIX)) {
-            onlyFor("POST", method, responder, () -> users.cancel(withoutSuffix(jobPath, CANCEL_SUFFIX), responder));
+            requireMethod(
+                    "POST", method, responder, () -> users.cancel(withoutSuffix(jobPath, CANCEL_SUFFIX), responder));
         } else if (servesEstimates && method.equals("GET") && jobPath.endsWith(ESTIMATE_SUFFIX)) {
             users.estimate(withoutSuffix(jobPath, ESTIMATE_SUFFIX), responder);
         } else {
-            onlyFor("GET", method, responder, () -> users.status(jobPath, responder));
+            requireMethod("GET", method, responder, () -> users.status(jobPath, responder));
         }
     }
 
@@ -85,7 +87,7 @@
         return path.substring(0, path.length() - suffix.length());
     }
 
-    private static void onlyFor(
+    private static void requireMethod(
             String allowedMethod, String method, Consumer<ServerResponse> responder, Runnable handler) {
         if (method.equals(allowedMethod)) {
             handler.run();
--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -22,15 +22,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts a {@link LeaderTerm} when this controller becomes leader, and ends it when the fencing token changes. Also
- * keeps the machine types up to date, without which no term can start. Confined to the event loop.
+ * Starts a {@link LeaderTerm} when this controller becomes leader, and ends the term when the fencing token changes.
+ * Also keeps the machine types up to date, which a term needs to start. Confined to the event loop.
  */
 final class TermSupervisor implements PartitionedLeaseRenewal.TermInformation {
     private static final Logger LOG = LoggerFactory.getLogger(TermSupervisor.class);
 
-    /** Milliseconds until a failed request for the machine types is repeated. */
+    /** Milliseconds until a failed request for the machine types is retried. */
     private static final long MACHINE_TYPE_RETRY_MS = 1_000;
-    /** The highest bits of a fencing token must be free, since attempt numbers are derived from it. */
+    /**
+     * The most bits that a fencing token may have: an attempt number appends {@link JobConstants#ATTEMPT_BITS} bits to
+     * the token and must fit into a positive {@code long}.
+     */
     private static final int TOKEN_BITS = 63 - JobConstants.ATTEMPT_BITS;
 
     private final ControllerContext context;
@@ -39,7 +42,7 @@
     private final Membership membership;
     private final JobDependencies dependencies;
     private final Map<String, MachineType> machineTypes;
-    /** Null while this controller does not lead. */
+    /** The current term; null while this controller does not lead. */
     private LeaderTerm term;
 
     TermSupervisor(ControllerContext context) {
@@ -51,7 +54,7 @@
         this.machineTypes = context.machineTypes();
     }
 
-    /** Requests the machine types, now and again and again. */
+    /** Requests the machine types, immediately and then periodically. */
     void start() {
         context.cloud().listMachineTypes(listed -> {
             if (listed.isEmpty()) {
@@ -64,27 +67,30 @@
         });
     }
 
-    /** The present term; null while this controller does not lead. */
+    /** The current term; null while this controller does not lead. */
     LeaderTerm currentTerm() {
         return term;
     }
 
-    /** The machine types by name; null until they are known. */
+    /** The machine types by name; null until the cloud has listed them. */
     Map<String, MachineType> machineTypes() {
         return machineTypes.isEmpty() ? null : machineTypes;
     }
 
-    /** The replica has taken over changes of these keys. */
+    /** Called when the replica has applied changes of {@code keys}. */
     void recordsChanged(List<String> keys) {
         leadershipChanged();
         if (term != null) {
             term.recordsChanged(keys);
         } else {
-            dependencies.takeChangedJobs(); // a term starts from all of them
+            dependencies.takeChangedJobs(); // discarded: a new term loads all jobs
         }
     }
 
-    /** Ends the present term or starts one, as the leader record demands, and campaigns if nobody can lead. */
+    /**
+     * Ends the current term if its fencing token has changed, starts a term if this controller has become leader, and
+     * campaigns for leadership if no controller can lead.
+     */
     void leadershipChanged() {
         if (!replica.isLoaded()) {
             return;
@@ -121,17 +127,18 @@
     }
 
     /**
-     * The response to a heartbeat that an agent sent to this controller.
+     * Handles a heartbeat that this controller received and returns the response.
      *
-     * @return null if this controller may not act as leader
+     * @param controller the controller that received the heartbeat from the agent
+     * @return the response; null if this controller may not act as leader
      */
     ServerResponse respondAsLeader(byte[] heartbeat, String controller) {
         return holdsLeaderLease() ? respond(heartbeat, controller) : null;
     }
 
     /**
-     * The present term's response to a heartbeat. The caller makes sure that there is a term, and that the response is
-     * only sent while the leader lease holds.
+     * Handles a heartbeat in the current term and returns the response. The caller ensures that there is a current term
+     * and that the response is sent only while the leader lease is valid.
      *
      * @param controller the controller that received the heartbeat from the agent
      */
--- a/src/main/java/org/hollypick/io/BodyReader.java
+++ b/src/main/java/org/hollypick/io/BodyReader.java
@@ -22,7 +22,7 @@
         this.onFailure = onFailure;
     }
 
-    /** Reads to the end of the body, now or as the channel becomes readable. */
+    /** Reads the body to its end, continuing whenever the channel becomes readable. */
     void read(StreamSourceChannel channel) {
         try {
             while (true) {
--- a/src/main/java/org/hollypick/io/BodyWriter.java
+++ b/src/main/java/org/hollypick/io/BodyWriter.java
@@ -10,7 +10,7 @@
 final class BodyWriter {
     private BodyWriter() {}
 
-    /** Writes all of the body and ends the request, now or as the channel becomes writable. */
+    /** Writes the whole body and ends the request, continuing whenever the channel becomes writable. */
     static void write(StreamSinkChannel channel, ByteBuffer body, Runnable onFailure) {
         try {
             while (body.hasRemaining()) {
--- a/src/main/java/org/hollypick/io/Codec.java
+++ b/src/main/java/org/hollypick/io/Codec.java
@@ -11,7 +11,10 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import java.io.IOException;
 
-/** Encodes messages as Jackson trees: JSON among controllers, CBOR for everyone else. Stateless; any thread. */
+/**
+ * Encodes and decodes messages, as Jackson trees: JSON between controllers, CBOR for all other systems. Stateless; safe
+ * for use by any thread.
+ */
 public final class Codec {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
     private static final ObjectMapper JSON = JsonMapper.builder()
@@ -20,34 +23,34 @@
 
     private Codec() {}
 
-    /** A new, empty map. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** A new, empty list. */
+    /** Creates an empty array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** The media type of such a message, for the Content-Type header. */
+    /** The media type of a JSON or CBOR message, for the Content-Type header. */
     static String contentType(boolean json) {
         return json ? "application/json" : "application/cbor";
     }
 
-    /** Encodes the tree, as JSON or else as CBOR. */
+    /** Encodes a tree as JSON if {@code json}, otherwise as CBOR. */
     public static byte[] write(JsonNode node, boolean json) {
         try {
             return (json ? JSON : CBOR).writeValueAsBytes(node);
         } catch (IOException e) {
-            throw new IllegalStateException("a tree that can't be written", e);
+            throw new IllegalStateException("cannot encode message as " + contentType(json), e);
         }
     }
 
     /**
-     * Decodes a message, from JSON or else from CBOR.
+     * Decodes a message from JSON if {@code json}, otherwise from CBOR.
      *
-     * @return the tree; null if the bytes hold none
+     * @return the tree; null if the bytes are empty or malformed
      */
     public static JsonNode read(byte[] bytes, boolean json) {
         if (bytes.length == 0) {
@@ -57,16 +60,16 @@
             JsonNode node = (json ? JSON : CBOR).readTree(bytes);
             return node == null || node.isMissingNode() ? null : node;
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            return null; // malformed input must never harm the controller
+            return null; // a malformed message must not fail the controller; deep nesting overflows the stack
         }
     }
 
-    /** A streaming parser of a CBOR message. */
+    /** Creates a streaming parser for a CBOR message. */
     public static JsonParser cborParser(byte[] bytes) throws IOException {
         return CBOR.createParser(bytes);
     }
 
-    /** An unsigned 64-bit number; compare with {@link Long#compareUnsigned}. */
+    /** Reads an unsigned 64-bit number; compare the result with {@link Long#compareUnsigned}. */
     public static long u64(JsonNode node) {
         return node.isBigInteger() ? node.bigIntegerValue().longValue() : node.asLong();
     }
--- a/src/main/java/org/hollypick/io/ConnectionBudget.java
+++ b/src/main/java/org/hollypick/io/ConnectionBudget.java
@@ -6,30 +6,32 @@
 import org.hollypick.config.constants.NetworkConstants;
 
 /**
- * Counts the open connections of this process by what they are for. Each kind has a reserve that the others leave to
- * it; what lies beyond the reserves goes to whoever comes first, up to the limit of sockets (docs/scaling.md). Pure
- * counting. Confined to the event loop.
+ * Counts the open connections of this process by kind and decides which may be opened. Each kind has a reserve that the
+ * other kinds don't use; the sockets beyond all reserves are allotted first come, first served (docs/scaling.md). Opens
+ * and closes no connections itself. Confined to the event loop.
  */
 public final class ConnectionBudget {
-    /** What a connection is for. */
+    /** The purpose of a connection. */
     public enum Kind {
-        /** Requests to the store, the cloud and peers; requests of peers and health checks. */
+        /** Requests to the store, the cloud and peers; requests from peers and readiness checks. */
         CONTROL,
         /** Commands to agents. */
         COMMANDS,
-        /** Heartbeats of agents. */
+        /** Heartbeats from agents. */
         HEARTBEATS,
-        /** Requests of users. */
+        /** Requests from users. */
         USERS
     }
 
+    /** The most connections that may be open at once. */
     private final int limit;
+
     private final Map<Kind, Integer> reserves = new EnumMap<>(Kind.class);
     private final Map<Kind, Integer> open = new EnumMap<>(Kind.class);
-    /** The most connections that were open at once. */
+    /** The most connections of each kind that were open at once. */
     private final Map<Kind, Integer> peak = new EnumMap<>(Kind.class);
 
-    /** Shares out that many sockets. */
+    /** {@code sockets}: the sockets that this process may have open. */
     public ConnectionBudget(int sockets) {
         limit = (int) (sockets * NetworkConstants.USABLE_SOCKET_SHARE);
         reserves.put(Kind.CONTROL, Math.max(NetworkConstants.MIN_CONTROL_SOCKETS, (int)
@@ -43,42 +45,45 @@
         }
     }
 
-    /** A connection of that kind was opened. */
+    /** Counts a connection that was opened. */
     public void opened(Kind kind) {
         int openNow = open.merge(kind, 1, Integer::sum);
         peak.merge(kind, openNow, Math::max);
     }
 
-    /** A connection of that kind was closed. */
+    /** Counts a connection that was closed. */
     public void closed(Kind kind) {
         open.merge(kind, -1, Integer::sum);
     }
 
-    /** How many connections of that kind are open. */
+    /** The number of open connections of the given kind. */
     public int open(Kind kind) {
         return open.get(kind);
     }
 
-    /** What is left when every kind has at least its reserve; negative while some kinds hold others' reserves. */
+    /** The free connections beyond all reserves; negative while some kinds use the reserves of others. */
     private int unreservedCapacity() {
-        int spare = limit;
+        int unreserved = limit;
         for (Kind kind : Kind.values()) {
-            spare -= Math.max(open.get(kind), reserves.get(kind));
+            unreserved -= Math.max(open.get(kind), reserves.get(kind));
         }
-        return spare;
+        return unreserved;
     }
 
-    /** Whether one more connection of that kind leaves the others their reserves. */
+    /** Whether a connection of the given kind can be opened without using the reserve of another kind. */
     public boolean hasCapacity(Kind kind) {
         return open.get(kind) < reserves.get(kind) || unreservedCapacity() > 0;
     }
 
-    /** Whether a connection of that kind should be closed after its answer. */
+    /**
+     * Whether a connection of the given kind should be closed after its response: the kind exceeds its reserve and uses
+     * the reserve of another.
+     */
     public boolean shouldCloseAfterResponse(Kind kind) {
         return open.get(kind) > reserves.get(kind) && unreservedCapacity() < 0;
     }
 
-    /** For the log: open now, peak and reserve of each kind. */
+    /** Formats the limit and, for each kind, open connections, peak and reserve, for the log. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("limit=" + limit);
--- a/src/main/java/org/hollypick/io/ConnectionPool.java
+++ b/src/main/java/org/hollypick/io/ConnectionPool.java
@@ -5,7 +5,7 @@
 import org.hollypick.config.constants.NetworkConstants;
 import org.xnio.IoUtils;
 
-/** The connections to one address, and the requests that wait for one. Confined to the event loop. */
+/** The connections to one address and the queue of exchanges that wait for one. Confined to the event loop. */
 final class ConnectionPool {
     private final HttpClient client;
     private final String key;
@@ -22,7 +22,7 @@
         return key;
     }
 
-    /** Starts the exchange, now or once a connection is free; its timeout runs from now. */
+    /** Starts the exchange, or queues it until a connection is free. The timeout includes the time in the queue. */
     void submit(HttpExchange exchange) {
         exchange.startTimeout();
         if (exchangesInFlight < NetworkConstants.CONNECTIONS_PER_ADDRESS) {
@@ -49,12 +49,14 @@
         if (client.mayConnect(exchange.kind())) {
             exchange.connect();
         } else {
-            exchange.failForLackOfCapacity("no socket left");
+            exchange.failForLackOfCapacity("no free socket");
         }
     }
 
     /**
-     * An exchange that was started has ended. {@code reusable}: its connection, if that can serve the next; or null.
+     * Ends a started exchange: keeps its connection for reuse and starts exchanges from the queue.
+     *
+     * @param reusable the connection of the exchange; null if there is none that can be reused
      */
     void release(ClientConnection reusable) {
         exchangesInFlight--;
@@ -71,11 +73,12 @@
         removeIfUnused();
     }
 
-    /** An idle connection is about to be closed. */
+    /** Removes an idle connection that is about to be closed. */
     void removeIdle(ClientConnection connection) {
         idle.remove(connection);
     }
 
+    /** Removes this pool from the client if it has no connections and no exchanges. */
     void removeIfUnused() {
         if (exchangesInFlight == 0 && idle.isEmpty() && waiting.isEmpty()) {
             client.removePool(this);
--- a/src/main/java/org/hollypick/io/Connector.java
+++ b/src/main/java/org/hollypick/io/Connector.java
@@ -14,26 +14,26 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 
-/** Opens client connections, which count in the connection budget until they are closed. Confined to the event loop. */
+/** Opens client connections and counts them in the budget until they are closed. Confined to the event loop. */
 final class Connector {
     private final ConnectionBudget budget;
     private final ByteBufferPool buffers;
-    private final AttemptRecorder thread;
+    private final AttemptRecorder recorder;
 
     Connector(XnioIoThread thread, ByteBufferPool buffers, ConnectionBudget budget) {
         this.buffers = buffers;
         this.budget = budget;
-        this.thread = new AttemptRecorder(thread);
+        this.recorder = new AttemptRecorder(thread);
     }
 
-    /** What came of an attempt to connect; one of both is called at most once. */
+    /** Receives the outcome of a connection attempt: at most one of the methods is called, at most once. */
     interface Listener {
         void connected(ClientConnection connection);
 
         void connectFailed(IOException cause);
     }
 
-    /** One connection's place in the budget, which is given back once. */
+    /** A connection counted in the budget; released once, however often {@link #release} is called. */
     private static final class BudgetSlot {
         private final ConnectionBudget budget;
         private final ConnectionBudget.Kind kind;
@@ -54,8 +54,8 @@
     }
 
     /**
-     * The thread that connections are made on, as Undertow's client asks for one: it remembers the attempt, so that it
-     * can be cancelled.
+     * Delegates to an I/O thread and records the connection attempt that Undertow's client starts on it, since the
+     * client doesn't return the attempt and it must be possible to cancel it.
      */
     private static final class AttemptRecorder extends XnioIoThread {
         private final XnioIoThread thread;
@@ -93,13 +93,17 @@
         return budget;
     }
 
-    /** Starts to connect; returns the attempt, which may be cancelled, or null if it failed at once. */
+    /**
+     * Starts a connection attempt.
+     *
+     * @return the attempt, which can be cancelled; null if it failed immediately
+     */
     IoFuture<StreamConnection> connect(String address, ConnectionBudget.Kind kind, Listener listener) {
         BudgetSlot slot = new BudgetSlot(budget, kind);
-        thread.attempt = null;
+        recorder.attempt = null;
         UndertowClient.getInstance()
-                .connect(callback(slot, listener), URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
-        IoFuture<StreamConnection> attempt = thread.attempt;
+                .connect(callback(slot, listener), URI.create("http://" + address), recorder, buffers, OptionMap.EMPTY);
+        IoFuture<StreamConnection> attempt = recorder.attempt;
         if (attempt == null) {
             slot.release();
             return null;
--- a/src/main/java/org/hollypick/io/EventLoop.java
+++ b/src/main/java/org/hollypick/io/EventLoop.java
@@ -3,19 +3,21 @@
 import java.util.function.Consumer;
 
 /**
- * What a controller needs of the world around it: clocks, timers and requests. Tests put a simulated world in its
- * place. All callbacks run on one thread.
+ * The clocks, timers and HTTP client of a controller, which tests replace by a simulation. All tasks and callbacks run
+ * on one thread.
  */
 public interface EventLoop {
-    /** The steady clock, in milliseconds. */
+    /** The monotonic clock, in milliseconds from an arbitrary origin. */
     long now();
 
-    /** The time of day, in milliseconds since the epoch; within some tens of milliseconds of other controllers'. */
+    /**
+     * The wall clock, in milliseconds since the epoch; within some tens of milliseconds of other controllers' clocks.
+     */
     long wallClockMs();
 
-    /** Runs the task on the event loop after that many milliseconds. */
+    /** Runs a task on the event loop after {@code ms} milliseconds. */
     void after(long ms, Runnable task);
 
-    /** Sends a request; the callback is called exactly once, on the event loop, and never inside this call. */
+    /** Sends a request; the callback runs exactly once, on the event loop, and never during this call. */
     void send(Request request, Consumer<Response> callback);
 }
--- a/src/main/java/org/hollypick/io/HttpClient.java
+++ b/src/main/java/org/hollypick/io/HttpClient.java
@@ -15,9 +15,10 @@
 final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
 
-    /** Watches wait for long; they have connections of their own, so that nothing waits behind them. */
+    /** Requests for a watch, which take long: separate connections keep other requests from waiting for them. */
     private static final String WATCH_PATH = "/watch";
 
+    /** Appended to an address to form the key of the pool for watches. */
     private static final String WATCH_POOL_SUFFIX = "#watch";
 
     private final XnioIoThread thread;
@@ -25,12 +26,12 @@
     private final Set<String> criticalAddresses;
     private final int maxIdleConnections;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
-    /** The idle connections of all pools, the one unused for longest first. */
+    /** The idle connections of all pools, least recently used first. */
     private final Map<ClientConnection, ConnectionPool> idleConnections = new LinkedHashMap<>();
 
     private boolean capacityExhaustionLogged;
 
-    /** {@code criticalAddresses}: services whose requests may use the connections kept for control traffic. */
+    /** {@code criticalAddresses}: services whose connections count as {@link ConnectionBudget.Kind#CONTROL}. */
     HttpClient(XnioIoThread thread, Connector connector, Set<String> criticalAddresses, int maxIdleConnections) {
         this.thread = thread;
         this.connector = connector;
@@ -38,7 +39,7 @@
         this.maxIdleConnections = maxIdleConnections;
     }
 
-    /** Sends the request; the callback is called exactly once, as an event of its own. */
+    /** Sends a request; the callback runs exactly once, as a separate task of the event loop. */
     void send(Request request, Consumer<Response> callback) {
         String key = request.path().startsWith(WATCH_PATH) ? request.address() + WATCH_POOL_SUFFIX : request.address();
         ConnectionPool pool = pools.computeIfAbsent(key, absent -> new ConnectionPool(this, absent));
@@ -53,14 +54,17 @@
         return connector;
     }
 
-    /** What a connection for the request counts as. */
+    /** The kind that a connection for the request is counted as. */
     ConnectionBudget.Kind kindOf(Request request) {
         return request.toPeer() || criticalAddresses.contains(request.address())
                 ? ConnectionBudget.Kind.CONTROL
                 : ConnectionBudget.Kind.COMMANDS;
     }
 
-    /** Whether a new connection may be opened; closes an idle one for it if need be. Control traffic always may. */
+    /**
+     * Whether a new connection may be opened; closes an idle one first if the budget has no capacity left. Connections
+     * for control traffic may always be opened.
+     */
     boolean mayConnect(ConnectionBudget.Kind kind) {
         if (!connector.budget().hasCapacity(kind)) {
             closeIdle(idleConnections.size() - 1);
@@ -68,23 +72,23 @@
         return connector.budget().hasCapacity(kind) || kind == ConnectionBudget.Kind.CONTROL;
     }
 
-    /** A connection of the pool waits for its next use. */
+    /** Adds an idle connection of the pool, closing the least recently used ones if there are too many. */
     void addIdle(ClientConnection connection, ConnectionPool pool) {
         idleConnections.put(connection, pool);
         closeIdle(maxIdleConnections);
     }
 
-    /** The connection is in use again. */
+    /** Removes a connection that is in use again. */
     void removeIdle(ClientConnection connection) {
         idleConnections.remove(connection);
     }
 
-    /** Machines come and go; the pools of their addresses must not pile up. */
+    /** Removes an unused pool: the addresses of machines change, and unused pools would accumulate. */
     void removePool(ConnectionPool pool) {
         pools.remove(pool.key(), pool);
     }
 
-    /** Logs the first request that wasn't sent for want of something in this process. */
+    /** Logs the first request that was not sent because this process lacked capacity; later ones are not logged. */
     void logFirstCapacityExhaustion(String reason) {
         if (!capacityExhaustionLogged) {
             capacityExhaustionLogged = true;
@@ -92,13 +96,13 @@
         }
     }
 
-    /** Closes the connections unused for longest, until at most that many are idle. */
+    /** Closes the least recently used idle connections until at most {@code remaining} are left. */
     private void closeIdle(int remaining) {
         while (!idleConnections.isEmpty() && idleConnections.size() > remaining) {
-            Map.Entry<ClientConnection, ConnectionPool> eldest =
+            Map.Entry<ClientConnection, ConnectionPool> leastRecentlyUsed =
                     idleConnections.entrySet().iterator().next();
-            ClientConnection connection = eldest.getKey();
-            ConnectionPool pool = eldest.getValue();
+            ClientConnection connection = leastRecentlyUsed.getKey();
+            ConnectionPool pool = leastRecentlyUsed.getValue();
             idleConnections.remove(connection);
             pool.removeIdle(connection);
             IoUtils.safeClose(connection);
--- a/src/main/java/org/hollypick/io/HttpExchange.java
+++ b/src/main/java/org/hollypick/io/HttpExchange.java
@@ -19,16 +19,16 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 
-/** One request and its response; finishes exactly once. Confined to the event loop. */
+/** A request and its response, or its failure; finishes exactly once. Confined to the event loop. */
 final class HttpExchange implements Connector.Listener {
     private final HttpClient client;
     private final ConnectionPool pool;
     private final Request request;
     private final Consumer<Response> callback;
     private XnioExecutor.Key timeout;
-    /** The attempt to connect; null if there was none. */
+    /** The connection attempt; null if none was made. */
     private IoFuture<StreamConnection> attempt;
-    /** The connection that the request is sent over; null until then. */
+    /** The connection that the request is sent over; null until there is one. */
     private ClientConnection connection;
 
     private boolean isStarted;
@@ -61,10 +61,13 @@
         timeout = client.thread().executeAfter(XnioEventLoop.guarded(this::timedOut), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** If this process was held up, what has arrived meanwhile is read before the timeout counts. */
+    /**
+     * Called when the timeout expires. An exchange that is still queued fails; any other fails after a grace period, in
+     * which a response that arrived while this process was paused can still be read.
+     */
     private void timedOut() {
         if (!isStarted) {
-            failForLackOfCapacity("waited for other calls to " + request.address());
+            failForLackOfCapacity("timed out in the queue for a connection to " + request.address());
         } else if (!isInGracePeriod) {
             isInGracePeriod = true;
             scheduleTimeout(NetworkConstants.TIMEOUT_GRACE_MS);
@@ -73,19 +76,19 @@
         }
     }
 
-    // ---- end ----
+    // ---- completion ----
 
     private void fail() {
         fail(isSent ? Response.noResponse() : Response.notSent());
     }
 
-    /** Ends the exchange as one that wasn't sent for want of something in this process. */
+    /** Fails the exchange with {@link Response.Failure#NO_CAPACITY} and logs the reason of the first such failure. */
     void failForLackOfCapacity(String reason) {
         client.logFirstCapacityExhaustion(reason);
         fail(Response.noCapacity());
     }
 
-    /** Ends the exchange with a failure; its connection is closed. */
+    /** Fails the exchange and closes its connection. */
     void fail(Response failure) {
         finish(failure, false);
     }
@@ -100,18 +103,18 @@
             IoUtils.safeClose(connection);
         }
         if (attempt != null && connection == null) {
-            attempt.cancel(); // to an unreachable address it would hold its socket for minutes
+            attempt.cancel(); // an attempt to connect to an unreachable address holds its socket for minutes
         }
         if (isStarted) {
             pool.release(isConnectionReusable ? connection : null);
         }
-        // Never inside the sender's own call: responses always come as events of their own.
+        // A separate task: the callback must never run inside the sender's call.
         client.thread().execute(XnioEventLoop.guarded(() -> callback.accept(response)));
     }
 
     // ---- connection ----
 
-    /** The exchange counts as one of the pool's exchanges in flight from now on. */
+    /** Marks the exchange as started: the pool counts it as in flight until it finishes. */
     void markStarted() {
         isStarted = true;
     }
@@ -134,21 +137,22 @@
         if (cause instanceof ConnectException || isFinished) {
             fail();
         } else {
-            failForLackOfCapacity(cause.toString()); // the other side can only refuse; the rest is this system's own
+            // The other system can only refuse a connection; any other error is caused by this one.
+            failForLackOfCapacity(cause.toString());
         }
     }
 
     // ---- request and response ----
 
-    void sendOver(ClientConnection open) {
-        connection = open;
+    void sendOver(ClientConnection openConnection) {
+        connection = openConnection;
         if (!request.validWhile().getAsBoolean()) {
             fail(Response.notSent());
             return;
         }
         isSent = true;
         byte[] body = request.body() == null ? null : Codec.write(request.body(), request.toPeer());
-        open.sendRequest(clientRequest(body), new ClientCallback<>() {
+        openConnection.sendRequest(clientRequest(body), new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
                 exchange.setResponseListener(responseListener());
@@ -183,7 +187,7 @@
             @Override
             public void completed(ClientExchange exchange) {
                 int status = exchange.getResponse().getResponseCode();
-                new BodyReader(body -> received(status, body), HttpExchange.this::fail)
+                new BodyReader(body -> responseReceived(status, body), HttpExchange.this::fail)
                         .read(exchange.getResponseChannel());
             }
 
@@ -194,7 +198,7 @@
         };
     }
 
-    private void received(int status, byte[] body) {
+    private void responseReceived(int status, byte[] body) {
         JsonNode tree = Codec.read(body, request.toPeer());
         finish(new Response(status, tree == null ? MissingNode.getInstance() : tree), true);
     }
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 
-/** The HTTP server of a controller: one endpoint for users and agents in CBOR, one for peers in JSON. */
+/** The HTTP server of a controller: a public endpoint for users and agents (CBOR), and one for peers (JSON). */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
@@ -26,18 +26,27 @@
     private static final String HEARTBEAT_PATH = "/hello";
     private static final int PARSE_TIMEOUT_MS = 10_000;
 
-    /** What a connection is for, by its first request. */
+    /** The kind that a connection is counted as, determined by its first request. */
     private static final AttachmentKey<ConnectionBudget.Kind> KIND = AttachmentKey.create(ConnectionBudget.Kind.class);
 
-    /** Answers requests, at once or later, always on the event loop. */
+    /** Handles the requests of one endpoint, on the event loop. */
     public interface Service {
-        /** Answers one request; {@code target}: path and query. */
+        /**
+         * Handles a request.
+         *
+         * @param target path and query
+         * @param responder receives the response, during this call or later
+         */
         void handle(String method, String target, byte[] body, Consumer<ServerResponse> responder);
     }
 
     private HttpServer() {}
 
-    /** Opens both endpoints. Fails with an exception, and nothing open, if one of the addresses can't be bound. */
+    /**
+     * Opens both endpoints.
+     *
+     * @throws RuntimeException if one of the addresses can't be bound; neither endpoint is open then
+     */
     public static Undertow start(
             XnioWorker worker,
             ByteBufferPool buffers,
@@ -64,7 +73,7 @@
         try {
             server.start();
         } catch (RuntimeException e) {
-            server.stop(); // one of the two may have been opened
+            server.stop(); // the public endpoint may already be open
             throw e;
         }
         return server;
@@ -92,7 +101,7 @@
                             Endpoint::receiveFailed);
         }
 
-        /** Counts the connection in the budget until it is closed, at its first request. */
+        /** Counts the connection in the budget, from its first request until it is closed. */
         private void countConnection(HttpServerExchange exchange) {
             if (exchange.getConnection().getAttachment(KIND) != null) {
                 return;
@@ -130,14 +139,14 @@
             }
         }
 
-        private void send(HttpServerExchange exchange, ServerResponse decided) {
+        private void send(HttpServerExchange exchange, ServerResponse handlerResponse) {
             if (exchange.isResponseStarted()) {
                 return;
             }
             if (budget.shouldCloseAfterResponse(exchange.getConnection().getAttachment(KIND))) {
-                exchange.setPersistent(false); // the other side connects again with its next request
+                exchange.setPersistent(false); // the sender opens a new connection for its next request
             }
-            ServerResponse response = decided.orRefusalIfInvalid();
+            ServerResponse response = handlerResponse.orRefusalIfInvalid();
             exchange.setStatusCode(response.status());
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, Codec.contentType(isForPeers));
             if (response.retryAfterS() > 0) {
--- a/src/main/java/org/hollypick/io/Request.java
+++ b/src/main/java/org/hollypick/io/Request.java
@@ -9,10 +9,10 @@
  * @param address host and port
  * @param path path and query
  * @param body null for a request without one
- * @param timeoutMs milliseconds after which the request counts as failed
- * @param toPeer whether it goes to another controller: the body is JSON, not CBOR
- * @param validWhile checked at the moment of sending, since the request may have waited for a connection, or the
- *     process may have been paused, after it was decided on; if false, it isn't sent
+ * @param timeoutMs milliseconds after which the request fails
+ * @param toPeer whether the receiver is another controller: the body is JSON then, otherwise CBOR
+ * @param validWhile whether the request may still be sent; checked just before sending, since the request may have
+ *     waited for a connection or the process may have been paused. If false, the request is not sent
  */
 public record Request(
         String address,
@@ -22,17 +22,17 @@
         long timeoutMs,
         boolean toPeer,
         BooleanSupplier validWhile) {
-    /** A request that is valid at any time. */
+    /** Creates a request that is always valid. */
     public Request(String address, String method, String path, JsonNode body, long timeoutMs, boolean toPeer) {
         this(address, method, path, body, timeoutMs, toPeer, () -> true);
     }
 
-    /** A request with a CBOR body. */
+    /** Creates a request with a CBOR body that is always valid. */
     public static Request of(String address, String method, String path, JsonNode body, long timeoutMs) {
         return new Request(address, method, path, body, timeoutMs, false);
     }
 
-    /** The same request, only sent while that holds. */
+    /** Returns this request with a condition that must hold when it is sent. */
     public Request onlyWhile(BooleanSupplier validWhile) {
         return new Request(address, method, path, body, timeoutMs, toPeer, validWhile);
     }
--- a/src/main/java/org/hollypick/io/Response.java
+++ b/src/main/java/org/hollypick/io/Response.java
@@ -4,24 +4,27 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 
 /**
- * The outcome of a {@link Request}: what the other system answered, or how the request failed. Immutable.
+ * The outcome of a {@link Request}: the response that was received, or how the request failed. Immutable.
  *
  * @param status the HTTP status, or the {@link Failure#code()} of a failure
- * @param body the body of the answer; a missing node if there is none
+ * @param body the body of the response; a missing node if there is none or if it is malformed
  */
 public record Response(int status, JsonNode body) {
     /**
-     * Why a request has no answer. The codes are part of the protocol by which controllers forward requests for one
-     * another, so they never change.
+     * Why a request has no response. The codes are part of the protocol by which controllers forward requests for one
+     * another, and therefore never change.
      */
     public enum Failure {
-        /** The request was sent, or may have been: it may have been executed, or may be yet. */
+        /** The request was sent, or may have been: the receiver may have executed it, or may still execute it. */
         NO_RESPONSE(0),
-        /** No connection could be made. The request was never sent and won't be sent later. */
+        /**
+         * The request was not sent and will not be sent later, for example because no connection could be made, the
+         * queue for its address was full, or the request was no longer valid.
+         */
         NOT_SENT(-1),
         /**
-         * Never sent for a reason of this process: no socket was left, or the request's turn didn't come. Tells nothing
-         * about the other system.
+         * The request was not sent because this process lacked capacity: no socket was free, connecting failed with a
+         * local error, or the request timed out in the queue for a connection. Says nothing about the other system.
          */
         NO_CAPACITY(-2);
 
@@ -31,48 +34,48 @@
             this.code = code;
         }
 
-        /** What stands for the failure in the place of an HTTP status; at most 0. */
+        /** The number that represents the failure in place of an HTTP status; 0 or negative. */
         public int code() {
             return code;
         }
     }
 
-    /** A failed request. */
+    /** The outcome of a request that failed in the given way. */
     private static Response failed(Failure failure) {
         return new Response(failure.code(), MissingNode.getInstance());
     }
 
-    /** A request that failed with {@link Failure#NO_CAPACITY}. */
+    /** The outcome of a request that failed with {@link Failure#NO_CAPACITY}. */
     public static Response noCapacity() {
         return failed(Failure.NO_CAPACITY);
     }
 
-    /** A request that failed with {@link Failure#NOT_SENT}. */
+    /** The outcome of a request that failed with {@link Failure#NOT_SENT}. */
     public static Response notSent() {
         return failed(Failure.NOT_SENT);
     }
 
-    /** A request that failed with {@link Failure#NO_RESPONSE}. */
+    /** The outcome of a request that failed with {@link Failure#NO_RESPONSE}. */
     public static Response noResponse() {
         return failed(Failure.NO_RESPONSE);
     }
 
-    /** Whether the other system answered, with whatever status. */
+    /** Whether a response was received, with any status. */
     public boolean isAnswered() {
         return status > 0;
     }
 
-    /** Whether the request failed in that way. */
+    /** Whether the request failed in the given way. */
     public boolean failedWith(Failure failure) {
         return status == failure.code();
     }
 
-    /** Whether the request was certainly never sent, so that it can't be executed later. */
+    /** Whether the request is known not to have been sent, which rules out that it is executed later. */
     public boolean wasNeverSent() {
         return status < 0;
     }
 
-    /** Whether the other system answered with 200 (OK). */
+    /** Whether the response has status 200 (OK). */
     public boolean ok() {
         return status == 200;
     }
--- a/src/main/java/org/hollypick/io/ServerResponse.java
+++ b/src/main/java/org/hollypick/io/ServerResponse.java
@@ -9,41 +9,41 @@
  * A controller's response to a request.
  *
  * @param retryAfterS seconds for the Retry-After header; 0 for none
- * @param validWhile checked at the moment of sending: a response that rests on a lease which has ended since it was
- *     decided on isn't sent
+ * @param validWhile whether the response may still be sent; checked just before sending, since the lease that the
+ *     response depends on may have expired in the meantime
  */
 public record ServerResponse(int status, JsonNode body, int retryAfterS, BooleanSupplier validWhile) {
-    /** A response that is valid at any time. */
+    /** Creates a response that is always valid. */
     public ServerResponse(int status, JsonNode body, int retryAfterS) {
         this(status, body, retryAfterS, () -> true);
     }
 
-    /** The same response, only sent while that holds. */
+    /** Returns this response with a condition that must hold when it is sent. */
     public ServerResponse onlyWhile(BooleanSupplier validWhile) {
         return new ServerResponse(status, body, retryAfterS, validWhile);
     }
 
-    /** What is to be sent now: this response, or a refusal if it isn't valid any more. */
+    /** Returns this response, or a refusal with status 503 if it is no longer valid. Called just before sending. */
     public ServerResponse orRefusalIfInvalid() {
         return validWhile.getAsBoolean() ? this : retryLater("no longer entitled to act");
     }
 
-    /** A response with that status and body. */
+    /** Creates a response that is always valid and has no Retry-After header. */
     public static ServerResponse of(int status, JsonNode body) {
         return new ServerResponse(status, body, 0);
     }
 
-    /** An error with a message for the caller. */
+    /** Creates an error response with a message. */
     public static ServerResponse error(int status, String message) {
         ObjectNode body = Codec.object().put("error", message);
         return new ServerResponse(status, body, 0);
     }
 
     /**
-     * Refused to shed load; the Retry-After of successive refusals differs, so that their senders don't come back
-     * together.
+     * Creates the refusal of a request to shed load. The Retry-After of successive refusals differs to spread out the
+     * retries.
      *
-     * @param refusals how many requests were refused before
+     * @param refusals the number of requests refused before this one
      */
     public static ServerResponse shedLoad(int refusals) {
         return new ServerResponse(
@@ -52,7 +52,7 @@
                 NetworkConstants.RETRY_AFTER_S + Math.floorMod(refusals, NetworkConstants.RETRY_AFTER_SPREAD_S));
     }
 
-    /** Refused for now, with the shortest Retry-After. */
+    /** Creates the refusal of a request that may be retried after the shortest Retry-After. */
     public static ServerResponse retryLater(String message) {
         return new ServerResponse(503, Codec.object().put("error", message), NetworkConstants.RETRY_AFTER_S);
     }
--- a/src/main/java/org/hollypick/io/TokenBucket.java
+++ b/src/main/java/org/hollypick/io/TokenBucket.java
@@ -1,17 +1,19 @@
 package org.hollypick.io;
 
-/** A token bucket for rate limits. It holds one second's worth unless its size is set. Confined to the event loop. */
+/**
+ * A token bucket for rate limits. Its capacity is the tokens of one second unless set otherwise. Confined to the event
+ * loop.
+ */
 public final class TokenBucket {
-    /** Tokens that are added a second. */
     private double tokensPerSecond;
-    /** Tokens that the bucket holds at most. */
+    /** The most tokens that can accumulate; at least 1 in effect. */
     private double capacity;
 
     private double tokens;
-    /** When tokens were added last, on the event loop's clock. */
+    /** When tokens were last added, by the event loop's monotonic clock. */
     private long refilledAtMillis;
 
-    /** A full bucket; {@code tokensPerSecond}: the refill rate. */
+    /** Creates a full bucket with a capacity of one second's tokens. */
     public TokenBucket(double tokensPerSecond, long nowMillis) {
         this.tokensPerSecond = tokensPerSecond;
         this.capacity = tokensPerSecond;
@@ -19,23 +21,23 @@
         this.refilledAtMillis = nowMillis;
     }
 
-    /** Sets the tokens a second, and a size of one second's worth. */
+    /** Sets the rate, and the capacity to the tokens of one second. */
     public void setRate(double tokensPerSecond) {
         setRate(tokensPerSecond, tokensPerSecond);
     }
 
-    /** Sets the tokens a second, and how many may be taken at once after a pause. */
+    /** Sets the rate and the capacity. */
     public void setRate(double tokensPerSecond, double capacity) {
         this.tokensPerSecond = tokensPerSecond;
         this.capacity = capacity;
     }
 
-    /** Tokens a second. */
+    /** The rate at which tokens are added. */
     public double tokensPerSecond() {
         return tokensPerSecond;
     }
 
-    /** Tokens that may be taken at once after a pause. */
+    /** The tokens that can be taken at once from a full bucket. */
     public double capacity() {
         return capacity;
     }
@@ -45,13 +47,16 @@
         refilledAtMillis = nowMillis;
     }
 
-    /** Whether that many tokens could be taken now. A cost above the bucket's size needs a full bucket. */
+    /** Whether {@code cost} tokens are available now; for a cost above the capacity, whether the bucket is full. */
     public boolean canTake(double cost, long nowMillis) {
         refill(nowMillis);
         return tokens >= Math.min(cost, Math.max(1, capacity));
     }
 
-    /** Takes the tokens, going below zero if need be: renewals of leases don't wait. */
+    /**
+     * Takes the tokens, going below zero if necessary: urgent requests, such as session renewals, are sent without
+     * waiting for tokens.
+     */
     public void take(double cost, long nowMillis) {
         refill(nowMillis);
         tokens -= cost;
--- a/src/main/java/org/hollypick/io/XnioEventLoop.java
+++ b/src/main/java/org/hollypick/io/XnioEventLoop.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** The event loop of a real process: one XNIO I/O thread, with Undertow's HTTP client on the same thread. */
+/** The event loop in production: an XNIO I/O thread, which also runs Undertow's HTTP client. */
 public final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
 
@@ -16,11 +16,12 @@
     private final HttpClient httpClient;
 
     /**
-     * Runs on {@code thread}.
+     * Creates an event loop on {@code thread}.
      *
-     * @param budget limits the open connections, together with the server's
-     * @param criticalAddresses the services that this controller can't do without
-     * @param maxIdleConnections client connections kept open for later use
+     * @param budget limits the connections of the client and the server together
+     * @param criticalAddresses the services that this controller can't work without; their connections count as
+     *     {@link ConnectionBudget.Kind#CONTROL}
+     * @param maxIdleConnections the most idle client connections that are kept for reuse
      */
     public XnioEventLoop(
             XnioIoThread thread,
@@ -53,7 +54,7 @@
         httpClient.send(request, callback);
     }
 
-    /** The same task, whose exceptions are logged and don't end the loop. */
+    /** Wraps a task so that its exceptions are logged and don't end the event loop. */
     static Runnable guarded(Runnable task) {
         return () -> {
             try {
--- a/src/test/java/org/hollypick/KnownRedList.java
+++ b/src/test/java/org/hollypick/KnownRedList.java
@@ -18,10 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The list of tests that fail for a known fault, and the tests that carry the tag which leaves them out of the build.
+ * Reads KNOWN-RED.txt, the list of tests that fail because of a known fault, and compares it with the tests whose tag
+ * excludes them from the build.
  */
 final class KnownRedList {
-    /** The tag that the build leaves out, as pom.xml names it. */
+    /** The tag of the tests that the build excludes, as configured in pom.xml. */
     static final String TAG = "known-red";
 
     private static final Pattern ENTRY =
@@ -31,10 +32,10 @@
      * An entry of the list.
      *
      * @param test class and method, as in {@code SomeTest.someMethod}
-     * @param command the command that runs this test alone, as it stands
+     * @param command the complete command that runs only this test
      */
     record Entry(String test, String command) {
-        /** Whether the command runs this very test, though it is tagged. */
+        /** Whether the command runs this test, in spite of its tag. */
         boolean commandRunsTest() {
             return command.contains("-Dexcluded.tags= ") && command.contains("-Dtest=" + test.replace('.', '#'));
         }
@@ -42,12 +43,12 @@
 
     private KnownRedList() {}
 
-    /** Reads the list; a missing file is an empty list. */
+    /** Reads the list; returns an empty list if the file does not exist. */
     static List<Entry> read(Path file) throws IOException {
         return Files.exists(file) ? parse(Files.readAllLines(file)) : List.of();
     }
 
-    /** One entry a line; blank lines don't count. */
+    /** Parses one entry per line, ignoring blank lines. */
     static List<Entry> parse(List<String> lines) {
         List<Entry> entries = new ArrayList<>();
         for (String line : lines) {
@@ -56,14 +57,14 @@
             }
             Matcher matcher = ENTRY.matcher(line);
             if (!matcher.matches()) {
-                throw new IllegalArgumentException("not an entry: " + line);
+                throw new IllegalArgumentException("malformed entry in KNOWN-RED.txt: " + line);
             }
             entries.add(new Entry(matcher.group(1), matcher.group(2)));
         }
         return entries;
     }
 
-    /** The tests that carry the tag, by themselves or by their class. */
+    /** The names of the tests that carry the tag, on the method or on the class. */
     static Set<String> taggedTests(JavaClasses classes) {
         Set<String> tagged = new TreeSet<>();
         for (JavaClass type : classes) {
@@ -78,33 +79,39 @@
     }
 
     private static boolean isTagged(JavaClass type) {
-        return type.tryGetAnnotationOfType(Tag.class).map(KnownRedList::names).orElse(false)
+        return type.tryGetAnnotationOfType(Tag.class)
+                        .map(KnownRedList::isKnownRed)
+                        .orElse(false)
                 || type.tryGetAnnotationOfType(Tags.class)
-                        .map(KnownRedList::names)
+                        .map(KnownRedList::isKnownRed)
                         .orElse(false);
     }
 
     private static boolean isTagged(JavaMethod method) {
-        return method.tryGetAnnotationOfType(Tag.class).map(KnownRedList::names).orElse(false)
+        return method.tryGetAnnotationOfType(Tag.class)
+                        .map(KnownRedList::isKnownRed)
+                        .orElse(false)
                 || method.tryGetAnnotationOfType(Tags.class)
-                        .map(KnownRedList::names)
+                        .map(KnownRedList::isKnownRed)
                         .orElse(false);
     }
 
-    private static boolean names(Tag tag) {
+    private static boolean isKnownRed(Tag tag) {
         return tag.value().equals(TAG);
     }
 
-    private static boolean names(Tags tags) {
+    private static boolean isKnownRed(Tags tags) {
         for (Tag tag : tags.value()) {
-            if (names(tag)) {
+            if (isKnownRed(tag)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** What is wrong between the tagged tests and the list; empty if the build leaves out exactly the listed tests. */
+    /**
+     * Describes each mismatch between the tagged and the listed tests; empty if the build excludes exactly the listed.
+     */
     static List<String> differences(Set<String> tagged, List<Entry> entries) {
         List<String> differences = new ArrayList<>();
         Set<String> listed = new HashSet<>();
--- a/src/test/java/org/hollypick/KnownRedListTest.java
+++ b/src/test/java/org/hollypick/KnownRedListTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** The build leaves out exactly the tests that KNOWN-RED.txt lists: a tag alone would hide a failing test. */
+/** Checks that the build excludes exactly the tests listed in KNOWN-RED.txt: a tag alone would hide a failing test. */
 class KnownRedListTest {
-    /** Holds no test: its tagged method only shows that tags are found. */
+    /** Contains no tests; the tagged method is there for the search to find. */
     static final class Tagged {
         @Tag(KnownRedList.TAG)
         void red() {}
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which: the layout that README.md tells of stays true. */
+/** Checks the dependencies between packages and the other rules of the layout that README.md documents. */
 @AnalyzeClasses(packages = "org.hollypick", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayoutTest {
     @ArchTest
@@ -72,7 +72,7 @@
             .mayOnlyBeAccessedByLayers(
                     "peer", "protocols", "cluster", "relay", "records", "control", "api", "controller", "cli");
 
-    /** Whoever uses the client library needs nothing of the server. */
+    /** Programs that use the client library need none of the server's packages. */
     @ArchTest
     static final ArchRule CLIENT_DOES_NOT_DEPEND_ON_SERVER = noClasses()
             .that()
@@ -109,8 +109,8 @@
                     "org.slf4j..");
 
     /**
-     * Names that are on the wire or in stored keys, but not in the code's own language, each with the files that may
-     * spell it out: StoreRequests names a key that is never written.
+     * Names in messages and stored keys that differ from the names used in the code, each with the only files that may
+     * contain it. StoreRequests contains the prefix of stored keys since it reads a key that is never written.
      */
     private static final Map<String, List<String>> WIRE_NAMES = Map.of(
             "\"baton\"", List.of("io/WireNames.java"),
--- a/src/test/java/org/hollypick/io/HttpTest.java
+++ b/src/test/java/org/hollypick/io/HttpTest.java
@@ -28,7 +28,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The server and the client over a real loopback socket. */
+/** Tests the HTTP server and the HTTP client against each other over loopback sockets. */
 class HttpTest {
     private XnioWorker worker;
     private XnioEventLoop eventLoop;
@@ -48,16 +48,16 @@
         budget = new ConnectionBudget(100);
         eventLoop = new XnioEventLoop(worker.getIoThread(), buffers, budget, Set.of(), 10);
         serverAddress = freeAddress();
-        HttpServer.Service echo = (method, path, body, answer) -> {
+        HttpServer.Service echo = (method, path, body, responder) -> {
             if (path.equals("/hang")) {
                 return;
             }
             var tree = Codec.read(body, false);
             if (path.equals("/none")) {
-                answer.accept(ServerResponse.error(404, "none"));
+                responder.accept(ServerResponse.error(404, "none"));
                 return;
             }
-            answer.accept(
+            responder.accept(
                     path.equals("/later")
                             ? ServerResponse.retryLater("busy")
                             : ServerResponse.of(
@@ -80,15 +80,15 @@
     }
 
     private static String freeAddress() throws Exception {
-        try (ServerSocket s = new ServerSocket(0)) {
-            return "127.0.0.1:" + s.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            return "127.0.0.1:" + socket.getLocalPort();
         }
     }
 
-    private Response call(Request call) throws Exception {
-        BlockingQueue<Response> got = new ArrayBlockingQueue<>(1);
-        eventLoop.after(0, () -> eventLoop.send(call, got::add));
-        Response response = got.poll(10, TimeUnit.SECONDS);
+    private Response call(Request request) throws Exception {
+        BlockingQueue<Response> responses = new ArrayBlockingQueue<>(1);
+        eventLoop.after(0, () -> eventLoop.send(request, responses::add));
+        Response response = responses.poll(10, TimeUnit.SECONDS);
         assertNotNull(response);
         return response;
     }
@@ -96,10 +96,10 @@
     @Test
     void smallAndLargeBodiesAreSentAndReceivedOverReusedConnections() throws Exception {
         for (String text : new String[] {"x", "y".repeat(60_000), "z"}) {
-            Response r = call(
+            Response response = call(
                     Request.of(serverAddress, "POST", "/echo", Codec.object().put("text", text), 5_000));
-            assertEquals(200, r.status());
-            assertEquals(text, r.body().path("text").asText());
+            assertEquals(200, response.status());
+            assertEquals(text, response.body().path("text").asText());
         }
         assertEquals(
                 "GET",
@@ -121,42 +121,43 @@
     }
 
     /**
-     * Given-up attempts kept their sockets, until a controller that tried machines in the partitioned had none left.
+     * Guards against a socket leak: if connection attempts keep their sockets after their timeout, a controller that
+     * keeps trying unreachable machines runs out of sockets.
      */
     @Test
     void abandonedConnectionAttemptReleasesItsSocket() throws Exception {
-        try (ServerSocket dark = new ServerSocket(0, 1)) {
-            // Nobody accepts: beyond the backlog connections hang without an error.
-            List<Socket> fill = new ArrayList<>();
+        try (ServerSocket unresponsive = new ServerSocket(0, 1)) {
+            // No connection is accepted: once the backlog is full, further attempts hang without an error.
+            List<Socket> backlog = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                SocketChannel c = SocketChannel.open();
-                c.configureBlocking(false);
-                c.connect(dark.getLocalSocketAddress());
-                fill.add(c.socket());
+                SocketChannel channel = SocketChannel.open();
+                channel.configureBlocking(false);
+                channel.connect(unresponsive.getLocalSocketAddress());
+                backlog.add(channel.socket());
             }
-            String to = "127.0.0.1:" + dark.getLocalPort();
-            Set<Integer> answers = new HashSet<>();
+            String address = "127.0.0.1:" + unresponsive.getLocalPort();
+            Set<Integer> statuses = new HashSet<>();
             for (int i = 0; i < 4; i++) {
-                answers.add(call(Request.of(to, "GET", "/", null, 200)).status());
+                statuses.add(call(Request.of(address, "GET", "/", null, 200)).status());
             }
             assertTrue(
-                    answers.stream()
-                            .allMatch(s ->
-                                    s == Response.Failure.NOT_SENT.code() || s == Response.Failure.NO_RESPONSE.code()),
-                    answers.toString());
+                    statuses.stream()
+                            .allMatch(status -> status == Response.Failure.NOT_SENT.code()
+                                    || status == Response.Failure.NO_RESPONSE.code()),
+                    statuses.toString());
             for (int i = 0; i < 100 && budget.open(ConnectionBudget.Kind.COMMANDS) > 0; i++) {
                 Thread.sleep(20);
             }
             assertEquals(0, budget.open(ConnectionBudget.Kind.COMMANDS));
-            for (Socket s : fill) {
-                s.close();
+            for (Socket socket : backlog) {
+                socket.close();
             }
         }
     }
 
     /**
-     * What this controller has no room for says nothing about the other side; the services that it can't do without
-     * have room all the same.
+     * A request that is not sent because this controller lacks capacity says nothing about the receiver. Control
+     * traffic is sent even without capacity.
      */
     @Test
     void requestFailsWithNoCapacityWhileControlRequestsStillConnect() throws Exception {
@@ -176,21 +177,21 @@
         assertTrue(
                 sendRaw("POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
                         .contains("Connection: close"),
-                "reports give way after their answer");
+                "a connection for heartbeats was kept beyond the reserve");
         assertFalse(
                 sendRaw("GET /echo HTTP/1.1\r\nHost: x\r\n\r\n").contains("Connection: close"),
-                "users have their floor");
+                "a connection within the reserve for users was closed");
     }
 
     private String sendRaw(String request) throws Exception {
-        try (Socket s = new Socket(
+        try (Socket socket = new Socket(
                 "127.0.0.1", Integer.parseInt(serverAddress.substring(serverAddress.lastIndexOf(':') + 1)))) {
-            s.setSoTimeout(5_000);
-            s.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            InputStream in = s.getInputStream();
+            socket.setSoTimeout(5_000);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+            InputStream input = socket.getInputStream();
             byte[] buffer = new byte[4096];
-            int n = in.read(buffer);
-            return n < 0 ? "" : new String(buffer, 0, n, StandardCharsets.ISO_8859_1);
+            int bytesRead = input.read(buffer);
+            return bytesRead < 0 ? "" : new String(buffer, 0, bytesRead, StandardCharsets.ISO_8859_1);
         }
     }
 
