--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -94,7 +94,7 @@
                 admission,
                 localJobs,
                 new LeaderClient(eventLoop, settings, membership));
-        GraphApi graphs = operator.graphs()
+        GraphApi graphs = operator.graphsEnabled()
                 ? new GraphApi(eventLoop, settings, replica, membership, users, localJobs, admission)
                 : null;
         this.leaseRenewal = new PartitionedLeaseRenewal(eventLoop, settings, replica, membership, terms);
@@ -104,14 +104,14 @@
                 membership,
                 store,
                 leaseRenewal,
-                heartbeat -> terms.respondAsLeader(heartbeat, settings.node()));
+                heartbeat -> terms.respondAsLeader(heartbeat, settings.controllerName()));
         this.publicRequests =
-                new PublicRequestDispatcher(heartbeatRelay, users, graphs, operator.estimates(), this::isReady);
+                new PublicRequestDispatcher(heartbeatRelay, users, graphs, operator.estimatesEnabled(), this::isReady);
         this.peerEndpoints = new PeerEndpoints(eventLoop, membership, terms);
         peerEndpoints.serveLeasesAndHeartbeats(heartbeatRelay);
         peerEndpoints.serveRelayedStoreRequests(store.router());
         peerEndpoints.serveReachability(agentClient);
-        peerEndpoints.serveUserRequests(users, operator.estimates());
+        peerEndpoints.serveUserRequests(users, operator.estimatesEnabled());
         if (graphs != null) {
             peerEndpoints.serveGraphs(graphs);
         }
@@ -119,7 +119,7 @@
 
     /** Registers this controller with the others and starts its components; requests are answered from then on. */
     public void start() {
-        LOG.info("controller.started controller={} zone={}", settings.node(), settings.zone());
+        LOG.info("controller.started controller={} zone={}", settings.controllerName(), settings.zone());
         membership.start();
         leaseRenewal.start();
         replica.start();
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -73,7 +73,7 @@
     /** The milliseconds for which a peer may relay this leader's responses: at most the rest of the leader lease. */
     private long relayValidityMs(LeaderTerm term) {
         long leaseMs = membership.leaderLeaseValidUntil(term.token()) - eventLoop.now();
-        return Math.min(RelayConstants.RELAY_VALIDITY_MS, leaseMs);
+        return Math.min(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS, leaseMs);
     }
 
     /** Registers the handlers that forward requests to the key-value store for peers that can't reach it. */
--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -34,7 +34,7 @@
      * The most bits that a fencing token may have: an attempt number appends {@link JobConstants#ATTEMPT_BITS} bits to
      * the token and must fit into a positive {@code long}.
      */
-    private static final int TOKEN_BITS = 63 - JobConstants.ATTEMPT_BITS;
+    private static final int TOKEN_BITS = 63 - JobConstants.ATTEMPT_COUNTER_BITS;
 
     private final ControllerContext context;
     private final EventLoop eventLoop;
@@ -63,7 +63,7 @@
             }
             machineTypes.putAll(listed.get());
             leadershipChanged();
-            eventLoop.after(ReconcileConstants.MACHINE_TYPE_REFRESH_MS, this::start);
+            eventLoop.after(ReconcileConstants.MACHINE_TYPE_REFRESH_INTERVAL_MS, this::start);
         });
     }
 
--- a/src/main/java/org/hollypick/api/GraphForwarding.java
+++ b/src/main/java/org/hollypick/api/GraphForwarding.java
@@ -34,7 +34,7 @@
 
     /** Forwards a request and passes the leader's response on; {@code body}: null if there is none. */
     void forward(String method, String target, JsonNode body, Consumer<ServerResponse> responder) {
-        String leaderAddress = settings.meshAddr(membership.namedLeader());
+        String leaderAddress = settings.peerEndpointAddress(membership.namedLeader());
         if (leaderAddress == null) {
             responder.accept(UserResponses.noLeader());
             return;
--- a/src/main/java/org/hollypick/api/GraphRequestCodec.java
+++ b/src/main/java/org/hollypick/api/GraphRequestCodec.java
@@ -89,7 +89,7 @@
 
     private static int retries(JsonNode retries) throws MalformedRequestException {
         if (isAbsent(retries)) {
-            return GraphConstants.GRAPH_RETRIES;
+            return GraphConstants.DEFAULT_GRAPH_TASK_RETRIES;
         }
         if (!retries.isIntegralNumber() || retries.asInt(-1) < 0 || retries.asInt() > MAX_RETRIES) {
             throw new MalformedRequestException(RETRIES);
@@ -166,7 +166,7 @@
         String text = id.asText("");
         return id.isTextual()
                 && !text.isEmpty()
-                && text.length() <= GraphConstants.GRAPH_ID_LENGTH
+                && text.length() <= GraphConstants.MAX_NODE_ID_CHARACTERS
                 && text.chars().allMatch(GraphRequestCodec::isNodeIdCharacter);
     }
 
--- a/src/main/java/org/hollypick/api/GraphResponseCodec.java
+++ b/src/main/java/org/hollypick/api/GraphResponseCodec.java
@@ -114,7 +114,7 @@
             counts.put(stateName(state), graph.count(state));
         }
         ArrayNode nodes = body.putArray(NODES);
-        int end = Math.min(graph.durableNodes(), firstNode + GraphConstants.GRAPH_PAGE_NODES);
+        int end = Math.min(graph.durableNodes(), firstNode + GraphConstants.MAX_GRAPH_PAGE_NODES);
         for (int node = firstNode; node < end; node++) {
             nodes.add(describeNode(live, node));
         }
--- a/src/main/java/org/hollypick/api/LeaderClient.java
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -34,7 +34,7 @@
     Optional<String> leaderAddress() {
         return eventLoop.now() < unresponsiveUntil
                 ? Optional.empty()
-                : Optional.ofNullable(settings.meshAddr(membership.namedLeader()));
+                : Optional.ofNullable(settings.peerEndpointAddress(membership.namedLeader()));
     }
 
     /** Asks for the status of several jobs; {@code revision} is the newest that this controller answered from. */
@@ -48,7 +48,7 @@
                 true);
         eventLoop.send(request, response -> {
             if (!response.isAnswered()) {
-                unresponsiveUntil = eventLoop.now() + ApiConstants.SILENT_LEADER_MS;
+                unresponsiveUntil = eventLoop.now() + ApiConstants.UNRESPONSIVE_LEADER_BACKOFF_MS;
             }
             callback.accept(PeerCodec.statusAnswer(response, ids));
         });
--- a/src/main/java/org/hollypick/api/StatusQueries.java
+++ b/src/main/java/org/hollypick/api/StatusQueries.java
@@ -52,7 +52,7 @@
         nextBatch.computeIfAbsent(id, absent -> new ArrayList<>()).add(responder);
         if (!batchScheduled) {
             batchScheduled = true;
-            eventLoop.after(ApiConstants.STATUS_BATCH_MS, this::sendBatch);
+            eventLoop.after(ApiConstants.STATUS_QUERY_BATCH_DELAY_MS, this::sendBatch);
         }
     }
 
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -138,13 +138,13 @@
         public void run() {
             try {
                 buffers = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
-                connections = new ConnectionBudget(settings.sockets());
+                connections = new ConnectionBudget(settings.maxSockets());
                 network = new XnioEventLoop(
                         worker.getIoThread(),
                         buffers,
                         connections,
-                        Set.copyOf(List.of(settings.state(), settings.cloud())),
-                        (int) (settings.sockets() * NetworkConstants.IDLE_SOCKET_SHARE));
+                        Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())),
+                        (int) (settings.maxSockets() * NetworkConstants.MAX_IDLE_SOCKET_SHARE));
                 controller = new Controller(network, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
@@ -162,22 +162,23 @@
                         worker,
                         buffers,
                         connections,
-                        settings.publicAddr(),
+                        settings.publicAddress(),
                         controller::handle,
-                        settings.meshAddr(),
+                        settings.peerEndpointAddress(),
                         controller::handlePeerRequest);
                 network.after(0, controller::start);
                 started.complete(server);
             } catch (RuntimeException e) {
-                if (!(e.getCause() instanceof BindException) || ++listenAttempts >= NetworkConstants.LISTEN_ATTEMPTS) {
+                if (!(e.getCause() instanceof BindException)
+                        || ++listenAttempts >= NetworkConstants.MAX_LISTEN_ATTEMPTS) {
                     started.completeExceptionally(e);
                     return;
                 }
                 if (listenAttempts == 1) {
                     LOG.error(
                             "listen.address_in_use users={} mesh={} reason={}",
-                            settings.publicAddr(),
-                            settings.meshAddr(),
+                            settings.publicAddress(),
+                            settings.peerEndpointAddress(),
                             e.getCause().getMessage());
                 }
                 network.after(NetworkConstants.LISTEN_RETRY_MS, this::listen);
--- a/src/main/java/org/hollypick/cluster/IsolationDetector.java
+++ b/src/main/java/org/hollypick/cluster/IsolationDetector.java
@@ -25,7 +25,7 @@
     void peerResponded(boolean peerReachesStore) {
         lastPeerResponseAt = eventLoop.now();
         if (peerReachesStore) {
-            isolatedUntil = eventLoop.now() + ElectionConstants.ISOLATION_MS;
+            isolatedUntil = eventLoop.now() + ElectionConstants.ISOLATION_EXTENSION_MS;
         }
     }
 
@@ -36,6 +36,6 @@
 
     private boolean reachesNeitherStoreNorPeers() {
         long lastContactAt = Math.max(lastPeerResponseAt, session.renewedAt());
-        return !settings.siblings().isEmpty() && eventLoop.now() - lastContactAt > ElectionConstants.SESSION_TTL_MS;
+        return !settings.peers().isEmpty() && eventLoop.now() - lastContactAt > ElectionConstants.SESSION_TTL_MS;
     }
 }
--- a/src/main/java/org/hollypick/cluster/LeaderElection.java
+++ b/src/main/java/org/hollypick/cluster/LeaderElection.java
@@ -66,9 +66,9 @@
 
     private static int candidacyOrder(Settings settings) {
         TreeSet<String> controllers = new TreeSet<>();
-        controllers.add(settings.node());
-        settings.siblings().forEach(peer -> controllers.add(peer.node()));
-        return controllers.headSet(settings.node()).size();
+        controllers.add(settings.controllerName());
+        settings.peers().forEach(peer -> controllers.add(peer.controllerName()));
+        return controllers.headSet(settings.controllerName()).size();
     }
 
     /** Starts a campaign if leadership is vacant and no other operation is in progress. */
@@ -78,11 +78,11 @@
         }
         if (peerLease.forbidsCandidacy() || eventLoop.now() < noCandidacyAfterResignationUntil) {
             state = State.POSTPONED;
-            returnToIdleAfter(ElectionConstants.CANDIDACY_STEP_MS);
+            returnToIdleAfter(ElectionConstants.CANDIDACY_STAGGER_MS);
             return;
         }
         state = State.EVALUATING;
-        eventLoop.after(candidacyOrder * ElectionConstants.CANDIDACY_STEP_MS, this::evaluateCandidacy);
+        eventLoop.after(candidacyOrder * ElectionConstants.CANDIDACY_STAGGER_MS, this::evaluateCandidacy);
     }
 
     private void evaluateCandidacy() {
@@ -119,7 +119,7 @@
         // The outcome is read from the replica; the delay gives the replica time to receive it.
         boolean outcomeKnown = result.committed() || result.conflicted();
         returnToIdleAfter(
-                outcomeKnown ? ElectionConstants.LEADER_RECORD_SETTLE_MS : ElectionConstants.SESSION_RETRY_MS);
+                outcomeKnown ? ElectionConstants.LEADER_RECORD_PROPAGATION_MS : ElectionConstants.STORE_RETRY_MS);
     }
 
     private void returnToIdleAfter(long delayMs) {
--- a/src/main/java/org/hollypick/cluster/MemberRegistration.java
+++ b/src/main/java/org/hollypick/cluster/MemberRegistration.java
@@ -50,7 +50,7 @@
         this.onChange = onChange;
         this.session = new StoreSession(eventLoop, store, this::register, onChange);
         this.relayRevocation = new RelayRevocation(eventLoop, settings);
-        this.earlierRelaysExpireAt = eventLoop.now() + ClockBounds.atMost(RelayConstants.RELAY_VALIDITY_MS);
+        this.earlierRelaysExpireAt = eventLoop.now() + ClockBounds.atMost(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS);
     }
 
     /** Returns the session to which the member key is attached. */
@@ -73,7 +73,7 @@
      * to an earlier process that has ended; its session is ended first.
      */
     void start() {
-        store.get(StoreKeys.member(settings.node()), result -> {
+        store.get(StoreKeys.member(settings.controllerName()), result -> {
             if (result.ok() && result.value().sessionId().isPresent()) {
                 long earlierSession = result.value().sessionId().getAsLong();
                 endEarlierSession(earlierSession, result.value().revision());
@@ -114,7 +114,7 @@
         session.reopen();
         relayRevocation.await(
                 endedMemberRevision,
-                ClockBounds.atMost(RelayConstants.RELAY_VALIDITY_MS),
+                ClockBounds.atMost(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS),
                 () -> store.endSession(
                         endedSession,
                         status -> LOG.info(
@@ -132,8 +132,8 @@
             return;
         }
         MemberRecord member =
-                new MemberRecord(settings.zone(), settings.meshAddr(), resignations.ownResignationTimes());
-        String key = StoreKeys.member(settings.node());
+                new MemberRecord(settings.zone(), settings.peerEndpointAddress(), resignations.ownResignationTimes());
+        String key = StoreKeys.member(settings.controllerName());
         // Conditional on the key's absence: a delayed write must not give the key a new revision, which peers would
         // consider a new incarnation while this one is still active.
         CompareAndSwap transaction = new CompareAndSwap()
@@ -160,7 +160,7 @@
      * been applied although its response reported a failure or was lost.
      */
     private void adoptMemberKey(int incarnation) {
-        store.get(StoreKeys.member(settings.node()), result -> {
+        store.get(StoreKeys.member(settings.controllerName()), result -> {
             if (incarnation != session.incarnation()) {
                 return;
             }
@@ -173,7 +173,7 @@
     }
 
     private void retryCreateMemberKey(int incarnation) {
-        eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> createMemberKey(incarnation));
+        eventLoop.after(ElectionConstants.STORE_RETRY_MS, () -> createMemberKey(incarnation));
     }
 
     private void registered(long memberRevision) {
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -96,12 +96,12 @@
 
     private void requestGrant() {
         long token = membership.leaderRecordRevision();
-        String leaderAddress = settings.meshAddr(membership.namedLeader());
+        String leaderAddress = settings.peerEndpointAddress(membership.namedLeader());
         if (leaderAddress != null && replica.isLoaded()) {
             long sentAt = eventLoop.now();
             long reportedRenewals = renewals;
             RenewalGrantRequest request = new RenewalGrantRequest(
-                    settings.node(),
+                    settings.controllerName(),
                     token,
                     replica.appliedRevision(),
                     lastGrantToken == token ? lastGrantNumber : WorkerLeases.NO_GRANT_NUMBER,
@@ -158,8 +158,8 @@
      * unreachable or this controller is named as leader, and the grant is valid.
      */
     public boolean isActive() {
-        boolean leaderLost =
-                membership.fencingToken() != 0 || eventLoop.now() - leaderRespondedAt > LeaseConstants.LEADER_LOST_MS;
+        boolean leaderLost = membership.fencingToken() != 0
+                || eventLoop.now() - leaderRespondedAt > LeaseConstants.LEADER_UNREACHABLE_AFTER_MS;
         boolean active = grantMs > 0 && leaderLost && !membership.reachesStore() && holdsGrant();
         if (active != loggedAsActive) {
             loggedAsActive = active;
--- a/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
+++ b/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
@@ -49,10 +49,10 @@
     /** Requests the lease periodically while the session's renewals fail. */
     void requestPeriodically() {
         long sinceRenewalMs = eventLoop.now() - registration.session().renewedAt();
-        if (!settings.siblings().isEmpty() && sinceRenewalMs > ElectionConstants.LEASE_GRANT_AFTER_MS) {
+        if (!settings.peers().isEmpty() && sinceRenewalMs > ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS) {
             request();
         }
-        eventLoop.after(ElectionConstants.LEASE_GRANT_INTERVAL_MS, this::requestPeriodically);
+        eventLoop.after(ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS, this::requestPeriodically);
     }
 
     private void request() {
@@ -122,6 +122,6 @@
         String namedLeader = directory.namedLeader();
         return eventLoop.now() < noCandidacyUntil
                 && namedLeader != null
-                && !settings.node().equals(namedLeader);
+                && !settings.controllerName().equals(namedLeader);
     }
 }
--- a/src/main/java/org/hollypick/cluster/ResignationBackoff.java
+++ b/src/main/java/org/hollypick/cluster/ResignationBackoff.java
@@ -28,7 +28,7 @@
     /** Records that this controller resigns now. */
     void recordResignation() {
         ownResignationTimes.add(eventLoop.wallClockMs());
-        if (ownResignationTimes.size() > ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS) {
+        if (ownResignationTimes.size() > ElectionConstants.MAX_RESIGNATION_BACKOFF_DOUBLINGS) {
             ownResignationTimes.removeLong(0);
         }
     }
@@ -49,20 +49,20 @@
         for (long time : recent) {
             last = Math.max(last, time);
         }
-        int doublings = Math.min(recent.size(), ElectionConstants.RESIGNATION_BACKOFF_DOUBLINGS);
-        return wallClockMs - last >= ElectionConstants.RESIGNATION_PAUSE_MS << doublings;
+        int doublings = Math.min(recent.size(), ElectionConstants.MAX_RESIGNATION_BACKOFF_DOUBLINGS);
+        return wallClockMs - last >= ElectionConstants.RESIGNATION_BACKOFF_MS << doublings;
     }
 
     private LongArrayList recentResignationTimes(long wallClockMs) {
         LongArrayList times = new LongArrayList(ownResignationTimes);
-        for (Settings.Sibling peer : settings.siblings()) {
-            StoreReplica.Entry member = replica.get(StoreKeys.member(peer.node()));
+        for (Settings.Sibling peer : settings.peers()) {
+            StoreReplica.Entry member = replica.get(StoreKeys.member(peer.controllerName()));
             if (member != null) {
                 times.addAll(ClusterRecordCodec.readMemberRecord(member.data()).resignationTimes());
             }
         }
         times.removeIf(time -> time > wallClockMs + ClockConstants.CLOCK_MARGIN_MS
-                || wallClockMs - time > ElectionConstants.RESIGNATION_MEMORY_MS);
+                || wallClockMs - time > ElectionConstants.RECENT_RESIGNATION_MS);
         return times;
     }
 }
--- a/src/main/java/org/hollypick/cluster/StoreSession.java
+++ b/src/main/java/org/hollypick/cluster/StoreSession.java
@@ -50,7 +50,7 @@
         long sentAt = eventLoop.now();
         store.grantSession(ElectionConstants.SESSION_TTL_MS, result -> {
             if (!result.ok()) {
-                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, this::reopen);
+                eventLoop.after(ElectionConstants.STORE_RETRY_MS, this::reopen);
                 return;
             }
             id = result.value();
@@ -80,7 +80,7 @@
                 reopen();
                 onChange.run();
             } else {
-                eventLoop.after(ElectionConstants.SESSION_RETRY_MS, () -> renew(renewedIncarnation));
+                eventLoop.after(ElectionConstants.STORE_RETRY_MS, () -> renew(renewedIncarnation));
             }
         });
     }
@@ -129,6 +129,6 @@
 
     /** Returns whether the key-value store granted or renewed the session recently. */
     boolean reachesStore() {
-        return open && eventLoop.now() - renewedAt < ElectionConstants.LEASE_GRANT_AFTER_MS;
+        return open && eventLoop.now() - renewedAt < ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS;
     }
 }
--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -16,15 +16,20 @@
 /**
  * The operators' own, optional settings: one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. Immutable.
  *
- * @param idleMs milliseconds for which an idle spot instance is kept
- * @param warmCores cores kept free for services in each zone, at least
- * @param firstShare share of the machines in Tyrex's first partition
- * @param graphs whether task graphs are accepted
- * @param graphKeepMs milliseconds for which the controllers and results of a terminal graph are kept
- * @param estimates whether completion estimates are given
+ * @param idleSpotTimeoutMs milliseconds for which an idle spot instance is kept
+ * @param standbyCores cores kept free for services in each zone, at least
+ * @param firstPartitionShare share of the machines in Tyrex's first partition
+ * @param graphsEnabled whether task graphs are accepted
+ * @param graphRetentionMs milliseconds for which the controllers and results of a terminal graph are kept
+ * @param estimatesEnabled whether completion estimates are given
  */
 public record OperatorSettings(
-        long idleMs, double warmCores, double firstShare, boolean graphs, long graphKeepMs, boolean estimates) {
+        long idleSpotTimeoutMs,
+        double standbyCores,
+        double firstPartitionShare,
+        boolean graphsEnabled,
+        long graphRetentionMs,
+        boolean estimatesEnabled) {
     private static final double MAX_IDLE_S = 86_400;
     private static final double MAX_WARM_CORES = 10_000;
     private static final double MAX_GRAPH_RETENTION_S = 30 * 86_400;
@@ -32,11 +37,11 @@
     /** The settings of a controller without a file of its operators. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(
-                AutoscalingConstants.IDLE_SPOT_MS,
-                AutoscalingConstants.STANDBY_CORES,
+                AutoscalingConstants.IDLE_SPOT_TIMEOUT_MS,
+                AutoscalingConstants.MIN_STANDBY_CORES_PER_ZONE,
                 SchedulingConstants.FIRST_PARTITION_SHARE,
                 false,
-                (long) (GraphConstants.GRAPH_RETENTION_S * 1000),
+                (long) (GraphConstants.DEFAULT_GRAPH_RETENTION_S * 1000),
                 false);
     }
 
@@ -82,19 +87,52 @@
         return switch (key) {
             case "idle-s" ->
                 new OperatorSettings(
-                        millis(key, value, MAX_IDLE_S), warmCores, firstShare, graphs, graphKeepMs, estimates);
+                        millis(key, value, MAX_IDLE_S),
+                        standbyCores,
+                        firstPartitionShare,
+                        graphsEnabled,
+                        graphRetentionMs,
+                        estimatesEnabled);
             case "warm-cores" ->
                 new OperatorSettings(
-                        idleMs, number(key, value, MAX_WARM_CORES), firstShare, graphs, graphKeepMs, estimates);
+                        idleSpotTimeoutMs,
+                        number(key, value, MAX_WARM_CORES),
+                        firstPartitionShare,
+                        graphsEnabled,
+                        graphRetentionMs,
+                        estimatesEnabled);
             case "first-share" ->
-                new OperatorSettings(idleMs, warmCores, number(key, value, 1), graphs, graphKeepMs, estimates);
+                new OperatorSettings(
+                        idleSpotTimeoutMs,
+                        standbyCores,
+                        number(key, value, 1),
+                        graphsEnabled,
+                        graphRetentionMs,
+                        estimatesEnabled);
             case "graphs" ->
-                new OperatorSettings(idleMs, warmCores, firstShare, flag(key, value), graphKeepMs, estimates);
+                new OperatorSettings(
+                        idleSpotTimeoutMs,
+                        standbyCores,
+                        firstPartitionShare,
+                        flag(key, value),
+                        graphRetentionMs,
+                        estimatesEnabled);
             case "graph-keep-s" ->
                 new OperatorSettings(
-                        idleMs, warmCores, firstShare, graphs, millis(key, value, MAX_GRAPH_RETENTION_S), estimates);
+                        idleSpotTimeoutMs,
+                        standbyCores,
+                        firstPartitionShare,
+                        graphsEnabled,
+                        millis(key, value, MAX_GRAPH_RETENTION_S),
+                        estimatesEnabled);
             case "estimates" ->
-                new OperatorSettings(idleMs, warmCores, firstShare, graphs, graphKeepMs, flag(key, value));
+                new OperatorSettings(
+                        idleSpotTimeoutMs,
+                        standbyCores,
+                        firstPartitionShare,
+                        graphsEnabled,
+                        graphRetentionMs,
+                        flag(key, value));
             default -> throw new ConfigException("operator settings: unknown key :" + key);
         };
     }
--- a/src/main/java/org/hollypick/config/constants/ApiConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ApiConstants.java
@@ -6,10 +6,10 @@
      * Milliseconds for which a controller gathers users' status queries before it asks the leader about all of them at
      * once.
      */
-    public static final long STATUS_BATCH_MS = 40;
+    public static final long STATUS_QUERY_BATCH_DELAY_MS = 40;
 
     /** Milliseconds for which a leader that left a status query unanswered isn't asked: the store is read instead. */
-    public static final long SILENT_LEADER_MS = 3_000;
+    public static final long UNRESPONSIVE_LEADER_BACKOFF_MS = 3_000;
 
     private ApiConstants() {}
 }
--- a/src/main/java/org/hollypick/config/constants/EstimateConstants.java
+++ b/src/main/java/org/hollypick/config/constants/EstimateConstants.java
@@ -6,13 +6,13 @@
     public static final int STATISTICS_RECORDS = 8;
 
     /** Runs of a class of tasks that a record holds. */
-    public static final int STATISTICS_RUNS = 32;
+    public static final int RECORDED_RUNS_PER_TASK_CLASS = 32;
 
     /** Milliseconds between two such records: three changes a minute. */
     public static final long STATISTICS_WRITE_INTERVAL_MS = 20_000;
 
     /** The format of those records; newer ones are left alone. */
-    public static final int STATISTICS_FORMAT = 1;
+    public static final int STATISTICS_FORMAT_VERSION = 1;
 
     private EstimateConstants() {}
 }
--- a/src/main/java/org/hollypick/config/constants/LeaseConstants.java
+++ b/src/main/java/org/hollypick/config/constants/LeaseConstants.java
@@ -15,7 +15,7 @@
      * Milliseconds without a response of the leader after which a controller counts as partitioned from it: two
      * requests and more.
      */
-    public static final long LEADER_LOST_MS = 2_500;
+    public static final long LEADER_UNREACHABLE_AFTER_MS = 2_500;
 
     /**
      * Milliseconds of a cancelled task's time that are left when a lease renewed in a partition expires: to find and
@@ -24,13 +24,13 @@
     public static final long RENEWAL_GRANT_MARGIN_MS = 3_000;
 
     /** Milliseconds below which renewal in a partition isn't worthwhile: agents send a heartbeat every few seconds. */
-    public static final long RENEWAL_GRANT_MIN_MS = 3_000;
+    public static final long MIN_RENEWAL_GRANT_MS = 3_000;
 
     /** Grants whose times the leader remembers, by controller: more are never in flight. */
-    public static final int REMEMBERED_GRANTS = 8;
+    public static final int MAX_TRACKED_GRANTS_PER_CONTROLLER = 8;
 
     /** Milliseconds added to an agent's lease before it counts as expired: steps of its own clock. */
-    public static final long LEASE_MARGIN_MS = 500;
+    public static final long AGENT_LEASE_MARGIN_MS = 500;
 
     private LeaseConstants() {}
 }
--- a/src/main/java/org/hollypick/config/constants/NetworkConstants.java
+++ b/src/main/java/org/hollypick/config/constants/NetworkConstants.java
@@ -9,7 +9,7 @@
      * Attempts to bind an address: half a minute; then another program holds it, and the process ends with that
      * message.
      */
-    public static final int LISTEN_ATTEMPTS = 60;
+    public static final int MAX_LISTEN_ATTEMPTS = 60;
 
     /** Milliseconds for a request to the cloud. */
     public static final long CLOUD_TIMEOUT_MS = 5_000;
@@ -50,21 +50,21 @@
     public static final double USER_SOCKET_SHARE = 0.15;
 
     /** Connections to one address at most; bounds sockets. */
-    public static final int CONNECTIONS_PER_ADDRESS = 6;
+    public static final int MAX_CONNECTIONS_PER_ADDRESS = 6;
 
     /**
      * Share of the sockets for idle connections that this controller opened; agents and users need most of the rest.
      */
-    public static final double IDLE_SOCKET_SHARE = 0.15;
+    public static final double MAX_IDLE_SOCKET_SHARE = 0.15;
 
     /** Requests that wait for a connection to one address at most; beyond it a request fails at once. */
-    public static final int QUEUED_PER_ADDRESS = 200;
+    public static final int MAX_QUEUED_REQUESTS_PER_ADDRESS = 200;
 
     /**
      * Milliseconds after which a connection without a request is closed: three or four heartbeats or status queries;
      * lost machines don't close theirs.
      */
-    public static final int IDLE_CONNECTION_MS = 20_000;
+    public static final int IDLE_CONNECTION_TIMEOUT_MS = 20_000;
 
     /** Bytes of a request body, from the protocol. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
--- a/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
@@ -27,13 +27,13 @@
      * Milliseconds for which a machine that peers reach isn't terminated, if the leader stays: its lease expires
      * without a leader's responses.
      */
-    public static final long REACHED_BY_PEER_PATIENCE_MS = 10_000;
+    public static final long REACHED_BY_PEER_GRACE_MS = 10_000;
 
     /**
      * Machines that peers reach and this leader doesn't, from which on another controller should lead: two may be
      * chance, lost packets or a slow machine.
      */
-    public static final int REACHED_BY_PEER_AT_FAULT = 3;
+    public static final int LOCAL_FAULT_MACHINES_REACHED_BY_PEER = 3;
 
     /** Milliseconds that an agent waits for the response to its heartbeat, from the protocol. */
     public static final long HEARTBEAT_RESPONSE_TIMEOUT_MS = 4_000;
@@ -42,19 +42,19 @@
      * Consecutive responses that a machine has shown not to have received until it counts as unreachable inbound: it
      * tries another controller after each, and there are three.
      */
-    public static final int UNACKNOWLEDGED_RESPONSES = 3;
+    public static final int UNACKNOWLEDGED_RESPONSE_THRESHOLD = 3;
 
     /**
      * Milliseconds between the heartbeats of a machine that gets no responses at most: it waits for one, then a second,
      * and some slack.
      */
-    public static final long UNANSWERED_HEARTBEAT_GAP_MS = 6_500;
+    public static final long MAX_UNANSWERED_HEARTBEAT_GAP_MS = 6_500;
 
     /**
      * Milliseconds for which a machine that receives no responses, or that has restarted, holds no task until it is
      * terminated: about a lease, after which it would recover by itself.
      */
-    public static final long UNREACHABLE_RETURN_MS = 30_000;
+    public static final long UNREACHABLE_TERMINATION_DELAY_MS = 30_000;
 
     /**
      * Milliseconds without any response after which a request to the store takes another route: usual responses take
@@ -87,10 +87,10 @@
      * Milliseconds for which a machine counts as one that sends its heartbeats here: it tries each controller in turn,
      * for some seconds each.
      */
-    public static final long LEADER_COMPLAINT_MEMORY_MS = 10_000;
+    public static final long LEADER_COMPLAINT_MACHINE_RETENTION_MS = 10_000;
 
     /** Machines named in a complaint at most: some are enough to show that there are some. */
-    public static final int LEADER_COMPLAINT_MACHINES = 16;
+    public static final int MAX_LEADER_COMPLAINT_MACHINES = 16;
 
     private ReachabilityConstants() {}
 }
--- a/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
@@ -9,28 +9,28 @@
      * Milliseconds by which the reconcile loop may be late before this process counts as paused: calls to machines take
      * a second at most.
      */
-    public static final long RECONCILE_LATE_MS = 400;
+    public static final long MAX_RECONCILE_DELAY_MS = 400;
 
     /** Milliseconds between scheduling cycles after events: several events share one cycle. */
     public static final long SCHEDULING_CYCLE_GAP_MS = 20;
 
     /** Milliseconds after which all pending tasks are considered again, for tasks that had to wait for a while. */
-    public static final long FULL_SCHEDULING_CYCLE_MS = 1_000;
+    public static final long FULL_SCHEDULING_CYCLE_INTERVAL_MS = 1_000;
 
     /** Milliseconds between writes to the machine registry: machines that come up close together share one. */
-    public static final long REGISTRATION_GAP_MS = 200;
+    public static final long REGISTRY_WRITE_GAP_MS = 200;
 
     /** Milliseconds between reads of the cloud's list of machines. */
     public static final long INSTANCE_LIST_INTERVAL_MS = 3_000;
 
     /** Milliseconds between refreshes of the machine types and their prices. */
-    public static final long MACHINE_TYPE_REFRESH_MS = 60_000;
+    public static final long MACHINE_TYPE_REFRESH_INTERVAL_MS = 60_000;
 
     /** Milliseconds between autoscaling decisions. */
     public static final long AUTOSCALING_INTERVAL_MS = 1_000;
 
     /** Milliseconds between writes of the attained service that Tyrex needs. */
-    public static final long ATTAINED_SERVICE_INTERVAL_MS = 10_000;
+    public static final long ATTAINED_SERVICE_WRITE_INTERVAL_MS = 10_000;
 
     /** Milliseconds between log lines with metrics of the whole cluster. */
     public static final long METRICS_LOG_INTERVAL_MS = 10_000;
--- a/src/main/java/org/hollypick/config/constants/StoreConstants.java
+++ b/src/main/java/org/hollypick/config/constants/StoreConstants.java
@@ -39,7 +39,7 @@
     public static final int WRITE_SHARE_WINDOWS = 3;
 
     /** Requests queued at the store client before new submissions are refused with 503. */
-    public static final int STORE_QUEUE_LENGTH = 100;
+    public static final int MAX_STORE_QUEUE_LENGTH = 100;
 
     /** Milliseconds that a queued request to the store may wait for its turn; users give up after 5 s. */
     public static final long STORE_QUEUE_TIMEOUT_MS = 2_500;
@@ -62,10 +62,10 @@
     /**
      * Seconds' worth of writes in one batch of terminal writes at most: a larger one would delay what users wait for.
      */
-    public static final double WRITE_BATCH_S = 0.5;
+    public static final double MAX_WRITE_BATCH_S = 0.5;
 
     /** Machine records that are shortened at once at most: users' writes must not wait behind them. */
-    public static final int SHRINKING_WRITES = 3;
+    public static final int MAX_RECORD_SHRINKING_WRITES = 3;
 
     private StoreConstants() {}
 }
--- a/src/main/java/org/hollypick/control/ReconcileLoop.java
+++ b/src/main/java/org/hollypick/control/ReconcileLoop.java
@@ -30,12 +30,13 @@
     private final ResignationPolicy resignationPolicy;
     private final BooleanSupplier holdsLeaderLease;
 
-    private final IntervalTimer fullCycleTimer = new IntervalTimer(ReconcileConstants.FULL_SCHEDULING_CYCLE_MS);
+    private final IntervalTimer fullCycleTimer =
+            new IntervalTimer(ReconcileConstants.FULL_SCHEDULING_CYCLE_INTERVAL_MS);
     private final IntervalTimer instanceListTimer = new IntervalTimer(ReconcileConstants.INSTANCE_LIST_INTERVAL_MS);
     private final IntervalTimer autoscalingTimer = new IntervalTimer(ReconcileConstants.AUTOSCALING_INTERVAL_MS);
     private final IntervalTimer metricsTimer = new IntervalTimer(ReconcileConstants.METRICS_LOG_INTERVAL_MS);
     private final IntervalTimer attainedServiceTimer =
-            new IntervalTimer(ReconcileConstants.ATTAINED_SERVICE_INTERVAL_MS);
+            new IntervalTimer(ReconcileConstants.ATTAINED_SERVICE_WRITE_INTERVAL_MS);
 
     private boolean stopped;
     private boolean reconcilePending;
@@ -85,7 +86,7 @@
     private void recordLateness(long now) {
         long elapsedMs = now - lastIterationAt;
         components.metrics.recordIteration(elapsedMs);
-        if (elapsedMs > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.RECONCILE_LATE_MS) {
+        if (elapsedMs > ReconcileConstants.RECONCILE_INTERVAL_MS + ReconcileConstants.MAX_RECONCILE_DELAY_MS) {
             components.localHealth.markDegraded(now); // heartbeats may be missing because this process was delayed
         }
         lastIterationAt = now;
@@ -134,7 +135,7 @@
         if (components.jobTermination.needsNewFencingToken(now)
                 || scheduler.assignments().attemptNumbersNearlyExhausted()) {
             membership.requestNewFencingToken(components.token);
-        } else if (settings.anyLimit()
+        } else if (settings.hasTeamLimits()
                 && !membership.limitsEnforcedByAllLeaders()
                 && scheduler.quotas().allTeamsWithinLimits()) {
             membership.recordLimitsEnforced(components.token);
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -81,22 +81,22 @@
         this.metrics = new LeaderMetrics(scheduler, provisioner);
         this.jobTermination = new JobTermination(
                 eventLoop, scheduler, context.dependencies(), store, new TerminationListener(callbacks));
-        this.runtimeStatistics = operatorSettings.estimates()
+        this.runtimeStatistics = operatorSettings.estimatesEnabled()
                 ? new RuntimeStatisticsStore(eventLoop, replica, store, settings, scheduler)
                 : null;
-        this.graphs = operatorSettings.graphs() ? createGraphService(context, requestReconcile) : null;
+        this.graphs = operatorSettings.graphsEnabled() ? createGraphService(context, requestReconcile) : null;
     }
 
     private static Scheduler createScheduler(long token, ControllerContext context, boolean firstTerm) {
         Settings settings = context.settings();
         Membership membership = context.membership();
         List<String> peers =
-                settings.siblings().stream().map(Settings.Sibling::node).toList();
+                settings.peers().stream().map(Settings.Sibling::controllerName).toList();
         WorkerLeases leases =
                 new WorkerLeases(settings, peers, context.eventLoop().now(), firstTerm);
         OperatorSettings operatorSettings = context.operatorSettings();
-        Scheduler scheduler =
-                new Scheduler(token, settings, operatorSettings.firstShare(), leases, operatorSettings.estimates());
+        Scheduler scheduler = new Scheduler(
+                token, settings, operatorSettings.firstPartitionShare(), leases, operatorSettings.estimatesEnabled());
         if (membership.limitsEnforcedByAllLeaders()) {
             scheduler.quotas().setEarlierLeadersEnforcedLimits();
         }
@@ -113,7 +113,7 @@
                 jobTermination,
                 requestReconcile);
         return new GraphService(
-                graphContext, context.graphFactory(), context.operatorSettings().graphKeepMs());
+                graphContext, context.graphFactory(), context.operatorSettings().graphRetentionMs());
     }
 
     /**
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -150,8 +150,8 @@
     }
 
     private Batch nextBatch() {
-        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().valueBytes();
-        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), maxRecordsInBody));
+        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().maxValueBytes();
+        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().maxTransactionOperations(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
@@ -182,7 +182,7 @@
             } else if (result.conflicted() || result.invalid()) {
                 onWriteRejected(result);
             } else {
-                context.eventLoop().after(ElectionConstants.SESSION_RETRY_MS, () -> commit(changes, batch, onWritten));
+                context.eventLoop().after(ElectionConstants.STORE_RETRY_MS, () -> commit(changes, batch, onWritten));
             }
         });
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRequestHandler.java
@@ -162,7 +162,7 @@
 
     private Optional<GraphRejection> checkResult(LiveGraph live, Optional<JsonNode> existing, JsonNode result) {
         int bytes = RecordSize.encodedBytes(result);
-        int maxBytes = Math.min(GraphConstants.GRAPH_RESULT_BYTES, maxRecordBytes / 2);
+        int maxBytes = Math.min(GraphConstants.MAX_NODE_RESULT_BYTES, maxRecordBytes / 2);
         if (bytes > maxBytes) {
             return Optional.of(GraphRejection.invalid(
                     "a result of more than " + maxBytes + " bytes: store it elsewhere, and give a reference"));
@@ -172,9 +172,9 @@
                     ? Optional.empty()
                     : Optional.of(GraphRejection.conflict("another result is known"));
         }
-        return live.totalResultBytes() + bytes > GraphConstants.GRAPH_ALL_RESULTS_BYTES
+        return live.totalResultBytes() + bytes > GraphConstants.MAX_GRAPH_RESULTS_BYTES
                 ? Optional.of(GraphRejection.invalid("the graph's results are larger than "
-                        + GraphConstants.GRAPH_ALL_RESULTS_BYTES + " bytes together"))
+                        + GraphConstants.MAX_GRAPH_RESULTS_BYTES + " bytes together"))
                 : Optional.empty();
     }
 
@@ -231,7 +231,7 @@
      */
     private Optional<GraphRejection> validate(
             LiveGraph live, List<NodeSpec> nodes, String parentId, String continuationId) {
-        int maxDependencies = maxRecordBytes / GraphConstants.GRAPH_DEPENDENCY_BYTES;
+        int maxDependencies = maxRecordBytes / GraphConstants.MAX_COMPRESSED_DEPENDENCY_BYTES;
         for (NodeSpec node : nodes) {
             if (node.dependencies().size() > maxDependencies) {
                 return Optional.of(GraphRejection.invalid("node " + node.id() + " awaits more than " + maxDependencies
@@ -245,7 +245,7 @@
     private boolean isOverloaded(String graphId) {
         int pending =
                 graphs.findLoaded(graphId).map(LiveGraph::pendingLogEntries).orElse(0);
-        return context.store().shouldShedWrite() || pending > GraphConstants.GRAPH_WRITE_BACKLOG;
+        return context.store().shouldShedWrite() || pending > GraphConstants.MAX_UNWRITTEN_GRAPH_LOG_ENTRIES;
     }
 
     // ---- responses ----
--- a/src/main/java/org/hollypick/control/graphs/GraphRetention.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRetention.java
@@ -84,13 +84,13 @@
             return;
         }
         CompareAndSwap changes = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, context.fencingToken());
-        keys.subList(Math.max(0, keys.size() - context.settings().txnOps()), keys.size())
+        keys.subList(Math.max(0, keys.size() - context.settings().maxTransactionOperations()), keys.size())
                 .forEach(changes::delete);
         deletionInFlight = true;
         context.store()
                 .commit(
                         changes,
                         response -> context.eventLoop()
-                                .after(ElectionConstants.SESSION_RETRY_MS, () -> deletionInFlight = false));
+                                .after(ElectionConstants.STORE_RETRY_MS, () -> deletionInFlight = false));
     }
 }
--- a/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
@@ -43,7 +43,7 @@
     }
 
     private void appendNextEntry(String parentId, String continuationId) {
-        int end = Math.min(graph.count(), loggedNodes + GraphConstants.GRAPH_LOG_ENTRY_NODES);
+        int end = Math.min(graph.count(), loggedNodes + GraphConstants.MAX_GRAPH_LOG_ENTRY_NODES);
         GraphLogEntry entry = entry(loggedNodes, end, parentId, continuationId);
         while (end - loggedNodes > 1 && !log.fits(entry)) {
             end = loggedNodes + (end - loggedNodes) / 2;
--- a/src/main/java/org/hollypick/control/jobs/CompletionPart.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionPart.java
@@ -24,10 +24,10 @@
      */
     static CompletionPart of(Job job, int firstTask, int chunkTasks) {
         String id = job.spec.id();
-        boolean numbered =
-                !job.mayGrow() && (chunkTasks == JobConstants.COMPLETION_CHUNK_TASKS || job.spec.tasks() <= chunkTasks);
+        boolean numbered = !job.mayGrow()
+                && (chunkTasks == JobConstants.MAX_COMPLETION_PART_TASKS || job.spec.tasks() <= chunkTasks);
         String name =
-                numbered ? id + "/" + firstTask / JobConstants.COMPLETION_CHUNK_TASKS : id + "@" + firstTask + "/0";
+                numbered ? id + "/" + firstTask / JobConstants.MAX_COMPLETION_PART_TASKS : id + "@" + firstTask + "/0";
         return new CompletionPart(job, name, firstTask, boundedEnd(job, firstTask + chunkTasks));
     }
 
@@ -46,10 +46,10 @@
             return null;
         }
         int firstTask = numbered
-                ? Integer.parseInt(name.substring(slash + 1)) * JobConstants.COMPLETION_CHUNK_TASKS
+                ? Integer.parseInt(name.substring(slash + 1)) * JobConstants.MAX_COMPLETION_PART_TASKS
                 : Integer.parseInt(name.substring(at + 1, slash));
         return new CompletionPart(
-                job, name, firstTask, boundedEnd(job, firstTask + JobConstants.COMPLETION_CHUNK_TASKS));
+                job, name, firstTask, boundedEnd(job, firstTask + JobConstants.MAX_COMPLETION_PART_TASKS));
     }
 
     /**
@@ -62,7 +62,7 @@
     /** The largest number of tasks that a part may have in a record of at most {@code maxBytes}. */
     static int maxTasks(int maxBytes) {
         return Math.min(
-                JobConstants.COMPLETION_CHUNK_TASKS,
+                JobConstants.MAX_COMPLETION_PART_TASKS,
                 (maxBytes - JobConstants.COMPLETION_PART_OVERHEAD_BYTES) * BITS_PER_BASE64_CHARACTER);
     }
 
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -63,8 +63,9 @@
             return;
         }
         CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
-        List<String> jobIds =
-                pendingRevisions.keySet().stream().limit(settings.txnOps()).toList();
+        List<String> jobIds = pendingRevisions.keySet().stream()
+                .limit(settings.maxTransactionOperations())
+                .toList();
         for (String id : jobIds) {
             transaction
                     .expectRevision(StoreKeys.job(id), pendingRevisions.get(id))
@@ -78,7 +79,7 @@
                 pendingRevisions.keySet().removeAll(jobIds);
             } else {
                 // after this delay the replica shows terminal records that other writes stored
-                retryNotBefore = eventLoop.now() + ElectionConstants.SESSION_RETRY_MS;
+                retryNotBefore = eventLoop.now() + ElectionConstants.STORE_RETRY_MS;
             }
         });
     }
--- a/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/FinishedJobWriter.java
@@ -65,8 +65,8 @@
 
     private int maxBatchesInFlight() {
         return store.areQueuesEmpty()
-                ? JobConstants.TERMINAL_WRITES_IN_FLIGHT
-                : JobConstants.TERMINAL_WRITES_WHILE_QUEUED;
+                ? JobConstants.MAX_TERMINAL_WRITES_IN_FLIGHT
+                : JobConstants.MAX_TERMINAL_WRITES_WHILE_QUEUED;
     }
 
     /** Prepares the writes of the first jobs, as many as fit into one transaction. */
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -249,7 +249,7 @@
      * was sent under an older token.
      */
     public boolean needsNewFencingToken(long now) {
-        long oldest = now - JobConstants.FENCING_DELAY_MS;
+        long oldest = now - JobConstants.CANCELLATION_FENCING_DELAY_MS;
         return pendingCancellations.values().stream()
                 .anyMatch(cancellation -> cancellation.wasRequestedBefore(oldest)
                         && scheduler.commands().directLaunchPending(cancellation.job(), oldest));
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -94,7 +94,7 @@
     }
 
     private static boolean hasNewerFormat(StoreReplica.Entry entry) {
-        return entry.data().path(FORMAT).asInt() > EstimateConstants.STATISTICS_FORMAT;
+        return entry.data().path(FORMAT).asInt() > EstimateConstants.STATISTICS_FORMAT_VERSION;
     }
 
     /**
@@ -177,7 +177,7 @@
         List<String> latestFirst = new ArrayList<>(kinds.keySet());
         Collections.reverse(latestFirst);
         for (String kind : latestFirst) {
-            Estimates.Snapshot snapshot = estimates.snapshot(kind, EstimateConstants.STATISTICS_RUNS);
+            Estimates.Snapshot snapshot = estimates.snapshot(kind, EstimateConstants.RECORDED_RUNS_PER_TASK_CLASS);
             ObjectNode encoded = snapshot == null ? null : encode(snapshot);
             int bytes = encoded == null ? 0 : RecordSize.encodedBytes(encoded) + 1;
             if (encoded == null || bytes > remainingBytes) {
@@ -187,7 +187,7 @@
                 latestLast.addFirst(encoded);
             }
         }
-        ObjectNode record = Codec.object().put(FORMAT, EstimateConstants.STATISTICS_FORMAT);
+        ObjectNode record = Codec.object().put(FORMAT, EstimateConstants.STATISTICS_FORMAT_VERSION);
         ArrayNode list = record.putArray(KINDS);
         latestLast.forEach(list::add);
         return record;
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -63,10 +63,10 @@
         int maxBytes = RecordSize.maxBytes(settings);
         if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, recordedDependencies, null))
                 <= maxBytes) {
-            writeJobRecord(spec, recordedDependencies, null, JobConstants.SUBMISSION_WRITE_ATTEMPTS, onOutcome);
+            writeJobRecord(spec, recordedDependencies, null, JobConstants.MAX_SUBMISSION_WRITE_ATTEMPTS, onOutcome);
             return;
         }
-        String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), usedDependencyKeys);
+        String key = StoreKeys.dependencies(settings.controllerName(), membership.memberRevision(), usedDependencyKeys);
         usedDependencyKeys++;
         DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(recordedDependencies, maxBytes));
         if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists))
@@ -112,7 +112,7 @@
     private void writeDependencyLists(
             JobSpec spec, DependencyLists dependencyLists, int from, Consumer<SubmissionOutcome> onOutcome) {
         if (from >= dependencyLists.lists().size()) {
-            writeJobRecord(spec, List.of(), dependencyLists, JobConstants.SUBMISSION_WRITE_ATTEMPTS, onOutcome);
+            writeJobRecord(spec, List.of(), dependencyLists, JobConstants.MAX_SUBMISSION_WRITE_ATTEMPTS, onOutcome);
             return;
         }
         if (store.shouldShedWrite()) {
@@ -120,7 +120,7 @@
             return;
         }
         CompareAndSwap transaction = new CompareAndSwap();
-        int to = Math.min(dependencyLists.lists().size(), from + settings.txnOps());
+        int to = Math.min(dependencyLists.lists().size(), from + settings.maxTransactionOperations());
         for (int i = from; i < to; i++) {
             String key = dependencyLists.key(i);
             transaction
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -147,7 +147,7 @@
                 machine.validity.directCallUnacknowledged();
             }
         }
-        machine.directCalls.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
+        machine.directCalls.delayDirectCalls(now + FailureDetectionConstants.DIRECT_CALL_RETRY_MS);
         LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
     }
 
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -77,7 +77,7 @@
 
     private void updateReachedOnlyByPeers(ResponsivenessSnapshot snapshot, long now) {
         int reachedOnlyByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
-        if (reachedOnlyByPeers < ReachabilityConstants.REACHED_BY_PEER_AT_FAULT) {
+        if (reachedOnlyByPeers < ReachabilityConstants.LOCAL_FAULT_MACHINES_REACHED_BY_PEER) {
             reachedOnlyByPeersSince = 0;
         } else if (reachedOnlyByPeersSince <= 0) {
             reachedOnlyByPeersSince = now;
@@ -90,10 +90,11 @@
         partitionedZones = snapshot.partitionedZones();
         double share = snapshot.unresponsiveShare();
         boolean failuresRelated = snapshot.unresponsiveCount() > MAX_UNRELATED_FAILURES;
-        if ((failuresRelated && share > FailureDetectionConstants.UNRESPONSIVE_SHARE) || !partitionedZones.isEmpty()) {
+        if ((failuresRelated && share > FailureDetectionConstants.LOCAL_FAULT_UNRESPONSIVE_SHARE)
+                || !partitionedZones.isEmpty()) {
             recoveryGraceEndsAt = now + FailureDetectionConstants.RECOVERY_GRACE_MS;
         }
-        if (!failuresRelated || share < FailureDetectionConstants.ISOLATED_SHARE) {
+        if (!failuresRelated || share < FailureDetectionConstants.ISOLATED_UNRESPONSIVE_SHARE) {
             isolatedSince = 0;
         } else if (isolatedSince == 0) {
             isolatedSince = now;
@@ -103,10 +104,10 @@
     /** Limits the terminations per second: the leader may misjudge machines as lost, most likely after a failover. */
     private List<Machine> withinBudget(List<Machine> lost, long now) {
         double share = now - startedAt < FailureDetectionConstants.EARLY_TERM_MS
-                ? FailureDetectionConstants.SCALE_IN_SHARE_EARLY
-                : FailureDetectionConstants.SCALE_IN_SHARE;
+                ? FailureDetectionConstants.MAX_TERMINATED_SHARE_PER_SECOND_EARLY
+                : FailureDetectionConstants.MAX_TERMINATED_SHARE_PER_SECOND;
         terminationBudget.setRate(Math.max(
-                FailureDetectionConstants.SCALE_IN_MIN_MACHINES,
+                FailureDetectionConstants.MIN_TERMINATIONS_PER_SECOND,
                 share * scheduler.machines().size()));
         List<Machine> terminating = new ArrayList<>();
         for (Machine machine : lost) {
@@ -137,7 +138,7 @@
         long isolationStart = isolatedSince > 0 ? isolatedSince : now;
         long reachedOnlyByPeersStart = reachedOnlyByPeersSince > 0 ? reachedOnlyByPeersSince : now;
         long unreachableMillis = now - Math.min(isolationStart, reachedOnlyByPeersStart);
-        return unreachableMillis > settings.leaseS() * 1_000 * ElectionConstants.ISOLATED_LEASE_SHARE;
+        return unreachableMillis > settings.agentLeaseS() * 1_000 * ElectionConstants.MAX_ISOLATED_LEASE_SHARE;
     }
 
     /**
@@ -169,8 +170,8 @@
         }
         int reachedOnlyByPeers = PeerReachabilityTracker.countReachedOnlyByPeers(scheduler.machines(), now);
         boolean nearlyAllUnresponsive =
-                isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATED_AFTER_MS;
-        return reachedOnlyByPeers >= ReachabilityConstants.REACHED_BY_PEER_AT_FAULT
+                isolatedSince > 0 && now - isolatedSince > FailureDetectionConstants.ISOLATION_BEFORE_RESIGNATION_MS;
+        return reachedOnlyByPeers >= ReachabilityConstants.LOCAL_FAULT_MACHINES_REACHED_BY_PEER
                 || (nearlyAllUnresponsive && (reachedOnlyByPeers > 0 || !peerReachability.hasRecentPeerReport(now)));
     }
 }
--- a/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
+++ b/src/main/java/org/hollypick/control/machines/ReconciliationProbe.java
@@ -40,6 +40,6 @@
      */
     private static boolean isHeartbeatExpected(Machine machine, long now) {
         return machine.heartbeatReceived()
-                && now - machine.heartbeatAcknowledgedAt() < FailureDetectionConstants.NEXT_HEARTBEAT_MS;
+                && now - machine.heartbeatAcknowledgedAt() < FailureDetectionConstants.HEARTBEAT_AFTER_NEW_TOKEN_MS;
     }
 }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -42,7 +42,8 @@
 
         private boolean isPartitioned() {
             return unresponsive >= FailureDetectionConstants.PARTITIONED_ZONE_MACHINES
-                    && unresponsive >= FailureDetectionConstants.ISOLATED_SHARE * (unresponsive + responsive);
+                    && unresponsive
+                            >= FailureDetectionConstants.ISOLATED_UNRESPONSIVE_SHARE * (unresponsive + responsive);
         }
     }
 
@@ -50,8 +51,10 @@
             Collection<Machine> machines, PeerReachabilityTracker reachability, Settings settings, long now) {
         this.reachability = reachability;
         this.now = now;
-        this.probeAfterMillis = (long) (settings.reportS() * 1_250) + FailureDetectionConstants.PROBE_SLACK_MS;
-        this.earlyProbeAfterMillis = (long) (settings.reportS() * 1_000 * FailureDetectionConstants.PROBE_SHARE);
+        this.probeAfterMillis =
+                (long) (settings.heartbeatIntervalS() * 1_250) + FailureDetectionConstants.OVERDUE_HEARTBEAT_GRACE_MS;
+        this.earlyProbeAfterMillis =
+                (long) (settings.heartbeatIntervalS() * 1_000 * FailureDetectionConstants.EARLY_PROBE_INTERVAL_SHARE);
         for (Machine machine : machines) {
             if (!machine.isScalingIn() && (machine.heartbeatReceived() || machine.isRegistered())) {
                 count(machine);
@@ -64,7 +67,7 @@
     private void count(Machine machine) {
         ResponsivenessCounts zoneCounts = byZone.computeIfAbsent(machine.zone, zone -> new ResponsivenessCounts());
         boolean suspected = machine.validity.isSuspected();
-        if (millisSinceLastContact(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
+        if (millisSinceLastContact(machine) < FailureDetectionConstants.RESPONSIVE_WITHIN_MS && !suspected) {
             total.responsive++;
             zoneCounts.responsive++;
         }
@@ -95,15 +98,16 @@
             return false;
         }
         long unreachableSince = Math.max(machine.incarnationExpiredAt(), machine.validity.unreachableInboundSince());
-        return now - Math.max(machine.idleSince(), unreachableSince) > ReachabilityConstants.UNREACHABLE_RETURN_MS;
+        return now - Math.max(machine.idleSince(), unreachableSince)
+                > ReachabilityConstants.UNREACHABLE_TERMINATION_DELAY_MS;
     }
 
     private boolean isUnresponsive(Machine machine) {
         long limitMillis = machine.validity.isSuspected()
-                ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
+                ? ReachabilityConstants.MAX_UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
         return millisSinceLastContact(machine) > limitMillis
-                && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
+                && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALL_THRESHOLD;
     }
 
     private boolean isOverdue(Machine machine) {
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -128,9 +128,9 @@
             return false;
         }
         if (status == Instance.Status.RUNNING) {
-            return now - firstListedAt.get(machine.id) > FailureDetectionConstants.FIRST_HEARTBEAT_MS;
+            return now - firstListedAt.get(machine.id) > FailureDetectionConstants.FIRST_HEARTBEAT_TIMEOUT_MS;
         }
-        double bootLimitMillis = FailureDetectionConstants.BOOT_TIMEOUT_MULTIPLE * machine.type.bootS() * 1000;
+        double bootLimitMillis = FailureDetectionConstants.BOOT_TIMEOUT_RATIO * machine.type.bootS() * 1000;
         return now - machine.createdAt > bootLimitMillis;
     }
 
@@ -141,7 +141,7 @@
      */
     private void markMissingTerminated(Map<String, Instance> listed, long startedAt) {
         double waitMillis =
-                term.settings().listLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + MISSING_SLACK_MS;
+                term.settings().instanceListLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + MISSING_SLACK_MS;
         Set<String> missing = new LinkedHashSet<>();
         for (Machine machine : scheduler.machines()) {
             Long firstListed = firstListedAt.get(machine.id);
--- a/src/main/java/org/hollypick/core/AttemptNumbers.java
+++ b/src/main/java/org/hollypick/core/AttemptNumbers.java
@@ -8,7 +8,7 @@
  */
 final class AttemptNumbers {
     /** The number of attempts that can be numbered under one fencing token. */
-    private static final long CAPACITY = 1L << JobConstants.ATTEMPT_BITS;
+    private static final long CAPACITY = 1L << JobConstants.ATTEMPT_COUNTER_BITS;
 
     private final long token;
     private long used;
@@ -19,7 +19,7 @@
 
     /** The fencing token under which an attempt was started. */
     static long tokenOf(long attempt) {
-        return attempt >>> JobConstants.ATTEMPT_BITS;
+        return attempt >>> JobConstants.ATTEMPT_COUNTER_BITS;
     }
 
     /** Returns the next unused number. */
@@ -28,11 +28,11 @@
             throw new IllegalStateException(
                     "all " + CAPACITY + " attempt numbers of fencing token " + token + " are used");
         }
-        return (token << JobConstants.ATTEMPT_BITS) + used++;
+        return (token << JobConstants.ATTEMPT_COUNTER_BITS) + used++;
     }
 
-    /** Whether fewer than {@link JobConstants#ATTEMPT_RESERVE} numbers are left. */
+    /** Whether fewer than {@link JobConstants#ATTEMPT_NUMBER_RESERVE} numbers are left. */
     boolean nearlyExhausted() {
-        return used > CAPACITY - JobConstants.ATTEMPT_RESERVE;
+        return used > CAPACITY - JobConstants.ATTEMPT_NUMBER_RESERVE;
     }
 }
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -28,10 +28,10 @@
                 recordError(machine, job, now);
                 backOff(job, index, now);
             }
-            case "unknown" -> backOffAfterRefusal(job, index, FaultConstants.TASK_BACKOFF_MAX_MS, now);
+            case "unknown" -> backOffAfterRefusal(job, index, FaultConstants.MAX_TASK_BACKOFF_MS, now);
             case "full", "busy" -> {
-                machine.recordNoRoom(now + FaultConstants.NO_ROOM_MS);
-                backOffAfterRefusal(job, index, FaultConstants.NO_ROOM_BACKOFF_MAX_MS, now);
+                machine.recordNoRoom(now + FaultConstants.FULL_MACHINE_BACKOFF_MS);
+                backOffAfterRefusal(job, index, FaultConstants.MAX_CAPACITY_REFUSAL_BACKOFF_MS, now);
             }
             default -> {}
         }
@@ -74,9 +74,9 @@
      */
     private static void backOff(Job job, int index, long now) {
         long waitMs = Math.min(
-                FaultConstants.TASK_BACKOFF_MAX_MS,
-                FaultConstants.TASK_BACKOFF_MS
-                        << Math.min(job.consecutiveFailures(), FaultConstants.MAX_BACKOFF_DOUBLINGS));
+                FaultConstants.MAX_TASK_BACKOFF_MS,
+                FaultConstants.INITIAL_TASK_BACKOFF_MS
+                        << Math.min(job.consecutiveFailures(), FaultConstants.MAX_TASK_BACKOFF_DOUBLINGS));
         job.retryNotBefore.put(index, now + (job.consecutiveFailures() <= 1 ? 0 : waitMs));
     }
 
@@ -87,8 +87,8 @@
     private static void backOffAfterRefusal(Job job, int index, long maxWaitMs, long now) {
         int refusals = job.recordRefusal(index);
         if (refusals > 1) {
-            long waitMs =
-                    FaultConstants.TASK_BACKOFF_MS << Math.min(refusals - 2, FaultConstants.MAX_BACKOFF_DOUBLINGS);
+            long waitMs = FaultConstants.INITIAL_TASK_BACKOFF_MS
+                    << Math.min(refusals - 2, FaultConstants.MAX_TASK_BACKOFF_DOUBLINGS);
             job.retryNotBefore.put(index, now + Math.min(maxWaitMs, waitMs));
         }
     }
@@ -104,7 +104,7 @@
         if (job.failedMachines.add(machine.id) && job.failedMachines.size() == 2) {
             job.failedMachines.forEach(id -> endQuarantineIfCleared(scheduler.machine(id)));
         }
-        if (failuresAgainst(machine) >= FaultConstants.MACHINE_ERRORS) {
+        if (failuresAgainst(machine) >= FaultConstants.FAULTY_MACHINE_FAILURES) {
             machine.faults.quarantine(now + FaultConstants.QUARANTINE_MS);
         }
     }
@@ -112,7 +112,7 @@
     private void endQuarantineIfCleared(Machine machine) {
         if (machine != null
                 && machine.faults.isQuarantined()
-                && failuresAgainst(machine) < FaultConstants.MACHINE_ERRORS) {
+                && failuresAgainst(machine) < FaultConstants.FAULTY_MACHINE_FAILURES) {
             machine.faults.endQuarantine();
         }
     }
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -311,11 +311,11 @@
     }
 
     /**
-     * Whether its tasks failed on {@link FaultConstants#JOB_ERRORS} machines or more since one was last completed. Then
-     * only one task runs at a time, which is enough to notice when the cause is gone.
+     * Whether its tasks failed on {@link FaultConstants#FAILING_JOB_MACHINES} machines or more since one was last
+     * completed. Then only one task runs at a time, which is enough to notice when the cause is gone.
      */
     public boolean failsEverywhere() {
-        return failedMachines.size() >= FaultConstants.JOB_ERRORS;
+        return failedMachines.size() >= FaultConstants.FAILING_JOB_MACHINES;
     }
 
     // ---- Tyrex ----
--- a/src/main/java/org/hollypick/core/MachinePartitions.java
+++ b/src/main/java/org/hollypick/core/MachinePartitions.java
@@ -74,13 +74,13 @@
 
     /**
      * Returns those of the first partition's machines that it may lend now: a machine is lent only if at least
-     * {@link SchedulingConstants#FIRST_PARTITION_FREE_MACHINES} other machines of the partition are idle.
+     * {@link SchedulingConstants#MIN_IDLE_FIRST_PARTITION_MACHINES} other machines of the partition are idle.
      */
     List<Machine> lendableMachines(List<Machine> machines) {
         List<Machine> lendable = new ArrayList<>();
         for (Machine machine : machines) {
             int otherIdleMachines = idleMachinesInFirst - (machine.idle() ? 1 : 0);
-            if (otherIdleMachines >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES) {
+            if (otherIdleMachines >= SchedulingConstants.MIN_IDLE_FIRST_PARTITION_MACHINES) {
                 lendable.add(machine);
             }
         }
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -107,7 +107,7 @@
         }
         List<Machine> single = List.of(machine);
         boolean inArrivalOrder = scheduler.quotas().hasMultipleTeams()
-                && ++singleMachineCycles % SchedulingConstants.ARRIVAL_ORDER_EVERY == 0;
+                && ++singleMachineCycles % SchedulingConstants.ARRIVAL_ORDER_MACHINE_INTERVAL == 0;
         List<Job> first = inArrivalOrder ? inArrivalOrder(firstPartitionJobs) : firstPartitionJobs;
         List<Job> second = inArrivalOrder ? inArrivalOrder(secondPartitionJobs) : secondPartitionJobs;
         for (Job job : secondPartitionJobs) {
--- a/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
+++ b/src/main/java/org/hollypick/core/ServiceQuotaReservation.java
@@ -15,7 +15,7 @@
  */
 final class ServiceQuotaReservation {
     private final TeamQuotas quotas;
-    private long reservedAt = -ReconcileConstants.FULL_SCHEDULING_CYCLE_MS;
+    private long reservedAt = -ReconcileConstants.FULL_SCHEDULING_CYCLE_INTERVAL_MS;
     private final Map<String, UsageObservation> usageByTeam = new HashMap<>();
 
     /** A team's usage change count, and when it was first observed, in milliseconds. */
@@ -26,15 +26,15 @@
     }
 
     /**
-     * Recomputes the reservations, at most once in {@link ReconcileConstants#FULL_SCHEDULING_CYCLE_MS}. Whether any
-     * machine has capacity is determined once for each team, with its first service that is over the limit.
+     * Recomputes the reservations, at most once in {@link ReconcileConstants#FULL_SCHEDULING_CYCLE_INTERVAL_MS}.
+     * Whether any machine has capacity is determined once for each team, with its first service that is over the limit.
      *
      * @param jobs jobs with pending tasks, in scheduling order
      * @param machines the machines that take tasks now
      * @param allServiceCpus cores of all services on all machines
      */
     void renew(List<Job> jobs, List<Machine> machines, double allServiceCpus, long now) {
-        if (now - reservedAt < ReconcileConstants.FULL_SCHEDULING_CYCLE_MS) {
+        if (now - reservedAt < ReconcileConstants.FULL_SCHEDULING_CYCLE_INTERVAL_MS) {
             return;
         }
         reservedAt = now;
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Whether the team's usage changed within the last {@link SchedulingConstants#RESERVATION_MS}. If not, its services
-     * are unlikely to get more quota soon, and the quota that is left is too small for them: a reservation would only
-     * keep arrays that fit into it pending while machines are free.
+     * Whether the team's usage changed within the last {@link SchedulingConstants#QUOTA_RESERVATION_MS}. If not, its
+     * services are unlikely to get more quota soon, and the quota that is left is too small for them: a reservation
+     * would only keep arrays that fit into it pending while machines are free.
      */
     private boolean usageChangedRecently(String team, long now) {
         long changeCount = quotas.usage().changeCount(team);
@@ -65,6 +65,6 @@
             observation = new UsageObservation(changeCount, now);
             usageByTeam.put(team, observation);
         }
-        return now - observation.observedAt < SchedulingConstants.RESERVATION_MS;
+        return now - observation.observedAt < SchedulingConstants.QUOTA_RESERVATION_MS;
     }
 }
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -63,7 +63,7 @@
 
         private void responseSent(long number, long now) {
             responseTimes.put(number, now);
-            while (responseTimes.size() > LeaseConstants.REMEMBERED_GRANTS) {
+            while (responseTimes.size() > LeaseConstants.MAX_TRACKED_GRANTS_PER_CONTROLLER) {
                 responseTimes.remove(responseTimes.keySet().iterator().next());
             }
         }
@@ -86,7 +86,7 @@
     /** @param firstTerm whether there was no earlier leader that could have granted renewals */
     public WorkerLeases(Settings settings, Collection<String> peerNames, long termStartedAt, boolean firstTerm) {
         this.grantMs = renewalGrantMs(settings);
-        this.leaseMs = ClockBounds.atMost(settings.leaseS() * 1000) + LeaseConstants.LEASE_MARGIN_MS;
+        this.leaseMs = ClockBounds.atMost(settings.agentLeaseS() * 1000) + LeaseConstants.AGENT_LEASE_MARGIN_MS;
         this.termStartedAt = termStartedAt;
         long olderTokensUntil = firstTerm ? NEVER : termStartedAt + ClockBounds.atMost(grantMs);
         for (String peer : peerNames) {
@@ -105,9 +105,9 @@
      * must expire within the time that a cancelled task has to end.
      */
     public static long renewalGrantMs(Settings settings) {
-        long availableMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
+        long availableMs = (long) ((settings.cancellationLimitS() - settings.agentLeaseS()) * 1000);
         long grantMs = availableMs - LeaseConstants.RENEWAL_GRANT_MARGIN_MS;
-        return grantMs < LeaseConstants.RENEWAL_GRANT_MIN_MS ? 0 : grantMs;
+        return grantMs < LeaseConstants.MIN_RENEWAL_GRANT_MS ? 0 : grantMs;
     }
 
     /**
@@ -148,10 +148,10 @@
 
     /**
      * Whether a lease renewed at {@code renewedAt} is certainly still valid, even if the agent sent the heartbeat that
-     * renewed it {@link ReachabilityConstants#UNANSWERED_HEARTBEAT_GAP_MS} before.
+     * renewed it {@link ReachabilityConstants#MAX_UNANSWERED_HEARTBEAT_GAP_MS} before.
      */
     public boolean isValid(long renewedAt, long now) {
-        return now - renewedAt < leaseMs - ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS;
+        return now - renewedAt < leaseMs - ReachabilityConstants.MAX_UNANSWERED_HEARTBEAT_GAP_MS;
     }
 
     /** Whether a lease that this leader last renewed, or first saw, at {@code renewedAt} has certainly expired. */
--- a/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -49,8 +49,8 @@
         mean = 0;
     }
 
-    /** The mean; 0 until it was observed for {@link AutoscalingConstants#MEAN_MIN_S} seconds. */
+    /** The mean; 0 until it was observed for {@link AutoscalingConstants#MIN_LOAD_OBSERVATION_S} seconds. */
     double perSecond() {
-        return observedS >= AutoscalingConstants.MEAN_MIN_S ? mean / observedShare : 0;
+        return observedS >= AutoscalingConstants.MIN_LOAD_OBSERVATION_S ? mean / observedShare : 0;
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -48,7 +48,7 @@
      */
     public Autoscaler(OperatorSettings operator, boolean firstTerm) {
         this.operator = operator;
-        this.load = new LoadEstimate(firstTerm ? AutoscalingConstants.WARM_UP_MS : 0);
+        this.load = new LoadEstimate(firstTerm ? AutoscalingConstants.FIRST_TERM_WARM_UP_MS : 0);
         this.scaleInPlanner = new ScaleInPlanner(operator);
     }
 
@@ -174,11 +174,13 @@
      * unreachable machines don't take up any of that limit.
      */
     private ArrayCapacity arrayCapacity(CapacityDemand demand, CapacitySupply supply, ServiceCapacity services) {
-        double reservedCores = demand.limitToQuotas(load.reservedArrayCoresByTeam(AutoscalingConstants.LOAD_HEADROOM));
+        double reservedCores =
+                demand.limitToQuotas(load.reservedArrayCoresByTeam(AutoscalingConstants.ARRAY_CAPACITY_HEADROOM_RATIO));
         return new ArrayCapacity(
                 supply.spotCores() + Math.max(0, supply.onDemandCores() - services.neededCores),
                 supply.runnableSpotCores() + services.runnableSpareCores,
-                Math.min(demand.usableArrayCores(AutoscalingConstants.CATCH_UP_S), services.quotaCores),
+                Math.min(
+                        demand.usableArrayCores(AutoscalingConstants.BACKLOG_COMPLETION_TARGET_S), services.quotaCores),
                 Math.min(reservedCores, services.quotaCores));
     }
 
@@ -187,9 +189,9 @@
         if (demand.serviceSpec() == null) {
             return 0;
         }
-        double arrivingCores = load.arrivingServiceCoresPerSecond() * AutoscalingConstants.STANDBY_S / zones;
-        double shareOfServices = demand.serviceCores(zone) * AutoscalingConstants.STANDBY_SHARE;
-        return Math.max(operator.warmCores(), Math.max(arrivingCores, shareOfServices));
+        double arrivingCores = load.arrivingServiceCoresPerSecond() * AutoscalingConstants.STANDBY_ARRIVALS_S / zones;
+        double shareOfServices = demand.serviceCores(zone) * AutoscalingConstants.STANDBY_SERVICE_SHARE;
+        return Math.max(operator.standbyCores(), Math.max(arrivingCores, shareOfServices));
     }
 
     private List<ScaleOut> scaleOutForArrays(
@@ -199,15 +201,16 @@
         double packableCores = demand.packableArrayCores(arrays.runnableCores(), supply);
         // Tasks beyond their team's quota need no machines, however long they are pending.
         double allowedCores = arrays.usableCores() - packableCores;
-        double missingCores = demand.missingArrayCores(packableCores, bootS, AutoscalingConstants.CATCH_UP_S);
+        double missingCores =
+                demand.missingArrayCores(packableCores, bootS, AutoscalingConstants.BACKLOG_COMPLETION_TARGET_S);
         double spotCores =
                 Math.max(arrays.reservedCores() - arrays.supplyCores(), Math.min(allowedCores, missingCores));
         InstanceSelector.Selection spot = instanceSelector.select(spec, zones, true, spotCores);
         if (spot.hasCapacity()) {
             return spot.requests();
         }
-        double missingOnDemandCores =
-                demand.missingArrayCores(packableCores, bootS, AutoscalingConstants.CATCH_UP_ON_DEMAND_S);
+        double missingOnDemandCores = demand.missingArrayCores(
+                packableCores, bootS, AutoscalingConstants.ON_DEMAND_BACKLOG_COMPLETION_TARGET_S);
         double onDemandCores = Math.min(
                 missingOnDemandCores, Math.min(allowedCores, maxOnDemandArrayCores() - arrays.runnableCores()));
         List<ScaleOut> requests = new ArrayList<>(spot.requests());
@@ -225,8 +228,8 @@
             ScaleOutDecision decision,
             long now) {
         Collection<Machine> machines = scheduler.machines();
-        double neededCores =
-                Math.max(arrays.reservedCores(), demand.allowedArrayCores() * AutoscalingConstants.BUSY_MARGIN);
+        double neededCores = Math.max(
+                arrays.reservedCores(), demand.allowedArrayCores() * AutoscalingConstants.SURPLUS_THRESHOLD_RATIO);
         double surplusCores = Math.min(arrays.supplyCores(), arrays.runnableCores()) - neededCores;
         double remainingSurplusCores = ScaleInPlanner.markSurplus(machines, services.spareCoresByZone, surplusCores);
         List<Assignment> moves = scheduler.reconciliationComplete()
@@ -243,7 +246,7 @@
      */
     private double maxOnDemandArrayCores() {
         return load.meanArrayCores() > 0
-                ? load.meanArrayCores() * AutoscalingConstants.ON_DEMAND_LOAD / load.confidence()
+                ? load.meanArrayCores() * AutoscalingConstants.MAX_ON_DEMAND_LOAD_RATIO / load.confidence()
                 : Double.MAX_VALUE;
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
@@ -36,7 +36,7 @@
     }
 
     private static boolean counts(Machine machine, Set<String> partitionedZones, long now) {
-        double maxBootMillis = AutoscalingConstants.SLOW_BOOT_MULTIPLE * 1000 * machine.type.bootS();
+        double maxBootMillis = AutoscalingConstants.SLOW_BOOT_RATIO * 1000 * machine.type.bootS();
         boolean isSlowToBoot = !machine.heartbeatReceived() && now - machine.createdAt > maxBootMillis;
         boolean isLost = machine.unreachable() && !partitionedZones.contains(machine.zone);
         return !machine.isScalingIn()
--- a/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
+++ b/src/main/java/org/hollypick/core/autoscaling/InstanceSelector.java
@@ -29,7 +29,7 @@
 
     /** Stops requests from the pool for a while, since the cloud had too few machines of it. */
     void recordRefusal(CapacityPool pool, long refusedAt) {
-        refusedUntil.put(pool, refusedAt + AutoscalingConstants.NO_CAPACITY_MS);
+        refusedUntil.put(pool, refusedAt + AutoscalingConstants.REFUSED_POOL_BACKOFF_MS);
     }
 
     /** Starts a new plan, with no machines counted yet. */
@@ -59,7 +59,7 @@
     Selection select(JobSpec job, List<String> zones, boolean spot, double cores) {
         List<ScaleOut> requests = new ArrayList<>();
         double missingCores = cores;
-        for (int i = 0; i < AutoscalingConstants.MAX_SCALE_OUT_REQUESTS && missingCores > 0; i++) {
+        for (int i = 0; i < AutoscalingConstants.MAX_ARRAY_SCALE_OUT_REQUESTS_PER_CYCLE && missingCores > 0; i++) {
             CapacityPool pool = cheapestPool(job, zones, spot);
             if (pool == null) {
                 return new Selection(requests, false);
--- a/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
+++ b/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
@@ -13,9 +13,9 @@
  */
 final class LoadEstimate {
     private final long warmUpMillis;
-    private final ArrivalMean arrayJobs = new ArrivalMean(AutoscalingConstants.LOAD_WINDOW_S);
+    private final ArrivalMean arrayJobs = new ArrivalMean(AutoscalingConstants.ARRAY_ARRIVAL_WINDOW_S);
     private final Map<String, ArrivalMean> arrayCoreSecondsByTeam = new HashMap<>();
-    private final ArrivalMean serviceCores = new ArrivalMean(AutoscalingConstants.SERVICE_WINDOW_S);
+    private final ArrivalMean serviceCores = new ArrivalMean(AutoscalingConstants.SERVICE_ARRIVAL_WINDOW_S);
     private long startedAt;
     private long lastArrayArrivedAt;
     /** Mean job arrays per second when the last one arrived, multiplied by the {@link #confidence} at that time. */
@@ -41,7 +41,7 @@
             lastArrayArrivedAt = now;
             arrayRateAtLastArrival = arrayJobs.perSecond() * confidence();
         } else if ((now - lastArrayArrivedAt) / 1000.0 * arrayRateAtLastArrival
-                > AutoscalingConstants.MISSED_ARRIVALS) {
+                > AutoscalingConstants.MAX_MISSED_ARRIVALS) {
             // So many expected arrivals are missing that the mean is outdated and capacity kept for it is wasted.
             arrayCoreSecondsByTeam.values().forEach(ArrivalMean::reset);
             arrayJobs.reset();
@@ -88,7 +88,7 @@
 
     /** Confidence in the mean load of job arrays, from 0 to 1: it grows with the number of jobs in the window. */
     double confidence() {
-        double jobs = arrayJobs.perSecond() * AutoscalingConstants.LOAD_WINDOW_S;
-        return jobs / (jobs + AutoscalingConstants.LOAD_DOUBT_JOBS);
+        double jobs = arrayJobs.perSecond() * AutoscalingConstants.ARRAY_ARRIVAL_WINDOW_S;
+        return jobs / (jobs + AutoscalingConstants.HALF_CONFIDENCE_JOBS);
     }
 }
--- a/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
@@ -43,7 +43,7 @@
     }
 
     private void planZone(String zone, double excessCores, double allServiceCores) {
-        double evictableCores = excessCores / AutoscalingConstants.MOVE_MARGIN;
+        double evictableCores = excessCores / AutoscalingConstants.EXCESS_TO_DRAINED_CAPACITY_RATIO;
         double remainingExcessCores = excessCores;
         for (Machine machine : fewestServiceCoresFirst(zone)) {
             double cores = machine.type.cpus();
@@ -52,7 +52,7 @@
             boolean evicting = evictableCores >= 0 && machine.serviceCpus() > 0;
             boolean evictedNext = !evicting
                     && remainingExcessCores >= 0
-                    && cores <= allServiceCores * AutoscalingConstants.DRAINED_NEXT_SHARE;
+                    && cores <= allServiceCores * AutoscalingConstants.MAX_DRAINED_NEXT_MACHINE_SHARE;
             machine.planEviction(evicting, evictedNext);
             if (evicting) {
                 moveReplicas(machine);
@@ -78,11 +78,11 @@
 
     private void moveReplicas(Machine machine) {
         for (Assignment assignment : machine.liveAssignments()) {
-            if (moves.size() < AutoscalingConstants.MAX_MOVES
+            if (moves.size() < AutoscalingConstants.MAX_MOVES_PER_CYCLE
                     && assignment.job.spec.service()
                     && !assignment.stopRequested()
                     && assignment.state() == Assignment.State.RUNNING
-                    && now - assignment.runningAt() > AutoscalingConstants.MOVE_AFTER_MS
+                    && now - assignment.runningAt() > AutoscalingConstants.MIN_RUN_TIME_BEFORE_MOVE_MS
                     && MachineSelector.canMove(assignment, machines, now)) {
                 moves.add(assignment);
             }
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleInPlanner.java
@@ -97,7 +97,9 @@
     }
 
     private long idleTimeoutMillis(Machine machine) {
-        return machine.spot && !machine.isSurplus() ? operator.idleMs() : AutoscalingConstants.IDLE_ON_DEMAND_MS;
+        return machine.spot && !machine.isSurplus()
+                ? operator.idleSpotTimeoutMs()
+                : AutoscalingConstants.IDLE_ON_DEMAND_TIMEOUT_MS;
     }
 
     private static double pricePerCore(Machine machine) {
--- a/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
+++ b/src/main/java/org/hollypick/core/balancing/HeartbeatBalancer.java
@@ -94,17 +94,17 @@
     }
 
     private double weight(String controller) {
-        return controller.equals(leader) ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1;
+        return controller.equals(leader) ? RelayConstants.LEADER_HEARTBEAT_WEIGHT : 1;
     }
 
     private boolean relays(String controller, long nowMillis) {
-        return nowMillis - relayedAtMillis.get(controller) < RelayConstants.RELAY_ALIVE_MS;
+        return nowMillis - relayedAtMillis.get(controller) < RelayConstants.ACTIVE_RELAY_TIMEOUT_MS;
     }
 
     private boolean isOverloaded(String controller, double machinesPerWeight) {
         return machineCount(controller)
-                > machinesPerWeight * weight(controller) * RelayConstants.UNBALANCED_RATIO
-                        + RelayConstants.UNBALANCED_MACHINES;
+                > machinesPerWeight * weight(controller) * RelayConstants.OVERLOADED_CONTROLLER_RATIO
+                        + RelayConstants.OVERLOADED_CONTROLLER_EXTRA_MACHINES;
     }
 
     /** The other controller with the lowest load relative to its share; null if none is below its share. */
@@ -122,7 +122,7 @@
     }
 
     private void refillBudget(int totalMachines, long nowMillis) {
-        double redirectsPerSecond = Math.max(1, totalMachines * RelayConstants.REBALANCED_SHARE);
+        double redirectsPerSecond = Math.max(1, totalMachines * RelayConstants.MAX_REBALANCED_SHARE_PER_SECOND);
         double refill = redirectsPerSecond * (nowMillis - budgetRefilledAtMillis) / 1000.0;
         redirectBudget = Math.min(redirectsPerSecond, redirectBudget + refill);
         budgetRefilledAtMillis = nowMillis;
--- a/src/main/java/org/hollypick/core/estimate/OwnerEstimateCorrection.java
+++ b/src/main/java/org/hollypick/core/estimate/OwnerEstimateCorrection.java
@@ -36,8 +36,8 @@
         private double meanEstimateS;
 
         void add(double ranS, double estimateS) {
-            meanRanS += AutoscalingConstants.RUN_RATIO_WEIGHT * (ranS - meanRanS);
-            meanEstimateS += AutoscalingConstants.RUN_RATIO_WEIGHT * (estimateS - meanEstimateS);
+            meanRanS += AutoscalingConstants.RUN_TIME_SMOOTHING_FACTOR * (ranS - meanRanS);
+            meanEstimateS += AutoscalingConstants.RUN_TIME_SMOOTHING_FACTOR * (estimateS - meanEstimateS);
         }
     }
 }
--- a/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
+++ b/src/main/java/org/hollypick/core/health/AdaptiveWindow.java
@@ -10,13 +10,13 @@
  */
 public final class AdaptiveWindow {
     private double size = FailureDetectionConstants.MAX_DIRECT_CALLS;
-    private long lastDecreaseAt = -FailureDetectionConstants.ADAPTIVE_WINDOW_MS;
+    private long lastDecreaseAt = -FailureDetectionConstants.CONCURRENCY_DECREASE_INTERVAL_MS;
 
     /** Records a response that took {@code latencyMillis}, and adapts the window. */
     public void recordResponse(long latencyMillis, long now) {
-        if (latencyMillis <= FailureDetectionConstants.SLOW_CALL_MS) {
+        if (latencyMillis <= FailureDetectionConstants.SLOW_RESPONSE_MS) {
             size = Math.min(FailureDetectionConstants.MAX_DIRECT_CALLS, size + 1 / size);
-        } else if (now - lastDecreaseAt >= FailureDetectionConstants.ADAPTIVE_WINDOW_MS) {
+        } else if (now - lastDecreaseAt >= FailureDetectionConstants.CONCURRENCY_DECREASE_INTERVAL_MS) {
             lastDecreaseAt = now;
             size = Math.max(FailureDetectionConstants.MIN_DIRECT_CALLS, size / 2);
         }
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -74,7 +74,7 @@
         if (responseSent) {
             if (!seenThisToken || anyStillPending(pendingCommands)) {
                 unacknowledgedResponses++;
-                if (unacknowledgedResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES) {
+                if (unacknowledgedResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSE_THRESHOLD) {
                     markUnreachableInbound(now);
                 }
             } else if (!tokenSeen || (heartbeat.incarnation() == respondedIncarnation && anyEffectShown(heartbeat))) {
@@ -168,7 +168,7 @@
     public boolean isSuspected() {
         return isUnreachableInbound()
                 || (unacknowledgedResponses > 0
-                        && unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS);
+                        && unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALL_THRESHOLD);
     }
 
     /**
@@ -176,6 +176,6 @@
      * at a time is enough to find out whether commands reach it.
      */
     public boolean isDeliveryUnconfirmed() {
-        return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
+        return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALL_THRESHOLD;
     }
 }
--- a/src/main/java/org/hollypick/core/health/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/health/LocalHealth.java
@@ -39,15 +39,15 @@
      * controller is overloaded.
      */
     public void recordResponse(long latencyMillis, long now) {
-        if (now - windowStartedAt >= FailureDetectionConstants.SLOW_WINDOW_MS) {
+        if (now - windowStartedAt >= FailureDetectionConstants.SLOW_RESPONSE_WINDOW_MS) {
             windowStartedAt = now;
             responses = 0;
             slowResponses = 0;
         }
         responses++;
-        slowResponses += latencyMillis > FailureDetectionConstants.SLOW_CALL_MS ? 1 : 0;
-        if (slowResponses >= FailureDetectionConstants.SLOW_CALLS
-                && slowResponses > responses * FailureDetectionConstants.SLOW_SHARE) {
+        slowResponses += latencyMillis > FailureDetectionConstants.SLOW_RESPONSE_MS ? 1 : 0;
+        if (slowResponses >= FailureDetectionConstants.MIN_SLOW_RESPONSES
+                && slowResponses > responses * FailureDetectionConstants.MIN_SLOW_RESPONSE_SHARE) {
             lastDegradedAt = now;
         }
     }
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -126,7 +126,7 @@
         return -fetchSeconds(spec, machine)
                 + PACKING_BONUS_S * machine.usedCpus() / machine.type.cpus()
                 + (machine.spot ? SPOT_BONUS_S : 0)
-                - (machine.isSurplus() ? AutoscalingConstants.SURPLUS_PENALTY_S : 0);
+                - (machine.isSurplus() ? AutoscalingConstants.SURPLUS_MACHINE_PENALTY_S : 0);
     }
 
     /**
@@ -140,8 +140,8 @@
     private static double serviceScore(Job job, Machine machine, int replicas, double allServiceCpus) {
         double share = (machine.serviceCpus() - replicas * job.spec.cpus()) / Math.max(1, allServiceCpus);
         return -fetchSeconds(job.spec, machine)
-                - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
-                - share * SchedulingConstants.SERVICE_SPREAD_S
+                - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_PENALTY_S
+                - share * SchedulingConstants.SERVICE_CONCENTRATION_PENALTY_S
                 - (machine.isEvictedNext() ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
--- a/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -25,13 +25,13 @@
         double minorityShare = Math.max(0, 0.5 - reachedShare) * 2;
         double delayMs = ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS * (1 - reachedShare)
                 + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * byPeers / (double) probed
-                + ElectionConstants.CANDIDACY_DELAY_MAX_MS * minorityShare;
+                + ElectionConstants.CANDIDACY_DELAY_MINORITY_MS * minorityShare;
         return Math.round(delayMs);
     }
 
     /** Whether nearly all machines are reached, directly or through peers. */
     public static boolean reachesNearlyAll(int probed, int direct, int byPeers) {
-        return direct + byPeers >= probed * ElectionConstants.BETTER_LEADER_SHARE;
+        return direct + byPeers >= probed * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
     }
 
     /**
@@ -39,7 +39,7 @@
      * many as this controller and all its peers together.
      */
     public static boolean peerLeadsBetter(int direct, int byPeers, int bestPeer) {
-        return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.BETTER_LEADER_SHARE;
+        return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
     }
 
     /**
--- a/src/main/java/org/hollypick/core/tyrex/Tyrex.java
+++ b/src/main/java/org/hollypick/core/tyrex/Tyrex.java
@@ -36,7 +36,7 @@
         }
         double[] sizes =
                 firstPartition.stream().mapToDouble(Job::attainedServiceS).toArray();
-        if (!(Cutoff.squaredVariation(sizes) > SchedulingConstants.UNBALANCED_CV2)) {
+        if (!(Cutoff.squaredVariation(sizes) > SchedulingConstants.UNBALANCED_SQUARED_CV)) {
             return List.of();
         }
         OptionalDouble cutoff = Cutoff.findBalanced(sizes);
--- a/src/main/java/org/hollypick/io/ConnectionPool.java
+++ b/src/main/java/org/hollypick/io/ConnectionPool.java
@@ -25,9 +25,9 @@
     /** Starts the exchange, or queues it until a connection is free. The timeout includes the time in the queue. */
     void submit(HttpExchange exchange) {
         exchange.startTimeout();
-        if (exchangesInFlight < NetworkConstants.CONNECTIONS_PER_ADDRESS) {
+        if (exchangesInFlight < NetworkConstants.MAX_CONNECTIONS_PER_ADDRESS) {
             start(exchange);
-        } else if (waiting.size() < NetworkConstants.QUEUED_PER_ADDRESS) {
+        } else if (waiting.size() < NetworkConstants.MAX_QUEUED_REQUESTS_PER_ADDRESS) {
             waiting.add(exchange);
         } else {
             exchange.fail(Response.notSent());
@@ -65,7 +65,7 @@
             client.addIdle(reusable, this);
         }
         HttpExchange next;
-        while (exchangesInFlight < NetworkConstants.CONNECTIONS_PER_ADDRESS && (next = waiting.poll()) != null) {
+        while (exchangesInFlight < NetworkConstants.MAX_CONNECTIONS_PER_ADDRESS && (next = waiting.poll()) != null) {
             if (!next.isFinished()) {
                 start(next);
             }
--- a/src/main/java/org/hollypick/io/HttpServer.java
+++ b/src/main/java/org/hollypick/io/HttpServer.java
@@ -61,7 +61,7 @@
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) NetworkConstants.MAX_BODY_BYTES)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetworkConstants.IDLE_CONNECTION_MS)
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, NetworkConstants.IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.ENABLE_CONNECTOR_STATISTICS, false)
--- a/src/main/java/org/hollypick/relay/HeartbeatQueue.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatQueue.java
@@ -23,8 +23,8 @@
 
     /** Whether the queue's bounds leave no capacity for this heartbeat. */
     boolean lacksCapacityFor(byte[] heartbeat) {
-        return heartbeats.size() >= RelayConstants.RELAY_QUEUE_HEARTBEATS
-                || bytes + heartbeat.length > RelayConstants.RELAY_QUEUE_BYTES;
+        return heartbeats.size() >= RelayConstants.MAX_RELAY_QUEUE_HEARTBEATS
+                || bytes + heartbeat.length > RelayConstants.MAX_RELAY_QUEUE_BYTES;
     }
 
     void add(QueuedHeartbeat queued) {
@@ -44,8 +44,8 @@
         List<QueuedHeartbeat> batch = new ArrayList<>();
         int batchBytes = 0;
         while (!heartbeats.isEmpty()
-                && batch.size() < RelayConstants.RELAY_BATCH_HEARTBEATS
-                && batchBytes + heartbeats.peek().heartbeat().length <= RelayConstants.RELAY_BATCH_BYTES) {
+                && batch.size() < RelayConstants.MAX_RELAY_BATCH_HEARTBEATS
+                && batchBytes + heartbeats.peek().heartbeat().length <= RelayConstants.MAX_RELAY_BATCH_BYTES) {
             QueuedHeartbeat next = poll();
             batch.add(next);
             batchBytes += next.heartbeat().length;
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -74,14 +74,14 @@
         ServerResponse local = respondLocally(heartbeat);
         if (local != null) {
             responder.accept(local);
-        } else if (heartbeat.length > RelayConstants.RELAY_BATCH_BYTES || leaderLacksBatchSupport()) {
+        } else if (heartbeat.length > RelayConstants.MAX_RELAY_BATCH_BYTES || leaderLacksBatchSupport()) {
             responder.accept(redirectToLeader());
         } else if (queue.lacksCapacityFor(heartbeat)) {
             responder.accept(ServerResponse.retryLater("too many reports wait"));
         } else {
             long expiresAtMillis = eventLoop.now() + RelayConstants.RELAY_QUEUE_TIMEOUT_MS;
             queue.add(new QueuedHeartbeat(heartbeat, expiresAtMillis, responder));
-            scheduleFlush(RelayConstants.RELAY_BATCH_MS);
+            scheduleFlush(RelayConstants.RELAY_BATCH_DELAY_MS);
         }
     }
 
@@ -115,10 +115,10 @@
         long nowMillis = eventLoop.now();
         respondLocallyOrExpire(nowMillis);
         Leader leader = membership.currentLeader();
-        String leaderAddress = leader == null ? null : settings.meshAddr(leader.controller());
+        String leaderAddress = leader == null ? null : settings.peerEndpointAddress(leader.controller());
         while (leaderAddress != null
                 && nowMillis >= sendNotBeforeMillis
-                && batchesInFlight < RelayConstants.RELAY_BATCHES_IN_FLIGHT
+                && batchesInFlight < RelayConstants.MAX_RELAY_BATCHES_IN_FLIGHT
                 && !queue.isEmpty()) {
             sendBatch(leaderAddress, leader, nowMillis);
         }
@@ -160,7 +160,7 @@
                         leaderAddress,
                         "POST",
                         HeartbeatRelayCodec.BATCH_PATH,
-                        HeartbeatRelayCodec.encodeBatch(settings.node(), leader.token(), heartbeats),
+                        HeartbeatRelayCodec.encodeBatch(settings.controllerName(), leader.token(), heartbeats),
                         RelayConstants.RELAY_TIMEOUT_MS,
                         true),
                 response -> {
@@ -192,7 +192,7 @@
             // the leader may be overloaded.
             batch.forEach(queue::add);
             leaderComplaint.batchFailed(leader.token(), machineIds(batch));
-            int doublings = Math.min(consecutiveFailures++, RelayConstants.RELAY_BACKOFF_DOUBLINGS);
+            int doublings = Math.min(consecutiveFailures++, RelayConstants.MAX_RELAY_BACKOFF_DOUBLINGS);
             sendNotBeforeMillis = eventLoop.now() + (RelayConstants.RELAY_RETRY_MS << doublings);
         }
     }
@@ -212,7 +212,7 @@
     private static Set<String> machineIds(List<QueuedHeartbeat> batch) {
         Set<String> machines = new LinkedHashSet<>();
         for (QueuedHeartbeat queued : batch) {
-            if (machines.size() >= ReachabilityConstants.LEADER_COMPLAINT_MACHINES) {
+            if (machines.size() >= ReachabilityConstants.MAX_LEADER_COMPLAINT_MACHINES) {
                 break;
             }
             Heartbeat decoded = AgentCodec.decodeHeartbeat(queued.heartbeat());
@@ -234,7 +234,7 @@
     private ServerResponse redirectToLeader() {
         Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.namedLeader() : currentLeader.controller();
-        return leader == null || leader.equals(settings.node())
+        return leader == null || leader.equals(settings.controllerName())
                 ? ServerResponse.retryLater("not entitled to act")
                 : HeartbeatRelayCodec.redirect(leader);
     }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -83,9 +83,9 @@
 
     private void removeOldest(long nowMillis) {
         while (!undeliveredMachines.isEmpty()
-                && (undeliveredMachines.size() > ReachabilityConstants.LEADER_COMPLAINT_MACHINES
+                && (undeliveredMachines.size() > ReachabilityConstants.MAX_LEADER_COMPLAINT_MACHINES
                         || nowMillis - undeliveredMachines.getLong(undeliveredMachines.firstKey())
-                                > ReachabilityConstants.LEADER_COMPLAINT_MEMORY_MS)) {
+                                > ReachabilityConstants.LEADER_COMPLAINT_MACHINE_RETENTION_MS)) {
             undeliveredMachines.removeFirstLong();
         }
     }
@@ -104,7 +104,7 @@
         store.commitUrgently(
                 new CompareAndSwap()
                         .expectRevision(StoreKeys.LEADER_RECORD, token)
-                        .putWithSession(StoreKeys.leaderComplaint(settings.node()), complaint, sessionId),
+                        .putWithSession(StoreKeys.leaderComplaint(settings.controllerName()), complaint, sessionId),
                 result -> {});
     }
 
--- a/src/main/java/org/hollypick/store/StoreRequestQueue.java
+++ b/src/main/java/org/hollypick/store/StoreRequestQueue.java
@@ -64,7 +64,7 @@
     }
 
     private void add(ArrayDeque<Item> queue, Item item) {
-        if (queue.size() >= StoreConstants.STORE_QUEUE_LENGTH) {
+        if (queue.size() >= StoreConstants.MAX_STORE_QUEUE_LENGTH) {
             rejectUnsent(item);
             return;
         }
@@ -85,7 +85,7 @@
                 * StoreConstants.STORE_QUEUE_TIMEOUT_MS
                 / MILLIS_PER_SECOND
                 * StoreConstants.ADMITTED_QUEUE_SHARE;
-        return commits.size() >= StoreConstants.STORE_QUEUE_LENGTH || queuedWrites > Math.max(1, admittedWrites);
+        return commits.size() >= StoreConstants.MAX_STORE_QUEUE_LENGTH || queuedWrites > Math.max(1, admittedWrites);
     }
 
     private void drain() {
--- a/src/test/java/org/hollypick/config/SettingsTest.java
+++ b/src/test/java/org/hollypick/config/SettingsTest.java
@@ -46,9 +46,9 @@
     @Test
     void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
         Settings settings = Settings.parse(toml());
-        assertEquals("bothy-0", settings.node());
-        assertEquals(16 * 1024, settings.valueBytes());
-        assertEquals(0, settings.teams().get("t").cpusMax());
+        assertEquals("bothy-0", settings.controllerName());
+        assertEquals(16 * 1024, settings.maxValueBytes());
+        assertEquals(0, settings.teams().get("t").maxCpus());
     }
 
     @Test
@@ -79,9 +79,9 @@
                 .put("value_kb", 2.0)
                 .put("txn_ops", 20);
         Settings settings = Settings.parse(toml);
-        assertEquals(2 * 1024, settings.valueBytes());
-        assertEquals(16, settings.txnOps());
-        assertEquals(50, settings.stateWriteRps());
+        assertEquals(2 * 1024, settings.maxValueBytes());
+        assertEquals(16, settings.maxTransactionOperations());
+        assertEquals(50, settings.storeWritesPerSecond());
         next.put("txn_ops", 0.5);
         assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
                 .getMessage()
@@ -99,7 +99,7 @@
 
     @Test
     void operatorsSettingsAreOneEdnMap() {
-        assertEquals(20_000, OperatorSettings.parse("{:idle-s 20}").idleMs());
+        assertEquals(20_000, OperatorSettings.parse("{:idle-s 20}").idleSpotTimeoutMs());
         assertEquals(OperatorSettings.defaults(), OperatorSettings.parse("{}"));
         assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idel-s 20}"))
                 .getMessage()
@@ -109,7 +109,7 @@
                 .contains("first-share"));
         assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idle-s"));
         assertTrue(OperatorSettings.parse("{:graphs true :estimates true :graph-keep-s 60}")
-                .graphs());
+                .graphsEnabled());
         assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:graphs 1}"))
                 .getMessage()
                 .contains(":graphs must be true or false"));
--- a/src/test/java/org/hollypick/config/constants/TimingRelationsTest.java
+++ b/src/test/java/org/hollypick/config/constants/TimingRelationsTest.java
@@ -24,7 +24,7 @@
     void clockBoundsCoverTheDriftOfBothEnds() {
         assertTrue(ClockConstants.CLOCK_DRIFT_RATIO >= 2 * ONE_CLOCK_DRIFT);
         assertTrue(ClockConstants.CLOCK_MARGIN_MS > 0);
-        assertTrue(LeaseConstants.LEASE_MARGIN_MS > 0);
+        assertTrue(LeaseConstants.AGENT_LEASE_MARGIN_MS > 0);
     }
 
     @Test
@@ -34,25 +34,27 @@
 
     @Test
     void leaseGrantsAreRequestedAfterAMissedRenewalAndBeforeTheSessionExpires() {
-        assertTrue(ElectionConstants.LEASE_GRANT_AFTER_MS > ElectionConstants.SESSION_RENEWAL_INTERVAL_MS);
-        assertTrue(ElectionConstants.LEASE_GRANT_AFTER_MS + 2 * ElectionConstants.LEASE_GRANT_INTERVAL_MS
-                < atLeast(ElectionConstants.SESSION_TTL_MS));
+        assertTrue(ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS > ElectionConstants.SESSION_RENEWAL_INTERVAL_MS);
+        assertTrue(
+                ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS + 2 * ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS
+                        < atLeast(ElectionConstants.SESSION_TTL_MS));
     }
 
     @Test
     void severalRequestsFitIntoOneLeaseGrant() {
-        assertTrue(3 * ElectionConstants.LEASE_GRANT_INTERVAL_MS < atLeast(ElectionConstants.LEASE_GRANT_MS));
+        assertTrue(3 * ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS < atLeast(ElectionConstants.LEASE_GRANT_MS));
     }
 
     @Test
     void relayedResponsesOutlastTheirBatchButNotASession() {
-        assertTrue(RelayConstants.RELAY_VALIDITY_MS >= RelayConstants.RELAY_TIMEOUT_MS);
-        assertTrue(RelayConstants.RELAY_VALIDITY_MS < atLeast(ElectionConstants.SESSION_TTL_MS));
+        assertTrue(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS >= RelayConstants.RELAY_TIMEOUT_MS);
+        assertTrue(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS < atLeast(ElectionConstants.SESSION_TTL_MS));
     }
 
     @Test
     void aResignedLeaderIsNoCandidateWhileItsResponsesMayBeRelayed() {
-        assertTrue(ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS > atMost(RelayConstants.RELAY_VALIDITY_MS));
+        assertTrue(ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS
+                > atMost(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS));
     }
 
     @Test
@@ -60,7 +62,7 @@
         assertTrue(RelayConstants.RELAY_QUEUE_TIMEOUT_MS + RelayConstants.RELAY_TIMEOUT_MS
                 < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS);
         assertTrue(ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
-                < ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS);
+                < ReachabilityConstants.MAX_UNANSWERED_HEARTBEAT_GAP_MS);
     }
 
     @Test
@@ -89,18 +91,18 @@
 
     @Test
     void twoProbesFitInBeforeAMachineCountsAsUnresponsive() {
-        long twoProbes = 2 * NetworkConstants.COMMAND_TIMEOUT_MS + FailureDetectionConstants.DIRECT_RETRY_MS;
+        long twoProbes = 2 * NetworkConstants.COMMAND_TIMEOUT_MS + FailureDetectionConstants.DIRECT_CALL_RETRY_MS;
         assertTrue(twoProbes < FailureDetectionConstants.UNRESPONSIVE_AFTER_MS);
         assertTrue(twoProbes < FailureDetectionConstants.FAILOVER_GRACE_MS);
     }
 
     @Test
     void twoGrantRequestsFitInBeforeTheLeaderCountsAsLost() {
-        assertTrue(2 * LeaseConstants.RENEWAL_GRANT_INTERVAL_MS < LeaseConstants.LEADER_LOST_MS);
+        assertTrue(2 * LeaseConstants.RENEWAL_GRANT_INTERVAL_MS < LeaseConstants.LEADER_UNREACHABLE_AFTER_MS);
     }
 
     @Test
     void aNewFencingTokenIsTakenBeforeAttemptNumbersRunOut() {
-        assertTrue(JobConstants.ATTEMPT_RESERVE < 1 << JobConstants.ATTEMPT_BITS);
+        assertTrue(JobConstants.ATTEMPT_NUMBER_RESERVE < 1 << JobConstants.ATTEMPT_COUNTER_BITS);
     }
 }
--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -195,7 +195,7 @@
     @Test
     void olderLowPriorityJobGetsAShareOfFreedMachinesIfThereAreSeveralTeams() {
         assertEquals(0, machinesGivenToTheLowPriorityJob(1));
-        assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_EVERY, machinesGivenToTheLowPriorityJob(2));
+        assertEquals(120 / SchedulingConstants.ARRIVAL_ORDER_MACHINE_INTERVAL, machinesGivenToTheLowPriorityJob(2));
     }
 
     private static Map<String, String> placements(Scheduler scheduler) {
@@ -274,7 +274,7 @@
             for (Machine machine : allowedMachines(scheduler, job)) {
                 boolean lendable = !secondPartition
                         || idleMachinesInFirst - (machine.idle() ? 1 : 0)
-                                >= SchedulingConstants.FIRST_PARTITION_FREE_MACHINES;
+                                >= SchedulingConstants.MIN_IDLE_FIRST_PARTITION_MACHINES;
                 if (machine.isInFirstPartition() == secondPartition == ownPartition
                         || !machine.hasRoom(job.spec)
                         || (!ownPartition && !lendable)) {
@@ -341,8 +341,10 @@
                     .mapToDouble(assignment -> assignment.job.spec.cpus())
                     .sum();
             double score = -fetchSeconds(job.spec, machine)
-                    - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_S
-                    - otherServiceCpus / Math.max(1, allServiceCpus) * SchedulingConstants.SERVICE_SPREAD_S
+                    - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_PENALTY_S
+                    - otherServiceCpus
+                            / Math.max(1, allServiceCpus)
+                            * SchedulingConstants.SERVICE_CONCENTRATION_PENALTY_S
                     - lostCoreSeconds / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
                 best = machine;
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -85,7 +85,8 @@
                 }
             }
             assertTrue(
-                    redirects - previousRedirects <= Math.max(1, machines * RelayConstants.REBALANCED_SHARE) + 1,
+                    redirects - previousRedirects
+                            <= Math.max(1, machines * RelayConstants.MAX_REBALANCED_SHARE_PER_SECOND) + 1,
                     "more redirects in one second than allowed");
             assertTrue(t < 300_000 || redirects == previousRedirects, "machines are still redirected after 300 s");
         }
@@ -94,11 +95,12 @@
         assertEquals(machines, total);
         for (String name : names) {
             double share = machines
-                    / (controllers - 1 + RelayConstants.LEADER_HEARTBEAT_SHARE)
-                    * (name.equals("n0") ? RelayConstants.LEADER_HEARTBEAT_SHARE : 1);
+                    / (controllers - 1 + RelayConstants.LEADER_HEARTBEAT_WEIGHT)
+                    * (name.equals("n0") ? RelayConstants.LEADER_HEARTBEAT_WEIGHT : 1);
             assertTrue(
                     balancer.machineCount(name)
-                            <= share * RelayConstants.UNBALANCED_RATIO + RelayConstants.UNBALANCED_MACHINES,
+                            <= share * RelayConstants.OVERLOADED_CONTROLLER_RATIO
+                                    + RelayConstants.OVERLOADED_CONTROLLER_EXTRA_MACHINES,
                     name + " has " + balancer.machineCount(name) + " of " + machines);
         }
     }
@@ -113,20 +115,20 @@
         assertEquals(null, balancer.redirectFrom("a", 5_000));
         balancer.recordRelay("b", 5_000);
         assertEquals("b", balancer.redirectFrom("a", 6_000));
-        assertEquals(null, balancer.redirectFrom("a", 5_001 + RelayConstants.RELAY_ALIVE_MS));
+        assertEquals(null, balancer.redirectFrom("a", 5_001 + RelayConstants.ACTIVE_RELAY_TIMEOUT_MS));
     }
 
     @Test
     void slowResponsesHalveTheWindowAtMostOncePerInterval() {
         AdaptiveWindow window = new AdaptiveWindow();
         for (int i = 0; i < 50; i++) {
-            window.recordResponse(FailureDetectionConstants.SLOW_CALL_MS + 1, 1_000);
+            window.recordResponse(FailureDetectionConstants.SLOW_RESPONSE_MS + 1, 1_000);
         }
         assertEquals(FailureDetectionConstants.MAX_DIRECT_CALLS / 2, window.size());
         for (int i = 0; i < 20; i++) {
             window.recordResponse(
-                    FailureDetectionConstants.SLOW_CALL_MS + 1,
-                    2_000 + i * FailureDetectionConstants.ADAPTIVE_WINDOW_MS);
+                    FailureDetectionConstants.SLOW_RESPONSE_MS + 1,
+                    2_000 + i * FailureDetectionConstants.CONCURRENCY_DECREASE_INTERVAL_MS);
         }
         assertEquals(FailureDetectionConstants.MIN_DIRECT_CALLS, window.size());
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -71,7 +71,7 @@
             pending.removeIf(command -> tasks.stream().anyMatch(status -> status.attempt() == command.attempt()));
             validity.heartbeatReceived(heartbeat, token == TOKEN, pending, now);
             assertEquals(
-                    lostResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSES,
+                    lostResponses >= ReachabilityConstants.UNACKNOWLEDGED_RESPONSE_THRESHOLD,
                     validity.isUnreachableInbound(),
                     "after " + lostResponses + " lost responses");
             pending.add(new Command(Command.Verb.LAUNCH, "req-1/" + attempt, ++attempt, 0));
@@ -91,7 +91,7 @@
 
     private static final long LEASE_MS = 20_000;
     private final Settings settings =
-            new SettingsBuilder().leaseS(LEASE_MS / 1000.0).build();
+            new SettingsBuilder().agentLeaseS(LEASE_MS / 1000.0).build();
     private final Scheduler scheduler =
             new Scheduler(TOKEN, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
 
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -118,7 +118,8 @@
         long delayMs = CandidacyDelay.delayMs(probed, reachedDirectly, reachedByPeers);
         assertTrue(delayMs >= 0
                 && delayMs
-                        <= ElectionConstants.CANDIDACY_DELAY_MAX_MS + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
+                        <= ElectionConstants.CANDIDACY_DELAY_MINORITY_MS
+                                + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
         assertTrue(reachedDirectly == probed
                 || CandidacyDelay.delayMs(
                                 probed, reachedDirectly + 1, Math.min(reachedByPeers, probed - reachedDirectly - 1))
@@ -131,6 +132,6 @@
                 || CandidacyDelay.majorityResponded(probed, reachedDirectly));
         assertTrue(probed % 2 != 0
                 || CandidacyDelay.delayMs(probed, probed / 2, 0)
-                        > CandidacyDelay.delayMs(probed, 0, probed) + ElectionConstants.CANDIDACY_STEP_MS);
+                        > CandidacyDelay.delayMs(probed, 0, probed) + ElectionConstants.CANDIDACY_STAGGER_MS);
     }
 }
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -440,7 +440,7 @@
                 at(
                         sockets.shouldCloseAfterResponse(ConnectionBudget.Kind.HEARTBEATS)
                                 ? 0
-                                : NetworkConstants.IDLE_CONNECTION_MS,
+                                : NetworkConstants.IDLE_CONNECTION_TIMEOUT_MS,
                         () -> {
                             if (reporters.remove(from, used)) {
                                 sockets.closed(ConnectionBudget.Kind.HEARTBEATS);
