--- a/src/main/java/org/hollypick/config/constants/FaultConstants.java
+++ b/src/main/java/org/hollypick/config/constants/FaultConstants.java
@@ -18,7 +18,7 @@
     public static final long QUARANTINE_MS = 90_000;
 
     /** Milliseconds that a task waits after a failure, doubled each time its job fails, up to the maximum. */
-    public static final long INITIAL_TASK_BACKOFF_MS = 1_000;
+    public static final long BASE_TASK_BACKOFF_MS = 1_000;
 
     /** Milliseconds that a task waits after a failure at most. */
     public static final long MAX_TASK_BACKOFF_MS = 30_000;
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -75,7 +75,7 @@
     private static void backOff(Job job, int index, long now) {
         long waitMs = Math.min(
                 FaultConstants.MAX_TASK_BACKOFF_MS,
-                FaultConstants.INITIAL_TASK_BACKOFF_MS
+                FaultConstants.BASE_TASK_BACKOFF_MS
                         << Math.min(job.consecutiveFailures(), FaultConstants.MAX_TASK_BACKOFF_DOUBLINGS));
         job.retryNotBefore.put(index, now + (job.consecutiveFailures() <= 1 ? 0 : waitMs));
     }
@@ -87,7 +87,7 @@
     private static void backOffAfterRefusal(Job job, int index, long maxWaitMs, long now) {
         int refusals = job.recordRefusal(index);
         if (refusals > 1) {
-            long waitMs = FaultConstants.INITIAL_TASK_BACKOFF_MS
+            long waitMs = FaultConstants.BASE_TASK_BACKOFF_MS
                     << Math.min(refusals - 2, FaultConstants.MAX_TASK_BACKOFF_DOUBLINGS);
             job.retryNotBefore.put(index, now + Math.min(maxWaitMs, waitMs));
         }
