--- a/src/main/java/org/hollypick/api/CompletionEstimates.java
+++ b/src/main/java/org/hollypick/api/CompletionEstimates.java
@@ -61,10 +61,10 @@
                 leaderAddress.get(),
                 replica.observedRevision(),
                 id,
-                answer -> responder.accept(leaderAnswered(id, answer)));
+                answer -> responder.accept(handleLeaderAnswer(id, answer)));
     }
 
-    private ServerResponse leaderAnswered(String id, PeerCodec.ForwardedAnswer answer) {
+    private ServerResponse handleLeaderAnswer(String id, PeerCodec.ForwardedAnswer answer) {
         Optional<JobStatus> terminal = localJobs.terminalStatus(id);
         if (terminal.isPresent()) {
             return terminal.get().toResponse();
--- a/src/main/java/org/hollypick/api/GraphEndpoints.java
+++ b/src/main/java/org/hollypick/api/GraphEndpoints.java
@@ -73,7 +73,7 @@
             return;
         }
         if (!admission.isReady()) {
-            responder.accept(starting());
+            responder.accept(machineTypesUnknown());
             return;
         }
         GraphOptions options = GraphRequestCodec.options(graphId, request.body());
@@ -99,7 +99,7 @@
         List<NodeSpec> nodes =
                 GraphRequestCodec.nodes(request.body(), live.get().job().orElseThrow().spec);
         if (!admission.isReady()) {
-            responder.accept(starting());
+            responder.accept(machineTypesUnknown());
             return;
         }
         Optional<ServerResponse> rejection = rejectionOf(nodes);
@@ -141,7 +141,7 @@
         Optional<LiveGraph> live =
                 localJobs.activeTerm().flatMap(term -> term.graphs().find(graphId));
         if (live.isPresent() && live.get().hasUncommittedChanges()) {
-            return undurableChanges();
+            return uncommittedChanges();
         }
         if (live.isEmpty()) {
             return ServerResponse.of(200, GraphResponseCodec.describe(graphId, jobStatus, endRecord));
@@ -181,7 +181,7 @@
 
     private static ServerResponse result(LiveGraph live, String nodeId) {
         if (live.hasUncommittedChanges()) {
-            return undurableChanges();
+            return uncommittedChanges();
         }
         if (!live.graph().contains(nodeId)) {
             return ServerResponse.error(404, "no such node");
@@ -217,12 +217,12 @@
     }
 
     /** A termination or result that a successor might not find isn't shown. */
-    private static ServerResponse undurableChanges() {
+    private static ServerResponse uncommittedChanges() {
         return ServerResponse.retryLater("what a node ended with is being recorded");
     }
 
     /** The machine types aren't known yet. */
-    private static ServerResponse starting() {
+    private static ServerResponse machineTypesUnknown() {
         return ServerResponse.retryLater("starting");
     }
 }
--- a/src/main/java/org/hollypick/api/JobCancellation.java
+++ b/src/main/java/org/hollypick/api/JobCancellation.java
@@ -43,7 +43,7 @@
         Optional<String> leaderAddress =
                 localJobs.activeTerm().isPresent() ? Optional.empty() : leaderClient.leaderAddress();
         if (leaderAddress.isPresent()) {
-            leaderClient.cancel(leaderAddress.get(), id, response -> leaderAnswered(id, response, responder));
+            leaderClient.cancel(leaderAddress.get(), id, response -> handleLeaderAnswer(id, response, responder));
         } else {
             answerWithoutLeader(id, responder);
         }
@@ -59,7 +59,7 @@
         });
     }
 
-    private void leaderAnswered(String id, Response response, Consumer<ServerResponse> responder) {
+    private void handleLeaderAnswer(String id, Response response, Consumer<ServerResponse> responder) {
         Optional<JobStatus> status = response.ok() ? JobStatus.read(response.body()) : Optional.empty();
         if (status.isEmpty()) {
             answerWithoutLeader(id, responder);
--- a/src/main/java/org/hollypick/api/JobSubmission.java
+++ b/src/main/java/org/hollypick/api/JobSubmission.java
@@ -74,7 +74,7 @@
             refuseUnlessAccepted(spec.id(), ServerResponse.error(422, rejectionReason.get()), responder);
             return;
         }
-        if (haveRecords(dependencyIds)) {
+        if (allHaveRecords(dependencyIds)) {
             create(spec, dependencyIds, responder);
         } else {
             createAfterRead(spec, dependencyIds, responder);
@@ -88,7 +88,7 @@
                 responder.accept(UserResponses.storeUnavailable());
             } else if (localJobs.hasRecord(spec.id())) {
                 statusQueries.query(spec.id(), responder);
-            } else if (haveRecords(dependencyIds)) {
+            } else if (allHaveRecords(dependencyIds)) {
                 create(spec, dependencyIds, responder);
             } else {
                 responder.accept(ServerResponse.error(422, "awaits a job that was never accepted"));
@@ -96,7 +96,7 @@
         });
     }
 
-    private boolean haveRecords(Set<String> ids) {
+    private boolean allHaveRecords(Set<String> ids) {
         return ids.stream().allMatch(localJobs::hasRecord);
     }
 
--- a/src/main/java/org/hollypick/api/LeaderClient.java
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -19,7 +19,7 @@
     private final Settings settings;
     private final Membership membership;
     /** Until when the leader isn't asked, since it left a status request unanswered. */
-    private long unresponsiveUntil;
+    private long unresponsiveUntilMs;
 
     /** A client that follows the leader as the membership knows it. */
     public LeaderClient(EventLoop eventLoop, Settings settings, Membership membership) {
@@ -32,7 +32,7 @@
      * The address of another controller that leads; empty if none is known, or it recently left a request unanswered.
      */
     Optional<String> leaderAddress() {
-        return eventLoop.now() < unresponsiveUntil
+        return eventLoop.now() < unresponsiveUntilMs
                 ? Optional.empty()
                 : Optional.ofNullable(settings.peerEndpointAddress(membership.namedLeader()));
     }
@@ -48,7 +48,7 @@
                 true);
         eventLoop.send(request, response -> {
             if (!response.isAnswered()) {
-                unresponsiveUntil = eventLoop.now() + ApiConstants.UNRESPONSIVE_LEADER_BACKOFF_MS;
+                unresponsiveUntilMs = eventLoop.now() + ApiConstants.UNRESPONSIVE_LEADER_BACKOFF_MS;
             }
             callback.accept(PeerCodec.statusAnswer(response, ids));
         });
--- a/src/main/java/org/hollypick/api/StatusQueries.java
+++ b/src/main/java/org/hollypick/api/StatusQueries.java
@@ -70,15 +70,15 @@
                 leaderAddress.get(),
                 replica.observedRevision(),
                 batch.keySet(),
-                answer -> batch.forEach(
-                        (id, responders) -> responders.forEach(responder -> leaderAnswered(id, answer, responder))));
+                answer -> batch.forEach((id, responders) ->
+                        responders.forEach(responder -> handleLeaderAnswer(id, answer, responder))));
     }
 
     /**
      * The leader's answer may have been overtaken on its way by a newer one or by this controller's replica: a state
      * that isn't terminal is only passed on if it rests on a revision no older than any answer before.
      */
-    private void leaderAnswered(String id, PeerCodec.StatusAnswer answer, Consumer<ServerResponse> responder) {
+    private void handleLeaderAnswer(String id, PeerCodec.StatusAnswer answer, Consumer<ServerResponse> responder) {
         Optional<JobStatus> terminal = localJobs.terminalStatus(id);
         if (terminal.isPresent()) {
             responder.accept(terminal.get().toResponse());
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -65,7 +65,7 @@
 
     /** Answers a peer's {@link PeerCodec#STATUS_PATH} with the jobs that this controller is certain of. */
     public ServerResponse statusForPeer(JsonNode request) {
-        learnRevision(request);
+        observeRevision(request);
         long revision = replica.observedRevision();
         Map<String, JobStatus> jobs = new LinkedHashMap<>();
         if (request != null) {
@@ -82,12 +82,12 @@
 
     /** Answers a peer's {@link PeerCodec#ESTIMATE_PATH}. */
     public ServerResponse estimateForPeer(JsonNode request) {
-        learnRevision(request);
+        observeRevision(request);
         return estimates.estimateForPeer(request);
     }
 
     /** The newest revision that answers of the peer were built on counts as answered from here too. */
-    private void learnRevision(JsonNode request) {
+    private void observeRevision(JsonNode request) {
         if (request != null) {
             replica.observe(PeerCodec.revision(request));
         }
--- a/src/test/java/org/hollypick/api/GraphResponseCodecTest.java
+++ b/src/test/java/org/hollypick/api/GraphResponseCodecTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void statesKeepTheirNames() {
+    void statesHaveTheirWireNames() {
         assertEquals(
                 List.of("waiting", "ready", "handed", "done", "failed", "cancelled"),
                 Arrays.stream(NodeState.values())
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -28,17 +28,18 @@
      * Replaces replies. {@code reply}: the right one; null before the call, which isn't made if another is there
      * already.
      */
-    private interface Replies {
-        Response of(Request call, Response reply);
+    private interface ResponseReplacement {
+        Response replace(Request call, Response reply);
     }
 
-    private static final OperatorSettings ALL_ON = OperatorSettings.parse("{:estimates true, :graphs true}");
-    private static final BiFunction<EventLoop, Settings, Controller> NEW = (r, s) -> new Controller(r, s, ALL_ON);
+    private static final OperatorSettings ALL_FEATURES = OperatorSettings.parse("{:estimates true, :graphs true}");
+    private static final BiFunction<EventLoop, Settings, Controller> NEW_CONTROLLER =
+            (r, s) -> new Controller(r, s, ALL_FEATURES);
     /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
-    private static final int DAYS = Integer.getInteger("answers.days", 3);
+    private static final int SEED_COUNT = Integer.getInteger("answers.days", 3);
 
     private static final String ESTIMATE = "/submissions/req-000000/estimate";
-    private static final int FIRST = Integer.getInteger("answers.first", 1);
+    private static final int FIRST_SEED = Integer.getInteger("answers.first", 1);
 
     @Test
     void randomProbesSeeAnswersInOrder() {
@@ -46,8 +47,8 @@
         int compared = 0;
         int overtaken = 0;
         long longest = 0;
-        for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            ClusterScenario scenario = drawn(seed, NEW);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            ClusterScenario scenario = randomScenario(seed, NEW_CONTROLLER);
             if (!scenario.checker.violations.isEmpty()) {
                 broken.put(seed, scenario.checker.violations);
             }
@@ -57,11 +58,11 @@
         }
         System.out.printf(
                 "days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n",
-                DAYS, compared, overtaken, longest, broken.size());
+                SEED_COUNT, compared, overtaken, longest, broken.size());
         assertEquals(Map.of(), broken);
     }
 
-    private static ClusterScenario drawn(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+    private static ClusterScenario randomScenario(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.users.cancelOneIn = 2;
         scenario.answerProber.start();
@@ -80,8 +81,9 @@
     }
 
     /** A version whose calls are answered otherwise. */
-    private static BiFunction<EventLoop, Settings, Controller> answered(Replies replies) {
-        return (r, s) -> NEW.apply(
+    private static BiFunction<EventLoop, Settings, Controller> controllersWithReplacedResponses(
+            ResponseReplacement replies) {
+        return (r, s) -> NEW_CONTROLLER.apply(
                 new EventLoop() {
                     @Override
                     public long now() {
@@ -100,18 +102,18 @@
 
                     @Override
                     public void send(Request call, Consumer<Response> reply) {
-                        Response known = replies.of(call, null);
+                        Response known = replies.replace(call, null);
                         if (known != null) {
                             r.after(0, () -> reply.accept(known));
                         } else {
-                            r.send(call, answer -> reply.accept(replies.of(call, answer)));
+                            r.send(call, answer -> reply.accept(replies.replace(call, answer)));
                         }
                     }
                 },
                 s);
     }
 
-    private static boolean noticed(String rule, IntFunction<ClusterScenario> days) {
+    private static boolean anyScenarioViolates(String rule, IntFunction<ClusterScenario> days) {
         for (int seed = 1; seed <= 12; seed++) {
             if (days.apply(seed).checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
                 return true;
@@ -122,46 +124,46 @@
 
     /** Any reading of the epoch seems to say that this controller's copy of the records is fresh. */
     @Test
-    void checkerDetectsAnswersFromMemoryWithoutTheRevision() {
+    void checkerDetectsAnswersFromAStaleReplica() {
         Response old = new Response(404, Codec.object().put("epoch", 0));
-        var version = answered((call, r) -> call.path().equals("/keys/h/never") ? old : r);
-        assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
+        var version = controllersWithReplacedResponses((call, r) -> call.path().equals("/keys/h/never") ? old : r);
+        assertTrue(anyScenarioViolates("went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, version)));
     }
 
     /** A transaction without an answer is taken for one that wasn't carried out. */
     @Test
-    void checkerDetectsThatNoAnswerIsTakenForARefusal() {
+    void checkerDetectsThatAnUnansweredTransactionIsTreatedAsRejected() {
         Response refusal = new Response(503, Codec.object());
-        var version = answered((call, r) ->
+        var version = controllersWithReplacedResponses((call, r) ->
                 call.path().equals("/commit") && r != null && r.failedWith(Response.Failure.NO_RESPONSE) ? refusal : r);
-        assertTrue(noticed("went_back (asked later)", seed -> slow(seed, 1_500, version)));
+        assertTrue(anyScenarioViolates("went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, version)));
     }
 
     /** A controller that gives an answer once more for some milliseconds. */
     @Test
-    void checkerDetectsAnswersThatAreGivenOnceMore() {
-        assertTrue(noticed("went_back (same controller)", seed -> {
-            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
+    void checkerDetectsThatAnEarlierAnswerIsRepeated() {
+        assertTrue(anyScenarioViolates("went_back (same controller)", seed -> {
+            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
             Map<String, Response> known = new HashMap<>();
             scenario.responseFault = (q, r) -> q == null || q.creates() || r.status() != 200
                     ? r
                     : scenario.world.random.nextBoolean()
                             ? known.getOrDefault(q.node() + q.id(), r)
-                            : keep(known, q, r);
-            return look(scenario);
+                            : storeIfAbsent(known, q, r);
+            return runWithProbes(scenario);
         }));
     }
 
-    private static Response keep(Map<String, Response> known, AnswerOrderChecker.Question q, Response r) {
+    private static Response storeIfAbsent(Map<String, Response> known, AnswerOrderChecker.Question q, Response r) {
         known.putIfAbsent(q.node() + q.id(), r);
         return r;
     }
 
     /** What can't run, or lacks a field, is accepted. */
     @Test
-    void checkerDetectsThatWhatCantRunIsAccepted() {
-        assertTrue(noticed("accepted req-8", seed -> {
-            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW);
+    void checkerDetectsThatAnInvalidSubmissionIsAccepted() {
+        assertTrue(anyScenarioViolates("accepted req-8", seed -> {
+            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
             scenario.responseFault = (q, r) ->
                     r.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : r;
             scenario.invalidRequests.submit(6, 10_000);
@@ -172,15 +174,16 @@
     /**
      * The key-value store's answers, the watches' too, take up to that much longer, and some to transactions are lost.
      */
-    private static ClusterScenario slow(int seed, int byMs, BiFunction<EventLoop, Settings, Controller> version) {
+    private static ClusterScenario scenarioWithSlowStore(
+            int seed, int byMs, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.world.slow("state:1", byMs, 60_000);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"h/j/");
         scenario.world.lostAnswerShare = 0.3;
-        return look(scenario);
+        return runWithProbes(scenario);
     }
 
-    private static ClusterScenario look(ClusterScenario scenario) {
+    private static ClusterScenario runWithProbes(ClusterScenario scenario) {
         scenario.users.cancelOneIn = 2;
         scenario.answerProber.start();
         scenario.workload.submitJobs(6, 20_000);
@@ -188,9 +191,12 @@
     }
 
     @Test
-    void slowAndLostAnswersOfTheStateServiceTellNothingOlder() {
+    void slowAndLostStoreResponsesDoNotCauseOlderAnswers() {
         for (int seed = 1; seed <= 4; seed++) {
-            assertEquals(List.of(), slow(seed, seed % 2 == 0 ? 300 : 1_500, NEW).checker.violations, "seed " + seed);
+            assertEquals(
+                    List.of(),
+                    scenarioWithSlowStore(seed, seed % 2 == 0 ? 300 : 1_500, NEW_CONTROLLER).checker.violations,
+                    "seed " + seed);
         }
     }
 
@@ -198,13 +204,13 @@
     @Test
     void unconfirmedTransactionsAreNeverReportedAndThenReversed() {
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
-            ClusterScenario scenario = lostAnswers(3, kind, NEW);
+            ClusterScenario scenario = scenarioWithLostResponses(3, kind, NEW_CONTROLLER);
             assertEquals(List.of(), scenario.checker.violations, kind);
             assertTrue(scenario.checker.order.compared > 500, kind + ": " + scenario.checker.order.compared);
         }
     }
 
-    private static ClusterScenario lostAnswers(
+    private static ClusterScenario scenarioWithLostResponses(
             int seed, String kind, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
@@ -215,7 +221,7 @@
         }
         scenario.workload.submitJobs(
                 3, 20_000); // cancellations that wait for what may still start are answered more seldom
-        return look(scenario);
+        return runWithProbes(scenario);
     }
 
     /**
@@ -223,8 +229,8 @@
      * estimate of the job, which it takes for a running one.
      */
     @Test
-    void noEstimateOfAJobWhoseEndIsInDoubt() {
-        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW).withRunningServices();
+    void noEstimateIsGivenWhileATerminalWriteIsUnresolved() {
+        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER).withRunningServices();
         int leader = scenario.leaderIndex();
         assertEquals("running", status(scenario.users.requestAt(leader, "GET", ESTIMATE, null)));
         scenario.world.cutOneWay("state:1", "bothy-" + leader, 5_000);
@@ -245,7 +251,7 @@
      */
     @Test
     void theTerminationOfANodeIsNotReportedBeforeItIsDurable() {
-        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
+        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER);
         scenario.advance(5_000);
         new GraphUser(scenario, "req-700000", 2, 2).start();
         scenario.advance(500);
@@ -272,9 +278,9 @@
      * The leader's word, held up on its way, isn't given after the newer one that the controller's own records told.
      */
     @Test
-    void anAnswerThatWasOvertakenOnItsWayIsNotGiven() {
+    void delayedLeaderAnswersAreNotGivenAfterNewerOnes() {
         for (int seed = 1; seed <= 4; seed++) {
-            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW).withRunningServices();
+            ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER).withRunningServices();
             int leader = scenario.leaderIndex();
             int other = (leader + 1) % 3;
             scenario.world.slow("m" + leader + ":1", 300, 10_000);
@@ -290,12 +296,12 @@
 
     /** Right after a job is accepted its submission comes again and again, at all controllers, whose records lag. */
     @Test
-    void aFloodOfRepetitionsCostsAWriteForEachControllerAtMost() {
-        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
+    void repeatedSubmissionsWriteTheRecordAtMostOncePerController() {
+        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER);
         scenario.advance(20_000);
         scenario.world.slow("state:1", 300, 10_000);
         int[] writes = {0};
-        scenario.world.sending = (from, call) -> writes[0] += writes(call, "\"pull_gb\"") ? 1 : 0;
+        scenario.world.sending = (from, call) -> writes[0] += isCommitContaining(call, "\"pull_gb\"") ? 1 : 0;
         scenario.checker.order.news = id -> {
             for (int i = 0; i < 300; i++) {
                 int node = i % 3;
@@ -308,7 +314,7 @@
         assertEquals(List.of(), scenario.checker.violations);
     }
 
-    private static boolean writes(Request call, String what) {
+    private static boolean isCommitContaining(Request call, String what) {
         return call.path().equals("/commit") && call.body().toString().contains(what);
     }
 
@@ -321,8 +327,8 @@
      * service.
      */
     @Test
-    void wrongAndRepeatedRequestsAreAnsweredAlikeEverywhere() {
-        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW);
+    void invalidAndRepeatedRequestsGetTheSameAnswerFromEveryController() {
+        ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER);
         scenario.invalidRequests.submit(40, 20_000);
         scenario.advance(5_000);
         scenario.workload.submitBatchJobs(1, 1);
@@ -330,7 +336,7 @@
         var spec = scenario.checker.submitted.get("req-000000");
         var wrong = ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
-        scenario.world.sending = (from, call) -> writes[0] += writes(call, "h/j/") ? 1 : 0;
+        scenario.world.sending = (from, call) -> writes[0] += isCommitContaining(call, "h/j/") ? 1 : 0;
         for (int node = 0; node < 3; node++) {
             assertEquals(
                     "done",
