--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -151,7 +151,8 @@
 
     private Batch nextBatch() {
         int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().maxValueBytes();
-        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().maxTransactionOperations(), maxRecordsInBody));
+        Batch batch =
+                new Batch(maxRecordBytes, Math.min(context.settings().maxTransactionOperations(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
