--- a/src/main/java/org/hollypick/api/Admission.java
+++ b/src/main/java/org/hollypick/api/Admission.java
@@ -7,23 +7,30 @@
 import org.hollypick.core.JobSpec;
 import org.hollypick.core.MachineType;
 
-/** Refuses jobs that could never run, whatever happens in the cluster. Confined to the event loop. */
+/**
+ * Rejects jobs that can never run in this cluster: their team is unknown, a task fits no machine type that the job
+ * allows, or the tasks exceed the team's limit. Confined to the event loop.
+ */
 public final class Admission {
     private final Settings settings;
     private final Supplier<Map<String, MachineType>> machineTypes;
 
-    /** {@code machineTypes}: the machine types that the cloud offers; null until they are known. */
+    /**
+     * Creates the check of submissions.
+     *
+     * @param machineTypes the machine types that the cloud offers, by name; null until they are known
+     */
     public Admission(Settings settings, Supplier<Map<String, MachineType>> machineTypes) {
         this.settings = settings;
         this.machineTypes = machineTypes;
     }
 
-    /** Whether the machine types are known; before that no job can be judged. */
+    /** Whether the machine types are known; {@link #rejectionReason} needs them. */
     boolean isReady() {
         return machineTypes.get() != null;
     }
 
-    /** Why the job could never run, for its user; empty if it could. To be called only while {@link #isReady}. */
+    /** The reason, as reported to the user, why the job can never run; empty if it can. Requires {@link #isReady}. */
     Optional<String> rejectionReason(JobSpec spec) {
         Settings.Team team = settings.teams().get(spec.team());
         if (team == null && !spec.team().isEmpty()) {
--- a/src/main/java/org/hollypick/api/CompletionEstimates.java
+++ b/src/main/java/org/hollypick/api/CompletionEstimates.java
@@ -15,7 +15,7 @@
 import org.hollypick.io.ServerResponse;
 import org.hollypick.records.JobCodec;
 
-/** Tells users when a job is likely to be complete; the leader works it out. Confined to the event loop. */
+/** Responds to users with estimates of job completion, which the leader computes. Confined to the event loop. */
 final class CompletionEstimates {
     private static final String SECONDS_UNTIL_DONE = "done_in_s";
     private static final String P10 = "p10";
@@ -45,7 +45,7 @@
         this.leaderClient = leaderClient;
     }
 
-    /** Answers with an estimate, or with the job's status if that is terminal. */
+    /** Responds with an estimate, or with the job's status if that is terminal. */
     void estimate(String id, Consumer<ServerResponse> responder) {
         Optional<LeaderTerm> term = localJobs.activeTerm();
         if (term.isPresent()) {
@@ -76,7 +76,11 @@
         return ServerResponse.of(answer.status(), answer.body()).onlyWhile(() -> !localJobs.isTerminal(id));
     }
 
-    /** Answers a peer that asks on behalf of its user; {@code request}: null if it couldn't be read. */
+    /**
+     * Returns the response to a peer that requests an estimate on behalf of its user.
+     *
+     * @param request null if it couldn't be parsed
+     */
     ServerResponse estimateForPeer(JsonNode request) {
         ServerResponse response = localJobs
                 .activeTerm()
@@ -93,7 +97,8 @@
         }
         Optional<Job> live = localJobs.certainlyLiveJob(id);
         if (live.isEmpty()) {
-            // Its terminal state may be durable, and answered by another controller; a status query finds out.
+            // The job's terminal state may be durable already, and reported by another controller. The user can send a
+            // status query, which reads the store.
             return ServerResponse.retryLater("not known here yet");
         }
         Job job = live.get();
--- a/src/main/java/org/hollypick/api/GraphApi.java
+++ b/src/main/java/org/hollypick/api/GraphApi.java
@@ -12,18 +12,18 @@
 import org.hollypick.io.ServerResponse;
 
 /**
- * Requests of users and running tasks about graphs, on any controller: the leader answers them, the others forward them
- * to it. Confined to the event loop.
+ * Serves requests of users and running tasks about graphs on any controller: the leader handles them, and the other
+ * controllers forward them to the leader. Confined to the event loop.
  */
 public final class GraphApi {
-    /** POST, JSON between controllers: a user's request about graphs. */
+    /** Peer endpoint (POST, JSON) for users' requests about graphs that another controller forwards. */
     public static final String PEER_PATH = "/graph";
 
     private final LocalJobState localJobs;
     private final GraphForwarding forwarding;
     private final GraphEndpoints endpoints;
 
-    /** The parts are shared with the rest of the controller. */
+    /** Creates the endpoints; all arguments are instances that the rest of the controller uses too. */
     public GraphApi(
             EventLoop eventLoop,
             Settings settings,
@@ -37,7 +37,12 @@
         this.endpoints = new GraphEndpoints(replica, userApi, localJobs, admission);
     }
 
-    /** Handles a user's request, whose path begins with {@code /graphs}; {@code target}: path and query. */
+    /**
+     * Handles a user's request about graphs.
+     *
+     * @param target path and query; begins with {@code /graphs}
+     * @param bytes the CBOR body
+     */
     public void handle(String method, String target, byte[] bytes, Consumer<ServerResponse> responder) {
         JsonNode body = Codec.read(bytes, false);
         if (method.equals("POST") && (body == null || !body.isObject())) {
@@ -52,7 +57,11 @@
         }
     }
 
-    /** Handles a request that another controller forwards; {@code message}: null if it couldn't be read. */
+    /**
+     * Handles a request that another controller forwards.
+     *
+     * @param message null if it couldn't be parsed
+     */
     public void handleForwarded(JsonNode message, Consumer<ServerResponse> responder) {
         Optional<LeaderTerm> term = localJobs.activeTerm();
         if (message == null || term.isEmpty()) {
--- a/src/main/java/org/hollypick/api/GraphEndpoints.java
+++ b/src/main/java/org/hollypick/api/GraphEndpoints.java
@@ -17,7 +17,7 @@
 import org.hollypick.io.ServerResponse;
 import org.hollypick.records.GraphRecordCodec;
 
-/** Answers requests about graphs on the leader. Confined to the event loop. */
+/** Handles requests about graphs on the leader. Confined to the event loop. */
 final class GraphEndpoints {
     private final StoreReplica replica;
     private final UserApi userApi;
@@ -31,7 +31,11 @@
         this.admission = admission;
     }
 
-    /** Answers a request with the graphs of this controller's term. */
+    /**
+     * Handles a request.
+     *
+     * @param graphs the graphs of this controller's term as leader
+     */
     void handle(GraphService graphs, GraphRequest request, Consumer<ServerResponse> responder) {
         try {
             switch (request.endpoint()) {
@@ -58,14 +62,14 @@
         }
     }
 
-    // ---- growth ----
+    // ---- submissions and added children ----
 
     private void submit(GraphService graphs, GraphRequest request, Consumer<ServerResponse> responder)
             throws MalformedRequestException {
         String graphId = request.graphId();
         Optional<JsonNode> record = record(graphId);
         if (record.filter(GraphRecordCodec::isEnded).isPresent()) {
-            show(request, responder); // a late retry
+            show(request, responder); // a retry of the submission after the graph ended
             return;
         }
         if (record.isPresent() && !GraphRecordCodec.isGraph(record.get())) {
@@ -111,7 +115,7 @@
         graphs.requestHandler().appendChildren(parent, nodes, continuationId, respondTo(responder));
     }
 
-    /** The response if one of the nodes could never run. */
+    /** The error response for the first node that can never run; empty if all nodes can. */
     private Optional<ServerResponse> rejectionOf(List<NodeSpec> nodes) {
         for (NodeSpec node : nodes) {
             Optional<String> reason = admission.rejectionReason(node.task());
@@ -206,7 +210,11 @@
         return response -> responder.accept(GraphResponseCodec.write(response));
     }
 
-    /** No live graph of that id is known here: it has ended, or there never was one, as its job's status shows. */
+    /**
+     * Responds if no graph with this id was found, or if the graph has ended and can't be changed any more. A job
+     * status found under the id means that the graph has ended or that the id is that of a job (409); otherwise the
+     * response to the status query is passed on.
+     */
     private void noLiveGraph(String graphId, Consumer<ServerResponse> responder) {
         userApi.status(
                 graphId,
@@ -216,12 +224,15 @@
                                 : jobResponse));
     }
 
-    /** A termination or result that a successor might not find isn't shown. */
+    /**
+     * The response while terminations or results aren't durable: after a change of leader they might be lost, so they
+     * aren't shown to users yet.
+     */
     private static ServerResponse uncommittedChanges() {
         return ServerResponse.retryLater("what a node ended with is being recorded");
     }
 
-    /** The machine types aren't known yet. */
+    /** The response while the machine types aren't known, so that no node can be checked. */
     private static ServerResponse machineTypesUnknown() {
         return ServerResponse.retryLater("starting");
     }
--- a/src/main/java/org/hollypick/api/GraphForwarding.java
+++ b/src/main/java/org/hollypick/api/GraphForwarding.java
@@ -13,12 +13,12 @@
 import org.hollypick.io.Response;
 import org.hollypick.io.ServerResponse;
 
-/** Forwards users' requests about graphs to the leader, once. Confined to the event loop. */
+/** Forwards users' requests about graphs to the leader, each once and without retries. Confined to the event loop. */
 final class GraphForwarding {
     private static final String METHOD = "method";
     private static final String TARGET = "path";
     private static final String BODY = "body";
-    private static final int RETRY_LATER = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final EventLoop eventLoop;
     private final Settings settings;
@@ -32,7 +32,12 @@
         this.membership = membership;
     }
 
-    /** Forwards a request and passes the leader's response on; {@code body}: null if there is none. */
+    /**
+     * Forwards a request to the leader and passes the leader's response on to the user.
+     *
+     * @param target path and query
+     * @param body null if there is none
+     */
     void forward(String method, String target, JsonNode body, Consumer<ServerResponse> responder) {
         String leaderAddress = settings.peerEndpointAddress(membership.namedLeader());
         if (leaderAddress == null) {
@@ -47,20 +52,23 @@
     }
 
     /**
-     * The leader's response for the user. One to a read is dropped if this controller has answered from a newer
-     * revision meanwhile.
+     * Converts the leader's response to the one for the user. The response to a read is replaced by a request to retry
+     * if an answer that is based on a newer revision may have been given meanwhile.
      */
     private ServerResponse leaderResponse(String method, Response response) {
         PeerCodec.ForwardedAnswer answer = PeerCodec.forwardedAnswer(response);
         boolean outdated = !replica.allowsAnswerAt(answer.revision());
-        if (answer.status() == 0 || answer.status() == RETRY_LATER || (outdated && method.equals("GET"))) {
+        if (answer.status() == 0 || answer.status() == SERVICE_UNAVAILABLE || (outdated && method.equals("GET"))) {
             return ServerResponse.retryLater("leader");
         }
         replica.observe(answer.revision());
         return ServerResponse.of(answer.status(), answer.body());
     }
 
-    /** Reads a request that a peer forwarded; the newest revision that it answered from counts as answered here too. */
+    /**
+     * Parses a request that a peer forwarded, and records the newest revision that the peer has observed: answers of
+     * this controller must not be based on an older one.
+     */
     GraphRequest receive(JsonNode message) {
         replica.observe(PeerCodec.revision(message));
         JsonNode body = message.path(BODY);
@@ -68,7 +76,7 @@
                 message.path(METHOD).asText(), message.path(TARGET).asText(), body.isObject() ? body : null);
     }
 
-    /** Wraps the response to a forwarded request for the peer. */
+    /** Wraps the response to a forwarded request in a message to the peer that forwarded it. */
     ServerResponse wrap(ServerResponse response) {
         return PeerCodec.forwardedAnswer(replica.observedRevision(), response);
     }
--- a/src/main/java/org/hollypick/api/GraphRequest.java
+++ b/src/main/java/org/hollypick/api/GraphRequest.java
@@ -5,11 +5,11 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * A user's request about graphs, by its method and path.
+ * A user's request about graphs, parsed from the method, path, query and body.
  *
- * @param graphId as the path names it, or the body of a submission; not necessarily valid
- * @param nodeId the node that the path names; null if it names none
- * @param firstNode index of the first node that is asked for
+ * @param graphId the id in the path or, for a submission, in the body; not necessarily valid
+ * @param nodeId the node id in the path; null if the path contains none
+ * @param firstNode index of the first node on the requested page
  * @param body null if there is none
  */
 record GraphRequest(Endpoint endpoint, String graphId, String nodeId, int firstNode, JsonNode body) {
@@ -20,7 +20,7 @@
     private static final String FIRST_NODE_PARAMETER = "from=";
     private static final String INDEX_PATTERN = "[0-9]{1,6}";
 
-    /** What can be asked. */
+    /** The operation that a request selects, or the error in its method, path or id. */
     enum Endpoint {
         /** POST /graphs. */
         SUBMIT,
@@ -38,15 +38,20 @@
         CANCEL_NODE,
         /** One of these paths with another method. */
         METHOD_NOT_ALLOWED,
-        /** No graph can have this id, which the path names. */
+        /** The path contains an id that isn't a valid graph id. */
         NO_SUCH_GRAPH,
-        /** The body names no graph. */
+        /** The path contains no graph id, and the body no valid one. */
         MISSING_GRAPH_ID,
         /** Any other path. */
         UNKNOWN_PATH
     }
 
-    /** Reads a request; {@code target}: its path and query, {@code body}: null if there is none. */
+    /**
+     * Parses a request.
+     *
+     * @param target path and query
+     * @param body null if there is none
+     */
     static GraphRequest parse(String method, String target, JsonNode body) {
         String[] pathAndQuery = target.split("\\?", 2);
         List<String> segments = List.of(pathAndQuery[0].split("/"));
--- a/src/main/java/org/hollypick/api/GraphRequestCodec.java
+++ b/src/main/java/org/hollypick/api/GraphRequestCodec.java
@@ -15,42 +15,42 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * Reads the bodies of users' requests about graphs. A node's task has the fields of a job submission; where it says
- * nothing, the fields of the request's {@link #DEFAULTS} hold.
+ * Decodes the bodies of users' requests about graphs. A node's task has the fields of a job submission; fields that a
+ * node omits are taken from the request's {@link #DEFAULTS}.
  */
 final class GraphRequestCodec {
-    /** The graph's id, which is one of a job. */
+    /** The graph's id, which is also the id of its job. */
     static final String GRAPH_ID = "name_id";
 
-    /** Of a submission: how often a node's failed task is started again. */
+    /** In a submission: how many times a node's failed task is retried. */
     private static final String RETRIES = "retries";
-    /** Of a submission: what a failed node leads to. */
+    /** In a submission: the reaction to a failed node, {@link #ON_FAILURE_CONTINUE} or {@link #ON_FAILURE_CANCEL}. */
     private static final String ON_FAILURE = "on_failure";
-    /** Only what depends on the failed node is cancelled. */
+    /** Cancels only the nodes that depend on the failed node. */
     private static final String ON_FAILURE_CONTINUE = "continue";
-    /** The whole graph is cancelled. */
+    /** Cancels the whole graph. */
     private static final String ON_FAILURE_CANCEL = "end";
-    /** Of a submission: whether further requests add nodes of the client. */
+    /** In a submission: whether the client will add further nodes in later requests. */
     private static final String MORE = "more";
 
     private static final String NODES = "nodes";
-    /** Task fields of all nodes in the request that don't say otherwise. */
+    /** Default task fields for all nodes in the request. */
     private static final String DEFAULTS = "task";
 
     private static final String NODE_ID = "id";
     private static final String DEPENDENCIES = "awaits";
 
-    /** Of a running task's request: the node that adds children. */
+    /** In a running task's request: the node that adds children. */
     private static final String PARENT = "parent";
-    /** Of a running task's request: its attempt. */
+    /** In a running task's request: the number of the task's attempt. */
     private static final String ATTEMPT = "try";
-    /** Of a running task's request: the child that it delegates its result to. */
+    /** In a running task's request: the child to which the node delegates its result. */
     private static final String CONTINUATION = "then";
 
     private static final int MAX_RETRIES = 1_000;
     private static final int MAX_REFERENCE_LENGTH = 1_024;
 
-    /** Fields that describe the graph as a whole, and that each of its nodes has. */
+    /** Fields of the graph that apply to each of its nodes: job class, team and priority. */
     private static final List<String> GRAPH_FIELDS = List.of("jobkind", "owner", "rank");
 
     /** Fields of a job submission that describe a node's task. */
@@ -66,12 +66,15 @@
             "expect_s",
             "bookmark_s",
             "stow_s");
-    /** Fields of a job submission that place several tasks relative to each other. */
+    /**
+     * Fields of a job submission that place several tasks relative to each other; not allowed for a node, which has one
+     * task.
+     */
     private static final List<String> GANG_FIELDS = List.of("together", "spread");
 
     private GraphRequestCodec() {}
 
-    /** A body that can't be read; the message says what is wrong in it. */
+    /** Thrown for an invalid request body; the message names the field for the user. */
     static final class MalformedRequestException extends Exception {
         MalformedRequestException(String message) {
             super(message);
@@ -80,7 +83,7 @@
 
     // ---- submissions ----
 
-    /** The options of a new graph. */
+    /** Decodes the options of a new graph. */
     static GraphOptions options(String graphId, JsonNode request) throws MalformedRequestException {
         int retries = retries(request.path(RETRIES));
         boolean cancelsOnNodeFailure = cancelsOnNodeFailure(request.path(ON_FAILURE));
@@ -108,7 +111,7 @@
         };
     }
 
-    /** Whether the client has no further nodes to submit. */
+    /** Whether the client will submit no further nodes. */
     static boolean isLastPart(JsonNode request) {
         return !request.path(MORE).asBoolean();
     }
@@ -116,9 +119,9 @@
     // ---- nodes ----
 
     /**
-     * The nodes in a request.
+     * Decodes the nodes in a request.
      *
-     * @param base a description with the graph's id, class, team and priority
+     * @param base a job description that holds the graph's id, class, team and priority
      */
     static List<NodeSpec> nodes(JsonNode request, JobSpec base) throws MalformedRequestException {
         JsonNode list = request.path(NODES);
@@ -170,7 +173,7 @@
                 && text.chars().allMatch(GraphRequestCodec::isNodeIdCharacter);
     }
 
-    /** Printable, and without a meaning of its own in a path. */
+    /** Whether the character is printable ASCII and not reserved in a URL path. */
     private static boolean isNodeIdCharacter(int character) {
         return character > ' ' && character < 127 && "/?#%".indexOf(character) < 0;
     }
@@ -216,7 +219,7 @@
 
     // ---- requests of running tasks ----
 
-    /** The attempt of a node that adds children. */
+    /** Decodes the attempt of the node that adds children. */
     static NodeAttempt parentAttempt(String graphId, JsonNode request) throws MalformedRequestException {
         if (!request.path(PARENT).isTextual() || !request.path(ATTEMPT).isIntegralNumber()) {
             throw new MalformedRequestException("parent, try");
@@ -224,13 +227,13 @@
         return new NodeAttempt(graphId, request.path(PARENT).asText(), Codec.u64(request.path(ATTEMPT)));
     }
 
-    /** The child that a node delegates its result to, if it does. */
+    /** Decodes the child to which a node delegates its result; empty if the node delegates none. */
     static Optional<String> continuation(JsonNode request) {
         JsonNode continuation = request.path(CONTINUATION);
         return continuation.isTextual() ? Optional.of(continuation.asText()) : Optional.empty();
     }
 
-    /** The attempt of a node that gives a result. */
+    /** Decodes the attempt of the node that sends a result. */
     static NodeAttempt attempt(String graphId, String nodeId, JsonNode request) throws MalformedRequestException {
         if (!request.path(ATTEMPT).isIntegralNumber()) {
             throw new MalformedRequestException(ATTEMPT);
@@ -238,7 +241,7 @@
         return new NodeAttempt(graphId, nodeId, Codec.u64(request.path(ATTEMPT)));
     }
 
-    /** A result as it is kept: a small value, or a reference to one that is stored elsewhere. */
+    /** Decodes a result in its stored form: a small value, or a reference to a value that is stored elsewhere. */
     static JsonNode result(JsonNode request) throws MalformedRequestException {
         boolean hasValue = request.has(GraphResponseCodec.RESULT_VALUE);
         JsonNode reference = request.path(GraphResponseCodec.RESULT_REFERENCE);
--- a/src/main/java/org/hollypick/api/GraphResponseCodec.java
+++ b/src/main/java/org/hollypick/api/GraphResponseCodec.java
@@ -14,22 +14,22 @@
 import org.hollypick.io.ServerResponse;
 import org.hollypick.records.GraphRecordCodec;
 
-/** Writes the responses to users' requests about graphs. */
+/** Encodes the responses to users' requests about graphs. */
 final class GraphResponseCodec {
-    /** A result that is small enough to be kept. */
+    /** A result that is small enough to be stored with the graph. */
     static final String RESULT_VALUE = "value";
-    /** Where a result is stored that isn't kept. */
+    /** A reference to a result that isn't stored with the graph. */
     static final String RESULT_REFERENCE = "ref";
 
     private static final String GRAPH_ID = "graph";
-    /** The task of each submitted node, by node id. */
+    /** The task id of each submitted node, by node id. */
     private static final String TASKS = "tasks";
 
     private static final String NODE = "node";
     private static final String STATE = "state";
     private static final String SEALED = "sealed";
     private static final String NODE_COUNT = "nodes_count";
-    /** How many nodes are in each state. */
+    /** The number of nodes in each state. */
     private static final String COUNTS = "counts";
     /** One page of nodes. */
     private static final String NODES = "nodes";
@@ -40,7 +40,7 @@
     private static final String TASK_ID = "task";
     /** Why a node failed or was cancelled. */
     private static final String REASON = "why";
-    /** The attempt that may be running. */
+    /** The number of the attempt that may be running. */
     private static final String ATTEMPT = "try";
 
     private static final int MAX_REASON_LENGTH = 160;
@@ -49,7 +49,7 @@
 
     // ---- changes ----
 
-    /** The response to a request that changes a graph. */
+    /** Encodes the response to a request that changes a graph. */
     static ServerResponse write(GraphResponse response) {
         if (response instanceof GraphResponse.Accepted accepted) {
             return write(accepted);
@@ -82,7 +82,7 @@
         };
     }
 
-    /** The name of a node's state in the users' protocol. */
+    /** The name of a node's state in the user API. */
     static String stateName(NodeState state) {
         return switch (state) {
             case WAITING -> "waiting";
@@ -97,11 +97,11 @@
     // ---- descriptions ----
 
     /**
-     * A graph whose nodes are known, with a page of them.
+     * Describes a graph whose nodes are loaded, with one page of them.
      *
-     * @param status of the graph's job
+     * @param status the status of the graph's job
      * @param firstNode index of the first node on the page
-     * @param endRecord what the graph's end left, if it has ended
+     * @param endRecord the record of the ended graph; empty if the graph hasn't ended
      */
     static ObjectNode describe(LiveGraph live, String status, int firstNode, Optional<JsonNode> endRecord) {
         Graph graph = live.graph();
@@ -140,7 +140,11 @@
         return body;
     }
 
-    /** A graph whose nodes aren't known here, as its job's status and, if it has ended, its record say. */
+    /**
+     * Describes a graph whose nodes aren't loaded, by its job's status.
+     *
+     * @param endRecord the record of the ended graph, whose summary is added; empty if the graph hasn't ended
+     */
     static ObjectNode describe(String graphId, JsonNode jobStatus, Optional<JsonNode> endRecord) {
         ObjectNode body = jobStatus.deepCopy();
         endRecord.ifPresent(record -> addEndSummary(record, body));
--- a/src/main/java/org/hollypick/api/JobCancellation.java
+++ b/src/main/java/org/hollypick/api/JobCancellation.java
@@ -10,8 +10,8 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * Cancels jobs for users of any controller. Only the leader cancels a live job; the other controllers ask it. Confined
- * to the event loop.
+ * Cancels jobs at the request of users of any controller. Only the leader cancels live jobs; the other controllers
+ * forward the request to the leader. Confined to the event loop.
  */
 final class JobCancellation {
     private final StoreReplica replica;
@@ -24,7 +24,7 @@
         this.leaderClient = leaderClient;
     }
 
-    /** Answers with the job's status once a terminal state is durable. */
+    /** Cancels the job and responds with its status once a terminal state is durable. */
     void cancel(String id, Consumer<ServerResponse> responder) {
         if (!JobCodec.isId(id)) {
             responder.accept(UserResponses.noSuchJob());
@@ -69,7 +69,10 @@
         responder.accept(status.get().toResponse());
     }
 
-    /** Without the leader only a job that is terminal, or that never was, can be answered for. */
+    /**
+     * Responds without the leader, after a linearizable read: with the status of a terminal job, or with 404 for a job
+     * without a record. A live job can't be cancelled without the leader.
+     */
     private void answerWithoutLeader(String id, Consumer<ServerResponse> responder) {
         replica.linearizableRead(fresh -> {
             Optional<JobStatus> terminal = localJobs.terminalStatus(id);
@@ -83,7 +86,10 @@
         });
     }
 
-    /** Answers a peer that asks on behalf of its user; a live job that isn't owned here isn't asked for elsewhere. */
+    /**
+     * Handles a peer's request to cancel a job on behalf of its user. The request isn't forwarded again if this
+     * controller doesn't own the job.
+     */
     void cancelForPeer(String id, Consumer<ServerResponse> responder) {
         if (localJobs.ownedJob(id).isPresent()) {
             cancel(
--- a/src/main/java/org/hollypick/api/JobStatus.java
+++ b/src/main/java/org/hollypick/api/JobStatus.java
@@ -9,23 +9,23 @@
 import org.hollypick.records.TerminalStatus;
 
 /**
- * The status of a job as users see it. Immutable.
+ * The status of a job in the user API. Immutable.
  *
  * @param id the job's id
- * @param completedTasks tasks that are done
- * @param runningTasks tasks that were last reported as running
+ * @param completedTasks number of completed tasks
+ * @param runningTasks number of tasks that were last reported as running
  */
 record JobStatus(String id, State state, int completedTasks, int runningTasks) {
-    /** The wire name of a job's id. */
+    /** The wire name of the field that holds a job's id. */
     static final String ID = "name_id";
 
-    /** The wire name of a job's state. */
+    /** The wire name of the field that holds a job's state. */
     static final String STATE = "status";
 
     private static final String COMPLETED_TASKS = "done";
     private static final String RUNNING_TASKS = "running";
 
-    /** The states of a job, with their names in the users' protocol. */
+    /** The state of a job, with its wire name in the user API. */
     enum State {
         PENDING("pending"),
         RUNNING("running"),
@@ -47,7 +47,7 @@
             return this == DONE || this == CANCELLED;
         }
 
-        /** The state of that wire name, if there is one. */
+        /** The state with that wire name, if there is one. */
         static Optional<State> of(String wireName) {
             for (State state : values()) {
                 if (state.wireName.equals(wireName)) {
@@ -58,12 +58,12 @@
         }
     }
 
-    /** A job of which nothing has started. */
+    /** The status of a job none of whose tasks has started. */
     static JobStatus pending(String id) {
         return new JobStatus(id, State.PENDING, 0, 0);
     }
 
-    /** A cancelled job. */
+    /** The status of a cancelled job. */
     static JobStatus cancelled(String id, int completedTasks) {
         return new JobStatus(id, State.CANCELLED, completedTasks, 0);
     }
@@ -78,12 +78,12 @@
         return job.runningTasks() > 0 ? State.RUNNING : State.PENDING;
     }
 
-    /** The response to a query of the status. */
+    /** Returns the response to a status query. */
     ServerResponse toResponse() {
         return ServerResponse.of(200, write());
     }
 
-    /** The status in the users' protocol, which the controllers use among themselves too. */
+    /** Encodes the status for the user API and for messages between controllers. */
     ObjectNode write() {
         return Codec.object()
                 .put(ID, id)
@@ -92,7 +92,7 @@
                 .put(RUNNING_TASKS, runningTasks);
     }
 
-    /** Reads what {@link #write} wrote; empty if it isn't a status. */
+    /** Decodes the output of {@link #write}; empty if the body holds no valid state. */
     static Optional<JobStatus> read(JsonNode body) {
         return State.of(body.path(STATE).asText())
                 .map(state -> new JobStatus(
--- a/src/main/java/org/hollypick/api/JobSubmission.java
+++ b/src/main/java/org/hollypick/api/JobSubmission.java
@@ -12,9 +12,9 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * Accepts jobs on any controller: validates a submission and creates the job's durable record. Idempotent: a repeated
- * submission is answered with the job's status. A final refusal is only given after a linearizable read, so that a job
- * that was accepted stays accepted. Confined to the event loop.
+ * Accepts jobs on any controller: validates a submission and creates the job's durable record. Idempotent: the response
+ * to a repeated submission is the job's status. A submission with a valid id is only rejected as invalid after a
+ * linearizable read, since a repetition of an accepted submission must not be rejected. Confined to the event loop.
  */
 final class JobSubmission {
     private final StoreReplica replica;
@@ -23,7 +23,10 @@
     private final Admission admission;
     private final LocalJobState localJobs;
     private final StatusQueries statusQueries;
-    /** Submissions that were refused for lack of capacity so far. */
+    /**
+     * Number of submissions that must be retried, since it is unknown whether the record was stored, or since the store
+     * has no capacity. Varies the Retry-After of successive responses.
+     */
     private int shedSubmissions;
 
     JobSubmission(
@@ -41,7 +44,11 @@
         this.statusQueries = statusQueries;
     }
 
-    /** Answers with 201 once the job's record is durable; {@code body}: null if it couldn't be read. */
+    /**
+     * Creates a job and responds with 201 once its record is durable.
+     *
+     * @param body null if it couldn't be parsed
+     */
     void submit(JsonNode body, Consumer<ServerResponse> responder) {
         if (body == null || !body.isObject()) {
             responder.accept(ServerResponse.error(400, "not a CBOR map"));
@@ -81,7 +88,10 @@
         }
     }
 
-    /** The replica may not show yet what another controller has just accepted. */
+    /**
+     * Creates the job after a linearizable read: the replica may lack the record of a dependency that another
+     * controller has just accepted.
+     */
     private void createAfterRead(JobSpec spec, Set<String> dependencyIds, Consumer<ServerResponse> responder) {
         replica.linearizableRead(fresh -> {
             if (!fresh) {
@@ -119,7 +129,9 @@
     }
 
     /**
-     * The write may be acknowledged after the job has come to a terminal state, and other users know of that already.
+     * Returns the response to the submission whose record was created. By the time the store acknowledges the write,
+     * the job may be terminal and other users may have received that status; the response then holds the terminal
+     * status.
      */
     private ServerResponse created(String id, Set<String> dependencyIds) {
         Optional<JobStatus> terminal = localJobs.terminalStatus(id);
@@ -131,6 +143,7 @@
         return ServerResponse.of(201, status.write()).onlyWhile(() -> !localJobs.isTerminal(id));
     }
 
+    /** Sends the refusal if a linearizable read finds no record of the job, or the job's status if it finds one. */
     private void refuseUnlessAccepted(String id, ServerResponse refusal, Consumer<ServerResponse> responder) {
         replica.linearizableRead(fresh -> {
             if (!fresh) {
--- a/src/main/java/org/hollypick/api/LeaderClient.java
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -13,15 +13,21 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** Asks the leader on behalf of this controller's users. Confined to the event loop. */
+/** Sends requests to the leader on behalf of this controller's users. Confined to the event loop. */
 public final class LeaderClient {
     private final EventLoop eventLoop;
     private final Settings settings;
     private final Membership membership;
-    /** Until when the leader isn't asked, since it left a status request unanswered. */
+    /**
+     * Event loop time, in milliseconds, until which the leader is skipped after it left a status request unanswered.
+     */
     private long unresponsiveUntilMs;
 
-    /** A client that follows the leader as the membership knows it. */
+    /**
+     * Creates a client.
+     *
+     * @param membership names the leader to which requests are sent
+     */
     public LeaderClient(EventLoop eventLoop, Settings settings, Membership membership) {
         this.eventLoop = eventLoop;
         this.settings = settings;
@@ -29,7 +35,8 @@
     }
 
     /**
-     * The address of another controller that leads; empty if none is known, or it recently left a request unanswered.
+     * The address of the controller that the leader record names, if it is another one; empty if there is none, or if
+     * the leader recently left a status request unanswered.
      */
     Optional<String> leaderAddress() {
         return eventLoop.now() < unresponsiveUntilMs
@@ -37,7 +44,11 @@
                 : Optional.ofNullable(settings.peerEndpointAddress(membership.namedLeader()));
     }
 
-    /** Asks for the status of several jobs; {@code revision} is the newest that this controller answered from. */
+    /**
+     * Requests the status of several jobs.
+     *
+     * @param revision the newest revision that this controller has observed
+     */
     void queryStatus(String address, long revision, Collection<String> ids, Consumer<PeerCodec.StatusAnswer> callback) {
         Request request = new Request(
                 address,
@@ -54,14 +65,18 @@
         });
     }
 
-    /** Asks for a job's cancellation. The response to a success holds the job's status and a revision. */
+    /** Requests the cancellation of a job. A successful response holds the job's status and a revision. */
     void cancel(String address, String id, Consumer<Response> callback) {
         Request request = new Request(
                 address, "POST", PeerCodec.cancellationPath(id), Codec.object(), StoreConstants.STORE_TIMEOUT_MS, true);
         eventLoop.send(request, callback);
     }
 
-    /** Asks for an estimate of a job's completion. */
+    /**
+     * Requests an estimate of a job's completion.
+     *
+     * @param revision the newest revision that this controller has observed
+     */
     void estimate(String address, long revision, String id, Consumer<PeerCodec.ForwardedAnswer> callback) {
         Request request = new Request(
                 address,
--- a/src/main/java/org/hollypick/api/LocalJobState.java
+++ b/src/main/java/org/hollypick/api/LocalJobState.java
@@ -13,22 +13,26 @@
 import org.hollypick.records.TerminalStatus;
 
 /**
- * What this controller knows of jobs without asking another one: terminal states from its replica of the store, and
- * live jobs while it is the leader. Confined to the event loop.
+ * The state of jobs that this controller can determine without a request to another one: terminal states from its
+ * replica of the store and, while it is the leader, live jobs. Confined to the event loop.
  */
 public final class LocalJobState {
     private final StoreReplica replica;
     private final JobDependencies dependencies;
     private final Supplier<LeaderTerm> term;
 
-    /** {@code term}: this controller's current term as leader; null while it isn't the leader. */
+    /**
+     * Creates the view of the jobs.
+     *
+     * @param term this controller's current term as leader; null while it isn't the leader
+     */
     public LocalJobState(StoreReplica replica, JobDependencies dependencies, Supplier<LeaderTerm> term) {
         this.replica = replica;
         this.dependencies = dependencies;
         this.term = term;
     }
 
-    /** This controller's term, if it holds a valid leader lease. */
+    /** This controller's term as leader, if it holds a valid leader lease. */
     Optional<LeaderTerm> activeTerm() {
         LeaderTerm current = term.get();
         return current != null && current.holdsLeaderLease() ? Optional.of(current) : Optional.empty();
@@ -39,12 +43,12 @@
         return activeTerm().map(active -> active.scheduler().job(id));
     }
 
-    /** Whether the replica shows a record of the job. */
+    /** Whether the replica holds a record of the job. */
     boolean hasRecord(String id) {
         return replica.get(StoreKeys.job(id)) != null;
     }
 
-    /** Whether the replica shows a record of a service, which never completes, under that id. */
+    /** Whether the job is a service, which never completes. Requires {@link #hasRecord}. */
     boolean isService(String id) {
         return JobRecordCodec.isService(replica.get(StoreKeys.job(id)).data());
     }
@@ -55,8 +59,9 @@
     }
 
     /**
-     * The job's terminal status, if it is durable. A job that depends on a cancelled one counts as cancelled although
-     * no record says so. The revision that the status rests on counts as answered from.
+     * The job's terminal status, if it is durable. A job that depends on a cancelled job counts as cancelled, even if
+     * its own record doesn't show the cancellation. The revision on which the status is based is recorded with
+     * {@link StoreReplica#observe}.
      */
     Optional<JobStatus> terminalStatus(String id) {
         StoreReplica.Entry entry = replica.get(StoreKeys.job(id));
@@ -78,12 +83,12 @@
         return Optional.empty();
     }
 
-    /** The status, if this controller is certain of it: a durable terminal state, or a live job that it owns. */
+    /** The status, if this controller is certain of it: the job is durably terminal, or live and owned here. */
     Optional<JobStatus> certainStatus(String id) {
         return terminalStatus(id).or(() -> certainlyLiveJob(id).map(JobStatus::ofLive));
     }
 
-    /** The response with the status that this controller is certain of, valid while that stays so. */
+    /** The response with the status, if this controller is certain of it; only sent while it is still certain. */
     Optional<ServerResponse> certainResponse(String id) {
         Optional<JobStatus> terminal = terminalStatus(id);
         if (terminal.isPresent()) {
@@ -93,14 +98,14 @@
                 .map(job -> JobStatus.ofLive(job).toResponse().onlyWhile(() -> isCertainlyLive(job)));
     }
 
-    /** The live job, if this controller owns it and is certain that no terminal state of it is durable. */
+    /** The live job, if this controller owns it and is certain that no terminal state of the job is durable. */
     Optional<Job> certainlyLiveJob(String id) {
         return ownedJob(id).filter(this::isCertainlyLive);
     }
 
     /**
-     * Whether this controller owns the job and no write of its terminal state is unresolved: such a write may be
-     * durable already, and another controller may have answered from it.
+     * Whether this controller owns the job and no write of its terminal state has an unknown outcome: such a write may
+     * be durable already, and another controller may have reported it to a user.
      */
     private boolean isCertainlyLive(Job job) {
         return activeTerm()
--- a/src/main/java/org/hollypick/api/PeerCodec.java
+++ b/src/main/java/org/hollypick/api/PeerCodec.java
@@ -13,15 +13,18 @@
 import org.hollypick.io.Response;
 import org.hollypick.io.ServerResponse;
 
-/** Messages by which a controller asks the leader on behalf of its users: JSON over the peer endpoint. */
+/** Encodes and decodes the JSON messages by which controllers forward requests of their users to the leader. */
 public final class PeerCodec {
-    /** POST: the status of several jobs. */
+    /** Peer endpoint (POST) for the status of several jobs. */
     public static final String STATUS_PATH = "/jobs";
 
-    /** POST: an estimate of a job's completion. */
+    /** Peer endpoint (POST) for an estimate of a job's completion. */
     public static final String ESTIMATE_PATH = "/estimate";
 
-    /** The newest revision that answers of the sender were built on (docs/safety.md, "went_back"). */
+    /**
+     * The wire name of the newest revision that the sender has observed. The recipient must not base answers on an
+     * older one (docs/safety.md, "went_back").
+     */
     static final String REVISION = "epoch";
 
     private static final String JOB_PREFIX = "/jobs/";
@@ -34,18 +37,19 @@
     private PeerCodec() {}
 
     /**
-     * The leader's answer about several jobs.
+     * The leader's answer to a status request.
      *
-     * @param revision the newest revision that answers of the leader were built on
-     * @param jobs what the leader is certain of, by job id
+     * @param revision the newest revision that the leader has observed
+     * @param jobs the statuses of which the leader is certain, by job id
      */
     record StatusAnswer(long revision, Map<String, JobStatus> jobs) {}
 
     /**
      * The leader's answer to a forwarded request.
      *
-     * @param revision the newest revision that answers of the leader were built on
-     * @param status the HTTP status for the user; 0 if the leader gave none
+     * @param revision the newest revision that the leader has observed
+     * @param status the HTTP status for the user; 0 if the leader sent no successful response
+     * @param body the response body for the user
      */
     record ForwardedAnswer(long revision, int status, JsonNode body) {}
 
@@ -54,7 +58,7 @@
         return JOB_PREFIX + id + CANCELLATION_SUFFIX;
     }
 
-    /** The id in the path of a request to cancel a job; empty if the path is another one. */
+    /** Extracts the job id from the path of a cancellation request; empty if the path isn't that of one. */
     public static Optional<String> cancelledJob(String path) {
         return path.startsWith(JOB_PREFIX) && path.endsWith(CANCELLATION_SUFFIX)
                 ? Optional.of(path.substring(JOB_PREFIX.length(), path.length() - CANCELLATION_SUFFIX.length()))
@@ -82,7 +86,7 @@
         return body;
     }
 
-    /** Reads the answer about those jobs; one without any job if the leader didn't answer. */
+    /** Decodes the answer about those jobs; it contains no jobs if the response isn't a successful one. */
     static StatusAnswer statusAnswer(Response response, Collection<String> ids) {
         Map<String, JobStatus> jobs = new HashMap<>();
         if (response.ok()) {
@@ -116,12 +120,12 @@
 
     // ---- revisions ----
 
-    /** The sender's revision; 0 if the message has none. */
+    /** Decodes the sender's revision; 0 if the message has none. */
     static long revision(JsonNode message) {
         return Codec.u64(message.path(REVISION));
     }
 
-    /** The same response with the sender's revision in its body. */
+    /** Returns the response with the sender's revision added to its body. */
     static ServerResponse withRevision(ServerResponse response, long revision) {
         ObjectNode body = response.body().deepCopy();
         return ServerResponse.of(response.status(), body.put(REVISION, revision))
--- a/src/main/java/org/hollypick/api/StatusQueries.java
+++ b/src/main/java/org/hollypick/api/StatusQueries.java
@@ -13,16 +13,16 @@
 import org.hollypick.records.JobCodec;
 
 /**
- * Answers users' status queries: from what this controller is certain of, else from the leader, else from the store.
- * The queries of a short while reach the leader as one request: there are hundreds a second. Confined to the event
- * loop.
+ * Responds to users' status queries from this controller's own state if that is certain, else from the leader's answer,
+ * else from the store. Queries are sent to the leader in batches, since hundreds can arrive per second. Confined to the
+ * event loop.
  */
 final class StatusQueries {
     private final EventLoop eventLoop;
     private final StoreReplica replica;
     private final LocalJobState localJobs;
     private final LeaderClient leaderClient;
-    /** Queries of the batch that is sent next, by job id. */
+    /** The callbacks of the queries in the next batch, by job id. */
     private final Map<String, List<Consumer<ServerResponse>>> nextBatch = new LinkedHashMap<>();
 
     private boolean batchScheduled;
@@ -34,7 +34,7 @@
         this.leaderClient = leaderClient;
     }
 
-    /** Answers with the job's status, now or later. */
+    /** Responds with the job's status, at once or after requests to the leader or the store. */
     void query(String id, Consumer<ServerResponse> responder) {
         if (!JobCodec.isId(id)) {
             responder.accept(UserResponses.noSuchJob());
@@ -75,8 +75,9 @@
     }
 
     /**
-     * The leader's answer may have been overtaken on its way by a newer one or by this controller's replica: a state
-     * that isn't terminal is only passed on if it rests on a revision no older than any answer before.
+     * Passes the leader's answer on unless a newer one may have been given while it was in transit: a state that isn't
+     * terminal is only passed on if its revision is no older than those of all earlier answers. Otherwise the store is
+     * read.
      */
     private void handleLeaderAnswer(String id, PeerCodec.StatusAnswer answer, Consumer<ServerResponse> responder) {
         Optional<JobStatus> terminal = localJobs.terminalStatus(id);
@@ -94,7 +95,7 @@
         responder.accept(status.toResponse().onlyWhile(() -> isTerminal || !localJobs.isTerminal(id)));
     }
 
-    /** Answers from the replica once that is as new as the store. */
+    /** Responds from the replica after a linearizable read. */
     private void answerFromStore(String id, Consumer<ServerResponse> responder) {
         replica.linearizableRead(fresh -> {
             Optional<JobStatus> terminal = localJobs.terminalStatus(id);
--- a/src/main/java/org/hollypick/api/UserApi.java
+++ b/src/main/java/org/hollypick/api/UserApi.java
@@ -11,8 +11,8 @@
 import org.hollypick.io.ServerResponse;
 
 /**
- * The users' endpoints for jobs, on any controller, and the peer endpoints by which controllers ask the leader on
- * behalf of their users. Confined to the event loop.
+ * The user API for jobs on any controller, and the peer endpoints to which controllers forward requests of their users.
+ * Confined to the event loop.
  */
 public final class UserApi {
     private final StoreReplica replica;
@@ -22,7 +22,7 @@
     private final JobCancellation cancellation;
     private final CompletionEstimates estimates;
 
-    /** Wires the endpoints; the parts are shared with the rest of the controller. */
+    /** Creates the endpoints; all arguments are instances that the rest of the controller uses too. */
     public UserApi(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -41,29 +41,38 @@
 
     // ---- users ----
 
-    /** Accepts a job; {@code body}: null if it couldn't be read. */
+    /**
+     * Handles the submission of a job.
+     *
+     * @param body null if it couldn't be parsed
+     */
     public void submit(JsonNode body, Consumer<ServerResponse> responder) {
         submission.submit(body, responder);
     }
 
-    /** Answers with a job's status. */
+    /** Responds with a job's status. */
     public void status(String id, Consumer<ServerResponse> responder) {
         statusQueries.query(id, responder);
     }
 
-    /** Cancels a job and answers with its status. */
+    /** Cancels a job and responds with its status. */
     public void cancel(String id, Consumer<ServerResponse> responder) {
         cancellation.cancel(id, responder);
     }
 
-    /** Answers with an estimate of when a job will be complete. */
+    /** Responds with an estimate of when a job will be complete. */
     public void estimate(String id, Consumer<ServerResponse> responder) {
         estimates.estimate(id, responder);
     }
 
     // ---- peers ----
 
-    /** Answers a peer's {@link PeerCodec#STATUS_PATH} with the jobs that this controller is certain of. */
+    /**
+     * Returns the response to a peer's request on {@link PeerCodec#STATUS_PATH}: the statuses of which this controller
+     * is certain.
+     *
+     * @param request null if it couldn't be parsed
+     */
     public ServerResponse statusForPeer(JsonNode request) {
         observeRevision(request);
         long revision = replica.observedRevision();
@@ -75,18 +84,22 @@
         return ServerResponse.of(200, PeerCodec.write(new PeerCodec.StatusAnswer(revision, jobs)));
     }
 
-    /** Answers a peer's request to cancel a job ({@link PeerCodec#cancelledJob}). */
+    /** Handles a peer's request to cancel a job, on the path that {@link PeerCodec#cancelledJob} parses. */
     public void cancelForPeer(String id, Consumer<ServerResponse> responder) {
         cancellation.cancelForPeer(id, responder);
     }
 
-    /** Answers a peer's {@link PeerCodec#ESTIMATE_PATH}. */
+    /**
+     * Returns the response to a peer's request on {@link PeerCodec#ESTIMATE_PATH}.
+     *
+     * @param request null if it couldn't be parsed
+     */
     public ServerResponse estimateForPeer(JsonNode request) {
         observeRevision(request);
         return estimates.estimateForPeer(request);
     }
 
-    /** The newest revision that answers of the peer were built on counts as answered from here too. */
+    /** Records the newest revision that the peer has observed: answers from here must not be based on an older one. */
     private void observeRevision(JsonNode request) {
         if (request != null) {
             replica.observe(PeerCodec.revision(request));
--- a/src/main/java/org/hollypick/api/UserResponses.java
+++ b/src/main/java/org/hollypick/api/UserResponses.java
@@ -2,7 +2,7 @@
 
 import org.hollypick.io.ServerResponse;
 
-/** Error responses that several of the users' endpoints give. */
+/** Error responses that several endpoints of the user API share. */
 final class UserResponses {
     private UserResponses() {}
 
@@ -10,12 +10,12 @@
         return ServerResponse.error(404, "no such job");
     }
 
-    /** The store can't be read just now. */
+    /** The response if the store can't be read at present. */
     static ServerResponse storeUnavailable() {
         return ServerResponse.retryLater("state service");
     }
 
-    /** No leader is known, or it can't be asked. */
+    /** The response if no leader is known or reachable. */
     static ServerResponse noLeader() {
         return ServerResponse.retryLater("no leader");
     }
--- a/src/test/java/org/hollypick/api/GraphResponseCodecTest.java
+++ b/src/test/java/org/hollypick/api/GraphResponseCodecTest.java
@@ -12,7 +12,7 @@
 import org.hollypick.io.ServerResponse;
 import org.junit.jupiter.api.Test;
 
-/** What users of graphs rely on: statuses and the names of states. */
+/** Checks the HTTP status codes and the state names in responses to graph requests. */
 class GraphResponseCodecTest {
     private static ServerResponse rejected(GraphRejection rejection) {
         return GraphResponseCodec.write(new GraphResponse.Rejected(rejection));
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -21,21 +21,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No controller gives an older answer than was given before (docs/safety.md, "went_back"), whoever asks what and when.
+ * Checks that no controller gives an answer about a job that is older than one given before, by the same or another
+ * controller (docs/safety.md, "went_back").
  */
 class AnswerConsistencyTest {
     /**
-     * Replaces replies. {@code reply}: the right one; null before the call, which isn't made if another is there
-     * already.
+     * Replaces the responses to a controller's requests. Called with a null response before a request is sent: unless
+     * the result is null, it becomes the response and the request isn't sent. Called again with the actual response.
      */
     private interface ResponseReplacement {
-        Response replace(Request call, Response reply);
+        Response replace(Request call, Response response);
     }
 
     private static final OperatorSettings ALL_FEATURES = OperatorSettings.parse("{:estimates true, :graphs true}");
     private static final BiFunction<EventLoop, Settings, Controller> NEW_CONTROLLER =
-            (r, s) -> new Controller(r, s, ALL_FEATURES);
-    /** More are played outside CI: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
+            (eventLoop, settings) -> new Controller(eventLoop, settings, ALL_FEATURES);
+    /** Number of seeds; outside CI more are run: {@code mvn test -Dtest=AnswerConsistencyTest -Danswers.days=2000}. */
     private static final int SEED_COUNT = Integer.getInteger("answers.days", 3);
 
     private static final String ESTIMATE = "/submissions/req-000000/estimate";
@@ -43,27 +44,28 @@
 
     @Test
     void randomProbesSeeAnswersInOrder() {
-        Map<Integer, List<String>> broken = new TreeMap<>();
+        Map<Integer, List<String>> violationsBySeed = new TreeMap<>();
         int compared = 0;
         int overtaken = 0;
-        long longest = 0;
+        long longestMs = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             ClusterScenario scenario = randomScenario(seed, NEW_CONTROLLER);
             if (!scenario.checker.violations.isEmpty()) {
-                broken.put(seed, scenario.checker.violations);
+                violationsBySeed.put(seed, scenario.checker.violations);
             }
             compared += scenario.checker.order.compared;
             overtaken += scenario.checker.order.overtaken;
-            longest = Math.max(longest, scenario.checker.order.longestMs);
+            longestMs = Math.max(longestMs, scenario.checker.order.longestMs);
         }
         System.out.printf(
                 "days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n",
-                SEED_COUNT, compared, overtaken, longest, broken.size());
-        assertEquals(Map.of(), broken);
+                SEED_COUNT, compared, overtaken, longestMs, violationsBySeed.size());
+        assertEquals(Map.of(), violationsBySeed);
     }
 
-    private static ClusterScenario randomScenario(int seed, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
+    private static ClusterScenario randomScenario(
+            int seed, BiFunction<EventLoop, Settings, Controller> controllerFactory) {
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, controllerFactory);
         scenario.users.cancelOneIn = 2;
         scenario.answerProber.start();
         scenario.workload.submitJobs(12, 60_000);
@@ -80,104 +82,112 @@
         return scenario;
     }
 
-    /** A version whose calls are answered otherwise. */
+    /** Creates controllers that receive replaced responses to their requests. */
     private static BiFunction<EventLoop, Settings, Controller> controllersWithReplacedResponses(
-            ResponseReplacement replies) {
-        return (r, s) -> NEW_CONTROLLER.apply(
+            ResponseReplacement replacement) {
+        return (eventLoop, settings) -> NEW_CONTROLLER.apply(
                 new EventLoop() {
                     @Override
                     public long now() {
-                        return r.now();
+                        return eventLoop.now();
                     }
 
                     @Override
                     public long wallClockMs() {
-                        return r.wallClockMs();
+                        return eventLoop.wallClockMs();
                     }
 
                     @Override
                     public void after(long ms, Runnable task) {
-                        r.after(ms, task);
+                        eventLoop.after(ms, task);
                     }
 
                     @Override
-                    public void send(Request call, Consumer<Response> reply) {
-                        Response known = replies.replace(call, null);
-                        if (known != null) {
-                            r.after(0, () -> reply.accept(known));
+                    public void send(Request call, Consumer<Response> callback) {
+                        Response replaced = replacement.replace(call, null);
+                        if (replaced != null) {
+                            eventLoop.after(0, () -> callback.accept(replaced));
                         } else {
-                            r.send(call, answer -> reply.accept(replies.replace(call, answer)));
+                            eventLoop.send(call, response -> callback.accept(replacement.replace(call, response)));
                         }
                     }
                 },
-                s);
+                settings);
     }
 
-    private static boolean anyScenarioViolates(String rule, IntFunction<ClusterScenario> days) {
+    private static boolean anyScenarioViolates(String rule, IntFunction<ClusterScenario> scenarios) {
         for (int seed = 1; seed <= 12; seed++) {
-            if (days.apply(seed).checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
+            if (scenarios.apply(seed).checker.violations.stream().anyMatch(violation -> violation.startsWith(rule))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Any reading of the epoch seems to say that this controller's copy of the records is fresh. */
+    /** Fault: linearizable reads find revision 0 in the store, so that every replica counts as up to date. */
     @Test
     void checkerDetectsAnswersFromAStaleReplica() {
-        Response old = new Response(404, Codec.object().put("epoch", 0));
-        var version = controllersWithReplacedResponses((call, r) -> call.path().equals("/keys/h/never") ? old : r);
-        assertTrue(anyScenarioViolates("went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, version)));
+        Response revisionZero = new Response(404, Codec.object().put("epoch", 0));
+        var controllerFactory = controllersWithReplacedResponses(
+                (call, response) -> call.path().equals("/keys/h/never") ? revisionZero : response);
+        assertTrue(anyScenarioViolates(
+                "went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, controllerFactory)));
     }
 
-    /** A transaction without an answer is taken for one that wasn't carried out. */
+    /** Fault: a transaction without a response is treated as rejected, although the store may have executed it. */
     @Test
     void checkerDetectsThatAnUnansweredTransactionIsTreatedAsRejected() {
-        Response refusal = new Response(503, Codec.object());
-        var version = controllersWithReplacedResponses((call, r) ->
-                call.path().equals("/commit") && r != null && r.failedWith(Response.Failure.NO_RESPONSE) ? refusal : r);
-        assertTrue(anyScenarioViolates("went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, version)));
+        Response rejection = new Response(503, Codec.object());
+        var controllerFactory = controllersWithReplacedResponses((call, response) ->
+                call.path().equals("/commit") && response != null && response.failedWith(Response.Failure.NO_RESPONSE)
+                        ? rejection
+                        : response);
+        assertTrue(anyScenarioViolates(
+                "went_back (asked later)", seed -> scenarioWithSlowStore(seed, 1_500, controllerFactory)));
     }
 
-    /** A controller that gives an answer once more for some milliseconds. */
+    /** Fault: a controller repeats its first answer about a job in place of half of its later ones. */
     @Test
     void checkerDetectsThatAnEarlierAnswerIsRepeated() {
         assertTrue(anyScenarioViolates("went_back (same controller)", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
-            Map<String, Response> known = new HashMap<>();
-            scenario.responseFault = (q, r) -> q == null || q.creates() || r.status() != 200
-                    ? r
-                    : scenario.world.random.nextBoolean()
-                            ? known.getOrDefault(q.node() + q.id(), r)
-                            : storeIfAbsent(known, q, r);
+            Map<String, Response> firstAnswers = new HashMap<>();
+            scenario.responseFault =
+                    (question, response) -> question == null || question.creates() || response.status() != 200
+                            ? response
+                            : scenario.world.random.nextBoolean()
+                                    ? firstAnswers.getOrDefault(question.node() + question.id(), response)
+                                    : storeIfAbsent(firstAnswers, question, response);
             return runWithProbes(scenario);
         }));
     }
 
-    private static Response storeIfAbsent(Map<String, Response> known, AnswerOrderChecker.Question q, Response r) {
-        known.putIfAbsent(q.node() + q.id(), r);
-        return r;
+    private static Response storeIfAbsent(
+            Map<String, Response> firstAnswers, AnswerOrderChecker.Question question, Response response) {
+        firstAnswers.putIfAbsent(question.node() + question.id(), response);
+        return response;
     }
 
-    /** What can't run, or lacks a field, is accepted. */
+    /** Fault: controllers accept submissions that have to be rejected with 422. */
     @Test
     void checkerDetectsThatAnInvalidSubmissionIsAccepted() {
         assertTrue(anyScenarioViolates("accepted req-8", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
-            scenario.responseFault = (q, r) ->
-                    r.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : r;
+            scenario.responseFault = (question, response) ->
+                    response.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : response;
             scenario.invalidRequests.submit(6, 10_000);
             return scenario.advance(20_000);
         }));
     }
 
     /**
-     * The key-value store's answers, the watches' too, take up to that much longer, and some to transactions are lost.
+     * Runs a scenario in which requests to the key-value store, watches included, take up to {@code delayMs} longer,
+     * and 30 % of the responses to transactions on job records are lost.
      */
     private static ClusterScenario scenarioWithSlowStore(
-            int seed, int byMs, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.world.slow("state:1", byMs, 60_000);
+            int seed, int delayMs, BiFunction<EventLoop, Settings, Controller> controllerFactory) {
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, controllerFactory);
+        scenario.world.slow("state:1", delayMs, 60_000);
         scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"h/j/");
         scenario.world.lostAnswerShare = 0.3;
         return runWithProbes(scenario);
@@ -200,33 +210,37 @@
         }
     }
 
-    /** Of every second transaction of a kind only the answer is lost, while users look closely and the leader ends. */
+    /**
+     * Half of the transactions on one kind of key are executed, but their responses are lost, while users probe the
+     * answers and the leader crashes.
+     */
     @Test
     void unconfirmedTransactionsAreNeverReportedAndThenReversed() {
-        for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
-            ClusterScenario scenario = scenarioWithLostResponses(3, kind, NEW_CONTROLLER);
-            assertEquals(List.of(), scenario.checker.violations, kind);
-            assertTrue(scenario.checker.order.compared > 500, kind + ": " + scenario.checker.order.compared);
+        for (String keyPrefix : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
+            ClusterScenario scenario = scenarioWithLostResponses(3, keyPrefix, NEW_CONTROLLER);
+            assertEquals(List.of(), scenario.checker.violations, keyPrefix);
+            assertTrue(scenario.checker.order.compared > 500, keyPrefix + ": " + scenario.checker.order.compared);
         }
     }
 
     private static ClusterScenario scenarioWithLostResponses(
-            int seed, String kind, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
-        scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
+            int seed, String keyPrefix, BiFunction<EventLoop, Settings, Controller> controllerFactory) {
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, controllerFactory);
+        scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + keyPrefix);
         scenario.world.lostAnswerShare = 0.5;
         scenario.world.at(20_000, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
-        if (kind.equals("h/x/")) {
+        if (keyPrefix.equals("h/x/")) {
             scenario.world.at(8_000, new GraphUser(scenario, "req-700000", 2, 2)::start);
         }
-        scenario.workload.submitJobs(
-                3, 20_000); // cancellations that wait for what may still start are answered more seldom
+        // More jobs, so that enough answers are compared: cancellations that wait for tasks which may still start are
+        // answered less often.
+        scenario.workload.submitJobs(3, 20_000);
         return runWithProbes(scenario);
     }
 
     /**
-     * An abort is durable and its answer to the leader lost; another controller has told it. The leader gives no
-     * estimate of the job, which it takes for a running one.
+     * A cancellation is durable, but the store's response to the leader is held up, and another controller has already
+     * reported the cancellation to a user. The leader, in whose state the job is still running, must give no estimate.
      */
     @Test
     void noEstimateIsGivenWhileATerminalWriteIsUnresolved() {
@@ -246,8 +260,8 @@
     }
 
     /**
-     * The end of a graph's node is told once it is durable: a successor may not find it, and then tells something
-     * older.
+     * The termination of a graph's node is only reported once it is durable: otherwise a successor of the leader may
+     * not find it, and would report an older state.
      */
     @Test
     void theTerminationOfANodeIsNotReportedBeforeItIsDurable() {
@@ -275,7 +289,8 @@
     }
 
     /**
-     * The leader's word, held up on its way, isn't given after the newer one that the controller's own records told.
+     * An answer of the leader that is delayed in transit isn't passed on after the controller has given a newer answer
+     * from its own replica.
      */
     @Test
     void delayedLeaderAnswersAreNotGivenAfterNewerOnes() {
@@ -294,7 +309,10 @@
         }
     }
 
-    /** Right after a job is accepted its submission comes again and again, at all controllers, whose records lag. */
+    /**
+     * Right after a job is accepted, its submission is repeated many times at all controllers, whose replicas lag
+     * behind the store.
+     */
     @Test
     void repeatedSubmissionsWriteTheRecordAtMostOncePerController() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER);
@@ -314,17 +332,17 @@
         assertEquals(List.of(), scenario.checker.violations);
     }
 
-    private static boolean isCommitContaining(Request call, String what) {
-        return call.path().equals("/commit") && call.body().toString().contains(what);
+    private static boolean isCommitContaining(Request call, String text) {
+        return call.path().equals("/commit") && call.body().toString().contains(text);
     }
 
-    private static String status(Response reply) {
-        return reply.body().path("status").asText();
+    private static String status(Response response) {
+        return response.body().path("status").asText();
     }
 
     /**
-     * Unknown jobs, wrong ones, what is done and a flood of repetitions at every controller; also without the state
-     * service.
+     * Requests about unknown, invalid and completed jobs, and many repeated submissions, at every controller; also
+     * during an outage of the key-value store.
      */
     @Test
     void invalidAndRepeatedRequestsGetTheSameAnswerFromEveryController() {
@@ -334,7 +352,8 @@
         scenario.workload.submitBatchJobs(1, 1);
         scenario.advance(60_000);
         var spec = scenario.checker.submitted.get("req-000000");
-        var wrong = ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
+        var invalid =
+                ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
         scenario.world.sending = (from, call) -> writes[0] += isCommitContaining(call, "h/j/") ? 1 : 0;
         for (int node = 0; node < 3; node++) {
@@ -342,8 +361,8 @@
                     "done",
                     status(scenario.users.requestAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
             for (int i = 0; i < 50; i++) {
-                Response again = scenario.users.requestAt(node, "POST", "/submissions", spec);
-                assertEquals("200 done", again.status() + " " + status(again));
+                Response repeated = scenario.users.requestAt(node, "POST", "/submissions", spec);
+                assertEquals("200 done", repeated.status() + " " + status(repeated));
             }
             assertEquals(
                     404,
@@ -351,7 +370,7 @@
                             .requestAt(node, "GET", "/submissions/req-777777", null)
                             .status());
         }
-        assertEquals(0, writes[0], "repetitions cost no write");
+        assertEquals(0, writes[0], "transactions on job records after repeated submissions");
         scenario.store.startOutage(5_000);
         for (int node = 0; node < 3; node++) {
             assertEquals(
@@ -359,17 +378,17 @@
                     scenario.users
                             .requestAt(node, "GET", "/submissions/req-777777", null)
                             .status(),
-                    "nobody can know");
+                    "query of an unknown job without the store");
             assertEquals(
                     503,
                     scenario.users
-                            .requestAt(node, "POST", "/submissions", wrong)
+                            .requestAt(node, "POST", "/submissions", invalid)
                             .status(),
-                    "422 only from fresh records");
+                    "invalid submission without the store: 422 needs a linearizable read");
             assertEquals(
                     200,
                     scenario.users.requestAt(node, "POST", "/submissions", spec).status(),
-                    "what is over is known");
+                    "repeated submission of a completed job without the store");
         }
         assertEquals(List.of(), scenario.checker.violations);
     }
