--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -44,12 +44,13 @@
         dispatcher.on(
                 PeerMessageCodec.RENEWAL_GRANT_PATH,
                 (body, responder) -> responder.accept(grantRenewal(PeerMessageCodec.readRenewalGrantRequest(body))));
-        dispatcher.on(PeerMessageCodec.RELEASE_PATH, (body, responder) -> {
-            long memberRevision = PeerMessageCodec.readReleaseRequest(body).memberRevision();
-            heartbeatRelay.release(memberRevision);
-            responder.accept(ok(PeerMessageCodec.writeReleaseResponse(memberRevision != 0)));
+        dispatcher.on(PeerMessageCodec.RELAY_REVOCATION_PATH, (body, responder) -> {
+            long memberRevision =
+                    PeerMessageCodec.readRelayRevocationRequest(body).memberRevision();
+            heartbeatRelay.discardResponsesOf(memberRevision);
+            responder.accept(ok(PeerMessageCodec.writeRelayRevocationResponse(memberRevision != 0)));
         });
-        dispatcher.on(HeartbeatRelayCodec.PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
+        dispatcher.on(HeartbeatRelayCodec.BATCH_PATH, (body, responder) -> responder.accept(relayedHeartbeats(body)));
     }
 
     private ServerResponse grantRenewal(RenewalGrantRequest request) {
@@ -70,14 +71,14 @@
 
     /** For how many milliseconds a peer may relay this leader's responses: no longer than this leader may act. */
     private long relayValidityMs(LeaderTerm term) {
-        long leaseMs = membership.leaderLeaseUntil(term.token()) - eventLoop.now();
+        long leaseMs = membership.leaderLeaseValidUntil(term.token()) - eventLoop.now();
         return Math.min(RelayConstants.RELAY_VALIDITY_MS, leaseMs);
     }
 
     /** Serves the requests to the key-value store of peers that do not reach it. */
     void serveRelayedStoreRequests(RequestRouter storeRequests) {
-        dispatcher.on(RequestRouter.PATH, storeRequests::forward);
-        dispatcher.on(RequestRouter.WATCH_PATH, storeRequests::forward);
+        dispatcher.on(RequestRouter.FORWARD_PATH, storeRequests::forward);
+        dispatcher.on(RequestRouter.FORWARD_WATCH_PATH, storeRequests::forward);
     }
 
     /** Serves the requests which machines this controller reaches. */
--- a/src/main/java/org/hollypick/control/LeaderMetrics.java
+++ b/src/main/java/org/hollypick/control/LeaderMetrics.java
@@ -10,32 +10,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs at an interval what a leader's machines and waiting jobs amount to, and how late its reconcile loop runs.
- * Confined to the event loop.
+ * Logs totals of the machines and pending tasks of a leader, and the lateness of its reconcile loop. Confined to the
+ * event loop.
  */
 final class LeaderMetrics {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderMetrics.class);
-    private static final int HISTOGRAM_DIGITS = 2;
+    private static final int HISTOGRAM_SIGNIFICANT_DIGITS = 2;
     private static final double REPORTED_PERCENTILE = 99;
 
     private final Scheduler scheduler;
     private final InstanceProvisioner provisioner;
-    /** How late the reconcile loop runs, in milliseconds: what this process's share of processor time does to it. */
-    private final Histogram latenessMs = new Histogram(HISTOGRAM_DIGITS);
+    /**
+     * Milliseconds by which iterations of the reconcile loop are late: shows whether this process lacks processor time.
+     */
+    private final Histogram latenessMs = new Histogram(HISTOGRAM_SIGNIFICANT_DIGITS);
 
     LeaderMetrics(Scheduler scheduler, InstanceProvisioner provisioner) {
         this.scheduler = scheduler;
         this.provisioner = provisioner;
     }
 
-    /** The reconcile loop ran again, {@code elapsedMs} milliseconds after the time before. */
+    /**
+     * Records the lateness of an iteration of the reconcile loop, {@code elapsedMs} milliseconds after the one before.
+     */
     void recordIteration(long elapsedMs) {
         latenessMs.recordValue(Math.max(0, elapsedMs - ReconcileConstants.RECONCILE_INTERVAL_MS));
     }
 
-    /** Sums over the machines; cores by the state and kind of their machine. */
+    /**
+     * Totals of the machines. The cores of a machine without a heartbeat count as booting, others as spot or on-demand.
+     */
     private static final class MachineTotals {
-        private double ordinaryCores;
+        private double onDemandCores;
         private double spotCores;
         private double bootingCores;
         private double usedCores;
@@ -49,7 +55,7 @@
             } else if (machine.spot) {
                 spotCores += machine.type.cpus();
             } else {
-                ordinaryCores += machine.type.cpus();
+                onDemandCores += machine.type.cpus();
             }
             usedCores += machine.usedCpus();
             serviceCores += machine.serviceCpus();
@@ -58,7 +64,7 @@
         }
     }
 
-    /** Cores that pending tasks ask for. */
+    /** Cores requested by pending tasks. */
     private static final class PendingTotals {
         private double batchCores;
         private double serviceCores;
@@ -75,7 +81,7 @@
         }
     }
 
-    /** Logs the totals of now and the lateness since the last call. */
+    /** Logs the current totals, and the lateness since the last call. */
     void log() {
         MachineTotals machines = new MachineTotals();
         scheduler.machines().forEach(machines::add);
@@ -91,14 +97,14 @@
                 scheduler.reconciliationComplete(),
                 scheduler.machines().size(),
                 machines.idleMachines,
-                machines.ordinaryCores,
+                machines.onDemandCores,
                 machines.spotCores,
                 machines.bootingCores,
                 machines.usedCores,
                 machines.serviceCores,
                 pending.batchCores,
                 pending.serviceCores,
-                Math.round(provisioner.load()),
+                Math.round(provisioner.meanArrayLoadCores()),
                 machines.startingTasks,
                 latenessMs.getValueAtPercentile(REPORTED_PERCENTILE),
                 latenessMs.getMaxValue());
--- a/src/main/java/org/hollypick/control/TermContext.java
+++ b/src/main/java/org/hollypick/control/TermContext.java
@@ -8,18 +8,18 @@
 import org.hollypick.io.EventLoop;
 
 /**
- * What the parts of one leader term share. Confined to the event loop.
+ * The objects that the components of one leader term share. Confined to the event loop.
  *
- * @param machineTypes the cloud's machine types by name; filled as they become known
- * @param leaderLease whether this controller holds the leader lease of the term now
- * @param reconcileRequest requests a reconcile step soon; requests that come close together share one
+ * @param machineTypes the cloud's machine types by name; refreshed in place
+ * @param leaderLeaseHeld whether this controller holds the leader lease of the term now
+ * @param reconcileRequest requests a reconciliation after a short delay; requests that come close together share one
  */
 public record TermContext(
         EventLoop eventLoop,
         Settings settings,
         Scheduler scheduler,
         Map<String, MachineType> machineTypes,
-        BooleanSupplier leaderLease,
+        BooleanSupplier leaderLeaseHeld,
         Runnable reconcileRequest) {
     /** The event loop's clock, in milliseconds. */
     public long now() {
@@ -28,10 +28,10 @@
 
     /** Whether this controller may act for the term now. */
     public boolean holdsLeaderLease() {
-        return leaderLease.getAsBoolean();
+        return leaderLeaseHeld.getAsBoolean();
     }
 
-    /** Has what changed acted on soon. */
+    /** Requests a reconciliation after a short delay, to act on a change. */
     public void requestReconcile() {
         reconcileRequest.run();
     }
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -17,30 +17,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Durable log of one graph. Entries are written in their order, as many to a record and records to a transaction as
- * fit, one transaction at a time. Each transaction is conditional on the fencing token and on the graph's own record,
- * and creates keys that were never used; while its outcome isn't known the very same one is sent again. Confined to the
- * event loop.
+ * Durable log of one graph. Entries are written in order, one transaction at a time; a transaction holds as many
+ * records, and a record as many entries, as the store's limits allow. Each transaction is conditional on the leader's
+ * fencing token and on the revision of the graph's own record, and creates keys that were never used before. While its
+ * outcome is unknown, the same transaction is sent again, so that no entry is stored twice. Confined to the event loop.
  */
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
+    /** Bytes of the values in one transaction at most; the rest of the request body is for its keys and conditions. */
+    private static final int MAX_VALUE_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
+
     private final GraphContext context;
     private final String graphId;
     private final LongSupplier recordNumbers;
-    private final int recordCapacityBytes;
+    private final int maxRecordBytes;
     private final ArrayDeque<PendingEntry> pending = new ArrayDeque<>();
     private boolean writeInFlight;
-    /** The store rejected a write: another controller leads, or the graph has ended. Nothing is written any more. */
+    /**
+     * Set once the store has rejected a write: another controller leads, the graph has ended, or the record is invalid.
+     * No further entries are written.
+     */
     private boolean rejected;
 
-    private long nextWriteNotBefore;
+    private long nextWriteAtMillis;
 
     /**
-     * Something that waits to be durable.
+     * An entry that isn't durable yet.
      *
-     * @param entry null for a marker, which only waits for what was appended before it
-     * @param bytes that the entry takes in a record of its own
+     * @param entry null for a marker, which counts as durable once all entries before it are
+     * @param bytes size of a record that holds only this entry
+     * @param onDurable called once the entry is durable
      */
     private record PendingEntry(GraphLogEntry entry, int bytes, Runnable onDurable) {
         boolean isMarker() {
@@ -48,20 +55,20 @@
         }
     }
 
-    /** The longest run of pending entries that one transaction holds. */
+    /** The first pending entries, as many as fit into one transaction. */
     private static final class Batch {
-        private final int recordCapacityBytes;
+        private final int maxRecordBytes;
         private final int maxRecords;
         private final List<PendingEntry> entries = new ArrayList<>();
         private final List<List<GraphLogEntry>> records = new ArrayList<>();
         private int bytesLeftInRecord;
 
-        Batch(int recordCapacityBytes, int maxRecords) {
-            this.recordCapacityBytes = recordCapacityBytes;
+        Batch(int maxRecordBytes, int maxRecords) {
+            this.maxRecordBytes = maxRecordBytes;
             this.maxRecords = maxRecords;
         }
 
-        /** Adds the entry, if it fits. */
+        /** Adds the entry if it fits, and returns whether it did. */
         boolean add(PendingEntry added) {
             if (!added.isMarker()) {
                 if (bytesLeftInRecord < added.bytes) {
@@ -69,7 +76,7 @@
                         return false;
                     }
                     records.add(new ArrayList<>());
-                    bytesLeftInRecord = recordCapacityBytes;
+                    bytesLeftInRecord = maxRecordBytes;
                 }
                 records.get(records.size() - 1).add(added.entry);
                 bytesLeftInRecord -= added.bytes;
@@ -80,23 +87,23 @@
     }
 
     /**
-     * An empty log.
+     * Creates an empty log.
      *
-     * @param recordNumbers gives each number once in this term
+     * @param recordNumbers supplies the numbers in the keys of records, each one only once in this term
      */
     GraphLog(GraphContext context, String graphId, LongSupplier recordNumbers) {
         this.context = context;
         this.graphId = graphId;
         this.recordNumbers = recordNumbers;
-        this.recordCapacityBytes = RecordSize.limitBytes(context.settings());
+        this.maxRecordBytes = RecordSize.maxBytes(context.settings());
     }
 
-    /** Adds an entry and calls {@code onDurable} once it is durable. */
+    /** Appends an entry and calls {@code onDurable} once it is durable. */
     void append(GraphLogEntry entry, Runnable onDurable) {
         pending.add(new PendingEntry(entry, GraphLogCodec.recordBytes(graphId, entry), onDurable));
     }
 
-    /** Calls {@code onDurable} once all that was appended so far is durable: at once, if it is. */
+    /** Calls {@code onDurable} once all entries appended so far are durable: immediately if they already are. */
     void whenDurable(Runnable onDurable) {
         if (pending.isEmpty()) {
             onDurable.run();
@@ -113,28 +120,29 @@
         return pending.isEmpty();
     }
 
-    /** Whether an entry fits into a record of its own. */
+    /** Whether an entry fits into a record that holds nothing else. */
     boolean fits(GraphLogEntry entry) {
-        return GraphLogCodec.recordBytes(graphId, entry) <= recordCapacityBytes;
+        return GraphLogCodec.recordBytes(graphId, entry) <= maxRecordBytes;
     }
 
     /**
-     * Starts to write pending entries, unless a write is in flight or the store is overloaded.
+     * Starts to write pending entries, unless a write is in flight, an earlier one was rejected, the last one was
+     * committed less than {@link GraphConstants#GRAPH_WRITE_GAP_MS} ago, or the store is overloaded.
      *
      * @param graphRevision revision of the graph's own record
-     * @param onWritten called after each successful write
+     * @param onWritten called after the write was committed
      */
     void flush(long graphRevision, Runnable onWritten) {
         if (writeInFlight
                 || rejected
                 || pending.isEmpty()
-                || context.eventLoop().now() < nextWriteNotBefore
+                || context.eventLoop().now() < nextWriteAtMillis
                 || context.store().shouldShedWrite()) {
             return;
         }
         Batch batch = nextBatch();
-        if (batch.records.isEmpty()) { // only markers, added while the last entry was being written
-            complete(batch);
+        if (batch.records.isEmpty()) { // only markers, appended while the last entry was being written
+            onBatchDurable(batch);
             return;
         }
         writeInFlight = true;
@@ -142,9 +150,8 @@
     }
 
     private Batch nextBatch() {
-        int recordsInBody =
-                NetworkConstants.MAX_BODY_BYTES * 3 / 4 / context.settings().valueBytes();
-        Batch batch = new Batch(recordCapacityBytes, Math.min(context.settings().txnOps(), recordsInBody));
+        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().valueBytes();
+        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
@@ -164,30 +171,30 @@
         return changes;
     }
 
-    /** Sends the same keys until the outcome is known: an entry must never be stored twice. */
+    /** Commits a transaction and repeats it with the same keys until its outcome is known. */
     private void commit(CompareAndSwap changes, Batch batch, Runnable onWritten) {
         context.store().commit(changes, result -> {
-            if (result.committed() || wasWrittenByEarlierTry(result)) {
+            if (result.committed() || wasCommittedByEarlierAttempt(result)) {
                 writeInFlight = false;
-                nextWriteNotBefore = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
-                complete(batch);
+                nextWriteAtMillis = context.eventLoop().now() + GraphConstants.GRAPH_WRITE_GAP_MS;
+                onBatchDurable(batch);
                 onWritten.run();
             } else if (result.conflicted() || result.invalid()) {
-                writeRejected(result);
+                onWriteRejected(result);
             } else {
                 context.eventLoop().after(ElectionConstants.SESSION_RETRY_MS, () -> commit(changes, batch, onWritten));
             }
         });
     }
 
-    private void complete(Batch batch) {
+    private void onBatchDurable(Batch batch) {
         for (PendingEntry entry : batch.entries) {
             pending.poll();
             entry.onDurable.run();
         }
     }
 
-    private void writeRejected(CommitResult result) {
+    private void onWriteRejected(CommitResult result) {
         if (result.invalid()) {
             LOG.error("graph.log_record_rejected graph={}", graphId);
         }
@@ -195,8 +202,11 @@
         writeInFlight = false;
     }
 
-    /** Only the keys that the transaction creates stand in its way: an earlier try was carried out after all. */
-    private static boolean wasWrittenByEarlierTry(CommitResult result) {
+    /**
+     * Whether the only conditions that failed are those on the keys that the transaction creates: then an earlier
+     * attempt whose outcome was unknown had been committed.
+     */
+    private static boolean wasCommittedByEarlierAttempt(CommitResult result) {
         return result.conflicted()
                 && result.conflictingKeys().stream().allMatch(key -> key.startsWith(StoreKeys.GRAPH_LOG));
     }
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -16,13 +16,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls agents directly, with the commands that shouldn't wait for the next heartbeat or just to get an answer. One
- * call at a time to each machine. Confined to the event loop.
+ * Calls agents directly, either with commands that should not wait for the next heartbeat or as a probe. At most one
+ * call is in flight to each machine. Confined to the event loop.
  */
 final class CommandDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
 
-    /** Sent with a call that carries no commands, when no incarnation is known. */
+    /** Incarnation named in a call without commands to an agent whose incarnation is unknown. */
     private static final long FIRST_INCARNATION = 1;
 
     private final TermContext term;
@@ -33,11 +33,12 @@
     private final Runnable onCallCompleted;
 
     /**
-     * A call in flight.
+     * A direct call in flight.
      *
-     * @param incarnation the one that the commands are for
-     * @param knownSequence the newest sequence number that was known of the machine at sending; empty if none was
-     * @param toUnresponsive whether the machine was unresponsive at sending
+     * @param incarnation the agent's incarnation that the commands are for
+     * @param knownSequence the machine's newest known sequence number at the time of sending; empty if there was none
+     * @param toUnresponsive whether the machine was unresponsive at the time of sending
+     * @param startedAt when the call was sent, in milliseconds
      */
     private record DirectCall(
             Machine machine,
@@ -47,7 +48,7 @@
             boolean toUnresponsive,
             long startedAt) {}
 
-    /** {@code onCallCompleted} runs after each call's result was taken in. */
+    /** Creates the dispatcher; {@code onCallCompleted} runs after the result of each call was applied. */
     CommandDispatcher(TermContext term, AgentClient agentClient, LocalHealth localHealth, Runnable onCallCompleted) {
         this.term = term;
         this.scheduler = term.scheduler();
@@ -57,23 +58,23 @@
         this.onCallCompleted = onCallCompleted;
     }
 
-    /** As many of the commands as a message may hold (64 KiB); the others follow with the next message. */
-    static List<Command> limitToMessage(List<Command> commands) {
+    /** Returns the first commands, up to the limit of one message (64 KiB); the others follow in the next message. */
+    static List<Command> limitToOneMessage(List<Command> commands) {
         return commands.size() <= FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE
                 ? commands
                 : commands.subList(0, FailureDetectionConstants.MAX_COMMANDS_PER_MESSAGE);
     }
 
-    /** Sends pending commands, urgent ones first, to as many machines as there is room for. */
+    /** Sends pending commands, urgent ones first, until no further call is allowed. */
     void dispatchPending() {
         SchedulerOutbox outbox = scheduler.outbox();
-        outbox.takeMachinesWithUrgentCommands(limiter.room()).forEach(machine -> call(machine, false));
-        outbox.takeMachinesWithPendingCommands(limiter.room()).forEach(machine -> call(machine, false));
+        outbox.takeMachinesWithUrgentCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
+        outbox.takeMachinesWithPendingCommands(limiter.availableCalls()).forEach(machine -> call(machine, false));
     }
 
-    /** Calls a machine even without commands, to get its answer, if there is room for another call. */
+    /** Calls a machine, even without commands, to get its agent's state, if another call is allowed. */
     void probe(Machine machine) {
-        if (limiter.room() > 0) {
+        if (limiter.availableCalls() > 0) {
             call(machine, true);
         }
     }
@@ -88,7 +89,7 @@
             return;
         }
         boolean toUnresponsive = machine.directCalls.unacknowledgedCalls() > 0 || machine.validity.isSuspected();
-        if (toUnresponsive && !limiter.hasRoomForUnresponsive()) {
+        if (toUnresponsive && !limiter.mayCallUnresponsive()) {
             return;
         }
         boolean known = machine.heartbeatReceived();
@@ -100,14 +101,14 @@
                 toUnresponsive,
                 term.now());
         scheduler.commands().sentDirectly(machine, commands);
-        limiter.started(toUnresponsive);
+        limiter.callStarted(toUnresponsive);
         agentClient.sendCommands(
                 machine.address(),
                 scheduler.token(),
                 call.incarnation(),
                 commands,
-                term.leaderLease(),
-                response -> completed(call, response));
+                term.leaderLeaseHeld(),
+                response -> callCompleted(call, response));
     }
 
     private boolean mayCall(Machine machine) {
@@ -120,38 +121,42 @@
 
     private List<Command> commandsFor(Machine machine) {
         return machine.heartbeatReceived() && !machine.incarnationExpired()
-                ? limitToMessage(scheduler.commands().pendingCommands(machine))
+                ? limitToOneMessage(scheduler.commands().pendingCommands(machine))
                 : List.of();
     }
 
-    private void completed(DirectCall call, AgentResponse response) {
+    private void callCompleted(DirectCall call, AgentResponse response) {
         long now = term.now();
-        limiter.completed(call.toUnresponsive(), response, now - call.startedAt(), now);
+        limiter.callCompleted(call.toUnresponsive(), response, now - call.startedAt(), now);
         scheduler
                 .commands()
                 .directCallCompleted(call.machine(), call.commands(), call.incarnation(), response.isSettled());
         if (response.outcome() == AgentResponse.Outcome.ACKNOWLEDGED) {
-            acknowledged(call, response.heartbeat());
+            applyAcknowledgement(call, response.heartbeat());
         } else {
-            unacknowledged(call.machine(), response, now);
+            recordUnacknowledged(call.machine(), response, now);
         }
         onCallCompleted.run();
     }
 
-    private void unacknowledged(Machine machine, AgentResponse response, long now) {
+    private void recordUnacknowledged(Machine machine, AgentResponse response, long now) {
         if (response.outcome() != AgentResponse.Outcome.NO_CAPACITY) {
             machine.directCalls.recordUnacknowledgedCall();
             if (localHealth.isHealthy(now)) {
-                machine.validity
-                        .directCallUnacknowledged(); // while this controller is overloaded, silence proves nothing
+                // While this controller is overloaded, a missing response is no evidence against the machine.
+                machine.validity.directCallUnacknowledged();
             }
         }
         machine.directCalls.delayDirectCalls(now + FailureDetectionConstants.DIRECT_RETRY_MS);
         LOG.debug("command.unacknowledged machine={} status={}", machine.id, response.status());
     }
 
-    /** @param heartbeat what the agent answered; null if it can't be read */
-    private void acknowledged(DirectCall call, Heartbeat heartbeat) {
+    /**
+     * Applies the agent's state from the response to a direct call.
+     *
+     * @param heartbeat the agent's state; null if the response could not be decoded
+     */
+    private void applyAcknowledgement(DirectCall call, Heartbeat heartbeat) {
         Machine machine = call.machine();
         if (heartbeat == null
                 || scheduler.machine(machine.id) != machine
@@ -163,7 +168,7 @@
         machine.validity.deliveryConfirmed();
         scheduler.heartbeats().confirmLive(machine);
         HeartbeatHandler.apply(scheduler, machine, heartbeat, false, now);
-        if (showsRestart(call, heartbeat) && !machine.incarnationExpired()) {
+        if (indicatesRestart(call, heartbeat) && !machine.incarnationExpired()) {
             LOG.info(
                     "agent.restarted machine={} incarnation={} sequence={} known_incarnation={} known_sequence={}",
                     machine.id,
@@ -178,8 +183,11 @@
         }
     }
 
-    /** The answer was made after the known sequence number and should be newer: the agent counts anew. */
-    private static boolean showsRestart(DirectCall call, Heartbeat heartbeat) {
+    /**
+     * Whether the response shows a restart of the agent: the agent wrote it after the newest known heartbeat, yet it is
+     * not newer by incarnation and sequence number, which a restarted agent counts from the start.
+     */
+    private static boolean indicatesRestart(DirectCall call, Heartbeat heartbeat) {
         return call.knownSequence().isPresent()
                 && !heartbeat.newerThan(call.incarnation(), call.knownSequence().getAsLong());
     }
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -31,16 +31,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The durable list of machines, many to a record, since the store takes few changes per second. A record is created
- * once, under a key that was never used, and then only shrinks; each write is conditional on the revision that it was
- * made from. So a write that is applied late can neither bring a machine back nor remove one that was added since. A
- * record that has become too large to be written, since the store's limits were tightened, is deleted once others name
- * its machines. Confined to the event loop.
+ * Stores the list of machines durably, many machines per record, since the store allows few changes per second. A
+ * record is created once, under a key that was never used, and then only shrinks; each write is conditional on the
+ * revision that it is derived from. A write that the store applies late can therefore neither restore a removed machine
+ * nor remove one that was added later. A record that became too large to be written, because the store's limits were
+ * tightened, is deleted once other records contain its machines. Confined to the event loop.
  */
 public final class MachineRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRegistry.class);
 
-    /** Bytes that a machine takes in a record beside its id and value: two quotes, a colon and a comma. */
+    /** Bytes that a machine takes in a record besides its id and value: two quotes, a colon and a comma. */
     private static final int SEPARATOR_BYTES = 4;
     /** Bytes of the braces around a record. */
     private static final int BRACE_BYTES = 2;
@@ -53,18 +53,23 @@
     private final Predicate<String> isTerminated;
     private final MachineRecordIndex index = new MachineRecordIndex();
 
-    private final Map<String, Machine> toAdd = new LinkedHashMap<>();
-    /** Stored forms of machines that need another record, since one that names them can't be rewritten. */
-    private final Map<String, JsonNode> toCopy = new LinkedHashMap<>();
+    private final Map<String, Machine> machinesToAdd = new LinkedHashMap<>();
+    /** Encoded machines, by id, to copy into another record because their present one is too large to be rewritten. */
+    private final Map<String, JsonNode> encodedMachinesToCopy = new LinkedHashMap<>();
 
-    private final Set<String> toRemove = new LinkedHashSet<>();
-    /** Records created in this term, which makes their keys unique. */
-    private long recordCount;
+    private final Set<String> machineIdsToRemove = new LinkedHashSet<>();
+    /** Number of records created in this term; part of the next record's key, which makes keys unique. */
+    private long recordsCreated;
 
     private boolean writeInFlight;
     private long nextWriteAt;
 
-    /** {@code token} fences the writes; {@code isTerminated} tells whether the machine with an id is terminated. */
+    /**
+     * Creates the registry of one term.
+     *
+     * @param token the fencing token on which every write is conditional
+     * @param isTerminated tells by id whether a machine is terminated
+     */
     public MachineRegistry(
             EventLoop eventLoop,
             StoreReplica replica,
@@ -80,12 +85,12 @@
         this.isTerminated = isTerminated;
     }
 
-    /** Passes on the id and the stored form of every machine that the records name, each once. */
-    public void load(BiConsumer<String, JsonNode> machineConsumer) {
+    /** Indexes the stored records, and passes the id and encoded form of each stored machine to the consumer once. */
+    public void loadMachines(BiConsumer<String, JsonNode> machineConsumer) {
         List<String> keys = replica.entries().keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.MACHINES))
                 .toList();
-        changed(keys);
+        recordsChanged(keys);
         Set<String> loaded = new HashSet<>();
         for (String key : keys) {
             replica.get(key).data().fields().forEachRemaining(machine -> {
@@ -96,8 +101,10 @@
         }
     }
 
-    /** Records of these keys, of machines or not, were written or deleted in the replica. */
-    public void changed(Collection<String> keys) {
+    /**
+     * Updates the index after records were written or deleted in the replica; ignores keys of other kinds of records.
+     */
+    public void recordsChanged(Collection<String> keys) {
         for (String key : keys) {
             if (!key.startsWith(StoreKeys.MACHINES)) {
                 continue;
@@ -110,39 +117,40 @@
             entry.data().fieldNames().forEachRemaining(machineId -> {
                 index.add(machineId, key);
                 if (isTerminated.test(machineId)) {
-                    toRemove.add(machineId); // a write whose outcome was unknown was applied after all
+                    machineIdsToRemove.add(machineId); // a write whose outcome was unknown was applied after all
                 }
             });
         }
     }
 
-    /** Has the machine recorded by a later {@link #flush}. */
+    /** Schedules the machine to be recorded by a later {@link #flush}. */
     public void add(Machine machine) {
-        toAdd.put(machine.id, machine);
+        machinesToAdd.put(machine.id, machine);
     }
 
-    /** The machine is terminated: a later {@link #flush} removes it. */
-    public void drop(String machineId) {
-        toAdd.remove(machineId);
-        toCopy.remove(machineId);
-        toRemove.add(machineId);
+    /** Schedules a terminated machine to be removed from the records by a later {@link #flush}. */
+    public void remove(String machineId) {
+        machinesToAdd.remove(machineId);
+        encodedMachinesToCopy.remove(machineId);
+        machineIdsToRemove.add(machineId);
     }
 
     /**
-     * Writes what is to be added and removed, one compare-and-swap at a time; {@code onRegistered} gets the machines
-     * that are durable now.
+     * Writes the scheduled additions and removals, with one compare-and-swap in flight at a time; {@code onRegistered}
+     * receives the machines whose records have become durable.
      */
     public void flush(Consumer<List<Machine>> onRegistered) {
-        boolean nothingToWrite = toAdd.isEmpty() && toCopy.isEmpty() && toRemove.isEmpty();
+        boolean nothingToWrite =
+                machinesToAdd.isEmpty() && encodedMachinesToCopy.isEmpty() && machineIdsToRemove.isEmpty();
         if (writeInFlight || nothingToWrite || eventLoop.now() < nextWriteAt) {
             return;
         }
         CompareAndSwap compareAndSwap = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
-        Map<String, String> addedKeys = createRecords(compareAndSwap, storedFormsToAdd());
+        Map<String, String> addedKeys = createRecords(compareAndSwap, encodedMachinesToAdd());
         List<Machine> added = new ArrayList<>();
         addedKeys.keySet().forEach(machineId -> {
-            if (toAdd.containsKey(machineId)) {
-                added.add(toAdd.get(machineId));
+            if (machinesToAdd.containsKey(machineId)) {
+                added.add(machinesToAdd.get(machineId));
             }
         });
         Set<String> removed = removeMachines(compareAndSwap);
@@ -154,7 +162,7 @@
         store.commit(compareAndSwap, result -> {
             writeInFlight = false;
             if (result.committed()) {
-                written(addedKeys, removed);
+                applyCommittedWrite(addedKeys, removed);
                 onRegistered.accept(added);
             } else {
                 logRejection(result, compareAndSwap, addedKeys.size());
@@ -162,13 +170,13 @@
         });
     }
 
-    private void written(Map<String, String> addedKeys, Set<String> removed) {
+    private void applyCommittedWrite(Map<String, String> addedKeys, Set<String> removed) {
         addedKeys.forEach((machineId, key) -> {
-            toAdd.remove(machineId);
-            toCopy.remove(machineId);
+            machinesToAdd.remove(machineId);
+            encodedMachinesToCopy.remove(machineId);
             index.add(machineId, key);
         });
-        toRemove.removeAll(removed);
+        machineIdsToRemove.removeAll(removed);
         index.removeMachines(removed);
     }
 
@@ -178,48 +186,52 @@
         }
     }
 
-    private Map<String, JsonNode> storedFormsToAdd() {
-        Map<String, JsonNode> storedForms = new LinkedHashMap<>();
-        toAdd.forEach((machineId, machine) -> storedForms.put(machineId, MachineRecordCodec.encode(machine)));
-        toCopy.forEach(storedForms::putIfAbsent);
-        return storedForms;
+    private Map<String, JsonNode> encodedMachinesToAdd() {
+        Map<String, JsonNode> encodedMachines = new LinkedHashMap<>();
+        machinesToAdd.forEach(
+                (machineId, machine) -> encodedMachines.put(machineId, MachineRecordCodec.encode(machine)));
+        encodedMachinesToCopy.forEach(encodedMachines::putIfAbsent);
+        return encodedMachines;
     }
 
-    /** Adds new records for as many machines as there is room for; returns the key of the record for each. */
-    private Map<String, String> createRecords(CompareAndSwap compareAndSwap, Map<String, JsonNode> storedForms) {
+    /** Adds new records for as many machines as the limits allow; returns the record's key by machine id. */
+    private Map<String, String> createRecords(CompareAndSwap compareAndSwap, Map<String, JsonNode> encodedMachines) {
         Map<String, String> keys = new HashMap<>();
         ObjectNode record = null;
         String key = null;
-        int roomBytes = 0;
-        for (Map.Entry<String, JsonNode> machine : storedForms.entrySet()) {
-            int bytes = RecordSize.bytes(machine.getValue()) + machine.getKey().length() + SEPARATOR_BYTES;
-            if (roomBytes < bytes) {
-                if (!hasRoomForRecord(compareAndSwap)) {
+        int freeBytes = 0;
+        for (Map.Entry<String, JsonNode> machine : encodedMachines.entrySet()) {
+            int bytes = RecordSize.encodedBytes(machine.getValue())
+                    + machine.getKey().length()
+                    + SEPARATOR_BYTES;
+            if (freeBytes < bytes) {
+                if (!canAddRecord(compareAndSwap)) {
                     break;
                 }
                 record = Codec.object();
-                key = StoreKeys.machines(settings.node(), token, recordCount++);
+                key = StoreKeys.machines(settings.node(), token, recordsCreated++);
                 compareAndSwap.expectAbsent(key).put(key, record);
-                roomBytes = RecordSize.limitBytes(settings) - BRACE_BYTES;
+                freeBytes = RecordSize.maxBytes(settings) - BRACE_BYTES;
             }
             record.set(machine.getKey(), machine.getValue());
             keys.put(machine.getKey(), key);
-            roomBytes -= bytes;
+            freeBytes -= bytes;
         }
         return keys;
     }
 
-    private boolean hasRoomForRecord(CompareAndSwap compareAndSwap) {
+    private boolean canAddRecord(CompareAndSwap compareAndSwap) {
         int writes = compareAndSwap.writeCount();
         return writes != settings.txnOps()
                 && (writes + 1) * settings.valueBytes() <= MachineRecordShrinker.MAX_VALUE_BYTES;
     }
 
-    /** Returns the machines that no record names any more once the compare-and-swap is done. */
+    /** Removes machines from records; returns those that no record contains after the compare-and-swap is committed. */
     private Set<String> removeMachines(CompareAndSwap compareAndSwap) {
         int spareWrites = store.hasSpareWriteCapacity() ? StoreConstants.SHRINKING_WRITES : 0;
         int maxWrites = Math.min(settings.txnOps(), compareAndSwap.writeCount() + spareWrites);
-        return new MachineRecordShrinker(replica, index, settings, compareAndSwap, maxWrites, toCopy::putIfAbsent)
-                .remove(toRemove);
+        return new MachineRecordShrinker(
+                        replica, index, settings, compareAndSwap, maxWrites, encodedMachinesToCopy::putIfAbsent)
+                .removeMachines(machineIdsToRemove);
     }
 }
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSurvey.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -14,25 +14,25 @@
 import org.hollypick.core.assignment.Machine;
 
 /**
- * One pass over the machines at one time: how many respond, in all and by zone, and which are to be probed, to be
- * checked by peers, or lost. Changes no machine. Confined to the event loop.
+ * Classification of all machines at one point in time: how many are responsive, in total and by zone, and which are
+ * lost, to be probed, or to be checked by peers. Changes no machine. Confined to the event loop.
  */
-final class ResponsivenessSurvey {
+final class ResponsivenessSnapshot {
     private final PeerReachabilityTracker reachability;
     private final long now;
-    /** Silence after which an ordinary machine is probed: agents send heartbeats within a quarter more than this. */
+    /** Time without contact after which most machines are probed: heartbeats are at most 1.25 intervals apart. */
     private final long probeAfterMillis;
-    /** The same for a machine whose last call went unacknowledged or that runs services. */
+    /** Time without contact after which machines with an unacknowledged call or with services are probed. */
     private final long earlyProbeAfterMillis;
 
-    private final Tally total = new Tally();
-    private final Map<String, Tally> byZone = new HashMap<>();
+    private final ResponsivenessCounts total = new ResponsivenessCounts();
+    private final Map<String, ResponsivenessCounts> byZone = new HashMap<>();
     private final List<Machine> lost = new ArrayList<>();
     private final List<Machine> unacknowledged = new ArrayList<>();
     private final List<Machine> overdue = new ArrayList<>();
 
-    /** Machines counted by whether they respond; one that does neither clearly is in no count. */
-    private static final class Tally {
+    /** Counts of machines; one without recent contact, unacknowledged call or suspicion is in neither count. */
+    private static final class ResponsivenessCounts {
         private int responsive;
         private int unresponsive;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    ResponsivenessSurvey(
+    ResponsivenessSnapshot(
             Collection<Machine> machines, PeerReachabilityTracker reachability, Settings settings, long now) {
         this.reachability = reachability;
         this.now = now;
@@ -62,15 +62,15 @@
     }
 
     private void count(Machine machine) {
-        Tally zone = byZone.computeIfAbsent(machine.zone, name -> new Tally());
+        ResponsivenessCounts zoneCounts = byZone.computeIfAbsent(machine.zone, zone -> new ResponsivenessCounts());
         boolean suspected = machine.validity.isSuspected();
-        if (silenceMillis(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
+        if (millisSinceLastContact(machine) < FailureDetectionConstants.RESPONSIVE_MS && !suspected) {
             total.responsive++;
-            zone.responsive++;
+            zoneCounts.responsive++;
         }
         if (machine.directCalls.unacknowledgedCalls() > 0 || suspected) {
             total.unresponsive++;
-            zone.unresponsive++;
+            zoneCounts.unresponsive++;
         }
     }
 
@@ -80,7 +80,7 @@
         }
         if (isUnreachableWithoutWork(machine)) {
             lost.add(machine);
-        } else if (isSilent(machine) && !reachability.mayRecoverThroughPeer(machine, now)) {
+        } else if (isUnresponsive(machine) && !reachability.mayRecoverThroughPeer(machine, now)) {
             if (reachability.isUnreachableFromAll(machine, now)) {
                 lost.add(machine);
             }
@@ -89,7 +89,7 @@
         }
     }
 
-    /** It can be given nothing and has nothing to finish, for long enough to be replaced. */
+    /** Whether the machine has been unreachable and without tasks for so long that it is to be replaced. */
     private boolean isUnreachableWithoutWork(Machine machine) {
         if (!machine.unreachable() || !machine.reconciled() || !machine.idle()) {
             return false;
@@ -98,37 +98,38 @@
         return now - Math.max(machine.idleSince(), unreachableSince) > ReachabilityConstants.UNREACHABLE_RETURN_MS;
     }
 
-    private boolean isSilent(Machine machine) {
+    private boolean isUnresponsive(Machine machine) {
         long limitMillis = machine.validity.isSuspected()
                 ? ReachabilityConstants.UNANSWERED_HEARTBEAT_GAP_MS
                 : FailureDetectionConstants.UNRESPONSIVE_AFTER_MS;
-        return silenceMillis(machine) > limitMillis
+        return millisSinceLastContact(machine) > limitMillis
                 && machine.directCalls.unacknowledgedCalls() >= FailureDetectionConstants.UNACKNOWLEDGED_CALLS;
     }
 
     private boolean isOverdue(Machine machine) {
-        // Only the loss of services is worth probing more often.
+        // Early probes cost extra calls: only unacknowledged calls and the possible loss of services justify them.
         boolean early = machine.directCalls.unacknowledgedCalls() > 0 || machine.serviceCpus() > 0;
         return machine.validity.isSuspected()
-                || silenceMillis(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
+                || millisSinceLastContact(machine) > (early ? earlyProbeAfterMillis : probeAfterMillis);
     }
 
-    private long silenceMillis(Machine machine) {
+    private long millisSinceLastContact(Machine machine) {
         return now - machine.lastHeartbeatAt();
     }
 
-    /** Machines that are lost by all that is known here, in the order of the collection. */
+    /** Returns the machines that count as lost, in the order of the given collection. */
     List<Machine> lost() {
         return lost;
     }
 
-    /** Machines with an address that left a direct call unacknowledged. */
+    /** Returns the machines with an address and an unacknowledged direct call. */
     List<Machine> unacknowledged() {
         return unacknowledged;
     }
 
     /**
-     * Machines to probe, longest silence first: not all can be probed at once, and in a fixed order the last starve.
+     * Returns the machines to probe, those longest without contact first: not all can be probed at once, and in a fixed
+     * order the last ones would never be probed.
      */
     List<Machine> overdue() {
         return overdue;
@@ -143,14 +144,14 @@
     }
 
     /**
-     * Share of the unresponsive among the machines counted. Machines without a recent heartbeat or call are left out:
-     * with them in, a controller that is cut off from all would give them up one by one.
+     * Returns the share of unresponsive machines among those counted. Machines whose state is unclear are left out: if
+     * they lowered the share, a controller that is cut off from all machines would terminate them one by one.
      */
     double unresponsiveShare() {
         return total.unresponsiveShare();
     }
 
-    /** Zones of which nearly all machines are unresponsive. */
+    /** Returns the zones in which nearly all machines are unresponsive. */
     Set<String> partitionedZones() {
         return byZone.entrySet().stream()
                 .filter(zone -> zone.getValue().isPartitioned())
