--- a/src/main/java/org/hollypick/cli/CommandRunner.java
+++ b/src/main/java/org/hollypick/cli/CommandRunner.java
@@ -5,20 +5,20 @@
 import org.hollypick.config.ConfigException;
 import picocli.CommandLine;
 
-/** What the commands for users have in common: failures are one line on standard error, and an exit code. */
+/** Runs a sub-command; a failure is printed as one message on standard error and becomes the exit code. */
 final class CommandRunner {
-    /** All went well. */
+    /** The command succeeded. */
     static final int EXIT_OK = 0;
-    /** The service rejected a call or didn't answer it, or the work wasn't successful. */
+    /** The service rejected a call or sent no response in time, or the submitted work didn't succeed. */
     static final int EXIT_FAILED = 1;
-    /** A file or the arguments are wrong. */
+    /** An argument or an input file is invalid. */
     static final int EXIT_USAGE = 2;
-    /** Any other failure. */
+    /** Any other exception. */
     static final int EXIT_INTERNAL_ERROR = 3;
 
     private CommandRunner() {}
 
-    /** Runs a command with arguments, and returns the exit code. */
+    /** Runs a command with the given arguments and returns the exit code. */
     static int execute(Object command, String[] args) {
         return new CommandLine(command)
                 .setExecutionExceptionHandler((exception, commandLine, parsed) -> {
--- a/src/main/java/org/hollypick/cli/EtaCommand.java
+++ b/src/main/java/org/hollypick/cli/EtaCommand.java
@@ -13,21 +13,22 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Prints when jobs are likely to be done: on a terminal in one line, which is overwritten while it follows them, for
- * programs as one JSON object a line.
+ * Prints when jobs are expected to be done. On a terminal all jobs share one line, which {@code --follow} overwrites;
+ * otherwise each job has a line of its own, which is a JSON object with {@code --json}.
  */
 @Command(
         name = "hollypick eta",
         mixinStandardHelpOptions = true,
-        description = "Tells when jobs are likely to be done: at the earliest, with even odds, at the latest, and why.")
+        description = "Prints when jobs are expected to be done: the median, the 10th and the 90th percentile,"
+                + " and what takes most of the remaining time.")
 final class EtaCommand implements Callable<Integer> {
     private static final HollypickClient.Times CLIENT_TIMES =
             new HollypickClient.Times(Duration.ofSeconds(20), Duration.ofSeconds(5), Duration.ofSeconds(2));
-    /** Back to the line's begin, and clear it. */
+    /** Moves the cursor to the start of the line and clears the line. */
     private static final String CLEAR_LINE = "\r\u001b[K";
-    /** Durations below that are shown in seconds. */
+    /** Shorter durations are shown in seconds. */
     private static final double MAX_SHOWN_IN_SECONDS_S = 100;
-    /** Durations below that, in seconds, are shown in minutes; longer ones in hours. */
+    /** Shorter durations are shown in minutes, all others in hours. */
     private static final double MAX_SHOWN_IN_MINUTES_S = 6_000;
 
     @Parameters(paramLabel = "ID", arity = "1..*")
@@ -38,13 +39,13 @@
             paramLabel = "HOST:PORT",
             split = ",",
             required = true,
-            description = "addresses of controllers, any number")
+            description = "addresses of one or more controllers, separated by commas")
     private List<String> addresses;
 
-    @Option(names = "--json", description = "what the service answers, one line a job")
+    @Option(names = "--json", description = "print the response of the service as JSON, one line per job")
     private boolean json;
 
-    @Option(names = "--follow", description = "again every two seconds, until all are over")
+    @Option(names = "--follow", description = "repeat every two seconds until all jobs have ended")
     private boolean follow;
 
     static int execute(String[] args) {
@@ -54,17 +55,17 @@
     @Override
     public Integer call() throws InterruptedException {
         boolean onTerminal = System.console() != null && !json;
-        boolean overwrites = onTerminal && follow;
+        boolean overwritesLine = onTerminal && follow;
         try (HollypickClient client = new HollypickClient(addresses, CLIENT_TIMES)) {
             List<JsonNode> estimates = fetchEstimates(client);
-            print(estimates, onTerminal, overwrites);
+            print(estimates, onTerminal, overwritesLine);
             while (follow && !estimates.stream().allMatch(EtaCommand::hasEnded)) {
                 Thread.sleep(CLIENT_TIMES.pollEvery().toMillis());
                 estimates = fetchEstimates(client);
-                print(estimates, onTerminal, overwrites);
+                print(estimates, onTerminal, overwritesLine);
             }
         }
-        System.out.print(overwrites ? "\n" : "");
+        System.out.print(overwritesLine ? "\n" : "");
         return CommandRunner.EXIT_OK;
     }
 
@@ -81,17 +82,17 @@
         return status.equals("done") || status.equals("aborted");
     }
 
-    /** {@code overwrites}: in place of the line that was printed before. */
-    private void print(List<JsonNode> estimates, boolean onTerminal, boolean overwrites) {
-        StringJoiner text = new StringJoiner(onTerminal ? "   " : "\n");
+    /** Prints one estimate per job; {@code overwritesLine}: in place of the line that was printed before. */
+    private void print(List<JsonNode> estimates, boolean onTerminal, boolean overwritesLine) {
+        StringJoiner line = new StringJoiner(onTerminal ? "   " : "\n");
         for (int i = 0; i < ids.size(); i++) {
-            text.add(json ? estimates.get(i).toString() : describe(ids.get(i), estimates.get(i)));
+            line.add(json ? estimates.get(i).toString() : describe(ids.get(i), estimates.get(i)));
         }
-        System.out.print(overwrites ? CLEAR_LINE + text : text + "\n");
+        System.out.print(overwritesLine ? CLEAR_LINE + line : line + "\n");
         System.out.flush();
     }
 
-    /** An estimate in words. */
+    /** Describes the estimate of a job in one line; without an estimate, only its status and the reason. */
     static String describe(String id, JsonNode estimate) {
         String status = estimate.path("status").asText();
         JsonNode secondsLeft = estimate.path("done_in_s");
--- a/src/main/java/org/hollypick/cli/GraphCommand.java
+++ b/src/main/java/org/hollypick/cli/GraphCommand.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits, shows and cancels graphs from the command line. Exit codes: see {@link CommandRunner}. */
+/** The sub-commands that submit, show and cancel task graphs. {@link CommandRunner} defines the exit codes. */
 @Command(
         name = "hollypick graph",
         mixinStandardHelpOptions = true,
-        description = "Submits, shows and withdraws task graphs.",
+        description = "Submits, shows and cancels task graphs.",
         subcommands = {GraphCommand.Submit.class, GraphCommand.Show.class, GraphCommand.Withdraw.class})
 final class GraphCommand implements Runnable {
     @CommandLine.Spec
@@ -28,10 +28,10 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "submit, show or withdraw?");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing sub-command: submit, show or withdraw");
     }
 
-    /** A command that calls the service. */
+    /** The options and the client that the sub-commands share. */
     private abstract static class RemoteCommand implements Callable<Integer> {
         private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(5);
         private static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
@@ -41,14 +41,14 @@
                 paramLabel = "HOST:PORT",
                 split = ",",
                 required = true,
-                description = "addresses of controllers, any number")
+                description = "addresses of one or more controllers, separated by commas")
         private List<String> addresses;
 
         @Option(
                 names = "--within",
                 paramLabel = "SECONDS",
                 defaultValue = "60",
-                description = "how long a call is tried (default: ${DEFAULT-VALUE})")
+                description = "how long a call is retried before it fails (default: ${DEFAULT-VALUE})")
         private long callTimeoutS;
 
         @Override
@@ -60,16 +60,19 @@
             }
         }
 
-        /** Does the command's work, and returns the exit code. */
+        /** Runs the command and returns the exit code. */
         abstract int run(HollypickClient client);
     }
 
-    @Command(name = "submit", mixinStandardHelpOptions = true, description = "Checks a graph in a file and submits it.")
+    @Command(
+            name = "submit",
+            mixinStandardHelpOptions = true,
+            description = "Validates a graph in a file and submits it.")
     static final class Submit extends RemoteCommand {
-        @Parameters(paramLabel = "FILE", description = "EDN, or JSON if it ends in .json")
+        @Parameters(paramLabel = "FILE", description = "the graph: EDN, or JSON if the file name ends in .json")
         private Path file;
 
-        @Option(names = "--wait", description = "until the graph is over; exit code 1 unless it is done")
+        @Option(names = "--wait", description = "wait until the graph has ended; exit code 1 unless it is done")
         private boolean wait;
 
         @Override
@@ -87,12 +90,15 @@
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Tells how a graph stands, node by node.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Shows the status of a graph and the number of its nodes in each state.")
     static final class Show extends RemoteCommand {
         @Parameters(paramLabel = "ID")
         private String id;
 
-        @Option(names = "--nodes", description = "every node, with its task and state")
+        @Option(names = "--nodes", description = "list every node with its task and state")
         private boolean nodes;
 
         @Override
@@ -123,7 +129,7 @@
     @Command(
             name = "withdraw",
             mixinStandardHelpOptions = true,
-            description = "Cancels a graph, or one node and what needs it.")
+            description = "Cancels a graph, or one node and the nodes that depend on it.")
     static final class Withdraw extends RemoteCommand {
         @Parameters(index = "0", paramLabel = "ID")
         private String id;
--- a/src/main/java/org/hollypick/cli/GraphFile.java
+++ b/src/main/java/org/hollypick/cli/GraphFile.java
@@ -19,14 +19,20 @@
 import us.bpsm.edn.parser.Parser;
 import us.bpsm.edn.parser.Parsers;
 
-/** Reads a graph from a file, EDN or JSON: the wire's names, in EDN as keywords with hyphens or underscores. */
+/**
+ * Reads a graph from an EDN or JSON file. Its keys are the field names of the users' protocol; in EDN they are
+ * keywords, in which hyphens may stand for underscores.
+ */
 final class GraphFile {
     private static final String JSON_SUFFIX = ".json";
     private static final int MAX_SHOWN_PROBLEMS = 20;
 
     private GraphFile() {}
 
-    /** The graph, if nothing is wrong with it; else an exception that names every place. */
+    /**
+     * Reads and validates a graph; fails with a {@link ConfigException} that lists up to {@link #MAX_SHOWN_PROBLEMS}
+     * problems, each with its place in the graph.
+     */
     static GraphSpec read(Path file) {
         JsonNode tree = parse(file);
         List<GraphSpec.Problem> problems = GraphSpec.check(tree);
@@ -51,7 +57,7 @@
                 .map(problem -> file + ": " + problem)
                 .collect(Collectors.joining("\n"));
         int hidden = problems.size() - MAX_SHOWN_PROBLEMS;
-        return hidden > 0 ? shown + "\nand " + hidden + " more" : shown;
+        return hidden > 0 ? shown + "\nand " + hidden + " more problems" : shown;
     }
 
     private static JsonNode parseJson(Path file, String text) {
@@ -67,7 +73,7 @@
         try {
             Object value = Parsers.newParser(Parsers.defaultConfiguration()).nextValue(Parsers.newParseable(text));
             if (value == Parser.END_OF_INPUT) {
-                throw new ConfigException(file + ": empty");
+                throw new ConfigException(file + ": empty, expected an EDN map");
             }
             return toTree(value);
         } catch (EdnException e) {
--- a/src/main/java/org/hollypick/cli/LogConfiguration.java
+++ b/src/main/java/org/hollypick/cli/LogConfiguration.java
@@ -1,12 +1,12 @@
 package org.hollypick.cli;
 
-/** Configures the log: slf4j-simple on standard error, with the messages of Undertow and XNIO. */
+/** Configures logging: slf4j-simple on standard error, which also receives the messages of Undertow and XNIO. */
 final class LogConfiguration {
     private LogConfiguration() {}
 
     /**
-     * Sets the log level. Has to run before the first logger is created. The libraries log errors only, except at
-     * {@code debug}.
+     * Sets the log level. Must be called before the first logger is created. The libraries log errors only, or at
+     * {@code info} if the level is {@code debug}.
      *
      * @param level {@code error}, {@code info} or {@code debug}; {@code info} if it is null or anything else
      */
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -27,32 +27,34 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line: starts a controller, or runs one of the other commands. */
+/** The entry point of the program: starts a controller, or runs one of the other commands. */
 @Command(
         name = "hollypick",
         mixinStandardHelpOptions = true,
         version = "hollypick 0.1.0",
         description = "A controller of the hollypick cluster scheduler.",
-        footer = "Other commands: graph, eta, replay estimates; each with --help.")
+        footer = "Other commands: graph, eta, replay estimates. Each of them accepts --help.")
 public final class Main implements Callable<Integer> {
-    @Option(names = "--operator", paramLabel = "FILE", description = "the operators' own settings, an EDN map")
+    @Option(names = "--operator", paramLabel = "FILE", description = "settings of the operators, an EDN map")
     private Path operatorFile;
 
-    @Option(names = "--check-config", description = "check the settings and end")
+    @Option(names = "--check-config", description = "validate the settings and exit")
     private boolean checkOnly;
 
-    @Option(names = "--self-test", description = "start on loopback without any service, answer a few requests and end")
+    @Option(
+            names = "--self-test",
+            description = "start on loopback without the store and the cloud, check a few responses and exit")
     private boolean selfTest;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "the platform's settings, TOML")
+    @Option(names = "--config", paramLabel = "FILE", description = "settings of the platform, TOML")
     private Path configFile;
 
     private Main() {}
 
-    /** Runs the command that the first argument names; ends the process with a status other than 0 if it fails. */
+    /** Runs the command that the first argument names; exits the process if the command's exit code isn't 0. */
     public static void main(String[] args) {
         LogConfiguration.configure(System.getenv("LOG_LEVEL"));
-        // A controller's start loads nothing of the other commands.
+        // The other commands have classes of their own, which the start of a controller doesn't load.
         int code = switch (args.length == 0 ? "" : args[0]) {
             case "graph" -> GraphCommand.execute(Arrays.copyOfRange(args, 1, args.length));
             case "eta" -> EtaCommand.execute(Arrays.copyOfRange(args, 1, args.length));
@@ -81,19 +83,19 @@
             operator = operatorFile == null ? OperatorSettings.defaults() : OperatorSettings.read(operatorFile);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
-            return 2;
+            return CommandRunner.EXIT_USAGE;
         }
         if (!checkOnly) {
             serve(settings, operator);
         }
-        return 0;
+        return CommandRunner.EXIT_OK;
     }
 
     /**
-     * Starts the controller; it runs until the process is killed. Everything after the XNIO worker's creation happens
-     * on its I/O thread, while the calling thread only waits: where system calls of the process are rewritten while it
-     * runs, one thread reading the jar beside another that reads sockets ended about one start in a hundred
-     * (docs/incidents, native-read). So no class is loaded beside the running loop.
+     * Starts the controller, which runs until the process is killed. Once the XNIO worker exists, the rest of the start
+     * runs on its I/O thread while the calling thread waits, and no other thread loads classes. On hosts that rewrite
+     * the system calls of a running process, about one start in a hundred failed when one thread read the jar while
+     * another read sockets (docs/incidents, native-read).
      */
     static Undertow serve(Settings settings, OperatorSettings operator) throws Exception {
         CompletableFuture<Undertow> started = new CompletableFuture<>();
@@ -111,13 +113,16 @@
     }
 
     /**
-     * Starts the controller on the I/O thread. A named class, loaded before the worker runs: a lambda would be linked
-     * while it runs.
+     * Starts the controller on the I/O thread. A named class rather than a lambda, because a lambda would be linked,
+     * and its class loaded, on the calling thread while the worker is already running.
      */
     private static final class ControllerStarter implements Runnable {
-        /** Not a field of Main: that class is loaded before the log is configured. */
+        /** Declared here because Main is initialized before logging is configured. */
         private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
+        private static final int BUFFER_BYTES = 8 * 1024;
+        private static final int MAX_POOLED_BUFFERS = 200;
+
         private final Settings settings;
         private final OperatorSettings operator;
         private final CompletableFuture<Undertow> started;
@@ -137,7 +142,7 @@
         @Override
         public void run() {
             try {
-                bufferPool = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
+                bufferPool = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
                 connectionBudget = new ConnectionBudget(settings.maxSockets());
                 eventLoop = new XnioEventLoop(
                         worker.getIoThread(),
@@ -153,8 +158,8 @@
         }
 
         /**
-         * Opens both endpoints, with retries: an address may still be taken for a moment by an earlier process, and a
-         * restart of this one wouldn't free it.
+         * Opens both endpoints. Retries while an address is in use: a previous process may hold it for a moment longer,
+         * and restarting this process wouldn't free it.
          */
         private void listen() {
             try {
--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -17,13 +17,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Plays recorded runs, each estimated before its outcome is known, and prints how well that went. */
+/** Replays recorded runs through the run time estimator and prints how accurate its predictions are. */
 @Command(
         name = "hollypick replay estimates",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays recorded runs in the order of the file, each estimated before its outcome is told.",
-            "A line is a JSON object: kind, team, cores, expect_s, machine, ran_s, and cut: true for runs that were stopped, lost or failed."
+            "Replays recorded runs in the order of the file and predicts each of them before its outcome is used.",
+            "Each line is a JSON object with kind, team, cores, expect_s, machine, ran_s and cut, which is true for runs that were stopped, lost or failed."
         })
 final class ReplayCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
@@ -52,9 +52,10 @@
                         score.medianErrors().ownerEstimate(),
                         score.medianErrors().runningMean(),
                         score.medianErrors().lastRun()));
-        return 0;
+        return CommandRunner.EXIT_OK;
     }
 
+    /** Reads one run from each line that isn't blank; a job's fields that the line doesn't contain get fixed values. */
     static List<PredictionEvaluation.Run> readRuns(Path file) {
         List<PredictionEvaluation.Run> runs = new ArrayList<>();
         List<String> lines;
@@ -69,17 +70,17 @@
                 continue;
             }
             try {
-                JsonNode n = mapper.readTree(lines.get(i));
-                if (!n.path("ran_s").isNumber() || !n.path("expect_s").isNumber()) {
+                JsonNode run = mapper.readTree(lines.get(i));
+                if (!run.path("ran_s").isNumber() || !run.path("expect_s").isNumber()) {
                     throw new ConfigException(file + ": line " + (i + 1) + ": ran_s and expect_s must be numbers");
                 }
                 ObjectNode job = Codec.object()
                         .put("name_id", "req-1")
-                        .put("jobkind", n.path("kind").asText(""))
+                        .put("jobkind", run.path("kind").asText(""))
                         .put("rank", "standard")
                         .put("shape", "batch")
                         .put("shards", 1)
-                        .put("cores", n.path("cores").asDouble(1))
+                        .put("cores", run.path("cores").asDouble(1))
                         .put("gpus", 0.0)
                         .put("ram_gb", 1.0)
                         .put("together", false)
@@ -87,17 +88,17 @@
                         .put("lendable", true)
                         .put("bundle", "any")
                         .put("pull_gb", 0.0)
-                        .put("expect_s", n.path("expect_s").asDouble())
+                        .put("expect_s", run.path("expect_s").asDouble())
                         .put("bookmark_s", 0.0)
                         .put("stow_s", 0.0);
-                if (n.path("team").isTextual()) {
-                    job.put("owner", n.path("team").asText());
+                if (run.path("team").isTextual()) {
+                    job.put("owner", run.path("team").asText());
                 }
                 runs.add(new PredictionEvaluation.Run(
                         JobCodec.decode(job),
-                        n.path("machine").asText("any"),
-                        n.path("ran_s").asDouble(),
-                        n.path("cut").asBoolean()));
+                        run.path("machine").asText("any"),
+                        run.path("ran_s").asDouble(),
+                        run.path("cut").asBoolean()));
             } catch (IOException | JobCodec.InvalidException e) {
                 throw new ConfigException(file + ": line " + (i + 1) + ": " + e.getMessage());
             }
--- a/src/main/java/org/hollypick/cli/SelfTest.java
+++ b/src/main/java/org/hollypick/cli/SelfTest.java
@@ -25,8 +25,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Starts a controller on loopback while every service that it depends on is unreachable, and checks that it answers
- * each request with an error of its own. The build also runs it to create the class-data archive.
+ * Starts a controller on loopback while the store and the cloud are unreachable, and checks that every request is
+ * answered with an error status. The build also runs the self-test to create the class-data sharing archive.
  */
 final class SelfTest {
     private static final int REQUEST_TIMEOUT_MS = 5_000;
@@ -34,10 +34,11 @@
     private static final int MAX_SOCKETS = 100;
     private static final int MAX_IDLE_CONNECTIONS = 10;
     private static final int BUFFER_BYTES = 8 * 1024;
+    private static final int MIN_ERROR_STATUS = 400;
 
     private SelfTest() {}
 
-    /** Runs the self-test and ends the process: with exit code 0 if it passed, else with 1. */
+    /** Runs the self-test and exits the process: with code 0 if it passed, otherwise with code 1. */
     static int run() throws Exception {
         String usersAddress = unusedAddress();
         String peersAddress = unusedAddress();
@@ -50,11 +51,12 @@
         }
         server.stop();
         System.out.println(passed ? "self-test passed" : "self-test failed");
-        // The I/O threads of server and client would keep the process alive.
-        System.exit(passed ? 0 : 1);
-        return 0;
+        // Without an explicit exit, the I/O threads of server and client keep the process running.
+        System.exit(passed ? CommandRunner.EXIT_OK : CommandRunner.EXIT_FAILED);
+        return CommandRunner.EXIT_OK;
     }
 
+    /** Settings with arbitrary limits and one address, at which nothing listens, for the store and the cloud. */
     private static Settings settings(String usersAddress, String peersAddress, String unreachableAddress) {
         return new Settings(
                 "self",
@@ -94,7 +96,7 @@
                 MAX_IDLE_CONNECTIONS);
     }
 
-    /** One request of each kind of client: users, agents and peer controllers. */
+    /** Requests of each kind of client: users, an agent and a peer controller. */
     private static List<Request> requests(String usersAddress, String peersAddress) {
         ObjectNode heartbeat = Codec.object()
                 .put("bothy", "n-1")
@@ -117,7 +119,7 @@
         BlockingQueue<Response> responses = new ArrayBlockingQueue<>(1);
         client.after(0, () -> client.send(request, responses::add));
         Response response = responses.poll(RESPONSE_WAIT_S, TimeUnit.SECONDS);
-        return response != null && response.status() >= 400;
+        return response != null && response.status() >= MIN_ERROR_STATUS;
     }
 
     private static String unusedAddress() throws IOException {
