--- a/src/main/java/org/hollypick/client/GraphSpec.java
+++ b/src/main/java/org/hollypick/client/GraphSpec.java
@@ -10,18 +10,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A graph under construction, validated before it is sent. Not thread-safe. */
+/** Builds a task graph; {@link HollypickClient#submit} validates it before sending it. Not thread-safe. */
 public final class GraphSpec {
-    /** Bytes of nodes in one request, by their JSON; the protocol allows 64 KiB. */
+    /** Limit of the length of the nodes in one request, as JSON; the whole body, in CBOR, may have 64 KiB. */
     private static final int MAX_NODE_BYTES_PER_REQUEST = 44 * 1024;
 
     private final ObjectNode options = JsonNodeFactory.instance.objectNode();
     private final Map<String, ObjectNode> nodes = new LinkedHashMap<>();
 
     /**
-     * Something that is wrong with a graph.
+     * A fault in the description of a graph.
      *
-     * @param place where, as {@code nodes[3].awaits[0]}
+     * @param place the path of the field, such as {@code nodes[3].awaits[0]}
+     * @param what the fault of that field
      */
     public record Problem(String place, String what) {
         @Override
@@ -31,10 +32,10 @@
     }
 
     /**
-     * A graph without nodes.
+     * Creates a graph without nodes.
      *
-     * @param id as a job's, {@code req-} and digits
-     * @param kind the class of work
+     * @param id the graph's id: {@code req-} and up to 18 digits, as for a job
+     * @param kind the job class, by which the service groups run time statistics
      */
     public GraphSpec(String id, String kind) {
         options.put(WireFields.GRAPH_ID, id)
@@ -47,7 +48,9 @@
         this.nodes.putAll(nodes);
     }
 
-    /** A graph from a tree with the wire's names, as a file holds it; {@link #check(JsonNode)} validates one. */
+    /**
+     * Creates a graph from a tree with the field names of the protocol; {@link #check(JsonNode)} validates the tree.
+     */
     public static GraphSpec of(JsonNode tree) {
         ObjectNode options = tree.deepCopy();
         options.remove(WireFields.NODES);
@@ -59,42 +62,43 @@
 
     // ---- building ----
 
-    /** The team whose quota it uses. */
+    /** Sets the team whose quota the graph uses. */
     public GraphSpec team(String team) {
         options.put(WireFields.TEAM, team);
         return this;
     }
 
-    /** The priority: {@code prod}, {@code urgent}, {@code standard} or {@code low}. */
+    /** Sets the priority: {@code prod}, {@code urgent}, {@code standard} or {@code low}. */
     public GraphSpec rank(String rank) {
         options.put(WireFields.PRIORITY, rank);
         return this;
     }
 
-    /** How often a failed task is started again before its node has failed. */
+    /** Sets how many times a failed task is restarted before its node counts as failed. */
     public GraphSpec retries(int retries) {
         options.put(WireFields.RETRIES, retries);
         return this;
     }
 
-    /** Makes a failed node cancel the whole graph, instead of only what depends on it. */
+    /** Makes a failed node cancel the whole graph instead of only the nodes that depend on it. */
     public GraphSpec endOnFailure() {
         options.put(WireFields.ON_FAILURE, WireFields.ON_FAILURE_CANCEL);
         return this;
     }
 
-    /** What holds for the task of each node that doesn't say otherwise. */
+    /** Sets the task settings of each node that doesn't set them itself. */
     public GraphSpec defaults(Task task) {
         options.set(WireFields.DEFAULTS, task.fields());
         return this;
     }
 
-    /** Adds a node; {@code awaits}: ids of the nodes that it depends on. */
+    /** Adds a node; {@code awaits}: ids of the nodes that the new one depends on. */
     public GraphSpec node(String id, Task task, String... awaits) {
         nodes.put(id, toJson(id, task, List.of(awaits)));
         return this;
     }
 
+    /** Returns a node in the form in which requests contain it. */
     static ObjectNode toJson(String id, Task task, List<String> dependencies) {
         ObjectNode node = JsonNodeFactory.instance.objectNode().put(WireFields.NODE_ID, id);
         node.setAll(task.fields());
@@ -105,24 +109,24 @@
 
     // ---- queries ----
 
-    /** The graph's id. */
+    /** Returns the graph's id. */
     public String id() {
         return options.path(WireFields.GRAPH_ID).asText();
     }
 
-    /** Ids of the nodes in the order in which they were added. */
+    /** Returns the ids of the nodes in the order in which they were added. */
     public Set<String> nodeIds() {
         return nodes.keySet();
     }
 
-    /** What is wrong with it, as far as that can be known without the service. */
+    /** Returns the problems of the graph that can be found without the service. */
     public List<Problem> check() {
         ObjectNode tree = options.deepCopy();
         tree.set(WireFields.NODES, nodesAsJson());
         return check(tree);
     }
 
-    /** What is wrong with a tree with the wire's names, as a file holds it. */
+    /** Returns the problems of a graph that is given as a tree with the field names of the protocol. */
     public static List<Problem> check(JsonNode tree) {
         return GraphSpecValidator.validate(tree);
     }
@@ -131,7 +135,7 @@
         return JsonNodeFactory.instance.arrayNode().addAll(nodes.values());
     }
 
-    /** The requests that submit a valid graph, in order: parts that fit a request, the last of which seals it. */
+    /** Returns the requests that submit a valid graph, in sending order; the last one marks it as complete. */
     List<ObjectNode> submissionRequests() {
         List<ObjectNode> requests = new ArrayList<>();
         ArrayNode list = null;
--- a/src/main/java/org/hollypick/client/GraphSpecValidator.java
+++ b/src/main/java/org/hollypick/client/GraphSpecValidator.java
@@ -10,8 +10,8 @@
 import org.hollypick.client.GraphSpec.Problem;
 
 /**
- * Finds what is wrong with a graph as far as that can be known without the service, which checks everything again. One
- * instance validates one graph.
+ * Finds the problems of a graph that can be found without the service, which validates the graph again. One instance
+ * validates one graph.
  */
 final class GraphSpecValidator {
     private static final Set<String> GRAPH_FIELDS = Set.of(
@@ -40,7 +40,7 @@
         this.nodes = graph.path(WireFields.NODES);
     }
 
-    /** What is wrong with a graph that has the wire's names; empty if nothing is. */
+    /** Returns the problems of a graph that is given with the field names of the protocol; empty if it is valid. */
     static List<Problem> validate(JsonNode graph) {
         if (!graph.isObject()) {
             return List.of(new Problem("graph", "not a map"));
@@ -68,7 +68,7 @@
             }
         });
         if (!graph.path(WireFields.GRAPH_ID).asText().matches(GRAPH_ID_PATTERN)) {
-            report(WireFields.GRAPH_ID, "must be req- and up to 18 digits");
+            report(WireFields.GRAPH_ID, "must be req- followed by 1 to 18 digits");
         }
         if (!graph.path(WireFields.JOB_CLASS).isTextual()) {
             report(WireFields.JOB_CLASS, "missing");
@@ -95,7 +95,7 @@
             checkTaskFields(place, node, NODE_FIELDS);
             for (String field : REQUIRED_TASK_FIELDS) {
                 if (!node.has(field) && !graph.path(WireFields.DEFAULTS).has(field)) {
-                    report(place + "." + field, "missing, and \"task\" doesn't say it either");
+                    report(place + "." + field, "missing, and not set in \"task\" either");
                 }
             }
         }
@@ -103,7 +103,7 @@
 
     private void checkNodeId(String place, String id, int index) {
         if (!id.matches(NODE_ID_PATTERN)) {
-            report(place + ".id", "1 to 64 printable characters without / ? # %");
+            report(place + ".id", "must be 1 to 64 printable ASCII characters other than space, /, ?, # and %");
             return;
         }
         Integer earlier = indexById.putIfAbsent(id, index);
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Names the first node on a cycle, or behind one; only of a graph without any other problem. */
+    /** Reports the first node that is on a cycle or depends on one; skipped if another problem was found. */
     private void checkAcyclic() {
         if (!problems.isEmpty()) {
             return;
@@ -134,7 +134,7 @@
                 .forEach(node -> cyclic.remove(node.path(WireFields.NODE_ID).asText()));
         if (!cyclic.isEmpty()) {
             int first = cyclic.stream().mapToInt(indexById::get).min().orElseThrow();
-            report("nodes[" + first + "].awaits", "a cycle: the node can't be done before itself");
+            report("nodes[" + first + "].awaits", "a cycle: the node depends on itself, or on a node that does");
         }
     }
 }
--- a/src/main/java/org/hollypick/client/HollypickClient.java
+++ b/src/main/java/org/hollypick/client/HollypickClient.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Submits graphs, follows them and, from inside their tasks, adds to them. Any controller takes any call, and every
- * call is idempotent: it is repeated, with another controller and after a wait, until it is answered or its time is
- * over. Failures are {@link HollypickException}s. Thread-safe.
+ * Submits task graphs, reads their status and, from inside a running task, adds nodes to its graph. Any controller
+ * accepts any call, and all calls are idempotent: a call is retried at the next controller, after a backoff, until a
+ * controller gives a final response or the call's time limit is reached. Failures are {@link HollypickException}s.
+ * Thread-safe.
  */
 public final class HollypickClient implements AutoCloseable {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
@@ -25,28 +26,30 @@
     private final Duration pollInterval;
 
     /**
-     * How long calls may take.
+     * The time limits of calls.
      *
-     * @param call until a call is given up
-     * @param answer until a controller has to respond, before another one is tried
-     * @param pollEvery between two status queries
+     * @param call the time after which a call fails, all retries included
+     * @param answer the time within which a controller must respond; otherwise the next one is tried
+     * @param pollEvery the interval between two status queries
      */
     public record Times(Duration call, Duration answer, Duration pollEvery) {
-        /** Times that suit the service. */
+        /** Returns the default time limits. */
         public static Times defaults() {
             return new Times(Duration.ofSeconds(60), Duration.ofSeconds(5), Duration.ofSeconds(2));
         }
     }
 
-    /** A client with the default times; {@code addresses}: {@code host:port} of controllers, any number. */
+    /**
+     * Creates a client with the default time limits; {@code addresses}: {@code host:port} of one or more controllers.
+     */
     public HollypickClient(List<String> addresses) {
         this(addresses, Times.defaults());
     }
 
-    /** A client; {@code addresses}: {@code host:port} of controllers, any number. */
+    /** Creates a client; {@code addresses}: {@code host:port} of one or more controllers. */
     public HollypickClient(List<String> addresses, Times times) {
         if (addresses.isEmpty()) {
-            throw new IllegalArgumentException("no address");
+            throw new IllegalArgumentException("addresses is empty: at least one controller address is required");
         }
         this.http = new RetryingHttpClient(addresses, times.call(), times.answer());
         this.pollInterval = times.pollEvery();
@@ -54,10 +57,10 @@
 
     @Override
     public void close() {
-        // the JDK's client ends with its last reference; nothing else is held
+        // The JDK's HTTP client releases its resources when it is no longer referenced.
     }
 
-    /** Submits a graph; completes once it is accepted as a whole. */
+    /** Submits a graph; completes once the service has accepted all of its nodes. */
     public CompletableFuture<Graph> submit(GraphSpec spec) {
         List<GraphSpec.Problem> problems = spec.check();
         if (!problems.isEmpty()) {
@@ -70,12 +73,12 @@
         return last.thenApply(response -> graph(spec.id()));
     }
 
-    /** A graph that was submitted, here or elsewhere. */
+    /** Returns a graph that was submitted earlier, by this client or another one. */
     public Graph graph(String id) {
         return new Graph(id);
     }
 
-    /** When a job or graph is likely to be done, as the service answers. */
+    /** Returns the service's estimate of when a job or graph will be done. */
     public CompletableFuture<JsonNode> estimate(String id) {
         return http.send(GET, "/submissions/" + id + "/estimate", null);
     }
@@ -88,17 +91,17 @@
      * The status of a graph.
      *
      * @param status {@code pending}, {@code running}, {@code done} or {@code aborted}
-     * @param counts how many nodes are in each state
-     * @param why the graph was aborted; empty if it wasn't
+     * @param counts the number of nodes in each state
+     * @param why the reason why the graph was aborted; empty if it wasn't
      */
     public record Status(String status, JsonNode counts, String why) {
-        /** Whether the graph has ended. */
+        /** Returns whether the graph has ended. */
         public boolean over() {
             return status.equals("done") || status.equals("aborted");
         }
     }
 
-    /** A graph on the service. */
+    /** A graph that was submitted to the service. */
     public final class Graph {
         private final String id;
         private final String path;
@@ -108,12 +111,12 @@
             this.path = GRAPHS_PATH + "/" + id;
         }
 
-        /** The graph's id. */
+        /** Returns the graph's id. */
         public String id() {
             return id;
         }
 
-        /** Its status now. */
+        /** Returns the graph's current status. */
         public CompletableFuture<Status> status() {
             return show(0).thenApply(response -> new Status(
                     response.path(WireFields.STATUS).asText(),
@@ -121,31 +124,34 @@
                     response.path(WireFields.TERMINATION_REASON).asText("")));
         }
 
-        /** The service's description of it, with a page of nodes that begins with that index. */
+        /** Returns the service's description of the graph, with the page of nodes that begins at index {@code from}. */
         public CompletableFuture<JsonNode> show(int from) {
             return http.send(GET, path + (from > 0 ? "?from=" + from : ""), null);
         }
 
-        /** Completes when the graph has ended, however. */
+        /** Completes when the graph has ended, whether successfully or not. */
         public CompletableFuture<Status> over() {
             return status().thenCompose(status -> status.over()
                     ? CompletableFuture.completedFuture(status)
                     : RetryingHttpClient.runAfter(pollInterval, this::over));
         }
 
-        /** Cancels the graph; once that completes, no node starts. Gives the graph's status. */
+        /** Cancels the graph and returns its status; no node starts after the call has completed. */
         public CompletableFuture<String> withdraw() {
             return http.send(POST, path + "/withdraw", emptyBody())
                     .thenApply(response -> response.path(WireFields.STATUS).asText());
         }
 
-        /** Cancels a node and what depends on it. Gives the node's state. */
+        /** Cancels a node and the nodes that depend on it, and returns its state. */
         public CompletableFuture<String> withdraw(String node) {
             return http.send(POST, nodePath(node) + "/withdraw", emptyBody())
                     .thenApply(response -> response.path(WireFields.STATE).asText());
         }
 
-        /** The node's result once it is done, or that of its continuation; fails if it never can be. */
+        /**
+         * Returns the result of a node, or of its continuation. Waits without a time limit until the node is done;
+         * fails if the node can have no result, for example because it was cancelled.
+         */
         public <T> CompletableFuture<T> result(String node, Class<T> type) {
             return http.sendUntilAnswered(GET, nodePath(node) + "/result", null).thenApply(response -> {
                 JsonNode value = response.has(WireFields.RESULT_VALUE)
@@ -155,7 +161,7 @@
             });
         }
 
-        /** What a running task of the graph may ask for. */
+        /** Returns the calls that a running task of the graph can make, as the given attempt of its node. */
         public Running running(String node, long attempt) {
             return new Running(this, node, attempt);
         }
@@ -165,7 +171,7 @@
         }
     }
 
-    /** One attempt of a node, from inside its task. Not thread-safe. */
+    /** The calls of a running task, which is one attempt of a node. Not thread-safe. */
     public final class Running {
         private final Graph graph;
         private final String node;
@@ -180,32 +186,32 @@
             childrenRequest.putArray(WireFields.NODES);
         }
 
-        /** One more child; ids have to be the same whenever the task runs again. */
+        /** Adds a child to the next {@link #submit}. Each attempt of the task must use the same ids. */
         public Running child(String id, Task task, String... awaits) {
             childrenRequest.withArray(WireFields.NODES).add(GraphSpec.toJson(id, task, List.of(awaits)));
             return this;
         }
 
         /**
-         * Delegates this node's result to a child: the node is done when that child is, and has its result. The task
-         * ends without waiting for it.
+         * Makes a child the continuation of this node: the node is done when that child is done, and has the child's
+         * result. The task can end without waiting for the child.
          */
         public Running handOnTo(String child) {
             childrenRequest.put(WireFields.CONTINUATION, child);
             return this;
         }
 
-        /** Adds the children; completes once they are durable. */
+        /** Adds the children to the graph; completes once they are stored durably. */
         public CompletableFuture<Void> submit() {
             return http.send(POST, graph.path + "/nodes", childrenRequest).thenApply(response -> null);
         }
 
-        /** Keeps a small result. */
+        /** Stores a small result with the graph. */
         public CompletableFuture<Void> result(Object value) {
             return recordResult(attemptBody().set(WireFields.RESULT_VALUE, CBOR.valueToTree(value)));
         }
 
-        /** Keeps a reference to a result that is stored elsewhere. */
+        /** Stores a reference to a result that is stored elsewhere. */
         public CompletableFuture<Void> resultAt(String reference) {
             return recordResult(attemptBody().put(WireFields.RESULT_REFERENCE, reference));
         }
--- a/src/main/java/org/hollypick/client/HollypickException.java
+++ b/src/main/java/org/hollypick/client/HollypickException.java
@@ -1,6 +1,6 @@
 package org.hollypick.client;
 
-/** A call that hollypick refused, or that nobody answered in time. */
+/** Thrown for a call that the service rejected, or that no controller accepted in time. */
 public class HollypickException extends RuntimeException {
     private final int status;
 
@@ -9,33 +9,37 @@
         this.status = status;
     }
 
-    /** The HTTP status; 0 if there was no answer. */
+    /** Returns the HTTP status; 0 if there was no response. */
     public int status() {
         return status;
     }
 
-    /** 400 or 422: the call is wrong, or can never run; repeating it doesn't help. */
+    /**
+     * The call is invalid, or the work can never run (400, 405 or 422; 0 if the client found it); a retry won't help.
+     */
     public static final class Invalid extends HollypickException {
         Invalid(int status, String message) {
             super(status, message);
         }
     }
 
-    /** 409: something else is known under that id, or the attempt or graph is over. */
+    /** The id is already used for something else, or the attempt, node or graph has ended (409). */
     public static final class Conflict extends HollypickException {
         Conflict(String message) {
             super(409, message);
         }
     }
 
-    /** 404: there is no such graph, node or result. */
+    /** The graph, node or result doesn't exist (404). */
     public static final class NotFound extends HollypickException {
         NotFound(String message) {
             super(404, message);
         }
     }
 
-    /** No controller took the call within its time. It may have been carried out; the same call can be made again. */
+    /**
+     * No controller accepted the call in time. The call may have taken effect nevertheless; it can be repeated safely.
+     */
     public static final class Unavailable extends HollypickException {
         Unavailable(int status, String message) {
             super(status, message);
--- a/src/main/java/org/hollypick/client/NodeOrder.java
+++ b/src/main/java/org/hollypick/client/NodeOrder.java
@@ -12,9 +12,9 @@
     private NodeOrder() {}
 
     /**
-     * The nodes in topological order; those on a cycle, or that depend on one, are left out.
+     * Returns the nodes in topological order, without those that are on a cycle or depend on one.
      *
-     * @param nodes whose dependencies are all among them
+     * @param nodes a list that contains all dependencies of its nodes
      */
     static List<JsonNode> topological(JsonNode nodes) {
         Map<String, Integer> indexById = new HashMap<>();
--- a/src/main/java/org/hollypick/client/RetryingHttpClient.java
+++ b/src/main/java/org/hollypick/client/RetryingHttpClient.java
@@ -19,9 +19,9 @@
 import java.util.function.Supplier;
 
 /**
- * Sends requests, all of which are idempotent, to any of the controllers. On 429, 503, no response or a lost connection
- * the next controller is tried, after {@code Retry-After} or a growing wait with jitter, until the call's time is over.
- * Thread-safe.
+ * Sends idempotent requests to any of the controllers. After a lost connection, a timeout or a status that isn't final,
+ * such as 429 or 503, the next controller is tried, until the call's time limit is reached. The wait between two
+ * attempts is the longer of {@code Retry-After} and an exponential backoff with jitter. Thread-safe.
  */
 final class RetryingHttpClient {
     private static final ObjectMapper CBOR = new ObjectMapper(new CBORFactory());
@@ -39,12 +39,13 @@
     private final AtomicInteger nextAddress = new AtomicInteger();
 
     /**
-     * What is sent until it succeeds.
+     * A call, which one or more requests attempt.
      *
      * @param body null for none
-     * @param deadlineNanos when to give up, by {@link System#nanoTime}, or {@link #NO_DEADLINE}
+     * @param deadlineNanos when the call fails, by {@link System#nanoTime}, or {@link #NO_DEADLINE}
      */
     private record Call(String method, String path, JsonNode body, long deadlineNanos) {
+        /** Whether the deadline is earlier than the end of a wait that begins now. */
         boolean expiresWithin(long waitMillis) {
             return deadlineNanos != NO_DEADLINE
                     && System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis) - deadlineNanos > 0;
@@ -52,9 +53,10 @@
     }
 
     /**
-     * Why a call has to be repeated.
+     * The failure of one attempt, after which the call is retried.
      *
      * @param status 0 if there was no response
+     * @param retryAfterSeconds 0 if the response named no time
      */
     private record Failure(int status, String message, long retryAfterSeconds) {}
 
@@ -68,17 +70,17 @@
                 .build();
     }
 
-    /** The response's body; fails with a {@link HollypickException}. {@code body}: null for none. */
+    /** Returns the response's body; fails with a {@link HollypickException}. {@code body}: null for none. */
     CompletableFuture<JsonNode> send(String method, String path, JsonNode body) {
         return attempt(new Call(method, path, body, System.nanoTime() + callTimeout.toNanos()), 0);
     }
 
-    /** The same without a limit of time. */
+    /** Sends a request as {@link #send} does, but without a time limit. */
     CompletableFuture<JsonNode> sendUntilAnswered(String method, String path, JsonNode body) {
         return attempt(new Call(method, path, body, NO_DEADLINE), 0);
     }
 
-    /** {@code retries}: how many attempts there were before this one. */
+    /** Sends the request once; {@code retries}: the number of earlier attempts. */
     private CompletableFuture<JsonNode> attempt(Call call, int retries) {
         HttpRequest request;
         try {
@@ -108,7 +110,7 @@
     private CompletableFuture<JsonNode> handleResponse(Call call, int retries, HttpResponse<byte[]> response) {
         JsonNode body = decode(response.body());
         int status = response.statusCode();
-        String error = body.path(WireFields.ERROR).asText(status + " without a reason");
+        String error = body.path(WireFields.ERROR).asText("HTTP status " + status + " without an error message");
         return switch (status) {
             case 200, 201, 202 -> CompletableFuture.completedFuture(body);
             case 400, 405, 422 -> CompletableFuture.failedFuture(new HollypickException.Invalid(status, error));
@@ -130,19 +132,19 @@
         if (call.expiresWithin(waitMillis)) {
             return CompletableFuture.failedFuture(new HollypickException.Unavailable(
                     failure.status,
-                    "no controller of " + addresses + " took the call within its time; the last word: "
-                            + failure.message));
+                    call.method + " " + call.path + ": no controller of " + addresses
+                            + " accepted the call in time; last failure: " + failure.message));
         }
         return runAfter(Duration.ofMillis(waitMillis), () -> attempt(call, retries + 1));
     }
 
-    /** Between half and all of a wait that doubles with each retry. */
+    /** Returns a random wait between half of the backoff and all of it; the backoff doubles with each retry. */
     private static long backoffMillis(int retries) {
         long backoff = Math.min(MAX_BACKOFF_MILLIS, FIRST_BACKOFF_MILLIS << Math.min(retries, MAX_BACKOFF_DOUBLINGS));
         return backoff / 2 + ThreadLocalRandom.current().nextLong(backoff / 2 + 1);
     }
 
-    /** Starts something after a wait, and completes as that does. */
+    /** Starts an asynchronous action after a wait, and completes with its outcome. */
     static <T> CompletableFuture<T> runAfter(Duration wait, Supplier<CompletableFuture<T>> action) {
         Executor delayed = CompletableFuture.delayedExecutor(wait.toMillis(), TimeUnit.MILLISECONDS);
         return CompletableFuture.supplyAsync(action, delayed).thenCompose(result -> result);
@@ -153,7 +155,7 @@
             JsonNode tree = bytes.length == 0 ? null : CBOR.readTree(bytes);
             return tree == null ? MissingNode.getInstance() : tree;
         } catch (IOException e) {
-            return MissingNode.getInstance(); // a response of something that isn't hollypick
+            return MissingNode.getInstance(); // not CBOR: the response of a server that isn't a controller
         }
     }
 }
--- a/src/main/java/org/hollypick/client/WireFields.java
+++ b/src/main/java/org/hollypick/client/WireFields.java
@@ -2,12 +2,12 @@
 
 import java.util.Set;
 
-/** Field names of the users' protocol, as the client library needs them. Immutable, any thread. */
+/** Field names of the users' protocol that the client library uses. Immutable. */
 final class WireFields {
     // ---- a graph ----
 
     static final String GRAPH_ID = "name_id";
-    /** The class of work. */
+    /** The job class, by which the service groups run time statistics. */
     static final String JOB_CLASS = "jobkind";
 
     static final String TEAM = "owner";
@@ -15,13 +15,13 @@
     static final String DEFAULT_PRIORITY = "standard";
     static final String RETRIES = "retries";
     static final String ON_FAILURE = "on_failure";
-    /** Of {@link #ON_FAILURE}: a failed node cancels the whole graph. */
+    /** Value of {@link #ON_FAILURE}: a failed node cancels the whole graph. */
     static final String ON_FAILURE_CANCEL = "end";
-    /** Task fields of all nodes that don't say otherwise. */
+    /** Task fields that apply to each node that doesn't set them itself. */
     static final String DEFAULTS = "task";
 
     static final String NODES = "nodes";
-    /** Whether further requests add nodes of the client. */
+    /** Whether the client submits more nodes in further requests. */
     static final String MORE = "more";
 
     // ---- a node ----
@@ -63,26 +63,26 @@
 
     // ---- requests of running tasks ----
 
-    /** The node that adds children. */
+    /** The node whose running task adds children. */
     static final String PARENT = "parent";
 
     static final String ATTEMPT = "try";
-    /** The child that the parent delegates its result to. */
+    /** The child to which the parent delegates its result. */
     static final String CONTINUATION = "then";
-    /** A result that is small enough to be kept. */
+    /** A result that is stored with the graph. */
     static final String RESULT_VALUE = "value";
-    /** Where a result is stored that isn't kept. */
+    /** Reference to a result that is stored elsewhere. */
     static final String RESULT_REFERENCE = "ref";
 
     // ---- responses ----
 
-    /** Status of a graph. */
+    /** The status of a graph. */
     static final String STATUS = "status";
-    /** How many nodes are in each state. */
+    /** The number of nodes in each state. */
     static final String COUNTS = "counts";
-    /** Why a graph or node didn't succeed. */
+    /** The reason why a graph was aborted. */
     static final String TERMINATION_REASON = "why";
-    /** State of a node. */
+    /** The state of a node. */
     static final String STATE = "state";
 
     static final String ERROR = "error";
