--- a/src/test/java/org/hollypick/core/SchedulingCycleTest.java
+++ b/src/test/java/org/hollypick/core/SchedulingCycleTest.java
@@ -300,10 +300,10 @@
         Machine best = null;
         List<Assignment> bestVictims = List.of();
         double bestScore = 0;
-        double allServiceCpus = 0;
+        double serviceCpus = 0;
         for (Machine machine : scheduler.machines()) {
             // As of the start of the cycle: services placed by the cycle itself don't count.
-            allServiceCpus += machine.liveAssignments().stream()
+            serviceCpus += machine.liveAssignments().stream()
                     .filter(assignment -> assignment.job.spec.service() && assignment.assignedAt < now)
                     .mapToDouble(assignment -> assignment.job.spec.cpus())
                     .sum();
@@ -342,9 +342,7 @@
                     .sum();
             double score = -fetchSeconds(job.spec, machine)
                     - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_PENALTY_S
-                    - otherServiceCpus
-                            / Math.max(1, allServiceCpus)
-                            * SchedulingConstants.SERVICE_CONCENTRATION_PENALTY_S
+                    - otherServiceCpus / Math.max(1, serviceCpus) * SchedulingConstants.SERVICE_CONCENTRATION_PENALTY_S
                     - lostCoreSeconds / SchedulingConstants.PREEMPTED_CORE_S_PER_FETCH_S;
             if (best == null || score > bestScore) {
                 best = machine;
