--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -104,7 +104,7 @@
                 membership,
                 store,
                 leaseRenewal,
-                heartbeat -> terms.respondAsLeader(heartbeat, settings.controllerName()));
+                heartbeat -> terms.respondAsLeader(heartbeat, settings.node()));
         this.publicRequests =
                 new PublicRequestDispatcher(heartbeatRelay, users, graphs, operator.estimatesEnabled(), this::isReady);
         this.peerEndpoints = new PeerEndpoints(eventLoop, membership, terms);
@@ -119,7 +119,7 @@
 
     /** Registers this controller with the others and starts its components; requests are answered from then on. */
     public void start() {
-        LOG.info("controller.started controller={} zone={}", settings.controllerName(), settings.zone());
+        LOG.info("controller.started controller={} zone={}", settings.node(), settings.zone());
         membership.start();
         leaseRenewal.start();
         replica.start();
--- a/src/main/java/org/hollypick/api/Admission.java
+++ b/src/main/java/org/hollypick/api/Admission.java
@@ -48,7 +48,7 @@
     private static boolean exceedsLimit(JobSpec spec, Settings.Team team) {
         // A service runs all of its tasks at once; a job array can run them one after the other.
         int simultaneousTasks = spec.service() ? spec.tasks() : 1;
-        return (team.maxCpus() > 0 && simultaneousTasks * spec.cpus() > team.maxCpus())
-                || (team.maxGpus() > 0 && simultaneousTasks * spec.gpus() > team.maxGpus());
+        return (team.cpusMax() > 0 && simultaneousTasks * spec.cpus() > team.cpusMax())
+                || (team.gpusMax() > 0 && simultaneousTasks * spec.gpus() > team.gpusMax());
     }
 }
--- a/src/main/java/org/hollypick/api/GraphForwarding.java
+++ b/src/main/java/org/hollypick/api/GraphForwarding.java
@@ -39,7 +39,7 @@
      * @param body null if there is none
      */
     void forward(String method, String target, JsonNode body, Consumer<ServerResponse> responder) {
-        String leaderAddress = settings.peerEndpointAddress(membership.namedLeader());
+        String leaderAddress = settings.meshAddr(membership.namedLeader());
         if (leaderAddress == null) {
             responder.accept(UserResponses.noLeader());
             return;
--- a/src/main/java/org/hollypick/api/LeaderClient.java
+++ b/src/main/java/org/hollypick/api/LeaderClient.java
@@ -41,7 +41,7 @@
     Optional<String> leaderAddress() {
         return eventLoop.now() < unresponsiveUntilMs
                 ? Optional.empty()
-                : Optional.ofNullable(settings.peerEndpointAddress(membership.namedLeader()));
+                : Optional.ofNullable(settings.meshAddr(membership.namedLeader()));
     }
 
     /**
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -143,13 +143,13 @@
         public void run() {
             try {
                 bufferPool = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
-                connectionBudget = new ConnectionBudget(settings.maxSockets());
+                connectionBudget = new ConnectionBudget(settings.sockets());
                 eventLoop = new XnioEventLoop(
                         worker.getIoThread(),
                         bufferPool,
                         connectionBudget,
-                        Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())),
-                        (int) (settings.maxSockets() * NetworkConstants.MAX_IDLE_SOCKET_SHARE));
+                        Set.copyOf(List.of(settings.state(), settings.cloud())),
+                        (int) (settings.sockets() * NetworkConstants.MAX_IDLE_SOCKET_SHARE));
                 controller = new Controller(eventLoop, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
@@ -167,9 +167,9 @@
                         worker,
                         bufferPool,
                         connectionBudget,
-                        settings.publicAddress(),
+                        settings.publicAddr(),
                         controller::handle,
-                        settings.peerEndpointAddress(),
+                        settings.meshAddr(),
                         controller::handlePeerRequest);
                 eventLoop.after(0, controller::start);
                 started.complete(server);
@@ -182,8 +182,8 @@
                 if (listenAttempts == 1) {
                     LOG.error(
                             "listen.address_in_use users={} mesh={} reason={}",
-                            settings.publicAddress(),
-                            settings.peerEndpointAddress(),
+                            settings.publicAddr(),
+                            settings.meshAddr(),
                             e.getCause().getMessage());
                 }
                 eventLoop.after(NetworkConstants.LISTEN_RETRY_MS, this::listen);
--- a/src/main/java/org/hollypick/cloud/CloudClient.java
+++ b/src/main/java/org/hollypick/cloud/CloudClient.java
@@ -32,8 +32,8 @@
     /** Creates a client of the cloud named in the settings. */
     public CloudClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
-        this.address = settings.cloudAddress();
-        this.rateLimit = new TokenBucket(settings.cloudRequestsPerSecond() * RATE_LIMIT_SHARE, eventLoop.now());
+        this.address = settings.cloud();
+        this.rateLimit = new TokenBucket(settings.cloudRps() * RATE_LIMIT_SHARE, eventLoop.now());
     }
 
     /** Lists the machine types by name; the callback receives an empty result if the request failed. */
--- a/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
+++ b/src/main/java/org/hollypick/cluster/CandidacyEvaluation.java
@@ -130,9 +130,9 @@
                 return;
             }
             peersRequested = true;
-            for (Settings.Sibling peer : settings.peers()) {
+            for (Settings.Sibling peer : settings.siblings()) {
                 pendingRequests++;
-                PeerReachability.request(eventLoop, peer.address(), probed, this::peerResponded);
+                PeerReachability.request(eventLoop, peer.addr(), probed, this::peerResponded);
             }
         }
 
--- a/src/main/java/org/hollypick/cluster/IsolationDetector.java
+++ b/src/main/java/org/hollypick/cluster/IsolationDetector.java
@@ -36,6 +36,6 @@
 
     private boolean reachesNeitherStoreNorPeers() {
         long lastContactAt = Math.max(lastPeerResponseAt, session.renewedAt());
-        return !settings.peers().isEmpty() && eventLoop.now() - lastContactAt > ElectionConstants.SESSION_TTL_MS;
+        return !settings.siblings().isEmpty() && eventLoop.now() - lastContactAt > ElectionConstants.SESSION_TTL_MS;
     }
 }
--- a/src/main/java/org/hollypick/cluster/LeaderDirectory.java
+++ b/src/main/java/org/hollypick/cluster/LeaderDirectory.java
@@ -76,7 +76,7 @@
         LeaderRecord leaderRecord = leaderRecord();
         boolean leads = leaderRecord != null
                 && memberRevision != 0
-                && leaderRecord.leader().equals(settings.controllerName())
+                && leaderRecord.leader().equals(settings.node())
                 && leaderRecord.memberRevision() == memberRevision;
         return leads ? leaderRecordRevision() : 0;
     }
--- a/src/main/java/org/hollypick/cluster/LeaderElection.java
+++ b/src/main/java/org/hollypick/cluster/LeaderElection.java
@@ -66,9 +66,9 @@
 
     private static int candidacyOrder(Settings settings) {
         TreeSet<String> controllers = new TreeSet<>();
-        controllers.add(settings.controllerName());
-        settings.peers().forEach(peer -> controllers.add(peer.controllerName()));
-        return controllers.headSet(settings.controllerName()).size();
+        controllers.add(settings.node());
+        settings.siblings().forEach(peer -> controllers.add(peer.node()));
+        return controllers.headSet(settings.node()).size();
     }
 
     /** Starts a campaign if leadership is vacant and no other operation is in progress. */
--- a/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
+++ b/src/main/java/org/hollypick/cluster/LeaderRecordWriter.java
@@ -44,7 +44,7 @@
     void replaceLeader(Consumer<CommitResult> onWritten) {
         String predecessor = directory.namedLeader();
         CompareAndSwap transaction = transactionAfter(directory.leaderRecordRevision());
-        if (predecessor != null && !predecessor.equals(settings.controllerName())) {
+        if (predecessor != null && !predecessor.equals(settings.node())) {
             String predecessorKey = StoreKeys.member(predecessor);
             transaction.expectRevision(predecessorKey, replica.revisionOf(predecessorKey));
         }
@@ -60,13 +60,13 @@
     private CompareAndSwap transactionAfter(long leaderRecordRevision) {
         return new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, leaderRecordRevision)
-                .expectRevision(StoreKeys.member(settings.controllerName()), registration.memberRevision());
+                .expectRevision(StoreKeys.member(settings.node()), registration.memberRevision());
     }
 
     private void write(
             CompareAndSwap transaction, boolean limitsEnforced, String cause, Consumer<CommitResult> onWritten) {
         LeaderRecord leaderRecord = new LeaderRecord(
-                settings.controllerName(),
+                settings.node(),
                 registration.memberRevision(),
                 directory.term() + 1,
                 limitsEnforcement.hashForNextRecord(limitsEnforced));
--- a/src/main/java/org/hollypick/cluster/MemberRegistration.java
+++ b/src/main/java/org/hollypick/cluster/MemberRegistration.java
@@ -73,7 +73,7 @@
      * to an earlier process that has ended; its session is ended first.
      */
     void start() {
-        store.get(StoreKeys.member(settings.controllerName()), result -> {
+        store.get(StoreKeys.member(settings.node()), result -> {
             if (result.ok() && result.value().sessionId().isPresent()) {
                 long earlierSession = result.value().sessionId().getAsLong();
                 endEarlierSession(earlierSession, result.value().revision());
@@ -132,8 +132,8 @@
             return;
         }
         MemberRecord member =
-                new MemberRecord(settings.zone(), settings.peerEndpointAddress(), resignations.ownResignationTimes());
-        String key = StoreKeys.member(settings.controllerName());
+                new MemberRecord(settings.zone(), settings.meshAddr(), resignations.ownResignationTimes());
+        String key = StoreKeys.member(settings.node());
         // Conditional on the key's absence: a delayed write must not give the key a new revision, which peers would
         // consider a new incarnation while this one is still active.
         CompareAndSwap transaction = new CompareAndSwap()
@@ -160,7 +160,7 @@
      * been applied although its response reported a failure or was lost.
      */
     private void adoptMemberKey(int incarnation) {
-        store.get(StoreKeys.member(settings.controllerName()), result -> {
+        store.get(StoreKeys.member(settings.node()), result -> {
             if (incarnation != session.incarnation()) {
                 return;
             }
--- a/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
+++ b/src/main/java/org/hollypick/cluster/PartitionedLeaseRenewal.java
@@ -96,12 +96,12 @@
 
     private void requestGrant() {
         long token = membership.leaderRecordRevision();
-        String leaderAddress = settings.peerEndpointAddress(membership.namedLeader());
+        String leaderAddress = settings.meshAddr(membership.namedLeader());
         if (leaderAddress != null && replica.isLoaded()) {
             long sentAt = eventLoop.now();
             long reportedRenewals = renewals;
             RenewalGrantRequest request = new RenewalGrantRequest(
-                    settings.controllerName(),
+                    settings.node(),
                     token,
                     replica.appliedRevision(),
                     lastGrantToken == token ? lastGrantNumber : WorkerLeases.NO_GRANT_NUMBER,
--- a/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
+++ b/src/main/java/org/hollypick/cluster/PeerLeaderLease.java
@@ -49,7 +49,7 @@
     /** Requests the lease periodically while the session's renewals fail. */
     void requestPeriodically() {
         long sinceRenewalMs = eventLoop.now() - registration.session().renewedAt();
-        if (!settings.peers().isEmpty() && sinceRenewalMs > ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS) {
+        if (!settings.siblings().isEmpty() && sinceRenewalMs > ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS) {
             request();
         }
         eventLoop.after(ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS, this::requestPeriodically);
@@ -122,6 +122,6 @@
         String namedLeader = directory.namedLeader();
         return eventLoop.now() < noCandidacyUntil
                 && namedLeader != null
-                && !settings.controllerName().equals(namedLeader);
+                && !settings.node().equals(namedLeader);
     }
 }
--- a/src/main/java/org/hollypick/cluster/ResignationBackoff.java
+++ b/src/main/java/org/hollypick/cluster/ResignationBackoff.java
@@ -55,8 +55,8 @@
 
     private LongArrayList recentResignationTimes(long wallClockMs) {
         LongArrayList times = new LongArrayList(ownResignationTimes);
-        for (Settings.Sibling peer : settings.peers()) {
-            StoreReplica.Entry member = replica.get(StoreKeys.member(peer.controllerName()));
+        for (Settings.Sibling peer : settings.siblings()) {
+            StoreReplica.Entry member = replica.get(StoreKeys.member(peer.node()));
             if (member != null) {
                 times.addAll(ClusterRecordCodec.readMemberRecord(member.data()).resignationTimes());
             }
--- a/src/main/java/org/hollypick/cluster/UnanimousPeerCall.java
+++ b/src/main/java/org/hollypick/cluster/UnanimousPeerCall.java
@@ -28,9 +28,9 @@
      * @param onAllAgreed runs once, when every peer has agreed
      */
     void send(String path, JsonNode body, Predicate<JsonNode> agrees, Runnable onAllAgreed) {
-        Countdown pendingAgreements = new Countdown(settings.peers().size());
-        for (Settings.Sibling peer : settings.peers()) {
-            Request request = new Request(peer.address(), "POST", path, body, NetworkConstants.PEER_TIMEOUT_MS, true);
+        Countdown pendingAgreements = new Countdown(settings.siblings().size());
+        for (Settings.Sibling peer : settings.siblings()) {
+            Request request = new Request(peer.addr(), "POST", path, body, NetworkConstants.PEER_TIMEOUT_MS, true);
             eventLoop.send(request, response -> {
                 if (response.ok() && agrees.test(response.body()) && pendingAgreements.countDown()) {
                     onAllAgreed.run();
--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -21,48 +21,48 @@
  * tighten without notice ({@code state.next}), the tighter ones apply from the start, so that what is written under
  * them stays writable. Immutable.
  *
- * @param controllerName the name of this controller
+ * @param node the name of this controller
  * @param zone the zone in which it runs
- * @param publicAddress the address of its endpoint for users and agents
- * @param peerEndpointAddress the address of its endpoint for peers
- * @param peers the other controllers
- * @param cloudAddress the address of the cloud's API
- * @param storeAddress the address of the key-value store
+ * @param publicAddr the address of its endpoint for users and agents
+ * @param meshAddr the address of its endpoint for peers
+ * @param siblings the other controllers
+ * @param cloud the address of the cloud's API
+ * @param state the address of the key-value store
  * @param zones the zones of the cluster
  * @param teams the teams by name, with their quotas
  * @param objectives the service-level objectives
- * @param heartbeatIntervalS seconds between two heartbeats of an agent
- * @param agentLeaseS seconds of an agent's lease
- * @param cancellationLimitS seconds within which a cancelled task has to have ended
- * @param storeRequestsPerSecond requests a second that the store takes from all controllers
- * @param storeWritesPerSecond writes a second that it takes
- * @param maxValueBytes bytes of a value in the store at most
- * @param maxTransactionOperations operations in one transaction of the store at most
- * @param cloudRequestsPerSecond requests a second that the cloud takes
- * @param instanceListLagS seconds by which the cloud's list of machines may lag
- * @param maxSockets sockets that this process may open
+ * @param reportS seconds between two heartbeats of an agent
+ * @param leaseS seconds of an agent's lease
+ * @param cancelS seconds within which a cancelled task has to have ended
+ * @param stateRps requests a second that the store takes from all controllers
+ * @param stateWriteRps writes a second that it takes
+ * @param valueBytes bytes of a value in the store at most
+ * @param txnOps operations in one transaction of the store at most
+ * @param cloudRps requests a second that the cloud takes
+ * @param listLagS seconds by which the cloud's list of machines may lag
+ * @param sockets sockets that this process may open
  */
 public record Settings(
-        String controllerName,
+        String node,
         String zone,
-        String publicAddress,
-        String peerEndpointAddress,
-        List<Sibling> peers,
-        String cloudAddress,
-        String storeAddress,
+        String publicAddr,
+        String meshAddr,
+        List<Sibling> siblings,
+        String cloud,
+        String state,
         List<String> zones,
         Map<String, Team> teams,
         List<Objective> objectives,
-        double heartbeatIntervalS,
-        double agentLeaseS,
-        double cancellationLimitS,
-        double storeRequestsPerSecond,
-        double storeWritesPerSecond,
-        int maxValueBytes,
-        int maxTransactionOperations,
-        double cloudRequestsPerSecond,
-        double instanceListLagS,
-        int maxSockets) {
+        double reportS,
+        double leaseS,
+        double cancelS,
+        double stateRps,
+        double stateWriteRps,
+        int valueBytes,
+        int txnOps,
+        double cloudRps,
+        double listLagS,
+        int sockets) {
 
     // Field names of the settings file, which the platform defines.
 
@@ -171,21 +171,21 @@
     /**
      * Another controller.
      *
-     * @param controllerName its name
+     * @param node its name
      * @param zone the zone in which it runs, empty if unknown
-     * @param address the address of its endpoint for peers
+     * @param addr the address of its endpoint for peers
      */
-    public record Sibling(String controllerName, String zone, String address) {}
+    public record Sibling(String node, String zone, String addr) {}
 
     /**
      * A team's quota: what it is guaranteed, and what it may use at most.
      *
-     * @param guaranteedCpus guaranteed CPUs
-     * @param maxCpus CPUs at most; 0 means no limit
-     * @param guaranteedGpus guaranteed GPUs
-     * @param maxGpus GPUs at most; 0 means no limit
+     * @param cpus guaranteed CPUs
+     * @param cpusMax CPUs at most; 0 means no limit
+     * @param gpus guaranteed GPUs
+     * @param gpusMax GPUs at most; 0 means no limit
      */
-    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /**
      * A service-level objective: {@code share} of the cases have to take at most {@code withinS} seconds.
@@ -202,10 +202,10 @@
      *
      * @return null for this controller, or one that doesn't exist
      */
-    public String peerEndpointAddress(String node) {
-        for (Sibling sibling : peers) {
-            if (sibling.controllerName().equals(node)) {
-                return sibling.address();
+    public String meshAddr(String node) {
+        for (Sibling sibling : siblings) {
+            if (sibling.node().equals(node)) {
+                return sibling.addr();
             }
         }
         return null;
@@ -217,14 +217,14 @@
         teams.values().stream()
                 .sorted(Comparator.comparing(Team::name))
                 .forEach(team -> hasher.putString(team.name(), StandardCharsets.UTF_8)
-                        .putDouble(team.maxCpus())
-                        .putDouble(team.maxGpus()));
+                        .putDouble(team.cpusMax())
+                        .putDouble(team.gpusMax()));
         return hasher.hash().toString();
     }
 
     /** Whether any team has a limit. */
     public boolean hasTeamLimits() {
-        return teams.values().stream().anyMatch(team -> team.maxCpus() > 0 || team.maxGpus() > 0);
+        return teams.values().stream().anyMatch(team -> team.cpusMax() > 0 || team.gpusMax() > 0);
     }
 
     /** Reads the settings file; fails with a {@link ConfigException} that names what is wrong. */
@@ -242,7 +242,7 @@
 
     /** Reads the settings from the parsed file; fails with a {@link ConfigException} that names what is wrong. */
     public static Settings parse(JsonNode root) {
-        List<Sibling> siblings = peers(root);
+        List<Sibling> siblings = siblings(root);
         JsonNode services = table(root, SERVICES);
         JsonNode params = table(root, PARAMETERS);
         Map<String, Team> teams = teams(params);
@@ -272,7 +272,7 @@
                 (int) positive(table(params, RESOURCES), MAX_SOCKETS));
     }
 
-    private static List<Sibling> peers(JsonNode root) {
+    private static List<Sibling> siblings(JsonNode root) {
         List<Sibling> siblings = new ArrayList<>();
         for (JsonNode sibling : root.path(PEER_CONTROLLERS)) {
             siblings.add(new Sibling(
--- a/src/main/java/org/hollypick/control/TermComponents.java
+++ b/src/main/java/org/hollypick/control/TermComponents.java
@@ -91,7 +91,7 @@
         Settings settings = context.settings();
         Membership membership = context.membership();
         List<String> peers =
-                settings.peers().stream().map(Settings.Sibling::controllerName).toList();
+                settings.siblings().stream().map(Settings.Sibling::node).toList();
         WorkerLeases leases =
                 new WorkerLeases(settings, peers, context.eventLoop().now(), firstTerm);
         OperatorSettings operatorSettings = context.operatorSettings();
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -150,9 +150,8 @@
     }
 
     private Batch nextBatch() {
-        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().maxValueBytes();
-        Batch batch =
-                new Batch(maxRecordBytes, Math.min(context.settings().maxTransactionOperations(), maxRecordsInBody));
+        int maxRecordsInBody = MAX_VALUE_BYTES / context.settings().valueBytes();
+        Batch batch = new Batch(maxRecordBytes, Math.min(context.settings().txnOps(), maxRecordsInBody));
         for (PendingEntry entry : pending) {
             if (!batch.add(entry)) {
                 break;
--- a/src/main/java/org/hollypick/control/graphs/GraphRetention.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphRetention.java
@@ -84,7 +84,7 @@
             return;
         }
         CompareAndSwap changes = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, context.fencingToken());
-        keys.subList(Math.max(0, keys.size() - context.settings().maxTransactionOperations()), keys.size())
+        keys.subList(Math.max(0, keys.size() - context.settings().txnOps()), keys.size())
                 .forEach(changes::delete);
         deletionInFlight = true;
         context.store()
--- a/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
+++ b/src/main/java/org/hollypick/control/jobs/AttainedServiceStore.java
@@ -69,7 +69,7 @@
         }
         CompareAndSwap transaction = new CompareAndSwap()
                 .expectRevision(StoreKeys.LEADER_RECORD, scheduler.token())
-                .put(StoreKeys.attainedService(settings.controllerName()), record);
+                .put(StoreKeys.attainedService(settings.node()), record);
         store.commit(transaction, result -> {
             if (result.committed()) {
                 lastWrittenRecord = text;
--- a/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionBatch.java
@@ -37,8 +37,7 @@
     }
 
     private boolean hasCapacityForRecord() {
-        return records.size() < settings.maxTransactionOperations()
-                && (records.size() + 1) * settings.maxValueBytes() <= MAX_BYTES;
+        return records.size() < settings.txnOps() && (records.size() + 1) * settings.valueBytes() <= MAX_BYTES;
     }
 
     boolean isEmpty() {
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -63,9 +63,8 @@
             return;
         }
         CompareAndSwap transaction = new CompareAndSwap().expectRevision(StoreKeys.LEADER_RECORD, token);
-        List<String> jobIds = pendingRevisions.keySet().stream()
-                .limit(settings.maxTransactionOperations())
-                .toList();
+        List<String> jobIds =
+                pendingRevisions.keySet().stream().limit(settings.txnOps()).toList();
         for (String id : jobIds) {
             transaction
                     .expectRevision(StoreKeys.job(id), pendingRevisions.get(id))
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -66,7 +66,7 @@
             writeJobRecord(spec, recordedDependencies, null, JobConstants.MAX_SUBMISSION_WRITE_ATTEMPTS, onOutcome);
             return;
         }
-        String key = StoreKeys.dependencies(settings.controllerName(), membership.memberRevision(), usedDependencyKeys);
+        String key = StoreKeys.dependencies(settings.node(), membership.memberRevision(), usedDependencyKeys);
         usedDependencyKeys++;
         DependencyLists dependencyLists = new DependencyLists(key, splitIntoLists(recordedDependencies, maxBytes));
         if (RecordSize.encodedBytes(JobRecordCodec.encodeLive(spec, Long.MAX_VALUE, List.of(), dependencyLists))
@@ -120,7 +120,7 @@
             return;
         }
         CompareAndSwap transaction = new CompareAndSwap();
-        int to = Math.min(dependencyLists.lists().size(), from + settings.maxTransactionOperations());
+        int to = Math.min(dependencyLists.lists().size(), from + settings.txnOps());
         for (int i = from; i < to; i++) {
             String key = dependencyLists.key(i);
             transaction
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -138,7 +138,7 @@
         long isolationStart = isolatedSince > 0 ? isolatedSince : now;
         long reachedOnlyByPeersStart = reachedOnlyByPeersSince > 0 ? reachedOnlyByPeersSince : now;
         long unreachableMillis = now - Math.min(isolationStart, reachedOnlyByPeersStart);
-        return unreachableMillis > settings.agentLeaseS() * 1_000 * ElectionConstants.MAX_ISOLATED_LEASE_SHARE;
+        return unreachableMillis > settings.leaseS() * 1_000 * ElectionConstants.MAX_ISOLATED_LEASE_SHARE;
     }
 
     /**
--- a/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordShrinker.java
@@ -53,7 +53,7 @@
         this.compareAndSwap = compareAndSwap;
         this.maxWrites = maxWrites;
         this.onCopyRequired = onCopyRequired;
-        this.valueBytesWritten = compareAndSwap.writeCount() * settings.maxValueBytes();
+        this.valueBytesWritten = compareAndSwap.writeCount() * settings.valueBytes();
     }
 
     /** Removes the machines; returns those that no record contains any more once the compare-and-swap is committed. */
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -209,7 +209,7 @@
                     break;
                 }
                 record = Codec.object();
-                key = StoreKeys.machines(settings.controllerName(), token, recordsCreated++);
+                key = StoreKeys.machines(settings.node(), token, recordsCreated++);
                 compareAndSwap.expectAbsent(key).put(key, record);
                 freeBytes = RecordSize.maxBytes(settings) - BRACE_BYTES;
             }
@@ -222,14 +222,14 @@
 
     private boolean canAddRecord(CompareAndSwap compareAndSwap) {
         int writes = compareAndSwap.writeCount();
-        return writes != settings.maxTransactionOperations()
-                && (writes + 1) * settings.maxValueBytes() <= MachineRecordShrinker.MAX_VALUE_BYTES;
+        return writes != settings.txnOps()
+                && (writes + 1) * settings.valueBytes() <= MachineRecordShrinker.MAX_VALUE_BYTES;
     }
 
     /** Removes machines from records; returns those that no record contains after the compare-and-swap is committed. */
     private Set<String> removeMachines(CompareAndSwap compareAndSwap) {
         int spareWrites = store.hasSpareWriteCapacity() ? StoreConstants.MAX_RECORD_SHRINKING_WRITES : 0;
-        int maxWrites = Math.min(settings.maxTransactionOperations(), compareAndSwap.writeCount() + spareWrites);
+        int maxWrites = Math.min(settings.txnOps(), compareAndSwap.writeCount() + spareWrites);
         return new MachineRecordShrinker(
                         replica, index, settings, compareAndSwap, maxWrites, encodedMachinesToCopy::putIfAbsent)
                 .removeMachines(machineIdsToRemove);
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -48,9 +48,9 @@
         Map<String, String> addresses = selectForCheck(unacknowledged, now);
         requestedAt = now;
         firstRequestedAt = firstRequestedAt == 0 ? now : firstRequestedAt;
-        requestsInFlight = settings.peers().size();
-        for (Settings.Sibling peer : settings.peers()) {
-            PeerReachability.request(eventLoop, peer.address(), addresses, this::peerCheckCompleted);
+        requestsInFlight = settings.siblings().size();
+        for (Settings.Sibling peer : settings.siblings()) {
+            PeerReachability.request(eventLoop, peer.addr(), addresses, this::peerCheckCompleted);
         }
     }
 
@@ -105,7 +105,7 @@
 
     /** Whether no controller seems to reach the machine: a peer's probe failed too, or no peer reported in time. */
     boolean isUnreachableFromAll(Machine machine, long now) {
-        if (settings.peers().isEmpty()) {
+        if (settings.siblings().isEmpty()) {
             return true;
         }
         if (machine.peerContact.peerCheckRequestedAt() == 0
@@ -128,7 +128,7 @@
     boolean mayRecoverThroughPeer(Machine machine, long now) {
         return isReachedOnlyByPeer(machine, now)
                 && (now - machine.peerContact.reachedByPeerSince() < ReachabilityConstants.REACHED_BY_PEER_GRACE_MS
-                        || now - machine.lastHeartbeatAt() < settings.agentLeaseS() * 1_000 / 2);
+                        || now - machine.lastHeartbeatAt() < settings.leaseS() * 1_000 / 2);
     }
 
     /** Returns how many machines peers reach that left several calls of this controller unacknowledged. */
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -52,9 +52,9 @@
         this.reachability = reachability;
         this.now = now;
         this.probeAfterMillis =
-                (long) (settings.heartbeatIntervalS() * 1_250) + FailureDetectionConstants.OVERDUE_HEARTBEAT_GRACE_MS;
+                (long) (settings.reportS() * 1_250) + FailureDetectionConstants.OVERDUE_HEARTBEAT_GRACE_MS;
         this.earlyProbeAfterMillis =
-                (long) (settings.heartbeatIntervalS() * 1_000 * FailureDetectionConstants.EARLY_PROBE_INTERVAL_SHARE);
+                (long) (settings.reportS() * 1_000 * FailureDetectionConstants.EARLY_PROBE_INTERVAL_SHARE);
         for (Machine machine : machines) {
             if (!machine.isScalingIn() && (machine.heartbeatReceived() || machine.isRegistered())) {
                 count(machine);
--- a/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceListReconciler.java
@@ -141,7 +141,7 @@
      */
     private void markMissingTerminated(Map<String, Instance> listed, long startedAt) {
         double waitMillis =
-                term.settings().instanceListLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + MISSING_SLACK_MS;
+                term.settings().listLagS() * 2000 * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + MISSING_SLACK_MS;
         Set<String> missing = new LinkedHashSet<>();
         for (Machine machine : scheduler.machines()) {
             Long firstListed = firstListedAt.get(machine.id);
--- a/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
+++ b/src/main/java/org/hollypick/control/provisioning/InstanceProvisioner.java
@@ -108,7 +108,7 @@
         if (firstTerm) {
             return false;
         }
-        boolean listMayBeOld = now - startedAt < term.settings().instanceListLagS() * 2000;
+        boolean listMayBeOld = now - startedAt < term.settings().listLagS() * 2000;
         return !listReconciler.hasCompleted()
                 || (listMayBeOld && !scheduler.machines().isEmpty());
     }
--- a/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
+++ b/src/main/java/org/hollypick/control/provisioning/ScaleOutRequester.java
@@ -49,7 +49,7 @@
     }
 
     private String nextRequestId() {
-        return term.settings().controllerName() + "-" + scheduler.token() + "-" + requestCount++;
+        return term.settings().node() + "-" + scheduler.token() + "-" + requestCount++;
     }
 
     private void send(Autoscaler.CapacityPool pool, String requestId, int count) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -54,7 +54,7 @@
         this.token = token;
         this.leases = leases;
         this.estimates = new Estimates(learnsRuntimes);
-        this.heartbeatBalancer = new HeartbeatBalancer(settings.controllerName(), leases.termStartedAt());
+        this.heartbeatBalancer = new HeartbeatBalancer(settings.node(), leases.termStartedAt());
         this.quotas = new TeamQuotas(this, settings);
         this.assignments = new AssignmentTable(this, quotas.usage());
         this.heartbeats = new HeartbeatProcessor(this, assignments, quotas.usage());
--- a/src/main/java/org/hollypick/core/TeamQuotas.java
+++ b/src/main/java/org/hollypick/core/TeamQuotas.java
@@ -44,7 +44,7 @@
      */
     public boolean withinLimit(JobSpec spec) {
         Settings.Team team = teams.get(spec.team());
-        if (team == null || (team.maxCpus() <= 0 && team.maxGpus() <= 0)) {
+        if (team == null || (team.cpusMax() <= 0 && team.gpusMax() <= 0)) {
             return true;
         }
         if (scheduler.reconciliationComplete()) {
@@ -76,13 +76,13 @@
     /** Cores that the team may use at once; infinity if there is no limit. */
     public double maxCpus(String team) {
         Settings.Team settings = teams.get(team);
-        return settings == null || settings.maxCpus() <= 0 ? Double.POSITIVE_INFINITY : settings.maxCpus();
+        return settings == null || settings.cpusMax() <= 0 ? Double.POSITIVE_INFINITY : settings.cpusMax();
     }
 
     /** GPUs that the team may use at once; infinity if there is no limit. */
     public double maxGpus(String team) {
         Settings.Team settings = teams.get(team);
-        return settings == null || settings.maxGpus() <= 0 ? Double.POSITIVE_INFINITY : settings.maxGpus();
+        return settings == null || settings.gpusMax() <= 0 ? Double.POSITIVE_INFINITY : settings.gpusMax();
     }
 
     /** Whether all tasks are known and every team is within its limit. */
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -102,10 +102,10 @@
         double serviceReservedCpus = spec.service() ? 0 : Math.max(0, reservedCpus.getDouble(name));
         double serviceReservedGpus = spec.service() ? 0 : Math.max(0, reservedGpus.getDouble(name));
         return withinLimit(
-                        team.maxCpus(),
+                        team.cpusMax(),
                         cpus.getDouble(name) + Math.max(0, unknownCpus) + serviceReservedCpus + spec.cpus())
                 && withinLimit(
-                        team.maxGpus(),
+                        team.gpusMax(),
                         gpus.getDouble(name) + Math.max(0, unknownGpus) + serviceReservedGpus + spec.gpus());
     }
 
@@ -119,18 +119,18 @@
         String name = team.name();
         double unknownCpus = Math.min(
                 unaccountedCpus,
-                earlierLeadersEnforcedLimits ? team.maxCpus() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
+                earlierLeadersEnforcedLimits ? team.cpusMax() - foundCpus.getDouble(name) : Double.POSITIVE_INFINITY);
         double unknownGpus = Math.min(
                 unaccountedGpus,
-                earlierLeadersEnforcedLimits ? team.maxGpus() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
+                earlierLeadersEnforcedLimits ? team.gpusMax() - foundGpus.getDouble(name) : Double.POSITIVE_INFINITY);
         return allows(team, spec, unknownCpus, unknownGpus);
     }
 
     /** Whether the known tasks of every team are within its limit. */
     boolean allTeamsWithinLimits(Iterable<Settings.Team> teams) {
         for (Settings.Team team : teams) {
-            if (!withinLimit(team.maxCpus(), cpus.getDouble(team.name()))
-                    || !withinLimit(team.maxGpus(), gpus.getDouble(team.name()))) {
+            if (!withinLimit(team.cpusMax(), cpus.getDouble(team.name()))
+                    || !withinLimit(team.gpusMax(), gpus.getDouble(team.name()))) {
                 return false;
             }
         }
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -86,7 +86,7 @@
     /** @param firstTerm whether there was no earlier leader that could have granted renewals */
     public WorkerLeases(Settings settings, Collection<String> peerNames, long termStartedAt, boolean firstTerm) {
         this.grantMs = renewalGrantMs(settings);
-        this.leaseMs = ClockBounds.atMost(settings.agentLeaseS() * 1000) + LeaseConstants.AGENT_LEASE_MARGIN_MS;
+        this.leaseMs = ClockBounds.atMost(settings.leaseS() * 1000) + LeaseConstants.AGENT_LEASE_MARGIN_MS;
         this.termStartedAt = termStartedAt;
         long olderTokensUntil = firstTerm ? NEVER : termStartedAt + ClockBounds.atMost(grantMs);
         for (String peer : peerNames) {
@@ -105,7 +105,7 @@
      * must expire within the time that a cancelled task has to end.
      */
     public static long renewalGrantMs(Settings settings) {
-        long availableMs = (long) ((settings.cancellationLimitS() - settings.agentLeaseS()) * 1000);
+        long availableMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
         long grantMs = availableMs - LeaseConstants.RENEWAL_GRANT_MARGIN_MS;
         return grantMs < LeaseConstants.MIN_RENEWAL_GRANT_MS ? 0 : grantMs;
     }
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -185,7 +185,7 @@
 
         void send() {
             Request request = new Request(
-                    peers.get(peer).address(),
+                    peers.get(peer).addr(),
                     "POST",
                     routed.isWatch() ? FORWARD_WATCH_PATH : FORWARD_PATH,
                     ForwardingCodec.encode(routed.request),
--- a/src/main/java/org/hollypick/records/RecordSize.java
+++ b/src/main/java/org/hollypick/records/RecordSize.java
@@ -11,7 +11,7 @@
 
     /** The maximum size of a record: less than the store's limit, since the store may also count white space. */
     public static int maxBytes(Settings settings) {
-        return (int) (settings.maxValueBytes() * StoreConstants.USABLE_VALUE_SHARE);
+        return (int) (settings.valueBytes() * StoreConstants.USABLE_VALUE_SHARE);
     }
 
     /** The size of a record's compact JSON encoding, in bytes. */
--- a/src/main/java/org/hollypick/relay/HeartbeatRelay.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelay.java
@@ -115,7 +115,7 @@
         long nowMillis = eventLoop.now();
         respondLocallyOrExpire(nowMillis);
         Leader leader = membership.currentLeader();
-        String leaderAddress = leader == null ? null : settings.peerEndpointAddress(leader.controller());
+        String leaderAddress = leader == null ? null : settings.meshAddr(leader.controller());
         while (leaderAddress != null
                 && nowMillis >= sendNotBeforeMillis
                 && batchesInFlight < RelayConstants.MAX_RELAY_BATCHES_IN_FLIGHT
@@ -160,7 +160,7 @@
                         leaderAddress,
                         "POST",
                         HeartbeatRelayCodec.BATCH_PATH,
-                        HeartbeatRelayCodec.encodeBatch(settings.controllerName(), leader.token(), heartbeats),
+                        HeartbeatRelayCodec.encodeBatch(settings.node(), leader.token(), heartbeats),
                         RelayConstants.RELAY_TIMEOUT_MS,
                         true),
                 response -> {
@@ -234,7 +234,7 @@
     private ServerResponse redirectToLeader() {
         Leader currentLeader = membership.currentLeader();
         String leader = currentLeader == null ? membership.namedLeader() : currentLeader.controller();
-        return leader == null || leader.equals(settings.controllerName())
+        return leader == null || leader.equals(settings.node())
                 ? ServerResponse.retryLater("not entitled to act")
                 : HeartbeatRelayCodec.redirect(leader);
     }
--- a/src/main/java/org/hollypick/relay/LeaderComplaint.java
+++ b/src/main/java/org/hollypick/relay/LeaderComplaint.java
@@ -104,7 +104,7 @@
         store.commitUrgently(
                 new CompareAndSwap()
                         .expectRevision(StoreKeys.LEADER_RECORD, token)
-                        .putWithSession(StoreKeys.leaderComplaint(settings.controllerName()), complaint, sessionId),
+                        .putWithSession(StoreKeys.leaderComplaint(settings.node()), complaint, sessionId),
                 result -> {});
     }
 
--- a/src/main/java/org/hollypick/store/KeyValueStoreClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -30,8 +30,8 @@
     public KeyValueStoreClient(EventLoop eventLoop, Settings settings) {
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.requests = new StoreRequests(settings.storeAddress());
-        this.router = new RequestRouter(eventLoop, settings.peers(), requests.probe());
+        this.requests = new StoreRequests(settings.state());
+        this.router = new RequestRouter(eventLoop, settings.siblings(), requests.probe());
         this.budget = new StoreRateBudget(settings, eventLoop.now());
         this.queue = new StoreRequestQueue(eventLoop, budget, usage, this::sendQueued);
         scheduleUsageReport();
@@ -78,11 +78,8 @@
      * the writes that this controller may make in {@link StoreConstants#WRITE_BATCH_S}.
      */
     public int maxBatchWrites() {
-        return (int) Math.max(
-                1,
-                Math.min(
-                        settings.maxTransactionOperations(),
-                        budget.writesPerSecond() * StoreConstants.MAX_WRITE_BATCH_S));
+        return (int)
+                Math.max(1, Math.min(settings.txnOps(), budget.writesPerSecond() * StoreConstants.MAX_WRITE_BATCH_S));
     }
 
     /** Reads one key. */
--- a/src/main/java/org/hollypick/store/StoreRateBudget.java
+++ b/src/main/java/org/hollypick/store/StoreRateBudget.java
@@ -19,11 +19,11 @@
     private WriteShare leaderShare;
 
     StoreRateBudget(Settings settings, long nowMillis) {
-        this.peerCount = settings.peers().size();
-        this.plannedWritesPerSecond = settings.storeWritesPerSecond() * StoreConstants.STORE_RATE_SHARE;
+        this.peerCount = settings.siblings().size();
+        this.plannedWritesPerSecond = settings.stateWriteRps() * StoreConstants.STORE_RATE_SHARE;
         int controllerCount = peerCount + 1;
-        this.requests = new TokenBucket(
-                settings.storeRequestsPerSecond() * StoreConstants.STORE_RATE_SHARE / controllerCount, nowMillis);
+        this.requests =
+                new TokenBucket(settings.stateRps() * StoreConstants.STORE_RATE_SHARE / controllerCount, nowMillis);
         this.writes = new TokenBucket(1, nowMillis);
         setLeader(false, nowMillis);
     }
--- a/src/test/java/org/hollypick/config/SettingsTest.java
+++ b/src/test/java/org/hollypick/config/SettingsTest.java
@@ -46,9 +46,9 @@
     @Test
     void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
         Settings settings = Settings.parse(toml());
-        assertEquals("bothy-0", settings.controllerName());
-        assertEquals(16 * 1024, settings.maxValueBytes());
-        assertEquals(0, settings.teams().get("t").maxCpus());
+        assertEquals("bothy-0", settings.node());
+        assertEquals(16 * 1024, settings.valueBytes());
+        assertEquals(0, settings.teams().get("t").cpusMax());
     }
 
     @Test
@@ -79,9 +79,9 @@
                 .put("value_kb", 2.0)
                 .put("txn_ops", 20);
         Settings settings = Settings.parse(toml);
-        assertEquals(2 * 1024, settings.maxValueBytes());
-        assertEquals(16, settings.maxTransactionOperations());
-        assertEquals(50, settings.storeWritesPerSecond());
+        assertEquals(2 * 1024, settings.valueBytes());
+        assertEquals(16, settings.txnOps());
+        assertEquals(50, settings.stateWriteRps());
         next.put("txn_ops", 0.5);
         assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
                 .getMessage()
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -33,7 +33,7 @@
         return new SettingsBuilder()
                 .zones(List.of("a", "b"))
                 .teams(teams)
-                .agentLeaseS(LEASE_MS / 1000.0)
+                .leaseS(LEASE_MS / 1000.0)
                 .build();
     }
 
--- a/src/test/java/org/hollypick/core/SettingsBuilder.java
+++ b/src/test/java/org/hollypick/core/SettingsBuilder.java
@@ -7,26 +7,26 @@
 
 /** Builds {@link Settings} for tests, from common defaults or from a copy of other settings. */
 public final class SettingsBuilder {
-    private String controllerName = "n";
+    private String node = "n";
     private String zone = "a";
-    private String publicAddress = "p:1";
-    private String peerEndpointAddress = "m:1";
-    private List<Settings.Sibling> peers = List.of();
-    private String cloudAddress = "c:1";
-    private String storeAddress = "s:1";
+    private String publicAddr = "p:1";
+    private String meshAddr = "m:1";
+    private List<Settings.Sibling> siblings = List.of();
+    private String cloud = "c:1";
+    private String state = "s:1";
     private List<String> zones = List.of("a");
     private Map<String, Settings.Team> teams = Map.of();
     private List<Settings.Objective> objectives = List.of();
-    private double heartbeatIntervalS = 3;
-    private double agentLeaseS = 20;
-    private double cancellationLimitS = 40;
-    private double storeRequestsPerSecond = 100;
-    private double storeWritesPerSecond = 30;
-    private int maxValueBytes = 8192;
-    private int maxTransactionOperations = 12;
-    private double cloudRequestsPerSecond = 8;
-    private double instanceListLagS = 4;
-    private int maxSockets = 1000;
+    private double reportS = 3;
+    private double leaseS = 20;
+    private double cancelS = 40;
+    private double stateRps = 100;
+    private double stateWriteRps = 30;
+    private int valueBytes = 8192;
+    private int txnOps = 12;
+    private double cloudRps = 8;
+    private double listLagS = 4;
+    private int sockets = 1000;
 
     /** Starts with one zone, no teams, leases of 20 s and 40 s to stop cancelled tasks. */
     public SettingsBuilder() {}
@@ -34,47 +34,47 @@
     /** Starts with the values of other settings. */
     public static SettingsBuilder copyOf(Settings settings) {
         SettingsBuilder copy = new SettingsBuilder();
-        copy.controllerName = settings.controllerName();
+        copy.node = settings.node();
         copy.zone = settings.zone();
-        copy.publicAddress = settings.publicAddress();
-        copy.peerEndpointAddress = settings.peerEndpointAddress();
-        copy.peers = settings.peers();
-        copy.cloudAddress = settings.cloudAddress();
-        copy.storeAddress = settings.storeAddress();
+        copy.publicAddr = settings.publicAddr();
+        copy.meshAddr = settings.meshAddr();
+        copy.siblings = settings.siblings();
+        copy.cloud = settings.cloud();
+        copy.state = settings.state();
         copy.zones = settings.zones();
         copy.teams = settings.teams();
         copy.objectives = settings.objectives();
-        copy.heartbeatIntervalS = settings.heartbeatIntervalS();
-        copy.agentLeaseS = settings.agentLeaseS();
-        copy.cancellationLimitS = settings.cancellationLimitS();
-        copy.storeRequestsPerSecond = settings.storeRequestsPerSecond();
-        copy.storeWritesPerSecond = settings.storeWritesPerSecond();
-        copy.maxValueBytes = settings.maxValueBytes();
-        copy.maxTransactionOperations = settings.maxTransactionOperations();
-        copy.cloudRequestsPerSecond = settings.cloudRequestsPerSecond();
-        copy.instanceListLagS = settings.instanceListLagS();
-        copy.maxSockets = settings.maxSockets();
+        copy.reportS = settings.reportS();
+        copy.leaseS = settings.leaseS();
+        copy.cancelS = settings.cancelS();
+        copy.stateRps = settings.stateRps();
+        copy.stateWriteRps = settings.stateWriteRps();
+        copy.valueBytes = settings.valueBytes();
+        copy.txnOps = settings.txnOps();
+        copy.cloudRps = settings.cloudRps();
+        copy.listLagS = settings.listLagS();
+        copy.sockets = settings.sockets();
         return copy;
     }
 
     /** The controller's name and the addresses at which users and other controllers reach it. */
-    public SettingsBuilder controller(String name, String usersAddress, String peersAddress) {
-        controllerName = name;
-        publicAddress = usersAddress;
-        peerEndpointAddress = peersAddress;
+    public SettingsBuilder controller(String name, String publicAddress, String peerAddress) {
+        node = name;
+        publicAddr = publicAddress;
+        meshAddr = peerAddress;
         return this;
     }
 
     /** The other controllers. */
-    public SettingsBuilder peers(List<Settings.Sibling> others) {
-        peers = others;
+    public SettingsBuilder siblings(List<Settings.Sibling> others) {
+        siblings = others;
         return this;
     }
 
     /** Addresses of the cloud provider and of the key-value store. */
-    public SettingsBuilder externalServices(String cloud, String store) {
-        cloudAddress = cloud;
-        storeAddress = store;
+    public SettingsBuilder externalServices(String cloudAddress, String storeAddress) {
+        cloud = cloudAddress;
+        state = storeAddress;
         return this;
     }
 
@@ -103,53 +103,53 @@
     }
 
     /** Seconds after which the lease of an agent expires. */
-    public SettingsBuilder agentLeaseS(double seconds) {
-        agentLeaseS = seconds;
+    public SettingsBuilder leaseS(double seconds) {
+        leaseS = seconds;
         return this;
     }
 
     /** Seconds within which the tasks of a cancelled job must have stopped. */
-    public SettingsBuilder cancellationLimitS(double seconds) {
-        cancellationLimitS = seconds;
+    public SettingsBuilder cancelS(double seconds) {
+        cancelS = seconds;
         return this;
     }
 
     /** Requests and changed keys per second that the key-value store accepts. */
     public SettingsBuilder storeRates(double requestsPerSecond, double changesPerSecond) {
-        storeRequestsPerSecond = requestsPerSecond;
-        storeWritesPerSecond = changesPerSecond;
+        stateRps = requestsPerSecond;
+        stateWriteRps = changesPerSecond;
         return this;
     }
 
     /** The maximum size of a stored value in bytes, and the maximum number of operations in a transaction. */
-    public SettingsBuilder storeSizes(int valueBytes, int operations) {
-        maxValueBytes = valueBytes;
-        maxTransactionOperations = operations;
+    public SettingsBuilder storeSizes(int maxValueBytes, int maxOperations) {
+        valueBytes = maxValueBytes;
+        txnOps = maxOperations;
         return this;
     }
 
     /** Builds the settings. */
     public Settings build() {
         return new Settings(
-                controllerName,
+                node,
                 zone,
-                publicAddress,
-                peerEndpointAddress,
-                peers,
-                cloudAddress,
-                storeAddress,
+                publicAddr,
+                meshAddr,
+                siblings,
+                cloud,
+                state,
                 zones,
                 teams,
                 objectives,
-                heartbeatIntervalS,
-                agentLeaseS,
-                cancellationLimitS,
-                storeRequestsPerSecond,
-                storeWritesPerSecond,
-                maxValueBytes,
-                maxTransactionOperations,
-                cloudRequestsPerSecond,
-                instanceListLagS,
-                maxSockets);
+                reportS,
+                leaseS,
+                cancelS,
+                stateRps,
+                stateWriteRps,
+                valueBytes,
+                txnOps,
+                cloudRps,
+                listLagS,
+                sockets);
     }
 }
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -23,10 +23,8 @@
 public class WorkerLeasesTest {
     private static final long LEASE_MS = 15_000;
     private static final List<String> PEERS = List.of("k0", "k1");
-    private static final Settings SETTINGS = new SettingsBuilder()
-            .agentLeaseS(LEASE_MS / 1000.0)
-            .cancellationLimitS(35)
-            .build();
+    private static final Settings SETTINGS =
+            new SettingsBuilder().leaseS(LEASE_MS / 1000.0).cancelS(35).build();
     private static final long GRANT_MS = WorkerLeases.renewalGrantMs(SETTINGS);
 
     /** What a peer may do wrong. */
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -91,7 +91,7 @@
 
     private static final long LEASE_MS = 20_000;
     private final Settings settings =
-            new SettingsBuilder().agentLeaseS(LEASE_MS / 1000.0).build();
+            new SettingsBuilder().leaseS(LEASE_MS / 1000.0).build();
     private final Scheduler scheduler =
             new Scheduler(TOKEN, settings, 0.3, new WorkerLeases(settings, List.of(), 0, true));
 
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -178,10 +178,10 @@
     }
 
     private Settings settings(int index, boolean hasTightenedLimits) {
-        List<Settings.Sibling> peers = new ArrayList<>();
+        List<Settings.Sibling> siblings = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != index) {
-                peers.add(new Settings.Sibling(
+                siblings.add(new Settings.Sibling(
                         SimulatedController.name(i), ZONES.get(0), SimulatedController.peerAddress(i)));
             }
         }
@@ -191,12 +191,12 @@
                         SimulatedController.name(index),
                         SimulatedController.publicAddress(index),
                         SimulatedController.peerAddress(index))
-                .peers(peers)
+                .siblings(siblings)
                 .externalServices(CLOUD_ADDRESS, STORE_ADDRESS)
                 .zones(ZONES)
                 .teamsWithLimit(List.of(JobDescription.DEFAULT_TEAM), TEAM_CORES * size)
-                .agentLeaseS(leaseMs / 1000.0)
-                .cancellationLimitS(cancellationMs() / 1000.0)
+                .leaseS(leaseMs / 1000.0)
+                .cancelS(cancellationMs() / 1000.0)
                 .storeRates(150, limits.changesPerSecond())
                 .storeSizes(limits.valueBytes(), limits.transactionOperations())
                 .build();
@@ -205,7 +205,7 @@
     /** Settings of a faulty version: the tasks of cancelled jobs seem to have that much longer to stop. */
     static Settings withLongerCancellation(Settings settings, double moreS) {
         return SettingsBuilder.copyOf(settings)
-                .cancellationLimitS(settings.cancellationLimitS() + moreS)
+                .cancelS(settings.cancelS() + moreS)
                 .build();
     }
 
@@ -215,8 +215,8 @@
     }
 
     /** Settings of a faulty version: the leases of agents seem to last that long only. */
-    static Settings withShorterLease(Settings settings, double agentLeaseS) {
-        return SettingsBuilder.copyOf(settings).agentLeaseS(agentLeaseS).build();
+    static Settings withShorterLease(Settings settings, double leaseS) {
+        return SettingsBuilder.copyOf(settings).leaseS(leaseS).build();
     }
 
     /** Within that time after a cancellation the tasks of the job have stopped. */
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -95,8 +95,8 @@
 
     @Test
     void checkerDetectsAFormerLeaderThatHoldsLeasesTooLong() {
-        BiFunction<EventLoop, Settings, Controller> greedy = (r, s) ->
-                NEW.apply(r, s.controllerName().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 60) : s);
+        BiFunction<EventLoop, Settings, Controller> greedy =
+                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 60) : s);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
         assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.violations.stream()
                 .anyMatch(b -> b.startsWith("ran_cancelled")));
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -70,7 +70,7 @@
                 null,
                 null,
                 (eventLoop, settings) -> new Controller(
-                        meters.computeIfAbsent(settings.controllerName(), name -> new CpuMeter())
+                        meters.computeIfAbsent(settings.node(), name -> new CpuMeter())
                                 .measure(eventLoop),
                         settings,
                         OperatorSettings.defaults()));
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -104,10 +104,7 @@
                         true,
                         5 * CUT_MS,
                         (r, s) -> NEW.apply(
-                                r,
-                                s.controllerName().equals("bothy-0")
-                                        ? ClusterScenario.withLongerCancellation(s, 90)
-                                        : s)));
+                                r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 90) : s)));
     }
 
     private static ClusterScenario zoneCut(
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -164,7 +164,7 @@
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
                     public boolean isCancelled(String id) {
-                        return s.controllerName().equals("bothy-" + playing[0].leaderIndex()) && super.isCancelled(id);
+                        return s.node().equals("bothy-" + playing[0].leaderIndex()) && super.isCancelled(id);
                     }
                 }),
                 day -> {
--- a/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
+++ b/src/test/java/org/hollypick/store/KeyValueStoreClientTest.java
@@ -95,7 +95,7 @@
                 List.of(new Settings.Sibling("n2", "a", "n2:2"), new Settings.Sibling("n3", "a", "n3:2"));
         return new SettingsBuilder()
                 .controller("n1", "n1:1", "n1:2")
-                .peers(siblings)
+                .siblings(siblings)
                 .externalServices("cloud:1", "state:1")
                 .storeRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND)
                 .build();
