--- a/src/main/java/org/hollypick/config/ConfigException.java
+++ b/src/main/java/org/hollypick/config/ConfigException.java
@@ -1,8 +1,8 @@
 package org.hollypick.config;
 
-/** Thrown for a setting that is missing or invalid; the message names the setting. */
+/** Thrown if a settings file or a file with a task graph can't be read or is invalid. */
 public final class ConfigException extends RuntimeException {
-    /** {@code message}: names the setting and says what is wrong. */
+    /** {@code message}: names the file, field or key, and the problem. */
     public ConfigException(String message) {
         super(message);
     }
--- a/src/main/java/org/hollypick/config/OperatorSettings.java
+++ b/src/main/java/org/hollypick/config/OperatorSettings.java
@@ -14,13 +14,13 @@
 import us.bpsm.edn.parser.Parsers;
 
 /**
- * The operators' own, optional settings: one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. Immutable.
+ * The optional settings of the operators, read from one EDN map such as {@code {:idle-s 45 :warm-cores 4}}. Immutable.
  *
  * @param idleSpotTimeoutMs milliseconds for which an idle spot instance is kept
- * @param standbyCores cores kept free for services in each zone, at least
+ * @param standbyCores minimum number of cores kept free for services in each zone
  * @param firstPartitionShare share of the machines in Tyrex's first partition
  * @param graphsEnabled whether task graphs are accepted
- * @param graphRetentionMs milliseconds for which the controllers and results of a terminal graph are kept
+ * @param graphRetentionMs milliseconds for which the nodes and results of a terminal graph are kept
  * @param estimatesEnabled whether completion estimates are given
  */
 public record OperatorSettings(
@@ -34,7 +34,7 @@
     private static final double MAX_WARM_CORES = 10_000;
     private static final double MAX_GRAPH_RETENTION_S = 30 * 86_400;
 
-    /** The settings of a controller without a file of its operators. */
+    /** The settings that apply if the operators provide no file. */
     public static OperatorSettings defaults() {
         return new OperatorSettings(
                 AutoscalingConstants.IDLE_SPOT_TIMEOUT_MS,
@@ -45,16 +45,24 @@
                 false);
     }
 
-    /** Reads the file; fails with a {@link ConfigException} that names what is wrong. */
+    /**
+     * Reads the file.
+     *
+     * @throws ConfigException if the file can't be read or is invalid; the message names the invalid key
+     */
     public static OperatorSettings read(Path file) {
         try {
             return parse(Files.readString(file));
         } catch (IOException e) {
-            throw new ConfigException("operator settings: can't read " + file + ": " + e.getMessage());
+            throw new ConfigException("operator settings file " + file + " can't be read: " + e.getMessage());
         }
     }
 
-    /** Reads the text of a file; fails with a {@link ConfigException} that names what is wrong. */
+    /**
+     * Reads the text of a file.
+     *
+     * @throws ConfigException if the text isn't one EDN map of valid settings; the message names the invalid key
+     */
     public static OperatorSettings parse(String text) {
         OperatorSettings settings = defaults();
         for (Map.Entry<?, ?> entry : parseMap(text).entrySet()) {
@@ -71,18 +79,18 @@
             Parser parser = Parsers.newParser(Parsers.defaultConfiguration());
             value = parser.nextValue(source);
             if (value != Parser.END_OF_INPUT && parser.nextValue(source) != Parser.END_OF_INPUT) {
-                throw new ConfigException("operator settings: more than one form");
+                throw new ConfigException("operator settings: more than one EDN form instead of a single map");
             }
         } catch (EdnException e) {
-            throw new ConfigException("operator settings: not EDN: " + e.getMessage());
+            throw new ConfigException("operator settings: not valid EDN: " + e.getMessage());
         }
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new ConfigException("operator settings: not a map");
+        throw new ConfigException("operator settings: not an EDN map");
     }
 
-    /** The same settings but for one. */
+    /** A copy of these settings with one changed. */
     private OperatorSettings with(String key, Object value) {
         return switch (key) {
             case "idle-s" ->
@@ -141,18 +149,19 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw new ConfigException("operator settings: :" + key + " must be true or false");
+        throw new ConfigException("operator settings: :" + key + " must be true or false, not " + value);
     }
 
     private static long millis(String key, Object seconds, double maxSeconds) {
         return (long) (number(key, seconds, maxSeconds) * 1000);
     }
 
-    /** The value, if it is a number from 0 to {@code max}. */
+    /** The value, which must be a number from 0 to {@code max}. */
     private static double number(String key, Object value, double max) {
         if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() <= max) {
             return number.doubleValue();
         }
-        throw new ConfigException("operator settings: :" + key + " must be a number from 0.0 to " + max);
+        throw new ConfigException(
+                "operator settings: :" + key + " must be a number from 0.0 to " + max + ", not " + value);
     }
 }
--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -17,14 +17,15 @@
 import java.util.Map;
 
 /**
- * The settings file that the platform hands over, in TOML. Unknown fields are ignored. Where the store's limits will
- * tighten without notice ({@code state.next}), the tighter ones apply from the start, so that what is written under
- * them stays writable. Immutable.
+ * The settings that the platform provides in a TOML file. Unknown fields are ignored. Immutable.
+ *
+ * <p>The store may replace its limits without notice by those in the table {@code params.state.next}. Of each limit the
+ * lower value applies from the start, so that values written before the change can be written again after it.
  *
  * @param node the name of this controller
- * @param zone the zone in which it runs
- * @param publicAddr the address of its endpoint for users and agents
- * @param meshAddr the address of its endpoint for peers
+ * @param zone the zone in which this controller runs
+ * @param publicAddr the address of this controller's endpoint for users and agents
+ * @param meshAddr the address of this controller's endpoint for other controllers
  * @param siblings the other controllers
  * @param cloud the address of the cloud's API
  * @param state the address of the key-value store
@@ -32,15 +33,15 @@
  * @param teams the teams by name, with their quotas
  * @param objectives the service-level objectives
  * @param reportS seconds between two heartbeats of an agent
- * @param leaseS seconds of an agent's lease
- * @param cancelS seconds within which a cancelled task has to have ended
- * @param stateRps requests a second that the store takes from all controllers
- * @param stateWriteRps writes a second that it takes
- * @param valueBytes bytes of a value in the store at most
- * @param txnOps operations in one transaction of the store at most
- * @param cloudRps requests a second that the cloud takes
- * @param listLagS seconds by which the cloud's list of machines may lag
- * @param sockets sockets that this process may open
+ * @param leaseS duration of an agent's lease in seconds
+ * @param cancelS seconds within which a cancelled task must have ended
+ * @param stateRps rate limit of the store for the requests of all controllers together
+ * @param stateWriteRps rate limit of the store for the writes of all controllers together
+ * @param valueBytes maximum size of a value in the store, in bytes
+ * @param txnOps maximum number of operations in a transaction of the store
+ * @param cloudRps rate limit of the cloud's API
+ * @param listLagS seconds by which the cloud's list of machines may lag behind
+ * @param sockets maximum number of sockets that this process may open
  */
 public record Settings(
         String node,
@@ -64,9 +65,9 @@
         double listLagS,
         int sockets) {
 
-    // Field names of the settings file, which the platform defines.
+    // Names of the fields of the settings file, which the platform defines.
 
-    /** The name of this controller, or of another one in its entry. */
+    /** The name of this controller, or of another one in the list of {@link #PEER_CONTROLLERS}. */
     private static final String CONTROLLER_NAME = "node_name";
 
     /** The zone in which a controller runs. */
@@ -76,142 +77,143 @@
     private static final String PUBLIC_ADDRESS = "public_addr";
 
     /** The address of the endpoint for peers. */
-    private static final String MESH_ADDRESS = "mesh_addr";
+    private static final String PEER_ENDPOINT_ADDRESS = "mesh_addr";
 
-    /** The other controllers, a list of tables. */
+    /** The list of the other controllers, one table each. */
     private static final String PEER_CONTROLLERS = "siblings";
 
     /** The address of another controller's endpoint for peers. */
     private static final String PEER_ADDRESS = "peer_addr";
 
-    /** The addresses of the services that the controller uses, a table. */
+    /** The table of the addresses of the services that the controller uses. */
     private static final String SERVICES = "services";
 
-    /** The cloud: its address among the services, its limits among the parameters. */
+    /** The cloud: its address in {@link #SERVICES}, its limits in {@link #PARAMETERS}. */
     private static final String CLOUD = "cloud";
 
-    /** The key-value store: its address among the services, its limits among the parameters. */
+    /** The key-value store: its address in {@link #SERVICES}, its limits in {@link #PARAMETERS}. */
     private static final String STORE = "state";
 
-    /** The cluster's parameters, a table. */
+    /** The table of the cluster's parameters. */
     private static final String PARAMETERS = "params";
 
-    /** The zones of the cluster, a list of names. */
+    /** The list of the names of the zones of the cluster. */
     private static final String ZONES = "zones";
 
-    /** The parameters of agents, a table. */
+    /** The table of the parameters of agents. */
     private static final String AGENTS = "workers";
 
     /** Seconds between two heartbeats of an agent. */
     private static final String HEARTBEAT_INTERVAL_SECONDS = "report_s";
 
-    /** Seconds of an agent's lease. */
+    /** Duration of an agent's lease in seconds. */
     private static final String AGENT_LEASE_SECONDS = "lease_s";
 
-    /** Seconds within which a cancelled task has to have ended. */
+    /** Seconds within which a cancelled task must have ended. */
     private static final String CANCELLATION_SECONDS = "cancel_s";
 
-    /** Requests a second that the store, or the cloud, takes. */
+    /** Rate limit of the store or of the cloud, in requests per second. */
     private static final String REQUESTS_PER_SECOND = "rps";
 
-    /** Writes a second that the store takes. */
+    /** Rate limit of the store, in writes per second. */
     private static final String WRITES_PER_SECOND = "write_rps";
 
-    /** KiB of a value in the store at most. */
+    /** Maximum size of a value in the store, in KiB. */
     private static final String MAX_VALUE_KIB = "value_kb";
 
-    /** Operations in a transaction of the store at most. */
+    /** Maximum number of operations in a transaction of the store. */
     private static final String MAX_TRANSACTION_OPERATIONS = "txn_ops";
 
-    /** The store's limits that may replace the present ones without notice, a table. */
-    private static final String COMING_LIMITS = "next";
+    /** The table of the store's limits that may replace the present ones without notice. */
+    private static final String UPCOMING_LIMITS = "next";
 
-    /** Seconds by which the cloud's list of machines may lag. */
+    /** Seconds by which the cloud's list of machines may lag behind. */
     private static final String LIST_LAG_SECONDS = "list_lag_s";
 
-    /** What this process may use, a table. */
+    /** The table of the resources that this process may use. */
     private static final String RESOURCES = "resources";
 
-    /** Sockets that it may open. */
+    /** Maximum number of sockets that this process may open. */
     private static final String MAX_SOCKETS = "sockets";
 
-    /** The teams, a list of tables. */
+    /** The list of the teams, one table each. */
     private static final String TEAMS = "teams";
 
     /** The name of a team. */
     private static final String TEAM_NAME = "name";
 
-    /** The CPUs that a team is guaranteed. */
+    /** The number of CPUs that a team is guaranteed. */
     private static final String GUARANTEED_CPUS = "cpus";
 
-    /** The limit of the CPUs of a team. */
+    /** The maximum number of CPUs that a team may use. */
     private static final String MAX_CPUS = "cpus_max";
 
-    /** The GPUs that a team is guaranteed. */
+    /** The number of GPUs that a team is guaranteed. */
     private static final String GUARANTEED_GPUS = "gpus";
 
-    /** The limit of the GPUs of a team. */
+    /** The maximum number of GPUs that a team may use. */
     private static final String MAX_GPUS = "gpus_max";
 
-    /** The service-level objectives, a list of tables. */
+    /** The list of the service-level objectives, one table each. */
     private static final String OBJECTIVES = "objectives";
 
-    /** What an objective measures. */
+    /** The measured quantity that an objective applies to. */
     private static final String OBJECTIVE_KIND = "kind";
 
-    /** The job class that an objective is about. */
+    /** The job class that an objective applies to. */
     private static final String OBJECTIVE_JOB_CLASS = "class";
 
-    /** Seconds within which a case meets an objective. */
+    /** The maximum duration in seconds with which a case meets an objective. */
     private static final String OBJECTIVE_SECONDS = "within_s";
 
-    /** The share of cases that have to meet it. */
+    /** The minimum share of cases that must meet an objective. */
     private static final String OBJECTIVE_SHARE = "share";
 
     /**
      * Another controller.
      *
-     * @param node its name
-     * @param zone the zone in which it runs, empty if unknown
-     * @param addr the address of its endpoint for peers
+     * @param node the name of the controller
+     * @param zone the zone in which the controller runs, empty if unknown
+     * @param addr the address of the controller's endpoint for other controllers
      */
     public record Sibling(String node, String zone, String addr) {}
 
     /**
-     * A team's quota: what it is guaranteed, and what it may use at most.
+     * A team's quota: its guaranteed resources and its limits.
      *
-     * @param cpus guaranteed CPUs
-     * @param cpusMax CPUs at most; 0 means no limit
-     * @param gpus guaranteed GPUs
-     * @param gpusMax GPUs at most; 0 means no limit
+     * @param name the name of the team
+     * @param cpus number of guaranteed CPUs
+     * @param cpusMax maximum number of CPUs; 0 means no limit
+     * @param gpus number of guaranteed GPUs
+     * @param gpusMax maximum number of GPUs; 0 means no limit
      */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /**
-     * A service-level objective: {@code share} of the cases have to take at most {@code withinS} seconds.
+     * A service-level objective: at least {@code share} of the cases must take at most {@code withinS} seconds.
      *
-     * @param kind what is measured
-     * @param jobClass the class of the jobs that are measured
-     * @param withinS seconds
-     * @param share from 0 to 1
+     * @param kind the measured quantity
+     * @param jobClass the class of the measured jobs
+     * @param withinS maximum duration in seconds
+     * @param share share of the cases, from 0 to 1
      */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /**
-     * The address of another controller's endpoint for peers.
+     * The address of another controller's endpoint for its peers.
      *
-     * @return null for this controller, or one that doesn't exist
+     * @return null if no other controller has that name
      */
-    public String meshAddr(String node) {
-        for (Sibling sibling : siblings) {
-            if (sibling.node().equals(node)) {
-                return sibling.addr();
+    public String meshAddr(String controller) {
+        for (Sibling peer : siblings) {
+            if (peer.node().equals(controller)) {
+                return peer.addr();
             }
         }
         return null;
     }
 
-    /** A hash of the limits of all teams, by which controllers find out whether theirs are the same. */
+    /** A hash of the limits of all teams, with which controllers check whether they enforce the same limits. */
     public String limitsHash() {
         Hasher hasher = Hashing.murmur3_128().newHasher();
         teams.values().stream()
@@ -222,92 +224,98 @@
         return hasher.hash().toString();
     }
 
-    /** Whether any team has a limit. */
+    /** Whether any team has a limit on CPUs or GPUs. */
     public boolean hasTeamLimits() {
         return teams.values().stream().anyMatch(team -> team.cpusMax() > 0 || team.gpusMax() > 0);
     }
 
-    /** Reads the settings file; fails with a {@link ConfigException} that names what is wrong. */
+    /**
+     * Reads the settings file.
+     *
+     * @throws ConfigException if the file can't be read or is invalid; the message names the invalid field
+     */
     public static Settings read(Path file) {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(Files.readString(file));
         } catch (JsonProcessingException e) {
-            throw new ConfigException("settings: not TOML: " + e.getOriginalMessage());
+            throw new ConfigException("settings file " + file + " is not valid TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new ConfigException("settings: can't read " + file + ": " + e.getMessage());
+            throw new ConfigException("settings file " + file + " can't be read: " + e.getMessage());
         }
         return parse(root);
     }
 
-    /** Reads the settings from the parsed file; fails with a {@link ConfigException} that names what is wrong. */
+    /**
+     * Reads the settings from the parsed file.
+     *
+     * @throws ConfigException if a field is missing or invalid; the message names the field
+     */
     public static Settings parse(JsonNode root) {
-        List<Sibling> siblings = siblings(root);
+        List<Sibling> peers = siblings(root);
         JsonNode services = table(root, SERVICES);
-        JsonNode params = table(root, PARAMETERS);
-        Map<String, Team> teams = teams(params);
-        JsonNode workers = table(params, AGENTS);
-        JsonNode state = table(params, STORE);
-        JsonNode cloud = table(params, CLOUD);
+        JsonNode parameters = table(root, PARAMETERS);
+        Map<String, Team> teams = teams(parameters);
+        JsonNode agents = table(parameters, AGENTS);
+        JsonNode storeLimits = table(parameters, STORE);
+        JsonNode cloudLimits = table(parameters, CLOUD);
         return new Settings(
                 text(root, CONTROLLER_NAME),
                 text(root, CONTROLLER_ZONE),
                 address(root, PUBLIC_ADDRESS),
-                address(root, MESH_ADDRESS),
-                siblings,
+                address(root, PEER_ENDPOINT_ADDRESS),
+                peers,
                 address(services, CLOUD),
                 address(services, STORE),
-                zones(params),
+                zones(parameters),
                 teams,
-                objectives(params),
-                positive(workers, HEARTBEAT_INTERVAL_SECONDS),
-                positive(workers, AGENT_LEASE_SECONDS),
-                positive(workers, CANCELLATION_SECONDS),
-                tightest(state, REQUESTS_PER_SECOND),
-                tightest(state, WRITES_PER_SECOND),
-                (int) (tightest(state, MAX_VALUE_KIB) * 1024),
-                operations(state),
-                positive(cloud, REQUESTS_PER_SECOND),
-                positive(cloud, LIST_LAG_SECONDS),
-                (int) positive(table(params, RESOURCES), MAX_SOCKETS));
+                objectives(parameters),
+                positiveNumber(agents, HEARTBEAT_INTERVAL_SECONDS),
+                positiveNumber(agents, AGENT_LEASE_SECONDS),
+                positiveNumber(agents, CANCELLATION_SECONDS),
+                lowestLimit(storeLimits, REQUESTS_PER_SECOND),
+                lowestLimit(storeLimits, WRITES_PER_SECOND),
+                (int) (lowestLimit(storeLimits, MAX_VALUE_KIB) * 1024),
+                transactionOperations(storeLimits),
+                positiveNumber(cloudLimits, REQUESTS_PER_SECOND),
+                positiveNumber(cloudLimits, LIST_LAG_SECONDS),
+                (int) positiveNumber(table(parameters, RESOURCES), MAX_SOCKETS));
     }
 
     private static List<Sibling> siblings(JsonNode root) {
-        List<Sibling> siblings = new ArrayList<>();
-        for (JsonNode sibling : root.path(PEER_CONTROLLERS)) {
-            siblings.add(new Sibling(
-                    text(sibling, CONTROLLER_NAME),
-                    sibling.path(CONTROLLER_ZONE).asText(""),
-                    address(sibling, PEER_ADDRESS)));
+        List<Sibling> peers = new ArrayList<>();
+        for (JsonNode peer : root.path(PEER_CONTROLLERS)) {
+            peers.add(new Sibling(
+                    text(peer, CONTROLLER_NAME), peer.path(CONTROLLER_ZONE).asText(""), address(peer, PEER_ADDRESS)));
         }
-        return List.copyOf(siblings);
+        return List.copyOf(peers);
     }
 
-    private static List<String> zones(JsonNode params) {
+    private static List<String> zones(JsonNode parameters) {
         List<String> zones = new ArrayList<>();
-        params.path(ZONES).forEach(zone -> zones.add(zone.asText()));
+        parameters.path(ZONES).forEach(zone -> zones.add(zone.asText()));
         return List.copyOf(zones);
     }
 
-    private static Map<String, Team> teams(JsonNode params) {
+    private static Map<String, Team> teams(JsonNode parameters) {
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (JsonNode team : params.path(TEAMS)) {
+        for (JsonNode team : parameters.path(TEAMS)) {
             String name = text(team, TEAM_NAME);
             teams.put(
                     name,
                     new Team(
                             name,
-                            amount(team, GUARANTEED_CPUS),
-                            amount(team, MAX_CPUS),
-                            amount(team, GUARANTEED_GPUS),
-                            amount(team, MAX_GPUS)));
+                            optionalAmount(team, GUARANTEED_CPUS),
+                            optionalAmount(team, MAX_CPUS),
+                            optionalAmount(team, GUARANTEED_GPUS),
+                            optionalAmount(team, MAX_GPUS)));
         }
         return teams;
     }
 
-    private static List<Objective> objectives(JsonNode params) {
+    private static List<Objective> objectives(JsonNode parameters) {
         List<Objective> objectives = new ArrayList<>();
-        for (JsonNode objective : params.path(OBJECTIVES)) {
+        for (JsonNode objective : parameters.path(OBJECTIVES)) {
             objectives.add(new Objective(
                     objective.path(OBJECTIVE_KIND).asText(""),
                     objective.path(OBJECTIVE_JOB_CLASS).asText(""),
@@ -320,7 +328,7 @@
     private static JsonNode table(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isObject()) {
-            throw new ConfigException(field + ": missing table");
+            throw new ConfigException(field + ": found '" + value + "' instead of a table");
         }
         return value;
     }
@@ -328,7 +336,7 @@
     private static String text(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isTextual() || value.asText().isBlank()) {
-            throw new ConfigException(field + ": missing or not text");
+            throw new ConfigException(field + ": found '" + value + "' instead of non-blank text");
         }
         return value.asText();
     }
@@ -341,51 +349,51 @@
                 return address;
             }
         } catch (IllegalArgumentException e) {
-            // reported below, with the field's name
+            // The exception below reports the address with the name of its field.
         }
-        throw new ConfigException(field + ": not host:port: " + address);
+        throw new ConfigException(field + ": found '" + address + "' instead of host:port");
     }
 
-    private static double amount(JsonNode table, String field) {
+    private static double optionalAmount(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (value.isMissingNode()) {
             return 0;
         }
         if (!value.isNumber() || !(value.asDouble() >= 0)) {
-            throw new ConfigException(field + ": not a number of at least 0");
+            throw new ConfigException(field + ": found '" + value + "' instead of a number of at least 0");
         }
         return value.asDouble();
     }
 
-    /** The present limit, or the coming one if that is lower. */
-    private static double tightest(JsonNode state, String field) {
-        JsonNode next = state.path(COMING_LIMITS);
-        if (!next.isMissingNode() && !next.isObject()) {
-            throw new ConfigException(COMING_LIMITS + ": not a table");
+    /** The present limit, or the upcoming one if it is lower. */
+    private static double lowestLimit(JsonNode storeLimits, String field) {
+        JsonNode upcomingLimits = storeLimits.path(UPCOMING_LIMITS);
+        if (!upcomingLimits.isMissingNode() && !upcomingLimits.isObject()) {
+            throw new ConfigException(UPCOMING_LIMITS + ": found '" + upcomingLimits + "' instead of a table");
         }
-        double present = positive(state, field);
-        if (!next.has(field)) {
+        double present = positiveNumber(storeLimits, field);
+        if (!upcomingLimits.has(field)) {
             return present;
         }
         try {
-            return Math.min(present, positive(next, field));
+            return Math.min(present, positiveNumber(upcomingLimits, field));
         } catch (ConfigException e) {
-            throw new ConfigException(COMING_LIMITS + "." + e.getMessage());
+            throw new ConfigException(UPCOMING_LIMITS + "." + e.getMessage());
         }
     }
 
-    private static int operations(JsonNode state) {
-        int ops = (int) tightest(state, MAX_TRANSACTION_OPERATIONS);
-        if (ops < 1) {
-            throw new ConfigException(MAX_TRANSACTION_OPERATIONS + ": below 1");
+    private static int transactionOperations(JsonNode storeLimits) {
+        int operations = (int) lowestLimit(storeLimits, MAX_TRANSACTION_OPERATIONS);
+        if (operations < 1) {
+            throw new ConfigException(MAX_TRANSACTION_OPERATIONS + ": must be at least 1");
         }
-        return ops;
+        return operations;
     }
 
-    private static double positive(JsonNode table, String field) {
+    private static double positiveNumber(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isNumber() || !(value.asDouble() > 0)) {
-            throw new ConfigException(field + ": missing or not above 0");
+            throw new ConfigException(field + ": found '" + value + "' instead of a number above 0");
         }
         return value.asDouble();
     }
--- a/src/main/java/org/hollypick/config/constants/ApiConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ApiConstants.java
@@ -1,14 +1,17 @@
 package org.hollypick.config.constants;
 
-/** Status queries of users. Each number has its unit and the reason for its value. */
+/** Constants of the API for users: status queries. */
 public final class ApiConstants {
     /**
-     * Milliseconds for which a controller gathers users' status queries before it asks the leader about all of them at
-     * once.
+     * Milliseconds for which a controller collects users' status queries before it sends all of them to the leader in
+     * one request.
      */
     public static final long STATUS_QUERY_BATCH_DELAY_MS = 40;
 
-    /** Milliseconds for which a leader that left a status query unanswered isn't asked: the store is read instead. */
+    /**
+     * Milliseconds after an unanswered status query during which the leader isn't queried again; the store is read
+     * instead.
+     */
     public static final long UNRESPONSIVE_LEADER_BACKOFF_MS = 3_000;
 
     private ApiConstants() {}
--- a/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
+++ b/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
@@ -1,122 +1,147 @@
 package org.hollypick.config.constants;
 
-/** Scale out and scale in. Each number has its unit and the reason for its value. */
+/** Constants of scale-out and scale-in. */
 public final class AutoscalingConstants {
     /**
-     * Milliseconds for which an idle spot instance is kept: scaling out again costs a boot later, and 60 s are charged
-     * anyway.
+     * Default of the milliseconds for which an idle spot instance is kept. A new instance takes its boot time to start,
+     * and at least 60 s of each instance are charged.
      */
     public static final long IDLE_SPOT_TIMEOUT_MS = 45_000;
 
     /**
-     * Milliseconds for which an idle on-demand instance is kept: it costs two and a half times as much as a spot
-     * instance.
+     * Milliseconds for which an idle on-demand instance is kept. Shorter than for spot instances, since an on-demand
+     * instance costs two and a half times as much.
      */
     public static final long IDLE_ON_DEMAND_TIMEOUT_MS = 15_000;
 
-    /** Seconds over which the mean arriving work is measured: a few jobs' worth. */
+    /** Seconds over which the mean load of arriving job arrays is measured. A few jobs arrive in that time. */
     public static final double ARRAY_ARRIVAL_WINDOW_S = 120;
 
     /**
-     * Capacity kept for job arrays, as a multiple of the mean arriving work when that is known well: the load varies.
+     * Capacity reserved for job arrays, as a multiple of their mean load at full confidence. More than 1, since the
+     * load varies.
      */
     public static final double ARRAY_CAPACITY_HEADROOM_RATIO = 1.5;
 
-    /** Jobs in the window at which the mean is trusted by half: the sizes of jobs vary by as much as their mean. */
+    /**
+     * Number of jobs in the window at which the confidence in the mean load is one half. Job sizes vary by as much as
+     * their mean.
+     */
     public static final double HALF_CONFIDENCE_JOBS = 30;
 
     /**
-     * Arrivals that the mean predicted and that didn't come, after which the mean is dropped: by chance this happens
-     * once in e^12 times.
+     * Number of expected job arrays that may fail to arrive before the mean load is reset. At a constant load that many
+     * are missing by chance with a probability of e^-12.
      */
     public static final double MAX_MISSED_ARRIVALS = 12;
 
-    /** Seconds of measurement before a mean is used. */
+    /** Seconds for which a mean must have been measured before it is used. */
     public static final double MIN_LOAD_OBSERVATION_S = 5;
 
-    /** Milliseconds at the start of the first term whose arrivals aren't counted into the means. */
+    /**
+     * Milliseconds at the start of the first leader's term during which arrivals aren't counted: the first burst of
+     * submissions doesn't predict the later load.
+     */
     public static final long FIRST_TERM_WARM_UP_MS = 30_000;
 
-    /** Multiple of the cores that job arrays use or wait for beyond which capacity is more than needed. */
+    /** Needed capacity, as a multiple of the cores that job arrays use or wait for. Cores above it are surplus. */
     public static final double SURPLUS_THRESHOLD_RATIO = 1.1;
 
-    /** Seconds of image fetching that a job array spends at most to leave a surplus machine unused. */
+    /**
+     * Penalty for placing a task of a job array on a surplus machine, in seconds of image fetching: the longest fetch
+     * that is worthwhile to leave such a machine unused.
+     */
     public static final double SURPLUS_MACHINE_PENALTY_S = 30;
 
-    /** Scale-out requests for job arrays in one autoscaling cycle at most: the cloud takes a few requests a second. */
+    /**
+     * Maximum number of scale-out requests for job arrays in one autoscaling cycle. The cloud accepts only a few
+     * requests a second.
+     */
     public static final int MAX_ARRAY_SCALE_OUT_REQUESTS_PER_CYCLE = 4;
 
-    /** Seconds within which pending work should be caught up once new machines are up. */
+    /** Seconds after the boot of new machines within which the pending work of job arrays should be completed. */
     public static final double BACKLOG_COMPLETION_TARGET_S = 40;
 
     /**
-     * The same before on-demand instances are started for job arrays that may use spot instances, while these are
-     * refused.
+     * Seconds after the boot of new machines within which pending work of job arrays should be completed if on-demand
+     * instances are started for it because the cloud refuses spot instances.
      */
     public static final double ON_DEMAND_BACKLOG_COMPLETION_TARGET_S = 40;
 
     /**
-     * Multiple of the mean load, as far as that is trusted, up to which on-demand instances are started for job arrays
-     * while spot instances are refused.
+     * Maximum capacity up to which on-demand instances are started for job arrays while the cloud refuses spot
+     * instances, as a multiple of the mean load at full confidence.
      */
     public static final double MAX_ON_DEMAND_LOAD_RATIO = 1.7;
 
-    /** Weight of the newest finished task in the ratio of run time to estimate: a few jobs of tens of tasks. */
+    /**
+     * Weight of the latest completed task in the moving averages of run times and of estimates. The averages cover a
+     * few jobs of tens of tasks each.
+     */
     public static final double RUN_TIME_SMOOTHING_FACTOR = 0.005;
 
-    /** Milliseconds for which a machine type that the cloud refused isn't asked for again. */
+    /**
+     * Milliseconds for which no instances are requested from a capacity pool after the cloud refused a request for lack
+     * of capacity there.
+     */
     public static final long REFUSED_POOL_BACKOFF_MS = 12_000;
 
-    /** Machines in one scale-out request at most, from the cloud's protocol. */
+    /** Maximum number of instances in one scale-out request; a limit of the cloud's protocol. */
     public static final int MAX_INSTANCES_PER_REQUEST = 50;
 
-    /** Machines in one scale-in request at most, from the cloud's protocol. */
+    /** Maximum number of instances in one scale-in request; a limit of the cloud's protocol. */
     public static final int MAX_TERMINATIONS_PER_REQUEST = 100;
 
-    /** Cores kept free for future service tasks, per zone, at least. */
+    /** Default of the minimum number of cores kept free in each zone for future service tasks. */
     public static final double MIN_STANDBY_CORES_PER_ZONE = 4.0;
 
     /**
-     * Seconds of the mean arriving services for which capacity is kept free: services also end, so less than a boot's
-     * worth; work of lower priority may use it.
+     * Seconds of the mean arriving services for which capacity is kept free. Shorter than a boot, since other services
+     * end meanwhile. Work of lower priority may use that capacity.
      */
     public static final double STANDBY_ARRIVALS_S = 25;
 
-    /** Seconds over which arriving services are measured: short, so that the many at a start are soon forgotten. */
+    /**
+     * Seconds over which the mean of arriving services is measured. Short, so that the many services submitted at a
+     * start soon drop out of the mean.
+     */
     public static final double SERVICE_ARRIVAL_WINDOW_S = 60;
 
     /**
-     * Share of the cores of services that is kept free at least: a group of machines may be lost at once, and a boot
-     * takes long.
+     * Minimum capacity kept free for services, as a share of the cores that services use. A group of machines may fail
+     * at once, and a boot takes long.
      */
     public static final double STANDBY_SERVICE_SHARE = 0.10;
 
-    /** Multiple of the usual boot time after which a machine that isn't up no longer counts as future capacity. */
+    /**
+     * Multiple of the usual boot time after which a machine that has sent no heartbeat no longer counts as future
+     * capacity.
+     */
     public static final double SLOW_BOOT_RATIO = 1.6;
 
     /**
-     * Excess capacity that a zone must have, as a multiple of the machines that are drained: with less, machines would
-     * come and go.
+     * Excess capacity that a zone must have, as a multiple of the capacity of the machines that are drained. At a lower
+     * ratio, machines would be terminated and started again in turn.
      */
     public static final double EXCESS_TO_DRAINED_CAPACITY_RATIO = 2;
 
-    /** Replicas that are moved in one autoscaling cycle at most, so that few are down at a time. */
+    /** Maximum number of replicas that are moved in one autoscaling cycle, so that few are down at a time. */
     public static final int MAX_MOVES_PER_CYCLE = 4;
 
     /**
-     * Seconds of image fetching that a replica spends at most to stay off a machine that is drained next. It decides
-     * among very many machines, where shares of services differ by less, but neither against a spread over few machines
-     * nor for a preemption.
+     * Penalty for placing a replica on a machine that is drained next, in seconds of image fetching. It decides only in
+     * clusters of very many machines, where the shares of services differ by less. It is too small to outweigh
+     * spreading services over few machines or to cause a preemption.
      */
     public static final double DRAINED_NEXT_PENALTY_S = 0.5;
 
     /**
-     * Share of all services that fits on one machine, up to which replicas stay off the machines drained next: among
-     * few machines they spread.
+     * Maximum size of a machine that is marked as drained next, as a share of the cores of all services. In a cluster
+     * of few machines, services have to be spread over all of them.
      */
     public static final double MAX_DRAINED_NEXT_MACHINE_SHARE = 0.05;
 
-    /** Milliseconds for which a replica runs before it may be moved. */
+    /** Minimum milliseconds for which a replica must have run before it may be moved. */
     public static final long MIN_RUN_TIME_BEFORE_MOVE_MS = 40_000;
 
     private AutoscalingConstants() {}
--- a/src/main/java/org/hollypick/config/constants/ClockConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ClockConstants.java
@@ -1,13 +1,17 @@
 package org.hollypick.config.constants;
 
-/**
- * Bounds on how far the clocks of different processes run apart. Each number has its unit and the reason for its value.
- */
+/** Bounds on the difference between the clocks of two processes. */
 public final class ClockConstants {
-    /** Ratio. Two steady clocks may differ by 0.05 % each way; both ends may be off, so twice that. */
+    /**
+     * Maximum ratio by which the clocks of two processes drift apart: each may be off by 0.05 %, in opposite
+     * directions.
+     */
     public static final double CLOCK_DRIFT_RATIO = 0.001;
 
-    /** Milliseconds taken off every lease that is held and added to every wait for one to expire, for timer steps. */
+    /**
+     * Milliseconds by which each lease held is shortened, and each wait for a lease to expire prolonged, since timers
+     * run in steps.
+     */
     public static final long CLOCK_MARGIN_MS = 150;
 
     private ClockConstants() {}
--- a/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReconcileConstants.java
@@ -1,23 +1,26 @@
 package org.hollypick.config.constants;
 
-/** How often the reconcile loops of a leader run. Each number has its unit and the reason for its value. */
+/** Intervals of a leader's reconcile loops. */
 public final class ReconcileConstants {
     /** Milliseconds between the leader's regular reconciliations of machines and tasks. */
     public static final long RECONCILE_INTERVAL_MS = 250;
 
     /**
-     * Milliseconds by which the reconcile loop may be late before this process counts as paused: calls to machines take
-     * a second at most.
+     * Milliseconds by which the reconcile loop may be late before this process counts as paused. Calls to machines take
+     * up to a second.
      */
     public static final long MAX_RECONCILE_DELAY_MS = 400;
 
-    /** Milliseconds between scheduling cycles after events: several events share one cycle. */
+    /** Minimum milliseconds between scheduling cycles that events cause, so that several events share a cycle. */
     public static final long SCHEDULING_CYCLE_GAP_MS = 20;
 
-    /** Milliseconds after which all pending tasks are considered again, for tasks that had to wait for a while. */
+    /** Milliseconds after which all pending tasks are considered again, including those whose backoff has ended. */
     public static final long FULL_SCHEDULING_CYCLE_INTERVAL_MS = 1_000;
 
-    /** Milliseconds between writes to the machine registry: machines that come up close together share one. */
+    /**
+     * Minimum milliseconds between writes to the machine registry, so that machines that boot close together share a
+     * write.
+     */
     public static final long REGISTRY_WRITE_GAP_MS = 200;
 
     /** Milliseconds between reads of the cloud's list of machines. */
--- a/src/test/java/org/hollypick/config/SettingsTest.java
+++ b/src/test/java/org/hollypick/config/SettingsTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import org.junit.jupiter.api.Test;
 
-/** Both kinds of settings: what is read, and that what is wrong is named. */
+/** Tests the parsing of both settings files, and that error messages name the invalid field or key. */
 class SettingsTest {
     private static final String TOML = """
             node_name = "bothy-0"
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void readsThePlatformsFileAndIgnoresUnknownFields() throws Exception {
+    void platformSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
         Settings settings = Settings.parse(toml());
         assertEquals("bothy-0", settings.node());
         assertEquals(16 * 1024, settings.valueBytes());
@@ -52,29 +52,31 @@
     }
 
     @Test
-    void namesWhatIsMissingOrImpossible() throws Exception {
-        ObjectNode missing = toml();
-        missing.remove("node_name");
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(missing))
+    void missingOrInvalidFieldIsNamedInTheError() throws Exception {
+        ObjectNode missingName = toml();
+        missingName.remove("node_name");
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(missingName))
                 .getMessage()
                 .contains("node_name"));
-        ObjectNode bad = toml();
-        bad.put("public_addr", "nowhere");
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(bad))
+        ObjectNode invalidAddress = toml();
+        invalidAddress.put("public_addr", "nowhere");
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(invalidAddress))
                 .getMessage()
                 .contains("public_addr"));
-        ObjectNode zero = toml();
-        ((ObjectNode) zero.path("params").path("workers")).put("lease_s", 0);
-        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(zero))
+        ObjectNode zeroLease = toml();
+        ((ObjectNode) zeroLease.path("params").path("workers")).put("lease_s", 0);
+        assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(zeroLease))
                 .getMessage()
                 .contains("lease_s"));
     }
 
-    /** Limits tighten without notice, so what is written has to fit the tighter ones from the start. */
+    /**
+     * The store may lower its limits without notice, so all written values must fit the lower limits from the start.
+     */
     @Test
-    void theTighterLimitsHoldFromTheStart() throws Exception {
+    void lowerUpcomingStoreLimitsApplyFromTheStart() throws Exception {
         ObjectNode toml = toml();
-        ObjectNode next = ((ObjectNode) toml.path("params").path("state"))
+        ObjectNode upcomingLimits = ((ObjectNode) toml.path("params").path("state"))
                 .putObject("next")
                 .put("value_kb", 2.0)
                 .put("txn_ops", 20);
@@ -82,12 +84,12 @@
         assertEquals(2 * 1024, settings.valueBytes());
         assertEquals(16, settings.txnOps());
         assertEquals(50, settings.stateWriteRps());
-        next.put("txn_ops", 0.5);
+        upcomingLimits.put("txn_ops", 0.5);
         assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
                 .getMessage()
                 .contains("txn_ops"));
-        next.put("txn_ops", 4);
-        next.put("write_rps", 0);
+        upcomingLimits.put("txn_ops", 4);
+        upcomingLimits.put("write_rps", 0);
         assertTrue(assertThrows(ConfigException.class, () -> Settings.parse(toml))
                 .getMessage()
                 .contains("next.write_rps"));
@@ -98,7 +100,7 @@
     }
 
     @Test
-    void operatorsSettingsAreOneEdnMap() {
+    void operatorSettingsAreReadFromOneEdnMapAndInvalidKeysAreNamed() {
         assertEquals(20_000, OperatorSettings.parse("{:idle-s 20}").idleSpotTimeoutMs());
         assertEquals(OperatorSettings.defaults(), OperatorSettings.parse("{}"));
         assertTrue(assertThrows(ConfigException.class, () -> OperatorSettings.parse("{:idel-s 20}"))
--- a/src/test/java/org/hollypick/config/constants/TimingRelationsTest.java
+++ b/src/test/java/org/hollypick/config/constants/TimingRelationsTest.java
@@ -4,32 +4,34 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The relations between timing constants that safety and failover times rest on, whatever their values are. */
+/** Checks the relations between timing constants on which safety and failover times depend. */
 class TimingRelationsTest {
-    /** Milliseconds after which a user gives a submission up, from the protocol. */
-    private static final long USER_PATIENCE_MS = 5_000;
+    /** Milliseconds until a user's submission times out, as the protocol specifies. */
+    private static final long USER_TIMEOUT_MS = 5_000;
 
-    /** The drift of one steady clock, from the protocol. */
-    private static final double ONE_CLOCK_DRIFT = 0.0005;
+    /** Maximum drift of one steady clock, as the protocol specifies. */
+    private static final double SINGLE_CLOCK_DRIFT_RATIO = 0.0005;
 
-    private static double atLeast(long millis) {
+    /** The shortest time on this process's clock that may pass while another clock measures {@code millis}. */
+    private static double lowerBoundMs(long millis) {
         return millis * (1 - ClockConstants.CLOCK_DRIFT_RATIO) - ClockConstants.CLOCK_MARGIN_MS;
     }
 
-    private static double atMost(long millis) {
+    /** The longest time on this process's clock that may pass while another clock measures {@code millis}. */
+    private static double upperBoundMs(long millis) {
         return millis * (1 + ClockConstants.CLOCK_DRIFT_RATIO) + ClockConstants.CLOCK_MARGIN_MS;
     }
 
     @Test
-    void clockBoundsCoverTheDriftOfBothEnds() {
-        assertTrue(ClockConstants.CLOCK_DRIFT_RATIO >= 2 * ONE_CLOCK_DRIFT);
+    void clockBoundsCoverTheDriftOfBothClocks() {
+        assertTrue(ClockConstants.CLOCK_DRIFT_RATIO >= 2 * SINGLE_CLOCK_DRIFT_RATIO);
         assertTrue(ClockConstants.CLOCK_MARGIN_MS > 0);
         assertTrue(LeaseConstants.AGENT_LEASE_MARGIN_MS > 0);
     }
 
     @Test
     void threeRenewalsFitIntoASession() {
-        assertTrue(3 * ElectionConstants.SESSION_RENEWAL_INTERVAL_MS < atLeast(ElectionConstants.SESSION_TTL_MS));
+        assertTrue(3 * ElectionConstants.SESSION_RENEWAL_INTERVAL_MS < lowerBoundMs(ElectionConstants.SESSION_TTL_MS));
     }
 
     @Test
@@ -37,28 +39,29 @@
         assertTrue(ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS > ElectionConstants.SESSION_RENEWAL_INTERVAL_MS);
         assertTrue(
                 ElectionConstants.LEASE_GRANT_REQUEST_AFTER_MS + 2 * ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS
-                        < atLeast(ElectionConstants.SESSION_TTL_MS));
+                        < lowerBoundMs(ElectionConstants.SESSION_TTL_MS));
     }
 
     @Test
-    void severalRequestsFitIntoOneLeaseGrant() {
-        assertTrue(3 * ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS < atLeast(ElectionConstants.LEASE_GRANT_MS));
+    void threeRequestRoundsFitIntoOneLeaseGrant() {
+        assertTrue(
+                3 * ElectionConstants.LEASE_GRANT_REQUEST_INTERVAL_MS < lowerBoundMs(ElectionConstants.LEASE_GRANT_MS));
     }
 
     @Test
-    void relayedResponsesOutlastTheirBatchButNotASession() {
+    void relayedResponsesAreValidForABatchTimeoutButShorterThanASession() {
         assertTrue(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS >= RelayConstants.RELAY_TIMEOUT_MS);
-        assertTrue(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS < atLeast(ElectionConstants.SESSION_TTL_MS));
+        assertTrue(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS < lowerBoundMs(ElectionConstants.SESSION_TTL_MS));
     }
 
     @Test
     void aResignedLeaderIsNoCandidateWhileItsResponsesMayBeRelayed() {
         assertTrue(ElectionConstants.NO_CANDIDACY_AFTER_RESIGNATION_MS
-                > atMost(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS));
+                > upperBoundMs(RelayConstants.RELAYED_RESPONSE_VALIDITY_MS));
     }
 
     @Test
-    void aRelayedHeartbeatIsAnsweredWhileTheWorkerWaits() {
+    void aRelayedHeartbeatIsAnsweredBeforeTheAgentTimesOut() {
         assertTrue(RelayConstants.RELAY_QUEUE_TIMEOUT_MS + RelayConstants.RELAY_TIMEOUT_MS
                 < ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS);
         assertTrue(ReachabilityConstants.HEARTBEAT_RESPONSE_TIMEOUT_MS
@@ -66,7 +69,7 @@
     }
 
     @Test
-    void aCancellationIsAnsweredWhileTheOtherControllerWaits() {
+    void aCancellationIsAnsweredBeforeTheForwardingControllerTimesOut() {
         assertTrue(JobConstants.CANCELLATION_RESPONSE_TIMEOUT_MS < StoreConstants.STORE_TIMEOUT_MS);
     }
 
@@ -76,13 +79,13 @@
     }
 
     @Test
-    void aStoreRequestIsOverBeforeItsUserGivesUp() {
-        assertTrue(StoreConstants.STORE_QUEUE_TIMEOUT_MS + StoreConstants.STORE_TIMEOUT_MS < USER_PATIENCE_MS);
-        assertTrue(GraphConstants.GRAPH_FORWARD_TIMEOUT_MS < USER_PATIENCE_MS);
+    void queuedStoreRequestsAndForwardedGraphRequestsTimeOutBeforeTheUser() {
+        assertTrue(StoreConstants.STORE_QUEUE_TIMEOUT_MS + StoreConstants.STORE_TIMEOUT_MS < USER_TIMEOUT_MS);
+        assertTrue(GraphConstants.GRAPH_FORWARD_TIMEOUT_MS < USER_TIMEOUT_MS);
     }
 
     @Test
-    void anInnerTimeoutEndsBeforeTheOuterOne() {
+    void innerTimeoutsAreShorterThanTheTimeoutsAroundThem() {
         assertTrue(GraphConstants.GRAPH_RESPONSE_TIMEOUT_MS < GraphConstants.GRAPH_FORWARD_TIMEOUT_MS);
         assertTrue(StoreConstants.WATCH_WAIT_MS < ReachabilityConstants.FORWARDED_REQUEST_TIMEOUT_MS);
         assertTrue(ReachabilityConstants.PEER_CHECK_PROBE_TIMEOUT_MS < ReachabilityConstants.PEER_CHECK_TIMEOUT_MS);
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void twoGrantRequestsFitInBeforeTheLeaderCountsAsLost() {
+    void twoGrantRequestsFitInBeforeTheLeaderCountsAsUnreachable() {
         assertTrue(2 * LeaseConstants.RENEWAL_GRANT_INTERVAL_MS < LeaseConstants.LEADER_UNREACHABLE_AFTER_MS);
     }
 
