--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -252,7 +252,7 @@
      * @throws ConfigException if a field is missing or invalid; the message names the field
      */
     public static Settings parse(JsonNode root) {
-        List<Sibling> peers = siblings(root);
+        List<Sibling> peers = peers(root);
         JsonNode services = table(root, SERVICES);
         JsonNode parameters = table(root, PARAMETERS);
         Map<String, Team> teams = teams(parameters);
@@ -282,7 +282,7 @@
                 (int) positiveNumber(table(parameters, RESOURCES), MAX_SOCKETS));
     }
 
-    private static List<Sibling> siblings(JsonNode root) {
+    private static List<Sibling> peers(JsonNode root) {
         List<Sibling> peers = new ArrayList<>();
         for (JsonNode peer : root.path(PEER_CONTROLLERS)) {
             peers.add(new Sibling(
--- a/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
+++ b/src/main/java/org/hollypick/control/graphs/NodeLogWriter.java
@@ -6,7 +6,7 @@
 import org.hollypick.records.GraphLogEntry;
 
 /**
- * Appends a graph's new nodes to its log. An entry holds up to {@link GraphConstants#GRAPH_LOG_ENTRY_NODES} nodes,
+ * Appends a graph's new nodes to its log. An entry holds up to {@link GraphConstants#MAX_GRAPH_LOG_ENTRY_NODES} nodes,
  * fewer if it doesn't fit into a record. Confined to the event loop.
  */
 final class NodeLogWriter {
--- a/src/main/java/org/hollypick/control/jobs/JobTermination.java
+++ b/src/main/java/org/hollypick/control/jobs/JobTermination.java
@@ -245,8 +245,8 @@
 
     /**
      * Whether a new fencing token is needed to stop a launch in flight, which has delayed a cancellation by more than
-     * {@link JobConstants#FENCING_DELAY_MS} on a machine whose lease was renewed within that time. Agents reject what
-     * was sent under an older token.
+     * {@link JobConstants#CANCELLATION_FENCING_DELAY_MS} on a machine whose lease was renewed within that time. Agents
+     * reject what was sent under an older token.
      */
     public boolean needsNewFencingToken(long now) {
         long oldest = now - JobConstants.CANCELLATION_FENCING_DELAY_MS;
--- a/src/main/java/org/hollypick/store/KeyValueStoreClient.java
+++ b/src/main/java/org/hollypick/store/KeyValueStoreClient.java
@@ -75,7 +75,7 @@
 
     /**
      * The maximum number of writes for one batched transaction: bounded by the store's limit for a transaction, and by
-     * the writes that this controller may make in {@link StoreConstants#WRITE_BATCH_S}.
+     * the writes that this controller may make in {@link StoreConstants#MAX_WRITE_BATCH_S}.
      */
     public int maxBatchWrites() {
         return (int)
