--- a/src/test/java/org/hollypick/sim/AgentProtocol.java
+++ b/src/test/java/org/hollypick/sim/AgentProtocol.java
@@ -22,7 +22,7 @@
     /** In an answer to a heartbeat: the controller to send the next one to. */
     static final String LEADER = "foreman";
 
-    static final String ORDERS = "orders";
+    static final String COMMAND_LIST = "orders";
     static final String VERB = "verb";
     static final String LAUNCH = "launch";
     static final String KILL = "kill";
--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -72,10 +72,10 @@
         scenario.pipelines.submitPipelines(2, 40_000);
         scenario.invalidRequests.submit(8, 80_000);
         GraphUser graph = new GraphUser(scenario, "req-700000", 2, 2);
-        scenario.world.at(5_000 + scenario.world.random.nextInt(20_000), graph::start);
+        scenario.world.schedule(5_000 + scenario.world.random.nextInt(20_000), graph::start);
         if (seed % 4 > 0) {
-            scenario.world.at(10_000, () -> scenario.world.lostAnswerShare = 0.2);
-            scenario.world.at(60_000, () -> scenario.world.lostAnswerShare = 0);
+            scenario.world.schedule(10_000, () -> scenario.world.lostTransactionResponseProbability = 0.2);
+            scenario.world.schedule(60_000, () -> scenario.world.lostTransactionResponseProbability = 0);
             scenario.randomFaults.scheduleReorderingFaults(6, 10_000, 80_000);
         }
         scenario.advance(130_000);
@@ -187,9 +187,10 @@
     private static ClusterScenario scenarioWithSlowStore(
             int seed, int delayMs, BiFunction<EventLoop, Settings, Controller> controllerFactory) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, controllerFactory);
-        scenario.world.slow("state:1", delayMs, 60_000);
-        scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"h/j/");
-        scenario.world.lostAnswerShare = 0.3;
+        scenario.world.addLatency("state:1", delayMs, 60_000);
+        scenario.world.faultProneTransactions =
+                txn -> txn.path("then").toString().contains("\"h/j/");
+        scenario.world.lostTransactionResponseProbability = 0.3;
         return runWithProbes(scenario);
     }
 
@@ -226,11 +227,12 @@
     private static ClusterScenario scenarioWithLostResponses(
             int seed, String keyPrefix, BiFunction<EventLoop, Settings, Controller> controllerFactory) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, controllerFactory);
-        scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + keyPrefix);
-        scenario.world.lostAnswerShare = 0.5;
-        scenario.world.at(20_000, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
+        scenario.world.faultProneTransactions =
+                txn -> txn.path("then").toString().contains("\"" + keyPrefix);
+        scenario.world.lostTransactionResponseProbability = 0.5;
+        scenario.world.schedule(20_000, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
         if (keyPrefix.equals("h/x/")) {
-            scenario.world.at(8_000, new GraphUser(scenario, "req-700000", 2, 2)::start);
+            scenario.world.schedule(8_000, new GraphUser(scenario, "req-700000", 2, 2)::start);
         }
         // More jobs, so that enough answers are compared: cancellations that wait for tasks which may still start are
         // answered less often.
@@ -298,11 +300,12 @@
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER).withRunningServices();
             int leader = scenario.leaderIndex();
             int other = (leader + 1) % 3;
-            scenario.world.slow("m" + leader + ":1", 300, 10_000);
+            scenario.world.addLatency("m" + leader + ":1", 300, 10_000);
             for (int ms = 0; ms < 600; ms += 5) {
-                scenario.world.at(ms, () -> scenario.users.queryAt(other, "req-000000", "/submissions/req-000000"));
+                scenario.world.schedule(
+                        ms, () -> scenario.users.queryAt(other, "req-000000", "/submissions/req-000000"));
             }
-            scenario.world.at(300, () -> scenario.users.cancelAt(leader, "req-000000"));
+            scenario.world.schedule(300, () -> scenario.users.cancelAt(leader, "req-000000"));
             scenario.advance(10_000);
             assertTrue(scenario.checker.isTerminal("req-000000"));
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
@@ -317,13 +320,14 @@
     void repeatedSubmissionsWriteTheRecordAtMostOncePerController() {
         ClusterScenario scenario = new ClusterScenario(1, 1, null, null, NEW_CONTROLLER);
         scenario.advance(20_000);
-        scenario.world.slow("state:1", 300, 10_000);
+        scenario.world.addLatency("state:1", 300, 10_000);
         int[] writes = {0};
-        scenario.world.sending = (from, call) -> writes[0] += isCommitContaining(call, "\"pull_gb\"") ? 1 : 0;
+        scenario.world.requestObserver = (from, call) -> writes[0] += isCommitContaining(call, "\"pull_gb\"") ? 1 : 0;
         scenario.checker.order.news = id -> {
             for (int i = 0; i < 300; i++) {
                 int node = i % 3;
-                scenario.world.at(i, () -> scenario.users.resubmitAt(node, id, scenario.checker.submitted.get(id)));
+                scenario.world.schedule(
+                        i, () -> scenario.users.resubmitAt(node, id, scenario.checker.submitted.get(id)));
             }
         };
         scenario.workload.submitBatchJobs(1, 1);
@@ -355,7 +359,7 @@
         var invalid =
                 ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
-        scenario.world.sending = (from, call) -> writes[0] += isCommitContaining(call, "h/j/") ? 1 : 0;
+        scenario.world.requestObserver = (from, call) -> writes[0] += isCommitContaining(call, "h/j/") ? 1 : 0;
         for (int node = 0; node < 3; node++) {
             assertEquals(
                     "done",
--- a/src/test/java/org/hollypick/sim/AnswerProber.java
+++ b/src/test/java/org/hollypick/sim/AnswerProber.java
@@ -40,7 +40,7 @@
                 .filter(id -> checker.isAccepted(id) && checker.tasks.isComplete(id) && probedOnCompletion.add(id))
                 .toList()
                 .forEach(this::probe);
-        world.at(COMPLETION_POLL_MS, this::probeOnCompletion);
+        world.schedule(COMPLETION_POLL_MS, this::probeOnCompletion);
     }
 
     private void probe(String id) {
@@ -52,19 +52,19 @@
             }
         }
         if (scenario.users.mayCancel(id) && !checker.isTerminal(id) && !isGraph && world.random.nextInt(3) == 0) {
-            world.at(world.random.nextInt(16), () -> scenario.users.cancel(id));
+            world.schedule(world.random.nextInt(16), () -> scenario.users.cancel(id));
         }
     }
 
     private void probeAt(int controller, String id, JsonNode job, int delayMs) {
         boolean isGraph = job.has(UserProtocol.GRAPH_NODES);
         String path = (isGraph ? UserProtocol.GRAPHS : UserProtocol.SUBMISSIONS) + "/" + id;
-        world.at(delayMs, () -> scenario.users.queryAt(controller, id, path));
+        world.schedule(delayMs, () -> scenario.users.queryAt(controller, id, path));
         if (delayMs % ESTIMATE_INTERVAL_MS == 0 && !isGraph) {
-            world.at(delayMs, () -> scenario.users.queryAt(controller, id, path + UserProtocol.ESTIMATE));
+            world.schedule(delayMs, () -> scenario.users.queryAt(controller, id, path + UserProtocol.ESTIMATE));
         }
         if (delayMs < RESUBMIT_WITHIN_MS && !isGraph) {
-            world.at(delayMs, () -> scenario.users.resubmitAt(controller, id, job));
+            world.schedule(delayMs, () -> scenario.users.resubmitAt(controller, id, job));
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -106,7 +106,7 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int number = i;
-            day.world.at(
+            day.world.schedule(
                     everyMs * i,
                     () -> ids.add(day.workload.submitBatchJob(1, number % 3 == 0 ? 60 : 4, "img-" + number % 7)));
         }
@@ -117,7 +117,7 @@
     private static void cancelEvery(ClusterScenario day, List<String> ids, long everyMs, int count) {
         for (int i = 0; i < count; i++) {
             int number = i;
-            day.world.at(everyMs * i, () -> {
+            day.world.schedule(everyMs * i, () -> {
                 if (number < ids.size()) {
                     day.users.cancel(ids.get(ids.size() - 1 - number));
                 }
@@ -131,8 +131,8 @@
         List<String> ids = smallJobs(day, 80, 150);
         day.advance(13_000);
         cancelEvery(day, ids, 120, 80);
-        day.world.at(500, () -> change.strike(day));
-        day.world.at(5_500, () -> back.strike(day));
+        day.world.schedule(500, () -> change.strike(day));
+        day.world.schedule(5_500, () -> back.strike(day));
         return day.advance(45_000);
     }
 
@@ -157,19 +157,19 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int number = i;
-            day.world.at(200L * i, () -> ids.add(day.workload.submitBatchJob(6, 40, "img-" + number % 5)));
+            day.world.schedule(200L * i, () -> ids.add(day.workload.submitBatchJob(6, 40, "img-" + number % 5)));
         }
         day.advance(25_000);
         TEAMS.forEach(t -> assertTrue(day.checker.tasks.coresOf(t) >= LIMIT - FETCHING, t + " isn't at its limit"));
         fault.accept(day);
         for (int i = 0; i < 4; i++) {
             String id = ids.get(i);
-            day.world.at(1_000 + 300 * i, () -> {
+            day.world.schedule(1_000 + 300 * i, () -> {
                 day.users.cancel(id);
                 machinesOf(day, id).limit(2).forEach(w -> loss.strike(day, w));
             });
         }
-        day.world.at(1_000 + changeAfterMs, () -> change.strike(day));
+        day.world.schedule(1_000 + changeAfterMs, () -> change.strike(day));
         return day.advance(80_000);
     }
 
@@ -216,8 +216,8 @@
         for (int i = 0; i < 8; i++) {
             String id = day.workload.submitBatchJob(3, 60, "img-fetched-" + i);
             long after = 300L * i;
-            day.world.at(1_500 + after, () -> machinesOf(day, id).forEach(w -> loss.strike(day, w)));
-            day.world.at(1_500 + after + 50L * i, () -> day.users.cancel(id));
+            day.world.schedule(1_500 + after, () -> machinesOf(day, id).forEach(w -> loss.strike(day, w)));
+            day.world.schedule(1_500 + after + 50L * i, () -> day.users.cancel(id));
         }
         return day.advance(75_000);
     }
@@ -242,12 +242,13 @@
     private static ClusterScenario answersHeldUp(int seed) {
         ClusterScenario day = new ClusterScenario(seed).withRunningServices();
         for (int spell = 0; spell < 10; spell++) {
-            day.world.at(4_000L * spell, () -> day.cloud.agents().forEach(w -> day.network.dropInbound(w, 2_500)));
+            day.world.schedule(
+                    4_000L * spell, () -> day.cloud.agents().forEach(w -> day.network.dropInbound(w, 2_500)));
         }
         List<String> ids = smallJobs(day, 200, 200);
         for (int i = 0; i < 200; i++) {
             int number = i;
-            day.world.at(200 * i + 150 + 13 * i % 2_000, () -> day.users.cancel(ids.get(number)));
+            day.world.schedule(200 * i + 150 + 13 * i % 2_000, () -> day.users.cancel(ids.get(number)));
         }
         return day.advance(70_000);
     }
@@ -268,10 +269,10 @@
         day.advance(5_000);
         for (int i = 0; i < 320; i++) {
             int number = i;
-            day.world.at(250L * i, () -> {
+            day.world.schedule(250L * i, () -> {
                 String id = day.workload.submitBatchJob(1, 3, "img-" + number % 5);
                 if (number % 4 == 0) {
-                    day.world.at(200 + 37 * number % 3_000, () -> day.users.cancel(id));
+                    day.world.schedule(200 + 37 * number % 3_000, () -> day.users.cancel(id));
                 }
             });
         }
@@ -281,7 +282,7 @@
         int leader = day.leaderIndex();
         day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
         day.advance(1_500);
-        day.world.refuse("bothy-" + leader, "state:1", 4_000);
+        day.world.refuseRequests("bothy-" + leader, "state:1", 4_000);
         day.advance(1_000);
         day.store.startOutage(OUTAGE_MS);
         return day.advance(OUTAGE_MS + 60_000);
@@ -305,7 +306,7 @@
         day.cloud.agents().forEach(fault);
         cancelEvery(day, ids, 40, 50);
         day.advance(500);
-        day.world.refuse("bothy-" + day.leaderIndex(), "state:1", 1_000);
+        day.world.refuseRequests("bothy-" + day.leaderIndex(), "state:1", 1_000);
         day.advance(1_000);
         day.store.startOutage(OUTAGE_MS);
         return day.advance(OUTAGE_MS + 30_000);
@@ -345,7 +346,7 @@
                 case CUT_OFF -> day.network.partitionFromStoreAndPeers(leader, OUTAGE_MS);
                 case UNHEARD -> {
                     day.world.cutOneWay("state:1", "bothy-" + leader, 3_000);
-                    day.world.at(1_000, () -> day.store.startOutage(OUTAGE_MS));
+                    day.world.schedule(1_000, () -> day.store.startOutage(OUTAGE_MS));
                 }
                 default -> day.store.startOutage(OUTAGE_MS);
             }
@@ -369,7 +370,7 @@
         };
         ids.forEach(id -> day.users.cancelAt(leader, id));
         day.responseObserver = count;
-        day.world.sending = day.world.sending.andThen((node, call) -> count.accept(node, call.path()));
+        day.world.requestObserver = day.world.requestObserver.andThen((node, call) -> count.accept(node, call.path()));
         day.advance(OUTAGE_MS + 30_000);
         assertTrue(day.checker.isTerminal(ids.get(0)), "never told");
         return day;
@@ -397,12 +398,12 @@
         day.checker.tasks.completionListener = task -> {
             String id = task.substring(0, task.indexOf('/'));
             if (day.checker.tasks.isComplete(id)) {
-                day.world.at(ends[0]++ % 60, () -> day.users.cancel(id));
+                day.world.schedule(ends[0]++ % 60, () -> day.users.cancel(id));
             }
         };
         for (int i = 0; i < 120; i++) {
             int number = i;
-            day.world.at(250L * i, () -> day.workload.submitBatchJob(1 + number % 2, 4, "img-" + number % 3));
+            day.world.schedule(250L * i, () -> day.workload.submitBatchJob(1 + number % 2, 4, "img-" + number % 3));
         }
         return day.advance(70_000);
     }
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -43,9 +43,9 @@
     final FaultInjector faults;
     final RandomFaults randomFaults;
     /** How many times as many machines and tasks as usual. */
-    final int size;
+    final int sizeFactor;
 
-    final long leaseMs;
+    final long agentLeaseMs;
     private final StarvationChecker starvationChecker;
     private final ProductionVersion production;
     private final StoreLimits tightenedLimits;
@@ -68,11 +68,11 @@
         this(seed, 1);
     }
 
-    /** {@code size}: how many times as many machines and tasks as usual. */
-    ClusterScenario(long seed, int size) {
+    /** {@code sizeFactor}: how many times as many machines and tasks as usual. */
+    ClusterScenario(long seed, int sizeFactor) {
         this(
                 seed,
-                size,
+                sizeFactor,
                 null,
                 null,
                 (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()));
@@ -87,31 +87,31 @@
      */
     ClusterScenario(
             long seed,
-            int size,
+            int sizeFactor,
             ProductionVersion production,
             StoreLimits tightenedLimits,
             BiFunction<EventLoop, Settings, Controller> version) {
-        this(seed, size, production, tightenedLimits, version, DEFAULT_LEASE_MS);
+        this(seed, sizeFactor, production, tightenedLimits, version, DEFAULT_LEASE_MS);
     }
 
-    /** {@code leaseMs}: of the agents; a cancelled task has 20 s more. */
+    /** {@code agentLeaseMs}: of the agents; a cancelled task has 20 s more. */
     ClusterScenario(
             long seed,
-            int size,
+            int sizeFactor,
             ProductionVersion production,
             StoreLimits tightenedLimits,
             BiFunction<EventLoop, Settings, Controller> version,
-            long leaseMs) {
-        this.size = size;
-        this.leaseMs = leaseMs;
+            long agentLeaseMs) {
+        this.sizeFactor = sizeFactor;
+        this.agentLeaseMs = agentLeaseMs;
         this.production = production;
         this.tightenedLimits = tightenedLimits;
         this.version = version;
         world = new SimulatedWorld(seed);
         store = new FakeKeyValueStore(world);
-        checker = new InvariantChecker(cancellationMs());
-        checker.tasks.coresByTeam.put(JobDescription.DEFAULT_TEAM, TEAM_CORES * size);
-        cloud = new FakeCloud(world, checker, publicAddresses(), ZONES, leaseMs, size);
+        checker = new InvariantChecker(cancellationLimitMs());
+        checker.tasks.coresByTeam.put(JobDescription.DEFAULT_TEAM, TEAM_CORES * sizeFactor);
+        cloud = new FakeCloud(world, checker, publicAddresses(), ZONES, agentLeaseMs, sizeFactor);
         starvationChecker = new StarvationChecker(checker, cloud);
         leadership = new LeadershipChecker(world, store, checker);
         users = new UserClient(this);
@@ -124,9 +124,9 @@
         randomFaults = new RandomFaults(this);
         world.listen(STORE_ADDRESS, store);
         world.listen(CLOUD_ADDRESS, cloud);
-        world.sending = leadership::requestSent;
+        world.requestObserver = leadership::requestSent;
         startControllers();
-        world.heldUp = network::delayMs;
+        world.requestDelayMs = network::delayMs;
         checkInvariants();
     }
 
@@ -137,13 +137,13 @@
      */
     static ClusterScenario withQuotas(
             long seed,
-            int size,
+            int sizeFactor,
             List<String> teams,
             double quotaCores,
             BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(
                 seed,
-                size,
+                sizeFactor,
                 null,
                 null,
                 (eventLoop, settings) -> version.apply(eventLoop, withTeams(settings, teams, quotaCores)));
@@ -194,9 +194,9 @@
                 .siblings(siblings)
                 .externalServices(CLOUD_ADDRESS, STORE_ADDRESS)
                 .zones(ZONES)
-                .teamsWithLimit(List.of(JobDescription.DEFAULT_TEAM), TEAM_CORES * size)
-                .leaseS(leaseMs / 1000.0)
-                .cancelS(cancellationMs() / 1000.0)
+                .teamsWithLimit(List.of(JobDescription.DEFAULT_TEAM), TEAM_CORES * sizeFactor)
+                .leaseS(agentLeaseMs / 1000.0)
+                .cancelS(cancellationLimitMs() / 1000.0)
                 .storeRates(150, limits.changesPerSecond())
                 .storeSizes(limits.valueBytes(), limits.transactionOperations())
                 .build();
@@ -220,14 +220,14 @@
     }
 
     /** Within that time after a cancellation the tasks of the job have stopped. */
-    long cancellationMs() {
-        return leaseMs + CANCELLATION_GRACE_MS;
+    long cancellationLimitMs() {
+        return agentLeaseMs + CANCELLATION_GRACE_MS;
     }
 
     private void checkInvariants() {
         checker.check(world.now);
         starvationChecker.check(world.now);
-        world.at(CHECK_INTERVAL_MS, this::checkInvariants);
+        world.schedule(CHECK_INTERVAL_MS, this::checkInvariants);
     }
 
     /** Lets the simulated time advance. */
@@ -250,7 +250,7 @@
     /** Restarts the controllers one after the other; they come back with the new version. */
     void rollOut(long firstMs, long intervalMs) {
         for (SimulatedController controller : controllers) {
-            world.at(firstMs + intervalMs * controller.index, () -> {
+            world.schedule(firstMs + intervalMs * controller.index, () -> {
                 controller.runsProductionVersion = false;
                 controller.crash(4_000);
             });
@@ -266,7 +266,7 @@
     void limitControllers(int sockets, double costMs) {
         socketLimit = sockets;
         costPerTaskMs = costMs;
-        controllers.forEach(controller -> controller.process.limit(sockets, costMs));
+        controllers.forEach(controller -> controller.process.limitResources(sockets, costMs));
     }
 
     void placeControllerInZone(int controller, String zone) {
@@ -293,7 +293,7 @@
     }
 
     private void awaitOtherToken(long before, Runnable action) {
-        world.at(FENCING_TOKEN_POLL_MS, () -> {
+        world.schedule(FENCING_TOKEN_POLL_MS, () -> {
             if (leadership.fencingToken() != before) {
                 action.run();
             } else {
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -69,13 +69,13 @@
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
-            scenario.world.slow("state:1", 4_000, 20_000);
+            scenario.world.addLatency("state:1", 4_000, 20_000);
             for (int i = 0; i < 4; i++) {
                 String id = "req-00000" + i;
-                scenario.world.at(3_000L * i, () -> scenario.users.cancel(id));
+                scenario.world.schedule(3_000L * i, () -> scenario.users.cancel(id));
             }
-            scenario.world.at(9_000, () -> scenario.world.refuse("bothy-" + leader, "state:1", 12_000));
-            scenario.world.at(14_000, () -> scenario.store.startOutage(OUTAGE_MS));
+            scenario.world.schedule(9_000, () -> scenario.world.refuseRequests("bothy-" + leader, "state:1", 12_000));
+            scenario.world.schedule(14_000, () -> scenario.store.startOutage(OUTAGE_MS));
             scenario.advance(OUTAGE_MS + 90_000);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             assertTrue(scenario.checker.isTerminal("req-000003"), "seed " + seed);
@@ -141,7 +141,7 @@
                 scenario.advance(20_000);
                 FakeAgent[] held = {null};
                 boolean hangs = seed % 2 == 0;
-                scenario.world.sending = (from, call) -> {
+                scenario.world.requestObserver = (from, call) -> {
                     if (held[0] == null
                             && call.path().equals("/commands")
                             && call.body().toString().contains("launch")) {
@@ -163,7 +163,7 @@
                 scenario.advance(20);
                 scenario.users.cancel("req-000000");
                 if (seed % 4 > 1) {
-                    scenario.world.at(2_000, () -> scenario.faults.crash(scenario.leaderIndex(), 200));
+                    scenario.world.schedule(2_000, () -> scenario.faults.crash(scenario.leaderIndex(), 200));
                 }
                 long from = scenario.world.now;
                 long token = scenario.store.revisionOf("h/roster");
@@ -221,7 +221,7 @@
         scenario.workload.submitBatchJobs(8, 20_000);
         for (int i = 0; i < 8; i++) {
             long back = i % 2 == 0 ? 200 : 9_000;
-            scenario.world.at(30_000 + 9_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), back));
+            scenario.world.schedule(30_000 + 9_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), back));
         }
         scenario.advance(300_000);
         return scenario;
@@ -244,7 +244,7 @@
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             scenario.users.cancelOneIn = 2;
             scenario.workload.submitJobs(20, 60_000);
-            scenario.world.copyShare = 0.3;
+            scenario.world.duplicateHeartbeatProbability = 0.3;
             int changes = 0;
             for (int i = 0; i < 4; i++) {
                 int before = scenario.leaderIndex();
@@ -321,15 +321,15 @@
             scenario.workload.durationFactor = 3;
             scenario.users.cancelOneIn = 2;
             scenario.workload.submitJobs(25, 100_000);
-            scenario.world.copyShare = 0.5;
+            scenario.world.duplicateHeartbeatProbability = 0.5;
             for (int i = 0; i < 8; i++) {
                 boolean anew = i % 2 == 0;
-                scenario.world.at(
+                scenario.world.schedule(
                         20_000 + 12_000 * i,
                         () -> scenario.cloud.agents().stream()
                                 .filter(w -> scenario.world.random.nextInt(3) == 0)
                                 .forEach(w -> w.restart(300, anew)));
-                scenario.world.at(
+                scenario.world.schedule(
                         20_000 + 12_000 * i + scenario.world.random.nextInt(6_000),
                         () -> scenario.faults.crash(scenario.leaderIndex(), 300));
             }
@@ -370,12 +370,13 @@
         scenario.store.ignoresConditions = careless;
         scenario.users.cancelOneIn = 2;
         scenario.workload.submitJobs(25, 100_000);
-        scenario.world.lateWrites = txn -> txn.path("then").toString().contains("\"" + kind);
-        scenario.world.at(15_000, () -> scenario.world.lateWriteShare = 0.5);
+        scenario.world.faultProneTransactions =
+                txn -> txn.path("then").toString().contains("\"" + kind);
+        scenario.world.schedule(15_000, () -> scenario.world.lateTransactionProbability = 0.5);
         for (int i = 0; i < 5; i++) {
-            scenario.world.at(25_000 + 18_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
+            scenario.world.schedule(25_000 + 18_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), 400));
         }
-        scenario.world.at(130_000, () -> scenario.world.lateWriteShare = 0);
+        scenario.world.schedule(130_000, () -> scenario.world.lateTransactionProbability = 0);
         scenario.advance(300_000);
         return scenario;
     }
@@ -476,8 +477,8 @@
             scenario.workload.durationFactor = 0.5;
             scenario.workload.submitBatchJobs(40, 60_000);
             for (long at = 15_000; at < 80_000; at += 1_500) {
-                scenario.world.at(at, () -> {
-                    scenario.world.slow("state:1", 900, 1_300);
+                scenario.world.schedule(at, () -> {
+                    scenario.world.addLatency("state:1", 900, 1_300);
                     scenario.store.compact();
                 });
             }
--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -50,7 +50,7 @@
             scenario.socketLimit = sockets;
             scenario.costPerTaskMs = 1.2;
             leaderRecord = leaderStamp();
-            scenario.world.sending = (from, call) -> {
+            scenario.world.requestObserver = (from, call) -> {
                 if (call.path().equals("/hosts/return")) {
                     call.body().path("bothies").forEach(id -> returned(id.asText()));
                 }
@@ -112,10 +112,10 @@
             Watched w = new Watched(seed, NEW, SOCKETS);
             for (int node = 0; node < 3; node++) {
                 int n = node;
-                w.scenario.world.at(1_000 + 20_000 * node, () -> w.scenario.faults.crash(n, 6_000));
+                w.scenario.world.schedule(1_000 + 20_000 * node, () -> w.scenario.faults.crash(n, 6_000));
             }
-            w.scenario.world.at(65_000, () -> w.scenario.store.startOutage(12_000));
-            w.scenario.world.at(90_000, () -> w.scenario.faults.freeze(w.scenario.leaderIndex(), 7_000));
+            w.scenario.world.schedule(65_000, () -> w.scenario.store.startOutage(12_000));
+            w.scenario.world.schedule(90_000, () -> w.scenario.faults.freeze(w.scenario.leaderIndex(), 7_000));
             w.play(160_000);
             assertTrue(w.changes.size() <= 5, "seed " + seed + ": the lead changed at " + w.changes);
             assertEquals(Set.of(), w.wellReturned, "seed " + seed);
--- a/src/test/java/org/hollypick/sim/ControllerProcess.java
+++ b/src/test/java/org/hollypick/sim/ControllerProcess.java
@@ -15,7 +15,7 @@
 
     void handle(String method, String path, byte[] body, Consumer<Supplier<Response>> reply);
 
-    void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply);
+    void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply);
 
     static ControllerProcess of(Controller node) {
         return new ControllerProcess() {
@@ -30,7 +30,7 @@
             }
 
             @Override
-            public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
+            public void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
                 node.handlePeerRequest(method, path, body, a -> reply.accept(() -> reply(a.orRefusalIfInvalid())));
             }
         };
--- a/src/test/java/org/hollypick/sim/DeterminismTest.java
+++ b/src/test/java/org/hollypick/sim/DeterminismTest.java
@@ -28,7 +28,7 @@
                     (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
             scenario.workload.submitJobs(30, 100_000);
             scenario.pipelines.submitPipelines(6, 90_000);
-            scenario.world.at(60_000, scenario::tightenStoreLimits);
+            scenario.world.schedule(60_000, scenario::tightenStoreLimits);
             scenario.randomFaults.scheduleFaults(9, 20_000, 150_000);
             scenario.advance(240_000);
             digests.add(scenario.world.digest());
--- a/src/test/java/org/hollypick/sim/FakeAgent.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -37,7 +37,7 @@
     /** For how long it has hung in all: its tasks don't run meanwhile. */
     private long hungMs;
     /** Counts the starts of the process: what an earlier one has under way means nothing to the present one. */
-    private int starts;
+    private int restartCount;
 
     private boolean isDown;
     private boolean isFaulty;
@@ -142,19 +142,19 @@
     /** The machine does nothing for a while; what was due meanwhile happens then. */
     void hang(long ms) {
         isHung = true;
-        world.at(ms, () -> {
+        world.schedule(ms, () -> {
             isHung = false;
             hungMs += ms;
             checkLease();
             tasks.resume();
             List<Runnable> due = new ArrayList<>(deferred);
             deferred.clear();
-            due.forEach(this::now);
+            due.forEach(this::runOrDefer);
         });
     }
 
     void hangLater(long afterMs, long ms) {
-        world.at(afterMs, () -> hang(ms));
+        world.schedule(afterMs, () -> hang(ms));
     }
 
     /**
@@ -167,10 +167,10 @@
             return;
         }
         isDown = true;
-        starts++;
+        restartCount++;
         tasks.loseAll();
         tasks.forgetImages();
-        world.at(downtimeMs, () -> {
+        world.schedule(downtimeMs, () -> {
             isDown = false;
             isHeartbeatInFlight = false;
             leaseRenewedAt = world.now;
@@ -189,23 +189,23 @@
     }
 
     @Override
-    public int life() {
-        return starts;
+    public int restartCount() {
+        return restartCount;
     }
 
     /** Runs after a while: later if the machine hangs then, never if the process has ended. */
-    void later(long ms, Runnable action) {
-        int startedAs = starts;
-        world.at(ms, () -> run(startedAs, action));
+    void schedule(long ms, Runnable action) {
+        int startedAs = restartCount;
+        world.schedule(ms, () -> run(startedAs, action));
     }
 
     /** Runs now, or once the machine no longer hangs. */
-    void now(Runnable action) {
-        run(starts, action);
+    void runOrDefer(Runnable action) {
+        run(restartCount, action);
     }
 
     private void run(int startedAs, Runnable action) {
-        if (isTerminated || isDown || startedAs != starts) {
+        if (isTerminated || isDown || startedAs != restartCount) {
             return;
         }
         if (isHung) {
@@ -219,7 +219,7 @@
     /** Runs once the machine has worked for so long, times in which it hung left out. */
     void afterRunning(long ms, Runnable action) {
         long hungBefore = hungMs;
-        later(ms, () -> {
+        schedule(ms, () -> {
             if (hungMs > hungBefore) {
                 afterRunning(hungMs - hungBefore, action);
             } else {
@@ -230,7 +230,7 @@
 
     /** Tasks end with the lease even on a machine that hangs. */
     private void watchLease() {
-        world.at(LEASE_CHECK_MS, () -> {
+        world.schedule(LEASE_CHECK_MS, () -> {
             if (!isTerminated) {
                 checkLease();
                 watchLease();
@@ -247,7 +247,7 @@
     }
 
     private void scheduleHeartbeats() {
-        later(HEARTBEAT_CHECK_MS, () -> {
+        schedule(HEARTBEAT_CHECK_MS, () -> {
             if (!isHeartbeatInFlight
                     && world.now - lastHeartbeatAt
                             > HEARTBEAT_INTERVAL_MS + world.random.nextInt(HEARTBEAT_JITTER_MS)) {
@@ -259,7 +259,7 @@
 
     /** The next heartbeat is sent soon: there is news. */
     void statusChanged() {
-        later(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - (world.now - lastHeartbeatAt)), () -> {
+        schedule(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - (world.now - lastHeartbeatAt)), () -> {
             if (!isHeartbeatInFlight) {
                 sendHeartbeat();
             }
@@ -271,7 +271,7 @@
         lastHeartbeatAt = world.now;
         long sentAt = world.now;
         long sentAs = incarnation;
-        int startedAs = starts;
+        int startedAs = restartCount;
         Request heartbeat = new Request(
                 controllers.get(controller), "POST", AgentProtocol.HEARTBEAT, describe(), HEARTBEAT_TIMEOUT_MS, false);
         world.send(
@@ -305,14 +305,14 @@
     }
 
     private void sendNextHeartbeatAfter(long ms) {
-        later(ms, () -> lastHeartbeatAt = 0);
+        schedule(ms, () -> lastHeartbeatAt = 0);
     }
 
     private void executeUnderToken(JsonNode commands) {
         long token = commands.path(AgentProtocol.FENCING_TOKEN).asLong();
         boolean isNewToken = token > fencingToken;
         fencingToken = Math.max(fencingToken, token);
-        tasks.execute(commands.path(AgentProtocol.ORDERS));
+        tasks.execute(commands.path(AgentProtocol.COMMAND_LIST));
         if (isNewToken) {
             statusChanged();
         }
@@ -320,7 +320,7 @@
 
     @Override
     public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
-        now(() -> {
+        runOrDefer(() -> {
             if (path.equals(AgentProtocol.INSPECT)) {
                 callback.accept(new Response(200, describe()));
             } else if (!ignoresFencing
--- a/src/test/java/org/hollypick/sim/FakeAgentTasks.java
+++ b/src/test/java/org/hollypick/sim/FakeAgentTasks.java
@@ -165,7 +165,7 @@
         }
         String image = spec.path(UserProtocol.IMAGE).asText();
         long fetchMs = images.contains(image) ? 0 : MIN_FETCH_MS + world.random.nextInt(FETCH_SPREAD_MS);
-        agent.later(fetchMs, () -> {
+        agent.schedule(fetchMs, () -> {
             if (executions.get(attempt) == execution && execution.status == Status.FETCHING) {
                 images.add(image);
                 start(attempt, execution, spec);
@@ -194,11 +194,11 @@
         agent.statusChanged();
         boolean isGraphNode = checker.tasks.graphNodes.containsKey(attempt.task);
         if (agent.isFaulty() || (isGraphNode && spec.path("fails").asBoolean())) {
-            agent.later(FAILURE_MS, () -> end(attempt, execution, CAUSE_ERROR));
+            agent.schedule(FAILURE_MS, () -> end(attempt, execution, CAUSE_ERROR));
         } else if (isGraphNode) {
             checker.tasks.graphProgram.running(
-                    attempt.task, attempt.number, () -> agent.now(() -> end(attempt, execution, CAUSE_DONE)));
-        } else if (spec.path(UserProtocol.SHAPE).asText().equals(UserProtocol.BATCH)) {
+                    attempt.task, attempt.number, () -> agent.runOrDefer(() -> end(attempt, execution, CAUSE_DONE)));
+        } else if (spec.path(UserProtocol.KIND).asText().equals(UserProtocol.BATCH)) {
             long ms = (long) (spec.path(UserProtocol.EXPECTED_S).asDouble() * (500 + world.random.nextInt(1_000)));
             agent.afterRunning(ms, () -> end(attempt, execution, CAUSE_DONE));
         }
--- a/src/test/java/org/hollypick/sim/FakeCloud.java
+++ b/src/test/java/org/hollypick/sim/FakeCloud.java
@@ -164,7 +164,7 @@
         String name = String.format("n-%06d", createdMachines++);
         Machine machine = new Machine(new MachineIdentity(name, address(name), pool.zone, pool.spot, CPUS), world.now);
         machines.put(name, machine);
-        world.at(world.random.nextInt(maxBootMs), () -> {
+        world.schedule(world.random.nextInt(maxBootMs), () -> {
             if (machines.get(name) == machine) {
                 boot(machine);
             }
@@ -222,6 +222,6 @@
                 .put(CloudProtocol.AGE_S, (world.now - machine.createdAt) / 1000.0));
         snapshots.add(new Snapshot(world.now, list));
         snapshots.removeIf(snapshot -> snapshot.at < world.now - SNAPSHOTS_KEPT_MS);
-        world.at(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
+        world.schedule(SNAPSHOT_INTERVAL_MS, this::takeSnapshot);
     }
 }
--- a/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
+++ b/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
@@ -116,7 +116,7 @@
     /** Answers everything with 503 for a while; sessions don't expire meanwhile and begin anew then. */
     void startOutage(long ms) {
         isDown = true;
-        world.at(ms, () -> {
+        world.schedule(ms, () -> {
             isDown = false;
             sessions.values().forEach(this::renew);
         });
@@ -191,7 +191,7 @@
             return;
         }
         watches.add(watch);
-        world.at(Long.parseLong(query.get(StoreProtocol.WAIT_MS)), () -> {
+        world.schedule(Long.parseLong(query.get(StoreProtocol.WAIT_MS)), () -> {
             if (watches.remove(watch)) {
                 callback.accept(new Response(200, keys.changesAfter(watch.prefix, watch.from)));
             }
@@ -266,7 +266,7 @@
         }
         appliedOperations += operations.size();
         keys.apply(operations);
-        world.at(0, this::notifyWatches);
+        world.schedule(0, this::notifyWatches);
         return new Response(200, Codec.object().put(StoreProtocol.REVISION, keys.revision()));
     }
 
@@ -323,7 +323,7 @@
     }
 
     private void checkExpiry(long id) {
-        world.at(EXPIRY_CHECK_MS, () -> {
+        world.schedule(EXPIRY_CHECK_MS, () -> {
             expireSessions();
             if (sessions.containsKey(id)) {
                 checkExpiry(id);
--- a/src/test/java/org/hollypick/sim/FaultInjector.java
+++ b/src/test/java/org/hollypick/sim/FaultInjector.java
@@ -60,10 +60,10 @@
     /** The next request of that kind brings the fault about: before it arrives, while it is executed or answered. */
     void injectAtNextRequest(Predicate<Request> which, Runnable fault) {
         AtomicBoolean hasStruck = new AtomicBoolean();
-        world.sending = world.sending.andThen((from, request) -> {
+        world.requestObserver = world.requestObserver.andThen((from, request) -> {
             if (!hasStruck.get() && which.test(request)) {
                 hasStruck.set(true);
-                world.at(world.random.nextInt(AIM_MS), fault);
+                world.schedule(world.random.nextInt(AIM_MS), fault);
             }
         });
     }
@@ -77,17 +77,17 @@
         for (SimulatedController controller : controllers) {
             crash(
                     controller.index,
-                    scenario.leaseMs + (controller.index == first ? 500 : 2_000 + world.random.nextInt(6_000)));
+                    scenario.agentLeaseMs + (controller.index == first ? 500 : 2_000 + world.random.nextInt(6_000)));
         }
-        world.at(
-                scenario.leaseMs + 500 + world.random.nextInt(1_500),
+        world.schedule(
+                scenario.agentLeaseMs + 500 + world.random.nextInt(1_500),
                 () -> crash(first, 1 + world.random.nextInt(199)));
     }
 
     /** The leader ends that many times, each time to be back at once or after the next failover. */
     void failOverRepeatedly(int times, long intervalMs) {
         for (int i = 0; i < times; i++) {
-            world.at(
+            world.schedule(
                     i * intervalMs,
                     () -> crash(scenario.leaderIndexOrFirst(), world.random.nextBoolean() ? 200 : intervalMs - 1_000));
         }
@@ -102,7 +102,7 @@
                 .filter(id -> !scenario.checker.isTerminal(id) && scenario.users.mayCancel(id))
                 .sorted()
                 .filter(id -> world.random.nextBoolean())
-                .forEach(id -> world.at(world.random.nextInt(200), () -> scenario.users.cancel(id)));
+                .forEach(id -> world.schedule(world.random.nextInt(200), () -> scenario.users.cancel(id)));
         if (hangMs > 0) {
             hangThirdOfMachines(hangMs);
         }
@@ -117,9 +117,9 @@
     /** Users cancel at the moment when the store refuses the leader alone; a second later it is out for all. */
     void refusalThenOutage(long outageMs) {
         String leader = scenario.leadership.hasLeader() ? scenario.leaderName() : SimulatedController.name(0);
-        world.refuse(leader, ClusterScenario.STORE_ADDRESS, REFUSAL_MS);
+        world.refuseRequests(leader, ClusterScenario.STORE_ADDRESS, REFUSAL_MS);
         cancelHalfOfJobs(0);
-        world.at(1_000, () -> scenario.store.startOutage(outageMs));
+        world.schedule(1_000, () -> scenario.store.startOutage(outageMs));
     }
 
     /** The names of two thirds of the machines, drawn. */
--- a/src/test/java/org/hollypick/sim/GraphFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/GraphFaultsTest.java
@@ -43,11 +43,11 @@
         for (int i = 0; i < 5; i++) {
             GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
             users.add(user);
-            scenario.world.at(3_000 + scenario.world.random.nextInt(50_000), user::start);
+            scenario.world.schedule(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (cancels && i == 1) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
             } else if (cancels && i == 2) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
             }
         }
         scenario.workload.submitJobs(8, 60_000);
@@ -132,7 +132,7 @@
                         GRAPHS_ENABLED),
                 scenario -> {
                     for (int i = 0; i < 8; i++) {
-                        scenario.world.at(
+                        scenario.world.schedule(
                                 15_000 + i * 11_000, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
                     }
                 }));
@@ -208,7 +208,7 @@
                 }),
                 scenario -> {
                     for (int i = 0; i < 10; i++) {
-                        scenario.world.at(
+                        scenario.world.schedule(
                                 12_000 + i * 9_000,
                                 () -> scenario.cloud.agents().stream()
                                         .findFirst()
--- a/src/test/java/org/hollypick/sim/GraphSizeTest.java
+++ b/src/test/java/org/hollypick/sim/GraphSizeTest.java
@@ -94,7 +94,7 @@
         }
         if (from == 0) {
             scenario.checker.jobSubmitted(GRAPH_ID, request, scenario.world.now);
-            scenario.checker.tasks.graphProgram = (name, attempt, finish) -> scenario.world.at(1_000, finish);
+            scenario.checker.tasks.graphProgram = (name, attempt, finish) -> scenario.world.schedule(1_000, finish);
         }
         Response[] response = {null};
         while (response[0] == null || response[0].status() == 503 || response[0].status() <= 0) {
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -121,7 +121,7 @@
                             || r.status() == 404) {
                         then.accept(r);
                     } else {
-                        scenario.world.at(1_000, () -> post(path, body, tries + 1, then));
+                        scenario.world.schedule(1_000, () -> post(path, body, tries + 1, then));
                     }
                 });
     }
@@ -170,7 +170,7 @@
         int level = node.length() - node.replace(".", "").length();
         int children = level < depth ? r.nextInt(width + 1) : 0;
         if (children == 0) {
-            scenario.world.at(ms, finish);
+            scenario.world.schedule(ms, finish);
             return;
         }
         List<ObjectNode> list = new ArrayList<>();
@@ -191,7 +191,7 @@
             b.put("then", node + ".c");
         }
         long asked = scenario.world.now;
-        scenario.world.at(
+        scenario.world.schedule(
                 ms,
                 () -> post("/graphs/" + id + "/nodes", b, 0, reply -> {
                     if (reply.status() == 201 && withdrawnAt != null && asked > withdrawnAt) {
@@ -202,7 +202,7 @@
                         then.put(node, node + ".c");
                     }
                     learn(b, reply);
-                    scenario.world.at(500, finish);
+                    scenario.world.schedule(500, finish);
                 }));
     }
 
@@ -238,14 +238,14 @@
                         }
                     }
                     if (!told.equals("done") && !told.equals("aborted")) {
-                        scenario.world.at(2_000, this::poll);
+                        scenario.world.schedule(2_000, this::poll);
                     }
                 });
     }
 
     void withdraw() {
         if (!sent) {
-            scenario.world.at(500, this::withdraw);
+            scenario.world.schedule(500, this::withdraw);
             return;
         }
         scenario.checker.cancellationRequested(id);
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -76,7 +76,7 @@
                         OperatorSettings.defaults()));
         scenario.metering =
                 (controller, activity, handling) -> meters.get(controller).run(activity, handling);
-        scenario.world.sending = (from, request) -> count(request);
+        scenario.world.requestObserver = (from, request) -> count(request);
     }
 
     /** Prints a table with one line for each number of machines. */
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -33,7 +33,7 @@
         ClusterScenario scenario = new ClusterScenario(seed, 6, null, null, version);
         scenario.workload.submitJobs(80, 110_000);
         boolean[] armed = {false};
-        scenario.world.sending = (from, request) -> {
+        scenario.world.requestObserver = (from, request) -> {
             if (armed[0] && request.path().equals("/reports")) {
                 armed[0] = false;
                 int leader = scenario.leaderIndex();
@@ -42,11 +42,11 @@
                 // leader record even later.
                 scenario.faults.freeze(relay, pauseMs);
                 scenario.world.cut(from, "state:1", 12_000);
-                scenario.world.at(40, () -> scenario.faults.crash(leader, restartMs));
+                scenario.world.schedule(40, () -> scenario.faults.crash(leader, restartMs));
             }
         };
         for (int i = 0; i < 5; i++) {
-            scenario.world.at(20_000 + 20_000 * i, () -> armed[0] = true);
+            scenario.world.schedule(20_000 + 20_000 * i, () -> armed[0] = true);
         }
         scenario.advance(140_000);
         return scenario;
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -62,7 +62,7 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = newScenario(seed, 5);
             scenario.workload.submitBatchJobs(12, 1_000);
-            scenario.world.at(1_500, () -> {
+            scenario.world.schedule(1_500, () -> {
                 agentsInZoneA(scenario).forEach(agent -> scenario.network.dropInbound(agent, FIVE_MINUTES_MS));
                 scenario.faults.crashAll();
             });
@@ -84,8 +84,8 @@
             List<FakeAgent> agents = agentsInZoneA(scenario);
             scenario.network.delayHeartbeats(
                     agents.stream().map(agent -> agent.name).toList(), 60_000);
-            scenario.world.at(6_000, () -> agents.forEach(agent -> agent.restart(200, false)));
-            scenario.world.at(7_000, () -> scenario.workload.submitBatchJobs(8, 1_000));
+            scenario.world.schedule(6_000, () -> agents.forEach(agent -> agent.restart(200, false)));
+            scenario.world.schedule(7_000, () -> scenario.workload.submitBatchJobs(8, 1_000));
             scenario.advance(300_000);
             assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
@@ -105,9 +105,9 @@
             Set<String> launchedAttempts = new HashSet<>();
             Set<String> addresses =
                     unreachable.stream().map(agent -> agent.address).collect(Collectors.toSet());
-            scenario.world.at(
+            scenario.world.schedule(
                     30_000,
-                    () -> scenario.world.sending = (from, call) -> {
+                    () -> scenario.world.requestObserver = (from, call) -> {
                         if (addresses.contains(call.address()) && call.path().equals("/commands")) {
                             call.body()
                                     .path("orders")
@@ -180,7 +180,7 @@
     void delayedHeartbeatCopiesDoNotKeepAHungMachine() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = newScenario(seed);
-            scenario.world.copyShare = 0.5;
+            scenario.world.duplicateHeartbeatProbability = 0.5;
             scenario.workload.submitBatchJobs(40, 120_000);
             scenario.advance(30_000);
             List<FakeAgent> agents = new ArrayList<>(scenario.cloud.agents().subList(0, 4));
@@ -270,8 +270,8 @@
         ClusterScenario scenario = new ClusterScenario(seed, 2);
         scenario.workload.submitJobs(25, 90_000);
         scenario.randomFaults.scheduleFaults(12, 20_000, 100_000);
-        scenario.world.at(100_000, () -> scenario.unavailableJob = unavailableJob);
-        scenario.world.at(195_000, () -> scenario.checker.faultsEnded(scenario.world.now));
+        scenario.world.schedule(100_000, () -> scenario.unavailableJob = unavailableJob);
+        scenario.world.schedule(195_000, () -> scenario.checker.faultsEnded(scenario.world.now));
         scenario.advance(300_000);
         return scenario;
     }
--- a/src/test/java/org/hollypick/sim/InvalidRequests.java
+++ b/src/test/java/org/hollypick/sim/InvalidRequests.java
@@ -22,7 +22,7 @@
     void submit(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             String id = "req-8" + String.format("%05d", i);
-            world.at(world.random.nextInt((int) withinMs), () -> submitInvalidJob(id));
+            world.schedule(world.random.nextInt((int) withinMs), () -> submitInvalidJob(id));
         }
     }
 
@@ -37,8 +37,8 @@
                     UserProtocol.SUBMISSIONS,
                     job,
                     response -> scenario.checker.mustBeRejected(id, expectedStatus, response.status()));
-            world.at(world.random.nextInt(SENT_WITHIN_MS), send);
-            world.at(world.random.nextInt(SENT_WITHIN_MS), send);
+            world.schedule(world.random.nextInt(SENT_WITHIN_MS), send);
+            world.schedule(world.random.nextInt(SENT_WITHIN_MS), send);
         }
     }
 
@@ -50,8 +50,8 @@
             case 2 -> job.put(UserProtocol.ZONE, "nowhere");
             case 3 -> job.putArray(UserProtocol.MACHINE_TYPES).add("none");
             case 4 ->
-                job.put(UserProtocol.SHAPE, UserProtocol.SERVICE)
-                        .put(UserProtocol.TASK_COUNT, (int) (ClusterScenario.TEAM_CORES * scenario.size) + 1);
+                job.put(UserProtocol.KIND, UserProtocol.SERVICE)
+                        .put(UserProtocol.TASK_COUNT, (int) (ClusterScenario.TEAM_CORES * scenario.sizeFactor) + 1);
             default -> {
                 List<String> fields = new ArrayList<>();
                 job.fieldNames().forEachRemaining(fields::add);
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -38,8 +38,8 @@
     void everyAcceptedJobEndsAfterTheLossOfAllControllers() {
         ClusterScenario scenario = new ClusterScenario(7);
         scenario.workload.submitJobs(15, 30_000);
-        scenario.world.at(35_000, () -> scenario.store.startOutage(15_000));
-        scenario.world.at(40_000, scenario.faults::crashAll);
+        scenario.world.schedule(35_000, () -> scenario.store.startOutage(15_000));
+        scenario.world.schedule(40_000, scenario.faults::crashAll);
         scenario.advance(300_000);
         assertEquals(List.of(), scenario.checker.violations);
         scenario.checker
@@ -67,7 +67,7 @@
     @Test
     void withoutAllPromisesNobodyActsInAnOutage() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        scenario.world.at(100, () -> scenario.faults.crash(0, 90_000));
+        scenario.world.schedule(100, () -> scenario.faults.crash(0, 90_000));
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
         int lost = scenario.checker.tasks.lostWithLease;
@@ -161,7 +161,7 @@
             ClusterScenario scenario = new ClusterScenario(seed);
             scenario.store.hiddenKeys = k -> k.startsWith("h/m/");
             scenario.workload.submitJobs(25, 40_000);
-            scenario.world.at(
+            scenario.world.schedule(
                     45_000,
                     () -> scenario.cloud.agents().forEach(w -> {
                         for (int i = 0; i < 3; i++) {
@@ -171,7 +171,7 @@
                             scenario.world.cut("bothy-" + i, w.address, 12_000);
                         }
                     }));
-            scenario.world.at(46_000, scenario.faults::crashAll);
+            scenario.world.schedule(46_000, scenario.faults::crashAll);
             scenario.advance(120_000);
             noticed = scenario.checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice"));
         }
@@ -188,7 +188,8 @@
             scenario.workload.submitJobs(25, 60_000);
             for (int i = 0; i < 12; i++) {
                 int node = i % 3;
-                scenario.world.at(20_000 + 8_000 * i, () -> scenario.world.cut("bothy-" + node, "state:1", 6_000));
+                scenario.world.schedule(
+                        20_000 + 8_000 * i, () -> scenario.world.cut("bothy-" + node, "state:1", 6_000));
             }
             scenario.advance(120_000);
             noticed = !scenario.checker.violations.isEmpty();
--- a/src/test/java/org/hollypick/sim/JobDescription.java
+++ b/src/test/java/org/hollypick/sim/JobDescription.java
@@ -20,9 +20,9 @@
             String id, String kind, String team, String priority, int tasks, String image, double seconds) {
         return Codec.object()
                 .put(UserProtocol.JOB_ID, id)
-                .put(UserProtocol.JOB_KIND, kind)
+                .put(UserProtocol.JOB_CLASS, kind)
                 .put(UserProtocol.TEAM, team)
-                .put(UserProtocol.SHAPE, UserProtocol.BATCH)
+                .put(UserProtocol.KIND, UserProtocol.BATCH)
                 .put(UserProtocol.PRIORITY, priority)
                 .put(UserProtocol.TASK_COUNT, tasks)
                 .put(UserProtocol.CORES, 1.0)
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -51,7 +51,7 @@
         ClusterScenario scenario = running(seed);
         int lost = scenario.checker.tasks.lostWithLease;
         Set<String> returned = new TreeSet<>();
-        scenario.world.sending = (from, call) -> {
+        scenario.world.requestObserver = (from, call) -> {
             if (call.path().equals("/hosts/return")) {
                 call.body()
                         .path("bothies")
@@ -123,9 +123,9 @@
                 int first = scenario.world.random.nextInt(LinkPattern.COUNT);
                 int second = scenario.world.random.nextInt(LinkPattern.COUNT);
                 LinkPattern links = new LinkPattern(first | second);
-                scenario.world.at(at, () -> scenario.network.apply(links));
+                scenario.world.schedule(at, () -> scenario.network.apply(links));
             }
-            scenario.world.at(135_000, () -> scenario.network.apply(null));
+            scenario.world.schedule(135_000, () -> scenario.network.apply(null));
             scenario.advance(220_000);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             starts += scenario.checker.tasks.starts;
@@ -144,7 +144,7 @@
             int lost = scenario.checker.tasks.lostWithLease;
             for (int i = 0; i < 15; i++) {
                 boolean down = i % 2 == 0;
-                scenario.world.at(
+                scenario.world.schedule(
                         4_000L * i,
                         () -> scenario.network.apply(
                                 down
@@ -181,12 +181,12 @@
             int well = (leaderAtFirst + 1 + seed % 2) % 3;
             int other = 3 - leaderAtFirst - well;
             long[] gaveUpAt = {0};
-            scenario.world.sending =
+            scenario.world.requestObserver =
                     (from, call) -> gaveUpAt[0] = call.path().equals("/release") ? scenario.world.now : gaveUpAt[0];
             int cut = LinkPattern.agentsOf(leaderAtFirst) | LinkPattern.agentsOf(other);
             scenario.network.apply(new LinkPattern(LinkPattern.COUNT - 1 & ~cut));
             // Controllers refuse each other soon after: from then on nobody tells anybody anything.
-            scenario.world.at(
+            scenario.world.schedule(
                     seed % 3 == 0 ? 2_000 : 7_000,
                     () -> scenario.network.apply(
                             new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEERS)));
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -112,12 +112,12 @@
                     || (registers(call) && order.registration == Fate.CARRIED_OUT_LATE);
             return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
         };
-        day.world.answerLost = call -> ((rents(call) && order.rental == Fate.ANSWER_LOST)
+        day.world.losesResponse = call -> ((rents(call) && order.rental == Fate.ANSWER_LOST)
                         || (registers(call) && order.registration == Fate.ANSWER_LOST))
                 && random.nextBoolean();
         day.advance(5_000);
-        day.world.slow("cloud:1", slow ? 3_000 : 0, 60_000);
-        day.world.slow("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
+        day.world.addLatency("cloud:1", slow ? 3_000 : 0, 60_000);
+        day.world.addLatency("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
         endLeaderAt(day, order, 2);
         day.workload.submitUncancelledServices(3);
         day.workload.submitBatchJobs(8, 15_000);
@@ -131,7 +131,7 @@
         Runnable end = () -> {
             if (due[0]) {
                 due[0] = false;
-                day.world.at(order.afterMs, () -> {
+                day.world.schedule(order.afterMs, () -> {
                     day.faults.crash(day.leaderIndex(), order.seed % 2 == 0 ? 150 : 6_000);
                     if (times > 1) {
                         day.onNextFencingToken(() -> endLeaderAt(day, order, times - 1));
@@ -142,8 +142,8 @@
         Consumer<FakeAgent> up = w -> end.run();
         Consumer<Request> report = call -> end.run();
         day.cloud.bootListener = order.end == End.MACHINE_UP ? up : w -> {};
-        day.world.reporting = order.end == End.FIRST_REPORT ? report : call -> {};
-        day.world.sending = (from, call) -> {
+        day.world.heartbeatObserver = order.end == End.FIRST_REPORT ? report : call -> {};
+        day.world.requestObserver = (from, call) -> {
             if ((order.end == End.RENTAL_SENT && rents(call))
                     || (order.end == End.REGISTRATION_SENT && registers(call))
                     || (order.end == End.LAUNCH_SENT && launches(call))) {
@@ -254,14 +254,14 @@
         day.workload.submitBatchJobs(8, 30_000);
         day.advance(30_000);
         day.cloud.agents().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.network.dropInbound(w, 19_000));
-        day.world.reporting = order.onlyHeldBack ? call -> {} : reports::add;
+        day.world.heartbeatObserver = order.onlyHeldBack ? call -> {} : reports::add;
         day.advance(26_000);
-        day.world.reporting = call -> {};
+        day.world.heartbeatObserver = call -> {};
         for (int change = 0; change < 2; change++) {
             day.network.requestDelay = (from, call) -> {
                 if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
                     reports.add(call);
-                    return SimulatedWorld.LOST;
+                    return SimulatedWorld.NEVER_DELIVERED;
                 }
                 return 0;
             };
@@ -302,19 +302,19 @@
                     ObjectNode body = r.body().deepCopy();
                     altered.accept(day, body);
                     Request copy = new Request(r.address(), r.method(), r.path(), body, r.timeoutMs(), false);
-                    day.world.deliverOnce(copy, "p" + node + ":1");
+                    day.world.deliverIgnoringResponse(copy, "p" + node + ":1");
                 }
             }
         });
         switch (order.when) {
             case AT_ONCE -> all.run();
-            case SOON -> day.world.at(150, all);
-            case A_LEASE_LATER -> day.world.at(16_000, all);
+            case SOON -> day.world.schedule(150, all);
+            case A_LEASE_LATER -> day.world.schedule(16_000, all);
             default ->
-                day.world.sending = (from, call) -> {
+                day.world.requestObserver = (from, call) -> {
                     if (call.path().equals("/commands")) {
-                        day.world.sending = (f, c) -> {};
-                        day.world.at(20, all);
+                        day.world.requestObserver = (f, c) -> {};
+                        day.world.schedule(20, all);
                     }
                 };
         }
@@ -421,9 +421,9 @@
                         }
                     });
             switch (order.change) {
-                case RESTART -> day.world.at(2_000, () -> day.faults.crash(leader, 200));
-                case FREEZE -> day.world.at(2_000, () -> day.faults.freeze(leader, 9_000));
-                case CUT -> day.world.at(2_000, () -> day.network.partitionFromStoreAndPeers(leader, 20_000));
+                case RESTART -> day.world.schedule(2_000, () -> day.faults.crash(leader, 200));
+                case FREEZE -> day.world.schedule(2_000, () -> day.faults.freeze(leader, 9_000));
+                case CUT -> day.world.schedule(2_000, () -> day.network.partitionFromStoreAndPeers(leader, 20_000));
                 case WORKERS_CUT -> day.network.partitionFromAgents(leader, 12_000);
                 default -> {}
             }
@@ -463,7 +463,8 @@
             ClusterScenario day = new ClusterScenario(seed);
             day.advance(20_000);
             boolean[] fetching = {false};
-            day.world.reporting = call -> fetching[0] |= call.body().toString().contains("fetching");
+            day.world.heartbeatObserver =
+                    call -> fetching[0] |= call.body().toString().contains("fetching");
             day.workload.submitUncancelledServices(1);
             while (!fetching[0]) {
                 day.advance(10);
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -8,7 +8,7 @@
 
 /** Partitions between controllers, agents, the key-value store and the cloud provider. */
 final class NetworkFaults {
-    /** Milliseconds by which a request, by its sender, is delayed, see {@link SimulatedWorld#heldUp}. */
+    /** Milliseconds by which a request, by its sender, is delayed, see {@link SimulatedWorld#requestDelayMs}. */
     ToLongBiFunction<String, Request> requestDelay = (from, request) -> 0;
 
     private final ClusterScenario scenario;
@@ -22,7 +22,7 @@
     }
 
     long delayMs(String from, Request request) {
-        return silentAgents.contains(from) ? SimulatedWorld.LOST : requestDelay.applyAsLong(from, request);
+        return silentAgents.contains(from) ? SimulatedWorld.NEVER_DELIVERED : requestDelay.applyAsLong(from, request);
     }
 
     /** Nothing passes between a controller and all agents. */
@@ -63,7 +63,7 @@
     /** Requests of the agent are lost, while commands reach it and are answered. */
     void dropOutbound(FakeAgent agent, long ms) {
         silentAgents.add(agent.name);
-        world.at(ms, () -> silentAgents.remove(agent.name));
+        world.schedule(ms, () -> silentAgents.remove(agent.name));
     }
 
     /** Heartbeats of these agents arrive only once it is over, while commands reach them and are answered. */
@@ -118,7 +118,7 @@
 
     /** From now on only the links of that pattern are up; null: all are. */
     void apply(LinkPattern links) {
-        world.close(links == null ? (from, to) -> false : (from, to) -> !isUp(links, from, to));
+        world.blockLinks(links == null ? (from, to) -> false : (from, to) -> !isUp(links, from, to));
     }
 
     private boolean isUp(LinkPattern links, String from, String to) {
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -59,7 +59,7 @@
         for (int i = 0; i < count; i++) {
             String id = "req-9" + String.format("%05d", i);
             ids.add(id);
-            scenario.world.at(i * withinMs / count, () -> scenario.users.submit(id, job(id)));
+            scenario.world.schedule(i * withinMs / count, () -> scenario.users.submit(id, job(id)));
         }
         return ids;
     }
@@ -67,8 +67,8 @@
     /** Counts the transactions by which jobs are ended. */
     private static int[] countEnds(ClusterScenario scenario) {
         int[] transactions = {0};
-        var before = scenario.world.sending;
-        scenario.world.sending = before.andThen((from, call) -> {
+        var before = scenario.world.requestObserver;
+        scenario.world.requestObserver = before.andThen((from, call) -> {
             if (call.path().equals("/commit") && endsJobs(call.body())) {
                 transactions[0]++;
             }
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -115,7 +115,8 @@
         day.network.partitionZone("b", cutMs);
         for (int i = 0; i < 6; i++) {
             String id = "req-00000" + i;
-            day.world.at(i * 4_000 + day.world.random.nextInt(4_000), () -> day.users.cancelAt((inside + 1) % 3, id));
+            day.world.schedule(
+                    i * 4_000 + day.world.random.nextInt(4_000), () -> day.users.cancelAt((inside + 1) % 3, id));
         }
         return calm(day.advance(cutMs));
     }
@@ -138,10 +139,10 @@
         day.advance(30_000);
         int inside = (day.leaderIndex() + 1) % 3;
         day.placeControllerInZone(inside, "b");
-        day.world.heldAreLost = true;
+        day.world.dropsHeldMessages = true;
         day.network.partitionZone("b", 16_000);
-        day.world.at(15_000, () -> day.faults.crash(inside, 150));
-        day.world.at(
+        day.world.schedule(15_000, () -> day.faults.crash(inside, 150));
+        day.world.schedule(
                 14_900,
                 () -> day.cloud.agents().stream()
                         .filter(w -> w.zone.equals("b"))
@@ -173,8 +174,8 @@
                 .forEach(day.cloud::reclaim);
         day.placeControllerInZone((day.leaderIndex() + seed) % 3, "b");
         day.network.partitionZone(zone, 12_000 + 3_000 * seed);
-        day.world.at(4_000, () -> day.faults.crash(day.leaderIndex(), 200 + 4_000 * (seed % 2)));
-        day.world.at(
+        day.world.schedule(4_000, () -> day.faults.crash(day.leaderIndex(), 200 + 4_000 * (seed % 2)));
+        day.world.schedule(
                 12_000 + 3_000 * seed + day.world.random.nextInt(300), () -> day.faults.crash(day.leaderIndex(), 200));
         return calm(day.advance(CUT_MS + 15_000));
     }
@@ -199,7 +200,7 @@
         day.network.delayHeartbeats(names, 2 * CUT_MS);
         day.workload.submitBatchJobs(5, CUT_MS);
         if (seed % 2 == 0) {
-            day.world.at(CUT_MS, () -> day.faults.crash(day.leaderIndex(), 200));
+            day.world.schedule(CUT_MS, () -> day.faults.crash(day.leaderIndex(), 200));
         }
         return calm(day.advance(2 * CUT_MS));
     }
@@ -224,13 +225,13 @@
         day.workload.submitUncancelledServices(2); // their machines stay, with room beside them
         day.advance(8_000);
         for (int node = 0; node < 3; node++) {
-            day.world.slow("p" + node + ":1", 1_000, 80_000);
+            day.world.addLatency("p" + node + ":1", 1_000, 80_000);
         }
-        day.cloud.agents().forEach(w -> day.world.slow(w.address, 1_000, 80_000));
+        day.cloud.agents().forEach(w -> day.world.addLatency(w.address, 1_000, 80_000));
         day.workload.submitJobs(40, 20_000);
         day.store.hiddenKeys = hidden;
-        day.world.at(6_000, () -> day.faults.crash(day.leaderIndex(), 300));
-        day.world.at(25_000, day.faults::crashAll);
+        day.world.schedule(6_000, () -> day.faults.crash(day.leaderIndex(), 300));
+        day.world.schedule(25_000, day.faults::crashAll);
         return calm(day.advance(80_000));
     }
 
@@ -273,13 +274,14 @@
         day.faults.failOverRepeatedly(10, 12_000);
         day.workload.submitJobs(8, 100_000);
         for (int i = 0; i < 4; i++) {
-            day.world.at(5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.faults.cancelHalfOfJobs(0));
+            day.world.schedule(
+                    5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.faults.cancelHalfOfJobs(0));
         }
         if (seed % 2 == 0) {
-            day.world.at(30_000, () -> day.store.startOutage(OUTAGE_MS));
+            day.world.schedule(30_000, () -> day.store.startOutage(OUTAGE_MS));
         }
         if (holdShare < 1) {
-            day.world.at(40_000, () -> day.faults.freeze(day.leaderIndex(), 3_000));
+            day.world.schedule(40_000, () -> day.faults.freeze(day.leaderIndex(), 3_000));
         }
         return calm(day.advance(125_000));
     }
@@ -321,11 +323,11 @@
     private static ClusterScenario refusalThenOutage(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario day = busy(seed, version);
         if (seed % 2 == 0) {
-            day.world.slow("state:1", 800, 10_000);
+            day.world.addLatency("state:1", 800, 10_000);
         }
         day.faults.refusalThenOutage(OUTAGE_MS);
-        day.world.at(1_500 + 500 * seed, () -> day.faults.cancelHalfOfJobs(3_000));
-        day.world.at(OUTAGE_MS + 5_000, () -> day.faults.crash(day.leaderIndex(), 300));
+        day.world.schedule(1_500 + 500 * seed, () -> day.faults.cancelHalfOfJobs(3_000));
+        day.world.schedule(OUTAGE_MS + 5_000, () -> day.faults.crash(day.leaderIndex(), 300));
         return calm(day.advance(OUTAGE_MS + 5_000));
     }
 }
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -76,7 +76,7 @@
     @Test
     void tasksInPartitionedZoneKeepTheirLeasesWhenLeaderOutsideCrashes() {
         ClusterScenario scenario = scenarioLedBy(3, 0, CURRENT_VERSION);
-        scenario.world.at(12_000, () -> scenario.faults.crash(0, 8_000));
+        scenario.world.schedule(12_000, () -> scenario.faults.crash(0, 8_000));
         assertTasksSurviveZonePartition(scenario);
     }
 
@@ -95,7 +95,7 @@
             scenario.workload.submitJobs(60, 90_000);
             scenario.advance(40_000);
             scenario.network.partitionZone("b", 45_000);
-            scenario.world.at(500, () -> scenario.faults.crash(scenario.leaderIndex(), 20_000));
+            scenario.world.schedule(500, () -> scenario.faults.crash(scenario.leaderIndex(), 20_000));
             scenario.advance(12_000);
             int startsBefore = scenario.checker.tasks.starts;
             scenario.advance(13_000);
@@ -134,7 +134,7 @@
         for (int i = 0; i < 3; i++) {
             String zone = scenario.world.random.nextBoolean() ? "a" : "b";
             long durationMs = 5_000L + scenario.world.random.nextInt(45_000);
-            scenario.world.at(
+            scenario.world.schedule(
                     25_000 + 50_000 * i + scenario.world.random.nextInt(30_000),
                     () -> scenario.network.partitionZone(zone, durationMs));
         }
@@ -178,7 +178,7 @@
         scenario.advance(45_000);
         int firstLeader = scenario.leaderIndex();
         scenario.network.partitionZone("b", 40_000);
-        scenario.world.at(1_000, () -> scenario.faults.crash(firstLeader, 60_000));
+        scenario.world.schedule(1_000, () -> scenario.faults.crash(firstLeader, 60_000));
         scenario.advance(12_000);
         int successor = scenario.leaderIndex();
         scenario.advance(27_000);
--- a/src/test/java/org/hollypick/sim/PipelineWorkload.java
+++ b/src/test/java/org/hollypick/sim/PipelineWorkload.java
@@ -23,7 +23,7 @@
     /** Submits pipelines at random moments. */
     void submitPipelines(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
-            world.at(world.random.nextInt((int) withinMs), this::submitPipeline);
+            world.schedule(world.random.nextInt((int) withinMs), this::submitPipeline);
         }
     }
 
@@ -37,18 +37,18 @@
         List<String> middle = new ArrayList<>();
         int parallelStages = 1 + world.random.nextInt(3);
         for (int i = 0; i < parallelStages; i++) {
-            middle.add(submitStage(1 + world.random.nextInt(3 * scenario.size), 5, List.of(first)));
+            middle.add(submitStage(1 + world.random.nextInt(3 * scenario.sizeFactor), 5, List.of(first)));
         }
         middle.add(submitStage(1, 4, List.of(first, first)));
         long delayMs = world.random.nextInt(4) == 0 ? world.random.nextInt(60_000) : 0;
-        world.at(delayMs, () -> submitStage(2, 3, middle));
-        world.at(world.random.nextInt(30_000), () -> submitImpossibleDependencies(first));
+        world.schedule(delayMs, () -> submitStage(2, 3, middle));
+        world.schedule(world.random.nextInt(30_000), () -> submitImpossibleDependencies(first));
     }
 
     private List<String> acceptedBatchJobs() {
         List<String> ids = new ArrayList<>();
         scenario.checker.submitted.forEach((id, job) -> {
-            if (job.path(UserProtocol.SHAPE).asText().equals(UserProtocol.BATCH) && scenario.checker.isAccepted(id)) {
+            if (job.path(UserProtocol.KIND).asText().equals(UserProtocol.BATCH) && scenario.checker.isAccepted(id)) {
                 ids.add(id);
             }
         });
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -49,7 +49,7 @@
             ClusterScenario day = day(seed, NEW);
             day.workload.submitJobs(12, 120_000);
             day.pipelines.submitPipelines(8, 110_000);
-            day.world.at(60_000, day::tightenStoreLimits);
+            day.world.schedule(60_000, day::tightenStoreLimits);
             day.randomFaults.scheduleFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
             day.advance(240_000);
             assertEquals(List.of(), day.checker.violations, "seed " + seed);
@@ -77,11 +77,11 @@
             day.placeControllerInZone(2, "b");
             for (int i = 0; i < 2; i++) {
                 long ms = 10_000L + day.world.random.nextInt(25_000);
-                day.world.at(15_000 + day.world.random.nextInt(50_000), () -> day.network.partitionZone("b", ms));
+                day.world.schedule(15_000 + day.world.random.nextInt(50_000), () -> day.network.partitionZone("b", ms));
             }
             day.advance(58_000);
             day.pipelines.submitPipelines(8, 80_000);
-            day.world.at(20_000, day::tightenStoreLimits);
+            day.world.schedule(20_000, day::tightenStoreLimits);
             day.advance(200_000);
             assertEquals(List.of(), day.checker.violations, "seed " + seed);
             assertEquals(0, day.store.oversizedTransactions, "seed " + seed);
@@ -95,7 +95,7 @@
         for (int seed = 1; seed <= 60; seed++) {
             ClusterScenario day = day(seed, version);
             day.pipelines.submitPipelines(14, 60_000);
-            day.world.at(40_000, day::tightenStoreLimits);
+            day.world.schedule(40_000, day::tightenStoreLimits);
             troubles.accept(day);
             day.advance(180_000);
             if (day.checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
@@ -137,7 +137,7 @@
                     playing[0] = day;
                     day.workload.cancelJobsOnCompletion();
                     for (int i = 0; i < 5; i++) {
-                        day.world.at(15_000 + i * 20_000, () -> day.store.startOutage(5_000));
+                        day.world.schedule(15_000 + i * 20_000, () -> day.store.startOutage(5_000));
                     }
                 }));
     }
@@ -201,7 +201,7 @@
             return false;
         };
         for (int i = 0; i < 12; i++) {
-            day.world.at(15_000 + 8_000 * i, () -> day.faults.crash(day.leaderIndex(), 5_000));
+            day.world.schedule(15_000 + 8_000 * i, () -> day.faults.crash(day.leaderIndex(), 5_000));
         }
     }
 
@@ -242,10 +242,10 @@
         for (int i = 0; i < 300; i++) {
             String id = String.format("req-%018d", i);
             ids.add(id);
-            day.world.at(i * 150L, () -> day.users.submit(id, job(id, 1, List.of())));
+            day.world.schedule(i * 150L, () -> day.users.submit(id, job(id, 1, List.of())));
         }
         String last = "req-" + "9".repeat(18);
-        day.world.at(20_000, () -> day.users.submitWhenAccepted(last, job(last, 2, ids)));
+        day.world.schedule(20_000, () -> day.users.submitWhenAccepted(last, job(last, 2, ids)));
         day.advance(60_000);
         assertTrue(day.checker.isAccepted(last));
         day.faults.crashAll();
@@ -349,7 +349,7 @@
         for (int i = 0; i < 220; i++) {
             String id = String.format("req-%06d", 100 + i);
             packed.put(id + "/0", "AA==");
-            day.world.at(
+            day.world.schedule(
                     i * 60L, () -> day.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
         day.advance(20_000);
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -44,7 +44,7 @@
         int before = scenario.leaderIndex();
         scenario.faults.freezeLeaderBefore(kind, LONGER_THAN_THE_HOLD_MS);
         scenario.workload.submitUncancelledServices(8);
-        scenario.world.at(
+        scenario.world.schedule(
                 500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(w -> w.hang(20_000)));
         scenario.advance(60_000);
         assertNotEquals(before, scenario.leaderIndex(), "seed " + seed + ": another one leads by then");
--- a/src/test/java/org/hollypick/sim/ProductionVersion.java
+++ b/src/test/java/org/hollypick/sim/ProductionVersion.java
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void handleMesh(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
+        public void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
             invoke(handleMesh, method, path, body, answer(reply));
         }
     }
--- a/src/test/java/org/hollypick/sim/QuotaWithUnreachableMachinesTest.java
+++ b/src/test/java/org/hollypick/sim/QuotaWithUnreachableMachinesTest.java
@@ -61,7 +61,7 @@
         for (int i = 0; i < count; i++) {
             int tasks = 8 + scenario.world.random.nextInt(16);
             double seconds = 6 + scenario.world.random.nextInt(12);
-            scenario.world.at(
+            scenario.world.schedule(
                     scenario.world.random.nextInt((int) withinMs),
                     () -> scenario.workload.submitBatchJob(tasks, seconds, JobDescription.DEFAULT_IMAGE));
         }
@@ -84,7 +84,7 @@
     private static List<String> unfinishedBatchJobs(ClusterScenario scenario) {
         List<String> unfinished = new ArrayList<>();
         scenario.checker.submitted.forEach((id, job) -> {
-            if (job.path(UserProtocol.SHAPE).asText().equals(UserProtocol.BATCH) && !scenario.checker.isTerminal(id)) {
+            if (job.path(UserProtocol.KIND).asText().equals(UserProtocol.BATCH) && !scenario.checker.isTerminal(id)) {
                 unfinished.add(id);
             }
         });
@@ -102,9 +102,9 @@
                 provisionedCores(scenario) <= TOTAL_QUOTA_CORES + CORES_BEYOND_QUOTAS,
                 label + ": " + provisionedCores(scenario) + " cores provisioned before the fault");
         dropTraffic(scenario, direction, durationMs);
-        scenario.world.at(1_500, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
+        scenario.world.schedule(1_500, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
         scenario.advance(durationMs + 15_000);
-        scenario.world.at(0, () -> scenario.checker.faultsEnded(scenario.world.now));
+        scenario.world.schedule(0, () -> scenario.checker.faultsEnded(scenario.world.now));
         scenario.advance(150_000);
         assertEquals(List.of(), unfinishedBatchJobs(scenario), label);
         assertEquals(List.of(), scenario.checker.violations, label);
@@ -140,7 +140,7 @@
                 submittedAt.put(
                         scenario.workload.submitBatchJob(8, 8, JobDescription.DEFAULT_IMAGE), scenario.world.now);
             }
-            scenario.world.at(1_500, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
+            scenario.world.schedule(1_500, () -> scenario.faults.crash(scenario.leaderIndex(), 4_000));
             scenario.advance(150_000);
             for (String id : submittedAt.keySet()) {
                 assertTrue(
--- a/src/test/java/org/hollypick/sim/RandomFaults.java
+++ b/src/test/java/org/hollypick/sim/RandomFaults.java
@@ -49,7 +49,7 @@
     /** Schedules single faults at random moments. */
     void scheduleFaults(int count, long fromMs, long toMs) {
         for (int i = 0; i < count; i++) {
-            world.at(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectFault);
+            world.schedule(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectFault);
         }
     }
 
@@ -58,15 +58,16 @@
      * within a store session, a lease or the time that cancelled tasks have.
      */
     void scheduleCombinedFaults(int pairs, long fromMs, long toMs) {
-        List<Long> distancesMs = List.of(0L, 4_000L, scenario.leaseMs, scenario.cancellationMs());
+        List<Long> distancesMs = List.of(0L, 4_000L, scenario.agentLeaseMs, scenario.cancellationLimitMs());
         for (int i = 0; i < pairs; i++) {
             long firstMs = fromMs + world.random.nextInt((int) (toMs - fromMs));
             long withinMs = distancesMs.get(world.random.nextInt(4));
-            world.at(firstMs, this::injectCombinableFault);
+            world.schedule(firstMs, this::injectCombinableFault);
             if (withinMs == 0) {
-                world.at(firstMs, () -> faults.injectAtNextRequest(drawRequestKind(), this::injectCombinableFault));
+                world.schedule(
+                        firstMs, () -> faults.injectAtNextRequest(drawRequestKind(), this::injectCombinableFault));
             } else {
-                world.at(firstMs + world.random.nextInt((int) withinMs), this::injectCombinableFault);
+                world.schedule(firstMs + world.random.nextInt((int) withinMs), this::injectCombinableFault);
             }
         }
     }
@@ -77,7 +78,7 @@
      */
     void scheduleReorderingFaults(int count, long fromMs, long toMs) {
         for (int i = 0; i < count; i++) {
-            world.at(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectReorderingFault);
+            world.schedule(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectReorderingFault);
         }
     }
 
@@ -141,18 +142,18 @@
     }
 
     private void duplicateHeartbeats(long ms) {
-        world.copyShare = 0.3;
-        world.at(ms, () -> world.copyShare = 0);
+        world.duplicateHeartbeatProbability = 0.3;
+        world.schedule(ms, () -> world.duplicateHeartbeatProbability = 0);
     }
 
     private void delayRequests(long ms) {
-        world.lateShare = 0.03;
-        world.at(ms, () -> world.lateShare = 0);
+        world.lateRequestProbability = 0.03;
+        world.schedule(ms, () -> world.lateRequestProbability = 0);
     }
 
     private void delayTransactions(long ms) {
-        world.lateWriteShare = 0.2;
-        world.at(ms, () -> world.lateWriteShare = 0);
+        world.lateTransactionProbability = 0.2;
+        world.schedule(ms, () -> world.lateTransactionProbability = 0);
     }
 
     /** One of the faults that broke invariants together with another one; most strike the leader. */
@@ -172,10 +173,10 @@
     private void injectStoreFault(int kind, int leader, long ms) {
         String name = SimulatedController.name(leader);
         switch (kind) {
-            case 0, 1 -> world.refuse(name, ClusterScenario.STORE_ADDRESS, ms);
-            case 2, 3 -> scenario.store.startOutage(scenario.cancellationMs() + ms);
+            case 0, 1 -> world.refuseRequests(name, ClusterScenario.STORE_ADDRESS, ms);
+            case 2, 3 -> scenario.store.startOutage(scenario.cancellationLimitMs() + ms);
             case 4 -> delayTransactions(ms);
-            case 5 -> world.slow(ClusterScenario.STORE_ADDRESS, 3_000, ms);
+            case 5 -> world.addLatency(ClusterScenario.STORE_ADDRESS, 3_000, ms);
             case 6 -> network.partitionFromStoreAndPeers(leader, 2 * ms);
             default -> world.cutOneWay(ClusterScenario.STORE_ADDRESS, name, ms);
         }
@@ -193,9 +194,9 @@
                         .forEach(agent -> network.dropInbound(agent, 2 * ms));
             case 13, 14 -> {
                 String zone = ClusterScenario.ZONES.get(world.random.nextInt(ClusterScenario.ZONES.size()));
-                network.partitionZone(zone, scenario.leaseMs + ms);
+                network.partitionZone(zone, scenario.agentLeaseMs + ms);
             }
-            default -> network.delayHeartbeats(faults.drawMachines(), scenario.leaseMs + ms);
+            default -> network.delayHeartbeats(faults.drawMachines(), scenario.agentLeaseMs + ms);
         }
     }
 
@@ -204,7 +205,7 @@
             case 16 -> faults.crashAllBeyondLease();
             case 17 -> faults.failOverRepeatedly(10, 10_000);
             case 18, 19 -> faults.cancelHalfOfJobs(ms);
-            case 20, 21 -> faults.refusalThenOutage(scenario.cancellationMs() + ms);
+            case 20, 21 -> faults.refusalThenOutage(scenario.cancellationLimitMs() + ms);
             case 22 -> faults.freezeBefore(leader, drawRequestKind(), ms);
             default -> faults.hangThirdOfMachines(ms);
         }
@@ -214,9 +215,9 @@
         int leader = scenario.leaderIndexOrFirst();
         long ms = 1_000L + world.random.nextInt(8_000);
         switch (world.random.nextInt(8)) {
-            case 0 -> world.slow(ClusterScenario.STORE_ADDRESS, 700, ms);
-            case 1, 2 -> world.slow(SimulatedController.peerAddress(leader), 400, 2 * ms);
-            case 3 -> world.refuse(SimulatedController.name(leader), ClusterScenario.STORE_ADDRESS, ms);
+            case 0 -> world.addLatency(ClusterScenario.STORE_ADDRESS, 700, ms);
+            case 1, 2 -> world.addLatency(SimulatedController.peerAddress(leader), 400, 2 * ms);
+            case 3 -> world.refuseRequests(SimulatedController.name(leader), ClusterScenario.STORE_ADDRESS, ms);
             case 4 -> faults.freeze(world.random.nextInt(ClusterScenario.CONTROLLERS), 100 + ms / 2);
             case 5 ->
                 world.cutOneWay(
--- a/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
+++ b/src/test/java/org/hollypick/sim/RuntimeStatisticsTest.java
@@ -134,7 +134,7 @@
                 case 1 -> scenario.faults.crashAll();
                 case 2 -> {
                     scenario.store.startOutage(12_000);
-                    scenario.world.at(3_000, scenario.faults::crashAll);
+                    scenario.world.schedule(3_000, scenario.faults::crashAll);
                 }
                 default -> {
                     scenario.tightenStoreLimits();
--- a/src/test/java/org/hollypick/sim/SimulatedController.java
+++ b/src/test/java/org/hollypick/sim/SimulatedController.java
@@ -48,23 +48,23 @@
 
     void start() {
         process = scenario.world.new Process(name(), clockRate);
-        process.limit(scenario.socketLimit, scenario.costPerTaskMs);
+        process.limitResources(scenario.socketLimit, scenario.costPerTaskMs);
         controller = scenario.newController(this);
         process.after(0, controller::start);
     }
 
     /** Ends the process; another one starts after a while, with the version that is due by then. */
     void crash(long downtimeMs) {
-        if (process.dead) {
+        if (process.isKilled) {
             return;
         }
-        process.dead = true;
-        scenario.world.at(downtimeMs, this::start);
+        process.isKilled = true;
+        scenario.world.schedule(downtimeMs, this::start);
     }
 
     @Override
     public boolean listens() {
-        return !process.dead;
+        return !process.isKilled;
     }
 
     @Override
@@ -76,7 +76,7 @@
         SimulatedWorld.Process receiver = process;
         boolean isHeartbeat = path.equals(AgentProtocol.HEARTBEAT);
         String machine = isHeartbeat ? body.path(AgentProtocol.MACHINE_ID).asText() : null;
-        if (isHeartbeat && !receiver.accepts(machine)) {
+        if (isHeartbeat && !receiver.acceptHeartbeat(machine)) {
             callback.accept(Response.notSent());
             return;
         }
@@ -87,7 +87,7 @@
             Response response = scenario.responseFault.apply(question, answer);
             scenario.checker.order.left(question, response, scenario.world.now);
             if (isHeartbeat) {
-                receiver.answered(machine);
+                receiver.heartbeatAnswered(machine);
             }
             scenario.responseObserver.accept(name(), path);
             if (isHeartbeat) {
@@ -95,16 +95,19 @@
             }
             callback.accept(response);
         };
-        receiver.awake(() -> scenario.metering.run(
+        receiver.runOrDefer(() -> scenario.metering.run(
                 name(),
                 RequestMetering.activity(path, body),
                 () -> controller.handle(
-                        method, path, bytes, answer -> receiver.out(() -> respond.accept(answer.get())))));
+                        method,
+                        path,
+                        bytes,
+                        answer -> receiver.runAfterSendDelay(() -> respond.accept(answer.get())))));
     }
 
     private void checkLaunches(Response response) {
         if (response.ok()
-                && response.body().path(AgentProtocol.ORDERS).toString().contains(AgentProtocol.LAUNCH)) {
+                && response.body().path(AgentProtocol.COMMAND_LIST).toString().contains(AgentProtocol.LAUNCH)) {
             scenario.leadership.launchSent(
                     name(), response.body().path(AgentProtocol.FENCING_TOKEN).asLong());
         }
@@ -113,8 +116,8 @@
     /** A user's request with its body as it comes from the wire. */
     void handleRaw(String method, String path, byte[] body, Consumer<Response> callback) {
         SimulatedWorld.Process receiver = process;
-        receiver.awake(() ->
-                controller.handle(method, path, body, answer -> receiver.out(() -> callback.accept(answer.get()))));
+        receiver.runOrDefer(() -> controller.handle(
+                method, path, body, answer -> receiver.runAfterSendDelay(() -> callback.accept(answer.get()))));
     }
 
     /** What other controllers reach. */
@@ -129,11 +132,14 @@
             public void request(String method, String path, JsonNode body, Consumer<Response> callback) {
                 SimulatedWorld.Process receiver = process;
                 byte[] bytes = body == null ? new byte[0] : Codec.write(body, true);
-                receiver.awake(() -> scenario.metering.run(
+                receiver.runOrDefer(() -> scenario.metering.run(
                         name(),
                         path,
-                        () -> controller.handleMesh(
-                                method, path, bytes, answer -> receiver.out(() -> callback.accept(answer.get())))));
+                        () -> controller.handlePeerRequest(
+                                method,
+                                path,
+                                bytes,
+                                answer -> receiver.runAfterSendDelay(() -> callback.accept(answer.get())))));
             }
         };
     }
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -39,19 +39,19 @@
         }
 
         /** How often it was started again: what was sent to an earlier life's connections ends with them. */
-        default int life() {
+        default int restartCount() {
             return 0;
         }
     }
 
-    private record Event(long at, long seq, Runnable run) implements Comparable<Event> {
+    private record Event(long timeMs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+            return timeMs != o.timeMs ? Long.compare(timeMs, o.timeMs) : Long.compare(sequence, o.sequence);
         }
     }
 
-    static final long LOST = -1;
+    static final long NEVER_DELIVERED = -1;
 
     private static final String HEARTBEAT_PATH = "/hello";
     private static final String COMMIT_PATH = "/commit";
@@ -62,57 +62,57 @@
     private long seq;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    private final Set<String> cut = new HashSet<>();
-    private final Set<String> oneWay = new HashSet<>();
-    private BiPredicate<String, String> closed = (from, to) -> false;
-    private final Map<String, List<Runnable>> held = new HashMap<>();
+    private final Set<String> cutLinks = new HashSet<>();
+    private final Set<String> blockedDirections = new HashSet<>();
+    private BiPredicate<String, String> isBlockedByPattern = (from, to) -> false;
+    private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
     /** What a cut holds back is lost with it, instead of being delivered when it is over. */
-    boolean heldAreLost;
+    boolean dropsHeldMessages;
     /** Chance that a delivered request is kept back and executed up to a minute later, its answer lost. */
-    double lateShare;
+    double lateRequestProbability;
     /** Chance that a machine's report arrives once more, up to a minute later. */
-    double copyShare;
+    double duplicateHeartbeatProbability;
     /** Chance that a transaction gets no answer and is carried out 2 to 12 s later. */
-    double lateWriteShare;
+    double lateTransactionProbability;
     /** Chance that a transaction is carried out at once and only its answer is lost. */
-    double lostAnswerShare;
+    double lostTransactionResponseProbability;
     /** Which transactions those two may happen to. */
-    Predicate<JsonNode> lateWrites = txn -> true;
+    Predicate<JsonNode> faultProneTransactions = txn -> true;
     /**
      * Milliseconds by which a call, by its sender, is held up: it gets no answer and is carried out once, so much
-     * later. 0: it isn't; {@link #LOST}: it is never carried out.
+     * later. 0: it isn't; {@link #NEVER_DELIVERED}: it is never carried out.
      */
-    ToLongBiFunction<String, Request> heldUp = (from, call) -> 0;
+    ToLongBiFunction<String, Request> requestDelayMs = (from, call) -> 0;
     /** Calls that are carried out at once while their answer is lost. */
-    Predicate<Request> answerLost = call -> false;
+    Predicate<Request> losesResponse = call -> false;
     /** Sees each machine's report in the moment of sending: for copies that arrive later. */
-    Consumer<Request> reporting = report -> {};
+    Consumer<Request> heartbeatObserver = report -> {};
     /**
      * Hosts whose calls to an address are answered with 503 at once, as one that is overloaded refuses a single caller.
      */
-    private final Set<String> refused = new HashSet<>();
+    private final Set<String> refusedDirections = new HashSet<>();
     /** Milliseconds that calls to an address take longer, at most. */
-    private final Map<String, Integer> slow = new HashMap<>();
+    private final Map<String, Integer> extraLatencyMs = new HashMap<>();
 
     private String digest;
     /** Sees what controllers send, in the moment of sending. */
-    BiConsumer<String, Request> sending = (from, call) -> {};
+    BiConsumer<String, Request> requestObserver = (from, call) -> {};
 
-    private final Hasher played = Hashing.murmur3_128().newHasher();
+    private final Hasher digestHasher = Hashing.murmur3_128().newHasher();
 
     SimulatedWorld(long seed) {
         random = new Random(seed);
     }
 
-    void at(long ms, Runnable run) {
+    void schedule(long ms, Runnable run) {
         events.add(new Event(now + Math.max(0, ms), seq++, run));
     }
 
     void runUntil(long end) {
-        while (!events.isEmpty() && events.peek().at <= end) {
+        while (!events.isEmpty() && events.peek().timeMs <= end) {
             Event e = events.poll();
-            now = e.at;
-            e.run.run();
+            now = e.timeMs;
+            e.action.run();
         }
         now = end;
     }
@@ -127,21 +127,21 @@
 
     void cut(String a, String b, long ms) {
         String link = link(a, b);
-        cut.add(link);
-        at(ms, () -> {
-            cut.remove(link);
-            List<Runnable> late = held.remove(link);
-            if (late != null && !heldAreLost) {
+        cutLinks.add(link);
+        schedule(ms, () -> {
+            cutLinks.remove(link);
+            List<Runnable> late = heldMessages.remove(link);
+            if (late != null && !dropsHeldMessages) {
                 late.forEach(Runnable::run);
             }
         });
     }
 
     /** {@code answer}: of what comes back from there. */
-    private boolean shut(String link, String from, String to, boolean answer) {
-        return cut.contains(link)
-                || closed.test(from, to)
-                || oneWay.contains(answer ? to + ">" + from : from + ">" + to);
+    private boolean isBlocked(String link, String from, String to, boolean answer) {
+        return cutLinks.contains(link)
+                || isBlockedByPattern.test(from, to)
+                || blockedDirections.contains(answer ? to + ">" + from : from + ">" + to);
     }
 
     /**
@@ -149,10 +149,10 @@
      * over.
      */
     void cutOneWay(String from, String to, long ms) {
-        oneWay.add(from + ">" + to);
-        at(ms, () -> {
-            oneWay.remove(from + ">" + to);
-            List<Runnable> late = cut.contains(link(from, to)) ? null : held.remove(link(from, to));
+        blockedDirections.add(from + ">" + to);
+        schedule(ms, () -> {
+            blockedDirections.remove(from + ">" + to);
+            List<Runnable> late = cutLinks.contains(link(from, to)) ? null : heldMessages.remove(link(from, to));
             if (late != null) {
                 late.forEach(Runnable::run);
             }
@@ -160,33 +160,37 @@
     }
 
     /** That host's calls to the address are refused; those already waiting there, as a watch does, go on waiting. */
-    void refuse(String from, String to, long ms) {
-        refused.add(from + ">" + to);
-        at(ms, () -> refused.remove(from + ">" + to));
+    void refuseRequests(String from, String to, long ms) {
+        refusedDirections.add(from + ">" + to);
+        schedule(ms, () -> refusedDirections.remove(from + ">" + to));
     }
 
     /** Calls to the address, and its answers, each take up to that much longer, and may overtake one another. */
-    void slow(String address, int byMs, long ms) {
-        slow.put(address, byMs);
-        at(ms, () -> slow.remove(address));
+    void addLatency(String address, int byMs, long ms) {
+        extraLatencyMs.put(address, byMs);
+        schedule(ms, () -> extraLatencyMs.remove(address));
     }
 
     private long latency(String address) {
-        return 1L + random.nextInt(5) + (slow.isEmpty() ? 0 : random.nextInt(1 + slow.getOrDefault(address, 0)));
+        return 1L
+                + random.nextInt(5)
+                + (extraLatencyMs.isEmpty() ? 0 : random.nextInt(1 + extraLatencyMs.getOrDefault(address, 0)));
     }
 
     /** A request that was held up, or a copy of one, arrives at an address; nobody gets its answer. */
-    void deliverOnce(Request call, String to) {
+    void deliverIgnoringResponse(Request call, String to) {
         if (endpoints.get(to).listens()) {
             endpoints.get(to).request(call.method(), call.path(), call.body(), r -> {});
         }
     }
 
     /** The same request once more, after a while, to another address; nobody gets its answer. */
-    private void copy(Request call) {
-        if (call.path().equals(HEARTBEAT_PATH) && copyShare > 0 && random.nextDouble() < copyShare) {
+    private void duplicateHeartbeat(Request call) {
+        if (call.path().equals(HEARTBEAT_PATH)
+                && duplicateHeartbeatProbability > 0
+                && random.nextDouble() < duplicateHeartbeatProbability) {
             String to = "p" + random.nextInt(3) + ":1";
-            at(1_000 + random.nextInt(60_000), () -> deliverOnce(call, to));
+            schedule(1_000 + random.nextInt(60_000), () -> deliverIgnoringResponse(call, to));
         }
     }
 
@@ -194,11 +198,11 @@
      * From now on nothing passes from a host to an address, nor back, for which that says so; until the next such word.
      * What was held back is delivered then.
      */
-    void close(BiPredicate<String, String> which) {
-        closed = which;
-        for (String link : new ArrayList<>(held.keySet())) {
-            if (!cut.contains(link)) {
-                held.remove(link).forEach(Runnable::run);
+    void blockLinks(BiPredicate<String, String> which) {
+        isBlockedByPattern = which;
+        for (String link : new ArrayList<>(heldMessages.keySet())) {
+            if (!cutLinks.contains(link)) {
+                heldMessages.remove(link).forEach(Runnable::run);
             }
         }
     }
@@ -209,25 +213,26 @@
      */
     String digest() {
         if (digest == null) {
-            digest = played.hash().toString();
+            digest = digestHasher.hash().toString();
         }
         return digest;
     }
 
     /** Sends a request from one host to an address; the response comes exactly once. */
     void send(String from, Request call, Consumer<Response> callback) {
-        played.putLong(now)
+        digestHasher
+                .putLong(now)
                 .putString(from + call.address() + call.method() + call.path() + call.body(), StandardCharsets.UTF_8);
         Consumer<Response> once = onlyFirst(callback);
         Endpoint endpoint = endpoints.get(call.address());
         if (endpoint == null || !endpoint.listens()) {
-            at(1, () -> once.accept(Response.notSent()));
+            schedule(1, () -> once.accept(Response.notSent()));
             return;
         }
-        at(call.timeoutMs(), () -> once.accept(Response.noResponse()));
-        copy(call);
+        schedule(call.timeoutMs(), () -> once.accept(Response.noResponse()));
+        duplicateHeartbeat(call);
         if (call.path().equals(HEARTBEAT_PATH)) {
-            reporting.accept(call);
+            heartbeatObserver.accept(call);
         }
         if (!isHeldUp(from, call) && !isRefused(from, call, once) && !isLateWrite(endpoint, call)) {
             deliver(from, call, endpoint, once);
@@ -243,29 +248,32 @@
         };
     }
 
-    /** Applies {@link #heldUp}. */
+    /** Applies {@link #requestDelayMs}. */
     private boolean isHeldUp(String from, Request call) {
-        long heldUpMs = heldUp.applyAsLong(from, call);
-        if (heldUpMs != 0 && heldUpMs != LOST) {
-            at(heldUpMs, () -> deliverOnce(call, call.address()));
+        long heldUpMs = requestDelayMs.applyAsLong(from, call);
+        if (heldUpMs != 0 && heldUpMs != NEVER_DELIVERED) {
+            schedule(heldUpMs, () -> deliverIgnoringResponse(call, call.address()));
         }
         return heldUpMs != 0;
     }
 
     /** Answers the call with 503 if the address refuses this host. */
     private boolean isRefused(String from, Request call, Consumer<Response> callback) {
-        boolean isRefused = refused.contains(from + ">" + call.address());
+        boolean isRefused = refusedDirections.contains(from + ">" + call.address());
         if (isRefused) {
-            at(2, () -> callback.accept(new Response(503, Codec.object())));
+            schedule(2, () -> callback.accept(new Response(503, Codec.object())));
         }
         return isRefused;
     }
 
-    /** Draws whether {@link #lateWriteShare} strikes the call; if so, it is carried out later and never answered. */
+    /**
+     * Draws whether {@link #lateTransactionProbability} strikes the call; if so, it is carried out later and never
+     * answered.
+     */
     private boolean isLateWrite(Endpoint endpoint, Request call) {
-        boolean isLate = isFaultyWrite(call, lateWriteShare);
+        boolean isLate = isFaultyWrite(call, lateTransactionProbability);
         if (isLate) {
-            at(
+            schedule(
                     2_000 + random.nextInt(10_000),
                     () -> endpoint.request(call.method(), call.path(), call.body(), response -> {}));
         }
@@ -275,34 +283,37 @@
     private boolean isFaultyWrite(Request call, double share) {
         return share > 0
                 && call.path().equals(COMMIT_PATH)
-                && lateWrites.test(call.body())
+                && faultProneTransactions.test(call.body())
                 && random.nextDouble() < share;
     }
 
     private void deliver(String from, Request call, Endpoint endpoint, Consumer<Response> callback) {
         String link = link(from, call.address());
-        boolean isAnswerLost = isFaultyWrite(call, lostAnswerShare);
+        boolean isAnswerLost = isFaultyWrite(call, lostTransactionResponseProbability);
         long latency = latency(call.address());
-        int life = endpoint.life();
+        int life = endpoint.restartCount();
         Runnable execute = () -> {
-            if (endpoint.listens() && endpoint.life() == life) {
+            if (endpoint.listens() && endpoint.restartCount() == life) {
                 endpoint.request(call.method(), call.path(), call.body(), response -> {
-                    played.putLong(now)
+                    digestHasher
+                            .putLong(now)
                             .putInt(response.status())
                             .putString(call.address() + response.body(), StandardCharsets.UTF_8);
-                    if (!isAnswerLost && !answerLost.test(call)) {
+                    if (!isAnswerLost && !losesResponse.test(call)) {
                         sendBack(from, call, response, callback);
                     }
                 });
             }
         };
-        if (shut(link, from, call.address(), false)) {
+        if (isBlocked(link, from, call.address(), false)) {
             hold(link, execute);
-        } else if (lateShare > 0 && !call.path().startsWith(WATCH_PATH) && random.nextDouble() < lateShare) {
-            at(random.nextInt(60_000), execute);
+        } else if (lateRequestProbability > 0
+                && !call.path().startsWith(WATCH_PATH)
+                && random.nextDouble() < lateRequestProbability) {
+            schedule(random.nextInt(60_000), execute);
         } else {
-            at(latency, () -> {
-                if (shut(link, from, call.address(), false)) {
+            schedule(latency, () -> {
+                if (isBlocked(link, from, call.address(), false)) {
                     hold(link, execute);
                 } else {
                     execute.run();
@@ -313,8 +324,8 @@
 
     private void sendBack(String from, Request call, Response response, Consumer<Response> callback) {
         String link = link(from, call.address());
-        Runnable arrive = () -> at(latency(call.address()), () -> callback.accept(response));
-        if (shut(link, from, call.address(), true)) {
+        Runnable arrive = () -> schedule(latency(call.address()), () -> callback.accept(response));
+        if (isBlocked(link, from, call.address(), true)) {
             hold(link, arrive);
         } else {
             arrive.run();
@@ -322,7 +333,7 @@
     }
 
     private void hold(String link, Runnable delivery) {
-        held.computeIfAbsent(link, key -> new ArrayList<>()).add(delivery);
+        heldMessages.computeIfAbsent(link, key -> new ArrayList<>()).add(delivery);
     }
 
     /**
@@ -330,43 +341,43 @@
      * millisecond later: if it stands still in between, that goes out, if at all, when it goes on.
      */
     final class Process implements EventLoop {
-        private static final long OUT_MS = 1;
+        private static final long SEND_DELAY_MS = 1;
 
         private final String host;
         /**
          * Its connections; null: as many as it likes. A machine's stays open until it is closed after an answer, or
          * unused for long.
          */
-        private ConnectionBudget sockets;
+        private ConnectionBudget connections;
 
-        private int limit;
-        private final Map<String, Long> reporters = new HashMap<>();
+        private int socketLimit;
+        private final Map<String, Long> heartbeatsReceivedAt = new HashMap<>();
         /**
          * Milliseconds of processor time for each thing that it does; 0: none. What it can't do at once waits its turn.
          */
-        private double costMs;
+        private double costPerTaskMs;
 
-        private final ArrayDeque<Runnable> turn = new ArrayDeque<>();
+        private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         private double busyUntil;
-        private boolean draining;
+        private boolean isDrainScheduled;
         /** How fast this process's steady clock runs. */
-        private final double rate;
+        private final double clockRate;
 
-        boolean dead;
+        boolean isKilled;
         private long frozenUntil;
         /** Calls of that kind freeze the process, once, after they were decided on and before they are sent. */
-        private Predicate<Request> trap = call -> false;
+        private Predicate<Request> freezeTrigger = call -> false;
 
-        private long trapMs;
+        private long triggeredFreezeMs;
 
         Process(String host, double rate) {
             this.host = host;
-            this.rate = rate;
+            this.clockRate = rate;
         }
 
         @Override
         public long now() {
-            return (long) (now * rate);
+            return (long) (now * clockRate);
         }
 
         @Override
@@ -376,74 +387,74 @@
 
         @Override
         public void after(long ms, Runnable task) {
-            at((long) (ms / rate), () -> awake(task));
+            schedule((long) (ms / clockRate), () -> runOrDefer(task));
         }
 
         /** Now, or once the process goes on; never if it was killed. */
-        void awake(Runnable task) {
-            if (dead) {
+        void runOrDefer(Runnable task) {
+            if (isKilled) {
                 return;
             }
             if (now < frozenUntil) {
-                at(frozenUntil - now, () -> awake(task));
-            } else if (costMs == 0) {
+                schedule(frozenUntil - now, () -> runOrDefer(task));
+            } else if (costPerTaskMs == 0) {
                 task.run();
             } else {
-                turn.add(task);
-                drain();
+                queue.add(task);
+                runQueuedTasks();
             }
         }
 
         /** One thing after the other, each at its cost. */
-        private void drain() {
-            if (!draining && !dead) {
-                while (!turn.isEmpty() && busyUntil <= now) {
-                    busyUntil = Math.max(busyUntil, (double) now) + costMs;
-                    turn.poll().run();
+        private void runQueuedTasks() {
+            if (!isDrainScheduled && !isKilled) {
+                while (!queue.isEmpty() && busyUntil <= now) {
+                    busyUntil = Math.max(busyUntil, (double) now) + costPerTaskMs;
+                    queue.poll().run();
                 }
-                if (!turn.isEmpty()) {
-                    draining = true;
-                    at((long) Math.ceil(busyUntil - now), () -> {
-                        draining = false;
-                        drain();
+                if (!queue.isEmpty()) {
+                    isDrainScheduled = true;
+                    schedule((long) Math.ceil(busyUntil - now), () -> {
+                        isDrainScheduled = false;
+                        runQueuedTasks();
                     });
                 }
             }
         }
 
-        void limit(int sockets, double costMs) {
-            this.sockets = sockets > 0 ? new ConnectionBudget(sockets) : null;
-            this.limit = sockets;
-            this.costMs = costMs;
+        void limitResources(int sockets, double costMs) {
+            this.connections = sockets > 0 ? new ConnectionBudget(sockets) : null;
+            this.socketLimit = sockets;
+            this.costPerTaskMs = costMs;
         }
 
         /** A report arrives: false if there is no socket for its connection. */
-        boolean accepts(String from) {
-            if (sockets == null || reporters.put(from, now) != null) {
+        boolean acceptHeartbeat(String from) {
+            if (connections == null || heartbeatsReceivedAt.put(from, now) != null) {
                 return true;
             }
             if (Stream.of(ConnectionBudget.Kind.values())
-                            .mapToInt(sockets::open)
+                            .mapToInt(connections::open)
                             .sum()
-                    >= limit) {
-                reporters.remove(from);
+                    >= socketLimit) {
+                heartbeatsReceivedAt.remove(from);
                 return false;
             }
-            sockets.opened(ConnectionBudget.Kind.HEARTBEATS);
+            connections.opened(ConnectionBudget.Kind.HEARTBEATS);
             return true;
         }
 
         /** It was answered: the connection closes now if others need it, else when it has been unused for long. */
-        void answered(String from) {
-            if (sockets != null && reporters.containsKey(from)) {
-                long used = reporters.get(from);
-                at(
-                        sockets.shouldCloseAfterResponse(ConnectionBudget.Kind.HEARTBEATS)
+        void heartbeatAnswered(String from) {
+            if (connections != null && heartbeatsReceivedAt.containsKey(from)) {
+                long used = heartbeatsReceivedAt.get(from);
+                schedule(
+                        connections.shouldCloseAfterResponse(ConnectionBudget.Kind.HEARTBEATS)
                                 ? 0
                                 : NetworkConstants.IDLE_CONNECTION_TIMEOUT_MS,
                         () -> {
-                            if (reporters.remove(from, used)) {
-                                sockets.closed(ConnectionBudget.Kind.HEARTBEATS);
+                            if (heartbeatsReceivedAt.remove(from, used)) {
+                                connections.closed(ConnectionBudget.Kind.HEARTBEATS);
                             }
                         });
             }
@@ -455,40 +466,40 @@
         }
 
         void freezeBeforeSending(Predicate<Request> which, long ms) {
-            trap = which;
-            trapMs = ms;
+            freezeTrigger = which;
+            triggeredFreezeMs = ms;
         }
 
         /** What was decided now leaves the process. */
-        void out(Runnable send) {
-            at(OUT_MS, () -> awake(send));
+        void runAfterSendDelay(Runnable send) {
+            schedule(SEND_DELAY_MS, () -> runOrDefer(send));
         }
 
         @Override
         public void send(Request call, Consumer<Response> callback) {
-            if (trap.test(call)) {
-                trap = c -> false;
-                freeze(trapMs);
+            if (freezeTrigger.test(call)) {
+                freezeTrigger = c -> false;
+                freeze(triggeredFreezeMs);
             }
             ConnectionBudget.Kind kind = call.toPeer() || call.address().endsWith(":1")
                     ? ConnectionBudget.Kind.CONTROL
                     : ConnectionBudget.Kind.COMMANDS;
-            if (sockets != null) {
-                if (kind == ConnectionBudget.Kind.COMMANDS && !sockets.hasCapacity(kind)) {
-                    at(0, () -> awake(() -> callback.accept(Response.noCapacity())));
+            if (connections != null) {
+                if (kind == ConnectionBudget.Kind.COMMANDS && !connections.hasCapacity(kind)) {
+                    schedule(0, () -> runOrDefer(() -> callback.accept(Response.noCapacity())));
                     return;
                 }
-                sockets.opened(kind);
+                connections.opened(kind);
             }
             Consumer<Response> in = r -> {
-                if (sockets != null) {
-                    sockets.closed(kind);
+                if (connections != null) {
+                    connections.closed(kind);
                 }
-                awake(() -> callback.accept(r));
+                runOrDefer(() -> callback.accept(r));
             };
-            out(() -> {
+            runAfterSendDelay(() -> {
                 if (call.validWhile().getAsBoolean()) {
-                    sending.accept(host, call);
+                    requestObserver.accept(host, call);
                     SimulatedWorld.this.send(host, call, in);
                 } else {
                     in.accept(Response.notSent());
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -115,7 +115,7 @@
         ClusterScenario scenario = withOperator(seed, "{}");
         scenario.workload.submitJobs(20, 100_000);
         scenario.pipelines.submitPipelines(6, 90_000);
-        scenario.world.at(60_000, scenario::tightenStoreLimits);
+        scenario.world.schedule(60_000, scenario::tightenStoreLimits);
         scenario.randomFaults.scheduleFaults(6, 20_000, 150_000);
         scenario.advance(240_000);
         return scenario;
@@ -125,11 +125,11 @@
         ClusterScenario scenario = withOperator(seed, "{:graphs true}");
         for (int i = 0; i < 5; i++) {
             GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
-            scenario.world.at(3_000 + scenario.world.random.nextInt(50_000), user::start);
+            scenario.world.schedule(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (i == 1) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
             } else if (i == 2) {
-                scenario.world.at(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
             }
         }
         scenario.workload.submitJobs(8, 60_000);
@@ -144,7 +144,7 @@
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
             int node = i % 3;
-            scenario.world.at(5_000 + i * 4_000L, () -> scenario.users.queryAt(node, path.split("/")[2], path));
+            scenario.world.schedule(5_000 + i * 4_000L, () -> scenario.users.queryAt(node, path.split("/")[2], path));
         }
         scenario.randomFaults.scheduleFaults(5, 20_000, 120_000);
         scenario.advance(220_000);
@@ -157,9 +157,9 @@
         for (int i = 0; i < 8; i++) {
             int node = i % 3;
             long back = 50L + scenario.world.random.nextInt(300);
-            scenario.world.at(15_000 + i * 9_000L, () -> scenario.faults.crash(node, back));
+            scenario.world.schedule(15_000 + i * 9_000L, () -> scenario.faults.crash(node, back));
         }
-        scenario.world.at(100_000, scenario.faults::crashAll);
+        scenario.world.schedule(100_000, scenario.faults::crashAll);
         scenario.advance(200_000);
         return scenario;
     }
--- a/src/test/java/org/hollypick/sim/UserClient.java
+++ b/src/test/java/org/hollypick/sim/UserClient.java
@@ -56,15 +56,15 @@
             if (isAccepted(response)) {
                 checker.jobAnswered(id, status(response), sentAt, world.now);
                 poll(id);
-                boolean isService = job.path(UserProtocol.SHAPE).asText().equals(UserProtocol.SERVICE);
+                boolean isService = job.path(UserProtocol.KIND).asText().equals(UserProtocol.SERVICE);
                 if (mayCancel(id) && (isService || world.random.nextInt(cancelOneIn) == 0)) {
-                    world.at(world.random.nextInt(60_000), () -> cancel(id));
+                    world.schedule(world.random.nextInt(60_000), () -> cancel(id));
                 }
-                world.at(world.random.nextInt(100_000), () -> resubmitAt(drawController(), id, job));
+                world.schedule(world.random.nextInt(100_000), () -> resubmitAt(drawController(), id, job));
             } else {
                 checker.requestRejected(id, response.status(), sentAt);
                 if (world.now < until) {
-                    world.at(RETRY_MS, () -> submit(id, job, until));
+                    world.schedule(RETRY_MS, () -> submit(id, job, until));
                 }
             }
         });
@@ -74,7 +74,7 @@
     void submitWhenAccepted(String id, ObjectNode job) {
         for (JsonNode dependency : job.path(UserProtocol.DEPENDENCIES)) {
             if (!checker.isAccepted(dependency.asText())) {
-                world.at(50, () -> submitWhenAccepted(id, job));
+                world.schedule(50, () -> submitWhenAccepted(id, job));
                 return;
             }
         }
@@ -101,7 +101,7 @@
             } else if (response.status() == 404) {
                 checker.requestRejected(id, 404, sentAt);
             }
-            world.at(1_000 + world.random.nextInt(2_000), () -> poll(id));
+            world.schedule(1_000 + world.random.nextInt(2_000), () -> poll(id));
         });
     }
 
@@ -118,7 +118,7 @@
                 checker.jobAnswered(id, status(response), sentAt, world.now);
             } else {
                 checker.requestRejected(id, response.status(), sentAt);
-                world.at(RETRY_MS, () -> cancel(id));
+                world.schedule(RETRY_MS, () -> cancel(id));
             }
         });
     }
@@ -183,7 +183,7 @@
         if (controller.listens()) {
             controller.handleRaw(method, path, body, callback);
         } else {
-            world.at(10, () -> callback.accept(new Response(503, Codec.object())));
+            world.schedule(10, () -> callback.accept(new Response(503, Codec.object())));
         }
     }
 
--- a/src/test/java/org/hollypick/sim/UserProtocol.java
+++ b/src/test/java/org/hollypick/sim/UserProtocol.java
@@ -8,9 +8,9 @@
     static final String ESTIMATE = "/estimate";
 
     static final String JOB_ID = "name_id";
-    static final String JOB_KIND = "jobkind";
+    static final String JOB_CLASS = "jobkind";
     static final String TEAM = "owner";
-    static final String SHAPE = "shape";
+    static final String KIND = "shape";
     static final String PRIORITY = "rank";
     static final String TASK_COUNT = "shards";
     static final String CORES = "cores";
--- a/src/test/java/org/hollypick/sim/Workload.java
+++ b/src/test/java/org/hollypick/sim/Workload.java
@@ -30,14 +30,14 @@
     /** Submits arrays and services at random moments. */
     void submitJobs(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
-            world.at(world.random.nextInt((int) withinMs), () -> submitJob(world.random.nextInt(3) == 0));
+            world.schedule(world.random.nextInt((int) withinMs), () -> submitJob(world.random.nextInt(3) == 0));
         }
     }
 
     /** Submits arrays of batch tasks at random moments. */
     void submitBatchJobs(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
-            world.at(world.random.nextInt((int) withinMs), () -> submitJob(false));
+            world.schedule(world.random.nextInt((int) withinMs), () -> submitJob(false));
         }
     }
 
@@ -67,7 +67,7 @@
                         && cancelledOnCompletion.add(id))
                 .toList()
                 .forEach(scenario.users::cancel);
-        world.at(COMPLETION_POLL_MS, this::cancelJobsOnCompletion);
+        world.schedule(COMPLETION_POLL_MS, this::cancelJobsOnCompletion);
     }
 
     String nextId() {
@@ -91,11 +91,11 @@
     private ObjectNode draw(String id, boolean isService) {
         return Codec.object()
                 .put(UserProtocol.JOB_ID, id)
-                .put(UserProtocol.JOB_KIND, isService ? "web" : "batch")
+                .put(UserProtocol.JOB_CLASS, isService ? "web" : "batch")
                 .put(UserProtocol.TEAM, teams.get(jobCount % teams.size()))
-                .put(UserProtocol.SHAPE, isService ? UserProtocol.SERVICE : UserProtocol.BATCH)
+                .put(UserProtocol.KIND, isService ? UserProtocol.SERVICE : UserProtocol.BATCH)
                 .put(UserProtocol.PRIORITY, isService ? "prod" : world.random.nextBoolean() ? "standard" : "low")
-                .put(UserProtocol.TASK_COUNT, 1 + world.random.nextInt(6 * scenario.size))
+                .put(UserProtocol.TASK_COUNT, 1 + world.random.nextInt(6 * scenario.sizeFactor))
                 .put(UserProtocol.CORES, 1.0 + world.random.nextInt(2))
                 .put(UserProtocol.GPUS, 0.0)
                 .put(UserProtocol.MEMORY_GB, 2.0)
