--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -53,9 +53,9 @@
             if (!scenario.checker.violations.isEmpty()) {
                 violationsBySeed.put(seed, scenario.checker.violations);
             }
-            compared += scenario.checker.order.compared;
-            overtaken += scenario.checker.order.overtaken;
-            longestMs = Math.max(longestMs, scenario.checker.order.longestMs);
+            compared += scenario.checker.answerOrder.comparedCount;
+            overtaken += scenario.checker.answerOrder.overtakenCount;
+            longestMs = Math.max(longestMs, scenario.checker.answerOrder.longestOvertakenMs);
         }
         System.out.printf(
                 "days=%d compared=%d overtaken=%d longest_ms=%d broken=%d%n",
@@ -152,19 +152,19 @@
         assertTrue(anyScenarioViolates("went_back (same controller)", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
             Map<String, Response> firstAnswers = new HashMap<>();
-            scenario.responseFault =
-                    (question, response) -> question == null || question.creates() || response.status() != 200
+            scenario.responseFault = (jobRequest, response) ->
+                    jobRequest == null || jobRequest.isSubmission() || response.status() != 200
                             ? response
                             : scenario.world.random.nextBoolean()
-                                    ? firstAnswers.getOrDefault(question.node() + question.id(), response)
-                                    : storeIfAbsent(firstAnswers, question, response);
+                                    ? firstAnswers.getOrDefault(jobRequest.controller() + jobRequest.jobId(), response)
+                                    : storeIfAbsent(firstAnswers, jobRequest, response);
             return runWithProbes(scenario);
         }));
     }
 
     private static Response storeIfAbsent(
-            Map<String, Response> firstAnswers, AnswerOrderChecker.Question question, Response response) {
-        firstAnswers.putIfAbsent(question.node() + question.id(), response);
+            Map<String, Response> firstAnswers, AnswerOrderChecker.JobRequest jobRequest, Response response) {
+        firstAnswers.putIfAbsent(jobRequest.controller() + jobRequest.jobId(), response);
         return response;
     }
 
@@ -173,7 +173,7 @@
     void checkerDetectsThatAnInvalidSubmissionIsAccepted() {
         assertTrue(anyScenarioViolates("accepted req-8", seed -> {
             ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, NEW_CONTROLLER);
-            scenario.responseFault = (question, response) ->
+            scenario.responseFault = (jobRequest, response) ->
                     response.status() == 422 ? new Response(201, Codec.object().put("status", "pending")) : response;
             scenario.invalidRequests.submit(6, 10_000);
             return scenario.advance(20_000);
@@ -220,7 +220,9 @@
         for (String keyPrefix : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/x/", "h/")) {
             ClusterScenario scenario = scenarioWithLostResponses(3, keyPrefix, NEW_CONTROLLER);
             assertEquals(List.of(), scenario.checker.violations, keyPrefix);
-            assertTrue(scenario.checker.order.compared > 500, keyPrefix + ": " + scenario.checker.order.compared);
+            assertTrue(
+                    scenario.checker.answerOrder.comparedCount > 500,
+                    keyPrefix + ": " + scenario.checker.answerOrder.comparedCount);
         }
     }
 
@@ -323,7 +325,7 @@
         scenario.world.addLatency("state:1", 300, 10_000);
         int[] writes = {0};
         scenario.world.requestObserver = (from, call) -> writes[0] += isCommitContaining(call, "\"pull_gb\"") ? 1 : 0;
-        scenario.checker.order.news = id -> {
+        scenario.checker.answerOrder.stateChangeListener = id -> {
             for (int i = 0; i < 300; i++) {
                 int node = i % 3;
                 scenario.world.schedule(
--- a/src/test/java/org/hollypick/sim/AnswerOrderChecker.java
+++ b/src/test/java/org/hollypick/sim/AnswerOrderChecker.java
@@ -28,31 +28,32 @@
     enum State {
         UNKNOWN,
         ACCEPTED,
-        OVER
+        TERMINAL
     }
 
-    /** A question about a job as it reached a controller. {@code creates}: it is a submission. */
-    record Question(String node, String id, boolean creates, boolean refusals, long reachedAt) {}
+    /** A question about a job as it reached a controller. {@code isSubmission}: it is a submission. */
+    record JobRequest(
+            String controller, String jobId, boolean isSubmission, boolean rejectionMeansUnknown, long receivedAt) {}
 
-    private record Left(String node, String id) {}
+    private record Sender(String controller, String jobId) {}
 
-    private final List<String> broken;
-    private final Map<String, Map<State, Long>> arrived = new HashMap<>();
-    private final Map<Left, State> left = new HashMap<>();
+    private final List<String> violations;
+    private final Map<String, Map<State, Long>> firstReceivedAt = new HashMap<>();
+    private final Map<Sender, State> newestSent = new HashMap<>();
     /** Hears of a job when a user is told for the first time that it is accepted, or over. */
-    Consumer<String> news = id -> {};
+    Consumer<String> stateChangeListener = id -> {};
     /** Answers that were compared with earlier ones, and those that were overtaken, at most by so many milliseconds. */
-    int compared;
+    int comparedCount;
 
-    int overtaken;
-    long longestMs;
+    int overtakenCount;
+    long longestOvertakenMs;
 
-    AnswerOrderChecker(List<String> broken) {
-        this.broken = broken;
+    AnswerOrderChecker(List<String> violations) {
+        this.violations = violations;
     }
 
     /** A request reaches a controller; null if it isn't about a job. */
-    static Question question(String node, String method, String path, JsonNode body, long now) {
+    static JobRequest requestAbout(String node, String method, String path, JsonNode body, long now) {
         String[] parts = path.split("[/?]");
         boolean job = parts.length > 1 && parts[1].equals("submissions");
         if (!job && (parts.length < 2 || !parts[1].equals("graphs") || parts.length > 3)) {
@@ -62,43 +63,45 @@
                 ? parts[2]
                 : body == null ? "" : body.path("name_id").asText();
         boolean estimate = parts.length > 3 && parts[3].equals("estimate");
-        return new Question(node, id, job && parts.length == 2, job && !estimate, now);
+        return new JobRequest(node, id, job && parts.length == 2, job && !estimate, now);
     }
 
     /** The answer leaves its controller. */
-    void left(Question q, Response response, long now) {
+    void responseSent(JobRequest q, Response response, long now) {
         State state = q == null ? null : state(q, response);
         if (state == null) {
             return;
         }
-        compared++;
-        String what = q.id + " " + response.status() + " "
-                + response.body().path("status").asText() + " by " + q.node + " at " + now;
-        Left key = new Left(q.node, q.id);
-        if (left.containsKey(key) && left.get(key).compareTo(state) > 0) {
-            broken.add("went_back (same controller) " + what);
+        comparedCount++;
+        String what = q.jobId + " " + response.status() + " "
+                + response.body().path("status").asText() + " by " + q.controller + " at " + now;
+        Sender key = new Sender(q.controller, q.jobId);
+        if (newestSent.containsKey(key) && newestSent.get(key).compareTo(state) > 0) {
+            violations.add("went_back (same controller) " + what);
         }
-        left.merge(key, state, (a, b) -> a.compareTo(b) > 0 ? a : b);
-        Map<State, Long> told = arrived.getOrDefault(q.id, Map.of());
-        if (q.creates && response.status() == 201 && told.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < q.reachedAt) {
-            broken.add("accepted twice " + what);
+        newestSent.merge(key, state, (a, b) -> a.compareTo(b) > 0 ? a : b);
+        Map<State, Long> told = firstReceivedAt.getOrDefault(q.jobId, Map.of());
+        if (q.isSubmission
+                && response.status() == 201
+                && told.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < q.receivedAt) {
+            violations.add("accepted twice " + what);
         }
         long newer = told.entrySet().stream()
                 .filter(e -> e.getKey().compareTo(state) > 0)
                 .mapToLong(Map.Entry::getValue)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        if (newer < q.reachedAt) {
-            broken.add("went_back (asked later) " + what + " after " + newer);
+        if (newer < q.receivedAt) {
+            violations.add("went_back (asked later) " + what + " after " + newer);
         } else if (newer < now) {
-            overtaken++;
-            longestMs = Math.max(longestMs, now - newer);
+            overtakenCount++;
+            longestOvertakenMs = Math.max(longestOvertakenMs, now - newer);
         }
     }
 
-    private static State state(Question q, Response response) {
+    private static State state(JobRequest q, Response response) {
         if (response.status() == 404 || response.status() == 400 || response.status() == 422) {
-            return q.refusals ? State.UNKNOWN : null;
+            return q.rejectionMeansUnknown ? State.UNKNOWN : null;
         }
         return response.status() == 200 || response.status() == 201
                 ? state(response.body().path("status").asText())
@@ -108,21 +111,21 @@
     private static State state(String status) {
         return switch (status) {
             case "pending", "running" -> State.ACCEPTED;
-            case "done", "aborted" -> State.OVER;
+            case "done", "aborted" -> State.TERMINAL;
             default -> null;
         };
     }
 
     /** A user hears of a job that it is pending, running or over. */
-    void arrived(String id, String status, long now) {
-        Map<State, Long> told = arrived.computeIfAbsent(id, k -> new EnumMap<>(State.class));
+    void responseReceived(String id, String status, long now) {
+        Map<State, Long> told = firstReceivedAt.computeIfAbsent(id, k -> new EnumMap<>(State.class));
         State state = state(status);
         boolean first = told.putIfAbsent(state, now) == null;
-        if (state == State.OVER) {
+        if (state == State.TERMINAL) {
             first |= told.putIfAbsent(State.ACCEPTED, now) == null;
         }
         if (first) {
-            news.accept(id);
+            stateChangeListener.accept(id);
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/AnswerProber.java
+++ b/src/test/java/org/hollypick/sim/AnswerProber.java
@@ -31,7 +31,7 @@
 
     /** Probes each change of a job's state from now on. */
     void start() {
-        checker.order.news = this::probe;
+        checker.answerOrder.stateChangeListener = this::probe;
         probeOnCompletion();
     }
 
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -152,7 +152,7 @@
             int seed, Change change, Loss loss, long changeAfterMs, Consumer<ClusterScenario> fault) {
         ClusterScenario day = new ClusterScenario(seed, 1, null, null, TWO_TEAMS);
         day.workload.teams = TEAMS;
-        TEAMS.forEach(t -> day.checker.tasks.coresByTeam.put(t, LIMIT));
+        TEAMS.forEach(t -> day.checker.tasks.quotaCoresByTeam.put(t, LIMIT));
         day.advance(5_000);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -54,7 +54,7 @@
     /** Measures how long the controllers take to handle requests. */
     RequestMetering metering = (controller, activity, handling) -> handling.run();
     /** Replaces the answers of controllers, as a faulty version would give them. */
-    BiFunction<AnswerOrderChecker.Question, Response, Response> responseFault = (question, response) -> response;
+    BiFunction<AnswerOrderChecker.JobRequest, Response, Response> responseFault = (jobRequest, response) -> response;
     /** Called with the name of a controller and the path, when it sends an answer to a user or an agent. */
     BiConsumer<String, String> responseObserver = (controller, path) -> {};
     /** A job about which the controllers answer nothing but 503; null: none. */
@@ -110,7 +110,7 @@
         world = new SimulatedWorld(seed);
         store = new FakeKeyValueStore(world);
         checker = new InvariantChecker(cancellationLimitMs());
-        checker.tasks.coresByTeam.put(JobDescription.DEFAULT_TEAM, TEAM_CORES * sizeFactor);
+        checker.tasks.quotaCoresByTeam.put(JobDescription.DEFAULT_TEAM, TEAM_CORES * sizeFactor);
         cloud = new FakeCloud(world, checker, publicAddresses(), ZONES, agentLeaseMs, sizeFactor);
         starvationChecker = new StarvationChecker(checker, cloud);
         leadership = new LeadershipChecker(world, store, checker);
@@ -147,7 +147,7 @@
                 null,
                 null,
                 (eventLoop, settings) -> version.apply(eventLoop, withTeams(settings, teams, quotaCores)));
-        teams.forEach(team -> scenario.checker.tasks.coresByTeam.put(team, quotaCores));
+        teams.forEach(team -> scenario.checker.tasks.quotaCoresByTeam.put(team, quotaCores));
         return scenario;
     }
 
@@ -173,7 +173,7 @@
     /** A process of the version that is due on that host. */
     ControllerProcess newController(SimulatedController host) {
         return host.runsProductionVersion
-                ? production.controller(host.process, settings(host.index, false))
+                ? production.newController(host.process, settings(host.index, false))
                 : ControllerProcess.of(version.apply(host.process, settings(host.index, tightenedLimits != null)));
     }
 
--- a/src/test/java/org/hollypick/sim/FakeAgentTasks.java
+++ b/src/test/java/org/hollypick/sim/FakeAgentTasks.java
@@ -109,7 +109,7 @@
     /** All tasks end with the lease. */
     void expire() {
         executions.forEach((attempt, execution) -> {
-            checker.tasks.lostWithLease += execution.status == Status.RUNNING ? 1 : 0;
+            checker.tasks.lostOnLeaseExpiry += execution.status == Status.RUNNING ? 1 : 0;
             checker.tasks.stopped(attempt.task, agent);
         });
         executions.clear();
@@ -196,7 +196,7 @@
         if (agent.isFaulty() || (isGraphNode && spec.path("fails").asBoolean())) {
             agent.schedule(FAILURE_MS, () -> end(attempt, execution, CAUSE_ERROR));
         } else if (isGraphNode) {
-            checker.tasks.graphProgram.running(
+            checker.tasks.graphProgram.run(
                     attempt.task, attempt.number, () -> agent.runOrDefer(() -> end(attempt, execution, CAUSE_DONE)));
         } else if (spec.path(UserProtocol.KIND).asText().equals(UserProtocol.BATCH)) {
             long ms = (long) (spec.path(UserProtocol.EXPECTED_S).asDouble() * (500 + world.random.nextInt(1_000)));
--- a/src/test/java/org/hollypick/sim/FaultInjector.java
+++ b/src/test/java/org/hollypick/sim/FaultInjector.java
@@ -14,9 +14,9 @@
      * Milliseconds within which a fault strikes after the request that it is aimed at was sent: a request, its
      * execution and its answer take up to 11.
      */
-    private static final int AIM_MS = 15;
+    private static final int MAX_FAULT_DELAY_MS = 15;
 
-    private static final long REFUSAL_MS = 1_500;
+    private static final long STORE_REFUSAL_MS = 1_500;
 
     private final ClusterScenario scenario;
     private final SimulatedWorld world;
@@ -44,11 +44,11 @@
     }
 
     /** The leader stands still between the decision for its next request of that kind and sending it. */
-    void freezeLeaderBefore(Predicate<Request> which, long ms) {
-        freezeBefore(scenario.leaderIndex(), which, ms);
+    void freezeLeaderBeforeSending(Predicate<Request> which, long ms) {
+        freezeBeforeSending(scenario.leaderIndex(), which, ms);
     }
 
-    void freezeBefore(int controller, Predicate<Request> which, long ms) {
+    void freezeBeforeSending(int controller, Predicate<Request> which, long ms) {
         controllers.get(controller).process.freezeBeforeSending(which, ms);
     }
 
@@ -63,7 +63,7 @@
         world.requestObserver = world.requestObserver.andThen((from, request) -> {
             if (!hasStruck.get() && which.test(request)) {
                 hasStruck.set(true);
-                world.schedule(world.random.nextInt(AIM_MS), fault);
+                world.schedule(world.random.nextInt(MAX_FAULT_DELAY_MS), fault);
             }
         });
     }
@@ -115,15 +115,15 @@
     }
 
     /** Users cancel at the moment when the store refuses the leader alone; a second later it is out for all. */
-    void refusalThenOutage(long outageMs) {
+    void refuseLeaderThenStartOutage(long outageMs) {
         String leader = scenario.leadership.hasLeader() ? scenario.leaderName() : SimulatedController.name(0);
-        world.refuseRequests(leader, ClusterScenario.STORE_ADDRESS, REFUSAL_MS);
+        world.refuseRequests(leader, ClusterScenario.STORE_ADDRESS, STORE_REFUSAL_MS);
         cancelHalfOfJobs(0);
         world.schedule(1_000, () -> scenario.store.startOutage(outageMs));
     }
 
     /** The names of two thirds of the machines, drawn. */
-    Collection<String> drawMachines() {
+    Collection<String> drawMachineNames() {
         Set<String> names = new HashSet<>(scenario.cloud.machineNames());
         names.removeIf(name -> world.random.nextInt(3) == 0);
         return names;
--- a/src/test/java/org/hollypick/sim/GraphFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/GraphFaultsTest.java
@@ -45,9 +45,9 @@
             users.add(user);
             scenario.world.schedule(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (cancels && i == 1) {
-                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::cancel);
             } else if (cancels && i == 2) {
-                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::cancelRandomNode);
             }
         }
         scenario.workload.submitJobs(8, 60_000);
@@ -63,7 +63,7 @@
             ClusterScenario scenario = runScenario(seed, CONTROLLER, users, false, cluster -> {});
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             for (GraphUser user : users) {
-                assertEquals("done", user.told, "seed " + seed + " " + user.id);
+                assertEquals("done", user.lastStatus, "seed " + seed + " " + user.id);
             }
         }
     }
@@ -79,8 +79,8 @@
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
             for (GraphUser user : users) {
-                terminal += user.told.equals("done") || user.told.equals("aborted") ? 1 : 0;
-                rejectedChildren += user.refusedChildren;
+                terminal += user.lastStatus.equals("done") || user.lastStatus.equals("aborted") ? 1 : 0;
+                rejectedChildren += user.rejectedChildren;
             }
         }
         assertTrue(terminal > 5 * 150 * 0.9, "terminal graphs: " + terminal);
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -36,8 +36,8 @@
     private final Map<String, Long> cancelledAt = new HashMap<>();
     private boolean sent;
     private Long withdrawnAt;
-    String told = "";
-    int refusedChildren;
+    String lastStatus = "";
+    int rejectedChildren;
 
     /** {@code depth}: how often nodes may add children below one another; {@code width}: how many each adds at most. */
     GraphUser(ClusterScenario scenario, String id, int depth, int width) {
@@ -47,13 +47,13 @@
         this.width = width;
     }
 
-    private Random drawn(String node) {
+    private Random randomFor(String node) {
         return new Random(node.hashCode() * 31L + id.hashCode());
     }
 
     private ObjectNode node(String name, List<String> needs) {
         awaits.put(name, needs);
-        Random r = drawn(name);
+        Random r = randomFor(name);
         ObjectNode n =
                 Codec.object().put("id", name).put("cores", 1.0 + r.nextInt(2)).put("expect_s", 2.0 + r.nextInt(4));
         ArrayNode list = n.putArray("awaits");
@@ -80,7 +80,7 @@
     void start() {
         List<ObjectNode> first = new ArrayList<>();
         List<String> names = new ArrayList<>();
-        Random r = drawn("");
+        Random r = randomFor("");
         for (int i = 0; i < 1 + r.nextInt(4); i++) {
             List<String> needs = names.stream().filter(n -> r.nextInt(3) == 0).toList();
             names.add("n" + i);
@@ -135,7 +135,7 @@
             if (r.status() != 409) {
                 scenario.checker.violations.add("graph refused " + id + ": " + r.status() + " " + r.body());
             }
-            refusedChildren += r.status() == 409 ? 1 : 0;
+            rejectedChildren += r.status() == 409 ? 1 : 0;
             return;
         }
         for (JsonNode n : call.path("nodes")) {
@@ -165,7 +165,7 @@
                 || (withdrawnAt != null && scenario.world.now > withdrawnAt + 35_000)) {
             scenario.checker.violations.add("ran_cancelled " + id + " " + node);
         }
-        Random r = drawn(node + "/");
+        Random r = randomFor(node + "/");
         long ms = 1_000L + r.nextInt(4_000);
         int level = node.length() - node.replace(".", "").length();
         int children = level < depth ? r.nextInt(width + 1) : 0;
@@ -210,7 +210,7 @@
     private boolean complete(String node) {
         String at = node;
         while (at != null) {
-            if (!taskOf.containsKey(at) || !scenario.checker.tasks.isDone(taskOf.get(at))) {
+            if (!taskOf.containsKey(at) || !scenario.checker.tasks.isTaskComplete(taskOf.get(at))) {
                 return false;
             }
             at = then.get(at);
@@ -226,9 +226,9 @@
                         "p" + scenario.world.random.nextInt(3) + ":1", "GET", "/submissions/" + id, null, 2_000, false),
                 r -> {
                     if (r.status() == 200) {
-                        told = r.body().path("status").asText();
-                        scenario.checker.jobAnswered(id, told, asked, scenario.world.now);
-                        if (told.equals("done")) {
+                        lastStatus = r.body().path("status").asText();
+                        scenario.checker.jobAnswered(id, lastStatus, asked, scenario.world.now);
+                        if (lastStatus.equals("done")) {
                             for (String node : accepted) {
                                 if (!complete(node)) {
                                     scenario.checker.violations.add(
@@ -237,15 +237,15 @@
                             }
                         }
                     }
-                    if (!told.equals("done") && !told.equals("aborted")) {
+                    if (!lastStatus.equals("done") && !lastStatus.equals("aborted")) {
                         scenario.world.schedule(2_000, this::poll);
                     }
                 });
     }
 
-    void withdraw() {
+    void cancel() {
         if (!sent) {
-            scenario.world.schedule(500, this::withdraw);
+            scenario.world.schedule(500, this::cancel);
             return;
         }
         scenario.checker.cancellationRequested(id);
@@ -261,7 +261,7 @@
     }
 
     /** Cancels one of the nodes that the service knows. */
-    void withdrawNode() {
+    void cancelRandomNode() {
         if (accepted.isEmpty()) {
             return;
         }
--- a/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
+++ b/src/test/java/org/hollypick/sim/HeartbeatRelayTest.java
@@ -142,7 +142,7 @@
         scenario.advance(3_000);
         scenario.workload.submitUncancelledServices(12);
         scenario.advance(60_000);
-        int lostBefore = scenario.checker.tasks.lostWithLease;
+        int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.faults.crash(scenario.leaderIndex(), 40_000);
         scenario.advance(12_000);
         long token = scenario.store.revisionOf("h/roster");
@@ -150,7 +150,7 @@
                 scenario.cloud.agents().stream().allMatch(agent -> agent.fencingToken() >= token),
                 "every machine should have received the new leader's token");
         scenario.advance(60_000);
-        assertEquals(lostBefore, scenario.checker.tasks.lostWithLease);
+        assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry);
         assertEquals(List.of(), scenario.checker.violations);
     }
 }
--- a/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/InboundReachabilityTest.java
@@ -136,10 +136,10 @@
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = newScenario(seed, 5);
             List<FakeAgent> agents = agentsInZoneA(scenario);
-            int lostBefore = scenario.checker.tasks.lostWithLease;
+            int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
             agents.forEach(agent -> scenario.network.dropInbound(agent, 8_000));
             scenario.advance(60_000);
-            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry, "seed " + seed);
             assertTrue(
                     scenario.cloud
                             .machineNames()
@@ -160,14 +160,14 @@
     void noTaskIsLostWhenHalfOfTheMachinesReceiveNothingFromOneController() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = newScenario(seed);
-            int lostBefore = scenario.checker.tasks.lostWithLease;
+            int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
             List<FakeAgent> agents = new ArrayList<>(scenario.cloud.agents());
             agents.removeIf(agent -> agent.name.hashCode() % 2 == 0);
             int controller = seed % 3;
             agents.forEach(agent -> scenario.network.dropInbound(agent, controller, 120_000));
             scenario.workload.submitBatchJobs(10, 60_000);
             scenario.advance(150_000);
-            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry, "seed " + seed);
             assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
     }
@@ -235,7 +235,7 @@
     void controllerWithoutStoreAndPeersIsNeitherReadyNorLeader() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = newScenario(seed);
-            int lostBefore = scenario.checker.tasks.lostWithLease;
+            int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
             int controller = seed % 2 == 0 ? scenario.leaderIndex() : (scenario.leaderIndex() + 1) % 3;
             scenario.network.partitionFromStoreAndPeers(controller, 60_000);
             scenario.workload.submitBatchJobs(10, 30_000);
@@ -245,7 +245,7 @@
             assertEquals(200, scenario.users.readinessStatus(scenario.leaderIndex()), "seed " + seed);
             scenario.advance(60_000);
             assertEquals(200, scenario.users.readinessStatus(controller), "seed " + seed);
-            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry, "seed " + seed);
             scenario.advance(60_000);
             assertBatchJobsTerminalWithoutViolations(scenario, seed);
         }
--- a/src/test/java/org/hollypick/sim/InvalidRequests.java
+++ b/src/test/java/org/hollypick/sim/InvalidRequests.java
@@ -36,7 +36,7 @@
                     "POST",
                     UserProtocol.SUBMISSIONS,
                     job,
-                    response -> scenario.checker.mustBeRejected(id, expectedStatus, response.status()));
+                    response -> scenario.checker.checkRejected(id, expectedStatus, response.status()));
             world.schedule(world.random.nextInt(SENT_WITHIN_MS), send);
             world.schedule(world.random.nextInt(SENT_WITHIN_MS), send);
         }
--- a/src/test/java/org/hollypick/sim/InvariantChecker.java
+++ b/src/test/java/org/hollypick/sim/InvariantChecker.java
@@ -15,7 +15,7 @@
  */
 final class InvariantChecker {
     /** A job that isn't answered about for so long, while there are no faults, is lost. */
-    private static final long UNANSWERED_MS = 75_000;
+    private static final long MAX_UNANSWERED_MS = 75_000;
 
     private static final String DONE = "done";
     private static final String ABORTED = "aborted";
@@ -23,7 +23,7 @@
     /** Each begins with the name of the invariant. */
     final List<String> violations = new ArrayList<>();
 
-    final AnswerOrderChecker order = new AnswerOrderChecker(violations);
+    final AnswerOrderChecker answerOrder = new AnswerOrderChecker(violations);
     final TaskChecker tasks;
     /** Descriptions of all jobs and graphs by id. */
     final Map<String, JsonNode> submitted = new HashMap<>();
@@ -34,7 +34,7 @@
     /** Jobs that a user asked to cancel. */
     private final Set<String> cancellationRequests = new HashSet<>();
     /** Those, and all that depend on them. */
-    private final Set<String> mayBeAborted = new HashSet<>();
+    private final Set<String> mayBeCancelled = new HashSet<>();
     /** When a user was first told that the job is cancelled. */
     private final Map<String, Long> cancelledAt = new HashMap<>();
     /** When a user was first told that a dependency of the job is cancelled. */
@@ -74,8 +74,8 @@
         submitted.put(id, description);
         for (JsonNode awaited : description.path(UserProtocol.DEPENDENCIES)) {
             String dependency = awaited.asText();
-            if (mayBeAborted.contains(dependency)) {
-                mayBeAborted.add(id);
+            if (mayBeCancelled.contains(dependency)) {
+                mayBeCancelled.add(id);
             }
             if (cancelledAt.containsKey(dependency) || dependencyCancelledAt.containsKey(dependency)) {
                 dependencyCancelledAt.putIfAbsent(
@@ -90,8 +90,8 @@
     /** A user asks to cancel a job. */
     void cancellationRequested(String id) {
         cancellationRequests.add(id);
-        mayBeAborted.add(id);
-        mayBeAborted.addAll(dependentsOf(id));
+        mayBeCancelled.add(id);
+        mayBeCancelled.addAll(dependentsOf(id));
     }
 
     /**
@@ -109,18 +109,18 @@
             firstAnswerMs.putIfAbsent(id, now - faultsEndedAt);
         }
         acceptedAt.putIfAbsent(id, now);
-        order.arrived(id, status, now);
+        answerOrder.responseReceived(id, status, now);
         checkStatusChange(id, status, sentAt, now);
         if (status.equals(DONE)) {
-            ended(id, status, now);
+            checkTerminalStatus(id, status, now);
             if (!tasks.isComplete(id)) {
                 violations.add("not_done " + id);
             }
         } else if (status.equals(ABORTED)) {
-            ended(id, status, now);
+            checkTerminalStatus(id, status, now);
             cancelledAt.putIfAbsent(id, now);
-            dependencyCancelled(id, now);
-            if (!mayBeAborted.contains(id)) {
+            checkDependents(id, now);
+            if (!mayBeCancelled.contains(id)) {
                 violations.add("went_back: cancelled without being asked " + id);
             }
         }
@@ -138,7 +138,7 @@
         }
     }
 
-    private void ended(String id, String status, long now) {
+    private void checkTerminalStatus(String id, String status, long now) {
         if (terminalStatus.putIfAbsent(id, status) == null) {
             terminalAt.put(id, now);
         } else if (!terminalStatus.get(id).equals(status)) {
@@ -146,7 +146,7 @@
         }
     }
 
-    private void dependencyCancelled(String id, long now) {
+    private void checkDependents(String id, long now) {
         for (String dependent : dependentsOf(id)) {
             dependencyCancelledAt.putIfAbsent(dependent, now);
             if (tasks.hasStarted(dependent)) {
@@ -180,15 +180,15 @@
     }
 
     /** A submission is answered that must be rejected since it depends on a job that never was. */
-    void mustBeRejected(String id, int status) {
-        mustBeRejected(id, 422, status);
+    void checkRejected(String id, int status) {
+        checkRejected(id, 422, status);
     }
 
     /**
      * A submission is answered that lacks a field or can't run: it must be rejected with the expected status, by every
      * controller, each time.
      */
-    void mustBeRejected(String id, int expectedStatus, int status) {
+    void checkRejected(String id, int expectedStatus, int status) {
         if (status != expectedStatus
                 && status != 503
                 && status != Response.Failure.NO_RESPONSE.code()
@@ -232,7 +232,7 @@
         lastAnsweredAt.forEach((id, answeredAt) -> {
             if (!isCancellationRequested(id)
                     && faultsEndedAt < now
-                    && now - Math.max(answeredAt, faultsEndedAt) > UNANSWERED_MS) {
+                    && now - Math.max(answeredAt, faultsEndedAt) > MAX_UNANSWERED_MS) {
                 reportOnce("forgotten " + id + " unanswered since " + answeredAt);
             }
         });
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -56,9 +56,9 @@
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
-        int lost = scenario.checker.tasks.lostWithLease;
+        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.advance(54_000);
-        assertEquals(lost, scenario.checker.tasks.lostWithLease);
+        assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
         scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.violations);
     }
@@ -70,9 +70,9 @@
         scenario.world.schedule(100, () -> scenario.faults.crash(0, 90_000));
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
-        int lost = scenario.checker.tasks.lostWithLease;
+        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.advance(54_000);
-        assertTrue(scenario.checker.tasks.lostWithLease > lost);
+        assertTrue(scenario.checker.tasks.lostOnLeaseExpiry > lost);
         scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.violations);
     }
@@ -96,12 +96,12 @@
     void aLeaderPartitionedFromTheMachinesIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         int before = scenario.leaderIndex();
-        int lost = scenario.checker.tasks.lostWithLease;
+        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.network.partitionFromAgents(before, 40_000);
         scenario.advance(14_000);
         assertTrue(scenario.leaderIndex() != before);
         scenario.advance(60_000);
-        assertEquals(lost, scenario.checker.tasks.lostWithLease);
+        assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
         assertEquals(List.of(), scenario.checker.violations);
     }
 
--- a/src/test/java/org/hollypick/sim/LinkPattern.java
+++ b/src/test/java/org/hollypick/sim/LinkPattern.java
@@ -12,17 +12,17 @@
     private static final int FIRST_AGENT_BIT = CONTROLLERS;
     private static final int FIRST_PEER_BIT = FIRST_AGENT_BIT + ZONES * CONTROLLERS;
 
-    static final int ALL_PEERS = 0b111 << FIRST_PEER_BIT;
+    static final int ALL_PEER_LINKS = 0b111 << FIRST_PEER_BIT;
 
     /** The links of a controller to all agents. */
-    static int agentsOf(int controller) {
+    static int agentLinksOf(int controller) {
         return 0b11 << (FIRST_AGENT_BIT + ZONES * controller);
     }
 
     /** Which agents can be led. */
     enum Coverage {
         FULL,
-        PART,
+        PARTIAL,
         NONE
     }
 
@@ -69,7 +69,7 @@
         if (!hasStore || (!hasZoneA && !hasZoneB)) {
             return Coverage.NONE;
         }
-        return hasZoneA && hasZoneB ? Coverage.FULL : Coverage.PART;
+        return hasZoneA && hasZoneB ? Coverage.FULL : Coverage.PARTIAL;
     }
 
     @Override
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -49,7 +49,7 @@
     /** Services run; the links are as they say; after a while new work comes; the cut ends. */
     private static Outcome play(int seed, LinkPattern links) {
         ClusterScenario scenario = running(seed);
-        int lost = scenario.checker.tasks.lostWithLease;
+        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
         Set<String> returned = new TreeSet<>();
         scenario.world.requestObserver = (from, call) -> {
             if (call.path().equals("/hosts/return")) {
@@ -81,7 +81,7 @@
                 startedAfter = scenario.world.now - from + 10_000;
             }
         }
-        int lostInCut = scenario.checker.tasks.lostWithLease - lost;
+        int lostInCut = scenario.checker.tasks.lostOnLeaseExpiry - lost;
         scenario.network.apply(null);
         scenario.advance(60_000);
         return new Outcome(links, lostInCut, startedAfter, changes, returned, scenario.checker.violations);
@@ -141,15 +141,15 @@
     void flappingLinksCauseFewFailovers() {
         for (int seed = 1; seed <= 3; seed++) {
             ClusterScenario scenario = running(seed);
-            int lost = scenario.checker.tasks.lostWithLease;
+            int lost = scenario.checker.tasks.lostOnLeaseExpiry;
             for (int i = 0; i < 15; i++) {
                 boolean down = i % 2 == 0;
                 scenario.world.schedule(
                         4_000L * i,
                         () -> scenario.network.apply(
                                 down
-                                        ? new LinkPattern(
-                                                LinkPattern.COUNT - 1 & ~LinkPattern.agentsOf(scenario.leaderIndex()))
+                                        ? new LinkPattern(LinkPattern.COUNT - 1
+                                                & ~LinkPattern.agentLinksOf(scenario.leaderIndex()))
                                         : null));
             }
             long lead = scenario.store.valueOf("h/roster").path("member").asLong();
@@ -163,7 +163,7 @@
             assertTrue(changes <= 4, "seed " + seed + " changes in a minute " + changes);
             scenario.network.apply(null);
             scenario.advance(40_000);
-            assertEquals(lost, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry, "seed " + seed);
             assertEquals(List.of(), scenario.checker.violations);
         }
     }
@@ -176,20 +176,20 @@
     void leadershipMovesToTheControllerThatReachesTheMachines() {
         for (int seed = 1; seed <= 6; seed++) {
             ClusterScenario scenario = running(seed);
-            int lost = scenario.checker.tasks.lostWithLease;
+            int lost = scenario.checker.tasks.lostOnLeaseExpiry;
             int leaderAtFirst = scenario.leaderIndex();
             int well = (leaderAtFirst + 1 + seed % 2) % 3;
             int other = 3 - leaderAtFirst - well;
             long[] gaveUpAt = {0};
             scenario.world.requestObserver =
                     (from, call) -> gaveUpAt[0] = call.path().equals("/release") ? scenario.world.now : gaveUpAt[0];
-            int cut = LinkPattern.agentsOf(leaderAtFirst) | LinkPattern.agentsOf(other);
+            int cut = LinkPattern.agentLinksOf(leaderAtFirst) | LinkPattern.agentLinksOf(other);
             scenario.network.apply(new LinkPattern(LinkPattern.COUNT - 1 & ~cut));
             // Controllers refuse each other soon after: from then on nobody tells anybody anything.
             scenario.world.schedule(
                     seed % 3 == 0 ? 2_000 : 7_000,
                     () -> scenario.network.apply(
-                            new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEERS)));
+                            new LinkPattern(LinkPattern.COUNT - 1 & ~cut & ~LinkPattern.ALL_PEER_LINKS)));
             while (scenario.leaderIndex() == leaderAtFirst) {
                 scenario.advance(10);
                 assertTrue(scenario.world.now < 60_000, "nobody took over");
@@ -200,7 +200,7 @@
             scenario.advance(40_000);
             scenario.network.apply(null);
             scenario.advance(30_000);
-            assertEquals(lost, scenario.checker.tasks.lostWithLease);
+            assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
             assertEquals(List.of(), scenario.checker.violations);
         }
     }
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -107,7 +107,7 @@
         day.users.cancelOneIn = 4;
         boolean slow = order.rental == Fate.ANSWER_LATE;
         Random random = day.world.random;
-        day.network.requestDelay = (from, call) -> {
+        day.network.requestDelayMs = (from, call) -> {
             boolean late = ((rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE)
                     || (registers(call) && order.registration == Fate.CARRIED_OUT_LATE);
             return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
@@ -258,7 +258,7 @@
         day.advance(26_000);
         day.world.heartbeatObserver = call -> {};
         for (int change = 0; change < 2; change++) {
-            day.network.requestDelay = (from, call) -> {
+            day.network.requestDelayMs = (from, call) -> {
                 if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
                     reports.add(call);
                     return SimulatedWorld.NEVER_DELIVERED;
@@ -274,7 +274,7 @@
                     .limit(2)
                     .forEach(w -> day.network.isolate(w, 12_000));
             day.onNextFencingToken(() -> {
-                day.network.requestDelay = (from, call) -> 0;
+                day.network.requestDelayMs = (from, call) -> 0;
                 arrive(day, order, new ArrayList<>(reports), altered);
             });
             day.advance(25_000);
@@ -401,7 +401,7 @@
         day.advance(5_000);
         day.workload.submitUncancelledServices(3);
         Random random = day.world.random;
-        day.network.requestDelay = (from, call) -> {
+        day.network.requestDelayMs = (from, call) -> {
             boolean late = call.path().equals("/commands") && random.nextBoolean();
             return late ? 2_000 + random.nextInt(14_000) : 0;
         };
@@ -429,7 +429,7 @@
             }
         }
         day.advance(40_000);
-        day.network.requestDelay = (from, call) -> 0;
+        day.network.requestDelayMs = (from, call) -> 0;
         day.advance(60_000);
         return day;
     }
@@ -470,7 +470,7 @@
                 day.advance(10);
             }
             day.advance(20);
-            day.network.requestDelay = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
+            day.network.requestDelayMs = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
             day.cloud.agents().forEach(w -> day.network.dropOutbound(w, 10_000));
             day.users.cancel("req-000000");
             day.advance(60_000);
@@ -498,9 +498,9 @@
                     .filter(w -> w.zone.equals("a"))
                     .forEach(w -> day.network.dropOutbound(w, 90_000));
             day.advance(20_000);
-            int before = day.checker.tasks.lostWithLease;
+            int before = day.checker.tasks.lostOnLeaseExpiry;
             day.advance(100_000);
-            lost += day.checker.tasks.lostWithLease - before;
+            lost += day.checker.tasks.lostOnLeaseExpiry - before;
             assertEquals(List.of(), day.checker.violations, "seed " + seed);
         }
         assertTrue(lost < 100, "tasks lost on machines that reach no controller: " + lost);
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -9,12 +9,12 @@
 /** Partitions between controllers, agents, the key-value store and the cloud provider. */
 final class NetworkFaults {
     /** Milliseconds by which a request, by its sender, is delayed, see {@link SimulatedWorld#requestDelayMs}. */
-    ToLongBiFunction<String, Request> requestDelay = (from, request) -> 0;
+    ToLongBiFunction<String, Request> requestDelayMs = (from, request) -> 0;
 
     private final ClusterScenario scenario;
     private final SimulatedWorld world;
     /** Names of agents whose requests are lost. */
-    private final Set<String> silentAgents = new HashSet<>();
+    private final Set<String> agentsWithoutOutbound = new HashSet<>();
 
     NetworkFaults(ClusterScenario scenario) {
         this.scenario = scenario;
@@ -22,7 +22,7 @@
     }
 
     long delayMs(String from, Request request) {
-        return silentAgents.contains(from) ? SimulatedWorld.NEVER_DELIVERED : requestDelay.applyAsLong(from, request);
+        return agentsWithoutOutbound.contains(from) ? SimulatedWorld.NEVER_DELIVERED : requestDelayMs.applyAsLong(from, request);
     }
 
     /** Nothing passes between a controller and all agents. */
@@ -62,8 +62,8 @@
 
     /** Requests of the agent are lost, while commands reach it and are answered. */
     void dropOutbound(FakeAgent agent, long ms) {
-        silentAgents.add(agent.name);
-        world.schedule(ms, () -> silentAgents.remove(agent.name));
+        agentsWithoutOutbound.add(agent.name);
+        world.schedule(ms, () -> agentsWithoutOutbound.remove(agent.name));
     }
 
     /** Heartbeats of these agents arrive only once it is over, while commands reach them and are answered. */
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -325,7 +325,7 @@
         if (seed % 2 == 0) {
             day.world.addLatency("state:1", 800, 10_000);
         }
-        day.faults.refusalThenOutage(OUTAGE_MS);
+        day.faults.refuseLeaderThenStartOutage(OUTAGE_MS);
         day.world.schedule(1_500 + 500 * seed, () -> day.faults.cancelHalfOfJobs(3_000));
         day.world.schedule(OUTAGE_MS + 5_000, () -> day.faults.crash(day.leaderIndex(), 300));
         return calm(day.advance(OUTAGE_MS + 5_000));
--- a/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionedLeaseRenewalTest.java
@@ -45,14 +45,14 @@
     }
 
     private static void assertTasksSurviveZonePartition(ClusterScenario scenario) {
-        int lostBefore = scenario.checker.tasks.lostWithLease;
+        int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
         int startsBefore = scenario.checker.tasks.starts;
         scenario.network.partitionZone("b", PARTITION_MS);
         scenario.advance(PARTITION_MS + 5_000);
-        assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "tasks lost with their leases");
+        assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry, "tasks lost with their leases");
         assertEquals(startsBefore, scenario.checker.tasks.starts, "task starts during the partition");
         scenario.advance(60_000);
-        assertEquals(lostBefore, scenario.checker.tasks.lostWithLease);
+        assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry);
         assertEquals(List.of(), scenario.checker.violations);
     }
 
--- a/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
+++ b/src/test/java/org/hollypick/sim/PeerReachabilityTest.java
@@ -28,7 +28,7 @@
         for (int seed = 1; seed <= 8; seed++) {
             ClusterScenario scenario = startedScenario(seed);
             int leaderBefore = scenario.leaderIndex();
-            int lostBefore = scenario.checker.tasks.lostWithLease;
+            int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
             List<String> unreachable = scenario.cloud.agents().stream()
                     .map(agent -> agent.name)
                     .filter(name -> name.hashCode() % 2 == 0)
@@ -41,7 +41,7 @@
                     scenario.cloud.machineNames().containsAll(unreachable),
                     "seed " + seed + ": reachable machines were terminated");
             scenario.advance(80_000);
-            assertEquals(lostBefore, scenario.checker.tasks.lostWithLease, "seed " + seed);
+            assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry, "seed " + seed);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
     }
--- a/src/test/java/org/hollypick/sim/PipelineWorkload.java
+++ b/src/test/java/org/hollypick/sim/PipelineWorkload.java
@@ -75,6 +75,6 @@
                 "POST",
                 UserProtocol.SUBMISSIONS,
                 job,
-                response -> scenario.checker.mustBeRejected(id, response.status()));
+                response -> scenario.checker.checkRejected(id, response.status()));
     }
 }
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -42,7 +42,7 @@
         scenario.workload.submitJobs(30, 100_000);
         scenario.advance(30_000);
         int before = scenario.leaderIndex();
-        scenario.faults.freezeLeaderBefore(kind, LONGER_THAN_THE_HOLD_MS);
+        scenario.faults.freezeLeaderBeforeSending(kind, LONGER_THAN_THE_HOLD_MS);
         scenario.workload.submitUncancelledServices(8);
         scenario.world.schedule(
                 500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(w -> w.hang(20_000)));
--- a/src/test/java/org/hollypick/sim/ProductionVersion.java
+++ b/src/test/java/org/hollypick/sim/ProductionVersion.java
@@ -49,14 +49,15 @@
             if (!Files.isDirectory(classes.resolve("org"))) {
                 compile(sources(commit, classes.resolveSibling(commit + "-sources")), classes);
             }
-            loaded = new ProductionVersion(new OwnFirst(classes.toUri().toURL()));
+            loaded = new ProductionVersion(
+                    new IsolatedClassLoader(classes.toUri().toURL()));
         }
         return loaded;
     }
 
     /** Classes of this program come from the given place only, all others from where the tests' own come from. */
-    private static final class OwnFirst extends URLClassLoader {
-        private OwnFirst(URL classes) {
+    private static final class IsolatedClassLoader extends URLClassLoader {
+        private IsolatedClassLoader(URL classes) {
             super(new URL[] {classes}, ProductionVersion.class.getClassLoader());
         }
 
@@ -106,7 +107,7 @@
     }
 
     /** A controller of that version. */
-    ControllerProcess controller(SimulatedWorld.Process process, Settings settings) {
+    ControllerProcess newController(SimulatedWorld.Process process, Settings settings) {
         try {
             Class<?> runtime = loader.loadClass("org.hollypick.io.Runtime");
             Object bridge = Proxy.newProxyInstance(
@@ -127,13 +128,13 @@
             Object node = loader.loadClass("org.hollypick.Node")
                     .getConstructor(runtime, loader.loadClass("org.hollypick.config.Settings"), operator)
                     .newInstance(bridge, convert(settings), defaults);
-            return new Bridge(node);
+            return new ControllerAdapter(node);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("the version in production has another shape", e);
         }
     }
 
-    private static Object part(Object of, String name) throws ReflectiveOperationException {
+    private static Object invokeAccessor(Object of, String name) throws ReflectiveOperationException {
         Method m = of.getClass().getMethod(name);
         return m.invoke(of);
     }
@@ -142,12 +143,12 @@
     private void call(SimulatedWorld.Process process, Object call, Object reply) throws ReflectiveOperationException {
         Constructor<?> replies = loader.loadClass("org.hollypick.io.Reply").getConstructor(int.class, JsonNode.class);
         Request sent = new Request(
-                (String) part(call, "address"),
-                (String) part(call, "method"),
-                (String) part(call, "path"),
-                (JsonNode) part(call, "body"),
-                (Long) part(call, "timeoutMs"),
-                (Boolean) part(call, "mesh"));
+                (String) invokeAccessor(call, "address"),
+                (String) invokeAccessor(call, "method"),
+                (String) invokeAccessor(call, "path"),
+                (JsonNode) invokeAccessor(call, "body"),
+                (Long) invokeAccessor(call, "timeoutMs"),
+                (Boolean) invokeAccessor(call, "mesh"));
         process.send(sent, r -> {
             try {
                 ((Consumer<Object>) reply).accept(replies.newInstance(r.status(), r.body()));
@@ -184,13 +185,13 @@
         return there.getConstructors()[0].newInstance(fields.toArray());
     }
 
-    private static final class Bridge implements ControllerProcess {
+    private static final class ControllerAdapter implements ControllerProcess {
         private final Object node;
         private final Method start;
         private final Method handle;
         private final Method handleMesh;
 
-        private Bridge(Object node) throws ReflectiveOperationException {
+        private ControllerAdapter(Object node) throws ReflectiveOperationException {
             this.node = node;
             start = node.getClass().getMethod("start");
             handle = node.getClass().getMethod("handle", String.class, String.class, byte[].class, Consumer.class);
@@ -211,7 +212,8 @@
         private static Consumer<Object> answer(Consumer<Supplier<Response>> reply) {
             return a -> {
                 try {
-                    Response r = new Response((Integer) part(a, "status"), (JsonNode) part(a, "body"));
+                    Response r =
+                            new Response((Integer) invokeAccessor(a, "status"), (JsonNode) invokeAccessor(a, "body"));
                     reply.accept(() -> r);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
--- a/src/test/java/org/hollypick/sim/RandomFaults.java
+++ b/src/test/java/org/hollypick/sim/RandomFaults.java
@@ -187,7 +187,7 @@
             case 8 -> faults.crash(leader, faults.drawDowntimeMs(5_000));
             case 9 -> faults.crashAll();
             case 10 -> faults.freeze(leader, ms);
-            case 11 -> network.partitionFromAgents(leader, 2 * ms, faults.drawMachines());
+            case 11 -> network.partitionFromAgents(leader, 2 * ms, faults.drawMachineNames());
             case 12 ->
                 scenario.cloud.agents().stream()
                         .filter(agent -> world.random.nextInt(3) == 0)
@@ -196,7 +196,7 @@
                 String zone = ClusterScenario.ZONES.get(world.random.nextInt(ClusterScenario.ZONES.size()));
                 network.partitionZone(zone, scenario.agentLeaseMs + ms);
             }
-            default -> network.delayHeartbeats(faults.drawMachines(), scenario.agentLeaseMs + ms);
+            default -> network.delayHeartbeats(faults.drawMachineNames(), scenario.agentLeaseMs + ms);
         }
     }
 
@@ -205,8 +205,8 @@
             case 16 -> faults.crashAllBeyondLease();
             case 17 -> faults.failOverRepeatedly(10, 10_000);
             case 18, 19 -> faults.cancelHalfOfJobs(ms);
-            case 20, 21 -> faults.refusalThenOutage(scenario.cancellationLimitMs() + ms);
-            case 22 -> faults.freezeBefore(leader, drawRequestKind(), ms);
+            case 20, 21 -> faults.refuseLeaderThenStartOutage(scenario.cancellationLimitMs() + ms);
+            case 22 -> faults.freezeBeforeSending(leader, drawRequestKind(), ms);
             default -> faults.hangThirdOfMachines(ms);
         }
     }
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -34,12 +34,12 @@
         for (int seed = 1; seed <= 4; seed++) {
             for (long restart : new long[] {50, 200, 1_000}) {
                 ClusterScenario scenario = running(seed);
-                int lost = scenario.checker.tasks.lostWithLease;
+                int lost = scenario.checker.tasks.lostOnLeaseExpiry;
                 scenario.faults.crash(scenario.leaderIndex(), restart);
                 long took = withoutLeader(scenario, restart + 1_000);
                 System.out.println("seed " + seed + " restart " + restart + " without a leader ms=" + took);
                 scenario.advance(40_000);
-                assertEquals(lost, scenario.checker.tasks.lostWithLease);
+                assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
                 assertEquals(List.of(), scenario.checker.violations);
             }
         }
--- a/src/test/java/org/hollypick/sim/SimulatedController.java
+++ b/src/test/java/org/hollypick/sim/SimulatedController.java
@@ -81,11 +81,11 @@
             return;
         }
         byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
-        AnswerOrderChecker.Question question =
-                AnswerOrderChecker.question(name(), method, path, body, scenario.world.now);
+        AnswerOrderChecker.JobRequest jobRequest =
+                AnswerOrderChecker.requestAbout(name(), method, path, body, scenario.world.now);
         Consumer<Response> respond = answer -> {
-            Response response = scenario.responseFault.apply(question, answer);
-            scenario.checker.order.left(question, response, scenario.world.now);
+            Response response = scenario.responseFault.apply(jobRequest, answer);
+            scenario.checker.answerOrder.responseSent(jobRequest, response, scenario.world.now);
             if (isHeartbeat) {
                 receiver.heartbeatAnswered(machine);
             }
--- a/src/test/java/org/hollypick/sim/StarvationChecker.java
+++ b/src/test/java/org/hollypick/sim/StarvationChecker.java
@@ -105,7 +105,7 @@
         double cores = job.path(UserProtocol.CORES).asDouble();
         return agent.isHealthy()
                 && usageByAgent.get(agent).plus(job).fits()
-                && checker.tasks.teamHasRoom(job.path(UserProtocol.TEAM).asText(), cores)
+                && checker.tasks.isWithinQuota(job.path(UserProtocol.TEAM).asText(), cores)
                 && isAllowed(agent, job, tasksByZone.getOrDefault(id, Map.of()));
     }
 
--- a/src/test/java/org/hollypick/sim/TaskChecker.java
+++ b/src/test/java/org/hollypick/sim/TaskChecker.java
@@ -20,7 +20,7 @@
     /** What a graph's task does. */
     interface GraphProgram {
         /** The task runs; {@code finish} ends it, unless it was lost or stopped meanwhile. */
-        void running(String task, long attempt, Runnable finish);
+        void run(String task, long attempt, Runnable finish);
     }
 
     private final InvariantChecker checker;
@@ -34,7 +34,7 @@
     /** What the tasks of graphs do while they run. */
     GraphProgram graphProgram;
     /** Cores that each team's tasks may take together. */
-    final Map<String, Double> coresByTeam = new HashMap<>();
+    final Map<String, Double> quotaCoresByTeam = new HashMap<>();
     /** Called with each task in the moment when it completes. */
     Consumer<String> completionListener = task -> {};
 
@@ -42,7 +42,7 @@
     final Map<String, Integer> startsByTask = new HashMap<>();
     int completedCount;
     /** Tasks that ended with their agent's lease. */
-    int lostWithLease;
+    int lostOnLeaseExpiry;
     /** Tasks that started after a user was told that their job is cancelled, however soon after. */
     final List<String> startsAfterCancellation = new ArrayList<>();
     /** Tasks of cancelled jobs that went on, for a moment or longer, when their machine no longer hung. */
@@ -97,7 +97,7 @@
     }
 
     private void checkQuota(String team) {
-        if (!teamHasRoom(team, 0)) {
+        if (!isWithinQuota(team, 0)) {
             checker.violations.add("quota of " + team + " " + coresOf(team));
         }
     }
@@ -199,8 +199,8 @@
     }
 
     /** Whether that many cores more keep the team's quota. */
-    boolean teamHasRoom(String team, double cores) {
-        return coresOf(team) + cores <= coresByTeam.getOrDefault(team, 0.0) + TOLERANCE;
+    boolean isWithinQuota(String team, double cores) {
+        return coresOf(team) + cores <= quotaCoresByTeam.getOrDefault(team, 0.0) + TOLERANCE;
     }
 
     private String teamOf(String task) {
@@ -218,7 +218,7 @@
                 || completedOf(job) >= description.path(UserProtocol.TASK_COUNT).asInt();
     }
 
-    boolean isDone(String task) {
+    boolean isTaskComplete(String task) {
         return completedByJob.getOrDefault(jobOf(task), Set.of()).contains(indexOf(task));
     }
 
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -127,9 +127,9 @@
             GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
             scenario.world.schedule(3_000 + scenario.world.random.nextInt(50_000), user::start);
             if (i == 1) {
-                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::withdraw);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(60_000), user::cancel);
             } else if (i == 2) {
-                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::withdrawNode);
+                scenario.world.schedule(30_000 + scenario.world.random.nextInt(40_000), user::cancelRandomNode);
             }
         }
         scenario.workload.submitJobs(8, 60_000);
