--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -21,21 +21,21 @@
  * leases last 15 s, and a cancelled task has 35 s.
  */
 class CombinedFaultsTest {
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
     private static final long OUTAGE_MS = 60_000;
     /** More are played outside CI: {@code mvn test -Dtest=CombinedFaultsTest -Dcombined-faults.days=3000}. */
-    private static final int DAYS = Integer.getInteger("combined-faults.days", 150);
+    private static final int SCENARIOS = Integer.getInteger("combined-faults.days", 150);
 
-    private static final int FIRST_DAY = Integer.getInteger("meetings.first", 1);
+    private static final int FIRST_SEED = Integer.getInteger("meetings.first", 1);
     /**
      * Drawn troubles are over by then: the last pair begins at 110 s, its second at most 35 s later, and ten changes of
      * the leader take 100 s.
      */
-    private static final long CALM_MS = 255_000;
+    private static final long FAULTS_ENDED_AT_MS = 255_000;
 
     /** Its write is carried out, and nothing of that comes back to the leader. */
-    private static void cancelWithoutAnswer(ClusterScenario scenario, int leader) {
+    private static void cancelWithLostStoreResponses(ClusterScenario scenario, int leader) {
         scenario.world.cutOneWay("state:1", "bothy-" + leader, 14_000);
         scenario.users.cancelAt(leader, "req-000000");
         scenario.advance(60);
@@ -47,11 +47,11 @@
      * on by the lease grants of the others and answers the agents.
      */
     @Test
-    void aCancellationConfirmedByAnotherControllerHoldsThoughTheLeaderCannotKnow() {
+    void cancellationConfirmedByAnotherControllerHoldsWhenTheLeaderReceivesNoResponse() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
-            cancelWithoutAnswer(scenario, leader);
+            cancelWithLostStoreResponses(scenario, leader);
             Response told = scenario.users.requestAt((leader + 1) % 3, "GET", "/submissions/req-000000", null);
             assertEquals("aborted", told.body().path("status").asText(), "seed " + seed);
             scenario.store.startOutage(OUTAGE_MS);
@@ -65,7 +65,7 @@
      * gets no older answer.
      */
     @Test
-    void slowAnswersBeforeAnOutageTellNothingOlder() {
+    void slowStoreResponsesBeforeAnOutageNeverRevertJobStatus() {
         for (int seed = 1; seed <= 10; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
@@ -87,29 +87,33 @@
      * knows nothing of that.
      */
     @Test
-    void whatIsCancelledThroughTheNewLeaderIsGoneAtTheOldOneToo() {
+    void jobsCancelledThroughTheNewLeaderStopOnAgentsOfTheFormerLeader() {
         for (int seed = 1; seed <= 10; seed++) {
-            assertEquals(List.of(), cancelledThroughTheNewLeader(seed, NEW).checker.violations, "seed " + seed);
+            assertEquals(List.of(), cancelThroughNewLeader(seed, CURRENT_VERSION).checker.violations, "seed " + seed);
         }
     }
 
     @Test
-    void checkerDetectsAFormerLeaderThatHoldsLeasesTooLong() {
+    void checkerDetectsAFormerLeaderThatRenewsLeasesTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy =
-                (r, s) -> NEW.apply(r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 60) : s);
+                (eventLoop, settings) -> CURRENT_VERSION.apply(
+                eventLoop,
+                settings.node().equals("bothy-0")
+                        ? ClusterScenario.withLongerCancellation(settings, 60)
+                        : settings);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
-        assertTrue(cancelledThroughTheNewLeader(1, greedy).checker.violations.stream()
+        assertTrue(cancelThroughNewLeader(1, greedy).checker.violations.stream()
                 .anyMatch(b -> b.startsWith("ran_cancelled")));
     }
 
-    private static ClusterScenario cancelledThroughTheNewLeader(
+    private static ClusterScenario cancelThroughNewLeader(
             int seed, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
         int old = scenario.leaderIndex();
         scenario.network.partitionFromStoreAndPeers(old, 110_000);
         List<String> ofZone = scenario.cloud.agents().stream()
-                .filter(w -> w.zone.equals("b"))
-                .map(w -> w.name)
+                .filter(agent -> agent.zone.equals("b"))
+                .map(agent -> agent.name)
                 .toList();
         for (int other = 0; other < 3; other++) {
             if (other != old) {
@@ -146,7 +150,7 @@
                             && call.path().equals("/commands")
                             && call.body().toString().contains("launch")) {
                         held[0] = scenario.cloud.agents().stream()
-                                .filter(w -> w.address.equals(call.address()))
+                                .filter(agent -> agent.address.equals(call.address()))
                                 .findAny()
                                 .orElseThrow();
                         if (hangs) {
@@ -193,26 +197,27 @@
      * and each job is done.
      */
     @Test
-    void tasksThatEndFarApartAreDoneForEveryLeader() {
+    void tasksCompletedUnderEarlierLeadersAreNotStartedAgain() {
         for (int seed = 1; seed <= 8; seed++) {
-            ClusterScenario scenario = smallJobs(seed, k -> false);
+            ClusterScenario scenario = runSmallJobsThroughFailovers(seed, k -> false);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
-            assertEquals(List.of(), twice(scenario), "seed " + seed);
+            assertEquals(List.of(), tasksStartedMoreThanOnce(scenario), "seed " + seed);
             scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
         }
     }
 
     /** A successor that doesn't find what was done starts it once more. */
     @Test
-    void checkerDetectsALeaderThatForgetsCompletions() {
+    void checkerDetectsALeaderWithoutCompletionRecords() {
         boolean noticed = false;
         for (int seed = 1; seed <= 8 && !noticed; seed++) {
-            noticed = !twice(smallJobs(seed, k -> k.startsWith("h/p/"))).isEmpty();
+            noticed = !tasksStartedMoreThanOnce(runSmallJobsThroughFailovers(seed, k -> k.startsWith("h/p/")))
+                    .isEmpty();
         }
         assertTrue(noticed);
     }
 
-    private static ClusterScenario smallJobs(int seed, Predicate<String> hidden) {
+    private static ClusterScenario runSmallJobsThroughFailovers(int seed, Predicate<String> hidden) {
         ClusterScenario scenario = new ClusterScenario(seed);
         scenario.store.hiddenKeys = hidden;
         scenario.workload.durationFactor = 5;
@@ -227,7 +232,7 @@
         return scenario;
     }
 
-    private static List<String> twice(ClusterScenario scenario) {
+    private static List<String> tasksStartedMoreThanOnce(ClusterScenario scenario) {
         return scenario.checker.tasks.startsByTask.entrySet().stream()
                 .filter(e -> e.getValue() > 1)
                 .map(Map.Entry::getKey)
@@ -239,7 +244,7 @@
      * of reports and users who cancel.
      */
     @Test
-    void leadershipMovesToAnotherControllerAndBack() {
+    void repeatedFailoversWithDuplicatedHeartbeatsViolateNoInvariant() {
         for (int seed = 1; seed <= 12; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             scenario.users.cancelOneIn = 2;
@@ -268,9 +273,9 @@
      * nor waited for without end.
      */
     @Test
-    void longTasksOnMachinesOutOfReachOutliveTheLeader() {
+    void longJobsOnUnreachableMachinesEndAfterAllControllersRestart() {
         for (int seed = 1; seed <= 12; seed++) {
-            ClusterScenario scenario = outOfReach(seed, k -> false);
+            ClusterScenario scenario = runLongJobsOnUnreachableMachines(seed, k -> false);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
         }
@@ -281,13 +286,13 @@
     void checkerDetectsASuccessorThatDoesNotAwaitLeaseExpiry() {
         boolean noticed = false;
         for (int seed = 1; seed <= 12 && !noticed; seed++) {
-            noticed = outOfReach(seed, k -> k.startsWith("h/m/")).checker.violations.stream()
+            noticed = runLongJobsOnUnreachableMachines(seed, k -> k.startsWith("h/m/")).checker.violations.stream()
                     .anyMatch(b -> b.startsWith("ran_twice"));
         }
         assertTrue(noticed);
     }
 
-    private static ClusterScenario outOfReach(int seed, Predicate<String> hidden) {
+    private static ClusterScenario runLongJobsOnUnreachableMachines(int seed, Predicate<String> hidden) {
         ClusterScenario scenario = new ClusterScenario(seed);
         scenario.workload.durationFactor = 6;
         scenario.users.cancelOneIn = 3;
@@ -295,14 +300,14 @@
         scenario.advance(5_000);
         scenario.workload.submitBatchJobs(10, 10_000);
         scenario.advance(30_000);
-        for (FakeAgent w : scenario.cloud.agents()) {
+        for (FakeAgent agent : scenario.cloud.agents()) {
             int how = scenario.world.random.nextInt(3);
             for (int node = 0; node < 3; node++) {
                 if (how == 0) {
-                    scenario.network.dropInbound(w, node, 12_000);
+                    scenario.network.dropInbound(agent, node, 12_000);
                 } else if (how == 1) {
-                    scenario.world.cut(w.name, "p" + node + ":1", 12_000);
-                    scenario.world.cut("bothy-" + node, w.address, 12_000);
+                    scenario.world.cut(agent.name, "p" + node + ":1", 12_000);
+                    scenario.world.cut("bothy-" + node, agent.address, 12_000);
                 }
             }
         }
@@ -327,8 +332,8 @@
                 scenario.world.schedule(
                         20_000 + 12_000 * i,
                         () -> scenario.cloud.agents().stream()
-                                .filter(w -> scenario.world.random.nextInt(3) == 0)
-                                .forEach(w -> w.restart(300, anew)));
+                                .filter(agent -> scenario.world.random.nextInt(3) == 0)
+                                .forEach(agent -> agent.restart(300, anew)));
                 scenario.world.schedule(
                         20_000 + 12_000 * i + scenario.world.random.nextInt(6_000),
                         () -> scenario.faults.crash(scenario.leaderIndex(), 300));
@@ -343,11 +348,11 @@
      * leaders come and go.
      */
     @Test
-    void lateTransactionsOfEachKindAreHarmless() {
+    void lateTransactionsOfEachKindViolateNoInvariant() {
         for (String kind : List.of("h/roster", "h/n/", "h/j/", "h/p/", "h/m/", "h/s/", "h/")) {
             int starts = 0;
             for (int seed = 1; seed <= 8; seed++) {
-                ClusterScenario scenario = lateTransactions(seed, kind, false);
+                ClusterScenario scenario = runWithLateTransactions(seed, kind, false);
                 assertEquals(List.of(), scenario.checker.violations, kind + " seed " + seed);
                 starts += scenario.checker.tasks.starts;
             }
@@ -357,15 +362,18 @@
 
     /** A service that doesn't look at conditions carries out what was true once. */
     @Test
-    void checkerDetectsTransactionsWithoutConditions() {
+    void checkerDetectsAStoreThatIgnoresTransactionConditions() {
         boolean noticed = false;
         for (int seed = 1; seed <= 8 && !noticed; seed++) {
-            noticed = !lateTransactions(seed, "h/", true).checker.violations.isEmpty();
+            noticed = !runWithLateTransactions(seed, "h/", true)
+                    .checker
+                    .violations
+                    .isEmpty();
         }
         assertTrue(noticed);
     }
 
-    private static ClusterScenario lateTransactions(int seed, String kind, boolean careless) {
+    private static ClusterScenario runWithLateTransactions(int seed, String kind, boolean careless) {
         ClusterScenario scenario = new ClusterScenario(seed);
         scenario.store.ignoresConditions = careless;
         scenario.users.cancelOneIn = 2;
@@ -386,11 +394,11 @@
      * away, and after.
      */
     @Test
-    void wrongAndDoubledRequestsWhileACancellationIsInDoubt() {
+    void invalidAndRepeatedRequestsAreAnsweredCorrectlyWhileACancellationIsUnresolved() {
         for (int seed = 1; seed <= 5; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
             int leader = scenario.leaderIndex();
-            cancelWithoutAnswer(scenario, leader);
+            cancelWithLostStoreResponses(scenario, leader);
             scenario.store.startOutage(OUTAGE_MS);
             scenario.advance(5_000);
             for (int node = 0; node < 3; node++) {
@@ -439,8 +447,8 @@
     @Test
     void randomCombinedFaultsViolateNoInvariant() {
         Map<Integer, List<String>> broken = new TreeMap<>();
-        for (int seed = FIRST_DAY; seed < FIRST_DAY + DAYS; seed++) {
-            List<String> rules = drawn(seed).checker.violations;
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + SCENARIOS; seed++) {
+            List<String> rules = runRandomCombinedFaults(seed).checker.violations;
             if (!rules.isEmpty()) {
                 broken.put(seed, rules);
             }
@@ -448,7 +456,7 @@
         assertEquals(Map.of(), broken);
     }
 
-    static ClusterScenario drawn(int seed) {
+    static ClusterScenario runRandomCombinedFaults(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed);
         scenario.workload.durationFactor = seed % 2 == 0 ? 4 : 1;
         scenario.users.cancelOneIn = 2;
@@ -456,7 +464,7 @@
         scenario.placeControllerInZone(seed % 3, "b");
         scenario.workload.submitJobs(25, 120_000);
         scenario.randomFaults.scheduleCombinedFaults(4, 20_000, 110_000);
-        scenario.advance(CALM_MS);
+        scenario.advance(FAULTS_ENDED_AT_MS);
         scenario.checker.faultsEnded(scenario.world.now);
         scenario.workload.submitJobs(8, 10_000);
         scenario.advance(StarvationChecker.STARVATION_MS + 15_000);
@@ -469,7 +477,7 @@
      * done, and start its tasks once more.
      */
     @Test
-    void aLeaderThatReadsAllRecordsAgainTakesUpNothingThatIsOver() {
+    void aLeaderThatReloadsAllRecordsRestartsNoCompletedTask() {
         for (int seed = 1; seed <= 4; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
             scenario.users.cancelOneIn = 1_000_000;
@@ -495,7 +503,7 @@
                 });
             }
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
-            assertEquals(List.of(), twice(scenario), "seed " + seed);
+            assertEquals(List.of(), tasksStartedMoreThanOnce(scenario), "seed " + seed);
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/LinkPatternsTest.java
+++ b/src/test/java/org/hollypick/sim/LinkPatternsTest.java
@@ -20,26 +20,36 @@
  * on.
  */
 class LinkPatternsTest {
-    private static final long CUT_MS = 40_000;
+    private static final long PATTERN_MS = 40_000;
     /**
      * As long as the deployments': a machine that finds two controllers cut off in turn needs fifteen seconds for it.
      */
     private static final long LEASE_MS = 27_000;
     /** From the beginning of a cut until new work starts. */
-    private static final long BOUND_MS = 25_000;
+    private static final long MAX_START_MS = 25_000;
 
     /** How a cut went. */
     private record Outcome(
-            LinkPattern links, int lost, long startedAfter, int changes, Set<String> returned, List<String> broken) {
-        boolean full() {
-            return lost == 0 && startedAfter <= BOUND_MS;
+            LinkPattern links,
+            int lostTasks,
+            long startedAfterMs,
+            int leaderChanges,
+            Set<String> returnedMachines,
+            List<String> violations) {
+        boolean isUninterrupted() {
+            return lostTasks == 0 && startedAfterMs <= MAX_START_MS;
         }
     }
 
     /** Some dozen machines with services that nobody cancels. */
-    private static ClusterScenario running(int seed) {
+    private static ClusterScenario newScenarioWithServices(int seed) {
         ClusterScenario scenario = new ClusterScenario(
-                seed, 6, null, null, (r, s) -> new Controller(r, s, OperatorSettings.defaults()), LEASE_MS);
+                seed,
+                6,
+                null,
+                null,
+                (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()),
+                LEASE_MS);
         scenario.advance(3_000);
         scenario.workload.submitUncancelledServices(5);
         scenario.advance(37_000);
@@ -47,8 +57,8 @@
     }
 
     /** Services run; the links are as they say; after a while new work comes; the cut ends. */
-    private static Outcome play(int seed, LinkPattern links) {
-        ClusterScenario scenario = running(seed);
+    private static Outcome runPattern(int seed, LinkPattern links) {
+        ClusterScenario scenario = newScenarioWithServices(seed);
         int lost = scenario.checker.tasks.lostOnLeaseExpiry;
         Set<String> returned = new TreeSet<>();
         scenario.world.requestObserver = (from, call) -> {
@@ -56,12 +66,12 @@
                 call.body()
                         .path("bothies")
                         .forEach(id -> scenario.cloud.agents().stream()
-                                .filter(w -> w.name.equals(id.asText())
-                                        && w.activeTasks() > 0
-                                        && (links.reachesAgents(0, w.zone)
-                                                || links.reachesAgents(1, w.zone)
-                                                || links.reachesAgents(2, w.zone)))
-                                .forEach(w -> returned.add(w.name)));
+                                .filter(agent -> agent.name.equals(id.asText())
+                                        && agent.activeTasks() > 0
+                                        && (links.reachesAgents(0, agent.zone)
+                                                || links.reachesAgents(1, agent.zone)
+                                                || links.reachesAgents(2, agent.zone)))
+                                .forEach(agent -> returned.add(agent.name)));
             }
         };
         scenario.network.apply(links);
@@ -72,7 +82,7 @@
         long lead = scenario.store.valueOf("h/roster").path("member").asLong();
         long startedAfter = Long.MAX_VALUE;
         scenario.workload.submitUncancelledServices(3);
-        for (long t = 0; t < CUT_MS - 10_000; t += 100) {
+        for (long t = 0; t < PATTERN_MS - 10_000; t += 100) {
             scenario.advance(100);
             long leads = scenario.store.valueOf("h/roster").path("member").asLong();
             changes += leads == lead ? 0 : 1;
@@ -88,24 +98,24 @@
     }
 
     /** Every pattern of a kind, one in so many; {@code main} plays them all. */
-    private static List<Outcome> all(int step) {
+    private static List<Outcome> runPatterns(int step) {
         List<Outcome> list = new ArrayList<>();
         for (int bits = step / 2; bits < LinkPattern.COUNT; bits += step) {
-            list.add(play(1 + bits % 5, new LinkPattern(bits)));
+            list.add(runPattern(1 + bits % 5, new LinkPattern(bits)));
         }
         return list;
     }
 
-    private static final Predicate<Outcome> RETURNED = o -> !o.returned.isEmpty();
+    private static final Predicate<Outcome> RETURNED_USABLE_MACHINES = o -> !o.returnedMachines.isEmpty();
 
     @Test
-    void whereverThereIsAWayWorkGoesOn() {
-        for (Outcome o : all(29)) {
-            assertEquals(List.of(), o.broken, o.links.toString());
+    void workContinuesWhenAllAgentsAreReachableThroughAtMostOnePeer() {
+        for (Outcome o : runPatterns(29)) {
+            assertEquals(List.of(), o.violations, o.links.toString());
             if (o.links.coverage() == LinkPattern.Coverage.FULL) {
-                assertTrue(o.full(), o.toString());
-                assertEquals(Set.of(), o.returned, o.toString());
-                assertTrue(o.changes <= 3, o.toString());
+                assertTrue(o.isUninterrupted(), o.toString());
+                assertEquals(Set.of(), o.returnedMachines, o.toString());
+                assertTrue(o.leaderChanges <= 3, o.toString());
             }
         }
     }
@@ -140,7 +150,7 @@
     @Test
     void flappingLinksCauseFewFailovers() {
         for (int seed = 1; seed <= 3; seed++) {
-            ClusterScenario scenario = running(seed);
+            ClusterScenario scenario = newScenarioWithServices(seed);
             int lost = scenario.checker.tasks.lostOnLeaseExpiry;
             for (int i = 0; i < 15; i++) {
                 boolean down = i % 2 == 0;
@@ -175,7 +185,7 @@
     @Test
     void leadershipMovesToTheControllerThatReachesTheMachines() {
         for (int seed = 1; seed <= 6; seed++) {
-            ClusterScenario scenario = running(seed);
+            ClusterScenario scenario = newScenarioWithServices(seed);
             int lost = scenario.checker.tasks.lostOnLeaseExpiry;
             int leaderAtFirst = scenario.leaderIndex();
             int well = (leaderAtFirst + 1 + seed % 2) % 3;
@@ -211,17 +221,17 @@
     public static void main(String[] args) {
         Map<String, int[]> table = new TreeMap<>();
         int broken = 0;
-        for (Outcome o : all(args.length > 0 ? Integer.parseInt(args[0]) : 1)) {
+        for (Outcome o : runPatterns(args.length > 0 ? Integer.parseInt(args[0]) : 1)) {
             int[] row = table.computeIfAbsent(o.links.coverage().toString(), k -> new int[7]);
             row[0]++;
-            row[o.full() ? 1 : o.startedAfter < Long.MAX_VALUE ? 2 : 3]++;
-            row[4] += o.lost > 0 ? 1 : 0;
-            row[5] += RETURNED.test(o) ? 1 : 0;
-            row[6] = Math.max(row[6], o.changes);
-            broken += o.broken.isEmpty() ? 0 : 1;
-            if (!o.broken.isEmpty()
+            row[o.isUninterrupted() ? 1 : o.startedAfterMs < Long.MAX_VALUE ? 2 : 3]++;
+            row[4] += o.lostTasks > 0 ? 1 : 0;
+            row[5] += RETURNED_USABLE_MACHINES.test(o) ? 1 : 0;
+            row[6] = Math.max(row[6], o.leaderChanges);
+            broken += o.violations.isEmpty() ? 0 : 1;
+            if (!o.violations.isEmpty()
                     || (o.links.coverage() == LinkPattern.Coverage.FULL
-                            && (!o.full() || RETURNED.test(o) || o.changes > 3))) {
+                            && (!o.isUninterrupted() || RETURNED_USABLE_MACHINES.test(o) || o.leaderChanges > 3))) {
                 System.out.println(o);
             }
         }
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -30,34 +30,34 @@
  */
 class MachineFaultsTest {
     /** Prime to the numbers of values of each kind, so that all of them occur. */
-    private static final int EVERY = Integer.getInteger("machines.every", 17);
+    private static final int CASE_INTERVAL = Integer.getInteger("machines.every", 17);
 
-    private static final int EVERY_SLOW = Math.min(EVERY, 7);
+    private static final int HEARTBEAT_CASE_INTERVAL = Math.min(CASE_INTERVAL, 7);
     /** Seeds of each order with which a faulty version is given the chance to show. */
-    private static final int FAULTY_SEEDS = 8;
+    private static final int MAX_FAULTY_SEEDS = 8;
 
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
 
-    private static ClusterScenario day(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+    private static ClusterScenario newScenario(int seed, BiFunction<EventLoop, Settings, Controller> version) {
         return new ClusterScenario(seed, 1, null, null, version);
     }
 
-    private static boolean launches(Request call) {
+    private static boolean isLaunch(Request call) {
         return call.path().equals("/commands")
                 && call.body().path("orders").toString().contains("launch");
     }
 
-    private static boolean registers(Request call) {
+    private static boolean isRegistration(Request call) {
         return call.path().equals("/commit")
                 && call.body().path("then").toString().contains("\"h/m/");
     }
 
-    private static boolean rents(Request call) {
+    private static boolean isRental(Request call) {
         return call.path().equals("/hosts") && call.method().equals("POST");
     }
 
-    private static boolean returns(Request call) {
+    private static boolean isReturn(Request call) {
         return call.path().equals("/hosts/return");
     }
 
@@ -66,32 +66,38 @@
     /**
      * What happens to a call: nothing, its answer comes late or never, or it gets no answer and is carried out late.
      */
-    private enum Fate {
-        ON_TIME,
-        ANSWER_LATE,
-        ANSWER_LOST,
-        CARRIED_OUT_LATE
+    private enum CallFault {
+        NONE,
+        RESPONSE_LATE,
+        RESPONSE_LOST,
+        EXECUTED_LATE
     }
 
     /** The event at which the leader ends. */
-    private enum End {
+    private enum CrashTrigger {
         RENTAL_SENT,
         MACHINE_UP,
-        FIRST_REPORT,
+        FIRST_HEARTBEAT,
         REGISTRATION_SENT,
         LAUNCH_SENT
     }
 
-    private record NewMachines(Fate rental, Fate registration, End end, int afterMs, int bootMs, int seed) {}
-
-    private static List<NewMachines> newMachines() {
-        List<NewMachines> all = new ArrayList<>();
-        for (Fate rental : Fate.values()) {
-            for (Fate registration : Fate.values()) {
-                for (End end : End.values()) {
+    private record NewMachineCase(
+            CallFault rental,
+            CallFault registration,
+            CrashTrigger crashTrigger,
+            int crashDelayMs,
+            int maxBootMs,
+            int seed) {}
+
+    private static List<NewMachineCase> newMachineCases() {
+        List<NewMachineCase> all = new ArrayList<>();
+        for (CallFault rental : CallFault.values()) {
+            for (CallFault registration : CallFault.values()) {
+                for (CrashTrigger end : CrashTrigger.values()) {
                     for (int afterMs : new int[] {0, 8, 60, 700}) {
                         for (int bootMs : new int[] {1, 2_000}) {
-                            all.add(new NewMachines(rental, registration, end, afterMs, bootMs, all.size() + 1));
+                            all.add(new NewMachineCase(rental, registration, end, afterMs, bootMs, all.size() + 1));
                         }
                     }
                 }
@@ -100,53 +106,54 @@
         return all;
     }
 
-    private static ClusterScenario play(NewMachines order, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario day = day(order.seed, version);
-        day.cloud.maxBootMs = order.bootMs;
-        day.cloud.alternatesListAge = true;
-        day.users.cancelOneIn = 4;
-        boolean slow = order.rental == Fate.ANSWER_LATE;
-        Random random = day.world.random;
-        day.network.requestDelayMs = (from, call) -> {
-            boolean late = ((rents(call) || returns(call)) && order.rental == Fate.CARRIED_OUT_LATE)
-                    || (registers(call) && order.registration == Fate.CARRIED_OUT_LATE);
+    private static ClusterScenario runCase(
+            NewMachineCase testCase, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = newScenario(testCase.seed, version);
+        scenario.cloud.maxBootMs = testCase.maxBootMs;
+        scenario.cloud.alternatesListAge = true;
+        scenario.users.cancelOneIn = 4;
+        boolean slow = testCase.rental == CallFault.RESPONSE_LATE;
+        Random random = scenario.world.random;
+        scenario.network.requestDelayMs = (from, call) -> {
+            boolean late = ((isRental(call) || isReturn(call)) && testCase.rental == CallFault.EXECUTED_LATE)
+                    || (isRegistration(call) && testCase.registration == CallFault.EXECUTED_LATE);
             return late && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
         };
-        day.world.losesResponse = call -> ((rents(call) && order.rental == Fate.ANSWER_LOST)
-                        || (registers(call) && order.registration == Fate.ANSWER_LOST))
+        scenario.world.losesResponse = call -> ((isRental(call) && testCase.rental == CallFault.RESPONSE_LOST)
+                        || (isRegistration(call) && testCase.registration == CallFault.RESPONSE_LOST))
                 && random.nextBoolean();
-        day.advance(5_000);
-        day.world.addLatency("cloud:1", slow ? 3_000 : 0, 60_000);
-        day.world.addLatency("state:1", order.registration == Fate.ANSWER_LATE ? 1_500 : 0, 20_000);
-        endLeaderAt(day, order, 2);
-        day.workload.submitUncancelledServices(3);
-        day.workload.submitBatchJobs(8, 15_000);
-        day.advance(100_000);
-        return day;
+        scenario.advance(5_000);
+        scenario.world.addLatency("cloud:1", slow ? 3_000 : 0, 60_000);
+        scenario.world.addLatency("state:1", testCase.registration == CallFault.RESPONSE_LATE ? 1_500 : 0, 20_000);
+        crashLeaderAtTrigger(scenario, testCase, 2);
+        scenario.workload.submitUncancelledServices(3);
+        scenario.workload.submitBatchJobs(8, 15_000);
+        scenario.advance(100_000);
+        return scenario;
     }
 
     /** Ends the leader at the first such event, and then the next one at the first of its own. */
-    private static void endLeaderAt(ClusterScenario day, NewMachines order, int times) {
+    private static void crashLeaderAtTrigger(ClusterScenario scenario, NewMachineCase testCase, int times) {
         boolean[] due = {true};
         Runnable end = () -> {
             if (due[0]) {
                 due[0] = false;
-                day.world.schedule(order.afterMs, () -> {
-                    day.faults.crash(day.leaderIndex(), order.seed % 2 == 0 ? 150 : 6_000);
+                scenario.world.schedule(testCase.crashDelayMs, () -> {
+                    scenario.faults.crash(scenario.leaderIndex(), testCase.seed % 2 == 0 ? 150 : 6_000);
                     if (times > 1) {
-                        day.onNextFencingToken(() -> endLeaderAt(day, order, times - 1));
+                        scenario.onNextFencingToken(() -> crashLeaderAtTrigger(scenario, testCase, times - 1));
                     }
                 });
             }
         };
-        Consumer<FakeAgent> up = w -> end.run();
+        Consumer<FakeAgent> up = agent -> end.run();
         Consumer<Request> report = call -> end.run();
-        day.cloud.bootListener = order.end == End.MACHINE_UP ? up : w -> {};
-        day.world.heartbeatObserver = order.end == End.FIRST_REPORT ? report : call -> {};
-        day.world.requestObserver = (from, call) -> {
-            if ((order.end == End.RENTAL_SENT && rents(call))
-                    || (order.end == End.REGISTRATION_SENT && registers(call))
-                    || (order.end == End.LAUNCH_SENT && launches(call))) {
+        scenario.cloud.bootListener = testCase.crashTrigger == CrashTrigger.MACHINE_UP ? up : agent -> {};
+        scenario.world.heartbeatObserver = testCase.crashTrigger == CrashTrigger.FIRST_HEARTBEAT ? report : call -> {};
+        scenario.world.requestObserver = (from, call) -> {
+            if ((testCase.crashTrigger == CrashTrigger.RENTAL_SENT && isRental(call))
+                    || (testCase.crashTrigger == CrashTrigger.REGISTRATION_SENT && isRegistration(call))
+                    || (testCase.crashTrigger == CrashTrigger.LAUNCH_SENT && isLaunch(call))) {
                 end.run();
             }
         };
@@ -161,13 +168,13 @@
         List<String> broken = new ArrayList<>();
         int starts = 0;
         int days = 0;
-        for (NewMachines order : newMachines()) {
-            if (order.seed % EVERY == 0) {
-                ClusterScenario day = play(order, NEW);
+        for (NewMachineCase testCase : newMachineCases()) {
+            if (testCase.seed % CASE_INTERVAL == 0) {
+                ClusterScenario scenario = runCase(testCase, CURRENT_VERSION);
                 days++;
-                starts += day.checker.tasks.starts;
-                if (!day.checker.violations.isEmpty()) {
-                    broken.add(order + " " + day.checker.violations);
+                starts += scenario.checker.tasks.starts;
+                if (!scenario.checker.violations.isEmpty()) {
+                    broken.add(testCase + " " + scenario.checker.violations);
                 }
             }
         }
@@ -178,11 +185,11 @@
     /** A leader that takes a registration for durable when it sends it, while that takes seconds. */
     @Test
     void checkerDetectsALaunchBeforeTheRegistrationIsDurable() {
-        BiFunction<EventLoop, Settings, Controller> hasty = (r, s) -> NEW.apply(
-                new DelegatingEventLoop(r) {
+        BiFunction<EventLoop, Settings, Controller> hasty = (eventLoop, settings) -> CURRENT_VERSION.apply(
+                new DelegatingEventLoop(eventLoop) {
                     @Override
                     public void send(Request call, Consumer<Response> callback) {
-                        if (registers(call)) {
+                        if (isRegistration(call)) {
                             super.after(
                                     1,
                                     () -> callback.accept(
@@ -193,45 +200,50 @@
                         }
                     }
                 },
-                s);
-        assertTrue(newMachines().stream()
-                .filter(o -> o.end == End.LAUNCH_SENT && o.afterMs == 700)
-                .anyMatch(o -> play(o, hasty).checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice"))));
+                settings);
+        assertTrue(newMachineCases().stream()
+                .filter(o -> o.crashTrigger == CrashTrigger.LAUNCH_SENT && o.crashDelayMs == 700)
+                .anyMatch(o -> runCase(o, hasty).checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice"))));
     }
 
     // ---- old reports ----
 
     /** Who gets the copies: only the new leader, only the others, which hand them on to it, or all. */
-    private enum To {
+    private enum Recipients {
         LEADER,
-        OTHERS,
+        FOLLOWERS,
         ALL
     }
 
     /** When they arrive, counted from the new leader's leader record or from its first direct command. */
-    private enum When {
-        AT_ONCE,
-        SOON,
-        ONCE_IT_HAS_ACTED,
-        A_LEASE_LATER
+    private enum ArrivalTime {
+        IMMEDIATELY,
+        SHORTLY_AFTER,
+        AFTER_FIRST_COMMAND,
+        AFTER_A_LEASE
     }
 
     /** All copies in one order or the other, or of each machine only the one that shows the fewest tasks. */
-    private enum Which {
+    private enum HeartbeatSelection {
         OLDEST_FIRST,
         NEWEST_FIRST,
-        EMPTIEST
+        FEWEST_TASKS
     }
 
-    private record OldReports(To to, When when, Which which, boolean onlyHeldBack, int seed) {}
-
-    private static List<OldReports> oldReports() {
-        List<OldReports> all = new ArrayList<>();
-        for (To to : To.values()) {
-            for (When when : When.values()) {
-                for (Which which : Which.values()) {
+    private record StaleHeartbeatCase(
+            Recipients recipients,
+            ArrivalTime arrivalTime,
+            HeartbeatSelection selection,
+            boolean onlyWithheld,
+            int seed) {}
+
+    private static List<StaleHeartbeatCase> staleHeartbeatCases() {
+        List<StaleHeartbeatCase> all = new ArrayList<>();
+        for (Recipients to : Recipients.values()) {
+            for (ArrivalTime when : ArrivalTime.values()) {
+                for (HeartbeatSelection which : HeartbeatSelection.values()) {
                     for (boolean held : new boolean[] {false, true}) {
-                        all.add(new OldReports(to, when, which, held, all.size() + 1));
+                        all.add(new StaleHeartbeatCase(to, when, which, held, all.size() + 1));
                     }
                 }
             }
@@ -244,77 +256,81 @@
      * time. By then many machines are in a later session, and their tasks were started again elsewhere.
      * {@code altered}: what the network makes of an old report; nothing unless it is broken.
      */
-    private static ClusterScenario play(OldReports order, BiConsumer<ClusterScenario, ObjectNode> altered) {
-        ClusterScenario day = day(order.seed, NEW);
-        day.workload.durationFactor = 4;
-        day.users.cancelOneIn = 4;
+    private static ClusterScenario runCase(
+            StaleHeartbeatCase testCase, BiConsumer<ClusterScenario, ObjectNode> altered) {
+        ClusterScenario scenario = newScenario(testCase.seed, CURRENT_VERSION);
+        scenario.workload.durationFactor = 4;
+        scenario.users.cancelOneIn = 4;
         List<Request> reports = new ArrayList<>();
-        day.advance(5_000);
-        day.workload.submitUncancelledServices(3);
-        day.workload.submitBatchJobs(8, 30_000);
-        day.advance(30_000);
-        day.cloud.agents().stream().filter(w -> w.zone.equals("a")).forEach(w -> day.network.dropInbound(w, 19_000));
-        day.world.heartbeatObserver = order.onlyHeldBack ? call -> {} : reports::add;
-        day.advance(26_000);
-        day.world.heartbeatObserver = call -> {};
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(3);
+        scenario.workload.submitBatchJobs(8, 30_000);
+        scenario.advance(30_000);
+        scenario.cloud.agents().stream()
+                .filter(agent -> agent.zone.equals("a"))
+                .forEach(agent -> scenario.network.dropInbound(agent, 19_000));
+        scenario.world.heartbeatObserver = testCase.onlyWithheld ? call -> {} : reports::add;
+        scenario.advance(26_000);
+        scenario.world.heartbeatObserver = call -> {};
         for (int change = 0; change < 2; change++) {
-            day.network.requestDelayMs = (from, call) -> {
-                if (order.onlyHeldBack && call.path().equals("/hello") && day.world.random.nextBoolean()) {
+            scenario.network.requestDelayMs = (from, call) -> {
+                if (testCase.onlyWithheld && call.path().equals("/hello") && scenario.world.random.nextBoolean()) {
                     reports.add(call);
                     return SimulatedWorld.NEVER_DELIVERED;
                 }
                 return 0;
             };
-            day.workload.submitBatchJobs(3, 1_000); // no copy shows their tasks
-            day.advance(7_000);
-            day.faults.crash(day.leaderIndex(), change == 0 ? 200 : 8_000);
+            scenario.workload.submitBatchJobs(3, 1_000); // no copy shows their tasks
+            scenario.advance(7_000);
+            scenario.faults.crash(scenario.leaderIndex(), change == 0 ? 200 : 8_000);
             // Their own word comes later than the copy.
-            day.cloud.agents().stream()
-                    .filter(w -> w.activeTasks() > 0)
+            scenario.cloud.agents().stream()
+                    .filter(agent -> agent.activeTasks() > 0)
                     .limit(2)
-                    .forEach(w -> day.network.isolate(w, 12_000));
-            day.onNextFencingToken(() -> {
-                day.network.requestDelayMs = (from, call) -> 0;
-                arrive(day, order, new ArrayList<>(reports), altered);
+                    .forEach(agent -> scenario.network.isolate(agent, 12_000));
+            scenario.onNextFencingToken(() -> {
+                scenario.network.requestDelayMs = (from, call) -> 0;
+                deliverStaleHeartbeats(scenario, testCase, new ArrayList<>(reports), altered);
             });
-            day.advance(25_000);
+            scenario.advance(25_000);
         }
-        day.advance(60_000);
-        return day;
+        scenario.advance(60_000);
+        return scenario;
     }
 
-    private static void arrive(
-            ClusterScenario day,
-            OldReports order,
+    private static void deliverStaleHeartbeats(
+            ClusterScenario scenario,
+            StaleHeartbeatCase testCase,
             List<Request> reports,
             BiConsumer<ClusterScenario, ObjectNode> altered) {
-        int leader = day.leaderIndex();
-        if (order.which == Which.NEWEST_FIRST) {
+        int leader = scenario.leaderIndex();
+        if (testCase.selection == HeartbeatSelection.NEWEST_FIRST) {
             Collections.reverse(reports);
-        } else if (order.which == Which.EMPTIEST) {
+        } else if (testCase.selection == HeartbeatSelection.FEWEST_TASKS) {
             reports.sort(Comparator.comparingInt(r -> r.body().path("shards").size()));
             Set<String> seen = new HashSet<>();
             reports.removeIf(r -> !seen.add(r.body().path("bothy").asText()));
         }
         Runnable all = () -> reports.forEach(r -> {
             for (int node = 0; node < 3; node++) {
-                if (order.to == To.ALL || (node == leader) == (order.to == To.LEADER)) {
+                if (testCase.recipients == Recipients.ALL
+                        || (node == leader) == (testCase.recipients == Recipients.LEADER)) {
                     ObjectNode body = r.body().deepCopy();
-                    altered.accept(day, body);
+                    altered.accept(scenario, body);
                     Request copy = new Request(r.address(), r.method(), r.path(), body, r.timeoutMs(), false);
-                    day.world.deliverIgnoringResponse(copy, "p" + node + ":1");
+                    scenario.world.deliverIgnoringResponse(copy, "p" + node + ":1");
                 }
             }
         });
-        switch (order.when) {
-            case AT_ONCE -> all.run();
-            case SOON -> day.world.schedule(150, all);
-            case A_LEASE_LATER -> day.world.schedule(16_000, all);
+        switch (testCase.arrivalTime) {
+            case IMMEDIATELY -> all.run();
+            case SHORTLY_AFTER -> scenario.world.schedule(150, all);
+            case AFTER_A_LEASE -> scenario.world.schedule(16_000, all);
             default ->
-                day.world.requestObserver = (from, call) -> {
+                scenario.world.requestObserver = (from, call) -> {
                     if (call.path().equals("/commands")) {
-                        day.world.requestObserver = (f, c) -> {};
-                        day.world.schedule(20, all);
+                        scenario.world.requestObserver = (f, c) -> {};
+                        scenario.world.schedule(20, all);
                     }
                 };
         }
@@ -325,15 +341,15 @@
      * acted.
      */
     @Test
-    void oldReportsProveNothingToANewLeader() {
+    void staleHeartbeatsToANewLeaderViolateNoInvariant() {
         List<String> broken = new ArrayList<>();
-        for (OldReports order : oldReports()) {
-            if (order.seed % EVERY_SLOW == 0) {
-                ClusterScenario day = play(order, (d, body) -> {});
-                if (!day.checker.violations.isEmpty()) {
-                    broken.add(order + " " + day.checker.violations);
+        for (StaleHeartbeatCase testCase : staleHeartbeatCases()) {
+            if (testCase.seed % HEARTBEAT_CASE_INTERVAL == 0) {
+                ClusterScenario scenario = runCase(testCase, (d, body) -> {});
+                if (!scenario.checker.violations.isEmpty()) {
+                    broken.add(testCase + " " + scenario.checker.violations);
                 }
-                assertTrue(day.checker.tasks.starts > 20, order + " starts=" + day.checker.tasks.starts);
+                assertTrue(scenario.checker.tasks.starts > 20, testCase + " starts=" + scenario.checker.tasks.starts);
             }
         }
         assertEquals(List.of(), broken);
@@ -344,19 +360,21 @@
      * in which a held-back report comes before the machine's own are played with further seeds until one does.
      */
     @Test
-    void checkerDetectsAStaleHeartbeatTakenForTheFirst() {
+    void checkerDetectsStaleHeartbeatsWithTheCurrentFencingToken() {
         BiConsumer<ClusterScenario, ObjectNode> asIfNew =
-                (day, body) -> body.put("baton", day.store.revisionOf("h/roster"));
-        List<OldReports> early = oldReports().stream()
-                .filter(o -> o.onlyHeldBack && o.to != To.OTHERS && o.when != When.A_LEASE_LATER)
+                (scenario, body) -> body.put("baton", scenario.store.revisionOf("h/roster"));
+        List<StaleHeartbeatCase> early = staleHeartbeatCases().stream()
+                .filter(o -> o.onlyWithheld
+                        && o.recipients != Recipients.FOLLOWERS
+                        && o.arrivalTime != ArrivalTime.AFTER_A_LEASE)
                 .toList();
         boolean noticed = false;
-        for (int again = 0; again < FAULTY_SEEDS && !noticed; again++) {
-            int further = again * oldReports().size();
+        for (int again = 0; again < MAX_FAULTY_SEEDS && !noticed; again++) {
+            int further = again * staleHeartbeatCases().size();
             noticed = early.stream()
-                    .map(o -> new OldReports(o.to, o.when, o.which, true, o.seed + further))
-                    .anyMatch(
-                            o -> play(o, asIfNew).checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice")));
+                    .map(o -> new StaleHeartbeatCase(o.recipients, o.arrivalTime, o.selection, true, o.seed + further))
+                    .anyMatch(o ->
+                            runCase(o, asIfNew).checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice")));
         }
         assertTrue(noticed);
     }
@@ -364,23 +382,23 @@
     // ---- late commands, and machines that reach nobody ----
 
     /** How the leader changes while commands are on their way. */
-    private enum Change {
+    private enum LeaderFault {
         NONE,
         RESTART,
         FREEZE,
-        CUT,
-        WORKERS_CUT
+        STORE_AND_PEERS_UNREACHABLE,
+        AGENTS_UNREACHABLE
     }
 
-    private record LateCommands(Change change, boolean mute, boolean deaf, int seed) {}
+    private record LateCommandCase(LeaderFault leaderFault, boolean dropsOutbound, boolean dropsInbound, int seed) {}
 
-    private static List<LateCommands> lateCommands() {
-        List<LateCommands> all = new ArrayList<>();
-        for (Change change : Change.values()) {
+    private static List<LateCommandCase> lateCommandCases() {
+        List<LateCommandCase> all = new ArrayList<>();
+        for (LeaderFault change : LeaderFault.values()) {
             for (boolean mute : new boolean[] {false, true}) {
                 for (boolean deaf : new boolean[] {false, true}) {
                     for (int again = 0; again < 6; again++) {
-                        all.add(new LateCommands(change, mute, deaf, all.size() + 1));
+                        all.add(new LateCommandCase(change, mute, deaf, all.size() + 1));
                     }
                 }
             }
@@ -393,45 +411,46 @@
      * controller meanwhile, or hear none, for less or more than a lease; users cancel every second job at once or
      * later.
      */
-    private static ClusterScenario play(LateCommands order, Consumer<FakeAgent> up) {
-        ClusterScenario day = day(order.seed, NEW);
-        day.cloud.bootListener = up;
-        day.workload.durationFactor = 3;
-        day.users.cancelOneIn = 2;
-        day.advance(5_000);
-        day.workload.submitUncancelledServices(3);
-        Random random = day.world.random;
-        day.network.requestDelayMs = (from, call) -> {
+    private static ClusterScenario runCase(LateCommandCase testCase, Consumer<FakeAgent> up) {
+        ClusterScenario scenario = newScenario(testCase.seed, CURRENT_VERSION);
+        scenario.cloud.bootListener = up;
+        scenario.workload.durationFactor = 3;
+        scenario.users.cancelOneIn = 2;
+        scenario.advance(5_000);
+        scenario.workload.submitUncancelledServices(3);
+        Random random = scenario.world.random;
+        scenario.network.requestDelayMs = (from, call) -> {
             boolean late = call.path().equals("/commands") && random.nextBoolean();
             return late ? 2_000 + random.nextInt(14_000) : 0;
         };
-        day.workload.submitBatchJobs(20, 90_000);
+        scenario.workload.submitBatchJobs(20, 90_000);
         for (int i = 0; i < 3; i++) {
-            day.advance(20_000);
-            int leader = day.leaderIndex();
-            long ms = List.of(7_000L, 20_000L, 40_000L).get((order.seed + i) % 3);
-            day.cloud.agents().stream()
-                    .filter(w -> day.world.random.nextInt(3) == 0)
-                    .forEach(w -> {
-                        if (order.mute) {
-                            day.network.dropOutbound(w, ms);
+            scenario.advance(20_000);
+            int leader = scenario.leaderIndex();
+            long ms = List.of(7_000L, 20_000L, 40_000L).get((testCase.seed + i) % 3);
+            scenario.cloud.agents().stream()
+                    .filter(agent -> scenario.world.random.nextInt(3) == 0)
+                    .forEach(agent -> {
+                        if (testCase.dropsOutbound) {
+                            scenario.network.dropOutbound(agent, ms);
                         }
-                        if (order.deaf && day.world.random.nextBoolean()) {
-                            day.network.dropInbound(w, ms);
+                        if (testCase.dropsInbound && scenario.world.random.nextBoolean()) {
+                            scenario.network.dropInbound(agent, ms);
                         }
                     });
-            switch (order.change) {
-                case RESTART -> day.world.schedule(2_000, () -> day.faults.crash(leader, 200));
-                case FREEZE -> day.world.schedule(2_000, () -> day.faults.freeze(leader, 9_000));
-                case CUT -> day.world.schedule(2_000, () -> day.network.partitionFromStoreAndPeers(leader, 20_000));
-                case WORKERS_CUT -> day.network.partitionFromAgents(leader, 12_000);
+            switch (testCase.leaderFault) {
+                case RESTART -> scenario.world.schedule(2_000, () -> scenario.faults.crash(leader, 200));
+                case FREEZE -> scenario.world.schedule(2_000, () -> scenario.faults.freeze(leader, 9_000));
+                case STORE_AND_PEERS_UNREACHABLE ->
+                    scenario.world.schedule(2_000, () -> scenario.network.partitionFromStoreAndPeers(leader, 20_000));
+                case AGENTS_UNREACHABLE -> scenario.network.partitionFromAgents(leader, 12_000);
                 default -> {}
             }
         }
-        day.advance(40_000);
-        day.network.requestDelayMs = (from, call) -> 0;
-        day.advance(60_000);
-        return day;
+        scenario.advance(40_000);
+        scenario.network.requestDelayMs = (from, call) -> 0;
+        scenario.advance(60_000);
+        return scenario;
     }
 
     /**
@@ -441,12 +460,13 @@
     @Test
     void lateCommandsAndLostHeartbeatsViolateNoInvariant() {
         List<String> broken = new ArrayList<>();
-        for (LateCommands order : lateCommands()) {
-            if (order.seed % EVERY == 0) {
-                ClusterScenario day = play(order, w -> {});
-                if (!day.checker.violations.isEmpty() || !day.checker.tasks.startsAfterCancellation.isEmpty()) {
-                    broken.add(order + " " + day.checker.violations + " after being told "
-                            + day.checker.tasks.startsAfterCancellation);
+        for (LateCommandCase testCase : lateCommandCases()) {
+            if (testCase.seed % CASE_INTERVAL == 0) {
+                ClusterScenario scenario = runCase(testCase, agent -> {});
+                if (!scenario.checker.violations.isEmpty()
+                        || !scenario.checker.tasks.startsAfterCancellation.isEmpty()) {
+                    broken.add(testCase + " " + scenario.checker.violations + " after being told "
+                            + scenario.checker.tasks.startsAfterCancellation);
                 }
             }
         }
@@ -460,23 +480,23 @@
     @Test
     void aTaskFetchingItsImageIsStoppedBeforeItsCancellationIsConfirmed() {
         for (int seed = 1; seed <= 8; seed++) {
-            ClusterScenario day = new ClusterScenario(seed);
-            day.advance(20_000);
+            ClusterScenario scenario = new ClusterScenario(seed);
+            scenario.advance(20_000);
             boolean[] fetching = {false};
-            day.world.heartbeatObserver =
+            scenario.world.heartbeatObserver =
                     call -> fetching[0] |= call.body().toString().contains("fetching");
-            day.workload.submitUncancelledServices(1);
+            scenario.workload.submitUncancelledServices(1);
             while (!fetching[0]) {
-                day.advance(10);
+                scenario.advance(10);
             }
-            day.advance(20);
-            day.network.requestDelayMs = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
-            day.cloud.agents().forEach(w -> day.network.dropOutbound(w, 10_000));
-            day.users.cancel("req-000000");
-            day.advance(60_000);
-            assertTrue(day.checker.isTerminal("req-000000"), "seed " + seed);
-            assertEquals(List.of(), day.checker.tasks.startsAfterCancellation, "seed " + seed);
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
+            scenario.advance(20);
+            scenario.network.requestDelayMs = (from, call) -> call.path().equals("/commands") ? 9_000 : 0;
+            scenario.cloud.agents().forEach(agent -> scenario.network.dropOutbound(agent, 10_000));
+            scenario.users.cancel("req-000000");
+            scenario.advance(60_000);
+            assertTrue(scenario.checker.isTerminal("req-000000"), "seed " + seed);
+            assertEquals(List.of(), scenario.checker.tasks.startsAfterCancellation, "seed " + seed);
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
     }
 
@@ -488,29 +508,29 @@
     void machinesWithoutHeartbeatsGetNoTasksAfterLeaseExpiry() {
         int lost = 0;
         for (int seed = 1; seed <= 5; seed++) {
-            ClusterScenario day = new ClusterScenario(seed);
-            day.workload.durationFactor = 3;
-            day.advance(5_000);
-            day.workload.submitUncancelledServices(3);
-            day.workload.submitBatchJobs(20, 100_000);
-            day.advance(25_000);
-            day.cloud.agents().stream()
-                    .filter(w -> w.zone.equals("a"))
-                    .forEach(w -> day.network.dropOutbound(w, 90_000));
-            day.advance(20_000);
-            int before = day.checker.tasks.lostOnLeaseExpiry;
-            day.advance(100_000);
-            lost += day.checker.tasks.lostOnLeaseExpiry - before;
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
+            ClusterScenario scenario = new ClusterScenario(seed);
+            scenario.workload.durationFactor = 3;
+            scenario.advance(5_000);
+            scenario.workload.submitUncancelledServices(3);
+            scenario.workload.submitBatchJobs(20, 100_000);
+            scenario.advance(25_000);
+            scenario.cloud.agents().stream()
+                    .filter(agent -> agent.zone.equals("a"))
+                    .forEach(agent -> scenario.network.dropOutbound(agent, 90_000));
+            scenario.advance(20_000);
+            int before = scenario.checker.tasks.lostOnLeaseExpiry;
+            scenario.advance(100_000);
+            lost += scenario.checker.tasks.lostOnLeaseExpiry - before;
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
         assertTrue(lost < 100, "tasks lost on machines that reach no controller: " + lost);
     }
 
     /** Workers that carry out whatever arrives, of an ended session or of an older leader too. */
     @Test
-    void checkerDetectsWorkersThatCarryOutLateCommands() {
-        assertTrue(lateCommands().stream()
-                .anyMatch(o -> play(o, w -> w.ignoresFencing = true).checker.violations.stream()
+    void checkerDetectsAgentsThatExecuteLateCommands() {
+        assertTrue(lateCommandCases().stream()
+                .anyMatch(o -> runCase(o, agent -> agent.ignoresFencing = true).checker.violations.stream()
                         .anyMatch(b -> b.startsWith("ran_twice"))));
     }
 }
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -23,102 +23,104 @@
  * room. Each check has a faulty variant that it notices.
  */
 class PartitionFaultsTest {
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
     /** Days of each kind: more are played outside CI with {@code -Dpartition.days=...}. */
     private static final int SEEDS = Integer.getInteger("partition.days", 3);
     /** Days of which a faulty variant has to be noticed on one. */
-    private static final int FAULTY_SEEDS = 6;
+    private static final int MAX_FAULTY_SEEDS = 6;
     /** Longer than an agent's lease. */
-    private static final long CUT_MS = 25_000;
+    private static final long PARTITION_MS = 25_000;
     /** Longer than a cancelled task has. */
     private static final long OUTAGE_MS = 50_000;
     /** By then all that follows from a trouble of that day is over. */
-    private static final long SETTLED_MS = 20_000;
+    private static final long SETTLE_MS = 20_000;
 
-    private static void keepsTheRules(IntFunction<ClusterScenario> day) {
+    private static void assertNoViolations(IntFunction<ClusterScenario> scenario) {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            assertEquals(List.of(), day.apply(seed).checker.violations, "seed " + seed);
+            assertEquals(List.of(), scenario.apply(seed).checker.violations, "seed " + seed);
         }
     }
 
-    private static void notices(String rule, IntFunction<ClusterScenario> faulty) {
+    private static void assertDetected(String rule, IntFunction<ClusterScenario> faulty) {
         boolean noticed = false;
-        for (int seed = 1; seed <= FAULTY_SEEDS && !noticed; seed++) {
+        for (int seed = 1; seed <= MAX_FAULTY_SEEDS && !noticed; seed++) {
             noticed = faulty.apply(seed).checker.violations.stream().anyMatch(b -> b.startsWith(rule));
         }
         assertTrue(noticed, rule);
     }
 
     /** The troubles are over soon: from then on every job is answered about, and none waits beside room. */
-    private static ClusterScenario calm(ClusterScenario day) {
-        day.advance(SETTLED_MS);
-        day.checker.faultsEnded(day.world.now);
-        return day.advance(StarvationChecker.STARVATION_MS + 5_000);
+    private static ClusterScenario runAfterFaults(ClusterScenario scenario) {
+        scenario.advance(SETTLE_MS);
+        scenario.checker.faultsEnded(scenario.world.now);
+        return scenario.advance(StarvationChecker.STARVATION_MS + 5_000);
     }
 
     /** Arrays, half of them bound to a zone or spread, and some services. */
-    private static ClusterScenario busy(int seed, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version);
-        day.workload.hasZoneConstraints = true;
-        day.workload.durationFactor = 3;
-        day.users.cancelOneIn = 3;
-        day.advance(5_000);
-        day.workload.submitJobs(16, 25_000);
-        return day.advance(30_000);
+    private static ClusterScenario newBusyScenario(int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version);
+        scenario.workload.hasZoneConstraints = true;
+        scenario.workload.durationFactor = 3;
+        scenario.users.cancelOneIn = 3;
+        scenario.advance(5_000);
+        scenario.workload.submitJobs(16, 25_000);
+        return scenario.advance(30_000);
     }
 
     @Test
-    void allControllersAreAwayForLongerThanALease() {
-        keepsTheRules(seed -> allAway(seed, key -> false));
+    void allControllersDownForLongerThanALeaseViolatesNoInvariant() {
+        assertNoViolations(seed -> runWithAllControllersDown(seed, key -> false));
     }
 
     @Test
-    void checkerDetectsAJobWithoutRecordAfterAllControllersWereAway() {
-        notices("forgotten", seed -> allAway(seed, key -> key.equals("h/j/req-000003")));
+    void checkerDetectsAMissingJobRecordAfterAllControllersWereDown() {
+        assertDetected("forgotten", seed -> runWithAllControllersDown(seed, key -> key.equals("h/j/req-000003")));
     }
 
-    private static ClusterScenario allAway(int seed, Predicate<String> hidden) {
-        ClusterScenario day = busy(seed, NEW);
-        day.store.hiddenKeys = hidden;
-        day.faults.crashAllBeyondLease();
-        day.workload.submitBatchJobs(4, CUT_MS);
-        return calm(day.advance(CUT_MS));
+    private static ClusterScenario runWithAllControllersDown(int seed, Predicate<String> hidden) {
+        ClusterScenario scenario = newBusyScenario(seed, CURRENT_VERSION);
+        scenario.store.hiddenKeys = hidden;
+        scenario.faults.crashAllBeyondLease();
+        scenario.workload.submitBatchJobs(4, PARTITION_MS);
+        return runAfterFaults(scenario.advance(PARTITION_MS));
     }
 
     /**
      * Jobs are cancelled through the outside while a zone with a controller, the leader or another, goes on without it.
      */
     @Test
-    void jobsAreCancelledOutsideWhileAZoneIsCutOff() {
-        keepsTheRules(seed -> zoneCut(seed, seed % 2 == 0, 2 * CUT_MS, NEW));
+    void jobsCancelledOutsideAPartitionedZoneStopInsideTheZone() {
+        assertNoViolations(seed -> runWithPartitionedZone(seed, seed % 2 == 0, 2 * PARTITION_MS, CURRENT_VERSION));
     }
 
     @Test
-    void checkerDetectsAZoneThatHoldsLeasesTooLong() {
+    void checkerDetectsAPartitionedLeaderThatRenewsLeasesTooLong() {
         // Only the controller that leads, inside, is greedy: the others reckon with the rights that there should be.
-        notices(
+        assertDetected(
                 "ran_cancelled",
-                seed -> zoneCut(
+                seed -> runWithPartitionedZone(
                         seed,
                         true,
-                        5 * CUT_MS,
-                        (r, s) -> NEW.apply(
-                                r, s.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(s, 90) : s)));
+                        5 * PARTITION_MS,
+                        (eventLoop, settings) -> CURRENT_VERSION.apply(
+                                eventLoop,
+                                settings.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(settings, 90) : settings)));
     }
 
-    private static ClusterScenario zoneCut(
+    private static ClusterScenario runWithPartitionedZone(
             int seed, boolean leaderInside, long cutMs, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario day = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
-        int inside = leaderInside ? day.leaderIndex() : (day.leaderIndex() + 1) % 3;
-        day.placeControllerInZone(inside, "b");
-        day.network.partitionZone("b", cutMs);
+        ClusterScenario scenario = new ClusterScenario(seed, 1, null, null, version).withRunningServices();
+        int inside = leaderInside ? scenario.leaderIndex() : (scenario.leaderIndex() + 1) % 3;
+        scenario.placeControllerInZone(inside, "b");
+        scenario.network.partitionZone("b", cutMs);
         for (int i = 0; i < 6; i++) {
             String id = "req-00000" + i;
-            day.world.schedule(
-                    i * 4_000 + day.world.random.nextInt(4_000), () -> day.users.cancelAt((inside + 1) % 3, id));
+            scenario.world.schedule(
+                    i * 4_000 + scenario.world.random.nextInt(4_000),
+                    () -> scenario.users.cancelAt((inside + 1) % 3, id));
         }
-        return calm(day.advance(cutMs));
+        return runAfterFaults(scenario.advance(cutMs));
     }
 
     /**
@@ -126,28 +128,28 @@
      * it kept; the cut ends, and the zone's machines hang. The leader takes none of their leases for over before it is.
      */
     @Test
-    void whatAnEarlierLifeOfAControllerKeptIsReckonedWith() {
-        keepsTheRules(PartitionFaultsTest::keeperBackAtOnce);
+    void leasesRenewedBeforeAControllerRestartAreNotTakenForExpired() {
+        assertNoViolations(PartitionFaultsTest::restartControllerInPartitionedZone);
     }
 
-    private static ClusterScenario keeperBackAtOnce(int seed) {
-        ClusterScenario day = new ClusterScenario(seed, 4);
-        day.workload.durationFactor = 30;
-        day.users.cancelOneIn = Integer.MAX_VALUE;
-        day.advance(5_000);
-        day.workload.submitBatchJobs(10, 5_000);
-        day.advance(30_000);
-        int inside = (day.leaderIndex() + 1) % 3;
-        day.placeControllerInZone(inside, "b");
-        day.world.dropsHeldMessages = true;
-        day.network.partitionZone("b", 16_000);
-        day.world.schedule(15_000, () -> day.faults.crash(inside, 150));
-        day.world.schedule(
+    private static ClusterScenario restartControllerInPartitionedZone(int seed) {
+        ClusterScenario scenario = new ClusterScenario(seed, 4);
+        scenario.workload.durationFactor = 30;
+        scenario.users.cancelOneIn = Integer.MAX_VALUE;
+        scenario.advance(5_000);
+        scenario.workload.submitBatchJobs(10, 5_000);
+        scenario.advance(30_000);
+        int inside = (scenario.leaderIndex() + 1) % 3;
+        scenario.placeControllerInZone(inside, "b");
+        scenario.world.dropsHeldMessages = true;
+        scenario.network.partitionZone("b", 16_000);
+        scenario.world.schedule(15_000, () -> scenario.faults.crash(inside, 150));
+        scenario.world.schedule(
                 14_900,
-                () -> day.cloud.agents().stream()
-                        .filter(w -> w.zone.equals("b"))
-                        .forEach(w -> w.hang(13_000)));
-        return calm(day.advance(30_000));
+                () -> scenario.cloud.agents().stream()
+                        .filter(agent -> agent.zone.equals("b"))
+                        .forEach(agent -> agent.hang(13_000)));
+        return runAfterFaults(scenario.advance(30_000));
     }
 
     /**
@@ -155,54 +157,61 @@
      * leader changes in between and just after.
      */
     @Test
-    void jobsBoundToAZoneLoseMachines() {
-        keepsTheRules(seed -> boundToAZone(seed, key -> false));
+    void zoneConstraintsHoldWhenMachinesAreLostAndAZoneIsPartitioned() {
+        assertNoViolations(seed -> runWithZoneConstraints(seed, key -> false));
     }
 
     /** A new leader that doesn't know of machines out of reach takes what runs there for gone. */
     @Test
-    void checkerDetectsPlacesChosenWithoutTheMachinesOutOfReach() {
-        notices("wrong_place", seed -> boundToAZone(seed, key -> key.startsWith("h/m/")));
+    void checkerDetectsPlacementThatIgnoresUnreachableMachines() {
+        assertDetected("wrong_place", seed -> runWithZoneConstraints(seed, key -> key.startsWith("h/m/")));
     }
 
-    private static ClusterScenario boundToAZone(int seed, Predicate<String> hidden) {
-        ClusterScenario day = busy(seed, NEW);
-        day.store.hiddenKeys = hidden;
+    private static ClusterScenario runWithZoneConstraints(int seed, Predicate<String> hidden) {
+        ClusterScenario scenario = newBusyScenario(seed, CURRENT_VERSION);
+        scenario.store.hiddenKeys = hidden;
         String zone = seed % 2 == 0 ? "a" : "b";
-        day.cloud.agents().stream()
-                .filter(w -> w.spot && day.world.random.nextBoolean())
-                .forEach(day.cloud::reclaim);
-        day.placeControllerInZone((day.leaderIndex() + seed) % 3, "b");
-        day.network.partitionZone(zone, 12_000 + 3_000 * seed);
-        day.world.schedule(4_000, () -> day.faults.crash(day.leaderIndex(), 200 + 4_000 * (seed % 2)));
-        day.world.schedule(
-                12_000 + 3_000 * seed + day.world.random.nextInt(300), () -> day.faults.crash(day.leaderIndex(), 200));
-        return calm(day.advance(CUT_MS + 15_000));
+        scenario.cloud.agents().stream()
+                .filter(agent -> agent.spot && scenario.world.random.nextBoolean())
+                .forEach(scenario.cloud::reclaim);
+        scenario.placeControllerInZone((scenario.leaderIndex() + seed) % 3, "b");
+        scenario.network.partitionZone(zone, 12_000 + 3_000 * seed);
+        scenario.world.schedule(4_000, () -> scenario.faults.crash(scenario.leaderIndex(), 200 + 4_000 * (seed % 2)));
+        scenario.world.schedule(
+                12_000 + 3_000 * seed + scenario.world.random.nextInt(300),
+                () -> scenario.faults.crash(scenario.leaderIndex(), 200));
+        return runAfterFaults(scenario.advance(PARTITION_MS + 15_000));
     }
 
     /** What direct commands launch ends with the machines' leases, since no report renews them. */
     @Test
-    void workersReachNoControllerWhileDirectCommandsReachThem() {
-        keepsTheRules(seed -> muteWorkers(seed, NEW));
+    void delayedHeartbeatsWithDeliveredCommandsViolateNoInvariant() {
+        assertNoViolations(seed -> runWithDelayedHeartbeats(seed, CURRENT_VERSION));
     }
 
     @Test
     void checkerDetectsALeaderThatTakesLeasesForExpiredTooEarly() {
-        notices("ran_twice", seed -> muteWorkers(seed, (r, s) -> NEW.apply(r, ClusterScenario.withShorterLease(s, 4))));
+        assertDetected(
+                "ran_twice",
+                seed -> runWithDelayedHeartbeats(
+                        seed,
+                        (eventLoop, settings) ->
+                                CURRENT_VERSION.apply(eventLoop, ClusterScenario.withShorterLease(settings, 4))));
     }
 
-    private static ClusterScenario muteWorkers(int seed, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario day = busy(seed, version);
-        List<String> names = day.cloud.agents().stream()
-                .filter(w -> seed % 3 == 0 || w.zone.equals("a") || day.world.random.nextBoolean())
-                .map(w -> w.name)
+    private static ClusterScenario runWithDelayedHeartbeats(
+            int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = newBusyScenario(seed, version);
+        List<String> names = scenario.cloud.agents().stream()
+                .filter(agent -> seed % 3 == 0 || agent.zone.equals("a") || scenario.world.random.nextBoolean())
+                .map(agent -> agent.name)
                 .toList();
-        day.network.delayHeartbeats(names, 2 * CUT_MS);
-        day.workload.submitBatchJobs(5, CUT_MS);
+        scenario.network.delayHeartbeats(names, 2 * PARTITION_MS);
+        scenario.workload.submitBatchJobs(5, PARTITION_MS);
         if (seed % 2 == 0) {
-            day.world.schedule(CUT_MS, () -> day.faults.crash(day.leaderIndex(), 200));
+            scenario.world.schedule(PARTITION_MS, () -> scenario.faults.crash(scenario.leaderIndex(), 200));
         }
-        return calm(day.advance(2 * CUT_MS));
+        return runAfterFaults(scenario.advance(2 * PARTITION_MS));
     }
 
     /**
@@ -210,29 +219,30 @@
      * takes up to a second longer.
      */
     @Test
-    void moreWorkThanRoomOverSlowLinks() {
-        keepsTheRules(seed -> moreThanRoom(seed, key -> false));
+    void overloadOverSlowLinksStarvesNoJob() {
+        assertNoViolations(seed -> runOverloadedOverSlowLinks(seed, key -> false));
     }
 
     @Test
-    void checkerDetectsAJobThatNobodyStarts() {
-        notices("neglected req-000020", seed -> moreThanRoom(seed, key -> key.equals("h/j/req-000020")));
+    void checkerDetectsAJobThatIsNeverStarted() {
+        assertDetected(
+                "neglected req-000020", seed -> runOverloadedOverSlowLinks(seed, key -> key.equals("h/j/req-000020")));
     }
 
-    private static ClusterScenario moreThanRoom(int seed, Predicate<String> hidden) {
-        ClusterScenario day = new ClusterScenario(seed);
-        day.workload.hasZoneConstraints = true;
-        day.workload.submitUncancelledServices(2); // their machines stay, with room beside them
-        day.advance(8_000);
+    private static ClusterScenario runOverloadedOverSlowLinks(int seed, Predicate<String> hidden) {
+        ClusterScenario scenario = new ClusterScenario(seed);
+        scenario.workload.hasZoneConstraints = true;
+        scenario.workload.submitUncancelledServices(2); // their machines stay, with room beside them
+        scenario.advance(8_000);
         for (int node = 0; node < 3; node++) {
-            day.world.addLatency("p" + node + ":1", 1_000, 80_000);
+            scenario.world.addLatency("p" + node + ":1", 1_000, 80_000);
         }
-        day.cloud.agents().forEach(w -> day.world.addLatency(w.address, 1_000, 80_000));
-        day.workload.submitJobs(40, 20_000);
-        day.store.hiddenKeys = hidden;
-        day.world.schedule(6_000, () -> day.faults.crash(day.leaderIndex(), 300));
-        day.world.schedule(25_000, day.faults::crashAll);
-        return calm(day.advance(80_000));
+        scenario.cloud.agents().forEach(agent -> scenario.world.addLatency(agent.address, 1_000, 80_000));
+        scenario.workload.submitJobs(40, 20_000);
+        scenario.store.hiddenKeys = hidden;
+        scenario.world.schedule(6_000, () -> scenario.faults.crash(scenario.leaderIndex(), 300));
+        scenario.world.schedule(25_000, scenario.faults::crashAll);
+        return runAfterFaults(scenario.advance(80_000));
     }
 
     /**
@@ -240,50 +250,51 @@
      * waited for ever for what was reserved for it.
      */
     @Test
-    void arraysGetWhatServicesCantUseOfTheLimit() {
+    void arraysUseQuotaThatIsTooSmallForTheNextServiceReplica() {
         int seed = 4;
-        ClusterScenario day = new ClusterScenario(seed, 2);
-        day.workload.durationFactor = 6;
-        day.users.cancelOneIn = 4;
-        day.workload.hasZoneConstraints = true;
-        day.workload.submitUncancelledServices(9);
-        day.advance(10_000);
-        day.workload.submitJobs(30, 40_000);
-        day.advance(50_000);
-        day.checker.faultsEnded(day.world.now);
-        day.workload.submitJobs(30, 60_000);
-        day.advance(60_000 + 2 * StarvationChecker.STARVATION_MS);
-        assertEquals(List.of(), day.checker.violations, "seed " + seed);
+        ClusterScenario scenario = new ClusterScenario(seed, 2);
+        scenario.workload.durationFactor = 6;
+        scenario.users.cancelOneIn = 4;
+        scenario.workload.hasZoneConstraints = true;
+        scenario.workload.submitUncancelledServices(9);
+        scenario.advance(10_000);
+        scenario.workload.submitJobs(30, 40_000);
+        scenario.advance(50_000);
+        scenario.checker.faultsEnded(scenario.world.now);
+        scenario.workload.submitJobs(30, 60_000);
+        scenario.advance(60_000 + 2 * StarvationChecker.STARVATION_MS);
+        assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
     }
 
     /** Ten changes in two minutes, every second day inside an outage, with cancellations. */
     @Test
-    void theLeaderChangesTenTimesInTwoMinutes() {
-        keepsTheRules(seed -> tenChanges(seed, 1));
+    void tenFailoversInTwoMinutesViolateNoInvariant() {
+        assertNoViolations(seed -> runTenFailovers(seed, 1));
     }
 
     /** Another one leads while the one before is still sure of its store session. */
     @Test
     void checkerDetectsStoreSessionsThatExpireEarly() {
-        notices("without_right", seed -> tenChanges(seed, 0.3));
+        assertDetected("without_right", seed -> runTenFailovers(seed, 0.3));
     }
 
-    private static ClusterScenario tenChanges(int seed, double holdShare) {
-        ClusterScenario day = busy(seed, NEW);
-        day.store.sessionLifeShare = holdShare;
-        day.faults.failOverRepeatedly(10, 12_000);
-        day.workload.submitJobs(8, 100_000);
+    private static ClusterScenario runTenFailovers(int seed, double holdShare) {
+        ClusterScenario scenario = newBusyScenario(seed, CURRENT_VERSION);
+        scenario.store.sessionLifeShare = holdShare;
+        scenario.faults.failOverRepeatedly(10, 12_000);
+        scenario.workload.submitJobs(8, 100_000);
         for (int i = 0; i < 4; i++) {
-            day.world.schedule(
-                    5_000 + 25_000 * i + day.world.random.nextInt(12_000), () -> day.faults.cancelHalfOfJobs(0));
+            scenario.world.schedule(
+                    5_000 + 25_000 * i + scenario.world.random.nextInt(12_000),
+                    () -> scenario.faults.cancelHalfOfJobs(0));
         }
         if (seed % 2 == 0) {
-            day.world.schedule(30_000, () -> day.store.startOutage(OUTAGE_MS));
+            scenario.world.schedule(30_000, () -> scenario.store.startOutage(OUTAGE_MS));
         }
         if (holdShare < 1) {
-            day.world.schedule(40_000, () -> day.faults.freeze(day.leaderIndex(), 3_000));
+            scenario.world.schedule(40_000, () -> scenario.faults.freeze(scenario.leaderIndex(), 3_000));
         }
-        return calm(day.advance(125_000));
+        return runAfterFaults(scenario.advance(125_000));
     }
 
     /**
@@ -291,24 +302,24 @@
      * out for all a second later; they go on asking.
      */
     @Test
-    void jobsAreCancelledAsTheStateServiceRefusesTheLeader() {
-        keepsTheRules(seed -> refusalThenOutage(seed, NEW));
+    void cancellationsHoldWhenTheStoreRefusesTheLeaderBeforeAnOutage() {
+        assertNoViolations(seed -> cancelDuringRefusalThenOutage(seed, CURRENT_VERSION));
     }
 
     /** It takes its cancellations for durable as soon as it has sent them. */
     @Test
     void checkerDetectsACancellationConfirmedBeforeItIsDurable() {
-        notices(
+        assertDetected(
                 "ran_cancelled",
-                seed -> refusalThenOutage(
+                seed -> cancelDuringRefusalThenOutage(
                         seed,
-                        (r, s) -> NEW.apply(
-                                new DelegatingEventLoop(r) {
+                        (eventLoop, settings) -> CURRENT_VERSION.apply(
+                                new DelegatingEventLoop(eventLoop) {
                                     @Override
                                     public void send(Request request, Consumer<Response> callback) {
                                         if (request.path().equals("/commit")
                                                 && request.body().toString().contains("aborted")) {
-                                            r.after(
+                                            eventLoop.after(
                                                     1,
                                                     () -> callback.accept(new Response(
                                                             200, Codec.object().put("epoch", 1))));
@@ -317,17 +328,18 @@
                                         }
                                     }
                                 },
-                                s)));
+                                settings)));
     }
 
-    private static ClusterScenario refusalThenOutage(int seed, BiFunction<EventLoop, Settings, Controller> version) {
-        ClusterScenario day = busy(seed, version);
+    private static ClusterScenario cancelDuringRefusalThenOutage(
+            int seed, BiFunction<EventLoop, Settings, Controller> version) {
+        ClusterScenario scenario = newBusyScenario(seed, version);
         if (seed % 2 == 0) {
-            day.world.addLatency("state:1", 800, 10_000);
+            scenario.world.addLatency("state:1", 800, 10_000);
         }
-        day.faults.refuseLeaderThenStartOutage(OUTAGE_MS);
-        day.world.schedule(1_500 + 500 * seed, () -> day.faults.cancelHalfOfJobs(3_000));
-        day.world.schedule(OUTAGE_MS + 5_000, () -> day.faults.crash(day.leaderIndex(), 300));
-        return calm(day.advance(OUTAGE_MS + 5_000));
+        scenario.faults.refuseLeaderThenStartOutage(OUTAGE_MS);
+        scenario.world.schedule(1_500 + 500 * seed, () -> scenario.faults.cancelHalfOfJobs(3_000));
+        scenario.world.schedule(OUTAGE_MS + 5_000, () -> scenario.faults.crash(scenario.leaderIndex(), 300));
+        return runAfterFaults(scenario.advance(OUTAGE_MS + 5_000));
     }
 }
