--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -160,7 +160,8 @@
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int number = i;
-            scenario.world.schedule(200L * i, () -> ids.add(scenario.workload.submitBatchJob(6, 40, "img-" + number % 5)));
+            scenario.world.schedule(
+                    200L * i, () -> ids.add(scenario.workload.submitBatchJob(6, 40, "img-" + number % 5)));
         }
         scenario.advance(25_000);
         TEAMS.forEach(t -> assertTrue(
@@ -380,7 +381,8 @@
         };
         ids.forEach(id -> scenario.users.cancelAt(leader, id));
         scenario.responseObserver = count;
-        scenario.world.requestObserver = scenario.world.requestObserver.andThen((node, call) -> count.accept(node, call.path()));
+        scenario.world.requestObserver =
+                scenario.world.requestObserver.andThen((node, call) -> count.accept(node, call.path()));
         scenario.advance(OUTAGE_MS + 30_000);
         assertTrue(scenario.checker.isTerminal(ids.get(0)), "never told");
         return scenario;
@@ -413,7 +415,8 @@
         };
         for (int i = 0; i < 120; i++) {
             int number = i;
-            scenario.world.schedule(250L * i, () -> scenario.workload.submitBatchJob(1 + number % 2, 4, "img-" + number % 3));
+            scenario.world.schedule(
+                    250L * i, () -> scenario.workload.submitBatchJob(1 + number % 2, 4, "img-" + number % 3));
         }
         return scenario.advance(70_000);
     }
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -22,7 +22,9 @@
     }
 
     long delayMs(String from, Request request) {
-        return agentsWithoutOutbound.contains(from) ? SimulatedWorld.NEVER_DELIVERED : requestDelayMs.applyAsLong(from, request);
+        return agentsWithoutOutbound.contains(from)
+                ? SimulatedWorld.NEVER_DELIVERED
+                : requestDelayMs.applyAsLong(from, request);
     }
 
     /** Nothing passes between a controller and all agents. */
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -105,7 +105,9 @@
                         5 * PARTITION_MS,
                         (eventLoop, settings) -> CURRENT_VERSION.apply(
                                 eventLoop,
-                                settings.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(settings, 90) : settings)));
+                                settings.node().equals("bothy-0")
+                                        ? ClusterScenario.withLongerCancellation(settings, 90)
+                                        : settings)));
     }
 
     private static ClusterScenario runWithPartitionedZone(
