--- a/src/test/java/org/hollypick/model/CancellationModelTest.java
+++ b/src/test/java/org/hollypick/model/CancellationModelTest.java
@@ -12,34 +12,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores every interleaving around one task on one machine while the task is cancelled: two controllers that lead in
- * turn, a key-value store that fails and recovers, a delayed launch, heartbeats and responses that are lost, late or
- * duplicated, and a write whose response is lost. The invariants (docs/safety.md, "Who may renew a lease"): once any
- * user was told that the task is cancelled it stops in time, it isn't started elsewhere while it may still run, and no
- * user is given an older answer afterwards. The first leader launched the task, and its store session is modelled.
- * Times are in ticks; clock drift is covered by {@code WorkerLeasesTest}.
+ * Explores every interleaving around one task on one machine while a user cancels the task.
+ *
+ * <p>Bounds: two controllers that lead one after the other, the first of which launched the task and may lose its store
+ * session; a key-value store that fails and recovers; a launch that may be delayed, heartbeats and responses that may
+ * be lost, delayed or duplicated, and a write whose response may be lost; {@value #LAST_TICK} ticks of time. Clock
+ * drift is covered by {@code WorkerLeasesTest}.
+ *
+ * <p>Invariants (docs/safety.md, "Who may renew a lease"): once any user was told that the task is cancelled, the task
+ * runs for at most {@value #CANCELLATION_TICKS} more ticks ({@code RAN_AFTER_CANCELLATION}) and no user is given an
+ * older answer ({@code OLDER_ANSWER_GIVEN}); the task isn't started on another machine while it may run
+ * ({@code RAN_ON_TWO_MACHINES}).
  */
 class CancellationModelTest {
     private static final int LAST_TICK = 8;
     private static final int LEASE_TICKS = 3;
-    /** A cancelled task must have stopped this long after its cancellation was confirmed. */
+    /** The longest time that a task may run after its cancellation was confirmed to a user. */
     private static final int CANCELLATION_TICKS = 5;
 
     private static final int SESSION_TICKS = 1;
     private static final int PEER_GRANT_TICKS = 1;
     /**
-     * How long a controller may renew leases after a cancellation may be confirmed, or after its leader lease ended.
+     * How long a controller may renew worker leases after a cancellation may have been confirmed, or after its leader
+     * lease expired.
      */
-    private static final int RENEWAL_TICKS = CANCELLATION_TICKS - LEASE_TICKS;
+    private static final int MAX_RENEWAL_TICKS = CANCELLATION_TICKS - LEASE_TICKS;
 
     private static final int NEVER = -1;
     private static final int NO_TOKEN = 0;
 
-    /** Fencing tokens: the first leader's, the first leader's after it fenced itself, the second leader's. */
-    private static final int FIRST = 1;
+    /** The first leader's fencing token. */
+    private static final int FIRST_TOKEN = 1;
 
-    private static final int FENCED = 2;
-    private static final int SECOND = 3;
+    /** The first leader's fencing token after it rewrote the leader record. */
+    private static final int RAISED_TOKEN = 2;
+    /** The second leader's fencing token. */
+    private static final int SECOND_TOKEN = 3;
 
     /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
@@ -49,66 +57,67 @@
         WRITES_BEFORE_RECONCILIATION,
         TRUSTS_HEARTBEAT_WITH_OLD_TOKEN,
         LEADS_DESPITE_PEER_GRANT,
-        RENEWS_TOO_LONG,
+        RENEWS_LEASE_TOO_LONG,
         ANSWERS_DURING_UNRESOLVED_WRITE
     }
 
     /** The invariants, named by how they are violated. */
     private enum Violation {
         RAN_AFTER_CANCELLATION,
-        RAN_TWICE,
-        ANSWER_WENT_BACK
+        RAN_ON_TWO_MACHINES,
+        OLDER_ANSWER_GIVEN
     }
 
-    /** One state of the model; copied for each transition, and not changed once handed to the search. */
+    /** One state of the model; copied for each transition, and not changed once passed to the search. */
     private static final class State implements Cloneable {
         int now;
         boolean storeReachable = true;
-        /** Until when the first leader counts on its store session. */
-        int firstCountsOnSessionUntil = SESSION_TICKS;
+        /** Until when the first leader assumes that its store session is valid. */
+        int firstAssumesSessionUntil = SESSION_TICKS;
 
-        /** Until when the store keeps the first leader's session. */
+        /** When the first leader's session expires in the store. */
         int storeKeepsSessionUntil = SESSION_TICKS;
 
-        /** Until when the second controller's lease grant to the first leader lasts. */
+        /** When the leader lease that the second controller granted the first leader expires. */
         int peerGrantUntil = NEVER;
 
         boolean sessionExpired;
         /** The fencing token of the leader record. */
-        int leaderToken = FIRST;
+        int leaderToken = FIRST_TOKEN;
         /**
-         * Until when the second leader may have renewed the lease, or the first leader and whoever renews under its
-         * token.
+         * Until when the worker lease may have been renewed, by the second leader or under a token of the first one.
          */
         int renewalPossibleUntil = NEVER;
 
-        boolean secondFollowsFence;
+        /** The first leader had raised its token when the second one took over. */
+        boolean firstRaisedToken;
         /** The token that the write of the cancellation is conditional on. */
         int writeToken = NO_TOKEN;
 
         boolean cancellationDurable;
-        /** The first leader knows that the cancellation is durable. */
+        /** The first leader has received the response to its write, or has loaded the durable cancellation. */
         boolean firstKnowsDurable;
 
+        /** The second controller has loaded the durable cancellation, or written it as leader. */
         boolean secondKnowsDurable;
         /** The first leader has been asked to cancel the task. */
         boolean cancellationRequested;
 
-        /** Since when the first leader's write may be carried out. */
+        /** When the first leader sent its write of the cancellation. */
         int writeSentAt = NEVER;
         /** When a user was first told that the task is cancelled. */
         int confirmedAt = NEVER;
 
         boolean launchInFlight = true;
         boolean taskRunning;
-        /** The first leader knows that the launch arrived. */
+        /** The first leader has received the response to the launch, or a heartbeat that shows the task. */
         boolean launchAcknowledged;
-        /** The machine sent a heartbeat under the leader record's token, if that isn't the launch's token. */
+        /** The leader has received a heartbeat sent under its token, which is newer than the launch's token. */
         boolean reconciled;
 
         int leaseStart;
         /** The highest fencing token that the machine has seen. */
-        int machineToken = FIRST;
+        int machineToken = FIRST_TOKEN;
         /** When the newest heartbeat was sent. */
         int heartbeatAt = NEVER;
 
@@ -132,7 +141,7 @@
             }
         }
 
-        /** Everything that bears on what may happen next, in 64 bits. */
+        /** Packs everything that affects which states may follow into 64 bits. */
         long key() {
             long key = 0;
             for (int time : relevantTimes()) {
@@ -147,10 +156,10 @@
             return key;
         }
 
-        /** The times, with NEVER for those that have no effect any more. */
+        /** The times, with {@link #NEVER} for those that no longer affect which states may follow. */
         private int[] relevantTimes() {
-            boolean leaseMatters = now <= leaderLeaseUntil() + RENEWAL_TICKS + 2;
-            boolean sessionMatters = leaderToken != SECOND && !sessionExpired;
+            boolean leaseMatters = now <= leaderLeaseUntil() + MAX_RENEWAL_TICKS + 2;
+            boolean sessionMatters = leaderToken != SECOND_TOKEN && !sessionExpired;
             return new int[] {
                 now,
                 leaseMatters ? leaderLeaseUntil() : NEVER,
@@ -168,7 +177,7 @@
             return new boolean[] {
                 storeReachable,
                 sessionExpired,
-                secondFollowsFence,
+                firstRaisedToken,
                 cancellationDurable,
                 firstKnowsDurable,
                 secondKnowsDurable,
@@ -194,13 +203,13 @@
                     + startedElsewhere + " violation=" + violation + "\n";
         }
 
-        /** Until when the first leader holds a leader lease, from its store session or from its peer. */
+        /** When the first leader's lease expires, whether it rests on its store session or on its peer's grant. */
         int leaderLeaseUntil() {
-            return Math.max(firstCountsOnSessionUntil, peerGrantUntil);
+            return Math.max(firstAssumesSessionUntil, peerGrantUntil);
         }
 
         boolean secondLeads() {
-            return leaderToken == SECOND;
+            return leaderToken == SECOND_TOKEN;
         }
 
         boolean firstHoldsLeaderLease() {
@@ -220,7 +229,7 @@
             return now <= leaseStart + LEASE_TICKS;
         }
 
-        /** Time passes, and the store drops a session that wasn't renewed. */
+        /** Time passes. A session that wasn't renewed expires, if the store is reachable. */
         void tick() {
             now++;
             sessionExpired |= storeReachable && !secondLeads() && now > storeKeepsSessionUntil;
@@ -229,23 +238,23 @@
             }
         }
 
-        /** The store fails or recovers; when it recovers, sessions have their full time again. */
+        /** The store fails or recovers. When it recovers, sessions get their full timeout again. */
         void toggleStore() {
             storeReachable = !storeReachable;
             storeKeepsSessionUntil = storeReachable ? now + SESSION_TICKS : storeKeepsSessionUntil;
         }
 
         void renewSession() {
-            firstCountsOnSessionUntil = now + SESSION_TICKS;
+            firstAssumesSessionUntil = now + SESSION_TICKS;
             storeKeepsSessionUntil = now + SESSION_TICKS;
         }
 
         /**
-         * The first leader raises its own token. A cancellation that isn't durable yet never will be, and is forgotten;
-         * one that is durable is loaded under the new token.
+         * The first leader rewrites the leader record, which raises its token. Writes under the old token fail from now
+         * on: a cancellation that isn't durable yet is dropped, and a durable one is loaded under the new token.
          */
-        void fence() {
-            leaderToken = FENCED;
+        void raiseToken() {
+            leaderToken = RAISED_TOKEN;
             reconciled = false;
             cancellationRequested = cancellationDurable;
             firstKnowsDurable = cancellationDurable;
@@ -254,10 +263,10 @@
         }
 
         void failOverToSecond() {
-            secondFollowsFence = leaderToken == FENCED;
-            leaderToken = SECOND;
+            firstRaisedToken = leaderToken == RAISED_TOKEN;
+            leaderToken = SECOND_TOKEN;
             reconciled = false;
-            renewalPossibleUntil = now + RENEWAL_TICKS;
+            renewalPossibleUntil = now + MAX_RENEWAL_TICKS;
             secondKnowsDurable = cancellationDurable;
         }
 
@@ -280,12 +289,12 @@
             confirmCancellation();
         }
 
-        /** The launch arrives; the machine refuses it under a token lower than the highest it has seen. */
+        /** The launch arrives. A machine that has seen a higher token rejects the launch. */
         void receiveLaunch() {
             launchInFlight = false;
-            taskRunning = machineToken == FIRST;
+            taskRunning = machineToken == FIRST_TOKEN;
             if (taskRunning && startedElsewhere) {
-                violation = Violation.RAN_TWICE;
+                violation = Violation.RAN_ON_TWO_MACHINES;
             } else if (taskRunning && isCancellationOverdue()) {
                 violation = Violation.RAN_AFTER_CANCELLATION;
             } else {
@@ -293,7 +302,7 @@
             }
         }
 
-        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        /** The machine sends a heartbeat, and no longer accepts a response to the previous one. */
         void sendHeartbeat() {
             heartbeatAt = now;
             heartbeatShowsTask = taskRunning;
@@ -301,7 +310,7 @@
             responseToken = NO_TOKEN;
         }
 
-        /** The response arrives; under an older token it is ignored. */
+        /** The response arrives. A machine that has seen a higher token ignores the response. */
         void receiveResponse() {
             if (responseToken >= machineToken) {
                 machineToken = responseToken;
@@ -311,30 +320,30 @@
             responseToken = NO_TOKEN;
         }
 
-        /** The token under which the first leader answers heartbeats, also after it was deposed. */
-        int firstLeadersToken() {
-            return leaderToken == FENCED || secondFollowsFence ? FENCED : FIRST;
+        /** The token under which the first leader responds to heartbeats, also after it was replaced. */
+        int tokenOfFirstLeader() {
+            return leaderToken == RAISED_TOKEN || firstRaisedToken ? RAISED_TOKEN : FIRST_TOKEN;
         }
 
         void receiveHeartbeatAtFirst(Fault fault) {
-            int token = firstLeadersToken();
+            int token = tokenOfFirstLeader();
             launchAcknowledged |= heartbeatShowsTask;
-            reconciled |= leaderToken == FENCED && heartbeatToken == FENCED;
+            reconciled |= leaderToken == RAISED_TOKEN && heartbeatToken == RAISED_TOKEN;
             responseToken = token;
             responseStopsTask = heartbeatShowsTask
                     && (fault == Fault.STOPS_TASK_ONLY_ONCE_DURABLE ? firstKnowsDurable : cancellationRequested);
         }
 
         void receiveHeartbeatAtSecond() {
-            reconciled |= heartbeatToken == SECOND;
+            reconciled |= heartbeatToken == SECOND_TOKEN;
             renewalPossibleUntil = Math.max(renewalPossibleUntil, now);
-            responseToken = SECOND;
+            responseToken = SECOND_TOKEN;
             responseStopsTask = secondKnowsDurable && heartbeatShowsTask;
         }
 
         void startElsewhere() {
             startedElsewhere = true;
-            violation = taskRunning ? Violation.RAN_TWICE : violation;
+            violation = taskRunning ? Violation.RAN_ON_TWO_MACHINES : violation;
         }
     }
 
@@ -353,7 +362,10 @@
         }
     }
 
-    /** Worker lease expiry ends the task and refuses the launch: nothing more can happen here. */
+    /**
+     * Adds the next tick, unless the worker lease has expired by then. Lease expiry kills the task and makes the
+     * machine reject the launch: nothing more can happen to the task.
+     */
     private static void addTick(State state, Consumer<State> successors) {
         if (state.now < LAST_TICK) {
             State later = state.after(State::tick);
@@ -367,13 +379,13 @@
         successors.accept(state.after(State::toggleStore));
         if (state.storeReachable && !state.sessionExpired && !state.secondLeads()) {
             successors.accept(state.after(State::renewSession));
-            if (state.leaderToken == FIRST && state.firstHoldsLeaderLease()) {
-                successors.accept(state.after(State::fence));
+            if (state.leaderToken == FIRST_TOKEN && state.firstHoldsLeaderLease()) {
+                successors.accept(state.after(State::raiseToken));
             }
         }
     }
 
-    /** The second controller grants the first leader a lease, or becomes the leader itself. */
+    /** The second controller grants the first one a leader lease, or becomes the leader itself. */
     private static void addLeaderTransitions(State state, Fault fault, Consumer<State> successors) {
         if (state.secondLeads()) {
             return;
@@ -392,10 +404,10 @@
         if (firstLeads && !state.cancellationRequested) {
             successors.accept(state.after(next -> next.cancellationRequested = true));
         }
-        if (firstLeads && mayFirstWrite(state, fault)) {
+        if (firstLeads && mayFirstSendWrite(state, fault)) {
             successors.accept(state.after(State::sendWrite));
         }
-        // Carried out at any later time, unless the leader record has changed.
+        // The write may be applied at any later time, unless the leader record has changed.
         if (state.storeReachable && state.writeToken == state.leaderToken && !state.cancellationDurable) {
             successors.accept(state.after(next -> next.cancellationDurable = true));
         }
@@ -404,7 +416,7 @@
         }
     }
 
-    private static boolean mayFirstWrite(State state, Fault fault) {
+    private static boolean mayFirstSendWrite(State state, Fault fault) {
         return state.cancellationRequested
                 && !state.cancellationDurable
                 && state.writeToken == NO_TOKEN
@@ -412,11 +424,11 @@
     }
 
     /**
-     * Whether the first leader must reckon with its launch: until the launch is acknowledged, or after a fence until a
-     * heartbeat comes that was sent under the new token.
+     * Whether the launch may still start the task, in the first leader's view: until the launch is acknowledged or, if
+     * the first leader has raised its token, until it receives a heartbeat sent under the new token.
      */
     private static boolean mayLaunchStillArrive(State state, Fault fault) {
-        return state.leaderToken == FIRST
+        return state.leaderToken == FIRST_TOKEN
                 ? !state.launchAcknowledged && fault != Fault.WRITES_BEFORE_LAUNCH_IS_RESOLVED
                 : !state.reconciled && fault != Fault.WRITES_BEFORE_RECONCILIATION;
     }
@@ -436,12 +448,12 @@
         }
     }
 
-    /** The first leader answers from memory that the job is live, after a user was told that it is cancelled. */
+    /** The first leader answers from memory that the job is live, after a user was told that the job is cancelled. */
     private static void addStaleAnswer(State state, Fault fault, Consumer<State> successors) {
         boolean writeUnresolved = state.writeSentAt != NEVER && fault != Fault.ANSWERS_DURING_UNRESOLVED_WRITE;
         boolean answersAsLive = state.now <= state.leaderLeaseUntil() && !writeUnresolved && !state.firstKnowsDurable;
         if (answersAsLive && state.confirmedAt != NEVER) {
-            successors.accept(state.after(next -> next.violation = Violation.ANSWER_WENT_BACK));
+            successors.accept(state.after(next -> next.violation = Violation.OLDER_ANSWER_GIVEN));
         }
     }
 
@@ -452,7 +464,7 @@
         if (state.taskRunning && !state.launchAcknowledged && state.firstHoldsLeaderLease()) {
             successors.accept(state.after(next -> next.launchAcknowledged = true)); // the response to the launch itself
         }
-        // A status request brings the token and renews nothing.
+        // A status request carries the leader's token, and renews no lease.
         if (state.secondLeads() || state.firstHoldsLeaderLease()) {
             successors.accept(state.after(next -> next.machineToken = Math.max(next.machineToken, next.leaderToken)));
         }
@@ -466,8 +478,8 @@
 
     /** The newest heartbeat, or a duplicate of it, reaches the first leader. */
     private static void addHeartbeatAtFirst(State state, Fault fault, Consumer<State> successors) {
-        int renewsUntil = state.leaderLeaseUntil() + RENEWAL_TICKS + (fault == Fault.RENEWS_TOO_LONG ? 2 : 0);
-        boolean acceptsToken = state.heartbeatToken <= state.firstLeadersToken();
+        int renewsUntil = state.leaderLeaseUntil() + MAX_RENEWAL_TICKS + (fault == Fault.RENEWS_LEASE_TOO_LONG ? 2 : 0);
+        boolean acceptsToken = state.heartbeatToken <= state.tokenOfFirstLeader();
         if (state.responseToken == NO_TOKEN && acceptsToken && state.now <= renewsUntil) {
             successors.accept(state.after(next -> next.receiveHeartbeatAtFirst(fault)));
         }
@@ -481,7 +493,7 @@
         if (state.responseToken == NO_TOKEN) {
             successors.accept(state.after(State::receiveHeartbeatAtSecond));
         }
-        boolean confirmsState = state.heartbeatToken == SECOND || fault == Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN;
+        boolean confirmsState = state.heartbeatToken == SECOND_TOKEN || fault == Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN;
         boolean taskAbsent = confirmsState && !state.heartbeatShowsTask;
         if (!state.startedElsewhere && (taskAbsent || state.now > state.renewalPossibleUntil + LEASE_TICKS)) {
             successors.accept(state.after(State::startElsewhere));
@@ -506,25 +518,25 @@
     @Test
     void cancelledTaskStopsInTimeInEveryInterleaving() {
         StateSearch.Result<State> result = search(Fault.NONE);
-        assertFalse(result.broken(), () -> "" + result.trace());
-        assertTrue(result.states() > 50_000, "states " + result.states());
-        System.out.println("cancellation model: states " + result.states());
+        assertFalse(result.violationFound(), () -> "" + result.trace());
+        assertTrue(result.stateCount() > 50_000, "states " + result.stateCount());
+        System.out.println("cancellation model: states " + result.stateCount());
     }
 
     @Test
-    void findsEachInjectedFault() {
+    void everyInjectedFaultViolatesAnInvariant() {
         Map<Fault, Violation> violations = new HashMap<>();
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 StateSearch.Result<State> result = search(fault);
-                assertTrue(result.broken(), fault.toString());
-                violations.put(fault, result.last().violation);
+                assertTrue(result.violationFound(), fault.toString());
+                violations.put(fault, result.violatingState().violation);
                 System.out.println("cancellation model: " + fault + " found after "
                         + result.trace().size() + " steps: " + violations.get(fault));
             }
         }
-        assertEquals(Violation.ANSWER_WENT_BACK, violations.get(Fault.ANSWERS_DURING_UNRESOLVED_WRITE));
-        assertEquals(Violation.RAN_TWICE, violations.get(Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN));
+        assertEquals(Violation.OLDER_ANSWER_GIVEN, violations.get(Fault.ANSWERS_DURING_UNRESOLVED_WRITE));
+        assertEquals(Violation.RAN_ON_TWO_MACHINES, violations.get(Fault.TRUSTS_HEARTBEAT_WITH_OLD_TOKEN));
         assertEquals(Violation.RAN_AFTER_CANCELLATION, violations.get(Fault.STOPS_TASK_ONLY_ONCE_DURABLE));
         assertEquals(Violation.RAN_AFTER_CANCELLATION, violations.get(Fault.WRITES_BEFORE_LAUNCH_IS_RESOLVED));
     }
--- a/src/test/java/org/hollypick/model/FailoverModelTest.java
+++ b/src/test/java/org/hollypick/model/FailoverModelTest.java
@@ -12,272 +12,299 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores all that can happen when a leader resigns, or crashes and is restarted at once, while two other controllers
- * relay its answers: every order of messages, each of them lost, late or duplicated, one controller frozen at any
- * moment, up to a number of ticks of time. The clocks run alike: drift is accounted for where lease grants are counted,
- * and {@code WorkerLeasesTest} and {@code ProcessPauseTest} are about that. The invariant (docs/safety.md): no answer
- * of the old leader reaches a machine once its successor acts.
+ * Explores every interleaving of a failover in which a leader resigns, or crashes and is restarted at once, while two
+ * other controllers relay its responses to machines. Each message may be lost, delayed or duplicated, and one of the
+ * relays may be paused once, at any time and for any time.
+ *
+ * <p>Bounds: one failover, two relays with one grant each, {@value #LAST_TICK} ticks of time. All clocks run at the
+ * same rate: the durations of grants allow for clock drift, which {@code WorkerLeasesTest} and {@code ProcessPauseTest}
+ * cover.
+ *
+ * <p>Invariant (docs/safety.md): no response of the old leader is relayed to a machine once its successor leads.
  */
 class FailoverModelTest {
-    private static final int TICKS = 6;
-    /** For how long an answer may be relayed under a grant of the leader. */
-    private static final int GRANT = 2;
+    private static final int LAST_TICK = 6;
+    /** How long a relay may relay responses under one grant of the leader. */
+    private static final int GRANT_TICKS = 2;
 
-    private static final int RELAYS = 2;
+    private static final int RELAY_COUNT = 2;
     private static final int NEVER = -1;
-    private static final int NOBODY = -1;
-    /** One was frozen already and runs again: none freezes any more. */
-    private static final int THAWED = RELAYS;
+    private static final int NO_PAUSE_YET = -1;
+    /** A relay was paused and runs again; there is no second pause. */
+    private static final int PAUSE_ENDED = RELAY_COUNT;
 
+    /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
         NONE,
-        COUNTS_FROM_THE_ANSWER,
-        ENDS_SESSION_AT_ONCE,
-        ONE_CONFIRMATION_IS_ENOUGH,
-        CONFIRMS_WITHOUT_RELEASING,
-        GRANT_UNDOES_RELEASE
+        COUNTS_GRANT_FROM_RECEIPT,
+        ENDS_SESSION_ON_RESIGNATION,
+        ENDS_SESSION_AFTER_FIRST_CONFIRMATION,
+        CONFIRMS_REVOCATION_BUT_KEEPS_RELAYING,
+        LATE_GRANT_RESUMES_RELAYING
     }
 
     /**
-     * A controller that relays answers under a grant of the leader; {@link #NEVER} for times that there aren't.
+     * A controller that relays the leader's responses under a grant of the leader.
      *
-     * @param sentAt when it asked for a grant
-     * @param isAsking whether its question is in flight
-     * @param grant how long the leader grants
-     * @param isGrantInFlight whether the leader's answer is in flight
-     * @param until when the grant that it got ends
-     * @param hasReleased whether it relays nothing any more
-     * @param hasConfirmed whether it confirmed that
+     * @param requestedAt when the relay requested a grant, or {@link #NEVER}
+     * @param requestInFlight whether the request was sent and may be delivered, once or repeatedly
+     * @param grantTicks the duration of the grant, or {@link #NEVER}
+     * @param grantIssued whether the leader has sent the grant
+     * @param grantedUntil when the grant that the relay received expires, or {@link #NEVER}
+     * @param revoked whether the relay has stopped relaying because its grant was revoked
+     * @param revocationConfirmed whether the relay has confirmed the revocation
      */
     private record Relay(
-            int sentAt,
-            boolean isAsking,
-            int grant,
-            boolean isGrantInFlight,
-            int until,
-            boolean hasReleased,
-            boolean hasConfirmed) {
-        Relay ask(int now) {
-            return new Relay(now, true, NEVER, false, NEVER, hasReleased, hasConfirmed);
+            int requestedAt,
+            boolean requestInFlight,
+            int grantTicks,
+            boolean grantIssued,
+            int grantedUntil,
+            boolean revoked,
+            boolean revocationConfirmed) {
+        Relay requestGrant(int now) {
+            return new Relay(now, true, NEVER, false, NEVER, revoked, revocationConfirmed);
         }
 
-        Relay grantSent() {
-            return new Relay(sentAt, true, GRANT, true, until, hasReleased, hasConfirmed);
+        Relay withGrantIssued() {
+            return new Relay(requestedAt, true, GRANT_TICKS, true, grantedUntil, revoked, revocationConfirmed);
         }
 
-        Relay grantReceived(int from, boolean staysReleased) {
-            return new Relay(sentAt, isAsking, grant, true, from + grant, staysReleased, hasConfirmed);
+        Relay withGrantReceived(int countedFrom, boolean staysRevoked) {
+            return new Relay(
+                    requestedAt,
+                    requestInFlight,
+                    grantTicks,
+                    true,
+                    countedFrom + grantTicks,
+                    staysRevoked,
+                    revocationConfirmed);
         }
 
-        Relay confirmRelease(boolean releases) {
-            return new Relay(sentAt, isAsking, grant, isGrantInFlight, until, releases, true);
+        Relay confirmRevocation(boolean stopsRelaying) {
+            return new Relay(requestedAt, requestInFlight, grantTicks, grantIssued, grantedUntil, stopsRelaying, true);
         }
     }
 
     /**
      * The state of the leader, its relays and its successor.
      *
-     * @param resignedAt when the leader resigned; {@link #NEVER} while it acts
-     * @param sessionEnded whether its store session has ended
-     * @param successorActs whether another controller leads
-     * @param isViolated whether an answer of the old leader was relayed then
-     * @param frozen the relay that is frozen, {@link #NOBODY} or {@link #THAWED}
-     * @param releaseRequests relays that were asked to release, as bits
-     * @param confirmations relays whose confirmation the old leader got, as bits
+     * @param resignedAt when the leader resigned, or {@link #NEVER}
+     * @param sessionEnded whether the old leader's store session has ended
+     * @param successorLeads whether another controller leads
+     * @param violated whether a response of the old leader was relayed while its successor led
+     * @param pausedRelay the index of the relay that is paused, {@link #NO_PAUSE_YET} or {@link #PAUSE_ENDED}
+     * @param revocationRequests the relays that were sent a revocation, one bit each
+     * @param confirmations the relays whose confirmation the old leader received, one bit each
      */
     private record State(
             int now,
             int resignedAt,
             boolean sessionEnded,
-            boolean successorActs,
-            boolean isViolated,
-            int frozen,
+            boolean successorLeads,
+            boolean violated,
+            int pausedRelay,
             List<Relay> relays,
-            int releaseRequests,
+            int revocationRequests,
             int confirmations) {
         boolean hasResigned() {
             return resignedAt != NEVER;
         }
 
-        boolean isReleaseRequested(int relay) {
-            return (releaseRequests >> relay & 1) == 1;
+        boolean isRevocationRequested(int relay) {
+            return (revocationRequests >> relay & 1) == 1;
         }
 
-        State at(int time) {
+        State withTime(int time) {
             return new State(
                     time,
                     resignedAt,
                     sessionEnded,
-                    successorActs,
-                    isViolated,
-                    frozen,
+                    successorLeads,
+                    violated,
+                    pausedRelay,
                     relays,
-                    releaseRequests,
+                    revocationRequests,
                     confirmations);
         }
 
-        State withFrozen(int relay) {
+        State withPausedRelay(int relay) {
             return new State(
                     now,
                     resignedAt,
                     sessionEnded,
-                    successorActs,
-                    isViolated,
+                    successorLeads,
+                    violated,
                     relay,
                     relays,
-                    releaseRequests,
+                    revocationRequests,
                     confirmations);
         }
 
-        State with(int index, Relay relay) {
+        State withRelay(int index, Relay relay) {
             List<Relay> changed = new ArrayList<>(relays);
             changed.set(index, relay);
             return new State(
                     now,
                     resignedAt,
                     sessionEnded,
-                    successorActs,
-                    isViolated,
-                    frozen,
+                    successorLeads,
+                    violated,
+                    pausedRelay,
                     List.copyOf(changed),
-                    releaseRequests,
+                    revocationRequests,
                     confirmations);
         }
 
         State resign(boolean endsSession) {
-            int allRelays = (1 << RELAYS) - 1;
-            return new State(now, now, endsSession, successorActs, isViolated, frozen, relays, allRelays, 0);
+            int allRelays = (1 << RELAY_COUNT) - 1;
+            return new State(now, now, endsSession, successorLeads, violated, pausedRelay, relays, allRelays, 0);
         }
 
         State endSession() {
             return new State(
-                    now, resignedAt, true, successorActs, isViolated, frozen, relays, releaseRequests, confirmations);
+                    now,
+                    resignedAt,
+                    true,
+                    successorLeads,
+                    violated,
+                    pausedRelay,
+                    relays,
+                    revocationRequests,
+                    confirmations);
         }
 
         State startSuccessor() {
-            return new State(now, resignedAt, true, true, isViolated, frozen, relays, releaseRequests, confirmations);
+            return new State(
+                    now, resignedAt, true, true, violated, pausedRelay, relays, revocationRequests, confirmations);
         }
 
-        State violate() {
-            return new State(now, resignedAt, sessionEnded, true, true, frozen, relays, releaseRequests, confirmations);
+        State withViolation() {
+            return new State(
+                    now, resignedAt, sessionEnded, true, true, pausedRelay, relays, revocationRequests, confirmations);
         }
 
-        State confirmed(int relay) {
+        State withConfirmation(int relay) {
             return new State(
                     now,
                     resignedAt,
                     sessionEnded,
-                    successorActs,
-                    isViolated,
-                    frozen,
+                    successorLeads,
+                    violated,
+                    pausedRelay,
                     relays,
-                    releaseRequests,
+                    revocationRequests,
                     confirmations | 1 << relay);
         }
     }
 
-    private static void next(State state, Fault fault, Consumer<State> successors) {
-        if (state.now < TICKS) {
-            successors.accept(state.at(state.now + 1));
+    /** Adds every state that may follow. */
+    private static void addSuccessors(State state, Fault fault, Consumer<State> successors) {
+        if (state.now < LAST_TICK) {
+            successors.accept(state.withTime(state.now + 1));
         }
-        freezeOrThaw(state, successors);
-        for (int i = 0; i < RELAYS; i++) {
-            grant(state, i, successors);
-            if (state.frozen != i) {
-                relay(state, fault, i, successors);
-                release(state, fault, i, successors);
+        addPauseTransitions(state, successors);
+        for (int i = 0; i < RELAY_COUNT; i++) {
+            addGrant(state, i, successors);
+            if (state.pausedRelay != i) {
+                addRelayTransitions(state, fault, i, successors);
+                addRevocationTransitions(state, fault, i, successors);
             }
         }
-        leader(state, fault, successors);
+        addLeaderTransitions(state, fault, successors);
     }
 
-    /** One is frozen for as long as it likes; nothing of it happens meanwhile. */
-    private static void freezeOrThaw(State state, Consumer<State> successors) {
-        if (state.frozen == NOBODY) {
-            for (int i = 0; i < RELAYS; i++) {
-                successors.accept(state.withFrozen(i));
+    /** One relay may be paused for any time; a paused relay takes no step. */
+    private static void addPauseTransitions(State state, Consumer<State> successors) {
+        if (state.pausedRelay == NO_PAUSE_YET) {
+            for (int i = 0; i < RELAY_COUNT; i++) {
+                successors.accept(state.withPausedRelay(i));
             }
-        } else if (state.frozen != THAWED) {
-            successors.accept(state.withFrozen(THAWED));
+        } else if (state.pausedRelay != PAUSE_ENDED) {
+            successors.accept(state.withPausedRelay(PAUSE_ENDED));
         }
     }
 
-    /** The leader grants, while it acts. The question may arrive a second time: it stays in flight. */
-    private static void grant(State state, int index, Consumer<State> successors) {
+    /** The leader issues the requested grant, unless it has resigned. */
+    private static void addGrant(State state, int index, Consumer<State> successors) {
         Relay relay = state.relays.get(index);
-        if (relay.isAsking && !state.hasResigned() && !relay.isGrantInFlight) {
-            successors.accept(state.with(index, relay.grantSent()));
+        if (relay.requestInFlight && !state.hasResigned() && !relay.grantIssued) {
+            successors.accept(state.withRelay(index, relay.withGrantIssued()));
         }
     }
 
-    private static void relay(State state, Fault fault, int index, Consumer<State> successors) {
+    /** The relay requests a grant, receives it, or relays a response of the old leader. */
+    private static void addRelayTransitions(State state, Fault fault, int index, Consumer<State> successors) {
         Relay relay = state.relays.get(index);
-        if (!relay.isAsking) {
-            successors.accept(state.with(index, relay.ask(state.now)));
+        if (!relay.requestInFlight) {
+            successors.accept(state.withRelay(index, relay.requestGrant(state.now)));
         }
-        if (relay.isGrantInFlight && relay.until < 0) {
-            int from = fault == Fault.COUNTS_FROM_THE_ANSWER ? state.now : relay.sentAt;
-            boolean staysReleased = relay.hasReleased && fault != Fault.GRANT_UNDOES_RELEASE;
-            successors.accept(state.with(index, relay.grantReceived(from, staysReleased)));
+        if (relay.grantIssued && relay.grantedUntil < 0) {
+            int countedFrom = fault == Fault.COUNTS_GRANT_FROM_RECEIPT ? state.now : relay.requestedAt;
+            boolean staysRevoked = relay.revoked && fault != Fault.LATE_GRANT_RESUMES_RELAYING;
+            successors.accept(state.withRelay(index, relay.withGrantReceived(countedFrom, staysRevoked)));
         }
-        if (relay.until > state.now && !relay.hasReleased && state.successorActs) {
-            successors.accept(state.violate());
+        if (relay.grantedUntil > state.now && !relay.revoked && state.successorLeads) {
+            successors.accept(state.withViolation());
         }
     }
 
-    /** The request stays in flight, since it may come again; the confirmation may get lost, or come at any time. */
-    private static void release(State state, Fault fault, int index, Consumer<State> successors) {
+    /** The revocation may be delivered any number of times; its confirmation may be lost or delayed. */
+    private static void addRevocationTransitions(State state, Fault fault, int index, Consumer<State> successors) {
         Relay relay = state.relays.get(index);
-        if (state.isReleaseRequested(index)) {
-            boolean releases = fault != Fault.CONFIRMS_WITHOUT_RELEASING;
-            successors.accept(state.with(index, relay.confirmRelease(releases)));
+        if (state.isRevocationRequested(index)) {
+            boolean stopsRelaying = fault != Fault.CONFIRMS_REVOCATION_BUT_KEEPS_RELAYING;
+            successors.accept(state.withRelay(index, relay.confirmRevocation(stopsRelaying)));
         }
-        if (relay.hasConfirmed) {
-            successors.accept(state.confirmed(index));
+        if (relay.revocationConfirmed) {
+            successors.accept(state.withConfirmation(index));
         }
     }
 
-    /** The leader resigns, ends its store session once all relays have released, and another one acts. */
-    private static void leader(State state, Fault fault, Consumer<State> successors) {
+    /**
+     * The leader resigns. It ends its store session once all relays have confirmed the revocation or their grants have
+     * expired; then its successor leads.
+     */
+    private static void addLeaderTransitions(State state, Fault fault, Consumer<State> successors) {
         if (!state.hasResigned()) {
-            successors.accept(state.resign(fault == Fault.ENDS_SESSION_AT_ONCE));
+            successors.accept(state.resign(fault == Fault.ENDS_SESSION_ON_RESIGNATION));
         } else if (!state.sessionEnded) {
             int confirmations = Integer.bitCount(state.confirmations);
-            if (confirmations == RELAYS
-                    || (fault == Fault.ONE_CONFIRMATION_IS_ENOUGH && confirmations > 0)
-                    || state.now >= state.resignedAt + GRANT) {
+            if (confirmations == RELAY_COUNT
+                    || (fault == Fault.ENDS_SESSION_AFTER_FIRST_CONFIRMATION && confirmations > 0)
+                    || state.now >= state.resignedAt + GRANT_TICKS) {
                 successors.accept(state.endSession());
             }
-        } else if (!state.successorActs) {
+        } else if (!state.successorLeads) {
             successors.accept(state.startSuccessor());
         }
     }
 
     private static StateSearch.Result<State> search(Fault fault) {
         Relay idle = new Relay(NEVER, false, NEVER, false, NEVER, false, false);
-        State initial = new State(0, NEVER, false, false, false, NOBODY, List.of(idle, idle), 0, 0);
-        Set<State> seen = new HashSet<>();
+        State initial = new State(0, NEVER, false, false, false, NO_PAUSE_YET, List.of(idle, idle), 0, 0);
+        Set<State> visited = new HashSet<>();
         return StateSearch.run(
                 List.of(initial),
-                (state, successors) -> next(state, fault, successor -> successors.add("", successor)),
-                State::isViolated,
-                seen::add);
+                (state, successors) -> addSuccessors(state, fault, successor -> successors.add("", successor)),
+                State::violated,
+                visited::add);
     }
 
     @Test
-    void nothingOfTheOldLeaderIsRelayedOnceItsSuccessorActs() {
+    void oldLeadersAnswersAreNotRelayedOnceItsSuccessorLeads() {
         StateSearch.Result<State> result = search(Fault.NONE);
-        assertFalse(result.broken(), () -> "" + result.trace());
-        assertTrue(result.states() > 50_000, "states " + result.states());
-        System.out.println("handover model: states " + result.states());
+        assertFalse(result.violationFound(), () -> "" + result.trace());
+        assertTrue(result.stateCount() > 50_000, "states " + result.stateCount());
+        System.out.println("failover model: states " + result.stateCount());
     }
 
     @Test
-    void eachFaultIsFound() {
+    void everyInjectedFaultViolatesTheInvariant() {
         for (Fault fault : Fault.values()) {
             StateSearch.Result<State> result = search(fault);
-            assertEquals(fault != Fault.NONE, result.broken(), fault.toString());
-            assertTrue(fault == Fault.NONE || result.last().isViolated, fault.toString());
+            assertEquals(fault != Fault.NONE, result.violationFound(), fault.toString());
+            assertTrue(fault == Fault.NONE || result.violatingState().violated, fault.toString());
         }
     }
 }
--- a/src/test/java/org/hollypick/model/LimitModelTest.java
+++ b/src/test/java/org/hollypick/model/QuotaModelTest.java
@@ -15,42 +15,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores a team at its quota while one of its jobs is cancelled, a machine hangs and the leader changes.
+ * Explores every interleaving around a team at its quota while one of its jobs is cancelled, a machine hangs and the
+ * leader changes.
  *
  * <p>Bounds: three jobs of one task each (the first may be cancelled, the second ends at some time, the third is
  * submitted before or after the failover); a quota of two tasks with the first two jobs running, or of one with only
  * the second running; two leaders, one failover; {@value #LAST_TICK} ticks of time, a lease of {@value #LEASE_TICKS}.
- * Each of two machines has room for two tasks. The first one may hang: its heartbeats, their responses and a launch to
- * it are delayed by any time or lost, and it gets no task but the first job's. The second one is healthy: its
- * heartbeats are answered at once, or not at all; where the quota is one, a copy of one of them is held back for the
- * second leader. A machine whose lease expired takes no part any more. Writes succeed at once, and users are answered
- * at once: {@link CancellationModelTest} has their losses.
+ * Each of two machines has capacity for two tasks. The first one may hang: its heartbeats, their responses and a launch
+ * to it may be delayed by any time or lost, and it is assigned no task but the first job's. The second one is healthy:
+ * each of its heartbeats and the response are delivered at once, or not at all; where the quota is one, a copy of one
+ * of its heartbeats may be delayed until the second leader receives it. A machine whose lease expired is terminated and
+ * not used again. Writes and responses to users are immediate and never lost: {@link CancellationModelTest} covers
+ * their losses.
  *
- * <p>Invariants: what runs on machines never exceeds the quota ({@code QUOTA_EXCEEDED}); no task runs on two machines
- * ({@code RAN_TWICE}); nothing of a cancelled job runs, or starts, later than {@value #CANCELLATION_TICKS} ticks after
- * its cancellation was confirmed ({@code RAN_AFTER_CANCELLATION}).
+ * <p>Invariants: the number of running tasks never exceeds the quota ({@code QUOTA_EXCEEDED}); no task runs on two
+ * machines ({@code RAN_ON_TWO_MACHINES}); a cancelled job's task doesn't run later than {@value #CANCELLATION_TICKS}
+ * ticks after its cancellation was confirmed ({@code RAN_AFTER_CANCELLATION}).
  */
-class LimitModelTest {
+class QuotaModelTest {
     private static final int LAST_TICK = 3;
     private static final int LEASE_TICKS = 1;
     private static final int CANCELLATION_TICKS = 1;
     private static final int NEVER = -1;
     private static final int MACHINES = 2;
     /** The index of the second machine; the first one may hang. */
-    private static final int HEALTHY = 1;
-    /** How many tasks a machine has room for. */
+    private static final int HEALTHY_MACHINE = 1;
+    /** How many tasks fit on a machine. */
     private static final int TASKS_PER_MACHINE = 2;
 
-    /** The tasks; a set of tasks is a sum of these. */
-    private static final int CANCELLED = 1;
+    /** The tasks of the three jobs; a set of tasks has one bit for each. */
+    private static final int CANCELLED_TASK = 1;
 
-    private static final int ENDING = 2;
-    private static final int SUBMITTED = 4;
-    private static final int[] TASKS = {CANCELLED, ENDING, SUBMITTED};
+    private static final int ENDING_TASK = 2;
+    private static final int SUBMITTED_TASK = 4;
+    private static final int[] TASKS = {CANCELLED_TASK, ENDING_TASK, SUBMITTED_TASK};
 
     private static final int NO_TOKEN = 0;
 
-    /** The two leaders, which are also their fencing tokens. */
+    /** The two leaders; each number is the leader's fencing token too. */
     private static final int FIRST = 1;
 
     private static final int SECOND = 2;
@@ -58,27 +60,27 @@
     /** Defects that the model can be given, to prove that it finds them. */
     private enum Fault {
         NONE,
-        FREES_QUOTA_OF_SILENT_MACHINES,
-        FREES_QUOTA_WHEN_TOLD_TO_STOP,
+        FREES_QUOTA_WHEN_HEARTBEATS_ARE_MISSING,
+        FREES_QUOTA_ON_CANCELLATION_REQUEST,
         COUNTS_ONLY_INHERITED_TASKS,
         IGNORES_ORPHANED_TASKS,
         TRUSTS_OLD_HEARTBEAT_FOR_INHERITED_TASKS,
-        STARTS_OLDER_JOBS_AT_ONCE
+        STARTS_OLDER_JOBS_BEFORE_RECONCILIATION
     }
 
     /** The invariants, named by how they are violated. */
     private enum Violation {
         QUOTA_EXCEEDED,
-        RAN_TWICE,
+        RAN_ON_TWO_MACHINES,
         RAN_AFTER_CANCELLATION
     }
 
-    /** A machine with its agent, the messages in flight from and to it, and what the present leader knows of it. */
+    /** A machine with its agent, the messages in flight from and to it, and the current leader's view of it. */
     private static final class Machine implements Cloneable {
         boolean terminated;
         int runningTasks;
-        /** The agent lists the second job's task as done. */
-        boolean listsDone;
+        /** The agent reports the second job's task as done. */
+        boolean reportsEndingTaskDone;
 
         int leaseStart;
         /** The highest fencing token that the machine has seen. */
@@ -87,11 +89,11 @@
         int heartbeatAt = NEVER;
 
         int heartbeatTasks;
-        boolean heartbeatListsDone;
+        boolean heartbeatReportsDone;
         int heartbeatToken = FIRST;
-        /** The present leader has received the newest heartbeat. */
+        /** The current leader has received the newest heartbeat. */
         boolean heartbeatReceived;
-        /** The leader has a newer response to a launch: the heartbeat renews the lease, and nothing else. */
+        /** The leader has received a newer response to a launch: the heartbeat only renews the lease. */
         boolean heartbeatOutdated;
         /** The token of the response in flight to the newest heartbeat. */
         int responseToken = NO_TOKEN;
@@ -102,18 +104,19 @@
         /** The task of the launch in flight, 0 for none. */
         int launchTask;
 
-        // The leader's view of the machine.
-        /** The leader has received a heartbeat. */
+        // The current leader's view of the machine.
+        /** The leader has received a heartbeat of the machine. */
         boolean anyHeartbeatReceived = true;
-        /** The leader has received a heartbeat sent under its own token, or knows that the lease expired. */
+        /** The leader has received a heartbeat sent under its own token, or counts the lease as expired. */
         boolean reconciled = true;
 
+        /** The newest heartbeat shows a task that the leader neither assigned to the machine nor adopted. */
         boolean hasOrphanedTasks;
-        /** From when the leader counts the lease. */
+        /** The start of the lease as the leader counts it. */
         int leaseCountedFrom;
 
         int assignedTasks;
-        /** The assigned tasks that a heartbeat, or a launch's response, has confirmed. */
+        /** The assigned tasks that were confirmed by a heartbeat or by the response to the launch. */
         int confirmedTasks;
 
         Machine copy() {
@@ -124,8 +127,8 @@
             }
         }
 
-        /** The leader knows every task on the machine. */
-        boolean isFullyKnown() {
+        /** Whether every task on the machine is assigned to the machine in the leader's view. */
+        boolean isAccountedFor() {
             return reconciled && !hasOrphanedTasks;
         }
 
@@ -151,17 +154,17 @@
             return assignedTasks & ~confirmedTasks;
         }
 
-        /** The agent's lease expires, which stops everything on the machine. */
+        /** The lease expires on the agent, which kills all tasks on the machine. */
         void terminate() {
             terminated = true;
             runningTasks = 0;
-            listsDone = false;
+            reportsEndingTaskDone = false;
             responseToken = NO_TOKEN;
             launchTask = 0;
             leaseStart = NEVER;
         }
 
-        /** The leader knows that nothing runs on the machine any more. */
+        /** The leader concludes that no task runs on the machine. */
         void markEmpty() {
             assignedTasks = 0;
             confirmedTasks = 0;
@@ -170,14 +173,16 @@
         }
 
         boolean hasChangedSinceHeartbeat() {
-            return runningTasks != heartbeatTasks || listsDone != heartbeatListsDone || machineToken != heartbeatToken;
+            return runningTasks != heartbeatTasks
+                    || reportsEndingTaskDone != heartbeatReportsDone
+                    || machineToken != heartbeatToken;
         }
 
-        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        /** The machine sends a heartbeat, and no longer accepts a response to the previous one. */
         void sendHeartbeat(int now) {
             heartbeatAt = now;
             heartbeatTasks = runningTasks;
-            heartbeatListsDone = listsDone;
+            heartbeatReportsDone = reportsEndingTaskDone;
             heartbeatToken = machineToken;
             heartbeatReceived = false;
             heartbeatOutdated = false;
@@ -185,7 +190,7 @@
             tasksToStop = 0;
         }
 
-        /** The response arrives; under an older token it is ignored. */
+        /** The response arrives. A machine that has seen a higher token ignores the response. */
         void receiveResponse() {
             if (responseToken >= machineToken) {
                 machineToken = responseToken;
@@ -196,7 +201,7 @@
             tasksToStop = 0;
         }
 
-        /** The launch arrives; the machine refuses it under an older token. */
+        /** The launch arrives. A machine that has seen a higher token rejects the launch. */
         void receiveLaunch() {
             if (launchToken >= machineToken) {
                 machineToken = launchToken;
@@ -206,7 +211,7 @@
             launchToken = NO_TOKEN;
         }
 
-        /** The launch arrives, and its response reaches the leader. */
+        /** The launch arrives, and the leader receives the response to it. */
         void receiveLaunchAndRespond() {
             int task = launchTask;
             receiveLaunch();
@@ -215,12 +220,12 @@
         }
 
         void endTask() {
-            runningTasks &= ~ENDING;
-            listsDone = true;
+            runningTasks &= ~ENDING_TASK;
+            reportsEndingTaskDone = true;
         }
 
-        /** A new leader knows nothing of the machine. */
-        void forgetByLeader() {
+        /** Clears the leader's view of the machine: a new leader has received nothing from it. */
+        void resetForNewLeader() {
             heartbeatReceived = false;
             heartbeatOutdated = false;
             anyHeartbeatReceived = false;
@@ -232,9 +237,12 @@
         }
 
         void addTo(StateKey key) {
-            key.flag(terminated).number(runningTasks, 3).flag(listsDone).time(leaseStart, 3);
+            key.flag(terminated)
+                    .number(runningTasks, 3)
+                    .flag(reportsEndingTaskDone)
+                    .time(leaseStart, 3);
             key.number(machineToken, 2).time(heartbeatAt, 3).number(heartbeatTasks, 3);
-            key.flag(heartbeatListsDone).number(heartbeatToken, 2);
+            key.flag(heartbeatReportsDone).number(heartbeatToken, 2);
             key.flag(heartbeatReceived).flag(heartbeatOutdated);
             key.number(responseToken, 2).number(tasksToStop, 3);
             key.number(launchToken, 2).number(launchTask, 3);
@@ -249,34 +257,34 @@
         }
     }
 
-    /** A copy of a heartbeat, held back; {@code machine} is the index of its sender. */
-    private record HeartbeatCopy(int machine, int tasks, boolean listsDone) {}
+    /** A delayed copy of a heartbeat; {@code machine} is the index of its sender. */
+    private record HeartbeatCopy(int machine, int tasks, boolean reportsDone) {}
 
-    /** One state of the model; copied for each transition, and not changed once handed to the search. */
+    /** One state of the model; copied for each transition, and not changed once passed to the search. */
     private static final class State implements Cloneable {
         final int quota;
         int now;
         int leader = FIRST;
         int termStart;
         Machine[] machines = {new Machine(), new Machine()};
-        /** The copy that is held back, null if none. */
+        /** The delayed copy of a heartbeat, null if there is none. */
         HeartbeatCopy heartbeatCopy;
-        /** The token under which the third job was submitted. */
-        int submittedUnder = NO_TOKEN;
-        /** The leader knows that the second job's task is done. */
-        boolean knownDone;
+        /** The token of the leader at the time when the third job was submitted. */
+        int submittedUnderToken = NO_TOKEN;
+        /** The leader has received a heartbeat that reports the second job's task as done. */
+        boolean endingTaskKnownDone;
         /** The leader has been asked to cancel the first job. */
         boolean cancellationRequested;
 
         boolean cancellationDurable;
         /** When the user was told that the job is cancelled. */
         int confirmedAt = NEVER;
-        /** Tasks of the leader before that this leader has found running. */
+        /** Tasks that an earlier leader started and this leader has found running. */
         int inheritedTasks;
-        /** The leader has once known every task on all machines. */
+        /** All machines were accounted for at some time in the leader's term. */
         boolean reconciliationComplete = true;
         /** Tasks whose latest attempt was started on the second machine. */
-        int startedLastOnSecondMachine = ENDING;
+        int startedLastOnSecondMachine = ENDING_TASK;
         /** Tasks whose latest attempt was started by the second leader. */
         int startedBySecondLeader;
         /** The invariant that this state violates, null if none. */
@@ -299,14 +307,14 @@
             }
         }
 
-        /** Gives everything that has no effect any more the same value in all states. */
+        /** Resets values that no longer affect which states may follow, to reduce the number of states. */
         private void normalize() {
             for (Machine machine : machines) {
                 if (now > machine.leaseCountedFrom + LEASE_TICKS) {
                     machine.leaseCountedFrom = NEVER;
                 }
-                boolean receivedForGood = !firstLeads() || machine == machines[HEALTHY];
-                if (machine.responseToken == NO_TOKEN && machine.heartbeatReceived && receivedForGood) {
+                boolean noFurtherReceipt = !firstLeads() || machine == machines[HEALTHY_MACHINE];
+                if (machine.responseToken == NO_TOKEN && machine.heartbeatReceived && noFurtherReceipt) {
                     machine.heartbeatAt = now == machine.heartbeatAt ? now : NEVER;
                 }
             }
@@ -322,15 +330,15 @@
         }
 
         StateKey.Packed key() {
-            boolean copyHeld = heartbeatCopy != null;
+            boolean copyInFlight = heartbeatCopy != null;
             StateKey key = new StateKey().flag(quota == 1).number(now, 3);
             key.flag(firstLeads()).time(firstLeads() ? NEVER : termStart, 3);
-            key.number(submittedUnder, 2).flag(knownDone);
+            key.number(submittedUnderToken, 2).flag(endingTaskKnownDone);
             key.flag(cancellationRequested).flag(cancellationDurable).time(confirmedAt, 3);
             key.number(inheritedTasks, 3).flag(reconciliationComplete);
             key.number(startedLastOnSecondMachine, 3).number(startedBySecondLeader, 3);
-            key.flag(copyHeld).number(copyHeld ? heartbeatCopy.machine : 0, 1);
-            key.number(copyHeld ? heartbeatCopy.tasks : 0, 3).flag(copyHeld && heartbeatCopy.listsDone);
+            key.flag(copyInFlight).number(copyInFlight ? heartbeatCopy.machine : 0, 1);
+            key.number(copyInFlight ? heartbeatCopy.tasks : 0, 3).flag(copyInFlight && heartbeatCopy.reportsDone);
             machines[0].addTo(key);
             machines[1].addTo(key);
             return key.packed();
@@ -343,8 +351,8 @@
             if (Integer.bitCount(first) + Integer.bitCount(second) > quota) {
                 violation = Violation.QUOTA_EXCEEDED;
             } else if ((first & second) != 0) {
-                violation = Violation.RAN_TWICE;
-            } else if (cancellationOverdue && ((first | second) & CANCELLED) != 0) {
+                violation = Violation.RAN_ON_TWO_MACHINES;
+            } else if (cancellationOverdue && ((first | second) & CANCELLED_TASK) != 0) {
                 violation = Violation.RAN_AFTER_CANCELLATION;
             }
         }
@@ -357,18 +365,18 @@
             return machines[0].isAssigned(task) || machines[1].isAssigned(task);
         }
 
-        /** Whether the first job's task may still be launched by a message that nobody has accounted for. */
+        /** Whether a launch of the first job's task may be in flight, in the leader's view. */
         boolean mayLaunchStillArrive() {
             int unconfirmed = machines[0].unconfirmedTasks() | machines[1].unconfirmedTasks();
-            return (unconfirmed & CANCELLED) != 0 || !machines[0].reconciled || !machines[1].reconciled;
+            return (unconfirmed & CANCELLED_TASK) != 0 || !machines[0].reconciled || !machines[1].reconciled;
         }
 
-        /** By the leader's account, as {@code WorkerLeases.isExpired} has it. */
+        /** Whether the lease has certainly expired, as the leader computes it in {@code WorkerLeases.isExpired}. */
         boolean isLeaseExpired(Machine machine) {
             return now > Math.max(machine.leaseCountedFrom, termStart) + LEASE_TICKS;
         }
 
-        /** Time passes: leases expire by the agents' account and by the leader's. */
+        /** Time passes: leases expire on the agents, and as the leader counts them. */
         void tick() {
             now++;
             for (Machine machine : machines) {
@@ -383,7 +391,7 @@
         }
 
         private void updateReconciliation() {
-            reconciliationComplete |= machines[0].isFullyKnown() && machines[1].isFullyKnown();
+            reconciliationComplete |= machines[0].isAccountedFor() && machines[1].isAccountedFor();
             inheritedTasks = reconciliationComplete ? 0 : inheritedTasks;
         }
 
@@ -395,7 +403,7 @@
                 machine.leaseCountedFrom = now;
             } else {
                 applyHeartbeat(
-                        new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatListsDone),
+                        new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatReportsDone),
                         machine.heartbeatToken,
                         fault);
             }
@@ -403,12 +411,13 @@
             machine.tasksToStop = unwantedTasks(machine);
         }
 
-        /** The copy that was held back reaches the leader; its agent waits for no response any more. */
+        /** The delayed copy reaches the leader. Its agent no longer waits for a response. */
         void receiveHeartbeatCopy(Fault fault) {
             applyHeartbeat(heartbeatCopy, FIRST, fault);
             heartbeatCopy = null;
         }
 
+        /** The machine sends a heartbeat and receives the response at once. */
         void exchangeHeartbeat(int index, Fault fault) {
             machines[index].sendHeartbeat(now);
             receiveHeartbeat(index, fault);
@@ -419,7 +428,7 @@
             Machine machine = machines[heartbeat.machine];
             machine.anyHeartbeatReceived = true;
             machine.leaseCountedFrom = now;
-            knownDone |= heartbeat.listsDone;
+            endingTaskKnownDone |= heartbeat.reportsDone;
             machine.hasOrphanedTasks = false;
             boolean current = token == leader || fault == Fault.TRUSTS_OLD_HEARTBEAT_FOR_INHERITED_TASKS;
             for (int task : TASKS) {
@@ -437,47 +446,50 @@
         }
 
         /**
-         * Takes up a task that the leader didn't know to be on this machine, unless the task is over. If it is assigned
-         * elsewhere too, the newer attempt counts.
+         * Adopts a running task that isn't assigned to this machine, unless the task has ended, or it is assigned to
+         * the other machine by a newer attempt. An older assignment to the other machine is removed.
          *
-         * @return whether the task was taken up
+         * @return whether the task was adopted
          */
         private boolean adopt(int index, int task) {
             Machine other = machines[1 - index];
             boolean newestOnSecond = (startedLastOnSecondMachine & task) != 0;
             boolean newestElsewhere = newestOnSecond != (index == 1);
-            if (isOver(task) || (other.isAssigned(task) && newestElsewhere)) {
+            if (isKnownEnded(task) || (other.isAssigned(task) && newestElsewhere)) {
                 return false;
             }
             other.unassign(task);
             return true;
         }
 
-        private boolean isOver(int task) {
-            return task == CANCELLED ? cancellationDurable : task == ENDING && knownDone;
+        private boolean isKnownEnded(int task) {
+            return task == CANCELLED_TASK ? cancellationDurable : task == ENDING_TASK && endingTaskKnownDone;
         }
 
-        /** The tasks in the machine's newest heartbeat that the response stops. */
+        /** The tasks in the machine's newest heartbeat that the response to it stops. */
         private int unwantedTasks(Machine machine) {
-            int over = (cancellationRequested ? CANCELLED : 0) | (knownDone ? ENDING : 0);
-            return machine.heartbeatTasks & (~machine.assignedTasks | over);
+            int ended = (cancellationRequested ? CANCELLED_TASK : 0) | (endingTaskKnownDone ? ENDING_TASK : 0);
+            return machine.heartbeatTasks & (~machine.assignedTasks | ended);
         }
 
-        /** The cancellation is written and confirmed at once; a later confirmation would be easier to keep. */
+        /**
+         * The cancellation is written and confirmed at once, which is the hardest case: a later confirmation would
+         * leave the task more time to stop.
+         */
         void cancel() {
             cancellationDurable = true;
             confirmedAt = now;
         }
 
-        /** The second leader knows what is durable, and not which task is on which machine. */
+        /** The second leader takes over and loads what is durable, which doesn't include the assignments. */
         void failOver() {
             leader = SECOND;
             termStart = now;
-            knownDone = false;
+            endingTaskKnownDone = false;
             cancellationRequested = cancellationDurable;
             reconciliationComplete = false;
             for (Machine machine : machines) {
-                machine.forgetByLeader();
+                machine.resetForNewLeader();
             }
         }
 
@@ -489,15 +501,15 @@
             startedLastOnSecondMachine =
                     index == 1 ? startedLastOnSecondMachine | task : startedLastOnSecondMachine & ~task;
             startedBySecondLeader |= firstLeads() ? 0 : task;
-            if (index == HEALTHY) {
+            if (index == HEALTHY_MACHINE) {
                 machine.receiveLaunch();
                 machine.confirm(task);
             }
         }
 
         boolean mayStart(int index, int task, Fault fault) {
-            // The machine that may hang gets nothing but the task that is cancelled.
-            boolean withinBounds = index == HEALTHY || (firstLeads() && task == CANCELLED);
+            // The machine that may hang is assigned only the task that may be cancelled.
+            boolean withinBounds = index == HEALTHY_MACHINE || (firstLeads() && task == CANCELLED_TASK);
             return withinBounds
                     && isWanted(task)
                     && !isAssigned(task)
@@ -507,16 +519,16 @@
         }
 
         private boolean isWanted(int task) {
-            if (task == CANCELLED) {
+            if (task == CANCELLED_TASK) {
                 return !cancellationRequested;
             }
-            return task == ENDING ? !knownDone : submittedUnder != NO_TOKEN;
+            return task == ENDING_TASK ? !endingTaskKnownDone : submittedUnderToken != NO_TOKEN;
         }
 
-        /** Jobs older than the leader's term may be running on a machine that isn't reconciled yet. */
+        /** Whether the task may be running already, on a machine that isn't reconciled yet, under an earlier leader. */
         private boolean mustWaitForReconciliation(int task, Fault fault) {
-            boolean olderThanTerm = task != SUBMITTED || submittedUnder != leader;
-            return olderThanTerm && !reconciliationComplete && fault != Fault.STARTS_OLDER_JOBS_AT_ONCE;
+            boolean olderThanTerm = task != SUBMITTED_TASK || submittedUnderToken != leader;
+            return olderThanTerm && !reconciliationComplete && fault != Fault.STARTS_OLDER_JOBS_BEFORE_RECONCILIATION;
         }
 
         private boolean isUsable(Machine machine) {
@@ -527,21 +539,22 @@
                     && machine.launchTask == 0;
         }
 
-        /** Whether one more task keeps the quota, as {@code TeamUsage} counts it. */
+        /** Whether one more task stays within the quota, as {@code TeamUsage} counts it. */
         private boolean isWithinQuota(Fault fault) {
             int used = 0;
-            int roomOfUnknown = 0;
-            int freed = fault == Fault.FREES_QUOTA_WHEN_TOLD_TO_STOP && cancellationRequested ? CANCELLED : 0;
+            int unaccountedCapacity = 0;
+            int freed =
+                    fault == Fault.FREES_QUOTA_ON_CANCELLATION_REQUEST && cancellationRequested ? CANCELLED_TASK : 0;
             for (Machine machine : machines) {
-                boolean silent = now > Math.max(machine.leaseCountedFrom, termStart);
-                if (!silent || fault != Fault.FREES_QUOTA_OF_SILENT_MACHINES) {
+                boolean heartbeatMissing = now > Math.max(machine.leaseCountedFrom, termStart);
+                if (!heartbeatMissing || fault != Fault.FREES_QUOTA_WHEN_HEARTBEATS_ARE_MISSING) {
                     used += Integer.bitCount(machine.assignedTasks & ~freed);
-                    roomOfUnknown += machine.isFullyKnown() ? 0 : TASKS_PER_MACHINE;
+                    unaccountedCapacity += machine.isAccountedFor() ? 0 : TASKS_PER_MACHINE;
                 }
             }
-            int leftByInherited = quota - Integer.bitCount(inheritedTasks);
-            boolean countsUnknown = !reconciliationComplete && fault != Fault.COUNTS_ONLY_INHERITED_TASKS;
-            return used + (countsUnknown ? Math.min(roomOfUnknown, leftByInherited) : 0) + 1 <= quota;
+            int quotaLeftByInherited = quota - Integer.bitCount(inheritedTasks);
+            boolean countsUnaccounted = !reconciliationComplete && fault != Fault.COUNTS_ONLY_INHERITED_TASKS;
+            return used + (countsUnaccounted ? Math.min(unaccountedCapacity, quotaLeftByInherited) : 0) + 1 <= quota;
         }
 
         @Override
@@ -569,9 +582,9 @@
 
     private static void addAgentTransitions(State state, int index, Fault fault, Successors<State> successors) {
         Machine machine = state.machines[index];
-        if (index == HEALTHY) {
+        if (index == HEALTHY_MACHINE) {
             successors.add(
-                    "machine " + index + " sends a heartbeat and is answered",
+                    "machine " + index + " sends a heartbeat and receives the response",
                     state.after(next -> next.exchangeHeartbeat(index, fault)));
         } else if (machine.heartbeatAt < state.now || machine.hasChangedSinceHeartbeat()) {
             successors.add(
@@ -588,8 +601,8 @@
                     "status request reaches machine " + index,
                     state.after(next -> next.machines[index].machineToken = next.leader));
         }
-        if ((machine.runningTasks & ENDING) != 0) {
-            successors.add("task " + ENDING + " ends", state.after(next -> next.machines[index].endTask()));
+        if ((machine.runningTasks & ENDING_TASK) != 0) {
+            successors.add("task " + ENDING_TASK + " ends", state.after(next -> next.machines[index].endTask()));
         }
     }
 
@@ -601,17 +614,17 @@
         successors.add("launch reaches machine " + index, state.after(next -> next.machines[index].receiveLaunch()));
         if (machine.launchToken == state.leader) {
             successors.add(
-                    "launch reaches machine " + index + " and is answered",
+                    "launch reaches machine " + index + ", and the leader receives the response",
                     state.after(next -> next.machines[index].receiveLaunchAndRespond()));
         }
     }
 
-    /** The heartbeats of the machine that may hang arrive at any time. */
+    /** Heartbeats of the machine that may hang arrive after any delay. */
     private static void addHeartbeatTransitions(State state, int index, Fault fault, Successors<State> successors) {
         Machine machine = state.machines[index];
         boolean inFlight = machine.heartbeatAt != NEVER && !machine.heartbeatReceived;
         boolean expired = machine.anyHeartbeatReceived && state.isLeaseExpired(machine);
-        if (index != HEALTHY && inFlight && machine.heartbeatToken <= state.leader && !expired) {
+        if (index != HEALTHY_MACHINE && inFlight && machine.heartbeatToken <= state.leader && !expired) {
             successors.add(
                     "heartbeat of machine " + index + " reaches the leader",
                     state.after(next -> next.receiveHeartbeat(index, fault)));
@@ -620,15 +633,16 @@
 
     private static void addHeartbeatCopy(State state, int index, Fault fault, Successors<State> successors) {
         Machine machine = state.machines[index];
-        boolean mayHoldBack = index == HEALTHY && state.quota == 1 && state.firstLeads();
-        if (mayHoldBack && state.heartbeatCopy == null && (machine.heartbeatTasks & ENDING) != 0) {
+        boolean mayDelayCopy = index == HEALTHY_MACHINE && state.quota == 1 && state.firstLeads();
+        if (mayDelayCopy && state.heartbeatCopy == null && (machine.heartbeatTasks & ENDING_TASK) != 0) {
             successors.add(
-                    "a copy of the heartbeat of machine " + index + " is held back",
+                    "a copy of the heartbeat of machine " + index + " is delayed",
                     state.after(next -> next.heartbeatCopy =
-                            new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatListsDone)));
+                            new HeartbeatCopy(index, machine.heartbeatTasks, machine.heartbeatReportsDone)));
         }
         if (state.heartbeatCopy != null && state.heartbeatCopy.machine == index && !state.firstLeads()) {
-            successors.add("the copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
+            successors.add(
+                    "the delayed copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
         }
     }
 
@@ -643,16 +657,17 @@
     }
 
     private static void addUserRequestsAndFailover(State state, Successors<State> successors) {
-        if (state.submittedUnder == NO_TOKEN && !state.firstLeads()) {
+        if (state.submittedUnderToken == NO_TOKEN && !state.firstLeads()) {
             successors.add(
-                    "task " + SUBMITTED + " is submitted", state.after(next -> next.submittedUnder = next.leader));
+                    "task " + SUBMITTED_TASK + " is submitted",
+                    state.after(next -> next.submittedUnderToken = next.leader));
         }
         if (!state.cancellationRequested) {
             successors.add(
-                    "its user cancels task " + CANCELLED, state.after(next -> next.cancellationRequested = true));
+                    "a user cancels task " + CANCELLED_TASK, state.after(next -> next.cancellationRequested = true));
         }
         if (state.cancellationRequested && !state.cancellationDurable && !state.mayLaunchStillArrive()) {
-            successors.add("the cancellation is durable and confirmed", state.after(State::cancel));
+            successors.add("the cancellation becomes durable and is confirmed", state.after(State::cancel));
         }
         if (state.firstLeads()) {
             successors.add("the second leader takes over", state.after(State::failOver));
@@ -668,9 +683,9 @@
     }
 
     private static Result<State> search(Fault fault) {
-        State secondRuns = withRunningTask(new State(1), 1, ENDING);
-        State bothRun = withRunningTask(withRunningTask(new State(2), 0, CANCELLED), 1, ENDING);
-        State bothRunAndThirdPends = bothRun.after(next -> next.submittedUnder = FIRST);
+        State secondRuns = withRunningTask(new State(1), 1, ENDING_TASK);
+        State bothRun = withRunningTask(withRunningTask(new State(2), 0, CANCELLED_TASK), 1, ENDING_TASK);
+        State bothRunAndThirdPends = bothRun.after(next -> next.submittedUnderToken = FIRST);
         Set<StateKey.Packed> visitedKeys = new HashSet<>();
         return StateSearch.run(
                 List.of(bothRun, bothRunAndThirdPends, secondRuns),
@@ -682,23 +697,23 @@
     @Test
     void quotaIsKeptAndCancelledTaskStopsInTime() {
         Result<State> result = search(Fault.NONE);
-        assertFalse(result.broken(), () -> "" + result.trace());
-        assertTrue(result.states() > 50_000, "states " + result.states());
-        System.out.println("limit model: states " + result.states());
+        assertFalse(result.violationFound(), () -> "" + result.trace());
+        assertTrue(result.stateCount() > 50_000, "states " + result.stateCount());
+        System.out.println("quota model: states " + result.stateCount());
     }
 
     @Test
-    void findsEachInjectedFault() {
+    void everyInjectedFaultViolatesAnInvariant() {
         Map<Fault, Violation> violations = new EnumMap<>(Fault.class);
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault);
-                assertTrue(result.broken(), fault.toString());
-                violations.put(fault, result.last().violation);
-                System.out.println("limit model: " + fault + " " + result.last().violation + " after " + result.steps()
-                        + ": " + result.actions());
+                assertTrue(result.violationFound(), fault.toString());
+                violations.put(fault, result.violatingState().violation);
+                System.out.println("quota model: " + fault + " " + result.violatingState().violation + " after "
+                        + result.actionCount() + ": " + result.actions());
             }
         }
-        assertEquals(Violation.RAN_TWICE, violations.get(Fault.STARTS_OLDER_JOBS_AT_ONCE));
+        assertEquals(Violation.RAN_ON_TWO_MACHINES, violations.get(Fault.STARTS_OLDER_JOBS_BEFORE_RECONCILIATION));
     }
 }
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores a machine that comes up between its scale-out request and its registration, gets a task at once, and whose
- * leader is deposed.
+ * Explores every interleaving around a machine that boots between its scale-out request and its registration and is
+ * assigned a task at once, while the leader changes.
  *
  * <p>Bounds: one task, submitted before the failover; one new machine, requested by the first leader, and another one
  * that is healthy, known to both leaders and empty; two leaders, one failover; {@value #LAST_TICK} ticks of time, a
- * lease of {@value #LEASE_TICKS}. The machine may be up before the response to the scale-out request comes, or without
- * one, and before or after the cloud's list shows it. Heartbeats, responses, launches and the responses to launches may
- * be lost or delayed by any time; one copy of a heartbeat is held back. Two compare-and-swaps register the machine,
- * each carried out at any time or never, its response lost or not. The machine may be terminated at any time; its lease
- * expiry takes it out of play.
+ * lease of {@value #LEASE_TICKS}. The machine may boot before the leader receives the response to the scale-out
+ * request, or without any response, and before or after the cloud's list shows it. Heartbeats, responses, launches and
+ * the responses to launches may be lost or delayed by any time; one heartbeat may be duplicated, and the copy delayed.
+ * Up to two compare-and-swaps register the machine: each may be applied at any time or never, and its response may be
+ * lost. The machine may be terminated at any time, and is when its lease expires.
  *
- * <p>Invariant: the task isn't on both machines ({@code ran_twice}).
+ * <p>Invariant: the task doesn't run on both machines ({@link State#ranOnTwoMachines}).
  */
 class RegistrationModelTest {
     private static final int LAST_TICK = 4;
@@ -32,7 +32,7 @@
     private static final int NO_TOKEN = 0;
     private static final int MAX_WRITES = 2;
 
-    /** The two leaders, which are also their fencing tokens. */
+    /** The two leaders; each number is the leader's fencing token too. */
     private static final int FIRST = 1;
 
     private static final int SECOND = 2;
@@ -45,17 +45,19 @@
         TRUSTS_DELAYED_HEARTBEAT,
         IGNORES_UNRECONCILED_MACHINES,
         TREATS_UNLISTED_AS_TERMINATED,
-        COUNTS_LEASE_FROM_HEARTBEAT
+        COUNTS_LEASE_FROM_BEFORE_HEARTBEAT
     }
 
-    /** The compare-and-swap that registers the machine, as its writer knows it. */
+    /**
+     * The state of the leader's compare-and-swap that registers the machine, until its response is received or lost.
+     */
     private enum Write {
         NONE,
         IN_FLIGHT,
-        CARRIED_OUT
+        APPLIED
     }
 
-    /** One state of the model; copied for each transition, and not changed once handed to the search. */
+    /** One state of the model; copied for each transition, and not changed once passed to the search. */
     private static final class State implements Cloneable {
         int now;
         int leader = FIRST;
@@ -70,9 +72,9 @@
         int leaseStart = NEVER;
         /** The highest fencing token that the machine has seen. */
         int machineToken = NO_TOKEN;
-        /** The cloud lists the machine. */
-        boolean listed;
-        /** The task is on the other machine. */
+        /** The cloud's list shows the machine. */
+        boolean listedByCloud;
+        /** The task was started on the other machine. */
         boolean startedElsewhere;
 
         // Messages.
@@ -88,7 +90,7 @@
         boolean responseLaunchesTask;
 
         boolean launchInFlight;
-        /** A copy of a heartbeat, held back; it was sent before the task came. */
+        /** A copy of a heartbeat is delayed; the heartbeat was sent before the task started. */
         boolean heartbeatCopyHeld;
 
         // The registration.
@@ -97,36 +99,37 @@
         boolean lateWriteInFlight;
         boolean registrationDurable;
 
-        // What the present leader knows of the machine.
-        boolean known;
-        /** The leader has received a heartbeat of the machine. */
+        // The current leader's view of the machine.
+        boolean knownToLeader;
+        /** The leader has received a heartbeat from the machine. */
         boolean anyHeartbeatReceived;
 
         boolean registrationConfirmed;
-        /** The leader knows whether the task may be on the machine. */
+        /** The task can't be on the machine unless the leader's view has it assigned there. */
         boolean reconciled = true;
         /** The leader has received a heartbeat that was sent under its own token. */
         boolean confirmedLive;
 
         boolean leaseExpired;
-        /** From when the leader counts the machine's lease. */
+        /** The start of the machine's lease as the leader counts it. */
         int leaseCountedFrom = NEVER;
-        /** The leader assigned the task to the machine. */
+        /** The leader has assigned the task to the machine. */
         boolean assigned;
-        /** A heartbeat, or the launch's response, confirmed that assignment. */
+        /** A heartbeat, or the response to the launch, has confirmed the assignment. */
         boolean assignmentConfirmed;
-        /** The leader counts the machine as terminated. */
+        /** The leader regards the machine as terminated. */
         boolean countedAsTerminated;
 
+        /** The leader has seen the machine in the cloud's list. */
         boolean seenInList;
-        /** The invariant is violated. */
-        boolean ranTwice;
+        /** The task runs on the new machine although it was started on the other one: the invariant is violated. */
+        boolean ranOnTwoMachines;
 
         State after(Consumer<State> transition) {
             try {
                 State copy = (State) clone();
                 transition.accept(copy);
-                copy.ranTwice = copy.taskRunning && copy.startedElsewhere;
+                copy.ranOnTwoMachines = copy.taskRunning && copy.startedElsewhere;
                 return copy;
             } catch (CloneNotSupportedException e) {
                 throw new AssertionError(e);
@@ -136,13 +139,13 @@
         StateKey.Packed key() {
             StateKey key = new StateKey().number(now, 3).flag(leader == FIRST).number(termStart, 3);
             key.flag(booted).flag(terminated).flag(taskRunning).time(leaseStart, 3);
-            key.number(machineToken, 2).flag(listed).flag(startedElsewhere);
+            key.number(machineToken, 2).flag(listedByCloud).flag(startedElsewhere);
             key.time(heartbeatAt, 3).flag(heartbeatShowsTask).number(heartbeatToken, 2);
             key.flag(heartbeatReceived).number(responseToken, 2);
             key.flag(responseLaunchesTask).flag(launchInFlight).flag(heartbeatCopyHeld);
             key.number(write.ordinal(), 2).number(writesSent, 2);
             key.flag(lateWriteInFlight).flag(registrationDurable);
-            key.flag(known)
+            key.flag(knownToLeader)
                     .flag(anyHeartbeatReceived)
                     .flag(registrationConfirmed)
                     .flag(reconciled);
@@ -170,7 +173,7 @@
             return booted && !terminated;
         }
 
-        /** Time passes: the agent's lease may expire, and so may the lease by the leader's account. */
+        /** Time passes: the lease may expire on the agent, and as the leader counts it. */
         void tick() {
             now++;
             if (isMachineRunning() && now > leaseStart + LEASE_TICKS) {
@@ -183,10 +186,10 @@
         }
 
         private boolean isLeaseExpiredForLeader() {
-            return known && !countedAsTerminated && now > Math.max(leaseCountedFrom, termStart) + LEASE_TICKS;
+            return knownToLeader && !countedAsTerminated && now > Math.max(leaseCountedFrom, termStart) + LEASE_TICKS;
         }
 
-        /** The machine goes, with everything on it and on its way to it. */
+        /** The machine is terminated; the task on it ends, and messages in flight to it are lost. */
         void terminate() {
             terminated = true;
             taskRunning = false;
@@ -199,7 +202,7 @@
             responseLaunchesTask = false;
         }
 
-        /** The leader knows that nothing can be on the machine. */
+        /** The leader concludes that the task can't be on the machine. */
         private void markEmpty() {
             assigned = false;
             assignmentConfirmed = false;
@@ -211,12 +214,12 @@
             leaseStart = now;
         }
 
-        void seeInList() {
+        void discoverInList() {
             seenInList = true;
-            known = true;
+            knownToLeader = true;
         }
 
-        void missInList() {
+        void markTerminated() {
             countedAsTerminated = true;
             markEmpty();
         }
@@ -226,12 +229,12 @@
             writesSent++;
         }
 
-        void carryOutRegistration() {
-            write = Write.CARRIED_OUT;
+        void applyRegistration() {
+            write = Write.APPLIED;
             registrationDurable = true;
         }
 
-        void carryOutLateRegistration() {
+        void applyLateRegistration() {
             lateWriteInFlight = false;
             registrationDurable = true;
         }
@@ -247,7 +250,7 @@
             registrationConfirmed = fault == Fault.TREATS_LOST_RESPONSE_AS_REGISTERED;
         }
 
-        /** The machine sends a heartbeat; a response to the one before would come too late. */
+        /** The machine sends a heartbeat, and no longer accepts a response to the previous one. */
         void sendHeartbeat() {
             heartbeatAt = now;
             heartbeatShowsTask = taskRunning;
@@ -256,7 +259,7 @@
             dropResponse();
         }
 
-        /** The response arrives; under an older token it is ignored. */
+        /** The response arrives. A machine that has seen a higher token ignores the response. */
         void receiveResponse() {
             if (responseToken >= machineToken) {
                 machineToken = responseToken;
@@ -266,7 +269,7 @@
             dropResponse();
         }
 
-        /** The launch arrives; the machine refuses it under a token lower than the highest it has seen. */
+        /** The launch arrives. A machine that has seen a higher token rejects the launch. */
         void receiveLaunch() {
             launchInFlight = false;
             if (machineToken <= FIRST) {
@@ -278,7 +281,7 @@
         void receiveHeartbeat(Fault fault) {
             heartbeatReceived = true;
             applyHeartbeat(heartbeatShowsTask, heartbeatToken, fault);
-            leaseCountedFrom = fault == Fault.COUNTS_LEASE_FROM_HEARTBEAT ? heartbeatAt - 1 : now;
+            leaseCountedFrom = fault == Fault.COUNTS_LEASE_FROM_BEFORE_HEARTBEAT ? heartbeatAt - 1 : now;
             responseToken = leader;
             responseLaunchesTask = firstLeads() && assigned && !assignmentConfirmed;
         }
@@ -290,9 +293,9 @@
         }
 
         private void applyHeartbeat(boolean showsTask, int token, Fault fault) {
-            if (!known) {
-                known = true;
-                reconciled = true; // it isn't registered: no earlier leader can have assigned a task to it
+            if (!knownToLeader) {
+                knownToLeader = true;
+                reconciled = true; // the machine isn't registered: no earlier leader can have assigned a task to it
             }
             anyHeartbeatReceived = true;
             boolean current = token == leader || fault == Fault.TRUSTS_DELAYED_HEARTBEAT;
@@ -313,19 +316,22 @@
             launchInFlight = !terminated;
         }
 
-        /** The launch's response arrives; an older heartbeat that doesn't show the task no longer counts. */
+        /**
+         * The leader receives the response to the launch, and ignores an older heartbeat that doesn't show the task.
+         */
         void receiveLaunchResponse() {
             assignmentConfirmed = true;
             heartbeatReceived |= !heartbeatShowsTask;
         }
 
         /**
-         * The second leader knows the machines whose registration is durable; where the task is, it has to find out.
+         * The second leader takes over. Its view includes the machine if the registration is durable, but not where the
+         * task runs.
          */
         void failOver() {
             leader = SECOND;
             termStart = now;
-            known = registrationDurable;
+            knownToLeader = registrationDurable;
             registrationConfirmed = registrationDurable;
             reconciled = !registrationDurable;
             anyHeartbeatReceived = false;
@@ -343,14 +349,17 @@
 
         /** Whether the leader may launch a task on the machine. */
         boolean isUsable(Fault fault) {
-            boolean tooEarly = fault == Fault.LAUNCHES_BEFORE_REGISTRATION_IS_CONFIRMED && write != Write.NONE;
+            boolean usableTooEarly = fault == Fault.LAUNCHES_BEFORE_REGISTRATION_IS_CONFIRMED && write != Write.NONE;
             boolean live = anyHeartbeatReceived && confirmedLive && !leaseExpired && !countedAsTerminated;
-            return (registrationConfirmed || tooEarly) && live;
+            return (registrationConfirmed || usableTooEarly) && live;
         }
 
-        /** Whether the leader must wait, since an earlier leader may have started the task on the machine. */
+        /**
+         * Whether the leader must not start the task elsewhere, since an earlier one may have started it on the
+         * machine.
+         */
         boolean mustWaitForMachine(Fault fault) {
-            return !firstLeads() && known && !reconciled && fault != Fault.IGNORES_UNRECONCILED_MACHINES;
+            return !firstLeads() && knownToLeader && !reconciled && fault != Fault.IGNORES_UNRECONCILED_MACHINES;
         }
     }
 
@@ -360,7 +369,7 @@
             successors.add("time passes", state.after(State::tick));
         }
         addMachineLifecycle(state, successors);
-        addCloudAnswers(state, fault, successors);
+        addCloudResponses(state, fault, successors);
         if (state.firstLeads()) {
             addRegistrationWrites(state, successors);
             addRegistrationResponses(state, fault, successors);
@@ -376,51 +385,55 @@
 
     private static void addMachineLifecycle(State state, Successors<State> successors) {
         if (!state.booted && !state.terminated) {
-            successors.add("the machine comes up", state.after(State::boot));
+            successors.add("the machine boots", state.after(State::boot));
         }
         if (state.isMachineRunning()) {
             successors.add("the machine is terminated", state.after(State::terminate));
         }
     }
 
-    private static void addCloudAnswers(State state, Fault fault, Successors<State> successors) {
-        if (!state.known && state.firstLeads()) {
-            successors.add("the scale-out request is answered", state.after(next -> next.known = true));
+    private static void addCloudResponses(State state, Fault fault, Successors<State> successors) {
+        if (!state.knownToLeader && state.firstLeads()) {
+            successors.add(
+                    "the leader receives the response to the scale-out request",
+                    state.after(next -> next.knownToLeader = true));
         }
-        if (!state.listed && !state.terminated) {
-            successors.add("the list shows the machine", state.after(next -> next.listed = true));
+        if (!state.listedByCloud && !state.terminated) {
+            successors.add("the cloud's list shows the machine", state.after(next -> next.listedByCloud = true));
         }
-        if (state.listed && !state.terminated && !state.seenInList) {
-            successors.add("the leader sees it in the list", state.after(State::seeInList));
+        if (state.listedByCloud && !state.terminated && !state.seenInList) {
+            successors.add("the leader sees the machine in the cloud's list", state.after(State::discoverInList));
         }
-        if (state.known && isMissingInList(state, fault) && !state.countedAsTerminated) {
-            successors.add("the leader misses it in the list", state.after(State::missInList));
+        if (state.knownToLeader && isMissingInList(state, fault) && !state.countedAsTerminated) {
+            successors.add(
+                    "the leader finds that the cloud's list lacks the machine", state.after(State::markTerminated));
         }
     }
 
-    /** Once listed, the machine stays so until it is terminated. */
+    /** Whether the cloud's list lacks the machine. Once listed, a machine stays listed until it is terminated. */
     private static boolean isMissingInList(State state, Fault fault) {
-        boolean listedTooLate = fault == Fault.TREATS_UNLISTED_AS_TERMINATED && !state.listed;
-        return (state.seenInList && state.terminated) || listedTooLate;
+        boolean notListedYet = fault == Fault.TREATS_UNLISTED_AS_TERMINATED && !state.listedByCloud;
+        return (state.seenInList && state.terminated) || notListedYet;
     }
 
-    /** Writes are conditional on the leader record. */
+    /** Registration writes are conditional on the leader record: only those of the current leader can succeed. */
     private static void addRegistrationWrites(State state, Successors<State> successors) {
         boolean wanted = state.anyHeartbeatReceived && !state.registrationConfirmed;
         if (wanted && state.write == Write.NONE && state.writesSent < MAX_WRITES) {
             successors.add("the leader registers the machine", state.after(State::sendRegistration));
         }
         if (state.write == Write.IN_FLIGHT) {
-            successors.add("the registration is carried out", state.after(State::carryOutRegistration));
+            successors.add("the registration is applied", state.after(State::applyRegistration));
         }
         if (state.lateWriteInFlight) {
-            successors.add("the late registration is carried out", state.after(State::carryOutLateRegistration));
+            successors.add("the delayed registration is applied", state.after(State::applyLateRegistration));
         }
     }
 
     private static void addRegistrationResponses(State state, Fault fault, Successors<State> successors) {
-        if (state.write == Write.CARRIED_OUT) {
-            successors.add("the leader learns that the machine is registered", state.after(State::confirmRegistration));
+        if (state.write == Write.APPLIED) {
+            successors.add(
+                    "the leader receives the response to the registration", state.after(State::confirmRegistration));
         }
         if (state.write != Write.NONE) {
             successors.add(
@@ -440,7 +453,7 @@
         if (state.launchInFlight) {
             successors.add("the launch reaches the machine", state.after(State::receiveLaunch));
         }
-        if (state.leader > state.machineToken && state.known) {
+        if (state.leader > state.machineToken && state.knownToLeader) {
             successors.add(
                     "a status request reaches the machine", state.after(next -> next.machineToken = next.leader));
         }
@@ -455,14 +468,15 @@
             successors.add("the heartbeat reaches the leader", state.after(next -> next.receiveHeartbeat(fault)));
         }
         if (state.firstLeads() && !state.heartbeatShowsTask && !state.heartbeatCopyHeld) {
-            successors.add("a copy of the heartbeat is held back", state.after(next -> next.heartbeatCopyHeld = true));
+            successors.add("a copy of the heartbeat is delayed", state.after(next -> next.heartbeatCopyHeld = true));
         }
     }
 
     private static void addHeartbeatCopy(State state, Fault fault, Successors<State> successors) {
         boolean accepted = !state.anyHeartbeatReceived && !state.countedAsTerminated;
         if (!state.firstLeads() && state.heartbeatCopyHeld && accepted) {
-            successors.add("the copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
+            successors.add(
+                    "the delayed copy reaches the leader", state.after(next -> next.receiveHeartbeatCopy(fault)));
         }
     }
 
@@ -481,7 +495,7 @@
             return;
         }
         if (state.assigned && !state.assignmentConfirmed && state.taskRunning) {
-            successors.add("the launch is answered", state.after(State::receiveLaunchResponse));
+            successors.add("the leader receives the response to the launch", state.after(State::receiveLaunchResponse));
         }
         successors.add("the second leader takes over", state.after(State::failOver));
     }
@@ -491,26 +505,26 @@
         return StateSearch.run(
                 List.of(new State()),
                 (state, successors) -> addSuccessors(state, fault, successors),
-                state -> state.ranTwice,
+                state -> state.ranOnTwoMachines,
                 state -> visitedKeys.add(state.key()));
     }
 
     @Test
-    void taskIsNeverOnTwoMachines() {
+    void taskNeverRunsOnTwoMachines() {
         Result<State> result = search(Fault.NONE);
-        assertFalse(result.broken(), () -> result.actions() + "\n" + result.trace());
-        assertTrue(result.states() > 50_000, "states " + result.states());
-        System.out.println("registration model: states " + result.states());
+        assertFalse(result.violationFound(), () -> result.actions() + "\n" + result.trace());
+        assertTrue(result.stateCount() > 50_000, "states " + result.stateCount());
+        System.out.println("registration model: states " + result.stateCount());
     }
 
     @Test
-    void findsEachInjectedFault() {
+    void everyInjectedFaultViolatesTheInvariant() {
         for (Fault fault : Fault.values()) {
             if (fault != Fault.NONE) {
                 Result<State> result = search(fault);
-                assertTrue(result.broken(), fault.toString());
+                assertTrue(result.violationFound(), fault.toString());
                 System.out.println(
-                        "registration model: " + fault + " after " + result.steps() + ": " + result.actions());
+                        "registration model: " + fault + " after " + result.actionCount() + ": " + result.actions());
             }
         }
     }
--- a/src/test/java/org/hollypick/model/StateSearch.java
+++ b/src/test/java/org/hollypick/model/StateSearch.java
@@ -8,93 +8,98 @@
 import java.util.stream.Collectors;
 
 /**
- * Breadth-first search through every state that a model can reach. Since it is breadth first, the trace to a broken
- * state is a shortest one. The search ends at the first broken state, or when there are no new states.
+ * Breadth-first search of all reachable states of a model. The search order makes the trace to a violating state a
+ * shortest one. The search ends when a state violates an invariant, or when there are no unvisited states left.
  *
- * @param <S> one state of the model; it isn't changed once it has been handed to {@link Successors}
+ * @param <S> one state of the model; it must not change once it was passed to {@link Successors}
  */
 public final class StateSearch<S> {
-    /** Takes what may happen next in a state. */
+    /** Collects the states that may follow a state. */
     public interface Successors<S> {
-        /** {@code action} names the step in traces. */
+        /** Adds a state; {@code action} names the transition to it in traces. */
         void add(String action, S next);
     }
 
-    /** One step of a trace: what happened, and the state after it. */
+    /** One step of a trace: the action, and the state after it. */
     public record Step<S>(String action, S state) {}
 
     /**
-     * What a search found.
+     * The result of a search.
      *
-     * @param states the number of different states, the broken one not counted
-     * @param trace the way to the broken state, its first state included; empty if there is none
+     * @param stateCount the number of different states visited, without the violating one
+     * @param trace the path from an initial state to the violating state, both included; empty if none was found
      */
-    public record Result<S>(int states, List<Step<S>> trace) {
-        /** Whether a broken state was found. */
-        public boolean broken() {
+    public record Result<S>(int stateCount, List<Step<S>> trace) {
+        /** Whether a state was found that violates an invariant. */
+        public boolean violationFound() {
             return !trace.isEmpty();
         }
 
-        /** The number of actions on the way to the broken state. */
-        public int steps() {
+        /** The number of actions in the trace. */
+        public int actionCount() {
             return trace.size() - 1;
         }
 
-        /** The broken state. */
-        public S last() {
-            return trace.get(steps()).state;
+        /** The state that violates an invariant. */
+        public S violatingState() {
+            return trace.get(actionCount()).state;
         }
 
-        /** The names of the actions on the way, in order. */
+        /** The names of the trace's actions, in order. */
         public String actions() {
             return trace.stream().skip(1).map(Step::action).collect(Collectors.joining(", "));
         }
     }
 
-    private record Node<S>(S state, String action, Node<S> before) {}
+    private record Node<S>(S state, String action, Node<S> predecessor) {}
 
-    private final BiConsumer<S, Successors<S>> next;
-    private final Predicate<S> broken;
-    private final Predicate<S> isNew;
-    private final ArrayDeque<Node<S>> open = new ArrayDeque<>();
-    private int states;
-    private Node<S> found;
+    private final BiConsumer<S, Successors<S>> addSuccessors;
+    private final Predicate<S> violatesInvariant;
+    private final Predicate<S> markVisited;
+    private final ArrayDeque<Node<S>> frontier = new ArrayDeque<>();
+    private int stateCount;
+    private Node<S> violating;
 
-    private StateSearch(BiConsumer<S, Successors<S>> next, Predicate<S> broken, Predicate<S> isNew) {
-        this.next = next;
-        this.broken = broken;
-        this.isNew = isNew;
+    private StateSearch(
+            BiConsumer<S, Successors<S>> addSuccessors, Predicate<S> violatesInvariant, Predicate<S> markVisited) {
+        this.addSuccessors = addSuccessors;
+        this.violatesInvariant = violatesInvariant;
+        this.markVisited = markVisited;
     }
 
     /**
-     * Searches from these first states.
+     * Searches from the given initial states.
      *
-     * @param isNew remembers a state, and tells whether it is seen for the first time
+     * @param addSuccessors adds all states that may follow a state
+     * @param markVisited marks a state as visited, and returns whether it was unvisited before
      */
     public static <S> Result<S> run(
-            List<S> first, BiConsumer<S, Successors<S>> next, Predicate<S> broken, Predicate<S> isNew) {
-        return new StateSearch<>(next, broken, isNew).run(first);
+            List<S> initialStates,
+            BiConsumer<S, Successors<S>> addSuccessors,
+            Predicate<S> violatesInvariant,
+            Predicate<S> markVisited) {
+        return new StateSearch<>(addSuccessors, violatesInvariant, markVisited).run(initialStates);
     }
 
-    private Result<S> run(List<S> first) {
-        first.forEach(s -> reached(new Node<>(s, "", null)));
-        while (!open.isEmpty() && found == null) {
-            Node<S> node = open.poll();
-            next.accept(node.state, (action, state) -> reached(new Node<>(state, action, node)));
+    private Result<S> run(List<S> initialStates) {
+        initialStates.forEach(s -> visit(new Node<>(s, "", null)));
+        while (!frontier.isEmpty() && violating == null) {
+            Node<S> node = frontier.poll();
+            addSuccessors.accept(node.state, (action, state) -> visit(new Node<>(state, action, node)));
         }
         ArrayList<Step<S>> trace = new ArrayList<>();
-        for (Node<S> node = found; node != null; node = node.before) {
+        for (Node<S> node = violating; node != null; node = node.predecessor) {
             trace.add(0, new Step<>(node.action, node.state));
         }
-        return new Result<>(states, trace);
+        return new Result<>(stateCount, trace);
     }
 
-    private void reached(Node<S> node) {
-        if (broken.test(node.state)) {
-            found = found == null ? node : found;
-        } else if (isNew.test(node.state)) {
-            states++;
-            open.add(node);
+    private void visit(Node<S> node) {
+        if (violatesInvariant.test(node.state)) {
+            violating = violating == null ? node : violating;
+        } else if (markVisited.test(node.state)) {
+            stateCount++;
+            frontier.add(node);
         }
     }
 }
