--- a/src/test/java/org/hollypick/sim/AgentProtocol.java
+++ b/src/test/java/org/hollypick/sim/AgentProtocol.java
@@ -1,6 +1,6 @@
 package org.hollypick.sim;
 
-/** Paths, fields and values of the agents' protocol, spelt independently of the program's codecs. */
+/** Paths, fields and values of the agents' protocol, defined independently of the program's codecs. */
 final class AgentProtocol {
     static final String HEARTBEAT = "/hello";
     static final String COMMANDS = "/commands";
@@ -19,7 +19,7 @@
     static final String ATTEMPT = "try";
     static final String STATUS = "status";
     static final String CAUSE = "cause";
-    /** In an answer to a heartbeat: the controller to send the next one to. */
+    /** In the response to a heartbeat: the name of the controller to send the next heartbeat to. */
     static final String LEADER = "foreman";
 
     static final String COMMAND_LIST = "orders";
--- a/src/test/java/org/hollypick/sim/CloudProtocol.java
+++ b/src/test/java/org/hollypick/sim/CloudProtocol.java
@@ -1,12 +1,12 @@
 package org.hollypick.sim;
 
-/** Paths and fields of the cloud provider's protocol, spelt independently of the program's codecs. */
+/** Paths and fields of the cloud provider's protocol, defined independently of the program's codecs. */
 final class CloudProtocol {
     static final String MACHINE_TYPES = "/machine_types";
     static final String MACHINES = "/hosts";
     static final String TERMINATE = "/hosts/return";
 
-    /** Identifies a request for machines, so that it can be repeated. */
+    /** Identifies a request to create machines, which makes its repetition idempotent. */
     static final String REQUEST_ID = "hire";
 
     static final String MACHINE_ID = "name_id";
--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -22,7 +22,7 @@
     static final String CLOUD_ADDRESS = "cloud:1";
     static final double TEAM_CORES = 40;
     private static final long DEFAULT_LEASE_MS = 15_000;
-    /** What the tasks of a cancelled job have beyond a lease to stop. */
+    /** The time beyond the agent lease within which the tasks of a cancelled job must stop. */
     private static final long CANCELLATION_GRACE_MS = 20_000;
 
     private static final long CHECK_INTERVAL_MS = 500;
@@ -42,7 +42,7 @@
     final NetworkFaults network;
     final FaultInjector faults;
     final RandomFaults randomFaults;
-    /** How many times as many machines and tasks as usual. */
+    /** The multiple of the default numbers of machines and tasks. */
     final int sizeFactor;
 
     final long agentLeaseMs;
@@ -51,24 +51,28 @@
     private final StoreLimits tightenedLimits;
     private final BiFunction<EventLoop, Settings, Controller> version;
 
-    /** Measures how long the controllers take to handle requests. */
+    /** Runs the handling of each request by a controller; replaced to measure it. */
     RequestMetering metering = (controller, activity, handling) -> handling.run();
-    /** Replaces the answers of controllers, as a faulty version would give them. */
+    /** Replaces the responses of controllers by those of a faulty version. */
     BiFunction<AnswerOrderChecker.JobRequest, Response, Response> responseFault = (jobRequest, response) -> response;
-    /** Called with the name of a controller and the path, when it sends an answer to a user or an agent. */
+    /** Called with the name of a controller and the path when the controller responds to a user or an agent. */
     BiConsumer<String, String> responseObserver = (controller, path) -> {};
-    /** A job about which the controllers answer nothing but 503; null: none. */
+    /** A job whose status requests all get a 503; null for none. */
     String unavailableJob;
-    /** Sockets of each controller started from now on; 0: no limit. */
+    /** The number of sockets of each controller process started from now on; 0 for no limit. */
     int socketLimit;
-    /** Milliseconds of processor time for each event that a controller started from now on handles. */
+    /** Milliseconds of processor time per task in each controller process started from now on. */
     double costPerTaskMs;
 
     ClusterScenario(long seed) {
         this(seed, 1);
     }
 
-    /** {@code sizeFactor}: how many times as many machines and tasks as usual. */
+    /**
+     * Creates a cluster with the default settings.
+     *
+     * @param sizeFactor the multiple of the default numbers of machines and tasks
+     */
     ClusterScenario(long seed, int sizeFactor) {
         this(
                 seed,
@@ -79,11 +83,11 @@
     }
 
     /**
-     * A cluster that is upgraded.
+     * Creates a cluster in which another version can be rolled out and the limits of the store can be tightened.
      *
-     * @param production the version that the controllers run at first; null: {@code version}
-     * @param tightenedLimits limits of the store that come into force later; null: none
-     * @param version the version that is rolled out
+     * @param production the version that the controllers run at first; null for {@code version}
+     * @param tightenedLimits the limits of the store after {@link #tightenStoreLimits}; null for none
+     * @param version creates controllers of the version that is rolled out
      */
     ClusterScenario(
             long seed,
@@ -94,7 +98,7 @@
         this(seed, sizeFactor, production, tightenedLimits, version, DEFAULT_LEASE_MS);
     }
 
-    /** {@code agentLeaseMs}: of the agents; a cancelled task has 20 s more. */
+    /** Creates a cluster with the given agent lease; cancelled tasks must stop within the lease and 20 s. */
     ClusterScenario(
             long seed,
             int sizeFactor,
@@ -131,9 +135,9 @@
     }
 
     /**
-     * A cluster whose teams may use so many cores each.
+     * Creates a cluster whose teams have a quota of {@code quotaCores} each.
      *
-     * @param version as built with the usual settings, the quotas apart
+     * @param version creates controllers with the settings of the scenario and these quotas
      */
     static ClusterScenario withQuotas(
             long seed,
@@ -170,7 +174,7 @@
         }
     }
 
-    /** A process of the version that is due on that host. */
+    /** Creates a controller of the version that the host currently runs. */
     ControllerProcess newController(SimulatedController host) {
         return host.runsProductionVersion
                 ? production.newController(host.process, settings(host.index, false))
@@ -202,24 +206,27 @@
                 .build();
     }
 
-    /** Settings of a faulty version: the tasks of cancelled jobs seem to have that much longer to stop. */
-    static Settings withLongerCancellation(Settings settings, double moreS) {
+    /**
+     * The settings of a faulty version: the limit for the tasks of cancelled jobs to stop is {@code extraS} seconds
+     * longer than the cluster's.
+     */
+    static Settings withLongerCancellation(Settings settings, double extraS) {
         return SettingsBuilder.copyOf(settings)
-                .cancelS(settings.cancelS() + moreS)
+                .cancelS(settings.cancelS() + extraS)
                 .build();
     }
 
-    /** The same settings with these teams, which each may use that many cores at once. */
+    /** The given settings with the given teams, each of which may use {@code maxCores} at once. */
     static Settings withTeams(Settings settings, List<String> names, double maxCores) {
         return SettingsBuilder.copyOf(settings).teamsWithLimit(names, maxCores).build();
     }
 
-    /** Settings of a faulty version: the leases of agents seem to last that long only. */
+    /** The settings of a faulty version, which assumes an agent lease shorter than that of the agents. */
     static Settings withShorterLease(Settings settings, double leaseS) {
         return SettingsBuilder.copyOf(settings).leaseS(leaseS).build();
     }
 
-    /** Within that time after a cancellation the tasks of the job have stopped. */
+    /** The time after a cancellation within which the tasks of the job must have stopped. */
     long cancellationLimitMs() {
         return agentLeaseMs + CANCELLATION_GRACE_MS;
     }
@@ -230,13 +237,13 @@
         world.schedule(CHECK_INTERVAL_MS, this::checkInvariants);
     }
 
-    /** Lets the simulated time advance. */
-    ClusterScenario advance(long ms) {
-        world.runUntil(world.now + ms);
+    /** Advances the simulated time. */
+    ClusterScenario advance(long durationMs) {
+        world.runUntil(world.now + durationMs);
         return this;
     }
 
-    /** Lets six services start that no user cancels. */
+    /** Starts six services that no user cancels. */
     ClusterScenario withRunningServices() {
         advance(5_000);
         workload.submitUncancelledServices(6);
@@ -247,7 +254,7 @@
         return this;
     }
 
-    /** Restarts the controllers one after the other; they come back with the new version. */
+    /** Restarts the controllers one after another with the new version. */
     void rollOut(long firstMs, long intervalMs) {
         for (SimulatedController controller : controllers) {
             world.schedule(firstMs + intervalMs * controller.index, () -> {
@@ -257,16 +264,16 @@
         }
     }
 
-    /** The tightened limits of the store come into force. */
+    /** Puts the tightened limits of the store into force. */
     void tightenStoreLimits() {
         store.tightenLimits(tightenedLimits);
     }
 
-    /** Limits the sockets of each controller, and lets each event that it handles take so long. */
-    void limitControllers(int sockets, double costMs) {
+    /** Limits the sockets of each controller process and sets the processor time that each task takes. */
+    void limitControllers(int sockets, double taskCostMs) {
         socketLimit = sockets;
-        costPerTaskMs = costMs;
-        controllers.forEach(controller -> controller.process.limitResources(sockets, costMs));
+        costPerTaskMs = taskCostMs;
+        controllers.forEach(controller -> controller.process.limitResources(sockets, taskCostMs));
     }
 
     void placeControllerInZone(int controller, String zone) {
@@ -277,27 +284,27 @@
         return leadership.leaderName();
     }
 
-    /** The index of the controller that the leader record names. */
+    /** The index of the controller in the leader record. */
     int leaderIndex() {
         return Integer.parseInt(leaderName().substring(SimulatedController.NAME_PREFIX.length()));
     }
 
-    /** The index of the leader, or 0 as long as there has been none. */
+    /** The index of the controller in the leader record, or 0 if there is no leader record yet. */
     int leaderIndexOrFirst() {
         return leadership.hasLeader() ? leaderIndex() : 0;
     }
 
-    /** Runs once the leader record carries another fencing token than now. */
+    /** Runs an action once the fencing token of the leader record has changed. */
     void onNextFencingToken(Runnable action) {
-        awaitOtherToken(leadership.fencingToken(), action);
+        awaitTokenChange(leadership.fencingToken(), action);
     }
 
-    private void awaitOtherToken(long before, Runnable action) {
+    private void awaitTokenChange(long tokenBefore, Runnable action) {
         world.schedule(FENCING_TOKEN_POLL_MS, () -> {
-            if (leadership.fencingToken() != before) {
+            if (leadership.fencingToken() != tokenBefore) {
                 action.run();
             } else {
-                awaitOtherToken(before, action);
+                awaitTokenChange(tokenBefore, action);
             }
         });
     }
--- a/src/test/java/org/hollypick/sim/ControllerProcess.java
+++ b/src/test/java/org/hollypick/sim/ControllerProcess.java
@@ -7,8 +7,8 @@
 import org.hollypick.io.ServerResponse;
 
 /**
- * A controller's process as its host sees it, whatever its version. An answer is asked for what it says in the moment
- * of sending.
+ * A controller of any version. A reply is a supplier that is evaluated when the response is sent: a response that is no
+ * longer valid by then becomes a refusal.
  */
 interface ControllerProcess {
     void start();
@@ -17,26 +17,28 @@
 
     void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply);
 
-    static ControllerProcess of(Controller node) {
+    static ControllerProcess of(Controller controller) {
         return new ControllerProcess() {
             @Override
             public void start() {
-                node.start();
+                controller.start();
             }
 
             @Override
             public void handle(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-                node.handle(method, path, body, a -> reply.accept(() -> reply(a.orRefusalIfInvalid())));
+                controller.handle(
+                        method, path, body, response -> reply.accept(() -> toResponse(response.orRefusalIfInvalid())));
             }
 
             @Override
             public void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-                node.handlePeerRequest(method, path, body, a -> reply.accept(() -> reply(a.orRefusalIfInvalid())));
+                controller.handlePeerRequest(
+                        method, path, body, response -> reply.accept(() -> toResponse(response.orRefusalIfInvalid())));
             }
         };
     }
 
-    private static Response reply(ServerResponse a) {
-        return new Response(a.status(), a.body());
+    private static Response toResponse(ServerResponse response) {
+        return new Response(response.status(), response.body());
     }
 }
--- a/src/test/java/org/hollypick/sim/CpuMeter.java
+++ b/src/test/java/org/hollypick/sim/CpuMeter.java
@@ -10,11 +10,14 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** Processor time of a controller by activity; an activity inside another counts for itself only. */
+/**
+ * Measures the processor time of a controller by activity. The time of an activity doesn't include that of activities
+ * nested in it.
+ */
 final class CpuMeter {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    /** What an activity took in all. */
+    /** The total processor time and the number of runs of an activity. */
     static final class Usage {
         private long nanos;
         private long runs;
@@ -29,7 +32,7 @@
     }
 
     private final Map<String, Usage> usageByActivity = new TreeMap<>();
-    /** Nanoseconds of the activities inside the present one. */
+    /** The processor time of the activities nested in the current one. */
     private long nestedNanos;
 
     Map<String, Usage> usageByActivity() {
@@ -49,14 +52,14 @@
         nestedNanos = 0;
         long startedAt = THREADS.getCurrentThreadCpuTime();
         task.run();
-        long spent = THREADS.getCurrentThreadCpuTime() - startedAt;
+        long spentNanos = THREADS.getCurrentThreadCpuTime() - startedAt;
         Usage usage = usageByActivity.computeIfAbsent(activity, name -> new Usage());
-        usage.nanos += spent - nestedNanos;
+        usage.nanos += spentNanos - nestedNanos;
         usage.runs++;
-        nestedNanos = outerNestedNanos + spent;
+        nestedNanos = outerNestedNanos + spentNanos;
     }
 
-    /** An event loop whose timers and answers are measured. */
+    /** Wraps an event loop so that its timers and response callbacks are measured. */
     EventLoop measure(EventLoop eventLoop) {
         return new DelegatingEventLoop(eventLoop) {
             @Override
@@ -84,7 +87,7 @@
             return "watch";
         }
         if (path.equals(AgentProtocol.COMMANDS)) {
-            return "answers to commands";
+            return "command responses";
         }
         if (path.startsWith(CloudProtocol.MACHINES)) {
             return "cloud";
--- a/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
+++ b/src/test/java/org/hollypick/sim/DelegatingEventLoop.java
@@ -5,31 +5,31 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** Passes everything on to another runtime; those who look at something, or change it, override that. */
+/** Forwards all calls to another event loop; subclasses override the methods that they observe or change. */
 class DelegatingEventLoop implements EventLoop {
-    private final EventLoop to;
+    private final EventLoop delegate;
 
-    DelegatingEventLoop(EventLoop to) {
-        this.to = to;
+    DelegatingEventLoop(EventLoop delegate) {
+        this.delegate = delegate;
     }
 
     @Override
     public long now() {
-        return to.now();
+        return delegate.now();
     }
 
     @Override
     public long wallClockMs() {
-        return to.wallClockMs();
+        return delegate.wallClockMs();
     }
 
     @Override
     public void after(long ms, Runnable task) {
-        to.after(ms, task);
+        delegate.after(ms, task);
     }
 
     @Override
     public void send(Request request, Consumer<Response> callback) {
-        to.send(request, callback);
+        delegate.send(request, callback);
     }
 }
--- a/src/test/java/org/hollypick/sim/FakeAgent.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -9,7 +9,10 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** An agent, written from its protocol: heartbeats, its lease, incarnations, fencing tokens and repeated commands. */
+/**
+ * A simulated agent, written from the agents' protocol: heartbeats, the agent's lease, incarnations, fencing tokens and
+ * repeated commands.
+ */
 final class FakeAgent implements SimulatedWorld.Endpoint {
     private static final long LEASE_CHECK_MS = 100;
     private static final long HEARTBEAT_CHECK_MS = 200;
@@ -29,26 +32,26 @@
     private final long leaseMs;
     private final double cores;
     private final FakeAgentTasks tasks;
-    /** What was due while the machine hung. */
+    /** Actions that became due while the machine hung. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     private boolean isTerminated;
     private boolean isHung;
-    /** For how long it has hung in all: its tasks don't run meanwhile. */
+    /** The total time for which the machine has hung; its tasks make no progress meanwhile. */
     private long hungMs;
-    /** Counts the starts of the process: what an earlier one has under way means nothing to the present one. */
+    /** The number of restarts of the process; actions that an earlier process scheduled are discarded. */
     private int restartCount;
 
     private boolean isDown;
     private boolean isFaulty;
-    /** It executes commands of any fencing token and incarnation: breaks the agents' guarantees. */
+    /** Whether commands are executed whatever their fencing token and incarnation, in violation of the protocol. */
     boolean ignoresFencing;
-    /** The controller that gets the next heartbeat. */
+    /** The index of the controller that the next heartbeat is sent to. */
     private int controller;
 
     private long incarnation = 1;
     private long sequence;
-    /** The highest that it has seen. */
+    /** The highest fencing token received. */
     private long fencingToken;
 
     private long leaseRenewedAt;
@@ -80,7 +83,7 @@
         return cores;
     }
 
-    /** The highest fencing token that it has seen. */
+    /** The highest fencing token received. */
     long fencingToken() {
         return fencingToken;
     }
@@ -93,17 +96,17 @@
         return isFaulty;
     }
 
-    /** Its process is up and its tasks don't fail. */
+    /** Whether the process is up, the machine doesn't hang and tasks don't fail on it. */
     boolean isHealthy() {
         return !isTerminated && !isDown && !isHung && !isFaulty;
     }
 
-    /** Tasks that it reports, exited ones included. */
+    /** The number of tasks in its heartbeats, exited ones included. */
     int reportedTasks() {
         return tasks.reportedCount();
     }
 
-    /** Tasks that haven't exited. */
+    /** The number of tasks that haven't exited. */
     int activeTasks() {
         return tasks.activeNames().size();
     }
@@ -113,38 +116,38 @@
         return tasks.activeNames();
     }
 
-    /** Whether a task of that job is on it and hasn't exited. */
+    /** Whether it has a task of the given job that hasn't exited. */
     boolean hasActiveTaskOf(String job) {
         return tasks.activeNames().stream().anyMatch(task -> task.startsWith(job + "/"));
     }
 
-    /** Ignores commands with that verb from now on: breaks invariants in tests of the checker. */
+    /** Ignores all further commands with the given verb, so that tests of the checkers can violate invariants. */
     void ignoreCommands(String verb) {
         tasks.ignoreCommands(verb);
     }
 
-    /** Reports tasks that wait for their image as running from now on. */
+    /** Reports tasks that fetch their image as running from now on. */
     void reportFetchingAsRunning() {
         tasks.reportFetchingAsRunning();
     }
 
-    /** From now on its tasks fail soon after they started. */
+    /** Makes all tasks that start from now on fail shortly after their start. */
     void makeFaulty() {
         isFaulty = true;
     }
 
-    /** The machine is gone with all its tasks. */
+    /** Terminates the machine with all its tasks. */
     void terminate() {
         isTerminated = true;
         tasks.loseAll();
     }
 
-    /** The machine does nothing for a while; what was due meanwhile happens then. */
-    void hang(long ms) {
+    /** Hangs the machine for the given time; actions that become due meanwhile run afterwards. */
+    void hang(long durationMs) {
         isHung = true;
-        world.schedule(ms, () -> {
+        world.schedule(durationMs, () -> {
             isHung = false;
-            hungMs += ms;
+            hungMs += durationMs;
             checkLease();
             tasks.resume();
             List<Runnable> due = new ArrayList<>(deferred);
@@ -153,14 +156,15 @@
         });
     }
 
-    void hangLater(long afterMs, long ms) {
-        world.schedule(afterMs, () -> hang(ms));
+    void hangLater(long delayMs, long durationMs) {
+        world.schedule(delayMs, () -> hang(durationMs));
     }
 
     /**
-     * The process ends and is back after a while without tasks and images.
+     * Ends the process and starts it again after the downtime, without tasks and images. Does nothing if the machine is
+     * terminated or hangs, or if the process is already down.
      *
-     * @param losesState whether it is back as if it had never run, with its first incarnation and no fencing token
+     * @param losesState whether the new process starts with the first incarnation and no fencing token
      */
     void restart(long downtimeMs, boolean losesState) {
         if (isTerminated || isDown || isHung) {
@@ -193,19 +197,19 @@
         return restartCount;
     }
 
-    /** Runs after a while: later if the machine hangs then, never if the process has ended. */
-    void schedule(long ms, Runnable action) {
-        int startedAs = restartCount;
-        world.schedule(ms, () -> run(startedAs, action));
+    /** Runs an action after a delay, deferred while the machine hangs; never if the process has ended by then. */
+    void schedule(long delayMs, Runnable action) {
+        int restartCountBefore = restartCount;
+        world.schedule(delayMs, () -> run(restartCountBefore, action));
     }
 
-    /** Runs now, or once the machine no longer hangs. */
+    /** Runs an action now, or once the machine no longer hangs. */
     void runOrDefer(Runnable action) {
         run(restartCount, action);
     }
 
-    private void run(int startedAs, Runnable action) {
-        if (isTerminated || isDown || startedAs != restartCount) {
+    private void run(int restartCountBefore, Runnable action) {
+        if (isTerminated || isDown || restartCountBefore != restartCount) {
             return;
         }
         if (isHung) {
@@ -216,19 +220,19 @@
         }
     }
 
-    /** Runs once the machine has worked for so long, times in which it hung left out. */
-    void afterRunning(long ms, Runnable action) {
-        long hungBefore = hungMs;
-        schedule(ms, () -> {
-            if (hungMs > hungBefore) {
-                afterRunning(hungMs - hungBefore, action);
+    /** Runs an action after the given running time, which excludes the time for which the machine hangs. */
+    void afterRunning(long runningMs, Runnable action) {
+        long hungMsBefore = hungMs;
+        schedule(runningMs, () -> {
+            if (hungMs > hungMsBefore) {
+                afterRunning(hungMs - hungMsBefore, action);
             } else {
                 action.run();
             }
         });
     }
 
-    /** Tasks end with the lease even on a machine that hangs. */
+    /** Checks the lease regularly; its expiry ends the tasks even while the machine hangs. */
     private void watchLease() {
         world.schedule(LEASE_CHECK_MS, () -> {
             if (!isTerminated) {
@@ -257,7 +261,7 @@
         });
     }
 
-    /** The next heartbeat is sent soon: there is news. */
+    /** Sends the next heartbeat as soon as the minimum interval allows, since the reported status has changed. */
     void statusChanged() {
         schedule(Math.max(0, MIN_HEARTBEAT_INTERVAL_MS - (world.now - lastHeartbeatAt)), () -> {
             if (!isHeartbeatInFlight) {
@@ -270,23 +274,23 @@
         isHeartbeatInFlight = true;
         lastHeartbeatAt = world.now;
         long sentAt = world.now;
-        long sentAs = incarnation;
-        int startedAs = restartCount;
+        long sentIncarnation = incarnation;
+        int restartCountBefore = restartCount;
         Request heartbeat = new Request(
                 controllers.get(controller), "POST", AgentProtocol.HEARTBEAT, describe(), HEARTBEAT_TIMEOUT_MS, false);
         world.send(
                 name,
                 heartbeat,
-                response -> run(startedAs, () -> {
+                response -> run(restartCountBefore, () -> {
                     isHeartbeatInFlight = false;
-                    heartbeatAnswered(response, sentAt, sentAs);
+                    heartbeatAnswered(response, sentAt, sentIncarnation);
                 }));
     }
 
-    private void heartbeatAnswered(Response response, long sentAt, long sentAs) {
+    private void heartbeatAnswered(Response response, long sentAt, long sentIncarnation) {
         JsonNode body = response.body();
         if (response.status() == 200
-                && incarnation == sentAs
+                && incarnation == sentIncarnation
                 && world.now - sentAt <= HEARTBEAT_TIMEOUT_MS
                 && body.path(AgentProtocol.FENCING_TOKEN).asLong() >= fencingToken) {
             leaseRenewedAt = sentAt;
@@ -304,8 +308,8 @@
         sendNextHeartbeatAfter(REDIRECT_DELAY_MS);
     }
 
-    private void sendNextHeartbeatAfter(long ms) {
-        schedule(ms, () -> lastHeartbeatAt = 0);
+    private void sendNextHeartbeatAfter(long delayMs) {
+        schedule(delayMs, () -> lastHeartbeatAt = 0);
     }
 
     private void executeUnderToken(JsonNode commands) {
--- a/src/test/java/org/hollypick/sim/FakeAgentTasks.java
+++ b/src/test/java/org/hollypick/sim/FakeAgentTasks.java
@@ -10,7 +10,8 @@
 import java.util.Set;
 
 /**
- * The tasks on a {@link FakeAgent}: launched, killed and cleared by commands, ended by themselves or with the lease.
+ * The tasks on a {@link FakeAgent}: launched, killed and cleared by commands, ended by their completion, their failure
+ * or the expiry of the agent's lease.
  */
 final class FakeAgentTasks {
     private static final double CORES_TOLERANCE = 1e-6;
@@ -46,9 +47,9 @@
     private final InvariantChecker checker;
     private final Map<Attempt, Execution> executions = new LinkedHashMap<>();
     private final Set<String> images = new HashSet<>();
-    /** Commands with that verb are ignored, as if no controller sent them; empty: none. */
+    /** The verb of the commands that are ignored as if never received; empty for none. */
     private String ignoredVerb = "";
-    /** Tasks that wait for their image are reported as running, as an agent does that doesn't tell them apart. */
+    /** Whether tasks that fetch their image are reported as running, as by an agent that doesn't tell them apart. */
     private boolean reportsFetchingAsRunning;
 
     FakeAgentTasks(FakeAgent agent, SimulatedWorld world, InvariantChecker checker) {
@@ -65,7 +66,7 @@
         reportsFetchingAsRunning = true;
     }
 
-    /** Tasks that are reported, exited ones included. */
+    /** The number of reported tasks, exited ones included. */
     int reportedCount() {
         return executions.size();
     }
@@ -80,18 +81,20 @@
 
     void describe(ArrayNode list) {
         executions.forEach((attempt, execution) -> {
-            boolean isCalledRunning = reportsFetchingAsRunning && execution.status == Status.FETCHING;
+            boolean isReportedAsRunning = reportsFetchingAsRunning && execution.status == Status.FETCHING;
             ObjectNode task = list.addObject()
                     .put(AgentProtocol.TASK, attempt.task)
                     .put(AgentProtocol.ATTEMPT, attempt.number)
-                    .put(AgentProtocol.STATUS, isCalledRunning ? Status.RUNNING.wireName : execution.status.wireName);
+                    .put(
+                            AgentProtocol.STATUS,
+                            isReportedAsRunning ? Status.RUNNING.wireName : execution.status.wireName);
             if (execution.cause != null) {
                 task.put(AgentProtocol.CAUSE, execution.cause);
             }
         });
     }
 
-    /** The machine no longer hangs: its tasks go on. */
+    /** Reports to the checker that the running tasks have resumed after a hang of the machine. */
     void resume() {
         executions.forEach((attempt, execution) -> {
             if (execution.status == Status.RUNNING) {
@@ -100,13 +103,13 @@
         });
     }
 
-    /** All tasks end with the machine or its process. */
+    /** Ends all tasks with the machine or its process. */
     void loseAll() {
         executions.keySet().forEach(attempt -> checker.tasks.stopped(attempt.task, agent));
         executions.clear();
     }
 
-    /** All tasks end with the lease. */
+    /** Ends all tasks at the expiry of the lease. */
     void expire() {
         executions.forEach((attempt, execution) -> {
             checker.tasks.lostOnLeaseExpiry += execution.status == Status.RUNNING ? 1 : 0;
@@ -150,7 +153,7 @@
                     executions.remove(attempt);
                 }
             }
-            default -> throw new AssertionError("unknown order " + command);
+            default -> throw new AssertionError("unknown verb in command " + command);
         }
     }
 
@@ -173,7 +176,7 @@
         });
     }
 
-    /** Why the task can't be launched; null: it can. */
+    /** The cause for which the launch is refused; null if the task can be launched. */
     private String refusal(Attempt attempt, JsonNode spec) {
         if (spec == null) {
             return "unknown";
--- a/src/test/java/org/hollypick/sim/FakeCloud.java
+++ b/src/test/java/org/hollypick/sim/FakeCloud.java
@@ -13,28 +13,32 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Response;
 
-/** The cloud provider, written from its protocol: idempotent requests for machines, boot times, lists that lag. */
+/**
+ * A simulated cloud provider, written from its protocol: idempotent creation of machines, boot times, machine lists
+ * that lag.
+ */
 final class FakeCloud implements SimulatedWorld.Endpoint {
-    /** The only type of machine. */
+    /** The only machine type. */
     static final String TYPE = "t4";
 
     static final double CPUS = 8;
     static final double RAM_GB = 64;
     private static final long LIST_LAG_MS = 4_000;
-    /** A list is at most that old. */
+    /** The maximum age of a list. */
     private static final long MAX_LIST_AGE_MS = 2 * LIST_LAG_MS;
 
     private static final long SNAPSHOT_INTERVAL_MS = 1_000;
     private static final long SNAPSHOTS_KEPT_MS = 3 * LIST_LAG_MS;
-    /** Machines in each zone, times the size of the cluster. */
+    /** The number of spot machines available in each zone, per unit of the cluster's size factor. */
     private static final int SPOT_CAPACITY = 3;
 
+    /** The number of on-demand machines available in each zone, per unit of the cluster's size factor. */
     private static final int ON_DEMAND_CAPACITY = 4;
 
     private static final class Machine {
         private final MachineIdentity identity;
         private final long createdAt;
-        /** Null until it has booted. */
+        /** The agent; null until the machine has booted. */
         private FakeAgent agent;
 
         private Machine(MachineIdentity identity, long createdAt) {
@@ -50,15 +54,18 @@
     private final SimulatedWorld world;
     private final InvariantChecker checker;
     private final List<String> controllers;
-    private final long leaseMs;
+    private final long agentLeaseMs;
     private final TreeMap<String, Machine> machines = new TreeMap<>();
-    private final Map<String, ObjectNode> answersByRequest = new LinkedHashMap<>();
+    private final Map<String, ObjectNode> responsesByRequest = new LinkedHashMap<>();
     private final List<Snapshot> snapshots = new ArrayList<>();
     private final Map<Pool, Integer> capacity = new LinkedHashMap<>();
     private int createdMachines;
-    /** Machines have booted within that many milliseconds. */
+    /** The maximum boot time in milliseconds, exclusive. */
     int maxBootMs = 8_000;
-    /** Lists are in turn as new and as old as they may be, so that every second one is older than the one before. */
+    /**
+     * Whether lists alternate between the oldest and the newest allowed, so that every second one is older than its
+     * predecessor.
+     */
     boolean alternatesListAge;
 
     private boolean isOldListNext;
@@ -70,25 +77,25 @@
             InvariantChecker checker,
             List<String> controllers,
             List<String> zones,
-            long leaseMs,
-            int size) {
+            long agentLeaseMs,
+            int sizeFactor) {
         this.world = world;
         this.checker = checker;
         this.controllers = controllers;
-        this.leaseMs = leaseMs;
+        this.agentLeaseMs = agentLeaseMs;
         for (String zone : zones) {
-            capacity.put(new Pool(zone, true), SPOT_CAPACITY * size);
-            capacity.put(new Pool(zone, false), ON_DEMAND_CAPACITY * size);
+            capacity.put(new Pool(zone, true), SPOT_CAPACITY * sizeFactor);
+            capacity.put(new Pool(zone, false), ON_DEMAND_CAPACITY * sizeFactor);
         }
         takeSnapshot();
     }
 
-    /** Names of the machines, those that boot included. */
+    /** The names of all machines, including those that are still booting. */
     Set<String> machineNames() {
         return machines.keySet();
     }
 
-    /** The machines that have booted. */
+    /** The agents of all machines that have booted. */
     List<FakeAgent> agents() {
         List<FakeAgent> agents = new ArrayList<>();
         machines.values().forEach(machine -> {
@@ -99,7 +106,7 @@
         return agents;
     }
 
-    /** Takes a spot instance back without notice. */
+    /** Reclaims a spot instance without notice. */
     void reclaim(FakeAgent agent) {
         agent.terminate();
         machines.remove(agent.name);
@@ -135,11 +142,11 @@
         return new Response(200, answer);
     }
 
-    /** A repeated request gets the first answer once more. */
+    /** Creates machines; a repeated request gets the response to the first one. */
     private Response create(JsonNode body) {
         String requestId = body.path(CloudProtocol.REQUEST_ID).asText();
-        if (answersByRequest.containsKey(requestId)) {
-            return new Response(200, answersByRequest.get(requestId));
+        if (responsesByRequest.containsKey(requestId)) {
+            return new Response(200, responsesByRequest.get(requestId));
         }
         Pool pool = new Pool(
                 body.path(CloudProtocol.ZONE).asText(),
@@ -156,7 +163,7 @@
         for (int i = 0; i < count; i++) {
             names.add(create(pool));
         }
-        answersByRequest.put(requestId, answer);
+        responsesByRequest.put(requestId, answer);
         return new Response(200, answer);
     }
 
@@ -177,7 +184,7 @@
     }
 
     private void boot(Machine machine) {
-        machine.agent = new FakeAgent(world, checker, controllers, machine.identity, leaseMs);
+        machine.agent = new FakeAgent(world, checker, controllers, machine.identity, agentLeaseMs);
         world.listen(machine.identity.address(), machine.agent);
         bootListener.accept(machine.agent);
     }
--- a/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
+++ b/src/test/java/org/hollypick/sim/FakeKeyValueStore.java
@@ -15,12 +15,15 @@
 import org.hollypick.io.Response;
 import org.hollypick.io.TokenBucket;
 
-/** The key-value store, written from its protocol: transactions with conditions, sessions, watches and rate limits. */
+/**
+ * A simulated key-value store, written from its protocol: transactions with conditions, sessions, watches, rate and
+ * size limits.
+ */
 final class FakeKeyValueStore implements SimulatedWorld.Endpoint {
     private static final double REQUESTS_PER_SECOND = 150;
     private static final double CHANGES_PER_SECOND = 60;
     private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
-    /** A transaction may have so many times as many conditions as operations. */
+    /** The limit on the conditions of a transaction, as a multiple of the limit on its operations. */
     private static final int CONDITIONS_PER_OPERATION = 4;
 
     private static final String DEFAULT_PAGE_SIZE = "1000";
@@ -47,17 +50,20 @@
     private int maxOperations = 12;
     private final TokenBucket requestRate;
     private final TokenBucket changeRate;
-    /** Transactions refused since a value or the whole was too large: controllers must not send any. */
+    /**
+     * The number of transactions refused because a value or the transaction exceeded a size limit; controllers must not
+     * send any.
+     */
     int oversizedTransactions;
-    /** Puts and deletes that were carried out. */
+    /** The number of puts and deletes in committed transactions. */
     int appliedOperations;
-    /** Keys that lists leave out: a test breaks the store's guarantees with it. */
+    /** Selects keys that lists omit, in violation of the store's guarantees. */
     Predicate<String> hiddenKeys = key -> false;
-    /** Transactions that are answered with 503: a fault that only some writes meet. */
+    /** Selects transactions that are refused with a 503, to make only some writes fail. */
     Predicate<JsonNode> refusedTransactions = transaction -> false;
-    /** Transactions are carried out whatever their conditions: breaks the store's guarantees. */
+    /** Whether transactions are committed despite failed conditions, in violation of the store's guarantees. */
     boolean ignoresConditions;
-    /** Share of its life after which a session expires; below 1 breaks the guarantee that none expires early. */
+    /** The fraction of its lifetime after which a session expires; below 1 violates the store's guarantees. */
     double sessionLifeShare = 1;
 
     FakeKeyValueStore(SimulatedWorld world) {
@@ -66,7 +72,7 @@
         this.changeRate = new TokenBucket(CHANGES_PER_SECOND, world.now);
     }
 
-    /** Lowers the limits without notice. What is stored stays readable. */
+    /** Lowers the limits without notice. Stored values above the new limits stay readable. */
     void tightenLimits(StoreLimits limits) {
         maxValueBytes = limits.valueBytes();
         maxOperations = limits.transactionOperations();
@@ -77,7 +83,7 @@
         return keys.entries().keySet();
     }
 
-    /** Writes a value as a controller would have written it earlier. */
+    /** Writes a value outside the rate limits, for example a record that an earlier controller would have written. */
     void write(String key, JsonNode value) {
         ObjectNode put = Codec.object().put(StoreProtocol.PUT, key);
         put.set(StoreProtocol.DATA, value);
@@ -97,32 +103,35 @@
         return found;
     }
 
-    /** The value of a key, or null. */
+    /** The value of a key; null if there is none. */
     JsonNode valueOf(String key) {
         VersionedKeys.Entry entry = keys.get(key);
         return entry == null ? null : entry.value();
     }
 
-    /** The revision at which a key was written; 0: there is no such key. */
+    /** The revision at which a key was last written; 0 if the key doesn't exist. */
     long revisionOf(String key) {
         return keys.revisionOf(key);
     }
 
-    /** The value that a key got at that revision; null if another key was written then, or none. */
+    /** The value written to a key at the given revision; null if the key wasn't written then. */
     JsonNode valueWrittenAt(String key, long revision) {
         return keys.valueWrittenAt(key, revision);
     }
 
-    /** Answers everything with 503 for a while; sessions don't expire meanwhile and begin anew then. */
-    void startOutage(long ms) {
+    /**
+     * Answers all requests with a 503 for the given time. Sessions don't expire meanwhile and are renewed at the end of
+     * the outage.
+     */
+    void startOutage(long durationMs) {
         isDown = true;
-        world.schedule(ms, () -> {
+        world.schedule(durationMs, () -> {
             isDown = false;
             sessions.values().forEach(this::renew);
         });
     }
 
-    /** Forgets the changes that open watches follow: whoever watches must read all keys again. */
+    /** Ends all open watches with a 410, as after a compaction: their clients must read all keys again. */
     void compact() {
         List<Watch> open = new ArrayList<>(watches);
         watches.clear();
@@ -157,6 +166,7 @@
         return parameters;
     }
 
+    /** Counts a request against the rate limits; returns false if the request exceeds one of them. */
     private boolean admit(int operations) {
         boolean isWithinRates = requestRate.canTake(1, world.now) && changeRate.canTake(operations, world.now);
         if (isWithinRates) {
--- a/src/test/java/org/hollypick/sim/MachineIdentity.java
+++ b/src/test/java/org/hollypick/sim/MachineIdentity.java
@@ -1,8 +1,9 @@
 package org.hollypick.sim;
 
 /**
- * A simulated machine as the cloud provider knows it.
+ * The properties of a simulated machine that the cloud provider assigns.
  *
- * @param spot whether it may be taken back without notice
+ * @param address the address of its agent
+ * @param spot whether the cloud provider may reclaim the machine without notice
  */
 record MachineIdentity(String name, String address, String zone, boolean spot, double cores) {}
--- a/src/test/java/org/hollypick/sim/SimulatedController.java
+++ b/src/test/java/org/hollypick/sim/SimulatedController.java
@@ -5,18 +5,18 @@
 import org.hollypick.io.Codec;
 import org.hollypick.io.Response;
 
-/** The host of a controller; processes start and end on it. */
+/** The host of a controller, on which controller processes are started and killed. */
 final class SimulatedController implements SimulatedWorld.Endpoint {
     static final String NAME_PREFIX = "bothy-";
     static final String PUBLIC_PREFIX = "p";
     static final String PEER_PREFIX = "m";
     static final String PORT = ":1";
-    /** The clocks of neighbouring controllers run apart by that share. */
+    /** The difference between the clock rates of controllers with successive indexes. */
     private static final double CLOCK_DRIFT = 0.0005;
 
     final int index;
     String zone = "a";
-    /** Whether processes started here run the version in production. */
+    /** Whether processes started from now on run the version in production. */
     boolean runsProductionVersion;
 
     SimulatedWorld.Process process;
@@ -53,7 +53,7 @@
         process.after(0, controller::start);
     }
 
-    /** Ends the process; another one starts after a while, with the version that is due by then. */
+    /** Kills the process; after the downtime another one starts, see {@link #runsProductionVersion}. */
     void crash(long downtimeMs) {
         if (process.isKilled) {
             return;
@@ -83,8 +83,8 @@
         byte[] bytes = body == null ? new byte[0] : Codec.write(body, false);
         AnswerOrderChecker.JobRequest jobRequest =
                 AnswerOrderChecker.requestAbout(name(), method, path, body, scenario.world.now);
-        Consumer<Response> respond = answer -> {
-            Response response = scenario.responseFault.apply(jobRequest, answer);
+        Consumer<Response> respond = original -> {
+            Response response = scenario.responseFault.apply(jobRequest, original);
             scenario.checker.answerOrder.responseSent(jobRequest, response, scenario.world.now);
             if (isHeartbeat) {
                 receiver.heartbeatAnswered(machine);
@@ -99,10 +99,7 @@
                 name(),
                 RequestMetering.activity(path, body),
                 () -> controller.handle(
-                        method,
-                        path,
-                        bytes,
-                        answer -> receiver.runAfterSendDelay(() -> respond.accept(answer.get())))));
+                        method, path, bytes, reply -> receiver.runAfterSendDelay(() -> respond.accept(reply.get())))));
     }
 
     private void checkLaunches(Response response) {
@@ -113,14 +110,14 @@
         }
     }
 
-    /** A user's request with its body as it comes from the wire. */
+    /** Handles a user's request with a body that may be malformed. */
     void handleRaw(String method, String path, byte[] body, Consumer<Response> callback) {
         SimulatedWorld.Process receiver = process;
         receiver.runOrDefer(() -> controller.handle(
-                method, path, body, answer -> receiver.runAfterSendDelay(() -> callback.accept(answer.get()))));
+                method, path, body, reply -> receiver.runAfterSendDelay(() -> callback.accept(reply.get()))));
     }
 
-    /** What other controllers reach. */
+    /** The endpoint for requests from other controllers. */
     SimulatedWorld.Endpoint peerEndpoint() {
         return new SimulatedWorld.Endpoint() {
             @Override
@@ -139,7 +136,7 @@
                                 method,
                                 path,
                                 bytes,
-                                answer -> receiver.runAfterSendDelay(() -> callback.accept(answer.get())))));
+                                reply -> receiver.runAfterSendDelay(() -> callback.accept(reply.get())))));
             }
         };
     }
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -27,18 +27,24 @@
 import org.hollypick.io.Request;
 import org.hollypick.io.Response;
 
-/** Simulated time and network. Cuts hold messages back and deliver them late, or lose them. */
+/**
+ * The simulated clock, timers and network of a {@link ClusterScenario}. Messages on a link that is cut are delivered
+ * once the cut ends, or dropped.
+ */
 final class SimulatedWorld {
-    /** Something with an address. */
+    /** A server that receives the requests sent to an address. */
     interface Endpoint {
         void request(String method, String path, JsonNode body, Consumer<Response> callback);
 
-        /** False refuses connections. */
+        /** Whether the server accepts connections. */
         default boolean listens() {
             return true;
         }
 
-        /** How often it was started again: what was sent to an earlier life's connections ends with them. */
+        /**
+         * The number of times that the server process was restarted. A request sent before a restart isn't delivered
+         * after it, since a restart closes all connections.
+         */
         default int restartCount() {
             return 0;
         }
@@ -46,11 +52,12 @@
 
     private record Event(long timeMs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return timeMs != o.timeMs ? Long.compare(timeMs, o.timeMs) : Long.compare(sequence, o.sequence);
+        public int compareTo(Event other) {
+            return timeMs != other.timeMs ? Long.compare(timeMs, other.timeMs) : Long.compare(sequence, other.sequence);
         }
     }
 
+    /** A value of {@link #requestDelayMs}: the request is lost. */
     static final long NEVER_DELIVERED = -1;
 
     private static final String HEARTBEAT_PATH = "/hello";
@@ -58,45 +65,56 @@
     private static final String WATCH_PATH = "/watch";
 
     final Random random;
+    /** The simulated time in milliseconds. */
     long now = 1_000;
-    private long seq;
+
+    private long nextSequence;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
+    /** Links that are blocked in both directions, see {@link #link}. */
     private final Set<String> cutLinks = new HashSet<>();
+    /** Links that are blocked in one direction, as {@code from>to}. */
     private final Set<String> blockedDirections = new HashSet<>();
+    /** Whether the link between a host and an address is blocked in both directions, see {@link #blockLinks}. */
     private BiPredicate<String, String> isBlockedByPattern = (from, to) -> false;
+    /** Deliveries that wait for a blocked link, by link. */
     private final Map<String, List<Runnable>> heldMessages = new HashMap<>();
-    /** What a cut holds back is lost with it, instead of being delivered when it is over. */
+    /** Whether the messages held by {@link #cut} are dropped at its end instead of being delivered. */
     boolean dropsHeldMessages;
-    /** Chance that a delivered request is kept back and executed up to a minute later, its answer lost. */
+    /**
+     * Probability that a request other than a watch is executed up to a minute late; its sender may have timed out by
+     * then.
+     */
     double lateRequestProbability;
-    /** Chance that a machine's report arrives once more, up to a minute later. */
+    /** Probability that a copy of a heartbeat reaches a random controller 1 to 61 s later. */
     double duplicateHeartbeatProbability;
-    /** Chance that a transaction gets no answer and is carried out 2 to 12 s later. */
+    /** Probability that a store transaction is executed 2 to 12 s late and its response is lost. */
     double lateTransactionProbability;
-    /** Chance that a transaction is carried out at once and only its answer is lost. */
+    /** Probability that a store transaction is executed without delay and its response is lost. */
     double lostTransactionResponseProbability;
-    /** Which transactions those two may happen to. */
-    Predicate<JsonNode> faultProneTransactions = txn -> true;
     /**
-     * Milliseconds by which a call, by its sender, is held up: it gets no answer and is carried out once, so much
-     * later. 0: it isn't; {@link #NEVER_DELIVERED}: it is never carried out.
+     * Selects the transactions to which {@link #lateTransactionProbability} and
+     * {@link #lostTransactionResponseProbability} apply.
      */
-    ToLongBiFunction<String, Request> requestDelayMs = (from, call) -> 0;
-    /** Calls that are carried out at once while their answer is lost. */
-    Predicate<Request> losesResponse = call -> false;
-    /** Sees each machine's report in the moment of sending: for copies that arrive later. */
-    Consumer<Request> heartbeatObserver = report -> {};
+    Predicate<JsonNode> faultProneTransactions = txn -> true;
     /**
-     * Hosts whose calls to an address are answered with 503 at once, as one that is overloaded refuses a single caller.
+     * Milliseconds by which a request, given its sender, is delayed: the request is executed that much later and its
+     * response is lost. 0 for no delay, {@link #NEVER_DELIVERED} for a lost request.
      */
+    ToLongBiFunction<String, Request> requestDelayMs = (from, request) -> 0;
+    /** Selects the requests that are executed while their responses are lost. */
+    Predicate<Request> losesResponse = request -> false;
+    /** Called with each heartbeat when it is sent; lets tests deliver copies of it later. */
+    Consumer<Request> heartbeatObserver = heartbeat -> {};
+    /** Directions in which requests get a 503 at once, as from an overloaded server that refuses a single client. */
     private final Set<String> refusedDirections = new HashSet<>();
-    /** Milliseconds that calls to an address take longer, at most. */
+    /** The maximum additional latency in milliseconds, by address. */
     private final Map<String, Integer> extraLatencyMs = new HashMap<>();
 
+    /** Null until {@link #digest()} is called. */
     private String digest;
-    /** Sees what controllers send, in the moment of sending. */
-    BiConsumer<String, Request> requestObserver = (from, call) -> {};
+    /** Called with the sender and the request when a controller sends one. */
+    BiConsumer<String, Request> requestObserver = (from, request) -> {};
 
     private final Hasher digestHasher = Hashing.murmur3_128().newHasher();
 
@@ -104,102 +122,116 @@
         random = new Random(seed);
     }
 
-    void schedule(long ms, Runnable run) {
-        events.add(new Event(now + Math.max(0, ms), seq++, run));
+    /** Runs an action after the given delay; a negative delay counts as 0. */
+    void schedule(long delayMs, Runnable action) {
+        events.add(new Event(now + Math.max(0, delayMs), nextSequence++, action));
     }
 
-    void runUntil(long end) {
-        while (!events.isEmpty() && events.peek().timeMs <= end) {
-            Event e = events.poll();
-            now = e.timeMs;
-            e.action.run();
+    /** Runs all events due by the given time, in order of time, and advances the clock to it. */
+    void runUntil(long endMs) {
+        while (!events.isEmpty() && events.peek().timeMs <= endMs) {
+            Event event = events.poll();
+            now = event.timeMs;
+            event.action.run();
         }
-        now = end;
+        now = endMs;
     }
 
+    /** Makes an endpoint receive the requests sent to an address. */
     void listen(String address, Endpoint endpoint) {
         endpoints.put(address, endpoint);
     }
 
+    /** The key of a link between a host and an address, whichever of them sends. */
     private static String link(String a, String b) {
         return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
     }
 
-    void cut(String a, String b, long ms) {
+    /**
+     * Blocks the link between a host and an address in both directions for the given time. Afterwards the held messages
+     * are delivered, unless {@link #dropsHeldMessages}.
+     */
+    void cut(String a, String b, long durationMs) {
         String link = link(a, b);
         cutLinks.add(link);
-        schedule(ms, () -> {
+        schedule(durationMs, () -> {
             cutLinks.remove(link);
-            List<Runnable> late = heldMessages.remove(link);
-            if (late != null && !dropsHeldMessages) {
-                late.forEach(Runnable::run);
+            List<Runnable> deliveries = heldMessages.remove(link);
+            if (deliveries != null && !dropsHeldMessages) {
+                deliveries.forEach(Runnable::run);
             }
         });
     }
 
-    /** {@code answer}: of what comes back from there. */
-    private boolean isBlocked(String link, String from, String to, boolean answer) {
+    /** Whether the link is blocked for the request, or for its response if {@code isResponse}. */
+    private boolean isBlocked(String link, String from, String to, boolean isResponse) {
         return cutLinks.contains(link)
                 || isBlockedByPattern.test(from, to)
-                || blockedDirections.contains(answer ? to + ">" + from : from + ">" + to);
+                || blockedDirections.contains(isResponse ? to + ">" + from : from + ">" + to);
     }
 
     /**
-     * Nothing passes from there to there, though it does the other way; what was held back is delivered when it is
-     * over.
+     * Blocks messages in one direction for the given time. Afterwards the held messages are delivered, unless the link
+     * is cut then.
      */
-    void cutOneWay(String from, String to, long ms) {
+    void cutOneWay(String from, String to, long durationMs) {
         blockedDirections.add(from + ">" + to);
-        schedule(ms, () -> {
+        schedule(durationMs, () -> {
             blockedDirections.remove(from + ">" + to);
-            List<Runnable> late = cutLinks.contains(link(from, to)) ? null : heldMessages.remove(link(from, to));
-            if (late != null) {
-                late.forEach(Runnable::run);
+            List<Runnable> deliveries = cutLinks.contains(link(from, to)) ? null : heldMessages.remove(link(from, to));
+            if (deliveries != null) {
+                deliveries.forEach(Runnable::run);
             }
         });
     }
 
-    /** That host's calls to the address are refused; those already waiting there, as a watch does, go on waiting. */
-    void refuseRequests(String from, String to, long ms) {
+    /**
+     * Refuses the requests of a host to an address with a 503 for the given time. Requests received before, such as
+     * open watches, are not affected.
+     */
+    void refuseRequests(String from, String to, long durationMs) {
         refusedDirections.add(from + ">" + to);
-        schedule(ms, () -> refusedDirections.remove(from + ">" + to));
+        schedule(durationMs, () -> refusedDirections.remove(from + ">" + to));
     }
 
-    /** Calls to the address, and its answers, each take up to that much longer, and may overtake one another. */
-    void addLatency(String address, int byMs, long ms) {
-        extraLatencyMs.put(address, byMs);
-        schedule(ms, () -> extraLatencyMs.remove(address));
+    /**
+     * Adds a random latency of up to {@code maxExtraMs} to each request to an address and to each response from it, for
+     * the given time. Messages may be reordered.
+     */
+    void addLatency(String address, int maxExtraMs, long durationMs) {
+        extraLatencyMs.put(address, maxExtraMs);
+        schedule(durationMs, () -> extraLatencyMs.remove(address));
     }
 
-    private long latency(String address) {
+    private long drawLatencyMs(String address) {
         return 1L
                 + random.nextInt(5)
                 + (extraLatencyMs.isEmpty() ? 0 : random.nextInt(1 + extraLatencyMs.getOrDefault(address, 0)));
     }
 
-    /** A request that was held up, or a copy of one, arrives at an address; nobody gets its answer. */
-    void deliverIgnoringResponse(Request call, String to) {
+    /** Delivers a delayed or duplicated request to an address; its response is lost. */
+    void deliverIgnoringResponse(Request request, String to) {
         if (endpoints.get(to).listens()) {
-            endpoints.get(to).request(call.method(), call.path(), call.body(), r -> {});
+            endpoints.get(to).request(request.method(), request.path(), request.body(), response -> {});
         }
     }
 
-    /** The same request once more, after a while, to another address; nobody gets its answer. */
-    private void duplicateHeartbeat(Request call) {
-        if (call.path().equals(HEARTBEAT_PATH)
+    /** Draws whether the request is a heartbeat to duplicate; the copy goes to a random controller. */
+    private void duplicateHeartbeat(Request request) {
+        if (request.path().equals(HEARTBEAT_PATH)
                 && duplicateHeartbeatProbability > 0
                 && random.nextDouble() < duplicateHeartbeatProbability) {
             String to = "p" + random.nextInt(3) + ":1";
-            schedule(1_000 + random.nextInt(60_000), () -> deliverIgnoringResponse(call, to));
+            schedule(1_000 + random.nextInt(60_000), () -> deliverIgnoringResponse(request, to));
         }
     }
 
     /**
-     * From now on nothing passes from a host to an address, nor back, for which that says so; until the next such word.
-     * What was held back is delivered then.
+     * Blocks the links from a host to an address that match, in both directions, until the next call. Delivers the
+     * messages held for links that aren't cut.
      */
-    void blockLinks(BiPredicate<String, String> which) {
-        isBlockedByPattern = which;
+    void blockLinks(BiPredicate<String, String> isBlocked) {
+        isBlockedByPattern = isBlocked;
         for (String link : new ArrayList<>(heldMessages.keySet())) {
             if (!cutLinks.contains(link)) {
                 heldMessages.remove(link).forEach(Runnable::run);
@@ -208,8 +240,8 @@
     }
 
     /**
-     * A digest of every call and every answer of the day so far: the same seed and the same decisions give the same
-     * one.
+     * A hash over all requests and responses of the simulation; equal for equal seeds and equal decisions. No request
+     * may be sent after the first call.
      */
     String digest() {
         if (digest == null) {
@@ -218,102 +250,106 @@
         return digest;
     }
 
-    /** Sends a request from one host to an address; the response comes exactly once. */
-    void send(String from, Request call, Consumer<Response> callback) {
+    /** Sends a request from a host; the callback runs exactly once. */
+    void send(String from, Request request, Consumer<Response> callback) {
         digestHasher
                 .putLong(now)
-                .putString(from + call.address() + call.method() + call.path() + call.body(), StandardCharsets.UTF_8);
-        Consumer<Response> once = onlyFirst(callback);
-        Endpoint endpoint = endpoints.get(call.address());
+                .putString(
+                        from + request.address() + request.method() + request.path() + request.body(),
+                        StandardCharsets.UTF_8);
+        Consumer<Response> callOnce = firstOnly(callback);
+        Endpoint endpoint = endpoints.get(request.address());
         if (endpoint == null || !endpoint.listens()) {
-            schedule(1, () -> once.accept(Response.notSent()));
+            schedule(1, () -> callOnce.accept(Response.notSent()));
             return;
         }
-        schedule(call.timeoutMs(), () -> once.accept(Response.noResponse()));
-        duplicateHeartbeat(call);
-        if (call.path().equals(HEARTBEAT_PATH)) {
-            heartbeatObserver.accept(call);
+        schedule(request.timeoutMs(), () -> callOnce.accept(Response.noResponse()));
+        duplicateHeartbeat(request);
+        if (request.path().equals(HEARTBEAT_PATH)) {
+            heartbeatObserver.accept(request);
         }
-        if (!isHeldUp(from, call) && !isRefused(from, call, once) && !isLateWrite(endpoint, call)) {
-            deliver(from, call, endpoint, once);
+        if (!delayRequest(from, request)
+                && !refuseRequest(from, request, callOnce)
+                && !delayTransaction(endpoint, request)) {
+            deliver(from, request, endpoint, callOnce);
         }
     }
 
-    private static Consumer<Response> onlyFirst(Consumer<Response> callback) {
-        AtomicBoolean answered = new AtomicBoolean();
+    /** Passes only the first response on: a request may time out and be answered later. */
+    private static Consumer<Response> firstOnly(Consumer<Response> callback) {
+        AtomicBoolean isAnswered = new AtomicBoolean();
         return response -> {
-            if (answered.compareAndSet(false, true)) {
+            if (isAnswered.compareAndSet(false, true)) {
                 callback.accept(response);
             }
         };
     }
 
-    /** Applies {@link #requestDelayMs}. */
-    private boolean isHeldUp(String from, Request call) {
-        long heldUpMs = requestDelayMs.applyAsLong(from, call);
-        if (heldUpMs != 0 && heldUpMs != NEVER_DELIVERED) {
-            schedule(heldUpMs, () -> deliverIgnoringResponse(call, call.address()));
+    /** Applies {@link #requestDelayMs}; returns whether the request is delayed or lost. */
+    private boolean delayRequest(String from, Request request) {
+        long delayMs = requestDelayMs.applyAsLong(from, request);
+        if (delayMs != 0 && delayMs != NEVER_DELIVERED) {
+            schedule(delayMs, () -> deliverIgnoringResponse(request, request.address()));
         }
-        return heldUpMs != 0;
+        return delayMs != 0;
     }
 
-    /** Answers the call with 503 if the address refuses this host. */
-    private boolean isRefused(String from, Request call, Consumer<Response> callback) {
-        boolean isRefused = refusedDirections.contains(from + ">" + call.address());
+    /** Answers the request with a 503 if the address refuses this host; returns whether it does. */
+    private boolean refuseRequest(String from, Request request, Consumer<Response> callback) {
+        boolean isRefused = refusedDirections.contains(from + ">" + request.address());
         if (isRefused) {
             schedule(2, () -> callback.accept(new Response(503, Codec.object())));
         }
         return isRefused;
     }
 
-    /**
-     * Draws whether {@link #lateTransactionProbability} strikes the call; if so, it is carried out later and never
-     * answered.
-     */
-    private boolean isLateWrite(Endpoint endpoint, Request call) {
-        boolean isLate = isFaultyWrite(call, lateTransactionProbability);
+    /** Applies {@link #lateTransactionProbability}; returns whether the request is executed late. */
+    private boolean delayTransaction(Endpoint endpoint, Request request) {
+        boolean isLate = drawTransactionFault(request, lateTransactionProbability);
         if (isLate) {
             schedule(
                     2_000 + random.nextInt(10_000),
-                    () -> endpoint.request(call.method(), call.path(), call.body(), response -> {}));
+                    () -> endpoint.request(request.method(), request.path(), request.body(), response -> {}));
         }
         return isLate;
     }
 
-    private boolean isFaultyWrite(Request call, double share) {
-        return share > 0
-                && call.path().equals(COMMIT_PATH)
-                && faultProneTransactions.test(call.body())
-                && random.nextDouble() < share;
+    /** Draws with the given probability whether a fault affects the request; false if it is no transaction. */
+    private boolean drawTransactionFault(Request request, double probability) {
+        return probability > 0
+                && request.path().equals(COMMIT_PATH)
+                && faultProneTransactions.test(request.body())
+                && random.nextDouble() < probability;
     }
 
-    private void deliver(String from, Request call, Endpoint endpoint, Consumer<Response> callback) {
-        String link = link(from, call.address());
-        boolean isAnswerLost = isFaultyWrite(call, lostTransactionResponseProbability);
-        long latency = latency(call.address());
-        int life = endpoint.restartCount();
+    /** Delivers a request after its latency, or once its link is no longer blocked. */
+    private void deliver(String from, Request request, Endpoint endpoint, Consumer<Response> callback) {
+        String link = link(from, request.address());
+        boolean isResponseLost = drawTransactionFault(request, lostTransactionResponseProbability);
+        long latencyMs = drawLatencyMs(request.address());
+        int restartCount = endpoint.restartCount();
         Runnable execute = () -> {
-            if (endpoint.listens() && endpoint.restartCount() == life) {
-                endpoint.request(call.method(), call.path(), call.body(), response -> {
+            if (endpoint.listens() && endpoint.restartCount() == restartCount) {
+                endpoint.request(request.method(), request.path(), request.body(), response -> {
                     digestHasher
                             .putLong(now)
                             .putInt(response.status())
-                            .putString(call.address() + response.body(), StandardCharsets.UTF_8);
-                    if (!isAnswerLost && !losesResponse.test(call)) {
-                        sendBack(from, call, response, callback);
+                            .putString(request.address() + response.body(), StandardCharsets.UTF_8);
+                    if (!isResponseLost && !losesResponse.test(request)) {
+                        sendResponse(from, request, response, callback);
                     }
                 });
             }
         };
-        if (isBlocked(link, from, call.address(), false)) {
+        if (isBlocked(link, from, request.address(), false)) {
             hold(link, execute);
         } else if (lateRequestProbability > 0
-                && !call.path().startsWith(WATCH_PATH)
+                && !request.path().startsWith(WATCH_PATH)
                 && random.nextDouble() < lateRequestProbability) {
             schedule(random.nextInt(60_000), execute);
         } else {
-            schedule(latency, () -> {
-                if (isBlocked(link, from, call.address(), false)) {
+            schedule(latencyMs, () -> {
+                if (isBlocked(link, from, request.address(), false)) {
                     hold(link, execute);
                 } else {
                     execute.run();
@@ -322,13 +358,13 @@
         }
     }
 
-    private void sendBack(String from, Request call, Response response, Consumer<Response> callback) {
-        String link = link(from, call.address());
-        Runnable arrive = () -> schedule(latency(call.address()), () -> callback.accept(response));
-        if (isBlocked(link, from, call.address(), true)) {
-            hold(link, arrive);
+    private void sendResponse(String from, Request request, Response response, Consumer<Response> callback) {
+        String link = link(from, request.address());
+        Runnable deliver = () -> schedule(drawLatencyMs(request.address()), () -> callback.accept(response));
+        if (isBlocked(link, from, request.address(), true)) {
+            hold(link, deliver);
         } else {
-            arrive.run();
+            deliver.run();
         }
     }
 
@@ -337,42 +373,44 @@
     }
 
     /**
-     * The runtime of one process; once it is killed nothing of it runs any more. What it decides to send leaves it a
-     * millisecond later: if it stands still in between, that goes out, if at all, when it goes on.
+     * A process of a controller with its event loop. Nothing runs once the process is killed. A request or response is
+     * sent a millisecond after the decision to send it; if the process is frozen in between, the message is sent when
+     * the process resumes, provided that it is still valid then.
      */
     final class Process implements EventLoop {
         private static final long SEND_DELAY_MS = 1;
 
         private final String host;
         /**
-         * Its connections; null: as many as it likes. A machine's stays open until it is closed after an answer, or
-         * unused for long.
+         * The open connections; null if their number isn't limited. The connection of a machine that sends heartbeats
+         * stays open until it is closed after a response or has been idle for too long.
          */
         private ConnectionBudget connections;
 
         private int socketLimit;
+        /** The time of the last heartbeat received on each open heartbeat connection, by machine. */
         private final Map<String, Long> heartbeatsReceivedAt = new HashMap<>();
-        /**
-         * Milliseconds of processor time for each thing that it does; 0: none. What it can't do at once waits its turn.
-         */
+        /** Milliseconds of processor time that each task takes; 0 runs every task at once. */
         private double costPerTaskMs;
 
+        /** Tasks that wait for the processor. */
         private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        private double busyUntil;
-        private boolean isDrainScheduled;
-        /** How fast this process's steady clock runs. */
+
+        private double busyUntilMs;
+        private boolean isQueueRunScheduled;
+        /** The rate of the process's monotonic clock relative to simulated time. */
         private final double clockRate;
 
         boolean isKilled;
-        private long frozenUntil;
-        /** Calls of that kind freeze the process, once, after they were decided on and before they are sent. */
-        private Predicate<Request> freezeTrigger = call -> false;
+        private long frozenUntilMs;
+        /** Selects the request that freezes the process, once, between the decision to send it and its sending. */
+        private Predicate<Request> freezeTrigger = request -> false;
 
         private long triggeredFreezeMs;
 
-        Process(String host, double rate) {
+        Process(String host, double clockRate) {
             this.host = host;
-            this.clockRate = rate;
+            this.clockRate = clockRate;
         }
 
         @Override
@@ -390,13 +428,13 @@
             schedule((long) (ms / clockRate), () -> runOrDefer(task));
         }
 
-        /** Now, or once the process goes on; never if it was killed. */
+        /** Runs a task as soon as the process isn't frozen and the processor is free; never if it was killed. */
         void runOrDefer(Runnable task) {
             if (isKilled) {
                 return;
             }
-            if (now < frozenUntil) {
-                schedule(frozenUntil - now, () -> runOrDefer(task));
+            if (now < frozenUntilMs) {
+                schedule(frozenUntilMs - now, () -> runOrDefer(task));
             } else if (costPerTaskMs == 0) {
                 task.run();
             } else {
@@ -405,83 +443,89 @@
             }
         }
 
-        /** One thing after the other, each at its cost. */
+        /** Runs the queued tasks one after another, each of which takes {@link #costPerTaskMs}. */
         private void runQueuedTasks() {
-            if (!isDrainScheduled && !isKilled) {
-                while (!queue.isEmpty() && busyUntil <= now) {
-                    busyUntil = Math.max(busyUntil, (double) now) + costPerTaskMs;
+            if (!isQueueRunScheduled && !isKilled) {
+                while (!queue.isEmpty() && busyUntilMs <= now) {
+                    busyUntilMs = Math.max(busyUntilMs, (double) now) + costPerTaskMs;
                     queue.poll().run();
                 }
                 if (!queue.isEmpty()) {
-                    isDrainScheduled = true;
-                    schedule((long) Math.ceil(busyUntil - now), () -> {
-                        isDrainScheduled = false;
+                    isQueueRunScheduled = true;
+                    schedule((long) Math.ceil(busyUntilMs - now), () -> {
+                        isQueueRunScheduled = false;
                         runQueuedTasks();
                     });
                 }
             }
         }
 
-        void limitResources(int sockets, double costMs) {
-            this.connections = sockets > 0 ? new ConnectionBudget(sockets) : null;
-            this.socketLimit = sockets;
-            this.costPerTaskMs = costMs;
+        /** Limits the open connections, unless {@code socketLimit} is 0, and sets the processor time of a task. */
+        void limitResources(int socketLimit, double costPerTaskMs) {
+            this.connections = socketLimit > 0 ? new ConnectionBudget(socketLimit) : null;
+            this.socketLimit = socketLimit;
+            this.costPerTaskMs = costPerTaskMs;
         }
 
-        /** A report arrives: false if there is no socket for its connection. */
-        boolean acceptHeartbeat(String from) {
-            if (connections == null || heartbeatsReceivedAt.put(from, now) != null) {
+        /** Accepts the connection for a machine's heartbeat; returns false if no socket is free for it. */
+        boolean acceptHeartbeat(String machine) {
+            if (connections == null || heartbeatsReceivedAt.put(machine, now) != null) {
                 return true;
             }
             if (Stream.of(ConnectionBudget.Kind.values())
                             .mapToInt(connections::open)
                             .sum()
                     >= socketLimit) {
-                heartbeatsReceivedAt.remove(from);
+                heartbeatsReceivedAt.remove(machine);
                 return false;
             }
             connections.opened(ConnectionBudget.Kind.HEARTBEATS);
             return true;
         }
 
-        /** It was answered: the connection closes now if others need it, else when it has been unused for long. */
-        void heartbeatAnswered(String from) {
-            if (connections != null && heartbeatsReceivedAt.containsKey(from)) {
-                long used = heartbeatsReceivedAt.get(from);
+        /**
+         * Closes the connection of an answered heartbeat: at once if other connections need its socket, otherwise when
+         * it has been idle for too long.
+         */
+        void heartbeatAnswered(String machine) {
+            if (connections != null && heartbeatsReceivedAt.containsKey(machine)) {
+                long receivedAt = heartbeatsReceivedAt.get(machine);
                 schedule(
                         connections.shouldCloseAfterResponse(ConnectionBudget.Kind.HEARTBEATS)
                                 ? 0
                                 : NetworkConstants.IDLE_CONNECTION_TIMEOUT_MS,
                         () -> {
-                            if (heartbeatsReceivedAt.remove(from, used)) {
+                            if (heartbeatsReceivedAt.remove(machine, receivedAt)) {
                                 connections.closed(ConnectionBudget.Kind.HEARTBEATS);
                             }
                         });
             }
         }
 
-        /** It stands still while its clocks run on. */
-        void freeze(long ms) {
-            frozenUntil = Math.max(frozenUntil, now + ms);
+        /** Stops the process for the given time while its clocks continue. */
+        void freeze(long durationMs) {
+            frozenUntilMs = Math.max(frozenUntilMs, now + durationMs);
         }
 
-        void freezeBeforeSending(Predicate<Request> which, long ms) {
-            freezeTrigger = which;
-            triggeredFreezeMs = ms;
+        /** Freezes the process between the decision to send its next matching request and the sending. */
+        void freezeBeforeSending(Predicate<Request> trigger, long durationMs) {
+            freezeTrigger = trigger;
+            triggeredFreezeMs = durationMs;
         }
 
-        /** What was decided now leaves the process. */
+        /** Sends a message that was decided on now. */
         void runAfterSendDelay(Runnable send) {
             schedule(SEND_DELAY_MS, () -> runOrDefer(send));
         }
 
         @Override
-        public void send(Request call, Consumer<Response> callback) {
-            if (freezeTrigger.test(call)) {
-                freezeTrigger = c -> false;
+        public void send(Request request, Consumer<Response> callback) {
+            if (freezeTrigger.test(request)) {
+                freezeTrigger = other -> false;
                 freeze(triggeredFreezeMs);
             }
-            ConnectionBudget.Kind kind = call.toPeer() || call.address().endsWith(":1")
+            // The store, the cloud provider and the controllers listen on port 1, agents on port 9000.
+            ConnectionBudget.Kind kind = request.toPeer() || request.address().endsWith(":1")
                     ? ConnectionBudget.Kind.CONTROL
                     : ConnectionBudget.Kind.COMMANDS;
             if (connections != null) {
@@ -491,18 +535,18 @@
                 }
                 connections.opened(kind);
             }
-            Consumer<Response> in = r -> {
+            Consumer<Response> receiveResponse = response -> {
                 if (connections != null) {
                     connections.closed(kind);
                 }
-                runOrDefer(() -> callback.accept(r));
+                runOrDefer(() -> callback.accept(response));
             };
             runAfterSendDelay(() -> {
-                if (call.validWhile().getAsBoolean()) {
-                    requestObserver.accept(host, call);
-                    SimulatedWorld.this.send(host, call, in);
+                if (request.validWhile().getAsBoolean()) {
+                    requestObserver.accept(host, request);
+                    SimulatedWorld.this.send(host, request, receiveResponse);
                 } else {
-                    in.accept(Response.notSent());
+                    receiveResponse.accept(Response.notSent());
                 }
             });
         }
--- a/src/test/java/org/hollypick/sim/StoreLimits.java
+++ b/src/test/java/org/hollypick/sim/StoreLimits.java
@@ -1,10 +1,10 @@
 package org.hollypick.sim;
 
 /**
- * Limits of the key-value store.
+ * The limits of the key-value store.
  *
- * @param valueBytes bytes of a value
- * @param transactionOperations operations of a transaction
- * @param changesPerSecond keys changed a second
+ * @param valueBytes the maximum size of a value
+ * @param transactionOperations the maximum number of operations in a transaction
+ * @param changesPerSecond the maximum rate of puts and deletes
  */
 record StoreLimits(int valueBytes, int transactionOperations, double changesPerSecond) {}
--- a/src/test/java/org/hollypick/sim/StoreProtocol.java
+++ b/src/test/java/org/hollypick/sim/StoreProtocol.java
@@ -1,13 +1,13 @@
 package org.hollypick.sim;
 
-/** Paths and fields of the key-value store's protocol, spelt independently of the program's codecs. */
+/** Paths and fields of the key-value store's protocol, defined independently of the program's codecs. */
 final class StoreProtocol {
     static final String KEYS = "/keys";
     static final String WATCH = "/watch";
     static final String COMMIT = "/commit";
     static final String SESSIONS = "/holds";
 
-    /** The store's revision; it grows with each change. */
+    /** The store's revision, which increases with each change. */
     static final String REVISION = "epoch";
     /** The revision at which a key was last written. */
     static final String KEY_REVISION = "stamp";
@@ -21,7 +21,7 @@
     static final String OPERATIONS = "then";
     static final String PUT = "put";
     static final String DELETE = "drop";
-    /** Keys whose conditions didn't hold. */
+    /** The keys whose conditions failed. */
     static final String FAILED = "failed";
 
     static final String SESSION = "tenancy";
--- a/src/test/java/org/hollypick/sim/UserProtocol.java
+++ b/src/test/java/org/hollypick/sim/UserProtocol.java
@@ -1,6 +1,6 @@
 package org.hollypick.sim;
 
-/** Paths and fields of the users' protocol, spelt independently of the program's codecs. */
+/** Paths and fields of the users' protocol, defined independently of the program's codecs. */
 final class UserProtocol {
     static final String SUBMISSIONS = "/submissions";
     static final String GRAPHS = "/graphs";
@@ -16,11 +16,11 @@
     static final String CORES = "cores";
     static final String GPUS = "gpus";
     static final String MEMORY_GB = "ram_gb";
-    /** All tasks at once in one zone: gang scheduling. */
+    /** Gang scheduling: all tasks of the job start together in one zone. */
     static final String GANG = "together";
-    /** Tasks evenly over the zones. */
+    /** The tasks are spread evenly over the zones. */
     static final String SPREAD = "spread";
-    /** May run on spot instances and be preempted. */
+    /** The tasks may run on spot instances and be preempted. */
     static final String PREEMPTIBLE = "lendable";
 
     static final String IMAGE = "bundle";
@@ -34,7 +34,9 @@
     static final String GRAPH_NODES = "nodes";
     static final String STATUS = "status";
 
+    /** A value of {@link #KIND}: the tasks end by themselves. */
     static final String BATCH = "batch";
+    /** A value of {@link #KIND}: the tasks run until the job is cancelled. */
     static final String SERVICE = "standing";
 
     private UserProtocol() {}
--- a/src/test/java/org/hollypick/sim/VersionedKeys.java
+++ b/src/test/java/org/hollypick/sim/VersionedKeys.java
@@ -9,41 +9,43 @@
 import java.util.TreeMap;
 import org.hollypick.io.Codec;
 
-/** The keys of the {@link FakeKeyValueStore}: each change has a revision, and all changes are kept as events. */
+/** The keys of the {@link FakeKeyValueStore}, with the revision and the history of all changes. */
 final class VersionedKeys {
     /**
      * A stored value.
      *
-     * @param revision at which it was written
-     * @param session with which the key is deleted; 0: none
+     * @param revision the revision at which the value was written
+     * @param session the session at whose end the key is deleted; 0 for none
      */
     record Entry(JsonNode value, long revision, long session) {}
 
     private final TreeMap<String, Entry> entries = new TreeMap<>();
+    /** All changes in the form in which watches receive them, oldest first. */
     private final List<ObjectNode> events = new ArrayList<>();
+
     private long revision;
 
     long revision() {
         return revision;
     }
 
-    /** All keys and what is stored there, in the order of the keys. */
+    /** All entries by key, in the order of the keys. */
     NavigableMap<String, Entry> entries() {
         return entries;
     }
 
-    /** The entry of a key, or null. */
+    /** The entry of a key; null if the key doesn't exist. */
     Entry get(String key) {
         return entries.get(key);
     }
 
-    /** The revision at which a key was written; 0: there is no such key. */
+    /** The revision at which a key was last written; 0 if the key doesn't exist. */
     long revisionOf(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.revision;
     }
 
-    /** The value that a key got at that revision; null if another key was written then, or none. */
+    /** The value written to a key at the given revision; null if the key wasn't written then. */
     JsonNode valueWrittenAt(String key, long writtenAt) {
         for (JsonNode event : events) {
             if (event.path(StoreProtocol.KEY_REVISION).asLong() == writtenAt
@@ -54,7 +56,7 @@
         return null;
     }
 
-    /** Applies puts and deletes, all at one new revision. */
+    /** Applies puts and deletes at one new revision. */
     void apply(JsonNode operations) {
         revision++;
         for (JsonNode operation : operations) {
@@ -81,7 +83,7 @@
         events.add(Codec.object().put(StoreProtocol.DELETE, key).put(StoreProtocol.KEY_REVISION, revision));
     }
 
-    /** Deletes the keys of a session; returns whether there were any. */
+    /** Deletes the keys of a session; returns whether the session had any. */
     boolean deleteKeysOf(long session) {
         List<String> deleted = new ArrayList<>();
         entries.forEach((key, entry) -> {
@@ -99,7 +101,7 @@
         return !deleted.isEmpty();
     }
 
-    /** The answer to a watch: the changes under a prefix after a revision. */
+    /** Builds the response to a watch: the changes under a prefix after a revision. */
     ObjectNode changesAfter(String prefix, long after) {
         ObjectNode answer = Codec.object().put(StoreProtocol.REVISION, revision);
         ArrayNode changes = answer.putArray(StoreProtocol.EVENTS);
