--- a/src/test/java/org/hollypick/sim/FakeAgent.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -116,7 +116,7 @@
         return tasks.activeNames();
     }
 
-    /** Whether it has a task of the given job that hasn't exited. */
+    /** Whether the machine has a task of the given job that hasn't exited. */
     boolean hasActiveTaskOf(String job) {
         return tasks.activeNames().stream().anyMatch(task -> task.startsWith(job + "/"));
     }
--- a/src/test/java/org/hollypick/sim/SimulatedWorld.java
+++ b/src/test/java/org/hollypick/sim/SimulatedWorld.java
@@ -151,8 +151,8 @@
      * Blocks the link between a host and an address in both directions for the given time. Afterwards the held messages
      * are delivered, unless {@link #dropsHeldMessages}.
      */
-    void cut(String a, String b, long durationMs) {
-        String link = link(a, b);
+    void cut(String host, String address, long durationMs) {
+        String link = link(host, address);
         cutLinks.add(link);
         schedule(durationMs, () -> {
             cutLinks.remove(link);
