--- a/src/test/java/org/hollypick/sim/ClusterScenario.java
+++ b/src/test/java/org/hollypick/sim/ClusterScenario.java
@@ -243,7 +243,7 @@
         return this;
     }
 
-    /** Starts six services that no user cancels. */
+    /** Starts six services that no user cancels; fails if their tasks have not started within 35 s. */
     ClusterScenario withRunningServices() {
         advance(5_000);
         workload.submitUncancelledServices(6);
