--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -22,60 +22,60 @@
  * (docs/incidents/storm.md).
  */
 class ConnectionStormTest {
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
             (r, s) -> new Controller(r, s, OperatorSettings.defaults());
-    private static final int SIZE = 30;
-    private static final int SOCKETS = 150;
+    private static final int SIZE_FACTOR = 30;
+    private static final int SOCKETS_PER_CONTROLLER = 150;
     /**
      * The team's quota: room for twice as many machines as a controller has sockets. With the usual quota there were
      * that many only because machines were rented beyond it (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
      */
-    private static final double QUOTA_CORES = 2 * SOCKETS * FakeCloud.CPUS;
+    private static final double QUOTA_CORES = 2 * SOCKETS_PER_CONTROLLER * FakeCloud.CPUS;
 
     /** What a day's controllers did: changes of lead, and good machines returned. */
-    private static final class Watched {
+    private static final class ObservedScenario {
         private final ClusterScenario scenario;
-        private final List<Long> changes = new ArrayList<>();
-        private final Set<String> wellReturned = new HashSet<>();
-        private final Set<String> hung = new HashSet<>();
-        private long leaderRecord;
+        private final List<Long> leaderChangesAtMs = new ArrayList<>();
+        private final Set<String> returnedWorkingMachines = new HashSet<>();
+        private final Set<String> hungMachines = new HashSet<>();
+        private long lastLeaderIncarnation;
 
-        Watched(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
-            scenario =
-                    ClusterScenario.withQuotas(seed, SIZE, List.of(JobDescription.DEFAULT_TEAM), QUOTA_CORES, version);
+        ObservedScenario(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
+            scenario = ClusterScenario.withQuotas(
+                    seed, SIZE_FACTOR, List.of(JobDescription.DEFAULT_TEAM), QUOTA_CORES, version);
             scenario.advance(3_000);
             scenario.workload.submitUncancelledServices(30);
             scenario.workload.submitJobs(20, 60_000);
             scenario.advance(70_000);
             scenario.socketLimit = sockets;
             scenario.costPerTaskMs = 1.2;
-            leaderRecord = leaderStamp();
+            lastLeaderIncarnation = leaderIncarnation();
             scenario.world.requestObserver = (from, call) -> {
                 if (call.path().equals("/hosts/return")) {
-                    call.body().path("bothies").forEach(id -> returned(id.asText()));
+                    call.body().path("bothies").forEach(id -> machineReturned(id.asText()));
                 }
             };
         }
 
-        private long leaderStamp() {
+        private long leaderIncarnation() {
             return scenario.store.valueOf("h/roster").path("member").asLong();
         }
 
         /** One that runs services is neither idle nor more than is needed. */
-        private void returned(String id) {
-            for (FakeAgent w : scenario.cloud.agents()) {
-                if (w.name.equals(id) && w.reportedTasks() > 0 && !hung.contains(id)) {
-                    wellReturned.add(id);
+        private void machineReturned(String id) {
+            for (FakeAgent agent : scenario.cloud.agents()) {
+                if (agent.name.equals(id) && agent.reportedTasks() > 0 && !hungMachines.contains(id)) {
+                    returnedWorkingMachines.add(id);
                 }
             }
         }
 
-        Watched play(long ms) {
+        ObservedScenario advance(long ms) {
             for (long t = 0; t < ms; t += 100) {
                 scenario.advance(100);
-                if (leaderStamp() != leaderRecord) {
-                    leaderRecord = leaderStamp();
-                    changes.add(scenario.world.now);
+                if (leaderIncarnation() != lastLeaderIncarnation) {
+                    lastLeaderIncarnation = leaderIncarnation();
+                    leaderChangesAtMs.add(scenario.world.now);
                 }
             }
             return this;
@@ -83,22 +83,26 @@
     }
 
     /** All controllers end, and come back with few sockets and little processor time. */
-    private static Watched crashOfAll(long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
-        Watched w = new Watched(seed, version, sockets);
-        w.scenario.faults.crashAll();
-        return w.play(90_000);
+    private static ObservedScenario crashAllControllers(
+            long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
+        ObservedScenario observed = new ObservedScenario(seed, version, sockets);
+        observed.scenario.faults.crashAll();
+        return observed.advance(90_000);
     }
 
     @Test
-    void aCrashOfAllControllersIsOneFailover() {
+    void aCrashOfAllControllersCausesAtMostTwoLeaderChanges() {
         for (int seed = 1; seed <= 4; seed++) {
-            Watched w = crashOfAll(seed, NEW, SOCKETS);
+            ObservedScenario observed = crashAllControllers(seed, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
             assertTrue(
-                    w.scenario.cloud.agents().size() > 1.5 * SOCKETS,
-                    "more machines than sockets: " + w.scenario.cloud.agents().size());
-            assertTrue(w.changes.size() <= 2, "seed " + seed + ": the lead changed at " + w.changes);
-            assertEquals(Set.of(), w.wellReturned, "seed " + seed);
-            assertEquals(List.of(), w.scenario.checker.violations, "seed " + seed);
+                    observed.scenario.cloud.agents().size() > 1.5 * SOCKETS_PER_CONTROLLER,
+                    "more machines than sockets: "
+                            + observed.scenario.cloud.agents().size());
+            assertTrue(
+                    observed.leaderChangesAtMs.size() <= 2,
+                    "seed " + seed + ": the lead changed at " + observed.leaderChangesAtMs);
+            assertEquals(Set.of(), observed.returnedWorkingMachines, "seed " + seed);
+            assertEquals(List.of(), observed.scenario.checker.violations, "seed " + seed);
         }
     }
 
@@ -107,34 +111,39 @@
      * as there are faults, at most.
      */
     @Test
-    void consecutiveFaultsDoNotAmplifyThemselves() {
+    void consecutiveFaultsCauseNoMoreLeaderChangesThanFaults() {
         for (int seed = 1; seed <= 3; seed++) {
-            Watched w = new Watched(seed, NEW, SOCKETS);
+            ObservedScenario observed = new ObservedScenario(seed, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
             for (int node = 0; node < 3; node++) {
                 int n = node;
-                w.scenario.world.schedule(1_000 + 20_000 * node, () -> w.scenario.faults.crash(n, 6_000));
+                observed.scenario.world.schedule(1_000 + 20_000 * node, () -> observed.scenario.faults.crash(n, 6_000));
             }
-            w.scenario.world.schedule(65_000, () -> w.scenario.store.startOutage(12_000));
-            w.scenario.world.schedule(90_000, () -> w.scenario.faults.freeze(w.scenario.leaderIndex(), 7_000));
-            w.play(160_000);
-            assertTrue(w.changes.size() <= 5, "seed " + seed + ": the lead changed at " + w.changes);
-            assertEquals(Set.of(), w.wellReturned, "seed " + seed);
-            assertEquals(List.of(), w.scenario.checker.violations, "seed " + seed);
+            observed.scenario.world.schedule(65_000, () -> observed.scenario.store.startOutage(12_000));
+            observed.scenario.world.schedule(
+                    90_000, () -> observed.scenario.faults.freeze(observed.scenario.leaderIndex(), 7_000));
+            observed.advance(160_000);
+            assertTrue(
+                    observed.leaderChangesAtMs.size() <= 5,
+                    "seed " + seed + ": the lead changed at " + observed.leaderChangesAtMs);
+            assertEquals(Set.of(), observed.returnedWorkingMachines, "seed " + seed);
+            assertEquals(List.of(), observed.scenario.checker.violations, "seed " + seed);
         }
     }
 
     /** What hangs is still returned, and soon, although sockets are short. */
     @Test
-    void machinesThatHangAreReturnedWhileSocketsAreShort() {
-        Watched w = crashOfAll(1, NEW, SOCKETS);
-        List<FakeAgent> some = w.scenario.cloud.agents().subList(0, 12);
+    void hungMachinesAreReturnedWhileSocketsAreScarce() {
+        ObservedScenario observed = crashAllControllers(1, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
+        List<FakeAgent> some = observed.scenario.cloud.agents().subList(0, 12);
         some.forEach(m -> {
-            w.hung.add(m.name);
+            observed.hungMachines.add(m.name);
             m.hang(120_000);
         });
-        w.play(25_000);
-        assertTrue(w.hung.stream().noneMatch(w.scenario.cloud.machineNames()::contains), "still there");
-        assertEquals(Set.of(), w.wellReturned);
+        observed.advance(25_000);
+        assertTrue(
+                observed.hungMachines.stream().noneMatch(observed.scenario.cloud.machineNames()::contains),
+                "still there");
+        assertEquals(Set.of(), observed.returnedWorkingMachines);
     }
 
     /**
@@ -142,8 +151,8 @@
      * is asked.
      */
     @Test
-    void aLackTakenForSilenceCostsGoodMachines() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> NEW.apply(
+    void checksDetectSocketExhaustionTreatedAsNoResponse() {
+        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
                 new DelegatingEventLoop(r) {
                     @Override
                     public void send(Request call, Consumer<Response> callback) {
@@ -160,8 +169,8 @@
                 s);
         boolean noticed = false;
         for (int seed = 1; seed <= 6 && !noticed; seed++) {
-            Watched w = crashOfAll(seed, faulty, SOCKETS * 3 / 5);
-            noticed = !w.wellReturned.isEmpty() || w.changes.size() > 2;
+            ObservedScenario observed = crashAllControllers(seed, faulty, SOCKETS_PER_CONTROLLER * 3 / 5);
+            noticed = !observed.returnedWorkingMachines.isEmpty() || observed.leaderChangesAtMs.size() > 2;
         }
         assertTrue(noticed);
     }
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -25,9 +25,9 @@
     /** Activities that take less of the leader's time aren't named. */
     private static final double MIN_NAMED_MS = 0.05;
     /** During the failover: sockets of each controller, and processor time of each event that it handles. */
-    private static final int SOCKETS = 1_800;
+    private static final int FAILOVER_SOCKETS = 1_800;
 
-    private static final double COST_MS = 0.4;
+    private static final double FAILOVER_CPU_MS_PER_EVENT = 0.4;
 
     private static final String HEADER =
             "| machines | tasks there | leader's processor time a second of the day, ms: by activity (times a second) "
@@ -166,7 +166,7 @@
     /** The leader ends, and another controller takes over with limited sockets and processor time. */
     private Failover failOver() {
         String leaderBefore = scenario.leaderName();
-        scenario.limitControllers(SOCKETS, COST_MS);
+        scenario.limitControllers(FAILOVER_SOCKETS, FAILOVER_CPU_MS_PER_EVENT);
         scenario.faults.crash(scenario.leaderIndex(), 60_000);
         long end = scenario.world.now + FAILOVER_MS;
         long claimedAt = 0;
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -8,7 +8,7 @@
 
 /** The rules on simulated days, and proof that the checker notices when a safeguard is taken away. */
 class InvariantsTest {
-    private static final int DAYS = 600;
+    private static final int RANDOM_SCENARIOS = 600;
 
     @Test
     void everyJobCompletesWithoutFaults() {
@@ -23,7 +23,7 @@
     @Test
     void randomFaultsViolateNoInvariant() {
         int starts = 0;
-        for (int seed = 100; seed < 100 + DAYS; seed++) {
+        for (int seed = 100; seed < 100 + RANDOM_SCENARIOS; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
             scenario.workload.submitJobs(25, 120_000);
             scenario.randomFaults.scheduleFaults(10, 20_000, 150_000);
@@ -31,7 +31,7 @@
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             starts += scenario.checker.tasks.starts;
         }
-        assertTrue(starts > DAYS * 30, "the days did little: " + starts);
+        assertTrue(starts > RANDOM_SCENARIOS * 30, "the days did little: " + starts);
     }
 
     @Test
@@ -52,7 +52,7 @@
      * An outage longer than store session and agent lease: the others' promises let the leader go on answering reports.
      */
     @Test
-    void runningWorkSurvivesALongOutageOfTheStateService() {
+    void tasksSurviveAStoreOutageLongerThanTheAgentLease() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
@@ -65,7 +65,7 @@
 
     /** With one of the others gone there is no promise, so the leader must stop; nobody may act then. */
     @Test
-    void withoutAllPromisesNobodyActsInAnOutage() {
+    void agentLeasesExpireInAStoreOutageWhileAPeerIsDown() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.world.schedule(100, () -> scenario.faults.crash(0, 90_000));
         scenario.store.startOutage(60_000);
@@ -110,7 +110,7 @@
      * though another one reaches it.
      */
     @Test
-    void aLeaderThatAloneCantReachTheStateServiceGoesOnByAnother() {
+    void aLeaderThatAloneCannotReachTheStoreReachesItThroughAPeer() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         int before = scenario.leaderIndex();
         scenario.world.cut("bothy-" + before, "state:1", 40_000);
@@ -127,7 +127,7 @@
 
     /** It was promised leadership on and on, and took no new jobs: with no way by another one either it is replaced. */
     @Test
-    void aLeaderWithoutAnyWayToTheStateServiceIsReplaced() {
+    void aLeaderThatReachesTheStoreNeitherDirectlyNorThroughAPeerIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         int before = scenario.leaderIndex();
         scenario.world.cut("bothy-" + before, "state:1", 40_000);
@@ -144,7 +144,7 @@
 
     /** In an outage for all nobody is better off elsewhere. */
     @Test
-    void inAnOutageAllStayReady() {
+    void allControllersStayReadyInAStoreOutage() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.store.startOutage(30_000);
         scenario.advance(12_000);
@@ -155,7 +155,7 @@
 
     /** Without the durable machine records a new leader doesn't wait for machines it can't reach. */
     @Test
-    void checkerDetectsALeaderThatDoesNotWait() {
+    void checkerDetectsALeaderThatDoesNotWaitForUnreachableMachines() {
         boolean noticed = false;
         for (int seed = 1; seed < 40 && !noticed; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -21,7 +21,7 @@
     private static final double CHANGES_PER_SECOND = 30;
 
     /** The controllers know, and keep to, a limit of changes that the jobs use up. */
-    private static ClusterScenario day() {
+    private static ClusterScenario scenarioWithTightenedLimits() {
         ClusterScenario scenario = new ClusterScenario(
                 4,
                 6,
@@ -54,7 +54,7 @@
     }
 
     /** Submits one-task jobs at equal intervals; returns their names. */
-    private static List<String> submit(ClusterScenario scenario, int count, long withinMs) {
+    private static List<String> submitJobs(ClusterScenario scenario, int count, long withinMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = "req-9" + String.format("%05d", i);
@@ -65,18 +65,18 @@
     }
 
     /** Counts the transactions by which jobs are ended. */
-    private static int[] countEnds(ClusterScenario scenario) {
+    private static int[] countTerminatingTransactions(ClusterScenario scenario) {
         int[] transactions = {0};
         var before = scenario.world.requestObserver;
         scenario.world.requestObserver = before.andThen((from, call) -> {
-            if (call.path().equals("/commit") && endsJobs(call.body())) {
+            if (call.path().equals("/commit") && terminatesJobs(call.body())) {
                 transactions[0]++;
             }
         });
         return transactions;
     }
 
-    private static boolean endsJobs(JsonNode transaction) {
+    private static boolean terminatesJobs(JsonNode transaction) {
         for (JsonNode change : transaction.path("then")) {
             if (change.path("put").asText().startsWith("h/j/")
                     && !change.path("data").has("spec")) {
@@ -88,15 +88,15 @@
 
     /** Jobs end while the service is down; afterwards each end needs a change, but not a request of its own. */
     @Test
-    void jobsThatEndCloseTogetherShareATransaction() {
-        ClusterScenario scenario = day();
-        List<String> ids = submit(scenario, JOBS, 10_000);
+    void jobsThatTerminateCloseTogetherShareATransaction() {
+        ClusterScenario scenario = scenarioWithTightenedLimits();
+        List<String> ids = submitJobs(scenario, JOBS, 10_000);
         scenario.advance(14_000);
         scenario.store.startOutage(OUTAGE_MS);
         scenario.advance(OUTAGE_MS);
         long open = ids.stream().filter(id -> !scenario.checker.isTerminal(id)).count();
         assertTrue(open >= JOBS / 3, "open " + open);
-        int[] transactions = countEnds(scenario);
+        int[] transactions = countTerminatingTransactions(scenario);
         scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.violations);
         ids.forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -27,15 +27,15 @@
 
 /** Jobs that await others, limits that tighten, and the version in production beside the present one. */
 class PipelinesTest {
-    private static final int DAYS = 200;
+    private static final int RANDOM_SCENARIOS = 200;
     /** What a key-value store may come down to. */
-    private static final StoreLimits TIGHT = new StoreLimits(2_048, 4, 25);
+    private static final StoreLimits TIGHTENED_LIMITS = new StoreLimits(2_048, 4, 25);
 
-    private static final BiFunction<EventLoop, Settings, Controller> NEW =
+    private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
             (r, s) -> new Controller(r, s, OperatorSettings.defaults());
 
-    private static ClusterScenario day(long seed, BiFunction<EventLoop, Settings, Controller> version) {
-        return new ClusterScenario(seed, 1, null, TIGHT, version);
+    private static ClusterScenario newScenario(long seed, BiFunction<EventLoop, Settings, Controller> version) {
+        return new ClusterScenario(seed, 1, null, TIGHTENED_LIMITS, version);
     }
 
     /**
@@ -45,18 +45,18 @@
     @Test
     void pipelinesViolateNoInvariantWhileLimitsTighten() {
         int starts = 0;
-        for (int seed = 1; seed <= DAYS; seed++) {
-            ClusterScenario day = day(seed, NEW);
-            day.workload.submitJobs(12, 120_000);
-            day.pipelines.submitPipelines(8, 110_000);
-            day.world.schedule(60_000, day::tightenStoreLimits);
-            day.randomFaults.scheduleFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
-            day.advance(240_000);
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
-            assertEquals(0, day.store.oversizedTransactions, "seed " + seed);
-            starts += day.checker.tasks.starts;
+        for (int seed = 1; seed <= RANDOM_SCENARIOS; seed++) {
+            ClusterScenario scenario = newScenario(seed, CURRENT_VERSION);
+            scenario.workload.submitJobs(12, 120_000);
+            scenario.pipelines.submitPipelines(8, 110_000);
+            scenario.world.schedule(60_000, scenario::tightenStoreLimits);
+            scenario.randomFaults.scheduleFaults(seed % 4 == 0 ? 0 : 9, 20_000, 150_000);
+            scenario.advance(240_000);
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
+            assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
+            starts += scenario.checker.tasks.starts;
         }
-        assertTrue(starts > DAYS * 60, "the days did little: " + starts);
+        assertTrue(starts > RANDOM_SCENARIOS * 60, "the days did little: " + starts);
     }
 
     /**
@@ -68,37 +68,39 @@
         ProductionVersion production = ProductionVersion.load();
         for (int seed = 1; seed <= 60; seed++) {
             int size = seed % 10 == 0 ? 12 : 1;
-            ClusterScenario day = new ClusterScenario(seed, size, production, TIGHT, NEW);
-            day.workload.submitJobs(20, 150_000);
-            day.randomFaults.scheduleFaults(8, 10_000, 170_000);
-            day.rollOut(25_000, 12_000);
+            ClusterScenario scenario = new ClusterScenario(seed, size, production, TIGHTENED_LIMITS, CURRENT_VERSION);
+            scenario.workload.submitJobs(20, 150_000);
+            scenario.randomFaults.scheduleFaults(8, 10_000, 170_000);
+            scenario.rollOut(25_000, 12_000);
             // A zone cut while both versions are there: the old one doesn't reckon with leases that the new one would
             // keep.
-            day.placeControllerInZone(2, "b");
+            scenario.placeControllerInZone(2, "b");
             for (int i = 0; i < 2; i++) {
-                long ms = 10_000L + day.world.random.nextInt(25_000);
-                day.world.schedule(15_000 + day.world.random.nextInt(50_000), () -> day.network.partitionZone("b", ms));
+                long ms = 10_000L + scenario.world.random.nextInt(25_000);
+                scenario.world.schedule(
+                        15_000 + scenario.world.random.nextInt(50_000), () -> scenario.network.partitionZone("b", ms));
             }
-            day.advance(58_000);
-            day.pipelines.submitPipelines(8, 80_000);
-            day.world.schedule(20_000, day::tightenStoreLimits);
-            day.advance(200_000);
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
-            assertEquals(0, day.store.oversizedTransactions, "seed " + seed);
-            assertTrue(day.checker.tasks.starts > 30, "seed " + seed + " started " + day.checker.tasks.starts);
+            scenario.advance(58_000);
+            scenario.pipelines.submitPipelines(8, 80_000);
+            scenario.world.schedule(20_000, scenario::tightenStoreLimits);
+            scenario.advance(200_000);
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
+            assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
+            assertTrue(
+                    scenario.checker.tasks.starts > 30, "seed " + seed + " started " + scenario.checker.tasks.starts);
         }
     }
 
     /** Whether some of the random scenarios breaks a rule whose name begins so. */
-    private static boolean breaks(
+    private static boolean anyScenarioViolates(
             String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
         for (int seed = 1; seed <= 60; seed++) {
-            ClusterScenario day = day(seed, version);
-            day.pipelines.submitPipelines(14, 60_000);
-            day.world.schedule(40_000, day::tightenStoreLimits);
-            troubles.accept(day);
-            day.advance(180_000);
-            if (day.checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
+            ClusterScenario scenario = newScenario(seed, version);
+            scenario.pipelines.submitPipelines(14, 60_000);
+            scenario.world.schedule(40_000, scenario::tightenStoreLimits);
+            troubles.accept(scenario);
+            scenario.advance(180_000);
+            if (scenario.checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
                 return true;
             }
         }
@@ -107,9 +109,9 @@
 
     /** A task's end that isn't durable yet is no reason to start: a cancellation may still win the record. */
     @Test
-    void checkerDetectsAStartBeforeTheEndIsDurable() {
-        ClusterScenario[] playing = {null};
-        assertTrue(breaks(
+    void checkerDetectsAStartBeforeTheDependencyIsDurablyCompleted() {
+        ClusterScenario[] current = {null};
+        assertTrue(anyScenarioViolates(
                 "too_early",
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     private final Map<String, Collection<String>> awaits = new HashMap<>();
@@ -123,7 +125,7 @@
                     @Override
                     public boolean ready(String id) {
                         return awaits.getOrDefault(id, List.of()).stream()
-                                .allMatch(playing[0].checker.tasks::isComplete);
+                                .allMatch(current[0].checker.tasks::isComplete);
                     }
 
                     @Override
@@ -133,18 +135,18 @@
                         return all;
                     }
                 }),
-                day -> {
-                    playing[0] = day;
-                    day.workload.cancelJobsOnCompletion();
+                scenario -> {
+                    current[0] = scenario;
+                    scenario.workload.cancelJobsOnCompletion();
                     for (int i = 0; i < 5; i++) {
-                        day.world.schedule(15_000 + i * 20_000, () -> day.store.startOutage(5_000));
+                        scenario.world.schedule(15_000 + i * 20_000, () -> scenario.store.startOutage(5_000));
                     }
                 }));
     }
 
     @Test
-    void checkerDetectsThatNothingFollowsACancellation() {
-        assertTrue(breaks(
+    void checkerDetectsDependentsThatAreNotCancelled() {
+        assertTrue(anyScenarioViolates(
                 "orphaned",
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
@@ -152,24 +154,24 @@
                         return false;
                     }
                 }),
-                day -> {}));
+                scenario -> {}));
     }
 
     /** If only the leader knew, others would call a job pending that it has called cancelled. */
     @Test
-    void checkerDetectsACascadeThatOnlyTheLeaderKnows() {
-        ClusterScenario[] playing = {null};
-        assertTrue(breaks(
+    void checkerDetectsDependentsThatOnlyTheLeaderReportsAsCancelled() {
+        ClusterScenario[] current = {null};
+        assertTrue(anyScenarioViolates(
                 "went_back",
                 (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
                     @Override
                     public boolean isCancelled(String id) {
-                        return s.node().equals("bothy-" + playing[0].leaderIndex()) && super.isCancelled(id);
+                        return s.node().equals("bothy-" + current[0].leaderIndex()) && super.isCancelled(id);
                     }
                 }),
-                day -> {
-                    playing[0] = day;
-                    withoutRecordsOfWhatFollows(day);
+                scenario -> {
+                    current[0] = scenario;
+                    rejectCancellationRecordsOfDependents(scenario);
                 }));
     }
 
@@ -178,30 +180,30 @@
      * ever.
      */
     @Test
-    void everyNodeTellsWhatIsCancelledWithoutItsRecord() {
+    void everyControllerReportsDependentsAsCancelledWithoutTheirRecords() {
         for (int seed = 1; seed <= 20; seed++) {
-            ClusterScenario day = day(seed, NEW);
-            day.pipelines.submitPipelines(14, 60_000);
-            withoutRecordsOfWhatFollows(day);
-            day.advance(180_000);
-            assertEquals(List.of(), day.checker.violations, "seed " + seed);
+            ClusterScenario scenario = newScenario(seed, CURRENT_VERSION);
+            scenario.pipelines.submitPipelines(14, 60_000);
+            rejectCancellationRecordsOfDependents(scenario);
+            scenario.advance(180_000);
+            assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
         }
     }
 
-    private static void withoutRecordsOfWhatFollows(ClusterScenario day) {
-        day.store.refusedTransactions = txn -> {
+    private static void rejectCancellationRecordsOfDependents(ClusterScenario scenario) {
+        scenario.store.refusedTransactions = txn -> {
             for (JsonNode op : txn.path("then")) {
                 String key = op.path("put").asText();
                 if (key.startsWith("h/j/")
                         && op.path("data").path("status").asText().equals("aborted")
-                        && !day.checker.isCancellationRequested(key.substring(4))) {
+                        && !scenario.checker.isCancellationRequested(key.substring(4))) {
                     return true;
                 }
             }
             return false;
         };
         for (int i = 0; i < 12; i++) {
-            day.world.schedule(15_000 + 8_000 * i, () -> day.faults.crash(day.leaderIndex(), 5_000));
+            scenario.world.schedule(15_000 + 8_000 * i, () -> scenario.faults.crash(scenario.leaderIndex(), 5_000));
         }
     }
 
@@ -234,25 +236,25 @@
      * controllers.
      */
     @Test
-    void aJobMayAwaitHundredsOfOthers() {
-        ClusterScenario day = day(5, NEW);
-        day.tightenStoreLimits();
-        day.advance(5_000);
+    void aJobWithHundredsOfDependenciesSurvivesTheLossOfAllControllers() {
+        ClusterScenario scenario = newScenario(5, CURRENT_VERSION);
+        scenario.tightenStoreLimits();
+        scenario.advance(5_000);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             String id = String.format("req-%018d", i);
             ids.add(id);
-            day.world.schedule(i * 150L, () -> day.users.submit(id, job(id, 1, List.of())));
+            scenario.world.schedule(i * 150L, () -> scenario.users.submit(id, job(id, 1, List.of())));
         }
         String last = "req-" + "9".repeat(18);
-        day.world.schedule(20_000, () -> day.users.submitWhenAccepted(last, job(last, 2, ids)));
-        day.advance(60_000);
-        assertTrue(day.checker.isAccepted(last));
-        day.faults.crashAll();
-        day.advance(240_000);
-        assertEquals(List.of(), day.checker.violations);
-        assertEquals(0, day.store.oversizedTransactions);
-        assertTrue(day.checker.isTerminal(last));
+        scenario.world.schedule(20_000, () -> scenario.users.submitWhenAccepted(last, job(last, 2, ids)));
+        scenario.advance(60_000);
+        assertTrue(scenario.checker.isAccepted(last));
+        scenario.faults.crashAll();
+        scenario.advance(240_000);
+        assertEquals(List.of(), scenario.checker.violations);
+        assertEquals(0, scenario.store.oversizedTransactions);
+        assertTrue(scenario.checker.isTerminal(last));
     }
 
     /**
@@ -260,30 +262,30 @@
      * controllers.
      */
     @Test
-    void progressOfAJobLargerThanAValueIsKept() {
-        ClusterScenario day = new ClusterScenario(8, 20, null, new StoreLimits(640, 4, 40), NEW);
-        day.tightenStoreLimits();
-        day.advance(5_000);
+    void completionsLargerThanOneStoreValueSurviveTheLossOfAllControllers() {
+        ClusterScenario scenario = new ClusterScenario(8, 20, null, new StoreLimits(640, 4, 40), CURRENT_VERSION);
+        scenario.tightenStoreLimits();
+        scenario.advance(5_000);
         int tasks = 4_000;
-        day.users.submit("req-1", job("req-1", tasks, List.of()).put("expect_s", 6.0));
-        while (day.checker.tasks.completedCount < tasks / 2) {
-            day.advance(1_000);
+        scenario.users.submit("req-1", job("req-1", tasks, List.of()).put("expect_s", 6.0));
+        while (scenario.checker.tasks.completedCount < tasks / 2) {
+            scenario.advance(1_000);
         }
-        assertTrue(day.store.valuesUnder("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
-        day.faults.crashAll();
-        day.advance(200_000);
-        assertTrue(day.checker.isTerminal("req-1"));
-        assertEquals(List.of(), day.checker.violations);
-        assertEquals(0, day.store.oversizedTransactions);
-        assertTrue(day.checker.tasks.starts < tasks * 1.4, "started again: " + day.checker.tasks.starts);
+        assertTrue(scenario.store.valuesUnder("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
+        scenario.faults.crashAll();
+        scenario.advance(200_000);
+        assertTrue(scenario.checker.isTerminal("req-1"));
+        assertEquals(List.of(), scenario.checker.violations);
+        assertEquals(0, scenario.store.oversizedTransactions);
+        assertTrue(scenario.checker.tasks.starts < tasks * 1.4, "started again: " + scenario.checker.tasks.starts);
     }
 
     /** What can't be read, or be stored whatever the limits, is refused for good; what was accepted before stays so. */
     @Test
-    void garbageInAwaitsIsRefused() {
-        ClusterScenario day = day(6, NEW);
-        day.advance(5_000);
-        assertEquals(201, submit(day, job("req-1", 1, List.of())));
+    void invalidDependenciesAreRejected() {
+        ClusterScenario scenario = newScenario(6, CURRENT_VERSION);
+        scenario.advance(5_000);
+        assertEquals(201, submitAndReadHttpStatus(scenario, job("req-1", 1, List.of())));
         for (JsonNode garbage : List.of(
                 Codec.object(),
                 Codec.array().add(1),
@@ -292,22 +294,25 @@
                 Codec.array().add("req-1").add(""))) {
             ObjectNode b = job("req-2", 1, List.of());
             b.set("awaits", garbage);
-            assertEquals(400, day.users.request("POST", "/submissions", b).status());
+            assertEquals(400, scenario.users.request("POST", "/submissions", b).status());
         }
-        assertEquals(422, submit(day, job("req-2", 1, List.of("req-2"))));
-        assertEquals(422, submit(day, job("req-2", 1, List.of("req-1", "req-3"))));
+        assertEquals(422, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-2"))));
+        assertEquals(422, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-1", "req-3"))));
         ObjectNode endless = job("req-2", 1, List.of("req-1"));
         ArrayNode types = endless.putArray("flavours").add("t4");
         for (int i = 0; i < 2_000; i++) {
             types.add("type-" + i);
         }
-        assertEquals(400, day.users.request("POST", "/submissions", endless).status());
-        assertEquals(404, day.users.request("GET", "/submissions/req-2", null).status());
-        assertEquals(201, submit(day, job("req-2", 1, List.of("req-1", "req-1"))));
-        assertEquals(200, submit(day, job("req-2", 1, List.of("req-3"))));
+        assertEquals(
+                400, scenario.users.request("POST", "/submissions", endless).status());
+        assertEquals(
+                404, scenario.users.request("GET", "/submissions/req-2", null).status());
+        assertEquals(201, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-1", "req-1"))));
+        assertEquals(200, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-3"))));
         ObjectNode service = job("req-4", 1, List.of()).put("shape", "standing");
-        assertEquals(201, day.users.request("POST", "/submissions", service).status());
-        assertEquals(422, submit(day, job("req-5", 1, List.of("req-4"))));
+        assertEquals(
+                201, scenario.users.request("POST", "/submissions", service).status());
+        assertEquals(422, submitAndReadHttpStatus(scenario, job("req-5", 1, List.of("req-4"))));
     }
 
     /**
@@ -315,26 +320,27 @@
      * along.
      */
     @Test
-    void aCancellationReachesWhatComesLater() {
-        ClusterScenario day = day(7, NEW);
-        day.advance(5_000);
+    void jobsSubmittedAfterADependencyWasCancelledAreCancelled() {
+        ClusterScenario scenario = newScenario(7, CURRENT_VERSION);
+        scenario.advance(5_000);
         for (String id : List.of("req-1", "req-2")) {
-            assertEquals(201, submit(day, job(id, 1, List.of())));
+            assertEquals(201, submitAndReadHttpStatus(scenario, job(id, 1, List.of())));
         }
-        assertEquals(201, submit(day, job("req-3", 1, List.of("req-1"))));
-        assertEquals("aborted", cancel(day, "req-1"));
+        assertEquals(201, submitAndReadHttpStatus(scenario, job("req-3", 1, List.of("req-1"))));
+        assertEquals("aborted", cancelAndReadStatus(scenario, "req-1"));
         for (String id : List.of("req-3", "req-1")) {
-            assertEquals("aborted", statusOf(day, id));
+            assertEquals("aborted", statusOf(scenario, id));
         }
-        assertEquals(201, submit(day, job("req-4", 1, List.of("req-3", "req-2"))));
-        assertEquals("aborted", statusOf(day, "req-4"));
-        assertEquals("aborted", cancel(day, "req-4"));
-        day.advance(120_000);
-        assertEquals("aborted", day.store.valueOf("h/j/req-4").path("status").asText(), "its own record follows");
-        assertEquals("done", cancel(day, "req-2"));
-        assertEquals(201, submit(day, job("req-5", 1, List.of("req-2"))));
-        day.advance(30_000);
-        assertEquals("done", statusOf(day, "req-5"));
+        assertEquals(201, submitAndReadHttpStatus(scenario, job("req-4", 1, List.of("req-3", "req-2"))));
+        assertEquals("aborted", statusOf(scenario, "req-4"));
+        assertEquals("aborted", cancelAndReadStatus(scenario, "req-4"));
+        scenario.advance(120_000);
+        assertEquals(
+                "aborted", scenario.store.valueOf("h/j/req-4").path("status").asText(), "its own record follows");
+        assertEquals("done", cancelAndReadStatus(scenario, "req-2"));
+        assertEquals(201, submitAndReadHttpStatus(scenario, job("req-5", 1, List.of("req-2"))));
+        scenario.advance(30_000);
+        assertEquals("done", statusOf(scenario, "req-5"));
     }
 
     /**
@@ -342,28 +348,31 @@
      * reports.
      */
     @Test
-    void progressOfTheOldVersionThatIsTooLargeMovesOn() {
-        ClusterScenario day = new ClusterScenario(12, 20, null, TIGHT, NEW);
-        day.advance(5_000);
+    void jobsTerminateAlthoughACompletionRecordExceedsTheTightenedLimits() {
+        ClusterScenario scenario = new ClusterScenario(12, 20, null, TIGHTENED_LIMITS, CURRENT_VERSION);
+        scenario.advance(5_000);
         ObjectNode packed = Codec.object();
         for (int i = 0; i < 220; i++) {
             String id = String.format("req-%06d", 100 + i);
             packed.put(id + "/0", "AA==");
-            day.world.schedule(
-                    i * 60L, () -> day.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
+            scenario.world.schedule(
+                    i * 60L,
+                    () -> scenario.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
-        day.advance(20_000);
-        day.store.write("h/p/0", packed);
+        scenario.advance(20_000);
+        scenario.store.write("h/p/0", packed);
         assertTrue(Codec.write(packed, true).length > 2_048);
-        day.faults.crashAll();
-        day.tightenStoreLimits();
-        day.advance(250_000);
-        assertEquals(List.of(), day.checker.violations);
-        assertEquals(0, day.store.oversizedTransactions);
-        day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isTerminal(id), id));
+        scenario.faults.crashAll();
+        scenario.tightenStoreLimits();
+        scenario.advance(250_000);
+        assertEquals(List.of(), scenario.checker.violations);
+        assertEquals(0, scenario.store.oversizedTransactions);
+        scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
         assertEquals(
                 0,
-                day.cloud.agents().stream().mapToInt(FakeAgent::reportedTasks).sum());
+                scenario.cloud.agents().stream()
+                        .mapToInt(FakeAgent::reportedTasks)
+                        .sum());
     }
 
     /**
@@ -371,13 +380,14 @@
      * A refused write was repeated for ever, with every new machine's record in the same transaction.
      */
     @Test
-    void recordsOfTheOldVersionThatAreTooLargeGiveTheirMachinesToOthers() throws Exception {
-        ClusterScenario day = new ClusterScenario(11, 20, ProductionVersion.load(), TIGHT, NEW);
-        day.workload.submitJobs(40, 30_000);
-        day.advance(40_000);
+    void machinesInOversizedRecordsOfProductionAreCopiedToOtherRecords() throws Exception {
+        ClusterScenario scenario =
+                new ClusterScenario(11, 20, ProductionVersion.load(), TIGHTENED_LIMITS, CURRENT_VERSION);
+        scenario.workload.submitJobs(40, 30_000);
+        scenario.advance(40_000);
         // Machines that came up together, as production packs them: 50 to a record.
         ObjectNode packed = Codec.object();
-        day.store
+        scenario.store
                 .valuesUnder("h/m/")
                 .values()
                 .forEach(r -> r.fields().forEachRemaining(f -> {
@@ -386,28 +396,28 @@
                     }
                 }));
         assertTrue(Codec.write(packed, true).length > 2_048);
-        day.store.write("h/m/bothy-0/1/0", packed);
-        day.rollOut(0, 10_000);
-        day.advance(45_000);
-        day.tightenStoreLimits();
-        day.workload.submitJobs(30, 60_000);
-        day.advance(200_000);
+        scenario.store.write("h/m/bothy-0/1/0", packed);
+        scenario.rollOut(0, 10_000);
+        scenario.advance(45_000);
+        scenario.tightenStoreLimits();
+        scenario.workload.submitJobs(30, 60_000);
+        scenario.advance(200_000);
         Set<String> named = new LinkedHashSet<>();
-        day.store.valuesUnder("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
-        named.removeAll(day.cloud.machineNames());
+        scenario.store.valuesUnder("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
+        named.removeAll(scenario.cloud.machineNames());
         assertEquals(Set.of(), named, "machines that are gone are still recorded");
-        assertEquals(List.of(), day.checker.violations);
-        assertEquals(0, day.store.oversizedTransactions);
-        day.checker.submitted.keySet().forEach(id -> assertTrue(day.checker.isTerminal(id), id));
+        assertEquals(List.of(), scenario.checker.violations);
+        assertEquals(0, scenario.store.oversizedTransactions);
+        scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
     }
 
     /** The status with which the submission is answered. */
-    private static int submit(ClusterScenario scenario, ObjectNode job) {
+    private static int submitAndReadHttpStatus(ClusterScenario scenario, ObjectNode job) {
         return scenario.users.request("POST", "/submissions", job).status();
     }
 
     /** The state of the job that the answer to its cancellation names. */
-    private static String cancel(ClusterScenario scenario, String id) {
+    private static String cancelAndReadStatus(ClusterScenario scenario, String id) {
         return status(scenario.users.request("POST", "/submissions/" + id + "/withdraw", Codec.object()));
     }
 
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -21,7 +21,7 @@
  * sending of what was decided.
  */
 class ProcessPauseTest {
-    private static final long LONGER_THAN_THE_HOLD_MS = 9_000;
+    private static final long PAUSE_MS = 9_000;
     /**
      * More than the jobs before the pause use, so that machines are requested during it. With the usual quota of 40
      * cores, all of it in use, they were requested only beyond it
@@ -29,20 +29,20 @@
      */
     private static final double QUOTA_CORES = 80;
 
-    private static final List<Predicate<Request>> KINDS = List.of(
+    private static final List<Predicate<Request>> REQUEST_KINDS = List.of(
             call -> call.path().equals("/commands")
                     && call.body().path("orders").toString().contains("launch"),
             call -> call.path().equals("/hosts") && call.method().equals("POST"),
             call -> call.path().equals("/hosts/return"));
 
-    private static ClusterScenario day(
+    private static ClusterScenario scenarioWithPausedLeader(
             int seed, Predicate<Request> kind, BiFunction<EventLoop, Settings, Controller> version) {
         ClusterScenario scenario =
                 ClusterScenario.withQuotas(seed, 1, List.of(JobDescription.DEFAULT_TEAM), QUOTA_CORES, version);
         scenario.workload.submitJobs(30, 100_000);
         scenario.advance(30_000);
         int before = scenario.leaderIndex();
-        scenario.faults.freezeLeaderBeforeSending(kind, LONGER_THAN_THE_HOLD_MS);
+        scenario.faults.freezeLeaderBeforeSending(kind, PAUSE_MS);
         scenario.workload.submitUncancelledServices(8);
         scenario.world.schedule(
                 500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(w -> w.hang(20_000)));
@@ -53,10 +53,11 @@
     }
 
     @Test
-    void whatWasDecidedBeforeAStandstillIsNotSentWithoutTheRight() {
-        for (Predicate<Request> kind : KINDS) {
+    void requestsDecidedBeforeAPauseAreNotSentAfterTheLeaderLeaseExpired() {
+        for (Predicate<Request> kind : REQUEST_KINDS) {
             for (int seed = 1; seed <= 6; seed++) {
-                ClusterScenario scenario = day(seed, kind, (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
+                ClusterScenario scenario = scenarioWithPausedLeader(
+                        seed, kind, (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
                 assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             }
         }
@@ -64,11 +65,11 @@
 
     /** Checked only when it is decided, an order goes out that nobody has the right to give any more. */
     @Test
-    void checkerDetectsALeaderLeaseThatIsOnlyCheckedAtTheDecision() {
-        for (Predicate<Request> kind : KINDS) {
+    void checkerDetectsALeaderLeaseThatIsNotCheckedBeforeSending() {
+        for (Predicate<Request> kind : REQUEST_KINDS) {
             boolean noticed = false;
             for (int seed = 1; seed <= 6 && !noticed; seed++) {
-                ClusterScenario scenario = day(
+                ClusterScenario scenario = scenarioWithPausedLeader(
                         seed,
                         kind,
                         (r, s) -> new Controller(
