--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -71,7 +71,8 @@
             scenario.workload.submitJobs(25, 100_000);
             scenario.randomFaults.scheduleFaults(6, 20_000, 120_000);
             for (int i = 0; i < 6; i++) {
-                scenario.world.schedule(20_000 + scenario.world.random.nextInt(100_000), () -> crashRepeatedly(scenario, 4));
+                scenario.world.schedule(
+                        20_000 + scenario.world.random.nextInt(100_000), () -> crashRepeatedly(scenario, 4));
             }
             scenario.advance(200_000);
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
@@ -86,7 +87,8 @@
         long back = 50L + scenario.world.random.nextInt(300);
         some.forEach(n -> scenario.faults.crash(n, back));
         if (more > 0) {
-            scenario.world.schedule(back + scenario.world.random.nextInt(80), () -> crashRepeatedly(scenario, more - 1));
+            scenario.world.schedule(
+                    back + scenario.world.random.nextInt(80), () -> crashRepeatedly(scenario, more - 1));
         }
     }
 }
