--- a/src/test/java/org/hollypick/sim/AnswerOrderChecker.java
+++ b/src/test/java/org/hollypick/sim/AnswerOrderChecker.java
@@ -9,99 +9,105 @@
 import org.hollypick.io.Response;
 
 /**
- * Whether an answer about a job is older than one given before, by the order in which answers leave the controllers and
- * reach users:
+ * Checks that responses about a job never go back to an older state, by the times at which controllers receive requests
+ * and send responses and at which users receive responses:
  *
  * <ul>
- *   <li>What leaves a controller is never older than what left the same controller before, whenever either question was
- *       put.
- *   <li>An answer to a question that reached a controller after a newer answer of any controller had reached a user
- *       isn't older than that one.
+ *   <li>A controller never sends an older state than it sent before, whenever it received either request.
+ *   <li>A request that a controller receives after a user received a newer state, from any controller, isn't answered
+ *       with an older one.
  * </ul>
  *
- * A question that was with one controller already when another's newer answer arrived may be answered with the older
- * state: no exchange of messages can rule that out, since the older answer may be on its way. Such answers are counted,
- * with the longest time by which one was late.
+ * A request that a controller had already received when a user received a newer state from another controller may still
+ * be answered with the older one. No protocol can rule this out, since the older response may be in transit. Such
+ * overtaken responses are counted.
  */
 final class AnswerOrderChecker {
-    /** What an answer says of a job; each is newer than the ones before. */
+    /** The state of a job according to a response, from the oldest to the newest. */
     enum State {
         UNKNOWN,
         ACCEPTED,
         TERMINAL
     }
 
-    /** A question about a job as it reached a controller. {@code isSubmission}: it is a submission. */
+    /**
+     * A request about a job as received by a controller.
+     *
+     * @param rejectionMeansUnknown whether status 400, 404 or 422 means that the controller has no such job
+     */
     record JobRequest(
             String controller, String jobId, boolean isSubmission, boolean rejectionMeansUnknown, long receivedAt) {}
 
+    /** A controller and a job that it sends responses about. */
     private record Sender(String controller, String jobId) {}
 
     private final List<String> violations;
     private final Map<String, Map<State, Long>> firstReceivedAt = new HashMap<>();
     private final Map<Sender, State> newestSent = new HashMap<>();
-    /** Hears of a job when a user is told for the first time that it is accepted, or over. */
+    /** Called with the id of a job when a user is first told that the job was accepted, or that it has ended. */
     Consumer<String> stateChangeListener = id -> {};
-    /** Answers that were compared with earlier ones, and those that were overtaken, at most by so many milliseconds. */
+    /** Number of responses that were compared with earlier ones. */
     int comparedCount;
-
+    /** Number of overtaken responses: sent after a user had received a newer state. */
     int overtakenCount;
+    /** The longest time by which an overtaken response was sent after the newer state was received. */
     long longestOvertakenMs;
 
     AnswerOrderChecker(List<String> violations) {
         this.violations = violations;
     }
 
-    /** A request reaches a controller; null if it isn't about a job. */
-    static JobRequest requestAbout(String node, String method, String path, JsonNode body, long now) {
+    /** The request as received by a controller now; null if it isn't about a job. */
+    static JobRequest requestAbout(String controller, String method, String path, JsonNode body, long now) {
         String[] parts = path.split("[/?]");
-        boolean job = parts.length > 1 && parts[1].equals("submissions");
-        if (!job && (parts.length < 2 || !parts[1].equals("graphs") || parts.length > 3)) {
+        boolean isSubmissionPath = parts.length > 1 && parts[1].equals("submissions");
+        if (!isSubmissionPath && (parts.length < 2 || !parts[1].equals("graphs") || parts.length > 3)) {
             return null;
         }
         String id = parts.length > 2
                 ? parts[2]
                 : body == null ? "" : body.path("name_id").asText();
-        boolean estimate = parts.length > 3 && parts[3].equals("estimate");
-        return new JobRequest(node, id, job && parts.length == 2, job && !estimate, now);
+        boolean isEstimate = parts.length > 3 && parts[3].equals("estimate");
+        return new JobRequest(
+                controller, id, isSubmissionPath && parts.length == 2, isSubmissionPath && !isEstimate, now);
     }
 
-    /** The answer leaves its controller. */
-    void responseSent(JobRequest q, Response response, long now) {
-        State state = q == null ? null : state(q, response);
+    /** Records that a controller sends a response now, and compares it with earlier ones. */
+    void responseSent(JobRequest request, Response response, long now) {
+        State state = request == null ? null : state(request, response);
         if (state == null) {
             return;
         }
         comparedCount++;
-        String what = q.jobId + " " + response.status() + " "
-                + response.body().path("status").asText() + " by " + q.controller + " at " + now;
-        Sender key = new Sender(q.controller, q.jobId);
-        if (newestSent.containsKey(key) && newestSent.get(key).compareTo(state) > 0) {
-            violations.add("went_back (same controller) " + what);
+        String description = request.jobId + " " + response.status() + " "
+                + response.body().path("status").asText() + " by " + request.controller + " at " + now;
+        Sender sender = new Sender(request.controller, request.jobId);
+        if (newestSent.containsKey(sender) && newestSent.get(sender).compareTo(state) > 0) {
+            violations.add("went_back (same controller) " + description);
         }
-        newestSent.merge(key, state, (a, b) -> a.compareTo(b) > 0 ? a : b);
-        Map<State, Long> told = firstReceivedAt.getOrDefault(q.jobId, Map.of());
-        if (q.isSubmission
+        newestSent.merge(sender, state, (a, b) -> a.compareTo(b) > 0 ? a : b);
+        Map<State, Long> receivedAtByState = firstReceivedAt.getOrDefault(request.jobId, Map.of());
+        if (request.isSubmission
                 && response.status() == 201
-                && told.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < q.receivedAt) {
-            violations.add("accepted twice " + what);
+                && receivedAtByState.getOrDefault(State.ACCEPTED, Long.MAX_VALUE) < request.receivedAt) {
+            violations.add("accepted twice " + description);
         }
-        long newer = told.entrySet().stream()
-                .filter(e -> e.getKey().compareTo(state) > 0)
+        long newerReceivedAt = receivedAtByState.entrySet().stream()
+                .filter(entry -> entry.getKey().compareTo(state) > 0)
                 .mapToLong(Map.Entry::getValue)
                 .min()
                 .orElse(Long.MAX_VALUE);
-        if (newer < q.receivedAt) {
-            violations.add("went_back (asked later) " + what + " after " + newer);
-        } else if (newer < now) {
+        if (newerReceivedAt < request.receivedAt) {
+            violations.add("went_back (asked later) " + description + " after " + newerReceivedAt);
+        } else if (newerReceivedAt < now) {
             overtakenCount++;
-            longestOvertakenMs = Math.max(longestOvertakenMs, now - newer);
+            longestOvertakenMs = Math.max(longestOvertakenMs, now - newerReceivedAt);
         }
     }
 
-    private static State state(JobRequest q, Response response) {
+    private static State state(JobRequest request, Response response) {
         if (response.status() == 404 || response.status() == 400 || response.status() == 422) {
-            return q.rejectionMeansUnknown ? State.UNKNOWN : null;
+            return request.rejectionMeansUnknown ? State.UNKNOWN : null;
         }
         return response.status() == 200 || response.status() == 201
                 ? state(response.body().path("status").asText())
@@ -116,15 +122,15 @@
         };
     }
 
-    /** A user hears of a job that it is pending, running or over. */
+    /** Records that a user receives a response with the status of a job now. */
     void responseReceived(String id, String status, long now) {
-        Map<State, Long> told = firstReceivedAt.computeIfAbsent(id, k -> new EnumMap<>(State.class));
+        Map<State, Long> receivedAtByState = firstReceivedAt.computeIfAbsent(id, key -> new EnumMap<>(State.class));
         State state = state(status);
-        boolean first = told.putIfAbsent(state, now) == null;
+        boolean isFirst = receivedAtByState.putIfAbsent(state, now) == null;
         if (state == State.TERMINAL) {
-            first |= told.putIfAbsent(State.ACCEPTED, now) == null;
+            isFirst |= receivedAtByState.putIfAbsent(State.ACCEPTED, now) == null;
         }
-        if (first) {
+        if (isFirst) {
             stateChangeListener.accept(id);
         }
     }
--- a/src/test/java/org/hollypick/sim/AnswerProber.java
+++ b/src/test/java/org/hollypick/sim/AnswerProber.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 
 /**
- * Asks all controllers, for estimates too, again and again in the milliseconds after a job was accepted, completed or
- * ended, repeats the submission, and cancels some of the jobs: answers that go back in time come to light.
+ * Queries all controllers about a job repeatedly in the first 100 ms after the job was accepted, completed or ended,
+ * requests estimates, repeats the submission and cancels some of the jobs, in order to provoke responses with a state
+ * older than one that a user received before.
  */
 final class AnswerProber {
-    /** Milliseconds after the change of a job's state at which all controllers are asked. */
+    /** Milliseconds after a job's state changed at which all controllers are queried. */
     private static final List<Integer> PROBES_MS = List.of(0, 1, 2, 4, 8, 12, 16, 24, 32, 48, 64, 100);
-    /** Estimates are asked for at multiples of this. */
+    /** Estimates are requested by the probes at multiples of this. */
     private static final int ESTIMATE_INTERVAL_MS = 32;
 
     private static final int RESUBMIT_WITHIN_MS = 16;
@@ -29,7 +30,7 @@
         this.checker = scenario.checker;
     }
 
-    /** Probes each change of a job's state from now on. */
+    /** Starts to probe the controllers after each change of a job's state. */
     void start() {
         checker.answerOrder.stateChangeListener = this::probe;
         probeOnCompletion();
--- a/src/test/java/org/hollypick/sim/InvariantChecker.java
+++ b/src/test/java/org/hollypick/sim/InvariantChecker.java
@@ -10,41 +10,41 @@
 import org.hollypick.io.Response;
 
 /**
- * Checks the invariants of the cluster against what users are answered; {@link TaskChecker} checks what the tasks do.
- * The fakes report to it what really happens.
+ * Checks the invariants of the cluster that concern the responses to users; {@link TaskChecker} checks those that
+ * concern tasks. The simulated users and machines report the actual events to the checkers.
  */
 final class InvariantChecker {
-    /** A job that isn't answered about for so long, while there are no faults, is lost. */
+    /** A job whose queries get no answer for this long without faults counts as lost. */
     private static final long MAX_UNANSWERED_MS = 75_000;
 
     private static final String DONE = "done";
     private static final String ABORTED = "aborted";
 
-    /** Each begins with the name of the invariant. */
+    /** The violations found, each beginning with the name of the invariant. */
     final List<String> violations = new ArrayList<>();
 
     final AnswerOrderChecker answerOrder = new AnswerOrderChecker(violations);
     final TaskChecker tasks;
-    /** Descriptions of all jobs and graphs by id. */
+    /** Descriptions of all submitted jobs and graphs, by id. */
     final Map<String, JsonNode> submitted = new HashMap<>();
 
     private final long cancellationMs;
     private final Map<String, Long> acceptedAt = new HashMap<>();
     private final Map<String, Long> lastAnsweredAt = new HashMap<>();
-    /** Jobs that a user asked to cancel. */
+    /** Jobs whose cancellation a user requested. */
     private final Set<String> cancellationRequests = new HashSet<>();
-    /** Those, and all that depend on them. */
+    /** Jobs whose cancellation a user requested, and all jobs that depend on them. */
     private final Set<String> mayBeCancelled = new HashSet<>();
-    /** When a user was first told that the job is cancelled. */
+    /** When a user was first told that the job is cancelled, by job. */
     private final Map<String, Long> cancelledAt = new HashMap<>();
-    /** When a user was first told that a dependency of the job is cancelled. */
+    /** When a user was first told that a direct or indirect dependency of the job is cancelled, by job. */
     private final Map<String, Long> dependencyCancelledAt = new HashMap<>();
 
     private final Map<String, String> terminalStatus = new HashMap<>();
     private final Map<String, Long> terminalAt = new HashMap<>();
 
     private long faultsEndedAt = Long.MAX_VALUE;
-    /** Milliseconds from the end of the faults to the first answer, by job. */
+    /** Milliseconds from the end of the faults to the first successful response, by job. */
     final Map<String, Long> firstAnswerMs = new HashMap<>();
 
     InvariantChecker(long cancellationMs) {
@@ -52,28 +52,28 @@
         this.tasks = new TaskChecker(this, cancellationMs);
     }
 
-    /** Reports a violation that lasts, once. */
+    /** Records a violation unless it was recorded before: for conditions that are checked repeatedly. */
     void reportOnce(String violation) {
         if (!violations.contains(violation)) {
             violations.add(violation);
         }
     }
 
-    /** From now on there are no faults. */
+    /** Records that no faults are injected from now on. */
     void faultsEnded(long now) {
         faultsEndedAt = now;
     }
 
-    /** When the faults ended; {@link Long#MAX_VALUE} before. */
+    /** The time at which the faults ended; {@link Long#MAX_VALUE} until then. */
     long faultsEndedAt() {
         return faultsEndedAt;
     }
 
-    /** A user submits a job now: one that depends on a cancelled job must be cancelled too. */
+    /** Records that a user submits a job now. If it depends on a cancelled job, it must be cancelled too. */
     void jobSubmitted(String id, JsonNode description, long now) {
         submitted.put(id, description);
-        for (JsonNode awaited : description.path(UserProtocol.DEPENDENCIES)) {
-            String dependency = awaited.asText();
+        for (JsonNode dependencyId : description.path(UserProtocol.DEPENDENCIES)) {
+            String dependency = dependencyId.asText();
             if (mayBeCancelled.contains(dependency)) {
                 mayBeCancelled.add(id);
             }
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A user asks to cancel a job. */
+    /** Records that a user requests the cancellation of a job. */
     void cancellationRequested(String id) {
         cancellationRequests.add(id);
         mayBeCancelled.add(id);
@@ -95,9 +95,9 @@
     }
 
     /**
-     * A user gets an answer about a job.
+     * Records that a user receives the status of a job, and checks the status.
      *
-     * @param sentAt when the request was sent: requests that overlap may be answered in either order
+     * @param sentAt when the request was sent: the responses to overlapping requests may arrive in either order
      */
     void jobAnswered(String id, String status, long sentAt, long now) {
         if (!submitted.containsKey(id)) {
@@ -127,9 +127,9 @@
     }
 
     private void checkStatusChange(String id, String status, long sentAt, long now) {
-        String before = terminalStatus.get(id);
-        if (before != null && !before.equals(status) && sentAt > terminalAt.get(id)) {
-            violations.add("went_back " + id + " from " + before + " to " + status);
+        String earlier = terminalStatus.get(id);
+        if (earlier != null && !earlier.equals(status) && sentAt > terminalAt.get(id)) {
+            violations.add("went_back " + id + " from " + earlier + " to " + status);
         }
         if (dependencyCancelledAt.containsKey(id)
                 && now > dependencyCancelledAt.get(id) + cancellationMs
@@ -155,7 +155,7 @@
         }
     }
 
-    /** All submitted jobs that depend on this one, directly or not. */
+    /** All submitted jobs that depend on the given one, directly or indirectly. */
     private Set<String> dependentsOf(String id) {
         Set<String> dependents = new HashSet<>();
         List<String> pending = new ArrayList<>(List.of(id));
@@ -172,29 +172,32 @@
         return dependents;
     }
 
-    /** A user's request about a job is rejected, which may not happen once it was accepted. */
+    /** Records that a user's request about a job failed: once accepted, a job must not be rejected or unknown. */
     void requestRejected(String id, int status, long sentAt) {
         if (isAccepted(id) && sentAt > acceptedAt.get(id) && (status == 404 || status == 400 || status == 422)) {
             violations.add("forgotten " + id + " answered " + status);
         }
     }
 
-    /** A submission is answered that must be rejected since it depends on a job that never was. */
+    /**
+     * Checks that a submission with an impossible dependency was rejected with 422, like {@link #checkRejected(String,
+     * int, int)}.
+     */
     void checkRejected(String id, int status) {
         checkRejected(id, 422, status);
     }
 
     /**
-     * A submission is answered that lacks a field or can't run: it must be rejected with the expected status, by every
-     * controller, each time.
+     * Checks the status of the response to an invalid submission: every controller must reject it with the expected
+     * status each time, unless the request fails or the controller is unavailable.
      */
     void checkRejected(String id, int expectedStatus, int status) {
         if (status != expectedStatus
                 && status != 503
                 && status != Response.Failure.NO_RESPONSE.code()
                 && status != Response.Failure.NOT_SENT.code()) {
-            String what = status == 200 || status == 201 ? "accepted " : "refused otherwise ";
-            violations.add(what + id + ", due " + expectedStatus + ", answered " + status);
+            String problem = status == 200 || status == 201 ? "accepted " : "refused otherwise ";
+            violations.add(problem + id + ", due " + expectedStatus + ", answered " + status);
         }
     }
 
@@ -207,7 +210,7 @@
         return terminalStatus.containsKey(id);
     }
 
-    /** Whether a user was told first that the job was cancelled. */
+    /** Whether the first terminal status of the job that a user received is "aborted". */
     boolean isAborted(String id) {
         return ABORTED.equals(terminalStatus.get(id));
     }
@@ -217,17 +220,17 @@
         return acceptedAt.containsKey(id);
     }
 
-    /** When a user was first told that the job is cancelled; null: never. */
+    /** The time at which a user was first told that the job is cancelled; null if no user was. */
     Long cancelledAt(String id) {
         return cancelledAt.get(id);
     }
 
-    /** Jobs whose users were told that they are cancelled. */
+    /** Number of jobs that a user was told are cancelled. */
     int cancelledCount() {
         return cancelledAt.size();
     }
 
-    /** Checked regularly: what may not stay as it is. */
+    /** Checks the conditions that must not last; called periodically. */
     void check(long now) {
         lastAnsweredAt.forEach((id, answeredAt) -> {
             if (!isCancellationRequested(id)
--- a/src/test/java/org/hollypick/sim/LeadershipChecker.java
+++ b/src/test/java/org/hollypick/sim/LeadershipChecker.java
@@ -3,11 +3,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.hollypick.io.Request;
 
-/** Checks that only the leader which the store names commands agents, changes machines and answers heartbeats. */
+/**
+ * Checks that only the leader named in the store's leader record sends commands to agents and changes machines, and
+ * that tasks are launched in responses to heartbeats only under its fencing token.
+ */
 final class LeadershipChecker {
+    /** Key of the leader record. */
     static final String LEADER_KEY = "h/roster";
+    /** Field of the leader record: the leader's name. */
     private static final String LEADER_NAME = "leader";
-    /** Revision of the leader's membership. */
+    /** Field of the leader record: the revision of the leader's membership. */
     private static final String LEADER_MEMBERSHIP = "member";
 
     private final SimulatedWorld world;
@@ -28,12 +33,12 @@
         return store.valueOf(LEADER_KEY).path(LEADER_NAME).asText();
     }
 
-    /** The revision at which the present leader record was written. */
+    /** The revision at which the current leader record was written. */
     long fencingToken() {
         return store.revisionOf(LEADER_KEY);
     }
 
-    /** A controller sends a request: at this moment it must be the leader if the request commands anything. */
+    /** Checks a request that a controller sends now: commands and changes of machines may come from the leader only. */
     void requestSent(String controller, Request request) {
         boolean isCommand = request.path().equals(AgentProtocol.COMMANDS)
                 || (request.path().startsWith(CloudProtocol.MACHINES)
@@ -44,15 +49,15 @@
     }
 
     /**
-     * A controller answers a heartbeat with a launch under a fencing token. Any controller may relay what the leader
-     * answers, but only while that one is the leader.
+     * Checks a response to a heartbeat that launches a task under a fencing token. Any controller may relay the
+     * leader's response, but only while the store still names the token's leader with the same membership.
      */
     void launchSent(String controller, long fencingToken) {
-        JsonNode then = store.valueWrittenAt(LEADER_KEY, fencingToken);
-        JsonNode now = store.valueOf(LEADER_KEY);
-        if (then == null
-                || !then.path(LEADER_NAME).equals(now.path(LEADER_NAME))
-                || !then.path(LEADER_MEMBERSHIP).equals(now.path(LEADER_MEMBERSHIP))) {
+        JsonNode recordOfToken = store.valueWrittenAt(LEADER_KEY, fencingToken);
+        JsonNode currentRecord = store.valueOf(LEADER_KEY);
+        if (recordOfToken == null
+                || !recordOfToken.path(LEADER_NAME).equals(currentRecord.path(LEADER_NAME))
+                || !recordOfToken.path(LEADER_MEMBERSHIP).equals(currentRecord.path(LEADER_MEMBERSHIP))) {
             checker.violations.add("answered_without_right " + controller + " at " + world.now);
         }
     }
--- a/src/test/java/org/hollypick/sim/StarvationChecker.java
+++ b/src/test/java/org/hollypick/sim/StarvationChecker.java
@@ -7,23 +7,25 @@
 import java.util.Set;
 
 /**
- * Checks that, once all faults are over, no job is left pending for 90 s while a machine that fits has room and its
- * team is within its quota. It looks at the tasks that the machines really hold, not at what any controller knows.
+ * Checks that after the faults have ended no job stays pending for 90 s while a suitable machine has enough free
+ * capacity and its team's quota allows another task. Capacity is computed from the tasks that are actually on the
+ * machines, not from the state of any controller.
  */
 final class StarvationChecker {
-    /** Milliseconds for which a job may stay pending beside room: the operators' bound. */
+    /** Milliseconds for which a job may stay pending although a task of it could be placed; set by the operators. */
     static final long STARVATION_MS = 90_000;
-    /** Amounts are sums of decimal numbers. */
+    /** Allows for rounding errors in sums of decimal amounts. */
     private static final double TOLERANCE = 1e-6;
 
     /**
-     * A job that is pending beside room.
+     * A job that is pending although a task of it could be placed.
      *
-     * @param progress how many of its tasks had started or completed by then
+     * @param since the time of the check that found the job in this state first, or first after its last progress
+     * @param progress {@link TaskChecker#progressOf} at that time
      */
     private record Pending(long since, int progress) {}
 
-    /** What the tasks on a machine take. */
+    /** The resources that the tasks on a machine use. */
     private record Usage(double cores, double memoryGb) {
         Usage plus(JsonNode spec) {
             return new Usage(
@@ -39,9 +41,9 @@
     private final InvariantChecker checker;
     private final FakeCloud cloud;
     private final Map<String, Pending> pending = new HashMap<>();
-    /** As of the last check. */
+    /** The resources in use on each machine, as of the last check. */
     private final Map<FakeAgent, Usage> usageByAgent = new HashMap<>();
-    /** How many tasks of each job are in each zone, as of the last check. */
+    /** Number of tasks by job and zone, as of the last check. */
     private final Map<String, Map<String, Integer>> tasksByZone = new HashMap<>();
 
     StarvationChecker(InvariantChecker checker, FakeCloud cloud) {
@@ -49,7 +51,7 @@
         this.cloud = cloud;
     }
 
-    /** Checked regularly. */
+    /** Checks all submitted jobs; called periodically. */
     void check(long now) {
         if (now < checker.faultsEndedAt()) {
             return;
@@ -61,11 +63,11 @@
                 pending.remove(id);
                 return;
             }
-            Pending before = pending.get(id);
-            if (before == null || before.progress != progress) {
+            Pending earlier = pending.get(id);
+            if (earlier == null || earlier.progress != progress) {
                 pending.put(id, new Pending(now, progress));
-            } else if (now - before.since > STARVATION_MS) {
-                checker.reportOnce("neglected " + id + " since " + before.since);
+            } else if (now - earlier.since > STARVATION_MS) {
+                checker.reportOnce("neglected " + id + " since " + earlier.since);
             }
         });
     }
@@ -86,8 +88,8 @@
     }
 
     /**
-     * Whether the job is accepted, not cancelled, and some task of it is neither completed nor on a machine. Jobs with
-     * dependencies and graphs have checks of their own.
+     * Whether the job was accepted, its cancellation wasn't requested, and some task of it is neither completed nor on
+     * a machine. Graphs and jobs with dependencies aren't checked here: their tasks may have to wait for others.
      */
     private boolean isPending(String id, JsonNode job) {
         int placed = tasksByZone.getOrDefault(id, Map.of()).values().stream()
@@ -101,6 +103,7 @@
                         < job.path(UserProtocol.TASK_COUNT).asInt();
     }
 
+    /** Whether a further task of the job could be placed on the agent. */
     private boolean canTake(FakeAgent agent, String id, JsonNode job) {
         double cores = job.path(UserProtocol.CORES).asDouble();
         return agent.isHealthy()
--- a/src/test/java/org/hollypick/sim/TaskChecker.java
+++ b/src/test/java/org/hollypick/sim/TaskChecker.java
@@ -10,42 +10,45 @@
 import java.util.function.Consumer;
 
 /**
- * Checks what the tasks on the machines really do: none runs twice, before its dependencies, in a wrong place, beyond
- * its team's quota, or for long after its job was cancelled.
+ * Checks the tasks that actually run on the machines: no task runs on two machines at once, before its dependencies
+ * have completed, on a machine that its job's constraints (spot, zone, spread, gang) exclude, beyond its team's quota,
+ * or longer than allowed after its job was cancelled.
  */
 final class TaskChecker {
-    /** Amounts are sums of decimal numbers. */
+    /** Allows for rounding errors in sums of decimal amounts. */
     private static final double TOLERANCE = 1e-6;
 
-    /** What a graph's task does. */
+    /** The behaviour of the tasks of graphs. */
     interface GraphProgram {
-        /** The task runs; {@code finish} ends it, unless it was lost or stopped meanwhile. */
+        /** Runs a task that has started; {@code finish} completes the attempt unless it was lost or stopped before. */
         void run(String task, long attempt, Runnable finish);
     }
 
     private final InvariantChecker checker;
     private final long cancellationMs;
+    /** The agents on which each task runs now. */
     private final Map<String, Set<FakeAgent>> agentsByTask = new HashMap<>();
+
     private final Map<String, Set<Integer>> completedByJob = new HashMap<>();
     private final Set<String> startedJobs = new HashSet<>();
     private final Map<String, Integer> startsByJob = new HashMap<>();
-    /** Descriptions of graphs' nodes by task. */
+    /** Descriptions of the nodes of graphs, by task. */
     final Map<String, JsonNode> graphNodes = new HashMap<>();
-    /** What the tasks of graphs do while they run. */
+    /** Run by the tasks of graphs. */
     GraphProgram graphProgram;
-    /** Cores that each team's tasks may take together. */
+    /** Number of cores that the tasks of a team may use at once, by team. */
     final Map<String, Double> quotaCoresByTeam = new HashMap<>();
-    /** Called with each task in the moment when it completes. */
+    /** Called with each task as soon as it completes. */
     Consumer<String> completionListener = task -> {};
 
     int starts;
     final Map<String, Integer> startsByTask = new HashMap<>();
     int completedCount;
-    /** Tasks that ended with their agent's lease. */
+    /** Number of running tasks that were lost because their agent's lease expired. */
     int lostOnLeaseExpiry;
-    /** Tasks that started after a user was told that their job is cancelled, however soon after. */
+    /** Tasks that started at any time after a user was told that their job is cancelled. */
     final List<String> startsAfterCancellation = new ArrayList<>();
-    /** Tasks of cancelled jobs that went on, for a moment or longer, when their machine no longer hung. */
+    /** Number of times that a task of a cancelled job resumed when its machine stopped hanging. */
     int resumedAfterCancellation;
 
     TaskChecker(InvariantChecker checker, long cancellationMs) {
@@ -61,6 +64,7 @@
         return Integer.parseInt(task.substring(task.indexOf('/') + 1));
     }
 
+    /** Records that a task starts on an agent, and checks whether it may. */
     void started(String task, FakeAgent agent, long now) {
         String job = jobOf(task);
         starts++;
@@ -116,7 +120,7 @@
         return isRightKind && isRightZone;
     }
 
-    /** Whether a job is spread over the zones, or together in one, as it asks for. */
+    /** Whether the job's tasks are spread over the zones, or all in one zone, if the job requires that. */
     private boolean isWellDistributed(JsonNode spec, String job, String zone) {
         int inZone = 0;
         int elsewhere = 0;
@@ -134,7 +138,7 @@
         return isSpread && isTogether;
     }
 
-    /** The task no longer runs on that machine. */
+    /** Records that a task no longer runs on an agent. */
     void stopped(String task, FakeAgent agent) {
         Set<FakeAgent> agents = agentsByTask.get(task);
         if (agents != null) {
@@ -142,13 +146,14 @@
         }
     }
 
+    /** Records that a task completed successfully. */
     void completed(String task) {
         completedCount++;
         completedByJob.computeIfAbsent(jobOf(task), job -> new HashSet<>()).add(indexOf(task));
         completionListener.accept(task);
     }
 
-    /** Its machine no longer hangs, within its lease, and the task goes on. */
+    /** Records that a task resumes since its machine stopped hanging before the lease expired. */
     void resumed(String task, long now) {
         Long cancelledAt = checker.cancelledAt(jobOf(task));
         if (cancelledAt != null) {
@@ -159,7 +164,7 @@
         }
     }
 
-    /** Checked regularly: no task of a cancelled job still runs. */
+    /** Checks that no task of a cancelled job still runs; called periodically. */
     void check(long now) {
         agentsByTask.forEach((task, agents) -> {
             Long cancelledAt = checker.cancelledAt(jobOf(task));
@@ -169,14 +174,14 @@
         });
     }
 
-    /** Tasks that run somewhere. */
+    /** Number of tasks that run on at least one machine. */
     int runningCount() {
         return (int) agentsByTask.values().stream()
                 .filter(agents -> !agents.isEmpty())
                 .count();
     }
 
-    /** The description of the task's job, or of its node in a graph; null if nobody submitted it. */
+    /** The description of the task's job, or of its node in a graph; null if neither is known. */
     JsonNode specOf(String task) {
         JsonNode node = graphNodes.get(task);
         if (node != null) {
@@ -186,7 +191,7 @@
         return job == null || job.has(UserProtocol.GRAPH_NODES) ? null : job;
     }
 
-    /** Cores that a team's tasks take together now, whether their jobs have ended or not. */
+    /** Number of cores that a team's running tasks use, including tasks of jobs that have ended. */
     double coresOf(String team) {
         double cores = 0;
         for (Map.Entry<String, Set<FakeAgent>> entry : agentsByTask.entrySet()) {
@@ -198,9 +203,9 @@
         return cores;
     }
 
-    /** Whether that many cores more keep the team's quota. */
-    boolean isWithinQuota(String team, double cores) {
-        return coresOf(team) + cores <= quotaCoresByTeam.getOrDefault(team, 0.0) + TOLERANCE;
+    /** Whether the team stays within its quota if it uses the given number of cores in addition. */
+    boolean isWithinQuota(String team, double extraCores) {
+        return coresOf(team) + extraCores <= quotaCoresByTeam.getOrDefault(team, 0.0) + TOLERANCE;
     }
 
     private String teamOf(String task) {
@@ -211,7 +216,7 @@
         return startedJobs.contains(job);
     }
 
-    /** All tasks of the job have completed, whether any controller knows it or not; true of every graph. */
+    /** Whether all tasks of the job have completed, even if no controller has recorded it; always true of a graph. */
     boolean isComplete(String job) {
         JsonNode description = checker.submitted.get(job);
         return description.has(UserProtocol.GRAPH_NODES)
@@ -222,12 +227,12 @@
         return completedByJob.getOrDefault(jobOf(task), Set.of()).contains(indexOf(task));
     }
 
-    /** How many tasks of the job have completed. */
+    /** Number of tasks of the job that have completed. */
     int completedOf(String job) {
         return completedByJob.getOrDefault(job, Set.of()).size();
     }
 
-    /** Grows with each start and each completion of a task of the job. */
+    /** A number that increases with each start and each completion of a task of the job. */
     int progressOf(String job) {
         return startsByJob.getOrDefault(job, 0) + completedOf(job);
     }
