--- a/src/test/java/org/hollypick/sim/FaultInjector.java
+++ b/src/test/java/org/hollypick/sim/FaultInjector.java
@@ -8,11 +8,11 @@
 import java.util.function.Predicate;
 import org.hollypick.io.Request;
 
-/** Faults of processes, and combinations of these with failovers, cancellations and outages of the store. */
+/** Injects process faults, and combinations of faults with failovers, cancellations and outages of the store. */
 final class FaultInjector {
     /**
-     * Milliseconds within which a fault strikes after the request that it is aimed at was sent: a request, its
-     * execution and its answer take up to 11.
+     * Milliseconds after the sending of the targeted request within which a fault occurs. A request, its execution and
+     * its response take up to 11 ms.
      */
     private static final int MAX_FAULT_DELAY_MS = 15;
 
@@ -28,49 +28,53 @@
         this.controllers = scenario.controllers;
     }
 
-    /** A controller's process ends; another one starts after a while. */
+    /** Ends a controller's process; a new one starts after the downtime. */
     void crash(int controller, long downtimeMs) {
         controllers.get(controller).crash(downtimeMs);
     }
 
-    /** All controllers' processes end; each comes back after a time of its own. */
+    /** Ends all controllers' processes; each is restarted after its own random downtime. */
     void crashAll() {
         controllers.forEach(controller -> controller.crash(drawDowntimeMs(4_000)));
     }
 
-    /** A controller's process stands still while its clocks run on. */
+    /** Pauses a controller's process while its clocks run on. */
     void freeze(int controller, long ms) {
         controllers.get(controller).process.freeze(ms);
     }
 
-    /** The leader stands still between the decision for its next request of that kind and sending it. */
-    void freezeLeaderBeforeSending(Predicate<Request> which, long ms) {
-        freezeBeforeSending(scenario.leaderIndex(), which, ms);
+    /** Pauses the leader between its decision to send the next matching request and the sending. */
+    void freezeLeaderBeforeSending(Predicate<Request> matching, long ms) {
+        freezeBeforeSending(scenario.leaderIndex(), matching, ms);
     }
 
-    void freezeBeforeSending(int controller, Predicate<Request> which, long ms) {
-        controllers.get(controller).process.freezeBeforeSending(which, ms);
+    /** Pauses a controller between its decision to send the next matching request and the sending. */
+    void freezeBeforeSending(int controller, Predicate<Request> matching, long ms) {
+        controllers.get(controller).process.freezeBeforeSending(matching, ms);
     }
 
-    /** How long a process is away: a fraction of a second as often as up to twice {@code slowMs}. */
+    /** Draws a downtime: with equal chance 50 to 1,000 ms, or {@code slowMs} to twice that. */
     long drawDowntimeMs(int slowMs) {
         return world.random.nextBoolean() ? 50 + world.random.nextInt(950) : slowMs + world.random.nextInt(slowMs);
     }
 
-    /** The next request of that kind brings the fault about: before it arrives, while it is executed or answered. */
-    void injectAtNextRequest(Predicate<Request> which, Runnable fault) {
-        AtomicBoolean hasStruck = new AtomicBoolean();
+    /**
+     * Injects a fault shortly after the next matching request was sent: before the request arrives, during its
+     * execution, or while the response is in transit.
+     */
+    void injectAtNextRequest(Predicate<Request> matching, Runnable fault) {
+        AtomicBoolean isInjected = new AtomicBoolean();
         world.requestObserver = world.requestObserver.andThen((from, request) -> {
-            if (!hasStruck.get() && which.test(request)) {
-                hasStruck.set(true);
+            if (!isInjected.get() && matching.test(request)) {
+                isInjected.set(true);
                 world.schedule(world.random.nextInt(MAX_FAULT_DELAY_MS), fault);
             }
         });
     }
 
     /**
-     * All controllers are away for longer than a lease and come back at different moments; the first of them ends once
-     * more and is back within a fifth of a second.
+     * Ends all controllers' processes for longer than a lease. They restart at different times; the first one restarted
+     * crashes again soon, for less than 200 ms.
      */
     void crashAllBeyondLease() {
         int first = world.random.nextInt(controllers.size());
@@ -84,7 +88,7 @@
                 () -> crash(first, 1 + world.random.nextInt(199)));
     }
 
-    /** The leader ends that many times, each time to be back at once or after the next failover. */
+    /** Crashes the leader repeatedly; each time it restarts after 200 ms, or 1 s before the next crash. */
     void failOverRepeatedly(int times, long intervalMs) {
         for (int i = 0; i < times; i++) {
             world.schedule(
@@ -94,8 +98,9 @@
     }
 
     /**
-     * Users cancel half of the unfinished jobs within a fifth of a second, and a third of the machines hang that long;
-     * 0: none does.
+     * Cancels about half of the unfinished jobs within 200 ms, while about a third of the machines hang.
+     *
+     * @param hangMs how long the machines hang; 0: no machine hangs
      */
     void cancelHalfOfJobs(long hangMs) {
         scenario.checker.submitted.keySet().stream()
@@ -108,13 +113,17 @@
         }
     }
 
+    /** Lets each machine hang with a chance of a third. */
     void hangThirdOfMachines(long ms) {
         scenario.cloud.agents().stream()
                 .filter(agent -> world.random.nextInt(3) == 0)
                 .forEach(agent -> agent.hang(ms));
     }
 
-    /** Users cancel at the moment when the store refuses the leader alone; a second later it is out for all. */
+    /**
+     * Lets the store refuse the leader's requests for 1.5 s, cancels jobs meanwhile, and after 1 s starts an outage of
+     * the store for everyone.
+     */
     void refuseLeaderThenStartOutage(long outageMs) {
         String leader = scenario.leadership.hasLeader() ? scenario.leaderName() : SimulatedController.name(0);
         world.refuseRequests(leader, ClusterScenario.STORE_ADDRESS, STORE_REFUSAL_MS);
@@ -122,7 +131,7 @@
         world.schedule(1_000, () -> scenario.store.startOutage(outageMs));
     }
 
-    /** The names of two thirds of the machines, drawn. */
+    /** Draws the names of about two thirds of the machines. */
     Collection<String> drawMachineNames() {
         Set<String> names = new HashSet<>(scenario.cloud.machineNames());
         names.removeIf(name -> world.random.nextInt(3) == 0);
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -17,29 +17,50 @@
 import org.hollypick.io.Response;
 
 /**
- * A client with a graph, and what its tasks do: each node's part is drawn from its name, so that an attempt that runs
- * again does the same. It checks what it is told: no node starts before all that it awaits is done, none that was told
- * to be cancelled starts, none is run under two names, and none that was accepted gets lost.
+ * Simulates a user who submits a graph, and the behaviour of the graph's tasks. The behaviour of each node is drawn
+ * from its name, which makes repeated attempts of a node behave alike. Checks that no node starts before all its
+ * dependencies have completed, that no node starts for long after a user was told that it is cancelled, that no node is
+ * assigned two tasks, and that no accepted node is missing when the graph is done.
  */
 final class GraphUser {
+    /** Milliseconds after a cancellation within which a node may still start: a lease of 15 s and 20 s of grace. */
+    private static final long CANCELLATION_MS = 35_000;
+
+    private static final int MAX_RETRIES = 120;
+    /** Users of graphs by graph. */
+    private static final Map<String, GraphUser> USERS = new HashMap<>();
+
     private final ClusterScenario scenario;
     final String id;
     private final int depth;
     private final int width;
-    /** By node: its task as the service named it, and what it awaits. */
-    private final Map<String, String> taskOf = new HashMap<>();
+    /** The task that the controllers assigned to each accepted node. */
+    private final Map<String, String> taskByNode = new HashMap<>();
+    /** The node of each task: the inverse of {@link #taskByNode}. */
+    private final Map<String, String> nodeByTask = new HashMap<>();
+    /** The dependencies of each node, by node. */
+    private final Map<String, List<String>> dependenciesByNode = new LinkedHashMap<>();
+    /** The node to which a node delegated its result, by delegating node. */
+    private final Map<String, String> continuationOf = new HashMap<>();
+    /** Nodes that a controller accepted. */
+    private final Set<String> acceptedNodes = new HashSet<>();
+    /** When a user was told that the node, or a direct dependency of it, is cancelled, by node. */
+    private final Map<String, Long> nodeCancelledAt = new HashMap<>();
 
-    private final Map<String, String> nodeOf = new HashMap<>();
-    private final Map<String, List<String>> awaits = new LinkedHashMap<>();
-    private final Map<String, String> then = new HashMap<>();
-    private final Set<String> accepted = new HashSet<>();
-    private final Map<String, Long> cancelledAt = new HashMap<>();
-    private boolean sent;
-    private Long withdrawnAt;
+    private boolean isSubmitted;
+    /** When the user was told that the graph is cancelled; null until then. */
+    private Long graphCancelledAt;
+    /** The status of the graph in the last response to a query; empty until then. */
     String lastStatus = "";
+    /** Number of requests with nodes that were rejected with 409. */
     int rejectedChildren;
 
-    /** {@code depth}: how often nodes may add children below one another; {@code width}: how many each adds at most. */
+    /**
+     * Creates a user who submits one graph.
+     *
+     * @param depth number of levels of children that may be added below the first nodes
+     * @param width maximum number of children that a node adds
+     */
     GraphUser(ClusterScenario scenario, String id, int depth, int width) {
         this.scenario = scenario;
         this.id = id;
@@ -47,190 +68,198 @@
         this.width = width;
     }
 
+    /** The random generator of a node; the same at each attempt. */
     private Random randomFor(String node) {
         return new Random(node.hashCode() * 31L + id.hashCode());
     }
 
-    private ObjectNode node(String name, List<String> needs) {
-        awaits.put(name, needs);
-        Random r = randomFor(name);
-        ObjectNode n =
-                Codec.object().put("id", name).put("cores", 1.0 + r.nextInt(2)).put("expect_s", 2.0 + r.nextInt(4));
-        ArrayNode list = n.putArray("awaits");
-        needs.forEach(list::add);
-        return n;
+    /** Draws the description of a node and records its dependencies. */
+    private ObjectNode describeNode(String name, List<String> dependencies) {
+        dependenciesByNode.put(name, dependencies);
+        Random random = randomFor(name);
+        ObjectNode description = Codec.object()
+                .put("id", name)
+                .put("cores", 1.0 + random.nextInt(2))
+                .put("expect_s", 2.0 + random.nextInt(4));
+        ArrayNode dependencyList = description.putArray("awaits");
+        dependencies.forEach(dependencyList::add);
+        return description;
     }
 
-    private ObjectNode call(List<ObjectNode> nodes) {
-        ObjectNode b = Codec.object()
+    /** A request that adds nodes to the graph. */
+    private ObjectNode graphRequest(List<ObjectNode> nodes) {
+        ObjectNode body = Codec.object()
                 .put("name_id", id)
                 .put("jobkind", "graph")
                 .put("owner", "team")
                 .put("rank", "standard");
-        b.putObject("task")
+        body.putObject("task")
                 .put("cores", 1.0)
                 .put("ram_gb", 2.0)
                 .put("bundle", "img-0")
                 .put("pull_gb", 1.0)
                 .put("lendable", true);
-        b.putArray("nodes").addAll(nodes);
-        return b;
+        body.putArray("nodes").addAll(nodes);
+        return body;
     }
 
+    /** Submits the graph with one to four nodes and starts to poll its status. */
     void start() {
-        List<ObjectNode> first = new ArrayList<>();
+        List<ObjectNode> firstNodes = new ArrayList<>();
         List<String> names = new ArrayList<>();
-        Random r = randomFor("");
-        for (int i = 0; i < 1 + r.nextInt(4); i++) {
-            List<String> needs = names.stream().filter(n -> r.nextInt(3) == 0).toList();
+        Random random = randomFor("");
+        for (int i = 0; i < 1 + random.nextInt(4); i++) {
+            List<String> dependencies =
+                    names.stream().filter(other -> random.nextInt(3) == 0).toList();
             names.add("n" + i);
-            first.add(node("n" + i, needs));
+            firstNodes.add(describeNode("n" + i, dependencies));
         }
-        ObjectNode b = call(first);
-        scenario.checker.jobSubmitted(id, b, scenario.world.now);
-        scenario.checker.tasks.graphProgram = this::running;
+        ObjectNode body = graphRequest(firstNodes);
+        scenario.checker.jobSubmitted(id, body, scenario.world.now);
+        scenario.checker.tasks.graphProgram = this::runTask;
         USERS.put(id, this);
-        post("/graphs", b, 0, r2 -> {
-            learn(b, r2);
-            sent = true;
+        post("/graphs", body, 0, response -> {
+            recordTasks(body, response);
+            isSubmitted = true;
             poll();
         });
     }
 
-    private static final Map<String, GraphUser> USERS = new HashMap<>();
-
-    /** Tasks of several graphs run on one day. */
-    private void running(String task, long attempt, Runnable finish) {
+    /** Runs a task as the user of its graph does: a scenario may have several graphs. */
+    private void runTask(String task, long attempt, Runnable finish) {
         USERS.get(task.substring(0, task.indexOf('/'))).run(task, attempt, finish);
     }
 
-    /** Repeats a call until it is answered for certain. */
-    private void post(String path, ObjectNode body, int tries, Consumer<Response> then) {
-        if (tries > 120) {
+    /** Sends a request, with retries until it succeeds or is rejected; gives up after 121 attempts. */
+    private void post(String path, ObjectNode body, int failedAttempts, Consumer<Response> callback) {
+        if (failedAttempts > MAX_RETRIES) {
             return;
         }
         scenario.world.send(
                 "user",
                 new Request("p" + scenario.world.random.nextInt(3) + ":1", "POST", path, body, 5_000, false),
-                r -> {
-                    if (r.status() == 200
-                            || r.status() == 201
-                            || r.status() == 409
-                            || r.status() == 422
-                            || r.status() == 400
-                            || r.status() == 404) {
-                        then.accept(r);
+                response -> {
+                    if (response.status() == 200
+                            || response.status() == 201
+                            || response.status() == 409
+                            || response.status() == 422
+                            || response.status() == 400
+                            || response.status() == 404) {
+                        callback.accept(response);
                     } else {
-                        scenario.world.schedule(1_000, () -> post(path, body, tries + 1, then));
+                        scenario.world.schedule(1_000, () -> post(path, body, failedAttempts + 1, callback));
                     }
                 });
     }
 
     /**
-     * Takes in which task each node is, as a user's upload of descriptions does; a node that got two names would run
-     * twice.
+     * Records the tasks that a response assigns to the nodes of its request, and their descriptions. A node that is
+     * assigned two tasks would run twice.
      */
-    private void learn(ObjectNode call, Response r) {
-        if (!r.body().path("tasks").isObject()) {
-            if (r.status() != 409) {
-                scenario.checker.violations.add("graph refused " + id + ": " + r.status() + " " + r.body());
+    private void recordTasks(ObjectNode request, Response response) {
+        if (!response.body().path("tasks").isObject()) {
+            if (response.status() != 409) {
+                scenario.checker.violations.add(
+                        "graph refused " + id + ": " + response.status() + " " + response.body());
             }
-            rejectedChildren += r.status() == 409 ? 1 : 0;
+            rejectedChildren += response.status() == 409 ? 1 : 0;
             return;
         }
-        for (JsonNode n : call.path("nodes")) {
-            String name = n.path("id").asText();
-            String task = r.body().path("tasks").path(name).asText();
-            String before = taskOf.put(name, task);
-            if (before != null && !before.equals(task)) {
-                scenario.checker.violations.add("doubled " + id + " " + name + ": " + before + " and " + task);
+        for (JsonNode node : request.path("nodes")) {
+            String name = node.path("id").asText();
+            String task = response.body().path("tasks").path(name).asText();
+            String earlier = taskByNode.put(name, task);
+            if (earlier != null && !earlier.equals(task)) {
+                scenario.checker.violations.add("doubled " + id + " " + name + ": " + earlier + " and " + task);
             }
-            nodeOf.put(task, name);
-            accepted.add(name);
-            // what an agent fetches: the node's fields, and the call's for the rest
-            ObjectNode description = call.path("task").deepCopy();
-            description.setAll((ObjectNode) n);
+            nodeByTask.put(task, name);
+            acceptedNodes.add(name);
+            // As an agent fetches it: the fields of the request's template, overridden by those of the node.
+            ObjectNode description = request.path("task").deepCopy();
+            description.setAll((ObjectNode) node);
             scenario.checker.tasks.graphNodes.put(task, description);
         }
     }
 
+    /** Runs an attempt of a node: checks whether it may start, then completes it, adding children in some cases. */
     private void run(String task, long attempt, Runnable finish) {
-        String node = nodeOf.get(task);
-        for (String other : awaits.get(node)) {
-            if (!complete(other)) {
+        String node = nodeByTask.get(task);
+        for (String other : dependenciesByNode.get(node)) {
+            if (!isNodeComplete(other)) {
                 scenario.checker.violations.add("too_early " + id + " " + node + " before " + other);
             }
         }
-        if ((cancelledAt.containsKey(node) && scenario.world.now > cancelledAt.get(node) + 35_000)
-                || (withdrawnAt != null && scenario.world.now > withdrawnAt + 35_000)) {
+        if ((nodeCancelledAt.containsKey(node) && scenario.world.now > nodeCancelledAt.get(node) + CANCELLATION_MS)
+                || (graphCancelledAt != null && scenario.world.now > graphCancelledAt + CANCELLATION_MS)) {
             scenario.checker.violations.add("ran_cancelled " + id + " " + node);
         }
-        Random r = randomFor(node + "/");
-        long ms = 1_000L + r.nextInt(4_000);
+        Random random = randomFor(node + "/");
+        long runMs = 1_000L + random.nextInt(4_000);
         int level = node.length() - node.replace(".", "").length();
-        int children = level < depth ? r.nextInt(width + 1) : 0;
+        int children = level < depth ? random.nextInt(width + 1) : 0;
         if (children == 0) {
-            scenario.world.schedule(ms, finish);
+            scenario.world.schedule(runMs, finish);
             return;
         }
-        List<ObjectNode> list = new ArrayList<>();
+        List<ObjectNode> descriptions = new ArrayList<>();
         List<String> names = new ArrayList<>();
         for (int i = 0; i < children; i++) {
             String name = node + "." + i;
-            List<String> needs = new ArrayList<>(
-                    names.stream().filter(n -> r.nextInt(4) == 0).toList());
+            List<String> dependencies = new ArrayList<>(
+                    names.stream().filter(other -> random.nextInt(4) == 0).toList());
             names.add(name);
-            list.add(node(name, needs));
+            descriptions.add(describeNode(name, dependencies));
         }
-        boolean hands = r.nextBoolean();
-        if (hands) {
-            list.add(node(node + ".c", List.copyOf(names)));
+        boolean isDelegating = random.nextBoolean();
+        if (isDelegating) {
+            descriptions.add(describeNode(node + ".c", List.copyOf(names)));
         }
-        ObjectNode b = call(list).put("parent", node).put("try", attempt);
-        if (hands) {
-            b.put("then", node + ".c");
+        ObjectNode body = graphRequest(descriptions).put("parent", node).put("try", attempt);
+        if (isDelegating) {
+            body.put("then", node + ".c");
         }
-        long asked = scenario.world.now;
+        long startedAt = scenario.world.now;
         scenario.world.schedule(
-                ms,
-                () -> post("/graphs/" + id + "/nodes", b, 0, reply -> {
-                    if (reply.status() == 201 && withdrawnAt != null && asked > withdrawnAt) {
+                runMs,
+                () -> post("/graphs/" + id + "/nodes", body, 0, response -> {
+                    if (response.status() == 201 && graphCancelledAt != null && startedAt > graphCancelledAt) {
                         scenario.checker.violations.add(
                                 "orphan children of " + node + " accepted after the graph's cancellation");
                     }
-                    if (hands && reply.body().path("tasks").isObject()) {
-                        then.put(node, node + ".c");
+                    if (isDelegating && response.body().path("tasks").isObject()) {
+                        continuationOf.put(node, node + ".c");
                     }
-                    learn(b, reply);
+                    recordTasks(body, response);
                     scenario.world.schedule(500, finish);
                 }));
     }
 
-    /** Its own task has completed, and that of whatever it handed on to. */
-    private boolean complete(String node) {
-        String at = node;
-        while (at != null) {
-            if (!taskOf.containsKey(at) || !scenario.checker.tasks.isTaskComplete(taskOf.get(at))) {
+    /** Whether the node's task has completed, and those of all nodes to which its result was delegated in turn. */
+    private boolean isNodeComplete(String node) {
+        String current = node;
+        while (current != null) {
+            if (!taskByNode.containsKey(current) || !scenario.checker.tasks.isTaskComplete(taskByNode.get(current))) {
                 return false;
             }
-            at = then.get(at);
+            current = continuationOf.get(current);
         }
         return true;
     }
 
+    /** Queries the graph's status until it is terminal, and checks that a graph that is done lacks no accepted node. */
     private void poll() {
-        long asked = scenario.world.now;
+        long sentAt = scenario.world.now;
         scenario.world.send(
                 "user",
                 new Request(
                         "p" + scenario.world.random.nextInt(3) + ":1", "GET", "/submissions/" + id, null, 2_000, false),
-                r -> {
-                    if (r.status() == 200) {
-                        lastStatus = r.body().path("status").asText();
-                        scenario.checker.jobAnswered(id, lastStatus, asked, scenario.world.now);
+                response -> {
+                    if (response.status() == 200) {
+                        lastStatus = response.body().path("status").asText();
+                        scenario.checker.jobAnswered(id, lastStatus, sentAt, scenario.world.now);
                         if (lastStatus.equals("done")) {
-                            for (String node : accepted) {
-                                if (!complete(node)) {
+                            for (String node : acceptedNodes) {
+                                if (!isNodeComplete(node)) {
                                     scenario.checker.violations.add(
                                             "lost " + id + " " + node + ": the graph is done without it");
                                 }
@@ -243,38 +272,39 @@
                 });
     }
 
+    /** Cancels the graph, once its submission was answered. */
     void cancel() {
-        if (!sent) {
+        if (!isSubmitted) {
             scenario.world.schedule(500, this::cancel);
             return;
         }
         scenario.checker.cancellationRequested(id);
-        long asked = scenario.world.now;
-        post("/graphs/" + id + "/withdraw", Codec.object(), 0, r -> {
-            if (r.status() == 200) {
-                scenario.checker.jobAnswered(id, r.body().path("status").asText(), asked, scenario.world.now);
-                if (r.body().path("status").asText().equals("aborted")) {
-                    withdrawnAt = scenario.world.now;
+        long sentAt = scenario.world.now;
+        post("/graphs/" + id + "/withdraw", Codec.object(), 0, response -> {
+            if (response.status() == 200) {
+                scenario.checker.jobAnswered(id, response.body().path("status").asText(), sentAt, scenario.world.now);
+                if (response.body().path("status").asText().equals("aborted")) {
+                    graphCancelledAt = scenario.world.now;
                 }
             }
         });
     }
 
-    /** Cancels one of the nodes that the service knows. */
+    /** Cancels one of the accepted nodes. */
     void cancelRandomNode() {
-        if (accepted.isEmpty()) {
+        if (acceptedNodes.isEmpty()) {
             return;
         }
-        List<String> names = new ArrayList<>(accepted);
+        List<String> names = new ArrayList<>(acceptedNodes);
         names.sort(null);
         String node = names.get(scenario.world.random.nextInt(names.size()));
-        scenario.checker.cancellationRequested(id); // with a node cancelled the graph ends as not done
-        post("/graphs/" + id + "/nodes/" + node + "/withdraw", Codec.object(), 0, r -> {
-            if (r.body().path("state").asText().equals("cancelled")) {
-                cancelledAt.put(node, scenario.world.now);
-                awaits.forEach((other, needs) -> {
-                    if (needs.contains(node)) {
-                        cancelledAt.putIfAbsent(other, scenario.world.now);
+        scenario.checker.cancellationRequested(id); // a graph with a cancelled node doesn't end as "done"
+        post("/graphs/" + id + "/nodes/" + node + "/withdraw", Codec.object(), 0, response -> {
+            if (response.body().path("state").asText().equals("cancelled")) {
+                nodeCancelledAt.put(node, scenario.world.now);
+                dependenciesByNode.forEach((other, dependencies) -> {
+                    if (dependencies.contains(node)) {
+                        nodeCancelledAt.putIfAbsent(other, scenario.world.now);
                     }
                 });
             }
--- a/src/test/java/org/hollypick/sim/InvalidRequests.java
+++ b/src/test/java/org/hollypick/sim/InvalidRequests.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Submissions that can't be accepted, each sent twice to all controllers: the answers must agree. */
+/** Sends each invalid submission twice to all controllers: every response must have the expected status. */
 final class InvalidRequests {
     private static final int BAD_REQUEST = 400;
     private static final int UNPROCESSABLE = 422;
@@ -18,7 +18,7 @@
         this.world = scenario.world;
     }
 
-    /** Submits invalid jobs at random moments. */
+    /** Submits invalid jobs at random times. */
     void submit(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             String id = "req-8" + String.format("%05d", i);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Returns the status that such a job must be answered with. */
+    /** Makes a job invalid in a random way and returns the status with which it must be rejected. */
     private int makeInvalid(ObjectNode job) {
         switch (world.random.nextInt(6)) {
             case 0 -> job.put(UserProtocol.TEAM, "nobody");
--- a/src/test/java/org/hollypick/sim/JobDescription.java
+++ b/src/test/java/org/hollypick/sim/JobDescription.java
@@ -11,11 +11,12 @@
 
     private JobDescription() {}
 
-    /** Tasks of one core that are expected to run for so long. */
+    /** A batch job of one-core tasks, with the default team and image. */
     static ObjectNode batch(String id, int tasks, double seconds) {
         return batch(id, UserProtocol.BATCH, DEFAULT_TEAM, "standard", tasks, DEFAULT_IMAGE, seconds);
     }
 
+    /** A batch job of one-core tasks; {@code seconds}: the expected run time of each task. */
     static ObjectNode batch(
             String id, String kind, String team, String priority, int tasks, String image, double seconds) {
         return Codec.object()
@@ -38,7 +39,7 @@
                 .put(UserProtocol.CHECKPOINT_SAVE_S, 0.0);
     }
 
-    /** One stage of a pipeline that awaits these jobs. */
+    /** A stage of a pipeline: a batch job that depends on the given jobs. */
     static ObjectNode stage(String id, String priority, int tasks, double seconds, List<String> dependencies) {
         ObjectNode job = batch(id, "stage", DEFAULT_TEAM, priority, tasks, DEFAULT_IMAGE, seconds);
         dependencies.forEach(job.putArray(UserProtocol.DEPENDENCIES)::add);
--- a/src/test/java/org/hollypick/sim/LinkPattern.java
+++ b/src/test/java/org/hollypick/sim/LinkPattern.java
@@ -1,25 +1,29 @@
 package org.hollypick.sim;
 
 /**
- * Which links between three controllers, the key-value store and the agents of two zones are up.
+ * The links between three controllers, the key-value store and the agents of two zones that are up.
  *
- * @param bits one bit for each link: controllers to the store, to the agents of each zone, and to one another
+ * @param bits one bit per link, set if it is up; from the lowest: from each controller to the store, from each
+ *     controller to the agents of each zone, and between each two controllers
  */
 record LinkPattern(int bits) {
+    /** Number of different patterns. */
     static final int COUNT = 1 << 12;
+
     private static final int CONTROLLERS = 3;
     private static final int ZONES = 2;
     private static final int FIRST_AGENT_BIT = CONTROLLERS;
     private static final int FIRST_PEER_BIT = FIRST_AGENT_BIT + ZONES * CONTROLLERS;
 
+    /** The bits of all links between controllers. */
     static final int ALL_PEER_LINKS = 0b111 << FIRST_PEER_BIT;
 
-    /** The links of a controller to all agents. */
+    /** The bits of a controller's links to the agents of both zones. */
     static int agentLinksOf(int controller) {
         return 0b11 << (FIRST_AGENT_BIT + ZONES * controller);
     }
 
-    /** Which agents can be led. */
+    /** The agents that a leader can manage: those of both zones, of one zone, or none. */
     enum Coverage {
         FULL,
         PARTIAL,
@@ -43,8 +47,8 @@
     }
 
     /**
-     * A controller that reaches the store, itself or by one peer, can lead the agents that it or a peer reaches; this
-     * is what the best of them can lead.
+     * The coverage of the controller that can manage the most agents. A controller that reaches the store, directly or
+     * through one peer, can manage the agents that it or one of its reachable peers reaches.
      */
     Coverage coverage() {
         Coverage best = Coverage.NONE;
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -6,14 +6,17 @@
 import java.util.function.ToLongBiFunction;
 import org.hollypick.io.Request;
 
-/** Partitions between controllers, agents, the key-value store and the cloud provider. */
+/** Injects network partitions between controllers, agents, the key-value store, the cloud provider and users. */
 final class NetworkFaults {
-    /** Milliseconds by which a request, by its sender, is delayed, see {@link SimulatedWorld#requestDelayMs}. */
+    /**
+     * Milliseconds by which a request, given with the name of its sender, is delayed; applied by
+     * {@link SimulatedWorld#requestDelayMs}.
+     */
     ToLongBiFunction<String, Request> requestDelayMs = (from, request) -> 0;
 
     private final ClusterScenario scenario;
     private final SimulatedWorld world;
-    /** Names of agents whose requests are lost. */
+    /** Names of agents whose outbound requests are lost. */
     private final Set<String> agentsWithoutOutbound = new HashSet<>();
 
     NetworkFaults(ClusterScenario scenario) {
@@ -21,18 +24,19 @@
         this.world = scenario.world;
     }
 
+    /** The delay of a request, in milliseconds; {@link SimulatedWorld#LOST} if it is never delivered. */
     long delayMs(String from, Request request) {
         return agentsWithoutOutbound.contains(from)
                 ? SimulatedWorld.NEVER_DELIVERED
                 : requestDelayMs.applyAsLong(from, request);
     }
 
-    /** Nothing passes between a controller and all agents. */
+    /** Cuts the network between a controller and all agents. */
     void partitionFromAgents(int controller, long ms) {
         partitionFromAgents(controller, ms, scenario.cloud.machineNames());
     }
 
-    /** Nothing passes between a controller and the agents with these names. */
+    /** Cuts the network between a controller and the agents with the given names. */
     void partitionFromAgents(int controller, long ms, Collection<String> names) {
         for (FakeAgent agent : scenario.cloud.agents()) {
             if (names.contains(agent.name)) {
@@ -41,7 +45,7 @@
         }
     }
 
-    /** Nothing passes between the agent and any controller. */
+    /** Cuts the network between an agent and all controllers. */
     void isolate(FakeAgent agent, long ms) {
         scenario.controllers.forEach(controller -> partition(controller.index, agent, ms));
     }
@@ -51,35 +55,35 @@
         world.cut(SimulatedController.name(controller), agent.address, ms);
     }
 
-    /** Heartbeats of the agent arrive at that controller, and nothing from there reaches the agent. */
+    /** Cuts the network from a controller to an agent, while the agent's heartbeats reach the controller. */
     void dropInbound(FakeAgent agent, int controller, long ms) {
         world.cutOneWay(SimulatedController.name(controller), agent.address, ms);
         world.cutOneWay(SimulatedController.publicAddress(controller), agent.name, ms);
     }
 
-    /** Heartbeats of the agent arrive, and nothing from any controller reaches the agent. */
+    /** Cuts the network from all controllers to an agent, while the agent's heartbeats reach them. */
     void dropInbound(FakeAgent agent, long ms) {
         scenario.controllers.forEach(controller -> dropInbound(agent, controller.index, ms));
     }
 
-    /** Requests of the agent are lost, while commands reach it and are answered. */
+    /** Drops all requests of an agent, while commands reach it and their responses arrive. */
     void dropOutbound(FakeAgent agent, long ms) {
         agentsWithoutOutbound.add(agent.name);
         world.schedule(ms, () -> agentsWithoutOutbound.remove(agent.name));
     }
 
-    /** Heartbeats of these agents arrive only once it is over, while commands reach them and are answered. */
+    /** Holds back the heartbeats of agents until the fault ends, while commands and their responses are delivered. */
     void delayHeartbeats(Collection<String> names, long ms) {
         names.forEach(name -> scenario.controllers.forEach(
                 controller -> world.cutOneWay(name, SimulatedController.publicAddress(controller.index), ms)));
     }
 
-    /** Nothing passes between two controllers in the direction of the requests of the first one. */
+    /** Cuts off the requests that one controller sends to another, and the responses to them. */
     void partitionFromPeer(int controller, int peer, long ms) {
         world.cut(SimulatedController.name(controller), SimulatedController.peerAddress(peer), ms);
     }
 
-    /** A controller loses the store and the other controllers, but neither its agents nor its users. */
+    /** Cuts a controller off from the store and the other controllers, but not from agents and users. */
     void partitionFromStoreAndPeers(int controller, long ms) {
         world.cut(SimulatedController.name(controller), ClusterScenario.STORE_ADDRESS, ms);
         for (SimulatedController other : scenario.controllers) {
@@ -90,7 +94,7 @@
         }
     }
 
-    /** Nothing passes between a zone, its controllers included, and anything else; inside it everything does. */
+    /** Cuts a zone, including its controllers, off from everything outside; the network inside it works. */
     void partitionZone(String zone, long ms) {
         for (SimulatedController controller : scenario.controllers) {
             boolean isInside = controller.zone.equals(zone);
@@ -105,7 +109,7 @@
         }
     }
 
-    /** From the store, the cloud provider, the users and the controllers of other zones. */
+    /** Cuts a controller off from the store, the cloud provider, users and the controllers of other zones. */
     private void partitionFromOutside(SimulatedController controller, long ms) {
         world.cut(controller.name(), ClusterScenario.STORE_ADDRESS, ms);
         world.cut(controller.name(), ClusterScenario.CLOUD_ADDRESS, ms);
@@ -118,7 +122,7 @@
         }
     }
 
-    /** From now on only the links of that pattern are up; null: all are. */
+    /** Takes all links down except those of the pattern; null brings all links up. */
     void apply(LinkPattern links) {
         world.blockLinks(links == null ? (from, to) -> false : (from, to) -> !isUp(links, from, to));
     }
@@ -141,7 +145,7 @@
         return zone == null || links.reachesAgents(controller, zone);
     }
 
-    /** The digit between the two parts of a name; -1 if it isn't of that shape. */
+    /** The digit between the prefix and the suffix of a name; -1 if the name has another form. */
     private static int index(String name, String prefix, String suffix) {
         return name.length() == prefix.length() + 1 + suffix.length()
                         && name.startsWith(prefix)
--- a/src/test/java/org/hollypick/sim/PipelineWorkload.java
+++ b/src/test/java/org/hollypick/sim/PipelineWorkload.java
@@ -6,8 +6,8 @@
 import org.hollypick.io.Codec;
 
 /**
- * Pipelines of jobs: a first stage, then some side by side, then a last one that depends on all of these. Now and then
- * the first one depends on another job, and the last one is submitted late.
+ * Submits pipelines of jobs: a first stage, parallel middle stages that depend on it, and a last stage that depends on
+ * all middle stages. In some pipelines the first stage depends on another job, or the last one is submitted late.
  */
 final class PipelineWorkload {
     private static final String UNKNOWN_JOB = "req-777777";
@@ -20,7 +20,7 @@
         this.world = scenario.world;
     }
 
-    /** Submits pipelines at random moments. */
+    /** Submits pipelines at random times. */
     void submitPipelines(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             world.schedule(world.random.nextInt((int) withinMs), this::submitPipeline);
@@ -31,9 +31,9 @@
         List<String> batchJobs = acceptedBatchJobs();
         boolean dependsOnOther = !batchJobs.isEmpty() && world.random.nextInt(3) == 0;
         int firstTasks = 1 + world.random.nextInt(4);
-        List<String> others =
+        List<String> firstDependencies =
                 dependsOnOther ? List.of(batchJobs.get(world.random.nextInt(batchJobs.size()))) : List.of();
-        String first = submitStage(firstTasks, 4, others);
+        String first = submitStage(firstTasks, 4, firstDependencies);
         List<String> middle = new ArrayList<>();
         int parallelStages = 1 + world.random.nextInt(3);
         for (int i = 0; i < parallelStages; i++) {
@@ -63,13 +63,13 @@
         return id;
     }
 
-    /** Submits a job that depends on itself or on one that was never accepted: it must be rejected. */
-    private void submitImpossibleDependencies(String known) {
-        ObjectNode job = ((ObjectNode) scenario.checker.submitted.getOrDefault(known, Codec.object()))
+    /** Submits a job that depends on itself or on a job that was never submitted: it must be rejected. */
+    private void submitImpossibleDependencies(String existingJob) {
+        ObjectNode job = ((ObjectNode) scenario.checker.submitted.getOrDefault(existingJob, Codec.object()))
                 .deepCopy()
-                .put(UserProtocol.JOB_ID, "req-9" + known.substring(4));
+                .put(UserProtocol.JOB_ID, "req-9" + existingJob.substring(4));
         String id = JobDescription.id(job);
-        job.putArray(UserProtocol.DEPENDENCIES).add(known).add(world.random.nextBoolean() ? id : UNKNOWN_JOB);
+        job.putArray(UserProtocol.DEPENDENCIES).add(existingJob).add(world.random.nextBoolean() ? id : UNKNOWN_JOB);
         scenario.users.send(
                 scenario.users.drawController(),
                 "POST",
--- a/src/test/java/org/hollypick/sim/RandomFaults.java
+++ b/src/test/java/org/hollypick/sim/RandomFaults.java
@@ -4,13 +4,16 @@
 import java.util.function.Predicate;
 import org.hollypick.io.Request;
 
-/** Faults drawn from the seed. The order of the draws is part of each scenario. */
+/**
+ * Injects random faults. All are drawn from the scenario's random generator, whose draws must keep their order: with
+ * another order a seed yields another scenario.
+ */
 final class RandomFaults {
     /**
-     * Requests of controllers that faults are aimed at.
+     * A kind of request from controllers that faults target.
      *
-     * @param path how the path begins
-     * @param content what the body contains
+     * @param path a prefix of the path
+     * @param content a text that the body contains
      */
     private record RequestKind(String path, String content) {
         boolean matches(Request request) {
@@ -46,7 +49,7 @@
         this.network = scenario.network;
     }
 
-    /** Schedules single faults at random moments. */
+    /** Schedules single faults at random times. */
     void scheduleFaults(int count, long fromMs, long toMs) {
         for (int i = 0; i < count; i++) {
             world.schedule(fromMs + world.random.nextInt((int) (toMs - fromMs)), this::injectFault);
@@ -54,8 +57,8 @@
     }
 
     /**
-     * Schedules pairs of faults that meet: the second begins within milliseconds of a request after the first, or
-     * within a store session, a lease or the time that cancelled tasks have.
+     * Schedules pairs of faults that overlap: the second begins milliseconds after a request that follows the first, or
+     * within the timeout of a store session, an agent's lease or the time limit for stopping cancelled tasks.
      */
     void scheduleCombinedFaults(int pairs, long fromMs, long toMs) {
         List<Long> distancesMs = List.of(0L, 4_000L, scenario.agentLeaseMs, scenario.cancellationLimitMs());
@@ -73,8 +76,9 @@
     }
 
     /**
-     * Schedules faults in which answers overtake one another: slow links to the store and between controllers, a leader
-     * that is refused, stands still or ends.
+     * Schedules faults by which responses overtake one another: slow links to the store and between controllers, a
+     * leader whose requests the store refuses or that crashes, paused controllers, controllers that the store's
+     * responses don't reach, and outages of the store.
      */
     void scheduleReorderingFaults(int count, long fromMs, long toMs) {
         for (int i = 0; i < count; i++) {
@@ -86,6 +90,7 @@
         return REQUEST_KINDS.get(world.random.nextInt(REQUEST_KINDS.size()))::matches;
     }
 
+    /** Injects a fault of any kind. */
     private void injectFault() {
         List<FakeAgent> agents = scenario.cloud.agents();
         FakeAgent agent = agents.isEmpty() ? null : agents.get(world.random.nextInt(agents.size()));
@@ -133,7 +138,7 @@
         }
     }
 
-    /** From one controller, or from all. */
+    /** Cuts the network to an agent from one random controller or from all. */
     private void dropInbound(FakeAgent agent, long ms) {
         int drawn = world.random.nextInt(ClusterScenario.CONTROLLERS + 1);
         scenario.controllers.stream()
@@ -156,7 +161,9 @@
         world.schedule(ms, () -> world.lateTransactionProbability = 0);
     }
 
-    /** One of the faults that broke invariants together with another one; most strike the leader. */
+    /**
+     * Injects a fault of a kind that in combination with another one has violated invariants; most affect the leader.
+     */
     private void injectCombinableFault() {
         int leader = scenario.leaderIndexOrFirst();
         long ms = 1_000L + world.random.nextInt(20_000);
--- a/src/test/java/org/hollypick/sim/UserClient.java
+++ b/src/test/java/org/hollypick/sim/UserClient.java
@@ -11,23 +11,24 @@
 import org.hollypick.io.Response;
 
 /**
- * Users of the cluster: they submit, poll, repeat and cancel, and every answer goes to the {@link InvariantChecker}.
+ * Simulates users of the cluster, who submit, query, resubmit and cancel jobs, and passes the responses to the
+ * {@link InvariantChecker}.
  */
 final class UserClient {
     private static final String USER = "user";
     private static final long SUBMIT_TIMEOUT_MS = 5_000;
     private static final long QUERY_TIMEOUT_MS = 2_000;
     private static final long RETRY_MS = 1_000;
-    /** For that long a submission is repeated until it is accepted. */
+    /** Milliseconds for which a submission is retried until it is accepted. */
     private static final long SUBMIT_RETRY_PERIOD_MS = 60_000;
 
-    /** Of the arrays, one in so many is cancelled; services always are. */
+    /** Batch jobs are cancelled with a chance of one in this many; services always are. */
     int cancelOneIn = 6;
 
     private final ClusterScenario scenario;
     private final SimulatedWorld world;
     private final InvariantChecker checker;
-    private final Set<String> uncancelled = new HashSet<>();
+    private final Set<String> neverCancelled = new HashSet<>();
 
     UserClient(ClusterScenario scenario) {
         this.scenario = scenario;
@@ -35,16 +36,16 @@
         this.checker = scenario.checker;
     }
 
-    /** From now on no user cancels that job by chance. */
+    /** Excludes a job from random cancellation. */
     void neverCancel(String id) {
-        uncancelled.add(id);
+        neverCancelled.add(id);
     }
 
     boolean mayCancel(String id) {
-        return !uncancelled.contains(id);
+        return !neverCancelled.contains(id);
     }
 
-    /** Submits a job, again until it is accepted; then polls it, and may cancel and resubmit it. */
+    /** Submits a job, with retries until it is accepted; then polls and resubmits it, and may cancel it. */
     void submit(String id, ObjectNode job) {
         checker.jobSubmitted(id, job, world.now);
         submit(id, job, world.now + SUBMIT_RETRY_PERIOD_MS);
@@ -81,7 +82,7 @@
         submit(id, job);
     }
 
-    /** Repeats the submission of a job that was accepted. */
+    /** Repeats the submission of an accepted job at one controller. */
     void resubmitAt(int controller, String id, JsonNode job) {
         long sentAt = world.now;
         send(controller, "POST", UserProtocol.SUBMISSIONS, job, response -> {
@@ -109,7 +110,7 @@
         cancelAt(drawController(), id);
     }
 
-    /** Cancels a job; repeated, at any controller, until it is answered. */
+    /** Cancels a job at one controller; retried at random controllers until the response is 200. */
     void cancelAt(int controller, String id) {
         checker.cancellationRequested(id);
         long sentAt = world.now;
@@ -123,7 +124,7 @@
         });
     }
 
-    /** Asks one controller about a job, or for its estimate. */
+    /** Queries a job, its estimate or a graph at one controller. */
     void queryAt(int controller, String id, String path) {
         long sentAt = world.now;
         send(controller, "GET", path, null, QUERY_TIMEOUT_MS, response -> {
@@ -135,7 +136,7 @@
         });
     }
 
-    /** Asks all controllers about a job at once. */
+    /** Queries a job at all controllers at once. */
     void queryAllControllers(String id) {
         long sentAt = world.now;
         for (SimulatedController controller : scenario.controllers) {
@@ -147,12 +148,12 @@
         }
     }
 
-    /** Sends a request to any controller and lets the time advance until it is answered. */
+    /** Sends a request to a random controller and advances the simulation until the response arrives. */
     Response request(String method, String path, JsonNode body) {
         return requestAt(drawController(), method, path, body);
     }
 
-    /** Sends a request to one controller and lets the time advance until it is answered. */
+    /** Sends a request to one controller and advances the simulation until the response arrives. */
     Response requestAt(int controller, String method, String path, JsonNode body) {
         if (path.equals(UserProtocol.SUBMISSIONS)) {
             String id = body.path(UserProtocol.JOB_ID).asText();
@@ -163,21 +164,21 @@
         if (path.endsWith(UserProtocol.CANCEL)) {
             checker.cancellationRequested(idIn(path));
         }
-        AtomicReference<Response> answer = new AtomicReference<>();
+        AtomicReference<Response> received = new AtomicReference<>();
         long sentAt = world.now;
         send(controller, method, path, body, response -> {
-            answer.set(response);
+            received.set(response);
             if (response.status() == 200 && path.startsWith(UserProtocol.SUBMISSIONS + "/")) {
                 checker.jobAnswered(idIn(path), status(response), sentAt, world.now);
             }
         });
-        while (answer.get() == null) {
+        while (received.get() == null) {
             scenario.advance(10);
         }
-        return answer.get();
+        return received.get();
     }
 
-    /** Sends a request to any controller, with its body as it comes from the wire. */
+    /** Sends a request with an undecoded body to a random controller. */
     void sendRaw(String method, String path, byte[] body, Consumer<Response> callback) {
         SimulatedController controller = scenario.controllers.get(world.random.nextInt(scenario.controllers.size()));
         if (controller.listens()) {
@@ -187,7 +188,7 @@
         }
     }
 
-    /** The status with which a controller answers whether it is ready. */
+    /** The status with which a controller answers its readiness check. */
     int readinessStatus(int controller) {
         AtomicReference<Integer> status = new AtomicReference<>(0);
         scenario.controllers.get(controller).request("GET", "/ready", null, response -> status.set(response.status()));
@@ -199,7 +200,7 @@
         return world.random.nextInt(ClusterScenario.CONTROLLERS);
     }
 
-    /** Sends a request to one controller; the answer isn't checked here. */
+    /** Sends a request to one controller; the response isn't passed to the checker. */
     void send(int controller, String method, String path, JsonNode body, Consumer<Response> callback) {
         send(controller, method, path, body, SUBMIT_TIMEOUT_MS, callback);
     }
--- a/src/test/java/org/hollypick/sim/Workload.java
+++ b/src/test/java/org/hollypick/sim/Workload.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 import org.hollypick.io.Codec;
 
-/** Jobs drawn from the seed: arrays of batch tasks, gangs and services. */
+/** Submits random jobs: batch jobs, some of them gang-scheduled, and services. */
 final class Workload {
     private static final long COMPLETION_POLL_MS = 50;
 
-    /** How many times as long as usual tasks run. */
+    /** Factor on the expected run time of batch tasks. */
     double durationFactor = 1;
-    /** Teams that submit jobs, in turn; others than the usual one need controllers with settings for them. */
+    /** Teams that submit jobs, in turn; teams other than the default one must be in the controllers' settings. */
     List<String> teams = List.of(JobDescription.DEFAULT_TEAM);
-    /** Every second array is bound to one zone or spread over both. */
+    /** Whether about half of the random batch jobs are bound to one zone or spread over both. */
     boolean hasZoneConstraints;
 
     private final ClusterScenario scenario;
@@ -27,21 +27,21 @@
         this.world = scenario.world;
     }
 
-    /** Submits arrays and services at random moments. */
+    /** Submits batch jobs and services at random times. */
     void submitJobs(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             world.schedule(world.random.nextInt((int) withinMs), () -> submitJob(world.random.nextInt(3) == 0));
         }
     }
 
-    /** Submits arrays of batch tasks at random moments. */
+    /** Submits batch jobs at random times. */
     void submitBatchJobs(int count, long withinMs) {
         for (int i = 0; i < count; i++) {
             world.schedule(world.random.nextInt((int) withinMs), () -> submitJob(false));
         }
     }
 
-    /** Submits services that no user cancels. */
+    /** Submits services that aren't cancelled at random. */
     void submitUncancelledServices(int count) {
         for (int i = 0; i < count; i++) {
             scenario.users.neverCancel(id(jobCount));
@@ -49,7 +49,9 @@
         }
     }
 
-    /** Submits an array of one-core tasks that run for about so long; no user cancels it by chance. */
+    /**
+     * Submits a batch job of one-core tasks, each expected to run for {@code seconds}, that isn't cancelled at random.
+     */
     String submitBatchJob(int tasks, double seconds, String image) {
         String team = teams.get(jobCount % teams.size());
         String id = nextId();
@@ -59,7 +61,7 @@
         return id;
     }
 
-    /** From now on users cancel each job in the moment when its last task completes. */
+    /** Starts to cancel each accepted job as soon as its last task completes. */
     void cancelJobsOnCompletion() {
         scenario.checker.submitted.keySet().stream()
                 .filter(id -> scenario.checker.isAccepted(id)
@@ -87,7 +89,7 @@
         scenario.users.submit(id, job);
     }
 
-    /** The order of the draws is part of each scenario. */
+    /** Draws a job. The draws must keep their order: with another order a seed yields another scenario. */
     private ObjectNode draw(String id, boolean isService) {
         return Codec.object()
                 .put(UserProtocol.JOB_ID, id)
