--- a/src/test/java/org/hollypick/sim/ProductionVersion.java
+++ b/src/test/java/org/hollypick/sim/ProductionVersion.java
@@ -27,8 +27,9 @@
 import org.hollypick.io.Response;
 
 /**
- * The version in production, as deploy/service.toml names it: its own classes, built from the repository's history and
- * loaded beside the present ones. What passes between it and the simulated world is only what the network carries.
+ * The version in production, as named in deploy/service.toml: its classes are compiled from the repository's history
+ * and loaded next to the current ones by a class loader of their own. Its controllers exchange only requests, responses
+ * and timers with the simulation, through reflection.
  */
 final class ProductionVersion {
     private static ProductionVersion loaded;
@@ -39,6 +40,7 @@
         this.loader = loader;
     }
 
+    /** Returns the version in production, which is compiled unless an earlier run did, and loaded only once. */
     static synchronized ProductionVersion load() throws Exception {
         if (loaded == null) {
             String commit = new TomlMapper()
@@ -47,7 +49,7 @@
                     .asText();
             Path classes = Path.of("target", "production", commit).toAbsolutePath();
             if (!Files.isDirectory(classes.resolve("org"))) {
-                compile(sources(commit, classes.resolveSibling(commit + "-sources")), classes);
+                compile(extractSources(commit, classes.resolveSibling(commit + "-sources")), classes);
             }
             loaded = new ProductionVersion(
                     new IsolatedClassLoader(classes.toUri().toURL()));
@@ -55,10 +57,10 @@
         return loaded;
     }
 
-    /** Classes of this program come from the given place only, all others from where the tests' own come from. */
+    /** Loads this program's classes only from the given location, and all others with the tests' class loader. */
     private static final class IsolatedClassLoader extends URLClassLoader {
-        private IsolatedClassLoader(URL classes) {
-            super(new URL[] {classes}, ProductionVersion.class.getClassLoader());
+        private IsolatedClassLoader(URL location) {
+            super(new URL[] {location}, ProductionVersion.class.getClassLoader());
         }
 
         @Override
@@ -67,25 +69,27 @@
                 return super.loadClass(name, resolve);
             }
             synchronized (getClassLoadingLock(name)) {
-                Class<?> c = findLoadedClass(name);
-                return c != null ? c : findClass(name);
+                Class<?> loadedClass = findLoadedClass(name);
+                return loadedClass != null ? loadedClass : findClass(name);
             }
         }
     }
 
-    private static List<Path> sources(String commit, Path into) throws IOException, InterruptedException {
+    /** Extracts the Java sources of a commit into a directory and returns their paths. */
+    private static List<Path> extractSources(String commit, Path into) throws IOException, InterruptedException {
         Process git = new ProcessBuilder("git", "archive", "--format=zip", commit, "src/main/java")
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         byte[] zip = git.getInputStream().readAllBytes();
         if (git.waitFor() != 0) {
-            throw new IOException("the repository's history doesn't hold the version in production: " + commit);
+            throw new IOException("git archive failed for commit " + commit
+                    + ", the version in production: the repository's history may be incomplete");
         }
         List<Path> files = new ArrayList<>();
         try (ZipInputStream in = new ZipInputStream(new ByteArrayInputStream(zip))) {
-            for (ZipEntry e = in.getNextEntry(); e != null; e = in.getNextEntry()) {
-                if (e.getName().endsWith(".java")) {
-                    Path file = into.resolve(e.getName());
+            for (ZipEntry entry = in.getNextEntry(); entry != null; entry = in.getNextEntry()) {
+                if (entry.getName().endsWith(".java")) {
+                    Path file = into.resolve(entry.getName());
                     Files.createDirectories(file.getParent());
                     Files.write(file, in.readAllBytes());
                     files.add(file);
@@ -99,18 +103,18 @@
         Files.createDirectories(classes);
         List<String> arguments = new ArrayList<>(List.of(
                 "-nowarn", "-proc:none", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")));
-        files.forEach(f -> arguments.add(f.toString()));
+        files.forEach(file -> arguments.add(file.toString()));
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler.run(null, null, null, arguments.toArray(new String[0])) != 0) {
-            throw new IOException("the version in production doesn't compile");
+            throw new IOException("the version in production doesn't compile into " + classes);
         }
     }
 
-    /** A controller of that version. */
+    /** Creates a controller of the version in production that runs in a simulated process. */
     ControllerProcess newController(SimulatedWorld.Process process, Settings settings) {
         try {
             Class<?> runtime = loader.loadClass("org.hollypick.io.Runtime");
-            Object bridge = Proxy.newProxyInstance(
+            Object runtimeAdapter = Proxy.newProxyInstance(
                     loader, new Class<?>[] {runtime}, (proxy, method, args) -> switch (method.getName()) {
                         case "now" -> process.now();
                         case "after" -> {
@@ -118,90 +122,100 @@
                             yield null;
                         }
                         case "call" -> {
-                            call(process, args[0], args[1]);
+                            send(process, args[0], args[1]);
                             yield null;
                         }
                         default -> throw new UnsupportedOperationException(method.getName());
                     });
             Class<?> operator = loader.loadClass("org.hollypick.config.OperatorSettings");
             Object defaults = operator.getMethod("defaults").invoke(null);
-            Object node = loader.loadClass("org.hollypick.Node")
+            Object controller = loader.loadClass("org.hollypick.Node")
                     .getConstructor(runtime, loader.loadClass("org.hollypick.config.Settings"), operator)
-                    .newInstance(bridge, convert(settings), defaults);
-            return new ControllerAdapter(node);
+                    .newInstance(runtimeAdapter, convert(settings), defaults);
+            return new ControllerAdapter(controller);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("the version in production has another shape", e);
+            throw new IllegalStateException("cannot create a controller of the version in production by reflection", e);
         }
     }
 
-    private static Object invokeAccessor(Object of, String name) throws ReflectiveOperationException {
-        Method m = of.getClass().getMethod(name);
-        return m.invoke(of);
+    private static Object invokeAccessor(Object target, String name) throws ReflectiveOperationException {
+        Method accessor = target.getClass().getMethod(name);
+        return accessor.invoke(target);
     }
 
+    /** Sends a request of the version in production and passes the response to its callback. */
     @SuppressWarnings("unchecked")
-    private void call(SimulatedWorld.Process process, Object call, Object reply) throws ReflectiveOperationException {
-        Constructor<?> replies = loader.loadClass("org.hollypick.io.Reply").getConstructor(int.class, JsonNode.class);
-        Request sent = new Request(
+    private void send(SimulatedWorld.Process process, Object call, Object callback)
+            throws ReflectiveOperationException {
+        Constructor<?> replyConstructor =
+                loader.loadClass("org.hollypick.io.Reply").getConstructor(int.class, JsonNode.class);
+        Request request = new Request(
                 (String) invokeAccessor(call, "address"),
                 (String) invokeAccessor(call, "method"),
                 (String) invokeAccessor(call, "path"),
                 (JsonNode) invokeAccessor(call, "body"),
                 (Long) invokeAccessor(call, "timeoutMs"),
                 (Boolean) invokeAccessor(call, "mesh"));
-        process.send(sent, r -> {
+        process.send(request, response -> {
             try {
-                ((Consumer<Object>) reply).accept(replies.newInstance(r.status(), r.body()));
+                ((Consumer<Object>) callback).accept(replyConstructor.newInstance(response.status(), response.body()));
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
             }
         });
     }
 
-    /** Records of the present version with the same fields there. */
+    /**
+     * Converts settings to the types of the version in production: each record becomes the record of the same name
+     * there, with the values of the components that exist there.
+     */
     private Object convert(Object value) throws ReflectiveOperationException {
         if (value instanceof List<?> list) {
             List<Object> converted = new ArrayList<>();
-            for (Object o : list) {
-                converted.add(convert(o));
+            for (Object element : list) {
+                converted.add(convert(element));
             }
             return converted;
         }
         if (value instanceof Map<?, ?> map) {
             Map<Object, Object> converted = new LinkedHashMap<>();
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                converted.put(e.getKey(), convert(e.getValue()));
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                converted.put(entry.getKey(), convert(entry.getValue()));
             }
             return converted;
         }
         if (!(value instanceof Record)) {
             return value;
         }
-        Class<?> there = loader.loadClass(value.getClass().getName());
-        List<Object> fields = new ArrayList<>();
-        for (var component : there.getRecordComponents()) {
-            fields.add(convert(value.getClass().getMethod(component.getName()).invoke(value)));
+        Class<?> target = loader.loadClass(value.getClass().getName());
+        List<Object> components = new ArrayList<>();
+        for (var component : target.getRecordComponents()) {
+            components.add(
+                    convert(value.getClass().getMethod(component.getName()).invoke(value)));
         }
-        return there.getConstructors()[0].newInstance(fields.toArray());
+        return target.getConstructors()[0].newInstance(components.toArray());
     }
 
+    /** Calls a controller of the version in production by reflection. */
     private static final class ControllerAdapter implements ControllerProcess {
-        private final Object node;
+        private final Object controller;
         private final Method start;
         private final Method handle;
         private final Method handleMesh;
 
-        private ControllerAdapter(Object node) throws ReflectiveOperationException {
-            this.node = node;
-            start = node.getClass().getMethod("start");
-            handle = node.getClass().getMethod("handle", String.class, String.class, byte[].class, Consumer.class);
-            handleMesh =
-                    node.getClass().getMethod("handleMesh", String.class, String.class, byte[].class, Consumer.class);
+        private ControllerAdapter(Object controller) throws ReflectiveOperationException {
+            this.controller = controller;
+            start = controller.getClass().getMethod("start");
+            handle =
+                    controller.getClass().getMethod("handle", String.class, String.class, byte[].class, Consumer.class);
+            handleMesh = controller
+                    .getClass()
+                    .getMethod("handleMesh", String.class, String.class, byte[].class, Consumer.class);
         }
 
         private Object invoke(Method method, Object... args) {
             try {
-                return method.invoke(node, args);
+                return method.invoke(controller, args);
             } catch (InvocationTargetException e) {
                 throw new IllegalStateException(e.getCause());
             } catch (ReflectiveOperationException e) {
@@ -209,12 +223,13 @@
             }
         }
 
-        private static Consumer<Object> answer(Consumer<Supplier<Response>> reply) {
-            return a -> {
+        /** A consumer of the other version's replies that passes them on as responses. */
+        private static Consumer<Object> convertReply(Consumer<Supplier<Response>> callback) {
+            return reply -> {
                 try {
-                    Response r =
-                            new Response((Integer) invokeAccessor(a, "status"), (JsonNode) invokeAccessor(a, "body"));
-                    reply.accept(() -> r);
+                    Response response = new Response(
+                            (Integer) invokeAccessor(reply, "status"), (JsonNode) invokeAccessor(reply, "body"));
+                    callback.accept(() -> response);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
                 }
@@ -228,12 +243,12 @@
 
         @Override
         public void handle(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-            invoke(handle, method, path, body, answer(reply));
+            invoke(handle, method, path, body, convertReply(reply));
         }
 
         @Override
         public void handlePeerRequest(String method, String path, byte[] body, Consumer<Supplier<Response>> reply) {
-            invoke(handleMesh, method, path, body, answer(reply));
+            invoke(handleMesh, method, path, body, convertReply(reply));
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -16,16 +16,16 @@
 import org.hollypick.io.EventLoop;
 
 /**
- * Plays simulated days with fixed seeds and prints one hash a day over every call that a controller sends and every
- * answer to it: time, sender, address, method, path, status and bodies. A change that is meant to keep the behaviour
- * keeps every hash ({@code tools/transcript}).
+ * Runs simulated scenarios with fixed seeds and computes one hash per scenario over every request in the simulated
+ * network and every response: times, sender, address, method, path, status and bodies. A change that is meant to
+ * preserve the behaviour must not change any hash ({@code tools/transcript}).
  *
- * <p>Usage: {@code Transcript FILE} compares with the hashes in that file and exits with 1 if one differs;
- * {@code Transcript --record FILE} writes them.
+ * <p>Usage: {@code Transcript FILE} compares the hashes with those in the file and exits with status 1 if any differs;
+ * {@code Transcript --record FILE} writes them to the file.
  */
 final class Transcript {
-    private static final String TWO_TEAMS_OTHER = "team-1";
-    private static final double TWO_TEAMS_CORES = 24;
+    private static final String SECOND_TEAM = "team-1";
+    private static final double CORES_PER_TEAM = 24;
 
     private Transcript() {}
 
@@ -52,37 +52,37 @@
     }
 
     private static List<String> hashes() {
-        Map<String, Supplier<ClusterScenario>> days = days();
-        return new ArrayList<>(days.entrySet())
+        Map<String, Supplier<ClusterScenario>> scenarios = scenariosByName();
+        return new ArrayList<>(scenarios.entrySet())
                 .stream()
                         .map(entry -> entry.getKey() + " "
                                 + entry.getValue().get().world.digest())
                         .toList();
     }
 
-    private static Map<String, Supplier<ClusterScenario>> days() {
-        Map<String, Supplier<ClusterScenario>> days = new LinkedHashMap<>();
+    private static Map<String, Supplier<ClusterScenario>> scenariosByName() {
+        Map<String, Supplier<ClusterScenario>> scenarios = new LinkedHashMap<>();
         for (int seed = 1; seed <= 10; seed++) {
-            int s = seed;
-            days.put("faults-" + s, () -> faults(s, 1));
-            days.put("combined-faults-" + s, () -> combinedFaults(s));
-            days.put("answers-" + s, () -> answers(s));
+            int fixedSeed = seed;
+            scenarios.put("faults-" + fixedSeed, () -> faults(fixedSeed, 1));
+            scenarios.put("combined-faults-" + fixedSeed, () -> combinedFaults(fixedSeed));
+            scenarios.put("answers-" + fixedSeed, () -> answers(fixedSeed));
         }
         for (int seed = 1; seed <= 6; seed++) {
-            int s = seed;
-            days.put("pipelines-" + s, () -> pipelines(s));
-            days.put("graphs-" + s, () -> graphs(s));
-            days.put("estimates-" + s, () -> estimates(s));
-            days.put("quick-restarts-" + s, () -> quickRestarts(s));
-            days.put("two-teams-" + s, () -> twoTeams(s));
-            days.put("partition-" + s, () -> partition(s));
+            int fixedSeed = seed;
+            scenarios.put("pipelines-" + fixedSeed, () -> pipelines(fixedSeed));
+            scenarios.put("graphs-" + fixedSeed, () -> graphs(fixedSeed));
+            scenarios.put("estimates-" + fixedSeed, () -> estimates(fixedSeed));
+            scenarios.put("quick-restarts-" + fixedSeed, () -> quickRestarts(fixedSeed));
+            scenarios.put("two-teams-" + fixedSeed, () -> twoTeams(fixedSeed));
+            scenarios.put("partition-" + fixedSeed, () -> partition(fixedSeed));
         }
-        days.put("large-1", () -> faults(1, 12));
-        days.put("large-2", () -> faults(2, 12));
-        days.put("outage", () -> outage(3));
-        days.put("leaders-change", () -> leadersChange(4));
-        days.put("from-production", () -> fromProduction(5));
-        return days;
+        scenarios.put("large-1", () -> faults(1, 12));
+        scenarios.put("large-2", () -> faults(2, 12));
+        scenarios.put("outage", () -> outage(3));
+        scenarios.put("leaders-change", () -> repeatedFailovers(4));
+        scenarios.put("from-production", () -> fromProduction(5));
+        return scenarios;
     }
 
     private static ClusterScenario faults(int seed, int size) {
@@ -112,7 +112,7 @@
     }
 
     private static ClusterScenario pipelines(int seed) {
-        ClusterScenario scenario = withOperator(seed, "{}");
+        ClusterScenario scenario = withOperatorSettings(seed, "{}");
         scenario.workload.submitJobs(20, 100_000);
         scenario.pipelines.submitPipelines(6, 90_000);
         scenario.world.schedule(60_000, scenario::tightenStoreLimits);
@@ -122,7 +122,7 @@
     }
 
     private static ClusterScenario graphs(int seed) {
-        ClusterScenario scenario = withOperator(seed, "{:graphs true}");
+        ClusterScenario scenario = withOperatorSettings(seed, "{:graphs true}");
         for (int i = 0; i < 5; i++) {
             GraphUser user = new GraphUser(scenario, String.format("req-7%05d", i), 3, 3);
             scenario.world.schedule(3_000 + scenario.world.random.nextInt(50_000), user::start);
@@ -139,12 +139,12 @@
     }
 
     private static ClusterScenario estimates(int seed) {
-        ClusterScenario scenario = withOperator(seed, "{:estimates true}");
+        ClusterScenario scenario = withOperatorSettings(seed, "{:estimates true}");
         scenario.workload.submitJobs(25, 100_000);
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
-            int node = i % 3;
-            scenario.world.schedule(5_000 + i * 4_000L, () -> scenario.users.queryAt(node, path.split("/")[2], path));
+            int controller = i % 3;
+            scenario.world.schedule(5_000 + i * 4_000L, () -> scenario.users.queryAt(controller, path.split("/")[2], path));
         }
         scenario.randomFaults.scheduleFaults(5, 20_000, 120_000);
         scenario.advance(220_000);
@@ -155,9 +155,9 @@
         ClusterScenario scenario = new ClusterScenario(seed, 4);
         scenario.workload.submitJobs(25, 100_000);
         for (int i = 0; i < 8; i++) {
-            int node = i % 3;
-            long back = 50L + scenario.world.random.nextInt(300);
-            scenario.world.schedule(15_000 + i * 9_000L, () -> scenario.faults.crash(node, back));
+            int controller = i % 3;
+            long downtimeMs = 50L + scenario.world.random.nextInt(300);
+            scenario.world.schedule(15_000 + i * 9_000L, () -> scenario.faults.crash(controller, downtimeMs));
         }
         scenario.world.schedule(100_000, scenario.faults::crashAll);
         scenario.advance(200_000);
@@ -170,11 +170,11 @@
                 1,
                 null,
                 null,
-                (r, s) -> new Controller(
-                        r,
-                        ClusterScenario.withTeams(s, List.of("team", TWO_TEAMS_OTHER), TWO_TEAMS_CORES),
+                (eventLoop, settings) -> new Controller(
+                        eventLoop,
+                        ClusterScenario.withTeams(settings, List.of("team", SECOND_TEAM), CORES_PER_TEAM),
                         OperatorSettings.defaults()));
-        scenario.workload.teams = List.of("team", TWO_TEAMS_OTHER);
+        scenario.workload.teams = List.of("team", SECOND_TEAM);
         scenario.users.cancelOneIn = 2;
         scenario.workload.submitJobs(40, 100_000);
         scenario.randomFaults.scheduleCombinedFaults(3, 20_000, 110_000);
@@ -201,7 +201,7 @@
         return scenario;
     }
 
-    private static ClusterScenario leadersChange(int seed) {
+    private static ClusterScenario repeatedFailovers(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed).withRunningServices();
         scenario.workload.submitJobs(20, 80_000);
         scenario.faults.failOverRepeatedly(10, 10_000);
@@ -209,30 +209,30 @@
         return scenario;
     }
 
-    /** Begins with the version in production and is rolled over to this one. */
+    /** Starts with the version in production and upgrades all controllers to the current version. */
     private static ClusterScenario fromProduction(int seed) {
-        ClusterScenario scenario =
-                new ClusterScenario(seed, 1, production(), new StoreLimits(2_048, 4, 25), version("{}"));
+        ClusterScenario scenario = new ClusterScenario(
+                seed, 1, loadProductionVersion(), new StoreLimits(2_048, 4, 25), controllerWith("{}"));
         scenario.workload.submitJobs(25, 100_000);
         scenario.rollOut(30_000, 12_000);
         scenario.advance(220_000);
         return scenario;
     }
 
-    private static ProductionVersion production() {
+    private static ProductionVersion loadProductionVersion() {
         try {
             return ProductionVersion.load();
         } catch (Exception e) {
-            throw new IllegalStateException("the version in production can't be built", e);
+            throw new IllegalStateException("cannot load the version in production named in deploy/service.toml", e);
         }
     }
 
-    private static ClusterScenario withOperator(int seed, String operator) {
-        return new ClusterScenario(seed, 1, null, new StoreLimits(2_048, 4, 25), version(operator));
+    private static ClusterScenario withOperatorSettings(int seed, String operatorSettings) {
+        return new ClusterScenario(seed, 1, null, new StoreLimits(2_048, 4, 25), controllerWith(operatorSettings));
     }
 
-    private static BiFunction<EventLoop, Settings, Controller> version(String operator) {
-        OperatorSettings settings = OperatorSettings.parse(operator);
-        return (r, s) -> new Controller(r, s, settings);
+    private static BiFunction<EventLoop, Settings, Controller> controllerWith(String operatorSettings) {
+        OperatorSettings parsed = OperatorSettings.parse(operatorSettings);
+        return (eventLoop, settings) -> new Controller(eventLoop, settings, parsed);
     }
 }
