--- a/src/test/java/org/hollypick/sim/Transcript.java
+++ b/src/test/java/org/hollypick/sim/Transcript.java
@@ -144,7 +144,8 @@
         for (int i = 0; i < 40; i++) {
             String path = String.format("/submissions/req-%06d/estimate", i % 20);
             int controller = i % 3;
-            scenario.world.schedule(5_000 + i * 4_000L, () -> scenario.users.queryAt(controller, path.split("/")[2], path));
+            scenario.world.schedule(
+                    5_000 + i * 4_000L, () -> scenario.users.queryAt(controller, path.split("/")[2], path));
         }
         scenario.randomFaults.scheduleFaults(5, 20_000, 120_000);
         scenario.advance(220_000);
