--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -97,7 +97,9 @@
     void checkerDetectsAFormerLeaderThatRenewsLeasesTooLong() {
         BiFunction<EventLoop, Settings, Controller> greedy = (eventLoop, settings) -> CURRENT_VERSION.apply(
                 eventLoop,
-                settings.node().equals("bothy-0") ? ClusterScenario.withLongerCancellation(settings, 60) : settings);
+                settings.node().equals("bothy-0")
+                        ? ClusterScenario.withLongerCancellation(settings, 60)
+                        : settings);
         // Only the old leader is greedy: the others reckon with the rights that there should be.
         assertTrue(cancelThroughNewLeader(1, greedy).checker.violations.stream()
                 .anyMatch(b -> b.startsWith("ran_cancelled")));
