--- a/src/test/java/org/hollypick/sim/ConnectionStormTest.java
+++ b/src/test/java/org/hollypick/sim/ConnectionStormTest.java
@@ -18,21 +18,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * More machines than a controller has sockets, and less processor time than a failover would like
- * (docs/incidents/storm.md).
+ * Failovers with more machines than a controller has sockets, and with little processor time (docs/incidents/storm.md).
  */
 class ConnectionStormTest {
     private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
     private static final int SIZE_FACTOR = 30;
     private static final int SOCKETS_PER_CONTROLLER = 150;
     /**
-     * The team's quota: room for twice as many machines as a controller has sockets. With the usual quota there were
-     * that many only because machines were rented beyond it (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
+     * The team's quota: enough for twice as many machines as a controller has sockets. The default quota allows too few
+     * machines; there were enough only while scale-out exceeded quotas
+     * (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
      */
     private static final double QUOTA_CORES = 2 * SOCKETS_PER_CONTROLLER * FakeCloud.CPUS;
 
-    /** What a day's controllers did: changes of lead, and good machines returned. */
+    /**
+     * A scenario that records the leader changes, and the working machines that were returned to the cloud provider.
+     */
     private static final class ObservedScenario {
         private final ClusterScenario scenario;
         private final List<Long> leaderChangesAtMs = new ArrayList<>();
@@ -50,9 +52,9 @@
             scenario.socketLimit = sockets;
             scenario.costPerTaskMs = 1.2;
             lastLeaderIncarnation = leaderIncarnation();
-            scenario.world.requestObserver = (from, call) -> {
-                if (call.path().equals("/hosts/return")) {
-                    call.body().path("bothies").forEach(id -> machineReturned(id.asText()));
+            scenario.world.requestObserver = (from, request) -> {
+                if (request.path().equals("/hosts/return")) {
+                    request.body().path("bothies").forEach(id -> machineReturned(id.asText()));
                 }
             };
         }
@@ -61,7 +63,9 @@
             return scenario.store.valueOf("h/roster").path("member").asLong();
         }
 
-        /** One that runs services is neither idle nor more than is needed. */
+        /**
+         * Records a returned machine that still runs tasks: being neither idle nor surplus, it must not be returned.
+         */
         private void machineReturned(String id) {
             for (FakeAgent agent : scenario.cloud.agents()) {
                 if (agent.name.equals(id) && agent.reportedTasks() > 0 && !hungMachines.contains(id)) {
@@ -82,7 +86,7 @@
         }
     }
 
-    /** All controllers end, and come back with few sockets and little processor time. */
+    /** Crashes all controllers, which restart with few sockets and little processor time. */
     private static ObservedScenario crashAllControllers(
             long seed, BiFunction<EventLoop, Settings, Controller> version, int sockets) {
         ObservedScenario observed = new ObservedScenario(seed, version, sockets);
@@ -96,27 +100,28 @@
             ObservedScenario observed = crashAllControllers(seed, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
             assertTrue(
                     observed.scenario.cloud.agents().size() > 1.5 * SOCKETS_PER_CONTROLLER,
-                    "more machines than sockets: "
+                    "too few machines for the number of sockets: "
                             + observed.scenario.cloud.agents().size());
             assertTrue(
                     observed.leaderChangesAtMs.size() <= 2,
-                    "seed " + seed + ": the lead changed at " + observed.leaderChangesAtMs);
+                    "seed " + seed + ": the leader changed at ms " + observed.leaderChangesAtMs);
             assertEquals(Set.of(), observed.returnedWorkingMachines, "seed " + seed);
             assertEquals(List.of(), observed.scenario.checker.violations, "seed " + seed);
         }
     }
 
     /**
-     * One after the other, the key-value store away in between, and a leader that stands still: as many changes of lead
-     * as there are faults, at most.
+     * Crashes the three controllers one after the other, makes the key-value store unavailable, then pauses the leader:
+     * each of the five faults causes at most one leader change.
      */
     @Test
     void consecutiveFaultsCauseNoMoreLeaderChangesThanFaults() {
         for (int seed = 1; seed <= 3; seed++) {
             ObservedScenario observed = new ObservedScenario(seed, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
             for (int node = 0; node < 3; node++) {
-                int n = node;
-                observed.scenario.world.schedule(1_000 + 20_000 * node, () -> observed.scenario.faults.crash(n, 6_000));
+                int controller = node;
+                observed.scenario.world.schedule(
+                        1_000 + 20_000 * node, () -> observed.scenario.faults.crash(controller, 6_000));
             }
             observed.scenario.world.schedule(65_000, () -> observed.scenario.store.startOutage(12_000));
             observed.scenario.world.schedule(
@@ -124,54 +129,56 @@
             observed.advance(160_000);
             assertTrue(
                     observed.leaderChangesAtMs.size() <= 5,
-                    "seed " + seed + ": the lead changed at " + observed.leaderChangesAtMs);
+                    "seed " + seed + ": the leader changed at ms " + observed.leaderChangesAtMs);
             assertEquals(Set.of(), observed.returnedWorkingMachines, "seed " + seed);
             assertEquals(List.of(), observed.scenario.checker.violations, "seed " + seed);
         }
     }
 
-    /** What hangs is still returned, and soon, although sockets are short. */
+    /** Hung machines are still returned to the cloud provider, within 25 s, although sockets are scarce. */
     @Test
     void hungMachinesAreReturnedWhileSocketsAreScarce() {
         ObservedScenario observed = crashAllControllers(1, CURRENT_VERSION, SOCKETS_PER_CONTROLLER);
-        List<FakeAgent> some = observed.scenario.cloud.agents().subList(0, 12);
-        some.forEach(m -> {
-            observed.hungMachines.add(m.name);
-            m.hang(120_000);
+        List<FakeAgent> agentsToHang = observed.scenario.cloud.agents().subList(0, 12);
+        agentsToHang.forEach(agent -> {
+            observed.hungMachines.add(agent.name);
+            agent.hang(120_000);
         });
         observed.advance(25_000);
         assertTrue(
                 observed.hungMachines.stream().noneMatch(observed.scenario.cloud.machineNames()::contains),
-                "still there");
+                "hung machines were not returned");
         assertEquals(Set.of(), observed.returnedWorkingMachines);
     }
 
     /**
-     * As it was: a call that this controller had no socket for counts like a machine's silence, and no other controller
-     * is asked.
+     * Restores an earlier fault: a request for which the controller has no socket counts as unanswered by the machine,
+     * and peers are not asked whether they reach the machine.
      */
     @Test
     void checksDetectSocketExhaustionTreatedAsNoResponse() {
-        BiFunction<EventLoop, Settings, Controller> faulty = (r, s) -> CURRENT_VERSION.apply(
-                new DelegatingEventLoop(r) {
+        BiFunction<EventLoop, Settings, Controller> faulty = (eventLoop, settings) -> CURRENT_VERSION.apply(
+                new DelegatingEventLoop(eventLoop) {
                     @Override
-                    public void send(Request call, Consumer<Response> callback) {
-                        if (call.path().equals("/reach")) {
-                            r.after(1, () -> callback.accept(new Response(404, null)));
+                    public void send(Request request, Consumer<Response> callback) {
+                        if (request.path().equals("/reach")) {
+                            eventLoop.after(1, () -> callback.accept(new Response(404, null)));
                         } else {
                             super.send(
-                                    call,
-                                    a -> callback.accept(
-                                            a.failedWith(Response.Failure.NO_CAPACITY) ? Response.noResponse() : a));
+                                    request,
+                                    response -> callback.accept(
+                                            response.failedWith(Response.Failure.NO_CAPACITY)
+                                                    ? Response.noResponse()
+                                                    : response));
                         }
                     }
                 },
-                s);
-        boolean noticed = false;
-        for (int seed = 1; seed <= 6 && !noticed; seed++) {
+                settings);
+        boolean detected = false;
+        for (int seed = 1; seed <= 6 && !detected; seed++) {
             ObservedScenario observed = crashAllControllers(seed, faulty, SOCKETS_PER_CONTROLLER * 3 / 5);
-            noticed = !observed.returnedWorkingMachines.isEmpty() || observed.leaderChangesAtMs.size() > 2;
+            detected = !observed.returnedWorkingMachines.isEmpty() || observed.leaderChangesAtMs.size() > 2;
         }
-        assertTrue(noticed);
+        assertTrue(detected);
     }
 }
--- a/src/test/java/org/hollypick/sim/DeterminismTest.java
+++ b/src/test/java/org/hollypick/sim/DeterminismTest.java
@@ -8,13 +8,13 @@
 import org.hollypick.config.OperatorSettings;
 import org.junit.jupiter.api.Test;
 
-/** A seed tells the whole day: without that, no failure that was found could be looked at again. */
+/** A seed determines a whole scenario, so any failure that a test finds can be reproduced. */
 class DeterminismTest {
     @Test
     void theSameSeedGivesTheSameScenario() {
         List<String> first = digests();
         assertEquals(first, digests());
-        System.out.println("days " + first);
+        System.out.println("digests " + first);
     }
 
     private static List<String> digests() {
@@ -25,7 +25,7 @@
                     seed % 3 == 0 ? 12 : 1,
                     null,
                     new StoreLimits(2_048, 4, 25),
-                    (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
+                    (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()));
             scenario.workload.submitJobs(30, 100_000);
             scenario.pipelines.submitPipelines(6, 90_000);
             scenario.world.schedule(60_000, scenario::tightenStoreLimits);
--- a/src/test/java/org/hollypick/sim/GrowthBenchmark.java
+++ b/src/test/java/org/hollypick/sim/GrowthBenchmark.java
@@ -10,9 +10,9 @@
 import org.hollypick.io.Request;
 
 /**
- * What grows with the number of machines: processor time of the leader by activity, in the simulated cluster, without
- * sockets or HTTP. Not a test; run by hand: {@code mvn -q test-compile exec:java -Dexec.classpathScope=test
- * -Dexec.mainClass=org.hollypick.sim.GrowthBenchmark -Dexec.args="540 1100 2500 5000"}.
+ * Measures what grows with the number of machines, such as the leader's processor time by activity, in the simulated
+ * cluster, without sockets or HTTP. Not a test; run by hand: {@code mvn -q test-compile exec:java
+ * -Dexec.classpathScope=test -Dexec.mainClass=org.hollypick.sim.GrowthBenchmark -Dexec.args="540 1100 2500 5000"}.
  */
 public final class GrowthBenchmark {
     private static final int MACHINES_PER_SIZE = 14;
@@ -22,21 +22,22 @@
     private static final long FAILOVER_MS = 20_000;
     private static final int SERVICES = 26;
     private static final int JOBS = 6 * SERVICES;
-    /** Activities that take less of the leader's time aren't named. */
-    private static final double MIN_NAMED_MS = 0.05;
-    /** During the failover: sockets of each controller, and processor time of each event that it handles. */
+    /** Activities that take fewer milliseconds of the leader's processor time per simulated second are not printed. */
+    private static final double MIN_PRINTED_MS = 0.05;
+    /** Sockets of each controller during the failover. */
     private static final int FAILOVER_SOCKETS = 1_800;
 
+    /** Simulated processor time that a controller takes for each event during the failover, in milliseconds. */
     private static final double FAILOVER_CPU_MS_PER_EVENT = 0.4;
 
     private static final String HEADER =
-            "| machines | tasks there | leader's processor time a second of the day, ms: by activity (times a second) "
-                    + "| others, ms | bytes to the state service a second | changes a second "
-                    + "| processor time of the new leader in 20 s of a takeover, ms "
-                    + "| from its claim until half of the machines, and 99 % of them, have seen it, s "
+            "| machines | tasks on them | leader's processor time per simulated second, ms: by activity (runs per second) "
+                    + "| followers' processor time, ms | bytes committed to the store per second | operations per second "
+                    + "| processor time of the new leader in the 20 s of a failover, ms "
+                    + "| time from its claim until half, and 99 %, of the machines have its fencing token, s "
                     + "| heap in use, MB |";
 
-    /** What the controllers commit to the store. */
+    /** Counts what the controllers commit to the store. */
     private static final class StoreTraffic {
         private long bytes;
         private long operations;
@@ -52,10 +53,10 @@
         }
     }
 
-    /** Processor time in milliseconds a second. */
+    /** Processor time in milliseconds per simulated second. */
     private record CpuShare(double leaderMs, double othersMs, String leaderByActivity) {}
 
-    /** Seconds from the new leader's claim until half and 99 % of the machines have seen its fencing token. */
+    /** Seconds from the new leader's claim until half, and 99 %, of the machines have received its fencing token. */
     private record Failover(double halfS, double nearlyAllS) {}
 
     private final Map<String, CpuMeter> meters = new TreeMap<>();
@@ -152,7 +153,7 @@
 
     private static String describe(String activity, CpuMeter.Usage usage) {
         double ms = usage.nanos() / 1e6 / MEASURED_S;
-        return ms < MIN_NAMED_MS
+        return ms < MIN_PRINTED_MS
                 ? ""
                 : String.format(Locale.ROOT, "%s %.2f (%.0f); ", activity, ms, usage.runs() / MEASURED_S);
     }
@@ -163,7 +164,7 @@
         return (runtime.totalMemory() - runtime.freeMemory()) >> 20;
     }
 
-    /** The leader ends, and another controller takes over with limited sockets and processor time. */
+    /** Crashes the leader, so that another controller takes over with limited sockets and processor time. */
     private Failover failOver() {
         String leaderBefore = scenario.leaderName();
         scenario.limitControllers(FAILOVER_SOCKETS, FAILOVER_CPU_MS_PER_EVENT);
@@ -183,7 +184,7 @@
         return new Failover((halfAt - claimedAt) / 1000.0, (nearlyAllAt - claimedAt) / 1000.0);
     }
 
-    /** The share of the agents that have seen the present leader's fencing token. */
+    /** The share of the agents that have received the current leader's fencing token. */
     private double shareOfAgentsWithToken() {
         long token = scenario.leadership.fencingToken();
         List<FakeAgent> agents = scenario.cloud.agents();
--- a/src/test/java/org/hollypick/sim/InvariantsTest.java
+++ b/src/test/java/org/hollypick/sim/InvariantsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on simulated days, and proof that the checker notices when a safeguard is taken away. */
+/** Checks the invariants in simulated scenarios, and that the checker detects when a safeguard is removed. */
 class InvariantsTest {
     private static final int RANDOM_SCENARIOS = 600;
 
@@ -31,7 +31,7 @@
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             starts += scenario.checker.tasks.starts;
         }
-        assertTrue(starts > RANDOM_SCENARIOS * 30, "the days did little: " + starts);
+        assertTrue(starts > RANDOM_SCENARIOS * 30, "too few tasks started in all scenarios: " + starts);
     }
 
     @Test
@@ -49,35 +49,42 @@
     }
 
     /**
-     * An outage longer than store session and agent lease: the others' promises let the leader go on answering reports.
+     * In a store outage longer than the store session and the agent lease, the leader goes on answering heartbeats
+     * under the leader lease that its peers grant.
      */
     @Test
     void tasksSurviveAStoreOutageLongerThanTheAgentLease() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
-        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
+        int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.advance(54_000);
-        assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
+        assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry);
         scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.violations);
     }
 
-    /** With one of the others gone there is no promise, so the leader must stop; nobody may act then. */
+    /**
+     * With one controller down, no leader lease is granted by all peers: the controllers have to stop answering
+     * heartbeats, and agents' leases expire.
+     */
     @Test
     void agentLeasesExpireInAStoreOutageWhileAPeerIsDown() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
         scenario.world.schedule(100, () -> scenario.faults.crash(0, 90_000));
         scenario.store.startOutage(60_000);
         scenario.advance(5_000);
-        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
+        int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
         scenario.advance(54_000);
-        assertTrue(scenario.checker.tasks.lostOnLeaseExpiry > lost);
+        assertTrue(scenario.checker.tasks.lostOnLeaseExpiry > lostBefore);
         scenario.advance(120_000);
         assertEquals(List.of(), scenario.checker.violations);
     }
 
-    /** Hundreds of tasks on dozens of machines, so that records hold many machines and jobs, and come and go. */
+    /**
+     * Hundreds of tasks on dozens of machines, so that records hold many machines and jobs, and are created and
+     * deleted.
+     */
     @Test
     void randomFaultsInALargeClusterViolateNoInvariant() {
         for (int seed = 1; seed <= 12; seed++) {
@@ -91,58 +98,61 @@
         }
     }
 
-    /** A leader that no machine reaches kept its leadership, and the leases of all of them ran out. */
+    /** A leader that no machine could reach used to remain leader until all agents' leases expired. */
     @Test
     void aLeaderPartitionedFromTheMachinesIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leaderIndex();
-        int lost = scenario.checker.tasks.lostOnLeaseExpiry;
-        scenario.network.partitionFromAgents(before, 40_000);
+        int leaderBefore = scenario.leaderIndex();
+        int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
+        scenario.network.partitionFromAgents(leaderBefore, 40_000);
         scenario.advance(14_000);
-        assertTrue(scenario.leaderIndex() != before);
+        assertTrue(scenario.leaderIndex() != leaderBefore);
         scenario.advance(60_000);
-        assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
+        assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry);
         assertEquals(List.of(), scenario.checker.violations);
     }
 
     /**
-     * A leader that alone can't reach the key-value store was replaced, after a store session's time without a leader,
-     * though another one reaches it.
+     * A leader that alone could not reach the key-value store used to be replaced, after a store session's time without
+     * a leader, although it can use the store through a peer.
      */
     @Test
     void aLeaderThatAloneCannotReachTheStoreReachesItThroughAPeer() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leaderIndex();
-        scenario.world.cut("bothy-" + before, "state:1", 40_000);
+        int leaderBefore = scenario.leaderIndex();
+        scenario.world.cut("bothy-" + leaderBefore, "state:1", 40_000);
         scenario.workload.submitJobs(10, 20_000);
         for (int i = 0; i < 300; i++) {
             scenario.advance(100);
-            assertEquals(before, scenario.leaderIndex());
+            assertEquals(leaderBefore, scenario.leaderIndex());
         }
-        assertEquals(200, scenario.users.readinessStatus(before), "users are served there too");
+        assertEquals(200, scenario.users.readinessStatus(leaderBefore), "the leader must stay ready for users");
         scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.violations);
         scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isAccepted(id), id));
     }
 
-    /** It was promised leadership on and on, and took no new jobs: with no way by another one either it is replaced. */
+    /**
+     * Peers used to extend the lease of a leader without access to the store indefinitely, although it could accept no
+     * jobs. A leader that reaches the store neither directly nor through a peer is replaced.
+     */
     @Test
     void aLeaderThatReachesTheStoreNeitherDirectlyNorThroughAPeerIsReplaced() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
-        int before = scenario.leaderIndex();
-        scenario.world.cut("bothy-" + before, "state:1", 40_000);
+        int leaderBefore = scenario.leaderIndex();
+        scenario.world.cut("bothy-" + leaderBefore, "state:1", 40_000);
         for (int other = 0; other < 3; other++) {
-            scenario.world.cut("bothy-" + before, "m" + other + ":1", 4_500);
+            scenario.world.cut("bothy-" + leaderBefore, "m" + other + ":1", 4_500);
         }
         scenario.advance(8_000);
-        assertTrue(scenario.leaderIndex() != before);
-        assertEquals(200, scenario.users.readinessStatus((before + 1) % 3));
+        assertTrue(scenario.leaderIndex() != leaderBefore);
+        assertEquals(200, scenario.users.readinessStatus((leaderBefore + 1) % 3));
         scenario.advance(90_000);
-        assertEquals(200, scenario.users.readinessStatus(before));
+        assertEquals(200, scenario.users.readinessStatus(leaderBefore));
         assertEquals(List.of(), scenario.checker.violations);
     }
 
-    /** In an outage for all nobody is better off elsewhere. */
+    /** While the store is unavailable to all controllers, no controller serves users better than another. */
     @Test
     void allControllersStayReadyInAStoreOutage() {
         ClusterScenario scenario = new ClusterScenario(3).withRunningServices();
@@ -153,36 +163,36 @@
         }
     }
 
-    /** Without the durable machine records a new leader doesn't wait for machines it can't reach. */
+    /** Hides the durable machine records, so that a new leader doesn't wait for machines that it can't reach. */
     @Test
     void checkerDetectsALeaderThatDoesNotWaitForUnreachableMachines() {
-        boolean noticed = false;
-        for (int seed = 1; seed < 40 && !noticed; seed++) {
+        boolean detected = false;
+        for (int seed = 1; seed < 40 && !detected; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
-            scenario.store.hiddenKeys = k -> k.startsWith("h/m/");
+            scenario.store.hiddenKeys = key -> key.startsWith("h/m/");
             scenario.workload.submitJobs(25, 40_000);
             scenario.world.schedule(
                     45_000,
-                    () -> scenario.cloud.agents().forEach(w -> {
+                    () -> scenario.cloud.agents().forEach(agent -> {
                         for (int i = 0; i < 3; i++) {
                             if (scenario.world.random.nextBoolean()) {
-                                scenario.world.cut(w.name, "p" + i + ":1", 12_000);
+                                scenario.world.cut(agent.name, "p" + i + ":1", 12_000);
                             }
-                            scenario.world.cut("bothy-" + i, w.address, 12_000);
+                            scenario.world.cut("bothy-" + i, agent.address, 12_000);
                         }
                     }));
             scenario.world.schedule(46_000, scenario.faults::crashAll);
             scenario.advance(120_000);
-            noticed = scenario.checker.violations.stream().anyMatch(b -> b.startsWith("ran_twice"));
+            detected = scenario.checker.violations.stream().anyMatch(violation -> violation.startsWith("ran_twice"));
         }
-        assertTrue(noticed);
+        assertTrue(detected);
     }
 
-    /** If store sessions end before their time, a deposed leader still answers, from what was true once. */
+    /** If store sessions expire early, a leader that was replaced still answers requests from outdated state. */
     @Test
     void checkerDetectsAStoreSessionThatExpiresEarly() {
-        boolean noticed = false;
-        for (int seed = 1; seed < 40 && !noticed; seed++) {
+        boolean detected = false;
+        for (int seed = 1; seed < 40 && !detected; seed++) {
             ClusterScenario scenario = new ClusterScenario(seed);
             scenario.store.sessionLifeShare = 0.2;
             scenario.workload.submitJobs(25, 60_000);
@@ -192,8 +202,8 @@
                         20_000 + 8_000 * i, () -> scenario.world.cut("bothy-" + node, "state:1", 6_000));
             }
             scenario.advance(120_000);
-            noticed = !scenario.checker.violations.isEmpty();
+            detected = !scenario.checker.violations.isEmpty();
         }
-        assertTrue(noticed);
+        assertTrue(detected);
     }
 }
--- a/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
+++ b/src/test/java/org/hollypick/sim/OneTaskJobsTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many jobs of one task each: two changes of the key-value store for each of them, whose number a second is limited.
+ * Many jobs with one task each: each job takes two changes of the key-value store, which limits the changes per second.
  */
 class OneTaskJobsTest {
     private static final int JOBS = 120;
     private static final long OUTAGE_MS = 30_000;
     private static final double CHANGES_PER_SECOND = 30;
 
-    /** The controllers know, and keep to, a limit of changes that the jobs use up. */
+    /** A cluster whose store and controllers are configured with a rate of changes that the jobs use up. */
     private static ClusterScenario scenarioWithTightenedLimits() {
         ClusterScenario scenario = new ClusterScenario(
                 4,
                 6,
                 null,
                 new StoreLimits(8192, 12, CHANGES_PER_SECOND),
-                (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
+                (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()));
         scenario.tightenStoreLimits();
         return scenario;
     }
@@ -53,7 +53,7 @@
                 .put("stow_s", 0.0);
     }
 
-    /** Submits one-task jobs at equal intervals; returns their names. */
+    /** Submits one-task jobs at equal intervals and returns their ids. */
     private static List<String> submitJobs(ClusterScenario scenario, int count, long withinMs) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -64,12 +64,12 @@
         return ids;
     }
 
-    /** Counts the transactions by which jobs are ended. */
+    /** Counts the transactions that record jobs as terminated, from now on. */
     private static int[] countTerminatingTransactions(ClusterScenario scenario) {
         int[] transactions = {0};
-        var before = scenario.world.requestObserver;
-        scenario.world.requestObserver = before.andThen((from, call) -> {
-            if (call.path().equals("/commit") && terminatesJobs(call.body())) {
+        var earlierObserver = scenario.world.requestObserver;
+        scenario.world.requestObserver = earlierObserver.andThen((from, request) -> {
+            if (request.path().equals("/commit") && terminatesJobs(request.body())) {
                 transactions[0]++;
             }
         });
@@ -86,7 +86,10 @@
         return false;
     }
 
-    /** Jobs end while the service is down; afterwards each end needs a change, but not a request of its own. */
+    /**
+     * Jobs complete while the store is unavailable. Afterwards each needs a change of its record, but not a transaction
+     * of its own.
+     */
     @Test
     void jobsThatTerminateCloseTogetherShareATransaction() {
         ClusterScenario scenario = scenarioWithTightenedLimits();
@@ -94,12 +97,13 @@
         scenario.advance(14_000);
         scenario.store.startOutage(OUTAGE_MS);
         scenario.advance(OUTAGE_MS);
-        long open = ids.stream().filter(id -> !scenario.checker.isTerminal(id)).count();
-        assertTrue(open >= JOBS / 3, "open " + open);
+        long unterminated =
+                ids.stream().filter(id -> !scenario.checker.isTerminal(id)).count();
+        assertTrue(unterminated >= JOBS / 3, "too few unterminated jobs after the outage: " + unterminated);
         int[] transactions = countTerminatingTransactions(scenario);
         scenario.advance(60_000);
         assertEquals(List.of(), scenario.checker.violations);
         ids.forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
-        assertTrue(transactions[0] <= open / 2, "transactions " + transactions[0] + " for " + open);
+        assertTrue(transactions[0] <= unterminated / 2, "transactions " + transactions[0] + " for " + unterminated);
     }
 }
--- a/src/test/java/org/hollypick/sim/PipelinesTest.java
+++ b/src/test/java/org/hollypick/sim/PipelinesTest.java
@@ -25,22 +25,22 @@
 import org.hollypick.io.Response;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that await others, limits that tighten, and the version in production beside the present one. */
+/** Jobs with dependencies, tightened limits of the store, and rolling upgrades from the production version. */
 class PipelinesTest {
     private static final int RANDOM_SCENARIOS = 200;
-    /** What a key-value store may come down to. */
+    /** Lower limits that come into force in the key-value store without notice. */
     private static final StoreLimits TIGHTENED_LIMITS = new StoreLimits(2_048, 4, 25);
 
     private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
-            (r, s) -> new Controller(r, s, OperatorSettings.defaults());
+            (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
 
     private static ClusterScenario newScenario(long seed, BiFunction<EventLoop, Settings, Controller> version) {
         return new ClusterScenario(seed, 1, null, TIGHTENED_LIMITS, version);
     }
 
     /**
-     * Pipelines with late ends, cancelled middles and what must be refused, while limits tighten without notice and
-     * things fail.
+     * Submits pipelines whose last stage may be late, cancellations, and jobs that must be rejected, while the store's
+     * limits are tightened without notice and random faults occur.
      */
     @Test
     void pipelinesViolateNoInvariantWhileLimitsTighten() {
@@ -56,12 +56,12 @@
             assertEquals(0, scenario.store.oversizedTransactions, "seed " + seed);
             starts += scenario.checker.tasks.starts;
         }
-        assertTrue(starts > RANDOM_SCENARIOS * 60, "the days did little: " + starts);
+        assertTrue(starts > RANDOM_SCENARIOS * 60, "too few tasks started in all scenarios: " + starts);
     }
 
     /**
-     * Both versions side by side, on one another's records, with crashes back into the old one; pipelines come when all
-     * are new.
+     * Both versions run side by side and read one another's records; a controller that crashes before its upgrade
+     * restarts with the old version. Pipelines are submitted once all controllers run the current version.
      */
     @Test
     void rollingUpgradeFromProductionViolatesNoInvariant() throws Exception {
@@ -72,8 +72,8 @@
             scenario.workload.submitJobs(20, 150_000);
             scenario.randomFaults.scheduleFaults(8, 10_000, 170_000);
             scenario.rollOut(25_000, 12_000);
-            // A zone cut while both versions are there: the old one doesn't reckon with leases that the new one would
-            // keep.
+            // Partitions a zone while both versions run: the old version doesn't take into account leases that the
+            // current version could renew in a partition.
             scenario.placeControllerInZone(2, "b");
             for (int i = 0; i < 2; i++) {
                 long ms = 10_000L + scenario.world.random.nextInt(25_000);
@@ -91,50 +91,54 @@
         }
     }
 
-    /** Whether some of the random scenarios breaks a rule whose name begins so. */
+    /** Returns whether any of 60 random scenarios violates an invariant whose name begins with the given text. */
     private static boolean anyScenarioViolates(
-            String rule, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> troubles) {
+            String invariant, BiFunction<EventLoop, Settings, Controller> version, Consumer<ClusterScenario> faults) {
         for (int seed = 1; seed <= 60; seed++) {
             ClusterScenario scenario = newScenario(seed, version);
             scenario.pipelines.submitPipelines(14, 60_000);
             scenario.world.schedule(40_000, scenario::tightenStoreLimits);
-            troubles.accept(scenario);
+            faults.accept(scenario);
             scenario.advance(180_000);
-            if (scenario.checker.violations.stream().anyMatch(b -> b.startsWith(rule))) {
+            if (scenario.checker.violations.stream().anyMatch(violation -> violation.startsWith(invariant))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** A task's end that isn't durable yet is no reason to start: a cancellation may still win the record. */
+    /**
+     * Dependents may start only once a completion is durable: until then, a cancellation may still be the first to
+     * write the job's record.
+     */
     @Test
     void checkerDetectsAStartBeforeTheDependencyIsDurablyCompleted() {
         ClusterScenario[] current = {null};
         assertTrue(anyScenarioViolates(
                 "too_early",
-                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
-                    private final Map<String, Collection<String>> awaits = new HashMap<>();
+                (eventLoop, settings) ->
+                        new Controller(eventLoop, settings, OperatorSettings.defaults(), new JobDependencies() {
+                            private final Map<String, Collection<String>> dependenciesByJob = new HashMap<>();
 
-                    @Override
-                    public void addLive(String id, Priority rank, Collection<String> awaited) {
-                        awaits.put(id, awaited);
-                        super.addLive(id, rank, awaited);
-                    }
+                            @Override
+                            public void addLive(String id, Priority priority, Collection<String> dependencyIds) {
+                                dependenciesByJob.put(id, dependencyIds);
+                                super.addLive(id, priority, dependencyIds);
+                            }
 
-                    @Override
-                    public boolean ready(String id) {
-                        return awaits.getOrDefault(id, List.of()).stream()
-                                .allMatch(current[0].checker.tasks::isComplete);
-                    }
+                            @Override
+                            public boolean ready(String id) {
+                                return dependenciesByJob.getOrDefault(id, List.of()).stream()
+                                        .allMatch(current[0].checker.tasks::isComplete);
+                            }
 
-                    @Override
-                    public Set<String> takeChangedJobs() {
-                        Set<String> all = new LinkedHashSet<>(super.takeChangedJobs());
-                        all.addAll(awaits.keySet());
-                        return all;
-                    }
-                }),
+                            @Override
+                            public Set<String> takeChangedJobs() {
+                                Set<String> changedJobs = new LinkedHashSet<>(super.takeChangedJobs());
+                                changedJobs.addAll(dependenciesByJob.keySet());
+                                return changedJobs;
+                            }
+                        }),
                 scenario -> {
                     current[0] = scenario;
                     scenario.workload.cancelJobsOnCompletion();
@@ -148,27 +152,33 @@
     void checkerDetectsDependentsThatAreNotCancelled() {
         assertTrue(anyScenarioViolates(
                 "orphaned",
-                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
-                    @Override
-                    public boolean isCancelled(String id) {
-                        return false;
-                    }
-                }),
+                (eventLoop, settings) ->
+                        new Controller(eventLoop, settings, OperatorSettings.defaults(), new JobDependencies() {
+                            @Override
+                            public boolean isCancelled(String id) {
+                                return false;
+                            }
+                        }),
                 scenario -> {}));
     }
 
-    /** If only the leader knew, others would call a job pending that it has called cancelled. */
+    /**
+     * If only the leader derived cancellations from dependencies, other controllers would report a job as pending that
+     * the leader has reported as cancelled.
+     */
     @Test
     void checkerDetectsDependentsThatOnlyTheLeaderReportsAsCancelled() {
         ClusterScenario[] current = {null};
         assertTrue(anyScenarioViolates(
                 "went_back",
-                (r, s) -> new Controller(r, s, OperatorSettings.defaults(), new JobDependencies() {
-                    @Override
-                    public boolean isCancelled(String id) {
-                        return s.node().equals("bothy-" + current[0].leaderIndex()) && super.isCancelled(id);
-                    }
-                }),
+                (eventLoop, settings) ->
+                        new Controller(eventLoop, settings, OperatorSettings.defaults(), new JobDependencies() {
+                            @Override
+                            public boolean isCancelled(String id) {
+                                return settings.node().equals("bothy-" + current[0].leaderIndex())
+                                        && super.isCancelled(id);
+                            }
+                        }),
                 scenario -> {
                     current[0] = scenario;
                     rejectCancellationRecordsOfDependents(scenario);
@@ -176,8 +186,8 @@
     }
 
     /**
-     * The records of the jobs that users cancel are all that is needed: those of the jobs behind may stay unwritten for
-     * ever.
+     * The records of the jobs that users cancel suffice: every controller derives from them which dependents are
+     * cancelled, even if the dependents' own records are never updated.
      */
     @Test
     void everyControllerReportsDependentsAsCancelledWithoutTheirRecords() {
@@ -190,12 +200,16 @@
         }
     }
 
+    /**
+     * Makes the store refuse to record jobs as cancelled that no user asked to cancel, and crashes the leader twelve
+     * times.
+     */
     private static void rejectCancellationRecordsOfDependents(ClusterScenario scenario) {
-        scenario.store.refusedTransactions = txn -> {
-            for (JsonNode op : txn.path("then")) {
-                String key = op.path("put").asText();
+        scenario.store.refusedTransactions = transaction -> {
+            for (JsonNode operation : transaction.path("then")) {
+                String key = operation.path("put").asText();
                 if (key.startsWith("h/j/")
-                        && op.path("data").path("status").asText().equals("aborted")
+                        && operation.path("data").path("status").asText().equals("aborted")
                         && !scenario.checker.isCancellationRequested(key.substring(4))) {
                     return true;
                 }
@@ -207,8 +221,8 @@
         }
     }
 
-    private static ObjectNode job(String id, int tasks, Collection<String> awaits) {
-        ObjectNode b = Codec.object()
+    private static ObjectNode job(String id, int tasks, Collection<String> dependencyIds) {
+        ObjectNode job = Codec.object()
                 .put("name_id", id)
                 .put("jobkind", "stage")
                 .put("owner", "team")
@@ -226,14 +240,14 @@
                 .put("expect_s", 3.0)
                 .put("bookmark_s", 0.0)
                 .put("stow_s", 0.0);
-        ArrayNode list = b.putArray("awaits");
-        awaits.forEach(list::add);
-        return b;
+        ArrayNode dependencies = job.putArray("awaits");
+        dependencyIds.forEach(dependencies::add);
+        return job;
     }
 
     /**
-     * What a job awaits may be larger than any value: it goes into further records, and holds across the loss of all
-     * controllers.
+     * A job's list of dependencies may be larger than a store value can be: it is split over several records, and
+     * survives the loss of all controllers.
      */
     @Test
     void aJobWithHundredsOfDependenciesSurvivesTheLossOfAllControllers() {
@@ -246,20 +260,20 @@
             ids.add(id);
             scenario.world.schedule(i * 150L, () -> scenario.users.submit(id, job(id, 1, List.of())));
         }
-        String last = "req-" + "9".repeat(18);
-        scenario.world.schedule(20_000, () -> scenario.users.submitWhenAccepted(last, job(last, 2, ids)));
+        String dependentId = "req-" + "9".repeat(18);
+        scenario.world.schedule(20_000, () -> scenario.users.submitWhenAccepted(dependentId, job(dependentId, 2, ids)));
         scenario.advance(60_000);
-        assertTrue(scenario.checker.isAccepted(last));
+        assertTrue(scenario.checker.isAccepted(dependentId));
         scenario.faults.crashAll();
         scenario.advance(240_000);
         assertEquals(List.of(), scenario.checker.violations);
         assertEquals(0, scenario.store.oversizedTransactions);
-        assertTrue(scenario.checker.isTerminal(last));
+        assertTrue(scenario.checker.isTerminal(dependentId));
     }
 
     /**
-     * Under small values one job's progress needs several parts; what they say holds across the loss of all
-     * controllers.
+     * If the store allows small values only, the completed tasks of one job are stored in several parts. They survive
+     * the loss of all controllers, so few tasks are started again.
      */
     @Test
     void completionsLargerThanOneStoreValueSurviveTheLossOfAllControllers() {
@@ -271,40 +285,48 @@
         while (scenario.checker.tasks.completedCount < tasks / 2) {
             scenario.advance(1_000);
         }
-        assertTrue(scenario.store.valuesUnder("h/p/").values().stream().anyMatch(r -> r.has("req-1@0/0")));
+        assertTrue(scenario.store.valuesUnder("h/p/").values().stream()
+                .anyMatch(storedRecord -> storedRecord.has("req-1@0/0")));
         scenario.faults.crashAll();
         scenario.advance(200_000);
         assertTrue(scenario.checker.isTerminal("req-1"));
         assertEquals(List.of(), scenario.checker.violations);
         assertEquals(0, scenario.store.oversizedTransactions);
-        assertTrue(scenario.checker.tasks.starts < tasks * 1.4, "started again: " + scenario.checker.tasks.starts);
+        assertTrue(
+                scenario.checker.tasks.starts < tasks * 1.4,
+                "too many tasks started again, starts: " + scenario.checker.tasks.starts);
     }
 
-    /** What can't be read, or be stored whatever the limits, is refused for good; what was accepted before stays so. */
+    /**
+     * Submissions with malformed or impossible dependencies, or too large to be stored, are rejected permanently. A
+     * repeated submission of an accepted job is answered as accepted, even if it names other dependencies.
+     */
     @Test
     void invalidDependenciesAreRejected() {
         ClusterScenario scenario = newScenario(6, CURRENT_VERSION);
         scenario.advance(5_000);
         assertEquals(201, submitAndReadHttpStatus(scenario, job("req-1", 1, List.of())));
-        for (JsonNode garbage : List.of(
+        for (JsonNode invalidDependencies : List.of(
                 Codec.object(),
                 Codec.array().add(1),
                 Codec.array().add("req-x"),
                 Codec.array().addNull(),
                 Codec.array().add("req-1").add(""))) {
-            ObjectNode b = job("req-2", 1, List.of());
-            b.set("awaits", garbage);
-            assertEquals(400, scenario.users.request("POST", "/submissions", b).status());
+            ObjectNode job = job("req-2", 1, List.of());
+            job.set("awaits", invalidDependencies);
+            assertEquals(
+                    400, scenario.users.request("POST", "/submissions", job).status());
         }
         assertEquals(422, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-2"))));
         assertEquals(422, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-1", "req-3"))));
-        ObjectNode endless = job("req-2", 1, List.of("req-1"));
-        ArrayNode types = endless.putArray("flavours").add("t4");
+        ObjectNode oversizedJob = job("req-2", 1, List.of("req-1"));
+        ArrayNode machineTypes = oversizedJob.putArray("flavours").add("t4");
         for (int i = 0; i < 2_000; i++) {
-            types.add("type-" + i);
+            machineTypes.add("type-" + i);
         }
         assertEquals(
-                400, scenario.users.request("POST", "/submissions", endless).status());
+                400,
+                scenario.users.request("POST", "/submissions", oversizedJob).status());
         assertEquals(
                 404, scenario.users.request("GET", "/submissions/req-2", null).status());
         assertEquals(201, submitAndReadHttpStatus(scenario, job("req-2", 1, List.of("req-1", "req-1"))));
@@ -316,8 +338,8 @@
     }
 
     /**
-     * A job that names a cancelled one is accepted and over at once; a cancellation answered with done takes nothing
-     * along.
+     * A job submitted with a cancelled dependency is accepted and cancelled at once. A cancellation that is answered
+     * with {@code done} came too late: it cancels no dependents.
      */
     @Test
     void jobsSubmittedAfterADependencyWasCancelledAreCancelled() {
@@ -336,7 +358,9 @@
         assertEquals("aborted", cancelAndReadStatus(scenario, "req-4"));
         scenario.advance(120_000);
         assertEquals(
-                "aborted", scenario.store.valueOf("h/j/req-4").path("status").asText(), "its own record follows");
+                "aborted",
+                scenario.store.valueOf("h/j/req-4").path("status").asText(),
+                "the stored record of req-4 must become aborted too");
         assertEquals("done", cancelAndReadStatus(scenario, "req-2"));
         assertEquals(201, submitAndReadHttpStatus(scenario, job("req-5", 1, List.of("req-2"))));
         scenario.advance(30_000);
@@ -344,24 +368,24 @@
     }
 
     /**
-     * The same of progress: while a record can't be written, nothing that is done may be cleared from the machines'
-     * reports.
+     * A completion record written under larger limits can't be rewritten under the tightened ones: its parts move to
+     * other records. Until a completed task is recorded there, the agent must keep reporting it.
      */
     @Test
     void jobsTerminateAlthoughACompletionRecordExceedsTheTightenedLimits() {
         ClusterScenario scenario = new ClusterScenario(12, 20, null, TIGHTENED_LIMITS, CURRENT_VERSION);
         scenario.advance(5_000);
-        ObjectNode packed = Codec.object();
+        ObjectNode oversizedRecord = Codec.object();
         for (int i = 0; i < 220; i++) {
             String id = String.format("req-%06d", 100 + i);
-            packed.put(id + "/0", "AA==");
+            oversizedRecord.put(id + "/0", "AA==");
             scenario.world.schedule(
                     i * 60L,
                     () -> scenario.users.submit(id, job(id, 7, List.of()).put("expect_s", 30.0)));
         }
         scenario.advance(20_000);
-        scenario.store.write("h/p/0", packed);
-        assertTrue(Codec.write(packed, true).length > 2_048);
+        scenario.store.write("h/p/0", oversizedRecord);
+        assertTrue(Codec.write(oversizedRecord, true).length > 2_048);
         scenario.faults.crashAll();
         scenario.tightenStoreLimits();
         scenario.advance(250_000);
@@ -376,8 +400,9 @@
     }
 
     /**
-     * Records of machines that the version in production wrote under larger limits can't be written again as they are.
-     * A refused write was repeated for ever, with every new machine's record in the same transaction.
+     * Machine records that the production version wrote under larger limits can't be rewritten under the tightened
+     * ones. The rejected write used to be repeated forever, in one transaction with the records of new machines, which
+     * were not stored either.
      */
     @Test
     void machinesInOversizedRecordsOfProductionAreCopiedToOtherRecords() throws Exception {
@@ -385,33 +410,36 @@
                 new ClusterScenario(11, 20, ProductionVersion.load(), TIGHTENED_LIMITS, CURRENT_VERSION);
         scenario.workload.submitJobs(40, 30_000);
         scenario.advance(40_000);
-        // Machines that came up together, as production packs them: 50 to a record.
-        ObjectNode packed = Codec.object();
+        // The production version stores machines that started together in one record, 50 of them at most.
+        ObjectNode oversizedRecord = Codec.object();
         scenario.store
                 .valuesUnder("h/m/")
                 .values()
-                .forEach(r -> r.fields().forEachRemaining(f -> {
-                    if (packed.size() < 50) {
-                        packed.set(f.getKey(), f.getValue());
+                .forEach(storedRecord -> storedRecord.fields().forEachRemaining(machine -> {
+                    if (oversizedRecord.size() < 50) {
+                        oversizedRecord.set(machine.getKey(), machine.getValue());
                     }
                 }));
-        assertTrue(Codec.write(packed, true).length > 2_048);
-        scenario.store.write("h/m/bothy-0/1/0", packed);
+        assertTrue(Codec.write(oversizedRecord, true).length > 2_048);
+        scenario.store.write("h/m/bothy-0/1/0", oversizedRecord);
         scenario.rollOut(0, 10_000);
         scenario.advance(45_000);
         scenario.tightenStoreLimits();
         scenario.workload.submitJobs(30, 60_000);
         scenario.advance(200_000);
-        Set<String> named = new LinkedHashSet<>();
-        scenario.store.valuesUnder("h/m/").values().forEach(r -> r.fieldNames().forEachRemaining(named::add));
-        named.removeAll(scenario.cloud.machineNames());
-        assertEquals(Set.of(), named, "machines that are gone are still recorded");
+        Set<String> recordedMachines = new LinkedHashSet<>();
+        scenario.store
+                .valuesUnder("h/m/")
+                .values()
+                .forEach(storedRecord -> storedRecord.fieldNames().forEachRemaining(recordedMachines::add));
+        recordedMachines.removeAll(scenario.cloud.machineNames());
+        assertEquals(Set.of(), recordedMachines, "terminated machines are still recorded");
         assertEquals(List.of(), scenario.checker.violations);
         assertEquals(0, scenario.store.oversizedTransactions);
         scenario.checker.submitted.keySet().forEach(id -> assertTrue(scenario.checker.isTerminal(id), id));
     }
 
-    /** The status with which the submission is answered. */
+    /** The HTTP status with which the submission is answered. */
     private static int submitAndReadHttpStatus(ClusterScenario scenario, ObjectNode job) {
         return scenario.users.request("POST", "/submissions", job).status();
     }
--- a/src/test/java/org/hollypick/sim/ProcessPauseTest.java
+++ b/src/test/java/org/hollypick/sim/ProcessPauseTest.java
@@ -17,23 +17,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A controller that stands still while its clocks run on, longer than its store session, between a decision and the
- * sending of what was decided.
+ * Pauses the leader between deciding on a request and sending it, for longer than its store session lasts. Its clocks
+ * run on during the pause.
  */
 class ProcessPauseTest {
+    /** Longer than a store session, so that another controller becomes leader during the pause. */
     private static final long PAUSE_MS = 9_000;
     /**
-     * More than the jobs before the pause use, so that machines are requested during it. With the usual quota of 40
-     * cores, all of it in use, they were requested only beyond it
-     * (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
+     * More cores than the jobs before the pause use, so that the leader has reason to request machines around the
+     * pause. With the default quota of 40 cores, all of it in use, machines were requested only because scale-out
+     * exceeded the quota (docs/incidents/2026-12-03-scale-out-beyond-quota.md).
      */
     private static final double QUOTA_CORES = 80;
 
     private static final List<Predicate<Request>> REQUEST_KINDS = List.of(
-            call -> call.path().equals("/commands")
-                    && call.body().path("orders").toString().contains("launch"),
-            call -> call.path().equals("/hosts") && call.method().equals("POST"),
-            call -> call.path().equals("/hosts/return"));
+            request -> request.path().equals("/commands")
+                    && request.body().path("orders").toString().contains("launch"),
+            request -> request.path().equals("/hosts") && request.method().equals("POST"),
+            request -> request.path().equals("/hosts/return"));
 
     private static ClusterScenario scenarioWithPausedLeader(
             int seed, Predicate<Request> kind, BiFunction<EventLoop, Settings, Controller> version) {
@@ -41,13 +42,13 @@
                 ClusterScenario.withQuotas(seed, 1, List.of(JobDescription.DEFAULT_TEAM), QUOTA_CORES, version);
         scenario.workload.submitJobs(30, 100_000);
         scenario.advance(30_000);
-        int before = scenario.leaderIndex();
+        int leaderBefore = scenario.leaderIndex();
         scenario.faults.freezeLeaderBeforeSending(kind, PAUSE_MS);
         scenario.workload.submitUncancelledServices(8);
         scenario.world.schedule(
-                500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(w -> w.hang(20_000)));
+                500, () -> scenario.cloud.agents().stream().findFirst().ifPresent(agent -> agent.hang(20_000)));
         scenario.advance(60_000);
-        assertNotEquals(before, scenario.leaderIndex(), "seed " + seed + ": another one leads by then");
+        assertNotEquals(leaderBefore, scenario.leaderIndex(), "seed " + seed + ": the paused leader was not replaced");
         scenario.advance(90_000);
         return scenario;
     }
@@ -57,26 +58,30 @@
         for (Predicate<Request> kind : REQUEST_KINDS) {
             for (int seed = 1; seed <= 6; seed++) {
                 ClusterScenario scenario = scenarioWithPausedLeader(
-                        seed, kind, (r, s) -> new Controller(r, s, OperatorSettings.defaults()));
+                        seed,
+                        kind,
+                        (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults()));
                 assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             }
         }
     }
 
-    /** Checked only when it is decided, an order goes out that nobody has the right to give any more. */
+    /**
+     * If the leader lease is checked only when a request is decided on, the request is sent after the lease expired.
+     */
     @Test
     void checkerDetectsALeaderLeaseThatIsNotCheckedBeforeSending() {
         for (Predicate<Request> kind : REQUEST_KINDS) {
-            boolean noticed = false;
-            for (int seed = 1; seed <= 6 && !noticed; seed++) {
+            boolean detected = false;
+            for (int seed = 1; seed <= 6 && !detected; seed++) {
                 ClusterScenario scenario = scenarioWithPausedLeader(
                         seed,
                         kind,
-                        (r, s) -> new Controller(
-                                new DelegatingEventLoop(r) {
+                        (eventLoop, settings) -> new Controller(
+                                new DelegatingEventLoop(eventLoop) {
                                     @Override
                                     public void send(Request request, Consumer<Response> callback) {
-                                        r.send(
+                                        eventLoop.send(
                                                 new Request(
                                                         request.address(),
                                                         request.method(),
@@ -87,11 +92,12 @@
                                                 callback);
                                     }
                                 },
-                                s,
+                                settings,
                                 OperatorSettings.defaults()));
-                noticed = scenario.checker.violations.stream().anyMatch(b -> b.startsWith("without_right"));
+                detected = scenario.checker.violations.stream()
+                        .anyMatch(violation -> violation.startsWith("without_right"));
             }
-            assertTrue(noticed);
+            assertTrue(detected);
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/RestartTest.java
+++ b/src/test/java/org/hollypick/sim/RestartTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Controllers that end and are back within a fraction of a second, before anyone has missed them. */
+/** Controllers that crash and restart within a second, before their store sessions expire. */
 class RestartTest {
     private static ClusterScenario scenarioWithRunningServices(int seed) {
         ClusterScenario scenario = new ClusterScenario(seed, 4);
@@ -17,35 +17,41 @@
         return scenario;
     }
 
-    /** Milliseconds from the leader's end until a leader record names another incarnation. */
-    private static long awaitNewLeader(ClusterScenario scenario, long within) {
-        long member = scenario.store.valueOf("h/roster").path("member").asLong();
-        long from = scenario.world.now;
-        while (scenario.store.valueOf("h/roster").path("member").asLong() == member) {
+    /** Waits until the leader record names another incarnation, and returns how many milliseconds that took. */
+    private static long awaitNewLeader(ClusterScenario scenario, long withinMs) {
+        long incarnation = scenario.store.valueOf("h/roster").path("member").asLong();
+        long start = scenario.world.now;
+        while (scenario.store.valueOf("h/roster").path("member").asLong() == incarnation) {
             scenario.advance(10);
-            assertTrue(scenario.world.now < from + within, "nobody leads after ms=" + (scenario.world.now - from));
+            assertTrue(scenario.world.now < start + withinMs, "no new leader after ms=" + (scenario.world.now - start));
         }
-        return scenario.world.now - from;
+        return scenario.world.now - start;
     }
 
-    /** It waited for as long as others may pass its earlier self's answers on, though they can say that they don't. */
+    /**
+     * A restarted leader used to wait until the responses of its earlier incarnation that peers may relay had expired,
+     * although peers can confirm at once that they relay none.
+     */
     @Test
     void aLeaderThatRestartsAtOnceIsReplacedAtOnce() {
         for (int seed = 1; seed <= 4; seed++) {
-            for (long restart : new long[] {50, 200, 1_000}) {
+            for (long downtimeMs : new long[] {50, 200, 1_000}) {
                 ClusterScenario scenario = scenarioWithRunningServices(seed);
-                int lost = scenario.checker.tasks.lostOnLeaseExpiry;
-                scenario.faults.crash(scenario.leaderIndex(), restart);
-                long took = awaitNewLeader(scenario, restart + 1_000);
-                System.out.println("seed " + seed + " restart " + restart + " without a leader ms=" + took);
+                int lostBefore = scenario.checker.tasks.lostOnLeaseExpiry;
+                scenario.faults.crash(scenario.leaderIndex(), downtimeMs);
+                long leaderlessMs = awaitNewLeader(scenario, downtimeMs + 1_000);
+                System.out.println("seed " + seed + " restart " + downtimeMs + " without a leader ms=" + leaderlessMs);
                 scenario.advance(40_000);
-                assertEquals(lost, scenario.checker.tasks.lostOnLeaseExpiry);
+                assertEquals(lostBefore, scenario.checker.tasks.lostOnLeaseExpiry);
                 assertEquals(List.of(), scenario.checker.violations);
             }
         }
     }
 
-    /** The others are back in the same moment and have nothing to pass on: they say so at once. */
+    /**
+     * All controllers restart at the same moment: they have no responses of earlier incarnations to relay, and confirm
+     * that at once.
+     */
     @Test
     void controllersThatRestartAtOnceElectALeaderAtOnce() {
         for (int seed = 1; seed <= 4; seed++) {
@@ -60,8 +66,8 @@
     }
 
     /**
-     * Ends one upon the other, in the milliseconds before and after each start, with the key-value store slow to come
-     * back.
+     * Crashes controllers in quick succession, within milliseconds of their restarts, with random faults such as store
+     * outages.
      */
     @Test
     void repeatedCrashesViolateNoInvariant() {
@@ -78,17 +84,18 @@
             assertEquals(List.of(), scenario.checker.violations, "seed " + seed);
             starts += scenario.checker.tasks.starts;
         }
-        assertTrue(starts > 120 * 25, "the days did little: " + starts);
+        assertTrue(starts > 120 * 25, "too few tasks started in all scenarios: " + starts);
     }
 
-    private static void crashRepeatedly(ClusterScenario scenario, int more) {
-        List<Integer> some = new ArrayList<>(List.of(0, 1, 2));
-        some.removeIf(n -> scenario.world.random.nextInt(3) == 0);
-        long back = 50L + scenario.world.random.nextInt(300);
-        some.forEach(n -> scenario.faults.crash(n, back));
-        if (more > 0) {
+    /** Crashes some of the controllers and repeats this within 80 ms of their restart, as many times as given. */
+    private static void crashRepeatedly(ClusterScenario scenario, int repetitions) {
+        List<Integer> controllers = new ArrayList<>(List.of(0, 1, 2));
+        controllers.removeIf(controller -> scenario.world.random.nextInt(3) == 0);
+        long downtimeMs = 50L + scenario.world.random.nextInt(300);
+        controllers.forEach(controller -> scenario.faults.crash(controller, downtimeMs));
+        if (repetitions > 0) {
             scenario.world.schedule(
-                    back + scenario.world.random.nextInt(80), () -> crashRepeatedly(scenario, more - 1));
+                    downtimeMs + scenario.world.random.nextInt(80), () -> crashRepeatedly(scenario, repetitions - 1));
         }
     }
 }
--- a/src/test/java/org/hollypick/sim/ServiceLevelSummary.java
+++ b/src/test/java/org/hollypick/sim/ServiceLevelSummary.java
@@ -10,10 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * Reads reports of the operators' bench (its {@code --report}) and prints what share of the jobs of each class and team
- * met its service-level objectives: by the strictest and by the loosest objective of a class, and of a team's jobs, and
- * of a class's largest ones, the share that started. A class of its own for each team (as variants have them) shows the
- * team. Exits with 1 if any share by the loosest objective is below one half: a strict one is a matter of speed.
+ * Reads reports of the operators' benchmark (its {@code --report}) and prints which share of the jobs met the
+ * service-level objectives: for each class, by its strictest and its loosest objective; for each team, and for the
+ * largest jobs of each class, the share that started. In variants of the benchmark that have a class for each team, a
+ * class shows its team. Exits with 1 if any share by the loosest objective is below one half; missing a strict
+ * objective only means low speed.
  */
 public final class ServiceLevelSummary {
     private static final double MIN_SHARE = 0.5;
