--- a/src/test/java/org/hollypick/sim/InvariantChecker.java
+++ b/src/test/java/org/hollypick/sim/InvariantChecker.java
@@ -179,10 +179,7 @@
         }
     }
 
-    /**
-     * Checks that a submission with an impossible dependency was rejected with 422, like {@link #checkRejected(String,
-     * int, int)}.
-     */
+    /** Checks the status of the response to a submission with an impossible dependency: 422 is expected. */
     void checkRejected(String id, int status) {
         checkRejected(id, 422, status);
     }
--- a/src/test/java/org/hollypick/sim/NetworkFaults.java
+++ b/src/test/java/org/hollypick/sim/NetworkFaults.java
@@ -24,7 +24,7 @@
         this.world = scenario.world;
     }
 
-    /** The delay of a request, in milliseconds; {@link SimulatedWorld#LOST} if it is never delivered. */
+    /** The delay of a request, in milliseconds; {@link SimulatedWorld#NEVER_DELIVERED} if it is never delivered. */
     long delayMs(String from, Request request) {
         return agentsWithoutOutbound.contains(from)
                 ? SimulatedWorld.NEVER_DELIVERED
