--- a/src/main/java/org/hollypick/agent/AgentCodec.java
+++ b/src/main/java/org/hollypick/agent/AgentCodec.java
@@ -31,7 +31,7 @@
     static final String SPOT = "lendable";
     /** Sequence number within the agent's incarnation, counting heartbeats and responses to direct calls. */
     static final String SEQUENCE = "tick";
-    /** Seconds until the cloud preempts the machine; null unless that was announced. */
+    /** Seconds until the cloud reclaims the machine; null if it has announced no eviction. */
     static final String EVICTION_NOTICE_S = "warning_s";
     /** The tasks on the machine. */
     static final String TASKS = "shards";
--- a/src/main/java/org/hollypick/cluster/StoreReplica.java
+++ b/src/main/java/org/hollypick/cluster/StoreReplica.java
@@ -12,9 +12,9 @@
 import org.hollypick.store.KeyValueStoreClient;
 
 /**
- * This controller's replica of all keys under one prefix, kept up to date by a {@link StoreWatcher}. It may lag behind
- * the store, so that only terminal states read from it are final; {@link #linearizableRead} waits until it has caught
- * up.
+ * This controller's replica of all keys under one prefix, kept up to date by a {@link StoreWatcher}. The replica may
+ * lag behind the store: entries read from it may be outdated, except terminal states, which never change.
+ * {@link #linearizableRead} waits until the replica has caught up.
  *
  * <p>Reads are monotonic: the replica records the newest revision that a response to a user was based on, at this or
  * another controller, and a linearizable read waits for that revision as well. Revisions are unsigned. Confined to the
--- a/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
+++ b/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
@@ -120,7 +120,7 @@
     public static final double SLOW_BOOT_RATIO = 1.6;
 
     /**
-     * Excess capacity that a zone must have, as a multiple of the capacity of the machines that are drained. At a lower
+     * Excess capacity that a zone must have, as a multiple of the capacity of the machines that are evicted. At a lower
      * ratio, machines would be terminated and started again in turn.
      */
     public static final double EXCESS_TO_DRAINED_CAPACITY_RATIO = 2;
@@ -129,14 +129,14 @@
     public static final int MAX_MOVES_PER_CYCLE = 4;
 
     /**
-     * Penalty for placing a replica on a machine that is drained next, in seconds of image fetching. It decides only in
-     * clusters of very many machines, where the shares of services differ by less. It is too small to outweigh
-     * spreading services over few machines or to cause a preemption.
+     * Penalty for placing a replica on a machine that is evicted next, in seconds of image fetching. The penalty
+     * decides only in clusters of very many machines, where the shares of services differ by less. It is too small to
+     * outweigh spreading services over few machines or to cause a preemption.
      */
     public static final double DRAINED_NEXT_PENALTY_S = 0.5;
 
     /**
-     * Maximum size of a machine that is marked as drained next, as a share of the cores of all services. In a cluster
+     * Maximum size of a machine that is marked as evicted next, as a share of the cores of all services. In a cluster
      * of few machines, services have to be spread over all of them.
      */
     public static final double MAX_DRAINED_NEXT_MACHINE_SHARE = 0.05;
--- a/src/main/java/org/hollypick/control/graphs/GraphLog.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphLog.java
@@ -25,7 +25,7 @@
 final class GraphLog {
     private static final Logger LOG = LoggerFactory.getLogger(GraphLog.class);
 
-    /** Bytes of the values in one transaction at most; the rest of the request body is for its keys and conditions. */
+    /** Maximum bytes of the values in one transaction; the rest of the request body is for its keys and conditions. */
     private static final int MAX_VALUE_BYTES = NetworkConstants.MAX_BODY_BYTES * 3 / 4;
 
     private final GraphContext context;
--- a/src/main/java/org/hollypick/control/graphs/GraphService.java
+++ b/src/main/java/org/hollypick/control/graphs/GraphService.java
@@ -155,8 +155,8 @@
             return Optional.empty();
         }
         try {
-            LiveGraph loaded =
-                    newGraph(graphId, new GraphOptions(null, 0, false)); // without effect: no task will start
+            LiveGraph loaded = newGraph(
+                    graphId, new GraphOptions(null, 0, false)); // placeholder: no task of an ended graph starts
             loaded.replayLog(logReader);
             loaded.markEnded();
             retention.graphEndedEarlier(graphId);
@@ -216,7 +216,7 @@
 
     private void reconcile(LiveGraph live, Job job, long now) {
         failExhaustedNodes(live, job);
-        cancelIfNeverSealed(live, job, now);
+        cancelIfSealTimedOut(live, job, now);
         if (live.isDurablyFinished()) {
             context.scheduler().outbox().addNewCompletions(job);
         }
@@ -234,7 +234,7 @@
         }
     }
 
-    private void cancelIfNeverSealed(LiveGraph live, Job job, long now) {
+    private void cancelIfSealTimedOut(LiveGraph live, Job job, long now) {
         if (!live.graph().isSealed()
                 && !live.isSealRequested()
                 && now - live.knownSinceMillis() > GraphConstants.GRAPH_SEAL_TIMEOUT_MS) {
--- a/src/main/java/org/hollypick/control/jobs/CompletionPart.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionPart.java
@@ -16,9 +16,9 @@
     private static final int BITS_PER_BASE64_CHARACTER = 6;
 
     /**
-     * Creates the job's part that starts at {@code firstTask}. It is named by its number if the job can't grow and all
-     * its parts start at multiples of the largest part's size. Otherwise it is named by its first task; earlier
-     * versions read such a name as that of a part of a job that doesn't exist, and ignore it.
+     * Creates the job's part that starts at {@code firstTask}. The part is named by its number if the job can't grow
+     * and all its parts start at multiples of the largest part's size. Otherwise the part is named by its first task;
+     * earlier versions read such a name as that of a part of a job that doesn't exist, and ignore it.
      *
      * @param chunkTasks the number of tasks in each part but the last
      */
--- a/src/main/java/org/hollypick/control/jobs/CompletionStore.java
+++ b/src/main/java/org/hollypick/control/jobs/CompletionStore.java
@@ -38,7 +38,7 @@
     private final Map<String, CompletionRecord> recordsByPart = new HashMap<>();
 
     private boolean requestInFlight;
-    private long nextWriteNotBefore;
+    private long nextWriteAtMillis;
 
     /** Creates a store that reads from {@code replica} and writes under the scheduler's fencing token. */
     public CompletionStore(
@@ -85,7 +85,7 @@
     public void flush() {
         if (requestInFlight
                 || !scheduler.outbox().hasNewCompletions()
-                || eventLoop.now() < nextWriteNotBefore
+                || eventLoop.now() < nextWriteAtMillis
                 || !store.hasSpareWriteCapacity()) {
             return;
         }
@@ -153,7 +153,7 @@
             transaction.expectRevision(record.key(), record.revision()).put(record.key(), record.encode());
         }
         requestInFlight = true;
-        nextWriteNotBefore = eventLoop.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
+        nextWriteAtMillis = eventLoop.now() + JobConstants.COMPLETION_WRITE_GAP_MS;
         store.commit(transaction, result -> {
             requestInFlight = false;
             if (result.committed()) {
--- a/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
+++ b/src/main/java/org/hollypick/control/jobs/DependentCancellation.java
@@ -77,7 +77,7 @@
             if (result.committed()) {
                 pendingRevisions.keySet().removeAll(jobIds);
             } else {
-                // after this delay the replica shows terminal records that other writes stored
+                // by then the replica shows terminal records that other writes stored, and the next flush skips these
                 retryNotBefore = eventLoop.now() + ElectionConstants.STORE_RETRY_MS;
             }
         });
--- a/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
+++ b/src/main/java/org/hollypick/control/jobs/RuntimeStatisticsStore.java
@@ -46,7 +46,7 @@
     private static final String RUNS = "r";
 
     private static final int NUMBERS_PER_RUN = 3;
-    /** Bytes of a record besides its kinds, at most. */
+    /** Maximum bytes of a record besides its kinds. */
     private static final int RECORD_OVERHEAD_BYTES = 32;
 
     private final EventLoop eventLoop;
--- a/src/main/java/org/hollypick/control/machines/MachineRecordIndex.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRecordIndex.java
@@ -13,7 +13,7 @@
 final class MachineRecordIndex {
     private final Map<String, Set<String>> keysByMachine = new HashMap<>();
 
-    /** Adds that the record under the key contains the machine. */
+    /** Records that the machine is contained in the record under the key. */
     void add(String machineId, String key) {
         keysByMachine.computeIfAbsent(machineId, id -> new HashSet<>()).add(key);
     }
@@ -28,7 +28,9 @@
         machineIds.forEach(keysByMachine::remove);
     }
 
-    /** Returns the keys of the records that contain the machine; the replica may lack some of these records yet. */
+    /**
+     * Returns the keys of the records that contain the machine; the replica may not contain all of these records yet.
+     */
     Set<String> keysOf(String machineId) {
         return keysByMachine.getOrDefault(machineId, Set.of());
     }
--- a/src/main/java/org/hollypick/control/machines/MachineRegistry.java
+++ b/src/main/java/org/hollypick/control/machines/MachineRegistry.java
@@ -68,7 +68,7 @@
      * Creates the registry of one term.
      *
      * @param token the fencing token on which every write is conditional
-     * @param isTerminated tells by id whether a machine is terminated
+     * @param isTerminated whether the machine with the given id is terminated
      */
     public MachineRegistry(
             EventLoop eventLoop,
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -37,7 +37,10 @@
         this.machineById = machineById;
     }
 
-    /** Asks all peers to probe the machines that were unchecked for longest; at most one round is in progress. */
+    /**
+     * Asks all peers to probe the machines whose last check was requested longest ago; at most one round of probes is in
+     * progress.
+     */
     void requestChecks(List<Machine> unacknowledged) {
         long now = eventLoop.now();
         if (requestsInFlight > 0
@@ -131,7 +134,9 @@
                         || now - machine.lastHeartbeatAt() < settings.leaseS() * 1_000 / 2);
     }
 
-    /** Returns how many machines peers reach that left several calls of this controller unacknowledged. */
+    /**
+     * Returns the number of machines that left several calls of this controller unacknowledged and that peers reach.
+     */
     static int countReachedOnlyByPeers(Collection<Machine> machines, long now) {
         int count = 0;
         for (Machine machine : machines) {
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -131,8 +131,8 @@
 
     /**
      * Removes the assignment of an older attempt of the task, if there is one: the newer attempt was launched only once
-     * the older one had gone, so the heartbeat that listed the older one was delayed. Returns false if the known
-     * attempt is the newer one.
+     * the older one no longer existed, so the heartbeat that listed the older one was delayed. Returns false if the
+     * known attempt is the newer one.
      */
     private boolean supersedeOlderAttempt(Job job, int index, long attempt) {
         Assignment known = job.assignments.get(index);
@@ -251,7 +251,9 @@
         }
     }
 
-    /** Unassigns the task, which becomes pending again if it may still start, and makes the freed room available. */
+    /**
+     * Unassigns the task, which becomes pending again if it may still start, and makes the freed capacity available.
+     */
     private void releaseTask(Assignment assignment) {
         Job job = assignment.job;
         if (job.unassign(assignment)) {
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -18,8 +18,8 @@
      * Handles a task that exited without having completed.
      *
      * @param reason {@code error} if the task itself failed. If the agent refused to launch it: {@code unknown} if the
-     *     agent doesn't know the job, {@code full} if the machine has no room, {@code busy} if an older attempt of the
-     *     task is there. Other reasons have no effect
+     *     agent doesn't know the job, {@code full} if the machine lacks free resources, {@code busy} if an older
+     *     attempt of the task is still on the machine. Other reasons have no effect
      */
     void taskFailed(Machine machine, Job job, int index, String reason, long now) {
         switch (reason) {
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -127,9 +127,9 @@
     }
 
     /**
-     * Applies the response to a direct call if its heartbeat isn't newer than the one that was known when the call was
-     * sent: the agent has restarted without tasks. Besides the listed tasks, the machine can only hold tasks of
-     * launches still in flight, for one lease from now on at most.
+     * Applies a restart of the agent without tasks, as shown by the response to a direct call whose heartbeat isn't
+     * newer than the newest one that had been received when the call was sent. Besides the listed tasks, the machine
+     * can only hold tasks of launches still in flight, and these only for the duration of one lease from now on.
      */
     public void applyAgentRestart(Machine machine, Heartbeat heartbeat, long now) {
         scheduler.recordEventTime(now);
@@ -149,7 +149,7 @@
     }
 
     /**
-     * Starts to drain a machine that the cloud is about to take back: stops tasks that can save a checkpoint, services,
+     * Starts to drain a machine that the cloud is about to reclaim: stops tasks that can save a checkpoint, services,
      * and tasks that are unlikely to finish in time.
      */
     private void beginGracefulEviction(Machine machine, double evictionNoticeS) {
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -16,7 +16,7 @@
 import org.hollypick.core.assignment.Assignment;
 
 /**
- * A live job as the leader knows it: which of its tasks are pending, assigned, completed and durably completed, and how
+ * The leader's view of a live job: which of its tasks are pending, assigned, completed and durably completed, and how
  * often they failed. Confined to the event loop.
  */
 public final class Job {
@@ -311,8 +311,8 @@
     }
 
     /**
-     * Whether its tasks failed on {@link FaultConstants#FAILING_JOB_MACHINES} machines or more since one was last
-     * completed. Then only one task runs at a time, which is enough to notice when the cause is gone.
+     * Whether the job's tasks failed on {@link FaultConstants#FAILING_JOB_MACHINES} machines or more since one was last
+     * completed. Then only one task runs at a time, which is enough to notice when the cause has been removed.
      */
     public boolean failsEverywhere() {
         return failedMachines.size() >= FaultConstants.FAILING_JOB_MACHINES;
--- a/src/main/java/org/hollypick/core/JobDependencies.java
+++ b/src/main/java/org/hollypick/core/JobDependencies.java
@@ -29,12 +29,12 @@
         private State state = State.LIVE;
         /** Whether the job's own record was seen; only then are its dependencies known. */
         private boolean recordSeen;
-        /** The number of its dependencies that aren't completed. */
+        /** The number of the job's dependencies that aren't completed. */
         private int incompleteDependencies;
 
         private List<Vertex> dependencies = List.of();
         private final List<Vertex> dependents = new ArrayList<>(0);
-        /** The highest of its own priority and those of its dependents. */
+        /** The highest of the job's own priority and those of its dependents. */
         private Priority priority = Priority.LOW;
 
         private Vertex(String id) {
--- a/src/main/java/org/hollypick/core/JobSpec.java
+++ b/src/main/java/org/hollypick/core/JobSpec.java
@@ -24,7 +24,8 @@
  * @param estimateS the expected run time of a task, in seconds
  * @param checkpointIntervalS the time between a task's checkpoints, in seconds
  * @param checkpointSaveS how long a task takes to save its state, in seconds
- * @param deadlineS the deadline, in seconds; NaN for none. It is stored, but doesn't influence scheduling
+ * @param deadlineS the deadline, in seconds from the submission of the job; NaN for none. The deadline is stored, but
+ *     doesn't influence scheduling
  */
 public record JobSpec(
         String id,
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -46,7 +46,7 @@
      *
      * @param token the leader's fencing token
      * @param firstPartitionShare the share of machines in the first Tyrex partition, from 0 to 1
-     * @param leases tells when an agent's lease has certainly expired
+     * @param leases decides when an agent's lease has certainly expired
      * @param learnsRuntimes whether the estimates learn from the runtimes of tasks
      */
     public Scheduler(
@@ -320,7 +320,7 @@
 
     /**
      * Removes the assignments on machines whose lease has certainly expired, marks machines as reconciled that can't
-     * hold tasks of earlier terms any more, and ends quarantines that are over.
+     * hold tasks of earlier terms any more, and ends quarantines that have expired.
      */
     public void expireLeases(long now) {
         lastEventAt = now;
--- a/src/main/java/org/hollypick/core/SchedulingCycle.java
+++ b/src/main/java/org/hollypick/core/SchedulingCycle.java
@@ -32,7 +32,10 @@
     private List<Job> firstPartitionJobs = List.of();
     /** Jobs of the second partition that had pending tasks in the last full cycle, in scheduling order. */
     private List<Job> secondPartitionJobs = List.of();
-    /** Number of {@link #scheduleOn} runs that considered the jobs; counted only if there are several teams. */
+    /**
+     * Number of {@link #scheduleOn} calls on a machine that accepts tasks while jobs were pending; counted only if
+     * there are several teams.
+     */
     private int singleMachineCycles;
     /** Cores of all services, as of the last full cycle. */
     private double allServiceCpus;
--- a/src/main/java/org/hollypick/core/TaskSet.java
+++ b/src/main/java/org/hollypick/core/TaskSet.java
@@ -3,8 +3,8 @@
 import java.util.BitSet;
 
 /**
- * What the scheduler needs to know of a job's tasks if they differ from each other, or if tasks are added while the job
- * is live. Tasks are identified by their index. Confined to the event loop.
+ * The tasks of a job, as the scheduler needs them, if these tasks differ from each other or if tasks are added while
+ * the job is live. Tasks are identified by their index. Confined to the event loop.
  */
 public interface TaskSet {
     /** The number of tasks so far; it never decreases. */
--- a/src/main/java/org/hollypick/core/TeamUsage.java
+++ b/src/main/java/org/hollypick/core/TeamUsage.java
@@ -74,7 +74,7 @@
         }
     }
 
-    /** To be called when no machine can hold unknown tasks any more: forgets which attempts were found. */
+    /** Discards which attempts were found. To be called when no machine can hold unknown tasks any more. */
     void reconciliationComplete() {
         foundAttempts.clear();
     }
--- a/src/main/java/org/hollypick/core/WorkerLeases.java
+++ b/src/main/java/org/hollypick/core/WorkerLeases.java
@@ -10,9 +10,9 @@
 
 /**
  * Decides when an agent's lease has expired for certain, although peers of the leader may renew leases while a network
- * partition separates them from the leader and the key-value store (docs/safety.md). Each peer keeps requesting the
- * right to do so; a granted response lets it renew leases under this term's fencing token, for a time that is counted
- * from when it sent the request.
+ * partition separates them from the leader and the key-value store (docs/safety.md). Each peer repeatedly requests a
+ * grant from the leader; a granted response lets the peer renew leases under this term's fencing token, for a time that
+ * is counted from when the peer sent the request.
  *
  * <p>One instance serves one term. All times are milliseconds of this leader's clock. Confined to the event loop.
  */
@@ -25,19 +25,22 @@
 
     /** When one peer may have renewed leases, according to its requests and the responses to them. */
     private static final class PeerRenewals {
-        /** After this time it renewed nothing under older fencing tokens. */
+        /** The peer renews no lease under an older fencing token after this time. */
         private long olderTokensUntil;
 
-        /** Whether it requested a grant in this term. */
+        /** Whether the peer requested a grant in this term. */
         private boolean requested;
 
-        /** When the newest responses to it were sent, by response number, oldest first. */
+        /** When the newest responses to the peer were sent, by response number, oldest first. */
         private final Map<Long, Long> responseTimes = new LinkedHashMap<>();
-        /** All its renewals before this time are known: it received a response sent then, and sent a report later. */
+        /**
+         * All renewals by the peer before this time are known: the peer received a response that was sent at this time,
+         * and sent a request with a report of its renewals afterwards.
+         */
         private long accountedUntil = NEVER;
-        /** The last time at which it may have renewed leases, according to its reports. */
+        /** The last time at which the peer may have renewed leases, according to its reports. */
         private long lastRenewalAt = NEVER;
-        /** The last time at which a grant to it may be valid. */
+        /** The last time at which a grant to the peer may be valid. */
         private long grantedUntil = NEVER;
 
         private PeerRenewals(long olderTokensUntil) {
@@ -47,11 +50,11 @@
         private void requestReceived(long lastGrantNumber, boolean renewedLeases, long now) {
             if (!requested) {
                 requested = true;
-                // The peer knows this term's fencing token, so it renews nothing under an older one from now on.
+                // The peer has received this term's fencing token: from now on it renews no lease under an older one.
                 olderTokensUntil = Math.min(olderTokensUntil, now);
             }
-            // A peer that has received no response from this leader may have restarted. Then it does not know what its
-            // earlier process renewed, but that process has ended by now.
+            // A peer that has received no response from this leader may have restarted. Its report then lacks the
+            // renewals of its earlier process, but that process has ended by now.
             if (renewedLeases || lastGrantNumber == NO_GRANT_NUMBER) {
                 lastRenewalAt = Math.max(lastRenewalAt, now);
             }
@@ -101,8 +104,8 @@
 
     /**
      * How long a grant lets a peer renew leases, in milliseconds; 0 if the settings leave no time for it. A
-     * cancellation that the peer does not know of was acknowledged after the grant, so every lease that the peer renews
-     * must expire within the time that a cancelled task has to end.
+     * cancellation that is missing from the peer's replica was acknowledged after the grant, so every lease that the
+     * peer renews must expire within the time that a cancelled task has to end.
      */
     public static long renewalGrantMs(Settings settings) {
         long availableMs = (long) ((settings.cancelS() - settings.leaseS()) * 1000);
@@ -113,8 +116,8 @@
     /**
      * Records a peer's request for a grant under this term's fencing token.
      *
-     * @param lastGrantNumber the number of the newest response that it received
-     * @param renewedLeases whether it renewed leases since its last request that was answered
+     * @param lastGrantNumber the number of the newest response that the peer received
+     * @param renewedLeases whether the peer renewed leases since its last request that was answered
      */
     public void grantRequested(String peer, long lastGrantNumber, boolean renewedLeases, long now) {
         PeerRenewals renewals = peers.get(peer);
@@ -167,7 +170,7 @@
             accountedUntil = Math.min(accountedUntil, peer.accountedUntil);
             grantedUntil = Math.max(grantedUntil, peer.grantedUntil);
         }
-        // It expired while all renewals were known, or after the last one that any grant allowed.
+        // The lease expired while all renewals were known, or after the last renewal that any grant allowed.
         boolean expiredWhileAccounted = accountedUntil - lastRenewalAt > leaseMs;
         boolean expiredAfterAllGrants = now - Math.max(lastRenewalAt, grantedUntil) > leaseMs;
         return expiredWhileAccounted || expiredAfterAllGrants;
--- a/src/main/java/org/hollypick/core/assignment/Assignment.java
+++ b/src/main/java/org/hollypick/core/assignment/Assignment.java
@@ -144,7 +144,7 @@
         removable = true;
     }
 
-    /** Whether the agent may be told to forget the exited attempt. */
+    /** Whether a clear command, which removes the exited attempt from the agent's task list, may be sent. */
     public boolean mayBeCleared() {
         return removable && !launchMayStillExecute();
     }
@@ -178,16 +178,16 @@
     }
 
     /**
-     * Whether a launch command may still be executed. If the agent forgot the attempt now, a late launch would start it
-     * again.
+     * Whether a launch command may still be executed. If the agent cleared the attempt now, a late launch would start
+     * it again.
      */
     public boolean launchMayStillExecute() {
         return directLaunchMayExecute() || launchInHeartbeatResponse;
     }
 
     /**
-     * Whether a launch sent in a direct call may still be executed. None is once the agent's incarnation or token has
-     * changed.
+     * Whether a launch sent in a direct call may still be executed. The agent executes no such launch after its
+     * incarnation or token has changed.
      */
     public boolean directLaunchMayExecute() {
         return directLaunchUnacknowledged || directLaunchInFlight;
--- a/src/main/java/org/hollypick/core/assignment/DirectCalls.java
+++ b/src/main/java/org/hollypick/core/assignment/DirectCalls.java
@@ -36,7 +36,9 @@
         unacknowledgedCalls++;
     }
 
-    /** The number of direct calls without a response since the agent was last heard from. */
+    /**
+     * The number of direct calls without a response since the last heartbeat or response from the agent was received.
+     */
     public int unacknowledgedCalls() {
         return unacknowledgedCalls;
     }
--- a/src/main/java/org/hollypick/core/assignment/FaultHistory.java
+++ b/src/main/java/org/hollypick/core/assignment/FaultHistory.java
@@ -9,7 +9,7 @@
  */
 public final class FaultHistory {
     /**
-     * Ids of the jobs whose tasks failed on the machine. Emptied when a task that was assigned after the last failure
+     * Ids of the jobs whose tasks failed on the machine. Cleared when a task that was assigned after the last failure
      * completes there, and when a quarantine expires.
      */
     public final Set<String> failedJobs = new HashSet<>();
--- a/src/main/java/org/hollypick/core/assignment/Machine.java
+++ b/src/main/java/org/hollypick/core/assignment/Machine.java
@@ -9,8 +9,8 @@
 import org.hollypick.core.health.HeartbeatValidity;
 
 /**
- * A machine as this leader knows it: its agent's incarnation and lease, its used resources, and all assignments that
- * may exist on it. Times are milliseconds of the event loop's clock. Confined to the event loop.
+ * The leader's view of a machine: its agent's incarnation and lease, its used resources, and all assignments that may
+ * exist on it. Times are milliseconds of the event loop's clock. Confined to the event loop.
  */
 public final class Machine {
     /** The cloud's id of the machine. */
@@ -46,7 +46,9 @@
     /** The task failures on the machine, and its quarantine. */
     public final FaultHistory faults = new FaultHistory();
 
+    /** The known incarnation: that of the newest heartbeat or response to a direct call. */
     private long incarnation;
+
     private long heartbeatSequence;
     /**
      * The token of the newest heartbeat. A heartbeat with a larger sequence number but a lower token was sent before
@@ -76,9 +78,12 @@
     private long noRoomUntil;
     /** Whether the machine exceeds the needed capacity: job arrays prefer other machines. */
     private boolean surplus;
-    /** Whether the replicas on the machine are being moved so that it can be terminated; it gets no new tasks. */
+    /**
+     * Whether the machine is evicted now: its replicas are moved so that it can be terminated, and it gets no new
+     * tasks.
+     */
     private boolean evicting;
-    /** Whether the replicas on the machine will be moved after those of the machines being evicted now. */
+    /** Whether the machine is evicted next, after the machines that are evicted now. */
     private boolean evictedNext;
     /** Whether the machine is in the first Tyrex partition. */
     private boolean inFirstPartition;
@@ -92,7 +97,10 @@
     private double usedCpus;
     private double usedGpus;
     private double usedMemoryGb;
-    /** Totals over the assignments that may exist here: their number, those still starting, cores of services. */
+    /**
+     * Totals over the assignments that may exist here: the number of all, the number of those still starting, and the
+     * cores of services.
+     */
     private int liveAssignments;
 
     private int startingTasks;
@@ -131,7 +139,9 @@
         }
     }
 
-    /** Whether this leader knows of every task that may be on the machine. */
+    /**
+     * Whether every task that may be on the machine is assigned here: the machine is reconciled without orphaned tasks.
+     */
     public boolean accountedFor() {
         return reconciled && !hasOrphanedTasks;
     }
@@ -235,19 +245,20 @@
         this.surplus = surplus;
     }
 
-    /** Whether the replicas on the machine are being moved so that it can be terminated; it gets no new tasks. */
+    /**
+     * Whether the machine is evicted now: its replicas are moved so that it can be terminated, and it gets no new
+     * tasks.
+     */
     public boolean isEvicting() {
         return evicting;
     }
 
-    /** Whether the replicas on the machine will be moved after those of the machines being evicted now. */
+    /** Whether the machine is evicted next, after the machines that are evicted now. */
     public boolean isEvictedNext() {
         return evictedNext;
     }
 
-    /**
-     * Sets whether the replicas on the machine are moved now, or after those of other machines; at most one is true.
-     */
+    /** Sets whether the machine is evicted now, or next; at most one of the arguments is true. */
     public void planEviction(boolean now, boolean next) {
         evicting = now;
         evictedNext = next;
@@ -351,6 +362,8 @@
         draining = true;
     }
 
+    // ---- processing of heartbeats ----
+
     /** Whether the heartbeat is the newest processed one or an older one. */
     public boolean hasProcessed(Heartbeat heartbeat) {
         return heartbeatReceived && !heartbeat.newerThan(incarnation, heartbeatSequence);
@@ -465,9 +478,11 @@
         return list;
     }
 
+    // ---- resources ----
+
     /**
-     * Frees the assignment's resources for other tasks: it exited, or is killed without a grace period by a command
-     * that precedes their launch.
+     * Frees the assignment's resources for other tasks, since its task exited, or is killed without a grace period by a
+     * command that precedes the launches of the other tasks.
      */
     public void release(Assignment assignment) {
         if (assignment.holdsResources) {
--- a/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/hollypick/core/autoscaling/Autoscaler.java
@@ -26,7 +26,7 @@
     public record ScaleOut(CapacityPool pool, int count) {}
 
     /**
-     * What the leader should do now.
+     * The actions that the leader should take now.
      *
      * @param scaleOut the machines to start
      * @param scaleIn the machines to terminate
@@ -241,8 +241,8 @@
     }
 
     /**
-     * Cores up to which on-demand machines are started for job arrays. Spot machines catch up on the work beyond them
-     * soon enough once they are available again. Unlimited until the mean load is known.
+     * Cores up to which on-demand machines are started for job arrays. Spot machines catch up on the remaining work
+     * soon enough once the cloud offers them again. Unlimited until the mean load is known.
      */
     private double maxOnDemandArrayCores() {
         return load.meanArrayCores() > 0
--- a/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
+++ b/src/main/java/org/hollypick/core/autoscaling/LoadEstimate.java
@@ -21,7 +21,7 @@
     /** Mean job arrays per second when the last one arrived, multiplied by the {@link #confidence} at that time. */
     private double arrayRateAtLastArrival;
 
-    /** {@code warmUpMillis}: time after the first update during which arrivals aren't counted. */
+    /** @param warmUpMillis the time after the first update during which arrivals aren't counted */
     LoadEstimate(long warmUpMillis) {
         this.warmUpMillis = warmUpMillis;
     }
--- a/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
+++ b/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
@@ -16,7 +16,7 @@
     private final TeamQuotas quotas;
     private final Map<String, RemainingQuota> remainingByTeam = new HashMap<>();
 
-    /** What is left of one team's quota. */
+    /** The remaining quota of one team. */
     private static final class RemainingQuota {
         private double cpus;
         private double gpus;
--- a/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
@@ -11,10 +11,12 @@
 import org.hollypick.core.placement.MachineSelector;
 
 /**
- * Evicts services from on-demand machines that aren't needed, so that these can be terminated: services end one at a
- * time and leave every machine partly used and none idle. While a zone has more on-demand machines than needed, those
- * with the fewest service cores are evicted. Each replica that has run for a while moves to another machine of the zone
- * that has room and holds its image already, so that it is only down until it was stopped and launched again.
+ * Plans the eviction of on-demand machines that aren't needed: the service replicas on an evicted machine are moved to
+ * others, so that the machine becomes idle and can be terminated. Without evictions, services would end one at a time
+ * and leave every machine partly used and none idle. While a zone has more on-demand machines than needed, those with
+ * the fewest service cores are evicted. Each replica that has run for a while moves to another machine of the zone that
+ * has free resources and the replica's image already, so that the replica is only down while it is stopped and launched
+ * again.
  */
 final class ReplicaMover {
     private final Collection<Machine> machines;
@@ -27,7 +29,8 @@
     }
 
     /**
-     * The replicas to stop now, so that they start elsewhere. Marks the machines that are evicted now or next.
+     * Returns the replicas to stop now, so that they start on other machines. Marks the machines that are evicted now,
+     * and those that are evicted next.
      *
      * @param spareOnDemandCores on-demand cores that services don't need, by zone
      * @param surplusCores cores that aren't needed; limits the excess of each zone
--- a/src/main/java/org/hollypick/core/estimate/RunHistory.java
+++ b/src/main/java/org/hollypick/core/estimate/RunHistory.java
@@ -25,7 +25,7 @@
     /** Minimum ratio between the medians of the newest and the older runs, or its inverse, that counts as a change. */
     private static final double CHANGE_DETECTION_RATIO = 3;
 
-    /** Minimum number of older completed runs for this comparison. */
+    /** Minimum number of older completed runs for the detection of a change. */
     private static final int MIN_OLDER_RUNS = 12;
 
     /** Minimum number of completed runs for comparing the spread of durations with that of ratios. */
@@ -150,8 +150,8 @@
     }
 
     /**
-     * The survival curve, in seconds, of tasks that their owner estimates at {@code estimateS} seconds. It is computed
-     * from the ratios to the estimates if these vary less than the durations.
+     * The survival curve, in seconds, of tasks that their owner estimates at {@code estimateS} seconds. The curve is
+     * computed from the ratios to the estimates if these vary less than the durations.
      */
     SurvivalCurve survivalCurve(double estimateS) {
         boolean byRatio = estimateS > 0 && spread(ratios) < spread(times);
@@ -176,7 +176,10 @@
         return new SurvivalCurve(seconds, survival);
     }
 
-    /** The interquartile range of the completed runs in steps; with too few runs, the ratios have the smaller one. */
+    /**
+     * The interquartile range of the completed runs in steps; with too few runs, 0 for ratios and the maximum for
+     * times.
+     */
     private double spread(short[] values) {
         if (completed < MIN_RUNS_FOR_SPREAD) {
             return values == times
--- a/src/main/java/org/hollypick/core/estimate/SurvivalCurve.java
+++ b/src/main/java/org/hollypick/core/estimate/SurvivalCurve.java
@@ -5,7 +5,7 @@
  * still running. Immutable.
  */
 final class SurvivalCurve {
-    /** Upper bound of the factor by which the longest known run is extrapolated. */
+    /** Upper bound of the factor by which the longest recorded run is extrapolated. */
     private static final double MAX_EXTRAPOLATION_FACTOR = 16;
 
     /** Lower bound of the remaining share, which is a divisor. */
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Of the runs that take longer than {@code ranS} seconds, the quantile {@code share} of their durations in seconds.
+     * The quantile {@code share} of the durations, in seconds, of the runs that take longer than {@code ranS} seconds.
      */
     double quantile(double share, double ranS) {
         double survivalNow = survivalAt(ranS);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Extrapolates beyond the longest known run: half of the runs that reach a duration reach twice that duration, as
-     * in heavy-tailed distributions.
+     * Extrapolates beyond the longest recorded run: half of the runs that reach a duration reach twice that duration,
+     * as in heavy-tailed distributions.
      */
     private static double extrapolate(double from, double share) {
         return from * Math.min(MAX_EXTRAPOLATION_FACTOR, 1 / Math.max(MIN_REMAINING_SHARE, 1 - share));
--- a/src/main/java/org/hollypick/core/graph/BatchValidator.java
+++ b/src/main/java/org/hollypick/core/graph/BatchValidator.java
@@ -188,7 +188,10 @@
         return false;
     }
 
-    /** Collects the existing nodes that a node depends on directly or through new ones; itself, if it exists. */
+    /**
+     * Collects the nodes of the graph that a node depends on, directly or through new ones; only the node itself if the
+     * graph has it.
+     */
     private void collectKnownDependencies(String from, IntArrayList known) {
         Deque<String> toVisit = new ArrayDeque<>(List.of(from));
         Set<String> visited = new HashSet<>();
--- a/src/main/java/org/hollypick/core/graph/Graph.java
+++ b/src/main/java/org/hollypick/core/graph/Graph.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Adds the nodes of a batch that {@link #validate} accepts, except those that the graph has already. They aren't
-     * durable yet.
+     * Adds the nodes of a batch that {@link #validate} accepts, except those that the graph has already. The added
+     * nodes aren't durable yet.
      *
      * @param parentId the running node that adds them; null for nodes of the client
      * @param continuationId the node that the parent delegates its result to; null if there is none
--- a/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
+++ b/src/main/java/org/hollypick/core/health/HeartbeatValidity.java
@@ -153,7 +153,8 @@
     }
 
     /**
-     * Whether responses don't reach the machine. It then gets no new tasks, and no responses while tasks may be on it.
+     * Whether responses don't reach the machine. The machine then gets no new tasks, and no responses while tasks may
+     * be on it.
      */
     public boolean isUnreachableInbound() {
         return unreachableInboundSince > 0;
@@ -172,8 +173,8 @@
     }
 
     /**
-     * Whether direct calls got no response, and no message is known to have reached the agent since. One starting task
-     * at a time is enough to find out whether commands reach it.
+     * Whether direct calls got no response, and no delivery to the agent has been confirmed since. One starting task at
+     * a time is enough to find out whether commands reach the agent.
      */
     public boolean isDeliveryUnconfirmed() {
         return unacknowledgedCalls >= FailureDetectionConstants.UNACKNOWLEDGED_CALL_THRESHOLD;
--- a/src/main/java/org/hollypick/core/health/LocalHealth.java
+++ b/src/main/java/org/hollypick/core/health/LocalHealth.java
@@ -28,7 +28,7 @@
 
     /**
      * Records that this controller lacked the capacity to send a call. Counts only as a slow response: the adaptive
-     * window probes for the limit, so this is expected now and then.
+     * window probes for the limit, so some unsent calls are expected.
      */
     public void recordUnsentCall(long now) {
         recordResponse(Long.MAX_VALUE, now);
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -29,7 +29,7 @@
     /** Share of its own fetch time by which an image is delayed by each other fetch in progress. */
     private static final double CONCURRENT_FETCH_SHARE = 0.5;
 
-    /** Concurrent fetches from which on more don't lengthen the estimate. */
+    /** Maximum number of concurrent fetches that lengthen the estimate. */
     private static final int MAX_CONCURRENT_FETCHES = 4;
 
     private MachineSelector() {}
@@ -145,7 +145,7 @@
                 - (machine.isEvictedNext() ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
     }
 
-    /** Estimated seconds until the machine has the image; other fetches in progress lengthen them. */
+    /** Estimated seconds until the machine has the image; other fetches in progress lengthen the estimate. */
     private static double fetchSeconds(JobSpec spec, Machine machine) {
         if (machine.images.containsKey(spec.image())) {
             return 0;
--- a/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
+++ b/src/main/java/org/hollypick/core/routing/CandidacyDelay.java
@@ -7,9 +7,9 @@
  * reaches. The controller that reaches most machines becomes leader; of two that reach the same number, the one that
  * reaches them without the help of peers.
  *
- * <p>Parameters are numbers of machines: {@code probed} were probed, of which {@code direct} responded to this
- * controller, {@code byPeers} responded only to a peer, and {@code bestPeer} responded to the peer that reached most.
- * Stateless; safe to call from any thread.
+ * <p>Parameters are numbers of machines: {@code probed} were probed, of which {@code reachedDirectly} responded to this
+ * controller, {@code reachedOnlyByPeers} responded only to a peer, and {@code reachedByBestPeer} responded to the peer
+ * that reached most. Stateless; safe to call from any thread.
  */
 public final class CandidacyDelay {
     private CandidacyDelay() {}
@@ -17,36 +17,38 @@
     /**
      * The delay before the candidacy, in milliseconds; 0 if no machine was probed or most of them responded directly.
      */
-    public static long delayMs(int probed, int direct, int byPeers) {
-        if (probed == 0 || majorityResponded(probed, direct)) {
+    public static long delayMs(int probed, int reachedDirectly, int reachedOnlyByPeers) {
+        if (probed == 0 || majorityResponded(probed, reachedDirectly)) {
             return 0;
         }
-        double reachedShare = (direct + byPeers) / (double) probed;
+        double reachedShare = (reachedDirectly + reachedOnlyByPeers) / (double) probed;
         double minorityShare = Math.max(0, 0.5 - reachedShare) * 2;
         double delayMs = ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS * (1 - reachedShare)
-                + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * byPeers / (double) probed
+                + ElectionConstants.CANDIDACY_DELAY_BY_PEER_MS * reachedOnlyByPeers / (double) probed
                 + ElectionConstants.CANDIDACY_DELAY_MINORITY_MS * minorityShare;
         return Math.round(delayMs);
     }
 
     /** Whether nearly all machines are reached, directly or through peers. */
-    public static boolean reachesNearlyAll(int probed, int direct, int byPeers) {
-        return direct + byPeers >= probed * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
+    public static boolean reachesNearlyAll(int probed, int reachedDirectly, int reachedOnlyByPeers) {
+        return reachedDirectly + reachedOnlyByPeers >= probed * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
     }
 
     /**
      * Whether a peer would be the better leader: it directly reaches more machines than this controller, and nearly as
      * many as this controller and all its peers together.
      */
-    public static boolean peerLeadsBetter(int direct, int byPeers, int bestPeer) {
-        return bestPeer > direct && bestPeer >= (direct + byPeers) * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
+    public static boolean peerLeadsBetter(int reachedDirectly, int reachedOnlyByPeers, int reachedByBestPeer) {
+        return reachedByBestPeer > reachedDirectly
+                && reachedByBestPeer
+                        >= (reachedDirectly + reachedOnlyByPeers) * ElectionConstants.NEARLY_ALL_REACHED_SHARE;
     }
 
     /**
      * Whether more than half of the machines responded directly. The others needn't be waited for, since some machines
      * always hang.
      */
-    public static boolean majorityResponded(int probed, int direct) {
-        return direct * 2 > probed;
+    public static boolean majorityResponded(int probed, int reachedDirectly) {
+        return reachedDirectly * 2 > probed;
     }
 }
--- a/src/main/java/org/hollypick/core/tyrex/Cutoff.java
+++ b/src/main/java/org/hollypick/core/tyrex/Cutoff.java
@@ -61,9 +61,8 @@
             }
             int countAbove = count - i - 1;
             double meanAbove = (sum - sumBelow) / countAbove;
-            // Subtracting the cutoff doesn't change the variance. If all sizes above are equal it is exactly 0, which
-            // the
-            // difference of the sums would miss by a rounding error.
+            // Subtracting the cutoff doesn't change the variance. If all sizes above are equal, the variance is
+            // exactly 0, which the difference of the sums would miss by a rounding error.
             double varianceAbove = sorted[count - 1] == high
                     ? 0
                     : Math.max(0, (sumOfSquares - squaresBelow) / countAbove - meanAbove * meanAbove);
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -167,7 +167,7 @@
     @Test
     void olderJobsWaitForAllRegisteredMachinesAfterFailover() {
         Machine reporting = machine("n-1", true);
-        Machine silent = machine("n-2", true);
+        Machine unreconciled = machine("n-2", true);
         scheduler.heartbeats().applyHeartbeat(reporting, heartbeat("n-1", 1, 1, 5), true, 0);
         Job older = scheduler.addJob(spec("req-1", 1, false), 1, 4);
         Job younger = scheduler.addJob(spec("req-2", 1, false), 6, 5);
@@ -175,16 +175,16 @@
         assertNull(older.assignments.get(0));
         assertNotNull(younger.assignments.get(0));
         // a heartbeat made before the agent saw the new token proves nothing: older commands may still be executed
-        scheduler.heartbeats().applyHeartbeat(silent, heartbeat("n-2", 1, 1, 4), true, 1_000);
+        scheduler.heartbeats().applyHeartbeat(unreconciled, heartbeat("n-2", 1, 1, 4), true, 1_000);
         scheduler.runSchedulingCycle(1_000);
         assertNull(older.assignments.get(0));
-        scheduler.heartbeats().applyHeartbeat(silent, heartbeat("n-2", 1, 2, 5), true, 2_000);
+        scheduler.heartbeats().applyHeartbeat(unreconciled, heartbeat("n-2", 1, 2, 5), true, 2_000);
         scheduler.runSchedulingCycle(2_000);
         assertNotNull(older.assignments.get(0));
     }
 
     @Test
-    void reconciliationCompletesOnceLeaseOfSilentMachineHasExpired() {
+    void reconciliationCompletesOnceLeaseOfMachineWithoutHeartbeatsHasExpired() {
         machine("n-1", true);
         scheduler.expireLeases(LEASE_MS);
         assertFalse(scheduler.reconciliationComplete());
@@ -240,8 +240,8 @@
     }
 
     /**
-     * A delayed launch of a cancelled job could be executed long after its user was told of the cancellation: nobody
-     * may be told until the machine reports the attempt.
+     * A delayed launch of a cancelled job could be executed long after its user was told of the cancellation. Users may
+     * therefore be told only once the machine has reported the attempt.
      */
     @Test
     void directLaunchOfCancelledJobIsPendingUntilItsMachineReportsTheAttempt() {
@@ -423,7 +423,8 @@
      * A scheduler whose predecessor started tasks of a team with a quota. One machine sends heartbeats; the other,
      * which has more cores than the quota, doesn't. A new job of the team is pending.
      */
-    private static Scheduler schedulerWithOneSilentMachine(boolean earlierLeadersKeptLimits, long heartbeatToken) {
+    private static Scheduler schedulerWithOneMachineWithoutHeartbeats(
+            boolean earlierLeadersKeptLimits, long heartbeatToken) {
         Scheduler limited =
                 new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
         if (earlierLeadersKeptLimits) {
@@ -450,7 +451,7 @@
      */
     @Test
     void completedTasksOfATeamFreeItsQuotaBeforeReconciliationCompletes() {
-        Scheduler limited = schedulerWithOneSilentMachine(true, 5);
+        Scheduler limited = schedulerWithOneMachineWithoutHeartbeats(true, 5);
         Job waiting = limited.job("req-000002");
         assertEquals(0, waiting.assignments.size(), "unknown tasks may take the whole quota of 10 cores");
         Machine machine = limited.machine("n-1");
@@ -482,7 +483,7 @@
     /** Earlier leaders may have kept a higher limit, so the current one doesn't bound what they started. */
     @Test
     void completedTasksFreeNoQuotaIfEarlierLeadersHadOtherLimits() {
-        Scheduler limited = schedulerWithOneSilentMachine(false, 5);
+        Scheduler limited = schedulerWithOneMachineWithoutHeartbeats(false, 5);
         limited.heartbeats()
                 .applyHeartbeat(
                         limited.machine("n-1"),
@@ -499,7 +500,7 @@
      */
     @Test
     void heartbeatWithOlderTokenFreesNoQuota() {
-        Scheduler limited = schedulerWithOneSilentMachine(true, 4);
+        Scheduler limited = schedulerWithOneMachineWithoutHeartbeats(true, 4);
         Machine machine = limited.machine("n-1");
         limited.heartbeats().applyHeartbeat(machine, heartbeat("n-1", 1, 2, 5), true, 200);
         limited.runSchedulingCycle(200);
@@ -511,7 +512,7 @@
      * although they aren't counted as tasks of a live job.
      */
     @Test
-    void tasksOfUnknownJobsTakeQuotaUntilTheyAreGone() {
+    void tasksOfUnknownJobsCountAgainstQuotaUntilTheyAreNoLongerReported() {
         Scheduler limited =
                 new Scheduler(5, SETTINGS_WITH_QUOTA, 0.3, new WorkerLeases(SETTINGS_WITH_QUOTA, List.of(), 0, true));
         Machine machine = limited.addMachine("n-1", TYPE, "a", true, true, 0);
@@ -536,7 +537,7 @@
 
     /**
      * Arrays kept taking the quota that their own completed tasks freed, on spot machines that services may not use,
-     * while services waited although other machines had room.
+     * while services waited although other machines had free capacity.
      */
     @Test
     void servicesPrecedeArraysWhereOnlyTheQuotaBlocksThem() {
--- a/src/test/java/org/hollypick/core/RefusedLaunchTest.java
+++ b/src/test/java/org/hollypick/core/RefusedLaunchTest.java
@@ -30,7 +30,7 @@
     private static final int MACHINES = 40;
     private static final long STEP_MS = 50;
     private static final long MINUTE_MS = 60_000;
-    /** Two at once, then one after 1, 2, 4, 8 and 16 s, or every 8 s from there on if machines have no room. */
+    /** Two attempts at once, then one after 1, 2, 4, 8 and 16 s, or every 8 s after that if machines lack capacity. */
     private static final int ATTEMPTS_IN_A_MINUTE = 12;
 
     private final Scheduler scheduler = scheduler();
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -27,7 +27,7 @@
             new SettingsBuilder().leaseS(LEASE_MS / 1000.0).cancelS(35).build();
     private static final long GRANT_MS = WorkerLeases.renewalGrantMs(SETTINGS);
 
-    /** What a peer may do wrong. */
+    /** The fault of a peer in one run of the model. */
     private enum Fault {
         NONE,
         HIDES_RENEWALS,
@@ -268,7 +268,7 @@
     }
 
     /**
-     * If a lease never counted as expired, no lost task would start again until the cloud reported the machine gone.
+     * If a lease never counted as expired, no lost task would start again until the cloud no longer listed the machine.
      */
     @Test
     void leaseExpiresOnceAllPossibleGrantsHave() {
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -42,7 +42,9 @@
                 open.merge(kind, 1, Integer::sum);
             }
             assertTrue(open.values().stream().mapToInt(count -> count).sum() <= sockets);
-            assertFalse(budget.shouldCloseAfterResponse(kind), "a kind with room is crowded");
+            assertFalse(
+                    budget.shouldCloseAfterResponse(kind),
+                    "a connection of a kind that has capacity isn't closed after the response");
         }
         for (ConnectionBudget.Kind kind : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(kind, 0) > 0) {
--- a/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
+++ b/src/test/java/org/hollypick/core/health/HeartbeatValidityTest.java
@@ -246,7 +246,7 @@
         assertFalse(machine.schedulable());
     }
 
-    /** A machine that no longer existed was known from a delayed copy of a heartbeat, and got tasks. */
+    /** Tasks were assigned to a machine that no longer existed, because a delayed copy of its heartbeat arrived. */
     @Test
     void machineIsSchedulableOnlyAfterItShowsTheCurrentToken() {
         Machine machine = machine("n-1", false);
--- a/src/test/java/org/hollypick/core/routing/RoutingTest.java
+++ b/src/test/java/org/hollypick/core/routing/RoutingTest.java
@@ -114,18 +114,18 @@
             @ForAll @IntRange(max = 40) int direct,
             @ForAll @IntRange(max = 40) int byPeers) {
         int reachedDirectly = Math.min(direct, probed);
-        int reachedByPeers = Math.min(byPeers, probed - reachedDirectly);
-        long delayMs = CandidacyDelay.delayMs(probed, reachedDirectly, reachedByPeers);
+        int reachedOnlyByPeers = Math.min(byPeers, probed - reachedDirectly);
+        long delayMs = CandidacyDelay.delayMs(probed, reachedDirectly, reachedOnlyByPeers);
         assertTrue(delayMs >= 0
                 && delayMs
                         <= ElectionConstants.CANDIDACY_DELAY_MINORITY_MS
                                 + ElectionConstants.CANDIDACY_DELAY_UNREACHED_MS);
         assertTrue(reachedDirectly == probed
                 || CandidacyDelay.delayMs(
-                                probed, reachedDirectly + 1, Math.min(reachedByPeers, probed - reachedDirectly - 1))
+                                probed, reachedDirectly + 1, Math.min(reachedOnlyByPeers, probed - reachedDirectly - 1))
                         <= delayMs);
-        assertTrue(reachedDirectly + reachedByPeers == probed
-                || CandidacyDelay.delayMs(probed, reachedDirectly, reachedByPeers + 1) <= delayMs
+        assertTrue(reachedDirectly + reachedOnlyByPeers == probed
+                || CandidacyDelay.delayMs(probed, reachedDirectly, reachedOnlyByPeers + 1) <= delayMs
                 || CandidacyDelay.majorityResponded(probed, reachedDirectly));
         assertTrue(CandidacyDelay.delayMs(probed, reachedDirectly, 0)
                         >= CandidacyDelay.delayMs(probed, reachedDirectly, probed - reachedDirectly)
