--- a/src/main/java/org/hollypick/control/ResignationPolicy.java
+++ b/src/main/java/org/hollypick/control/ResignationPolicy.java
@@ -47,8 +47,8 @@
 
     /**
      * Probes machines directly and through the peers, and resigns if one peer alone reaches more than this leader
-     * directly, and nearly all that this leader reaches by any route. Also resigns if the peers' view is unknown,
-     * unless this leader reaches nearly all machines by some route.
+     * directly, and nearly all that this leader reaches by any route. Also resigns if it is unknown which machines the
+     * peers reach, unless this leader reaches nearly all machines by some route.
      */
     private void resignIfPeerReachesMore() {
         if (evaluationInProgress) {
--- a/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
+++ b/src/main/java/org/hollypick/control/jobs/SubmissionWriter.java
@@ -141,8 +141,8 @@
 
     /**
      * Writes the job's record on the condition that the leader record is unchanged, so that a later leader can conclude
-     * from the record that no earlier leader can have started the job. The write is attempted again if the condition fails,
-     * since this controller's replica may be outdated.
+     * from the record that no earlier leader can have started the job. The write is attempted again if the condition
+     * fails, since this controller's replica may be outdated.
      */
     private void writeJobRecord(
             JobSpec spec,
--- a/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
+++ b/src/main/java/org/hollypick/control/machines/CommandDispatcher.java
@@ -36,7 +36,8 @@
      * A direct call in flight.
      *
      * @param incarnation the agent's incarnation that the commands are for
-     * @param knownSequence the machine's newest known sequence number at the time of sending; empty if there was none
+     * @param knownSequence the newest sequence number received from the machine at the time of sending; empty if there
+     *     was none
      * @param toUnresponsive whether the machine was unresponsive at the time of sending
      * @param startedAt when the call was sent, in milliseconds
      */
@@ -184,8 +185,9 @@
     }
 
     /**
-     * Whether the response shows a restart of the agent: the agent wrote it after the newest known heartbeat, yet it is
-     * not newer by incarnation and sequence number, which a restarted agent counts from the start.
+     * Whether the response shows a restart of the agent: the agent wrote the response after the newest heartbeat that
+     * had been received, yet the response isn't newer by incarnation and sequence number. A restarted agent counts
+     * sequence numbers from the start.
      */
     private static boolean indicatesRestart(DirectCall call, Heartbeat heartbeat) {
         return call.knownSequence().isPresent()
--- a/src/main/java/org/hollypick/control/machines/FailureDetector.java
+++ b/src/main/java/org/hollypick/control/machines/FailureDetector.java
@@ -160,7 +160,7 @@
     }
 
     /**
-     * Whether this leader seems cut off from its machines: peers reach several that it doesn't, or nearly all are
+     * Whether this leader seems isolated from its machines: peers reach several that it doesn't, or nearly all are
      * unresponsive and peers may reach some of them. False while this controller is overloaded or its term has just
      * begun.
      */
--- a/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
+++ b/src/main/java/org/hollypick/control/machines/HeartbeatHandler.java
@@ -114,7 +114,8 @@
         if (isNew) {
             updateValidity(machine, heartbeat, newIncarnation, commands, now);
             if (machine.validity.isUnreachableInbound() && !(machine.reconciled() && machine.idle())) {
-                // An acknowledgement would only extend the lease assumed here, while the agent lets its lease expire.
+                // The agent wouldn't receive an acknowledgement and lets its lease expire, while this leader would
+                // assume that the lease was renewed.
                 return ServerResponse.retryLater(REJECTED_UNREACHABLE_INBOUND);
             }
         }
@@ -146,7 +147,7 @@
         if (machine.validity.isUnreachableInbound()
                 && !newIncarnation
                 && scheduler.leases().isExpired(machine.incarnationSeenAt(), now)) {
-            // Without any response the agent's lease would have expired and the agent begun another incarnation.
+            // Without any response the agent's lease would have expired, and another incarnation would have begun.
             machine.validity.deliveryConfirmed();
         }
         if (!seenThisToken) {
--- a/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
+++ b/src/main/java/org/hollypick/control/machines/PeerReachabilityTracker.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Asks all peers to probe the machines whose last check was requested longest ago; at most one round of probes is in
-     * progress.
+     * Asks all peers to probe the machines whose last check was requested longest ago; at most one round of probes is
+     * in progress.
      */
     void requestChecks(List<Machine> unacknowledged) {
         long now = eventLoop.now();
--- a/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
+++ b/src/main/java/org/hollypick/control/machines/ResponsivenessSnapshot.java
@@ -31,7 +31,10 @@
     private final List<Machine> unacknowledged = new ArrayList<>();
     private final List<Machine> overdue = new ArrayList<>();
 
-    /** Counts of machines; one without recent contact, unacknowledged call or suspicion is in neither count. */
+    /**
+     * Counts of machines. A machine without recent contact is in neither count unless a call to it is unacknowledged or
+     * it is suspected.
+     */
     private static final class ResponsivenessCounts {
         private int responsive;
         private int unresponsive;
@@ -149,7 +152,7 @@
 
     /**
      * Returns the share of unresponsive machines among those counted. Machines whose state is unclear are left out: if
-     * they lowered the share, a controller that is cut off from all machines would terminate them one by one.
+     * they lowered the share, a controller that is isolated from all machines would terminate them one by one.
      */
     double unresponsiveShare() {
         return total.unresponsiveShare();
--- a/src/main/java/org/hollypick/core/AssignmentTable.java
+++ b/src/main/java/org/hollypick/core/AssignmentTable.java
@@ -271,7 +271,8 @@
     }
 
     /**
-     * Lets agents clear the exited attempts of all tasks in {@link Job#durablyCompleted}, to which tasks were added.
+     * Lets agents clear the exited attempts of all tasks in {@link Job#durablyCompleted}. To be called after tasks were
+     * added to that set.
      */
     public void completionsCommitted(Job job) {
         for (Iterator<Assignment> i = job.uncommittedAssignments.iterator(); i.hasNext(); ) {
--- a/src/main/java/org/hollypick/core/CommandTracker.java
+++ b/src/main/java/org/hollypick/core/CommandTracker.java
@@ -33,8 +33,8 @@
                     clears.add(new Command(Verb.CLEAR, status.task(), status.attempt(), NO_GRACE_S));
                 }
             } else if (assignment == null) {
-                // Its job isn't live, or it is a second attempt of its task. Since no assignment refers to it, it is
-                // killed even on a machine that isn't reconciled yet.
+                // The task's job isn't live, or this is a second attempt of the task. Since no assignment refers to the
+                // attempt, it is killed even on a machine that isn't reconciled yet.
                 commands.add(new Command(Verb.KILL, status.task(), status.attempt(), NO_GRACE_S));
             } else if (needsKill(assignment, status)) {
                 commands.add(new Command(Verb.KILL, status.task(), status.attempt(), assignment.graceS()));
--- a/src/main/java/org/hollypick/core/FaultAttribution.java
+++ b/src/main/java/org/hollypick/core/FaultAttribution.java
@@ -47,7 +47,7 @@
         job.recordSuccess();
     }
 
-    /** Ends the machine's quarantine if its time is over; returns whether it was. */
+    /** Ends the machine's quarantine if it has expired; returns whether it had. */
     static boolean endQuarantineIfOver(Machine machine, long now) {
         boolean ends = machine.faults.isQuarantineOver(now);
         if (ends) {
@@ -58,7 +58,8 @@
     }
 
     /**
-     * The number of jobs whose failures are attributed to the machine: they completed tasks, or failed nowhere else.
+     * The number of jobs whose failures are attributed to the machine: jobs that completed tasks, or that failed on no
+     * other machine.
      */
     private int failuresAgainst(Machine machine) {
         int failures = 0;
@@ -94,10 +95,10 @@
     }
 
     /**
-     * Quarantines the machine once several jobs failed on it that completed tasks, or failed on no other machine. Tasks
-     * that run there aren't stopped: a machine on which new tasks fail does them no harm. Once a job that never
-     * completed a task fails on a second machine, its failure on the first one is attributed to the job, and the first
-     * machine may leave the quarantine.
+     * Quarantines the machine once the failures of several jobs are attributed to it: jobs that completed tasks, or
+     * that failed on no other machine. Tasks that run on the machine aren't stopped, since failures of new tasks don't
+     * affect them. Once a job that never completed a task fails on a second machine, its failure on the first one is
+     * attributed to the job, and the first machine may leave the quarantine.
      */
     private void recordError(Machine machine, Job job, long now) {
         machine.faults.recordFailure(job.spec.id(), now);
--- a/src/main/java/org/hollypick/core/HeartbeatProcessor.java
+++ b/src/main/java/org/hollypick/core/HeartbeatProcessor.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Applies a heartbeat, unless it is a duplicate, older than the newest one, or from an incarnation that is over.
+     * Applies a heartbeat, unless it is a duplicate, older than the newest one, or from an incarnation that has ended.
      *
      * @param sentByAgent true if the agent sent it as a request, which implies that the response to its previous
      *     request has been received or lost; false if it came in the response to a direct call
--- a/src/main/java/org/hollypick/core/Job.java
+++ b/src/main/java/org/hollypick/core/Job.java
@@ -46,7 +46,9 @@
     /** By task index: how often agents refused to launch the task since one last accepted it. */
     private final Int2IntOpenHashMap launchRefusals = new Int2IntOpenHashMap();
 
-    /** Ids of the machines on which its tasks failed since one was last completed; see {@link #failsEverywhere}. */
+    /**
+     * Ids of the machines on which the job's tasks failed since one was last completed; see {@link #failsEverywhere}.
+     */
     public final Set<String> failedMachines = new HashSet<>();
 
     /** Null if {@link #spec} describes all tasks. */
@@ -100,8 +102,8 @@
     }
 
     /**
-     * Whether all jobs that it depends on are durably done. Until then none of its tasks starts, and they count neither
-     * as arrived work nor as demand for capacity.
+     * Whether all jobs that this job depends on are durably done. Until then none of its tasks starts, and they count
+     * neither as arrived work nor as demand for capacity.
      */
     public boolean ready() {
         return ready;
@@ -120,7 +122,7 @@
         this.priority = priority;
     }
 
-    /** Whether it is being cancelled: no task starts any more, even before the cancellation is durable. */
+    /** Whether the job is being cancelled: no task starts any more, even before the cancellation is durable. */
     public boolean cancellationRequested() {
         return cancellationRequested;
     }
@@ -178,7 +180,7 @@
 
     // ---- tasks ----
 
-    /** What the task requires and where it may run. */
+    /** The requirements of the task, and where it may run. */
     public JobSpec spec(int index) {
         return taskSet == null ? spec : taskSet.spec(index);
     }
@@ -198,7 +200,7 @@
         return taskSet != null;
     }
 
-    /** Whether its tasks differ in what they require. */
+    /** Whether the job's tasks differ in what they require. */
     public boolean isHeterogeneous() {
         return taskSet != null && taskSet.isHeterogeneous();
     }
@@ -221,7 +223,7 @@
         durablyCompleted = (BitSet) completedTasks.clone();
     }
 
-    /** Tells the task set, if there is one, that tasks were added to {@link #durablyCompleted}. */
+    /** Notifies the task set, if there is one, that tasks were added to {@link #durablyCompleted}. */
     void completionsCommitted() {
         if (taskSet != null) {
             taskSet.completionsCommitted(durablyCompleted);
@@ -286,7 +288,7 @@
 
     // ---- failures ----
 
-    /** Failures of its tasks since one was last completed. */
+    /** The number of failures of the job's tasks since one was last completed. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
@@ -338,13 +340,14 @@
         attainedServiceS = 0;
     }
 
-    /** Whether it has attained service to record. */
+    /** Whether the job has attained service to record. */
     boolean hasAttainedService() {
         return status == Status.LIVE && ready && !spec.service() && (attainedServiceS > 0 || movedToSecondPartition);
     }
 
     /**
-     * Its attained service as one number, for the records: in seconds, or -1 minus the seconds in the second partition.
+     * The job's attained service as one number, for the records: in seconds, or -1 minus the seconds in the second
+     * partition.
      */
     double recordedAttainedService() {
         return movedToSecondPartition ? -1 - attainedServiceS : attainedServiceS;
@@ -356,12 +359,12 @@
         attainedServiceS = recorded < 0 ? -1 - recorded : recorded;
     }
 
-    /** Whether it is scheduled in the second Tyrex partition, as all services are. */
+    /** Whether the job is scheduled in the second Tyrex partition, as all services are. */
     public boolean inSecondPartition() {
         return spec.service() || movedToSecondPartition;
     }
 
-    /** The number of its tasks that may be on machines in the zone. */
+    /** The number of the job's tasks that may be on machines in the zone. */
     public int assignedInZone(String zone) {
         return assignedByZone.getInt(zone);
     }
--- a/src/main/java/org/hollypick/core/ReconciliationProgress.java
+++ b/src/main/java/org/hollypick/core/ReconciliationProgress.java
@@ -36,7 +36,7 @@
 
     /**
      * Whether every machine was reconciled or can't hold tasks of earlier terms. Once true, this stays true; until then
-     * the machines are checked once for each {@code now}, however many jobs ask.
+     * the machines are checked once for each {@code now}, even if the method is called for many jobs.
      */
     boolean allReconciled(long now) {
         if (!allReconciled && allReconciledCheckedAt != now) {
--- a/src/main/java/org/hollypick/core/Scheduler.java
+++ b/src/main/java/org/hollypick/core/Scheduler.java
@@ -68,7 +68,7 @@
         return token;
     }
 
-    /** Tells when an agent's lease has certainly expired. */
+    /** Decides when an agent's lease has certainly expired. */
     public WorkerLeases leases() {
         return leases;
     }
--- a/src/main/java/org/hollypick/core/TaskSet.java
+++ b/src/main/java/org/hollypick/core/TaskSet.java
@@ -10,7 +10,7 @@
     /** The number of tasks so far; it never decreases. */
     int count();
 
-    /** What the task requires and where it may run; tasks with equal descriptions share the object. */
+    /** The requirements of the task, and where it may run; tasks with equal descriptions share the object. */
     JobSpec spec(int index);
 
     /** Whether there is more than one description. */
--- a/src/main/java/org/hollypick/core/assignment/FaultHistory.java
+++ b/src/main/java/org/hollypick/core/assignment/FaultHistory.java
@@ -36,7 +36,7 @@
         quarantined = false;
     }
 
-    /** Whether the machine is quarantined and the quarantine's time is over. */
+    /** Whether the machine is quarantined and the quarantine has expired. */
     public boolean isQuarantineOver(long now) {
         return quarantined && now >= quarantinedUntil;
     }
--- a/src/main/java/org/hollypick/core/assignment/Heartbeat.java
+++ b/src/main/java/org/hollypick/core/assignment/Heartbeat.java
@@ -8,7 +8,7 @@
  * @param machine the machine's id
  * @param address where the agent accepts direct calls; empty if unknown
  * @param type the machine type's name
- * @param spot whether the cloud may preempt the machine
+ * @param spot whether the machine is a spot instance, which the cloud may reclaim
  * @param incarnation the agent's incarnation, which increases when its lease expires and its tasks end
  * @param sequence the sequence number, which increases with each heartbeat of an incarnation
  * @param token the highest fencing token that the agent has seen
--- a/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ArrivalMean.java
@@ -15,7 +15,7 @@
     private long updatedAt;
     private double observedS;
 
-    /** {@code windowS}: time constant in seconds after which past arrivals have little weight. */
+    /** @param windowS the time constant, in seconds, after which past arrivals have little weight */
     ArrivalMean(double windowS) {
         this.windowS = windowS;
     }
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Sets the mean to 0 and keeps the observation time. Without it a single later arrival would be extrapolated to a
-     * high rate.
+     * Sets the mean to 0 and keeps the observation time. If the observation started anew, a single later arrival would
+     * be extrapolated to a high rate.
      */
     void reset() {
         mean = 0;
--- a/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacityDemand.java
@@ -111,7 +111,7 @@
 
     /**
      * The weight of each allowed zone in the distribution of pending replicas: for jobs that spread over zones the
-     * number of replicas that it can still take, otherwise 1.
+     * number of replicas that the zone can still take, otherwise 1.
      */
     private Map<String, Double> zoneWeights(Job job) {
         JobSpec spec = job.spec;
--- a/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
+++ b/src/main/java/org/hollypick/core/autoscaling/CapacitySupply.java
@@ -12,7 +12,8 @@
 
 /**
  * The cores of the machines that count as capacity, including those that are booting. A machine in a partitioned zone
- * counts, since most will recover, but isn't runnable: no task can start on it until then. Confined to the event loop.
+ * counts, since most such machines will recover, but isn't runnable: no task can start on it before it recovers.
+ * Confined to the event loop.
  */
 final class CapacitySupply {
     private double spotCores;
--- a/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
+++ b/src/main/java/org/hollypick/core/autoscaling/QuotaBudget.java
@@ -50,19 +50,19 @@
         this.quotas = quotas;
     }
 
-    /** A copy of what is left now; later changes of this budget don't affect it. */
+    /** A copy of the remaining quotas; later changes of this budget don't affect the copy. */
     QuotaBudget copy() {
         QuotaBudget copy = new QuotaBudget(quotas);
         remainingByTeam.forEach((team, remaining) -> copy.remainingByTeam.put(team, remaining.copy()));
         return copy;
     }
 
-    /** Takes what running tasks use, even if it exceeds what is left. */
+    /** Takes the quota that running tasks use, even if that exceeds the remaining quota. */
     void takeUnconditionally(JobSpec spec, int tasks) {
         remaining(spec.team()).take(spec, tasks);
     }
 
-    /** Takes the quota of as many of the tasks as it allows, and returns their number. */
+    /** Takes quota for as many of the tasks as the remaining quota allows, and returns their number. */
     int takeAvailable(JobSpec spec, int tasks) {
         RemainingQuota remaining = remaining(spec.team());
         int allowed = remaining.maxTasks(spec, tasks);
--- a/src/main/java/org/hollypick/core/autoscaling/ScaleOutDecision.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ScaleOutDecision.java
@@ -8,7 +8,7 @@
  * @param usableArrayCores what job arrays can use within the teams' quotas, after the services
  * @param loadCores what is reserved for future job arrays by their mean load
  * @param supplyCores machines that count as capacity, including those of partitioned zones
- * @param runnableCores the part of them that can run tasks, now or once they have booted or were reconciled
+ * @param runnableCores the part of the supply cores that can run tasks, now or once they have booted or were reconciled
  * @param requestedCores the machines to start
  */
 public record ScaleOutDecision(
--- a/src/test/java/org/hollypick/core/AssignmentTableTest.java
+++ b/src/test/java/org/hollypick/core/AssignmentTableTest.java
@@ -508,8 +508,8 @@
     }
 
     /**
-     * Tasks of a job that was cancelled just before the last leader's term ended take quota until they were killed,
-     * although they aren't counted as tasks of a live job.
+     * Tasks of a job that was cancelled just before the last leader's term ended count against the quota until they are
+     * killed, although they aren't tasks of a live job.
      */
     @Test
     void tasksOfUnknownJobsCountAgainstQuotaUntilTheyAreNoLongerReported() {
--- a/src/test/java/org/hollypick/core/WorkerLeasesTest.java
+++ b/src/test/java/org/hollypick/core/WorkerLeasesTest.java
@@ -132,7 +132,9 @@
                 }
             }
 
-            /** Restarts without a delay, and without knowing what it was granted, renewed or reported before. */
+            /**
+             * Restarts without a delay; the new process has no record of what was granted, renewed or reported before.
+             */
             void restart() {
                 incarnation++;
                 grantedUntil = Double.NEGATIVE_INFINITY;
--- a/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
+++ b/src/test/java/org/hollypick/core/estimate/EstimatesTest.java
@@ -124,7 +124,7 @@
                 estimates.interval(task, 0).toString());
     }
 
-    /** The prediction accounts for the elapsed time, past the median and past the longest known run. */
+    /** The prediction accounts for the elapsed time, past the median and past the longest recorded run. */
     @Test
     void predictionGrowsWithElapsedTime() {
         Estimates estimates = new Estimates(true);
--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -44,7 +44,7 @@
             assertTrue(open.values().stream().mapToInt(count -> count).sum() <= sockets);
             assertFalse(
                     budget.shouldCloseAfterResponse(kind),
-                    "a connection of a kind that has capacity isn't closed after the response");
+                    "a connection is closed after its response although its kind has capacity");
         }
         for (ConnectionBudget.Kind kind : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(kind, 0) > 0) {
@@ -140,7 +140,8 @@
     }
 
     /**
-     * A few slow machines don't make this controller unhealthy; many slow responses do, until a grace period is over.
+     * A few slow machines don't make this controller unhealthy; many slow responses do, until a grace period has
+     * passed.
      */
     @Test
     void manySlowResponsesMakeThisControllerUnhealthy() {
