--- a/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
+++ b/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
@@ -123,7 +123,7 @@
      * Excess capacity that a zone must have, as a multiple of the capacity of the machines that are evicted. At a lower
      * ratio, machines would be terminated and started again in turn.
      */
-    public static final double EXCESS_TO_DRAINED_CAPACITY_RATIO = 2;
+    public static final double EXCESS_TO_EVICTED_CAPACITY_RATIO = 2;
 
     /** Maximum number of replicas that are moved in one autoscaling cycle, so that few are down at a time. */
     public static final int MAX_MOVES_PER_CYCLE = 4;
@@ -133,13 +133,13 @@
      * decides only in clusters of very many machines, where the shares of services differ by less. It is too small to
      * outweigh spreading services over few machines or to cause a preemption.
      */
-    public static final double DRAINED_NEXT_PENALTY_S = 0.5;
+    public static final double EVICTED_NEXT_PENALTY_S = 0.5;
 
     /**
      * Maximum size of a machine that is marked as evicted next, as a share of the cores of all services. In a cluster
      * of few machines, services have to be spread over all of them.
      */
-    public static final double MAX_DRAINED_NEXT_MACHINE_SHARE = 0.05;
+    public static final double MAX_EVICTED_NEXT_MACHINE_SHARE = 0.05;
 
     /** Minimum milliseconds for which a replica must have run before it may be moved. */
     public static final long MIN_RUN_TIME_BEFORE_MOVE_MS = 40_000;
--- a/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
+++ b/src/main/java/org/hollypick/core/autoscaling/ReplicaMover.java
@@ -46,7 +46,7 @@
     }
 
     private void planZone(String zone, double excessCores, double allServiceCores) {
-        double evictableCores = excessCores / AutoscalingConstants.EXCESS_TO_DRAINED_CAPACITY_RATIO;
+        double evictableCores = excessCores / AutoscalingConstants.EXCESS_TO_EVICTED_CAPACITY_RATIO;
         double remainingExcessCores = excessCores;
         for (Machine machine : fewestServiceCoresFirst(zone)) {
             double cores = machine.type.cpus();
@@ -55,7 +55,7 @@
             boolean evicting = evictableCores >= 0 && machine.serviceCpus() > 0;
             boolean evictedNext = !evicting
                     && remainingExcessCores >= 0
-                    && cores <= allServiceCores * AutoscalingConstants.MAX_DRAINED_NEXT_MACHINE_SHARE;
+                    && cores <= allServiceCores * AutoscalingConstants.MAX_EVICTED_NEXT_MACHINE_SHARE;
             machine.planEviction(evicting, evictedNext);
             if (evicting) {
                 moveReplicas(machine);
--- a/src/main/java/org/hollypick/core/placement/MachineSelector.java
+++ b/src/main/java/org/hollypick/core/placement/MachineSelector.java
@@ -142,7 +142,7 @@
         return -fetchSeconds(job.spec, machine)
                 - replicas * SchedulingConstants.REPLICA_ANTI_AFFINITY_PENALTY_S
                 - share * SchedulingConstants.SERVICE_CONCENTRATION_PENALTY_S
-                - (machine.isEvictedNext() ? AutoscalingConstants.DRAINED_NEXT_PENALTY_S : 0);
+                - (machine.isEvictedNext() ? AutoscalingConstants.EVICTED_NEXT_PENALTY_S : 0);
     }
 
     /** Estimated seconds until the machine has the image; other fetches in progress lengthen the estimate. */
