--- a/src/main/java/org/hollypick/Controller.java
+++ b/src/main/java/org/hollypick/Controller.java
@@ -109,7 +109,7 @@
                 new PublicRequestDispatcher(heartbeatRelay, users, graphs, operator.estimatesEnabled(), this::isReady);
         this.peerEndpoints = new PeerEndpoints(eventLoop, membership, terms);
         peerEndpoints.serveLeasesAndHeartbeats(heartbeatRelay);
-        peerEndpoints.serveRelayedStoreRequests(store.router());
+        peerEndpoints.serveForwardedStoreRequests(store.router());
         peerEndpoints.serveReachability(agentClient);
         peerEndpoints.serveUserRequests(users, operator.estimatesEnabled());
         if (graphs != null) {
--- a/src/main/java/org/hollypick/PeerEndpoints.java
+++ b/src/main/java/org/hollypick/PeerEndpoints.java
@@ -77,7 +77,7 @@
     }
 
     /** Registers the handlers that forward requests to the key-value store for peers that can't reach it. */
-    void serveRelayedStoreRequests(RequestRouter storeRequests) {
+    void serveForwardedStoreRequests(RequestRouter storeRequests) {
         dispatcher.on(RequestRouter.FORWARD_PATH, storeRequests::forward);
         dispatcher.on(RequestRouter.FORWARD_WATCH_PATH, storeRequests::forward);
     }
--- a/src/main/java/org/hollypick/TermSupervisor.java
+++ b/src/main/java/org/hollypick/TermSupervisor.java
@@ -31,8 +31,8 @@
     /** Milliseconds until a failed request for the machine types is retried. */
     private static final long MACHINE_TYPE_RETRY_MS = 1_000;
     /**
-     * The most bits that a fencing token may have: an attempt number appends {@link JobConstants#ATTEMPT_BITS} bits to
-     * the token and must fit into a positive {@code long}.
+     * The most bits that a fencing token may have: an attempt number appends {@link JobConstants#ATTEMPT_COUNTER_BITS}
+     * bits to the token and must fit into a positive {@code long}.
      */
     private static final int TOKEN_BITS = 63 - JobConstants.ATTEMPT_COUNTER_BITS;
 
--- a/src/main/java/org/hollypick/api/GraphEndpoints.java
+++ b/src/main/java/org/hollypick/api/GraphEndpoints.java
@@ -138,8 +138,8 @@
     private ServerResponse description(GraphRequest request, JsonNode jobStatus) {
         String graphId = request.graphId();
         Optional<JsonNode> record = record(graphId);
-        Optional<JsonNode> endRecord = record.filter(GraphRecordCodec::isEnded);
-        if (record.isPresent() && endRecord.isEmpty() && !GraphRecordCodec.isGraph(record.get())) {
+        Optional<JsonNode> terminalRecord = record.filter(GraphRecordCodec::isEnded);
+        if (record.isPresent() && terminalRecord.isEmpty() && !GraphRecordCodec.isGraph(record.get())) {
             return ServerResponse.error(404, "no graph, but a job");
         }
         Optional<LiveGraph> live =
@@ -148,10 +148,11 @@
             return uncommittedChanges();
         }
         if (live.isEmpty()) {
-            return ServerResponse.of(200, GraphResponseCodec.describe(graphId, jobStatus, endRecord));
+            return ServerResponse.of(200, GraphResponseCodec.describe(graphId, jobStatus, terminalRecord));
         }
         String status = jobStatus.path(JobStatus.STATE).asText();
-        return ServerResponse.of(200, GraphResponseCodec.describe(live.get(), status, request.firstNode(), endRecord));
+        return ServerResponse.of(
+                200, GraphResponseCodec.describe(live.get(), status, request.firstNode(), terminalRecord));
     }
 
     private Optional<JsonNode> record(String graphId) {
--- a/src/main/java/org/hollypick/api/GraphForwarding.java
+++ b/src/main/java/org/hollypick/api/GraphForwarding.java
@@ -18,7 +18,7 @@
     private static final String METHOD = "method";
     private static final String TARGET = "path";
     private static final String BODY = "body";
-    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private final EventLoop eventLoop;
     private final Settings settings;
@@ -58,7 +58,7 @@
     private ServerResponse leaderResponse(String method, Response response) {
         PeerCodec.ForwardedAnswer answer = PeerCodec.forwardedAnswer(response);
         boolean outdated = !replica.allowsAnswerAt(answer.revision());
-        if (answer.status() == 0 || answer.status() == SERVICE_UNAVAILABLE || (outdated && method.equals("GET"))) {
+        if (answer.status() == 0 || answer.status() == HTTP_SERVICE_UNAVAILABLE || (outdated && method.equals("GET"))) {
             return ServerResponse.retryLater("leader");
         }
         replica.observe(answer.revision());
--- a/src/main/java/org/hollypick/api/GraphResponseCodec.java
+++ b/src/main/java/org/hollypick/api/GraphResponseCodec.java
@@ -101,9 +101,9 @@
      *
      * @param status the status of the graph's job
      * @param firstNode index of the first node on the page
-     * @param endRecord the record of the ended graph; empty if the graph hasn't ended
+     * @param terminalRecord the graph's terminal record; empty if the graph hasn't ended
      */
-    static ObjectNode describe(LiveGraph live, String status, int firstNode, Optional<JsonNode> endRecord) {
+    static ObjectNode describe(LiveGraph live, String status, int firstNode, Optional<JsonNode> terminalRecord) {
         Graph graph = live.graph();
         ObjectNode body = Codec.object()
                 .put(GRAPH_ID, live.id())
@@ -122,7 +122,7 @@
             body.put(NEXT_PAGE, end);
         }
         body.put(JobStatus.STATE, status);
-        endRecord.ifPresent(record -> addEndSummary(record, body));
+        terminalRecord.ifPresent(record -> addTerminalSummary(record, body));
         return body;
     }
 
@@ -143,18 +143,18 @@
     /**
      * Describes a graph whose nodes aren't loaded, by its job's status.
      *
-     * @param endRecord the record of the ended graph, whose summary is added; empty if the graph hasn't ended
+     * @param terminalRecord the graph's terminal record, whose summary is added; empty if the graph hasn't ended
      */
-    static ObjectNode describe(String graphId, JsonNode jobStatus, Optional<JsonNode> endRecord) {
+    static ObjectNode describe(String graphId, JsonNode jobStatus, Optional<JsonNode> terminalRecord) {
         ObjectNode body = jobStatus.deepCopy();
-        endRecord.ifPresent(record -> addEndSummary(record, body));
+        terminalRecord.ifPresent(record -> addTerminalSummary(record, body));
         return body.put(GRAPH_ID, graphId);
     }
 
-    private static void addEndSummary(JsonNode endRecord, ObjectNode body) {
+    private static void addTerminalSummary(JsonNode terminalRecord, ObjectNode body) {
         for (String field : GraphRecordCodec.END_SUMMARY_FIELDS) {
             if (!body.has(field)) {
-                body.set(field, endRecord.path(field));
+                body.set(field, terminalRecord.path(field));
             }
         }
     }
--- a/src/main/java/org/hollypick/client/GraphSpec.java
+++ b/src/main/java/org/hollypick/client/GraphSpec.java
@@ -22,7 +22,7 @@
      * A fault in the description of a graph.
      *
      * @param place the path of the field, such as {@code nodes[3].awaits[0]}
-     * @param what the fault of that field
+     * @param what what is wrong with the field
      */
     public record Problem(String place, String what) {
         @Override
--- a/src/main/java/org/hollypick/cloud/CloudCodec.java
+++ b/src/main/java/org/hollypick/cloud/CloudCodec.java
@@ -65,7 +65,7 @@
     /** Whether more machines follow a page of the list. */
     private static final String TRUNCATED = "truncated";
 
-    private static final int HTTP_UNAVAILABLE = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private CloudCodec() {}
 
@@ -122,7 +122,7 @@
         if (response.failedWith(Response.Failure.NO_RESPONSE)) {
             return ScaleOutResult.Outcome.NO_RESPONSE;
         }
-        return response.status() == HTTP_UNAVAILABLE
+        return response.status() == HTTP_SERVICE_UNAVAILABLE
                 ? ScaleOutResult.Outcome.OUT_OF_CAPACITY
                 : ScaleOutResult.Outcome.FAILED;
     }
--- a/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
+++ b/src/main/java/org/hollypick/config/constants/AutoscalingConstants.java
@@ -48,8 +48,8 @@
     public static final double SURPLUS_THRESHOLD_RATIO = 1.1;
 
     /**
-     * Penalty for placing a task of a job array on a surplus machine, in seconds of image fetching: the longest fetch
-     * that is worthwhile to leave such a machine unused.
+     * Penalty for placing a task of a job array on a surplus machine, in seconds of image fetching: a task is placed on
+     * another machine if its image fetch takes up to this much longer there.
      */
     public static final double SURPLUS_MACHINE_PENALTY_S = 30;
 
--- a/src/main/java/org/hollypick/config/constants/ElectionConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ElectionConstants.java
@@ -48,7 +48,8 @@
     public static final long JOIN_RETRY_MS = 300;
 
     /**
-     * Milliseconds within which a written leader record usually reaches the local replica. The watch takes some tens.
+     * Milliseconds within which a written leader record usually reaches the local replica. The watch takes some tens of
+     * milliseconds.
      */
     public static final long LEADER_RECORD_PROPAGATION_MS = 200;
 
@@ -100,7 +101,7 @@
 
     /**
      * Milliseconds after which a candidate asks its peers about the machines that haven't responded. A machine usually
-     * responds within a few.
+     * responds within a few milliseconds.
      */
     public static final long CANDIDACY_ASK_PEERS_AFTER_MS = 150;
 
--- a/src/main/java/org/hollypick/config/constants/FailureDetectionConstants.java
+++ b/src/main/java/org/hollypick/config/constants/FailureDetectionConstants.java
@@ -14,7 +14,7 @@
      */
     public static final double EARLY_PROBE_INTERVAL_SHARE = 1 / 3.0;
 
-    /** Milliseconds above which a machine's response counts as slow. Usual responses take tens. */
+    /** Milliseconds above which a machine's response counts as slow. Usual responses take tens of milliseconds. */
     public static final long SLOW_RESPONSE_MS = 400;
 
     /** Milliseconds over which slow responses are counted. */
--- a/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
+++ b/src/main/java/org/hollypick/config/constants/ReachabilityConstants.java
@@ -57,7 +57,7 @@
 
     /**
      * Milliseconds without a response after which a request to the store is sent by another route. A response usually
-     * takes ten, occasionally a few hundred.
+     * takes 10 ms, occasionally a few hundred.
      */
     public static final long ROUTE_FAILOVER_MS = 500;
 
--- a/src/main/java/org/hollypick/config/constants/SchedulingConstants.java
+++ b/src/main/java/org/hollypick/config/constants/SchedulingConstants.java
@@ -2,10 +2,14 @@
 
 /** Constants of the Tyrex scheduler, fair share and the choice of a machine. */
 public final class SchedulingConstants {
-    /** Default share of the machines in Tyrex's first partition. The best results in the paper have 20 % and 30 %. */
+    /**
+     * Default share of the machines in Tyrex's first partition. The best results in the Tyrex paper have 20 % and 30 %.
+     */
     public static final double FIRST_PARTITION_SHARE = 0.30;
 
-    /** Squared coefficient of variation above which a partition counts as unbalanced (section IV D of the paper). */
+    /**
+     * Squared coefficient of variation above which a partition counts as unbalanced (section IV-D of the Tyrex paper).
+     */
     public static final double UNBALANCED_SQUARED_CV = 2.0;
 
     /**
@@ -19,15 +23,16 @@
     public static final int MIN_IDLE_FIRST_PARTITION_MACHINES = 1;
 
     /**
-     * Number of steps in which the gap between two neighbouring sizes is searched for the cutoff. The gap can contain
-     * two sign changes.
+     * Number of steps in which the gap between two neighbouring sizes is searched for the cutoff: the point at which
+     * the parts of the sizes below it have the same relative variation as those above it. A gap can contain two such
+     * points.
      */
     public static final int CUTOFF_SEARCH_STEPS = 32;
 
     /**
-     * With several teams, every fourth machine with free capacity is filled in arrival order alone, as in the paper.
-     * Under strict priority a flood of jobs of one class would starve lower classes for as long as it lasts. Higher
-     * priorities lose a quarter of that capacity while older work of lower priority waits.
+     * With several teams, every fourth machine with free capacity is filled in arrival order alone, as in the Tyrex
+     * paper. Under strict priority a flood of jobs of one class would starve lower classes for as long as it lasts.
+     * Higher priorities lose a quarter of that capacity while older work of lower priority waits.
      */
     public static final int ARRIVAL_ORDER_MACHINE_INTERVAL = 4;
 
--- a/src/main/java/org/hollypick/peer/RequestRouter.java
+++ b/src/main/java/org/hollypick/peer/RequestRouter.java
@@ -30,7 +30,7 @@
      */
     public static final String FORWARD_WATCH_PATH = "/watch";
 
-    private static final int HTTP_UNAVAILABLE = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
     private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
 
     /** Whether a request may be sent a second time while the first may still be executed. */
@@ -39,7 +39,10 @@
         ONCE,
         /** The request may be sent again by another route. */
         REPEATABLE,
-        /** A long poll, whose late response doesn't show that its route is down; aborted once its route is down. */
+        /**
+         * A long poll: a late response doesn't show that the route is down, since the store may have no changes to
+         * report. Aborted once the route is found to be down.
+         */
         WATCH
     }
 
@@ -107,7 +110,10 @@
         }
     }
 
-    /** Sends a watch only after a small request has shown that its route works. */
+    /**
+     * Sends a small request first, and the watch only if the small request is answered: the watch itself wouldn't show
+     * for a long time whether the route works.
+     */
     private void probeBeforeWatch(RoutedRequest watch) {
         call(probe, Kind.REPEATABLE, response -> {
             if (response.isAnswered() && !watch.isComplete()) {
@@ -136,7 +142,7 @@
     }
 
     private void directRequestCompleted(Response response, long sentAtMillis) {
-        if (response.isAnswered() && response.status() != HTTP_UNAVAILABLE) {
+        if (response.isAnswered() && response.status() != HTTP_SERVICE_UNAVAILABLE) {
             if (!route.isDirect()) {
                 LOG.info("store.route.restored");
             }
@@ -219,7 +225,7 @@
         }
 
         private void storeResponseReceived(Response storeResponse) {
-            if (!storeResponse.isAnswered() || storeResponse.status() == HTTP_UNAVAILABLE) {
+            if (!storeResponse.isAnswered() || storeResponse.status() == HTTP_SERVICE_UNAVAILABLE) {
                 peerFailed(peer);
             } else {
                 route.peerAnswered(peer);
--- a/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
+++ b/src/main/java/org/hollypick/relay/HeartbeatRelayCodec.java
@@ -36,7 +36,7 @@
 
     private static final int HTTP_BAD_REQUEST = 400;
     private static final int HTTP_MISDIRECTED_REQUEST = 421;
-    private static final int HTTP_UNAVAILABLE = 503;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private HeartbeatRelayCodec() {}
 
@@ -86,7 +86,7 @@
         List<ServerResponse> responses = new ArrayList<>();
         for (JsonNode response : body.path(RESPONSES)) {
             responses.add(new ServerResponse(
-                    response.path(STATUS).asInt(HTTP_UNAVAILABLE),
+                    response.path(STATUS).asInt(HTTP_SERVICE_UNAVAILABLE),
                     response.path(BODY),
                     response.path(RETRY_AFTER_S).asInt()));
         }
--- a/src/test/java/org/hollypick/LayoutTest.java
+++ b/src/test/java/org/hollypick/LayoutTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checks the dependencies between packages and the other rules of the layout that README.md documents. */
+/** Checks the dependencies between packages and the other rules of the layout that docs/ARCHITECTURE.md documents. */
 @AnalyzeClasses(packages = "org.hollypick", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayoutTest {
     @ArchTest
--- a/src/test/java/org/hollypick/model/AnswerConsistencyModelTest.java
+++ b/src/test/java/org/hollypick/model/AnswerConsistencyModelTest.java
@@ -24,7 +24,7 @@
  *
  * <p>Invariant: once a user was told that the job is accepted, or that it has ended, no request sent after that gets an
  * older answer. The order of sending counts, since two concurrent answers may arrive in either order:
- * {@link #concurrentAnswersMayArriveOutOfOrder} shows a shortest trace to that.
+ * {@link #concurrentAnswersMayArriveOutOfOrder} shows a shortest trace to two such answers.
  */
 class AnswerConsistencyModelTest {
     private static final int CONTROLLERS = 3;
@@ -37,7 +37,7 @@
     private static final int LIVE = 1;
     private static final int TERMINAL = 2;
 
-    /** Defects that the model can be given, to prove that it finds them. */
+    /** Defects that can be built into the model, to prove that the search detects each of them. */
     private enum Fault {
         NONE,
         ANSWERS_DURING_UNRESOLVED_WRITE,
--- a/src/test/java/org/hollypick/model/CancellationModelTest.java
+++ b/src/test/java/org/hollypick/model/CancellationModelTest.java
@@ -49,7 +49,7 @@
     /** The second leader's fencing token. */
     private static final int SECOND_TOKEN = 3;
 
-    /** Defects that the model can be given, to prove that it finds them. */
+    /** Defects that can be built into the model, to prove that the search detects each of them. */
     private enum Fault {
         NONE,
         STOPS_TASK_ONLY_ONCE_DURABLE,
@@ -276,7 +276,7 @@
             writeSentAt = now;
         }
 
-        /** The first leader learns that its write was carried out, and answers its user. */
+        /** The first leader receives the response that its write was applied, and answers its user. */
         void receiveWriteResponse() {
             firstKnowsDurable = true;
             confirmCancellation();
--- a/src/test/java/org/hollypick/model/FailoverModelTest.java
+++ b/src/test/java/org/hollypick/model/FailoverModelTest.java
@@ -33,7 +33,7 @@
     /** A relay was paused and runs again; there is no second pause. */
     private static final int PAUSE_ENDED = RELAY_COUNT;
 
-    /** Defects that the model can be given, to prove that it finds them. */
+    /** Defects that can be built into the model, to prove that the search detects each of them. */
     private enum Fault {
         NONE,
         COUNTS_GRANT_FROM_RECEIPT,
--- a/src/test/java/org/hollypick/model/QuotaModelTest.java
+++ b/src/test/java/org/hollypick/model/QuotaModelTest.java
@@ -57,7 +57,7 @@
 
     private static final int SECOND = 2;
 
-    /** Defects that the model can be given, to prove that it finds them. */
+    /** Defects that can be built into the model, to prove that the search detects each of them. */
     private enum Fault {
         NONE,
         FREES_QUOTA_WHEN_HEARTBEATS_ARE_MISSING,
--- a/src/test/java/org/hollypick/model/RegistrationModelTest.java
+++ b/src/test/java/org/hollypick/model/RegistrationModelTest.java
@@ -37,7 +37,7 @@
 
     private static final int SECOND = 2;
 
-    /** Defects that the model can be given, to prove that it finds them. */
+    /** Defects that can be built into the model, to prove that the search detects each of them. */
     private enum Fault {
         NONE,
         LAUNCHES_BEFORE_REGISTRATION_IS_CONFIRMED,
--- a/src/test/java/org/hollypick/sim/AnswerProber.java
+++ b/src/test/java/org/hollypick/sim/AnswerProber.java
@@ -13,7 +13,7 @@
 final class AnswerProber {
     /** Milliseconds after a job's state changed at which all controllers are queried. */
     private static final List<Integer> PROBES_MS = List.of(0, 1, 2, 4, 8, 12, 16, 24, 32, 48, 64, 100);
-    /** Estimates are requested by the probes at multiples of this. */
+    /** Probes whose delay is a multiple of this also request an estimate. */
     private static final int ESTIMATE_INTERVAL_MS = 32;
 
     private static final int RESUBMIT_WITHIN_MS = 16;
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -28,7 +28,10 @@
      * jobs pending.
      */
     private static final double QUOTA_CORES = 24;
-    /** A team at its quota has at most that many cores taken by tasks that wait for their image. */
+    /**
+     * Cores by which the running tasks of a team at its quota may fall short of it: other tasks still fetch their
+     * image.
+     */
     private static final double MAX_FETCHING_CORES = 4;
 
     private static final BiFunction<EventLoop, Settings, Controller> TWO_TEAMS =
@@ -37,8 +40,8 @@
     /** Longer than the time within which the tasks of a cancelled job have to end. */
     private static final long OUTAGE_MS = 50_000;
     /**
-     * Requests and responses of the leader at which a fault is injected: by then the cancellations are confirmed, or
-     * wait for a lease to expire.
+     * Number of requests and responses that the leader sends after the cancellations; faults are injected at these
+     * messages. After the last one the cancellations are confirmed, or wait for a lease to expire.
      */
     private static final int MESSAGE_COUNT = 25;
     /** Seeds of each test; a longer run: {@code mvn test -Dtest=CancellationFaultsTest -Dcancellations.seeds=50}. */
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -133,8 +133,8 @@
     /**
      * A launch is delayed on its way to a machine, which hangs or can't be reached from the leader, and is executed
      * when the fault ends, however long ago the user cancelled the job. The cancellation may be confirmed only when the
-     * launch can't start the task any more: a report of the machine shows that it was executed, the machine's lease
-     * expired, or the machine refuses the launch's fencing token.
+     * launch can't start the task any more: the response to it or a heartbeat shows that it was executed, the machine's
+     * lease expired, or the machine refuses the launch's fencing token.
      */
     @Test
     void aDelayedLaunchDelaysTheConfirmationOfTheCancellation() {
--- a/src/test/java/org/hollypick/sim/FakeAgent.java
+++ b/src/test/java/org/hollypick/sim/FakeAgent.java
@@ -173,7 +173,7 @@
         isDown = true;
         restartCount++;
         tasks.loseAll();
-        tasks.forgetImages();
+        tasks.discardImages();
         world.schedule(downtimeMs, () -> {
             isDown = false;
             isHeartbeatInFlight = false;
--- a/src/test/java/org/hollypick/sim/FakeAgentTasks.java
+++ b/src/test/java/org/hollypick/sim/FakeAgentTasks.java
@@ -49,7 +49,9 @@
     private final Set<String> images = new HashSet<>();
     /** The verb of the commands that are ignored as if never received; empty for none. */
     private String ignoredVerb = "";
-    /** Whether tasks that fetch their image are reported as running, as by an agent that doesn't tell them apart. */
+    /**
+     * Whether tasks that fetch their image are reported as running, as by an agent that doesn't distinguish the two.
+     */
     private boolean reportsFetchingAsRunning;
 
     FakeAgentTasks(FakeAgent agent, SimulatedWorld world, InvariantChecker checker) {
@@ -118,7 +120,7 @@
         executions.clear();
     }
 
-    void forgetImages() {
+    void discardImages() {
         images.clear();
     }
 
--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -125,7 +125,7 @@
         });
     }
 
-    /** Runs a task as the user of its graph does: a scenario may have several graphs. */
+    /** Runs a task with the behaviour that the user of its graph draws; each graph of a scenario has its own user. */
     private void runTask(String task, long attempt, Runnable finish) {
         USERS.get(task.substring(0, task.indexOf('/'))).run(task, attempt, finish);
     }
--- a/src/test/java/org/hollypick/sim/HollypickClientTest.java
+++ b/src/test/java/org/hollypick/sim/HollypickClientTest.java
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Sends a request to a simulated controller and returns its response. Tells the checker about submissions,
-     * cancellations and the tasks of accepted nodes, as the simulated users do for their own requests.
+     * Sends a request to a simulated controller and returns its response. Reports submissions, cancellations and the
+     * tasks of accepted nodes to the checker, as the simulated users do for their own requests.
      */
     private Response forwardToScenario(String method, String path, byte[] requestBody) {
         JsonNode body = Codec.read(requestBody, false);
--- a/src/test/java/org/hollypick/sim/InvalidRequests.java
+++ b/src/test/java/org/hollypick/sim/InvalidRequests.java
@@ -6,8 +6,8 @@
 
 /** Sends each invalid submission twice to all controllers: every response must have the expected status. */
 final class InvalidRequests {
-    private static final int BAD_REQUEST = 400;
-    private static final int UNPROCESSABLE = 422;
+    private static final int HTTP_BAD_REQUEST = 400;
+    private static final int HTTP_UNPROCESSABLE_CONTENT = 422;
     private static final int SENT_WITHIN_MS = 3_000;
 
     private final ClusterScenario scenario;
@@ -56,9 +56,9 @@
                 List<String> fields = new ArrayList<>();
                 job.fieldNames().forEachRemaining(fields::add);
                 job.remove(fields.get(world.random.nextInt(fields.size())));
-                return BAD_REQUEST;
+                return HTTP_BAD_REQUEST;
             }
         }
-        return UNPROCESSABLE;
+        return HTTP_UNPROCESSABLE_CONTENT;
     }
 }
--- a/src/test/java/org/hollypick/sim/LinkPattern.java
+++ b/src/test/java/org/hollypick/sim/LinkPattern.java
@@ -1,7 +1,7 @@
 package org.hollypick.sim;
 
 /**
- * The links between three controllers, the key-value store and the agents of two zones that are up.
+ * Which links between three controllers, the key-value store and the agents of two zones are up.
  *
  * @param bits one bit per link, set if it is up; from the lowest: from each controller to the store, from each
  *     controller to the agents of each zone, and between each two controllers
--- a/src/test/java/org/hollypick/sim/MachineFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/MachineFaultsTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests machines during a failover (docs/combined-faults.md): machines that were just rented, whose heartbeats are
+ * Tests machines during a failover (docs/combined-faults.md): machines that were just started, whose heartbeats are
  * late, that are unreachable in one direction, or that execute direct commands seconds after these were sent. The cases
  * are enumerated, not random: CI runs every n-th, and {@code mvn test -Dtest=MachineFaultsTest -Dmachines.every=1} runs
  * all.
@@ -37,7 +37,7 @@
     private static final int CASE_INTERVAL = Integer.getInteger("machines.every", 17);
 
     private static final int HEARTBEAT_CASE_INTERVAL = Math.min(CASE_INTERVAL, 7);
-    /** Seeds with which each case is tried at most until the checker detects a faulty version. */
+    /** Maximum number of seeds with which each case is tried until the checker detects a faulty version. */
     private static final int MAX_FAULTY_SEEDS = 8;
 
     private static final BiFunction<EventLoop, Settings, Controller> CURRENT_VERSION =
@@ -57,11 +57,11 @@
                 && call.body().path("then").toString().contains("\"h/m/");
     }
 
-    private static boolean isRental(Request call) {
+    private static boolean isScaleOut(Request call) {
         return call.path().equals("/hosts") && call.method().equals("POST");
     }
 
-    private static boolean isReturn(Request call) {
+    private static boolean isScaleIn(Request call) {
         return call.path().equals("/hosts/return");
     }
 
@@ -77,7 +77,7 @@
 
     /** The event that is followed by a crash of the leader. */
     private enum CrashTrigger {
-        RENTAL_SENT,
+        SCALE_OUT_SENT,
         MACHINE_UP,
         FIRST_HEARTBEAT,
         REGISTRATION_SENT,
@@ -85,7 +85,7 @@
     }
 
     private record NewMachineCase(
-            CallFault rental,
+            CallFault scaleOut,
             CallFault registration,
             CrashTrigger crashTrigger,
             int crashDelayMs,
@@ -94,13 +94,13 @@
 
     private static List<NewMachineCase> newMachineCases() {
         List<NewMachineCase> cases = new ArrayList<>();
-        for (CallFault rental : CallFault.values()) {
+        for (CallFault scaleOut : CallFault.values()) {
             for (CallFault registration : CallFault.values()) {
                 for (CrashTrigger crashTrigger : CrashTrigger.values()) {
                     for (int crashDelayMs : new int[] {0, 8, 60, 700}) {
                         for (int maxBootMs : new int[] {1, 2_000}) {
                             cases.add(new NewMachineCase(
-                                    rental, registration, crashTrigger, crashDelayMs, maxBootMs, cases.size() + 1));
+                                    scaleOut, registration, crashTrigger, crashDelayMs, maxBootMs, cases.size() + 1));
                         }
                     }
                 }
@@ -115,14 +115,14 @@
         scenario.cloud.maxBootMs = testCase.maxBootMs;
         scenario.cloud.alternatesListAge = true;
         scenario.users.cancelOneIn = 4;
-        boolean isCloudSlow = testCase.rental == CallFault.RESPONSE_LATE;
+        boolean isCloudSlow = testCase.scaleOut == CallFault.RESPONSE_LATE;
         Random random = scenario.world.random;
         scenario.network.requestDelayMs = (from, call) -> {
-            boolean isLate = ((isRental(call) || isReturn(call)) && testCase.rental == CallFault.EXECUTED_LATE)
+            boolean isLate = ((isScaleOut(call) || isScaleIn(call)) && testCase.scaleOut == CallFault.EXECUTED_LATE)
                     || (isRegistration(call) && testCase.registration == CallFault.EXECUTED_LATE);
             return isLate && random.nextBoolean() ? 1_500 + random.nextInt(10_000) : 0;
         };
-        scenario.world.losesResponse = call -> ((isRental(call) && testCase.rental == CallFault.RESPONSE_LOST)
+        scenario.world.losesResponse = call -> ((isScaleOut(call) && testCase.scaleOut == CallFault.RESPONSE_LOST)
                         || (isRegistration(call) && testCase.registration == CallFault.RESPONSE_LOST))
                 && random.nextBoolean();
         scenario.advance(5_000);
@@ -158,7 +158,7 @@
         scenario.world.heartbeatObserver =
                 testCase.crashTrigger == CrashTrigger.FIRST_HEARTBEAT ? onHeartbeat : call -> {};
         scenario.world.requestObserver = (from, call) -> {
-            if ((testCase.crashTrigger == CrashTrigger.RENTAL_SENT && isRental(call))
+            if ((testCase.crashTrigger == CrashTrigger.SCALE_OUT_SENT && isScaleOut(call))
                     || (testCase.crashTrigger == CrashTrigger.REGISTRATION_SENT && isRegistration(call))
                     || (testCase.crashTrigger == CrashTrigger.LAUNCH_SENT && isLaunch(call))) {
                 crash.run();
@@ -167,8 +167,8 @@
     }
 
     /**
-     * A machine is registered durably before its first launch, in whichever order the response to its rental, its first
-     * heartbeat, its registration and the leader's crash occur.
+     * A machine is registered durably before its first launch, in whichever order the response to its scale-out
+     * request, its first heartbeat, its registration and the leader's crash occur.
      */
     @Test
     void newMachinesViolateNoInvariantInAnyOrderOfEvents() {
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -28,7 +28,7 @@
             (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
     /** Scenarios of each kind; {@code -Dpartition.days=...} runs more outside CI. */
     private static final int SEEDS = Integer.getInteger("partition.days", 3);
-    /** A faulty variant has to be detected with one of so many seeds. */
+    /** Maximum number of seeds tried until the checker detects a faulty variant. */
     private static final int MAX_FAULTY_SEEDS = 6;
     /** Longer than an agent's lease. */
     private static final long PARTITION_MS = 25_000;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Runs the scenario until the consequences of its faults have ended, and then long enough to detect jobs that are
-     * not answered about or are starved.
+     * Runs the scenario until the consequences of its faults have ended, and then long enough to detect jobs whose
+     * users get no answers and jobs that starve.
      */
     private static ClusterScenario runAfterFaults(ClusterScenario scenario) {
         scenario.advance(SETTLE_MS);
