--- a/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
+++ b/src/test/java/org/hollypick/sim/AnswerConsistencyTest.java
@@ -327,9 +327,9 @@
         scenario.world.requestObserver = (from, call) -> writes[0] += isCommitContaining(call, "\"pull_gb\"") ? 1 : 0;
         scenario.checker.answerOrder.stateChangeListener = id -> {
             for (int i = 0; i < 300; i++) {
-                int node = i % 3;
+                int controller = i % 3;
                 scenario.world.schedule(
-                        i, () -> scenario.users.resubmitAt(node, id, scenario.checker.submitted.get(id)));
+                        i, () -> scenario.users.resubmitAt(controller, id, scenario.checker.submitted.get(id)));
             }
         };
         scenario.workload.submitBatchJobs(1, 1);
@@ -362,38 +362,41 @@
                 ((ObjectNode) spec).deepCopy().put("name_id", "req-777778").put("owner", "nobody");
         int[] writes = {0};
         scenario.world.requestObserver = (from, call) -> writes[0] += isCommitContaining(call, "h/j/") ? 1 : 0;
-        for (int node = 0; node < 3; node++) {
+        for (int controller = 0; controller < 3; controller++) {
             assertEquals(
                     "done",
-                    status(scenario.users.requestAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())));
+                    status(scenario.users.requestAt(
+                            controller, "POST", "/submissions/req-000000/withdraw", Codec.object())));
             for (int i = 0; i < 50; i++) {
-                Response repeated = scenario.users.requestAt(node, "POST", "/submissions", spec);
+                Response repeated = scenario.users.requestAt(controller, "POST", "/submissions", spec);
                 assertEquals("200 done", repeated.status() + " " + status(repeated));
             }
             assertEquals(
                     404,
                     scenario.users
-                            .requestAt(node, "GET", "/submissions/req-777777", null)
+                            .requestAt(controller, "GET", "/submissions/req-777777", null)
                             .status());
         }
         assertEquals(0, writes[0], "transactions on job records after repeated submissions");
         scenario.store.startOutage(5_000);
-        for (int node = 0; node < 3; node++) {
+        for (int controller = 0; controller < 3; controller++) {
             assertEquals(
                     503,
                     scenario.users
-                            .requestAt(node, "GET", "/submissions/req-777777", null)
+                            .requestAt(controller, "GET", "/submissions/req-777777", null)
                             .status(),
                     "query of an unknown job without the store");
             assertEquals(
                     503,
                     scenario.users
-                            .requestAt(node, "POST", "/submissions", invalid)
+                            .requestAt(controller, "POST", "/submissions", invalid)
                             .status(),
                     "invalid submission without the store: 422 needs a linearizable read");
             assertEquals(
                     200,
-                    scenario.users.requestAt(node, "POST", "/submissions", spec).status(),
+                    scenario.users
+                            .requestAt(controller, "POST", "/submissions", spec)
+                            .status(),
                     "repeated submission of a completed job without the store");
         }
         assertEquals(List.of(), scenario.checker.violations);
--- a/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CancellationFaultsTest.java
@@ -92,9 +92,9 @@
                 case HANG_WITHIN_LEASE -> agent.hang(12_000);
                 case LONG_HANG -> agent.hang(40_000);
                 case PARTITIONED -> {
-                    for (int node = 0; node < 3; node++) {
-                        scenario.world.cut(agent.name, "p" + node + ":1", 30_000);
-                        scenario.world.cut("bothy-" + node, agent.address, 30_000);
+                    for (int controller = 0; controller < 3; controller++) {
+                        scenario.world.cut(agent.name, "p" + controller + ":1", 30_000);
+                        scenario.world.cut("bothy-" + controller, agent.address, 30_000);
                     }
                 }
                 default -> scenario.network.dropInbound(agent, 30_000);
--- a/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/CombinedFaultsTest.java
@@ -263,8 +263,8 @@
                 scenario.advance(12_000);
                 failovers += scenario.leaderIndex() != leaderBefore ? 1 : 0;
                 int firstRestarted = scenario.world.random.nextInt(3);
-                for (int node = 0; node < 3; node++) {
-                    scenario.faults.crash(node, node == firstRestarted ? 100 : 7_000);
+                for (int controller = 0; controller < 3; controller++) {
+                    scenario.faults.crash(controller, controller == firstRestarted ? 100 : 7_000);
                 }
                 scenario.advance(14_000);
             }
@@ -308,12 +308,12 @@
         scenario.advance(30_000);
         for (FakeAgent agent : scenario.cloud.agents()) {
             int fault = scenario.world.random.nextInt(3);
-            for (int node = 0; node < 3; node++) {
+            for (int controller = 0; controller < 3; controller++) {
                 if (fault == 0) {
-                    scenario.network.dropInbound(agent, node, 12_000);
+                    scenario.network.dropInbound(agent, controller, 12_000);
                 } else if (fault == 1) {
-                    scenario.world.cut(agent.name, "p" + node + ":1", 12_000);
-                    scenario.world.cut("bothy-" + node, agent.address, 12_000);
+                    scenario.world.cut(agent.name, "p" + controller + ":1", 12_000);
+                    scenario.world.cut("bothy-" + controller, agent.address, 12_000);
                 }
             }
         }
@@ -408,17 +408,17 @@
             cancelWithLostStoreResponses(scenario, leader);
             scenario.store.startOutage(OUTAGE_MS);
             scenario.advance(5_000);
-            for (int node = 0; node < 3; node++) {
+            for (int controller = 0; controller < 3; controller++) {
                 assertEquals(
                         503,
                         scenario.users
-                                .requestAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                                .requestAt(controller, "POST", "/submissions/req-777777/withdraw", Codec.object())
                                 .status(),
                         "while the store is down, nothing shows whether the job exists");
                 assertEquals(
                         404,
                         scenario.users
-                                .requestAt(node, "POST", "/submissions/nonsense/withdraw", Codec.object())
+                                .requestAt(controller, "POST", "/submissions/nonsense/withdraw", Codec.object())
                                 .status());
             }
             assertEquals(
@@ -428,22 +428,22 @@
                             .status(),
                     "nothing shows the leader whether the cancellation was written");
             scenario.advance(OUTAGE_MS);
-            for (int node = 0; node < 3; node++) {
+            for (int controller = 0; controller < 3; controller++) {
                 assertEquals(
                         404,
                         scenario.users
-                                .requestAt(node, "POST", "/submissions/req-777777/withdraw", Codec.object())
+                                .requestAt(controller, "POST", "/submissions/req-777777/withdraw", Codec.object())
                                 .status());
                 assertEquals(
                         "aborted",
                         scenario.users
-                                .requestAt(node, "POST", "/submissions/req-000000/withdraw", Codec.object())
+                                .requestAt(controller, "POST", "/submissions/req-000000/withdraw", Codec.object())
                                 .body()
                                 .path("status")
                                 .asText());
             }
-            for (int node = 0; node < 3; node++) {
-                scenario.users.cancelAt(node, "req-000001"); // at all three at once
+            for (int controller = 0; controller < 3; controller++) {
+                scenario.users.cancelAt(controller, "req-000001"); // at the same simulated time
             }
             scenario.advance(10_000);
             assertTrue(scenario.checker.isTerminal("req-000001"));
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -243,8 +243,8 @@
         scenario.workload.hasZoneConstraints = true;
         scenario.workload.submitUncancelledServices(2); // services keep their machines, which have free capacity
         scenario.advance(8_000);
-        for (int node = 0; node < 3; node++) {
-            scenario.world.addLatency("p" + node + ":1", 1_000, 80_000);
+        for (int controller = 0; controller < 3; controller++) {
+            scenario.world.addLatency("p" + controller + ":1", 1_000, 80_000);
         }
         scenario.cloud.agents().forEach(agent -> scenario.world.addLatency(agent.address, 1_000, 80_000));
         scenario.workload.submitJobs(40, 20_000);
