--- a/src/main/java/org/hollypick/config/Settings.java
+++ b/src/main/java/org/hollypick/config/Settings.java
@@ -328,7 +328,7 @@
     private static JsonNode table(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isObject()) {
-            throw new ConfigException(field + ": found '" + value + "' instead of a table");
+            throw new ConfigException(field + ": missing or not a table: '" + value + "'");
         }
         return value;
     }
@@ -336,7 +336,7 @@
     private static String text(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isTextual() || value.asText().isBlank()) {
-            throw new ConfigException(field + ": found '" + value + "' instead of non-blank text");
+            throw new ConfigException(field + ": missing or not a non-blank text: '" + value + "'");
         }
         return value.asText();
     }
@@ -351,7 +351,7 @@
         } catch (IllegalArgumentException e) {
             // The exception below reports the address with the name of its field.
         }
-        throw new ConfigException(field + ": found '" + address + "' instead of host:port");
+        throw new ConfigException(field + ": not host:port: '" + address + "'");
     }
 
     private static double optionalAmount(JsonNode table, String field) {
@@ -360,7 +360,7 @@
             return 0;
         }
         if (!value.isNumber() || !(value.asDouble() >= 0)) {
-            throw new ConfigException(field + ": found '" + value + "' instead of a number of at least 0");
+            throw new ConfigException(field + ": not a number of at least 0: '" + value + "'");
         }
         return value.asDouble();
     }
@@ -369,7 +369,7 @@
     private static double lowestLimit(JsonNode storeLimits, String field) {
         JsonNode upcomingLimits = storeLimits.path(UPCOMING_LIMITS);
         if (!upcomingLimits.isMissingNode() && !upcomingLimits.isObject()) {
-            throw new ConfigException(UPCOMING_LIMITS + ": found '" + upcomingLimits + "' instead of a table");
+            throw new ConfigException(UPCOMING_LIMITS + ": not a table: '" + upcomingLimits + "'");
         }
         double present = positiveNumber(storeLimits, field);
         if (!upcomingLimits.has(field)) {
@@ -393,7 +393,7 @@
     private static double positiveNumber(JsonNode table, String field) {
         JsonNode value = table.path(field);
         if (!value.isNumber() || !(value.asDouble() > 0)) {
-            throw new ConfigException(field + ": found '" + value + "' instead of a number above 0");
+            throw new ConfigException(field + ": missing or not a number above 0: '" + value + "'");
         }
         return value.asDouble();
     }
