--- a/src/test/java/org/hollypick/sim/QuotaWithUnreachableMachinesTest.java
+++ b/src/test/java/org/hollypick/sim/QuotaWithUnreachableMachinesTest.java
@@ -17,7 +17,8 @@
  *
  * <p>Machines were provisioned for replicas and for a mean load that the quotas don't let run: with a quota of 1,200
  * cores, 392 machines (3,136 cores) were provisioned for a demand of 5,178 cores for services and 1,964 for arrays,
- * while the tasks used 1,200 cores.
+ * while the tasks used 1,200 cores. Scale-out then requested another 1,600 cores and reserved 541 for the mean load,
+ * although the quotas left no cores that arrays could use.
  *
  * <p>A plain limit on the cores of all machines, reachable or not, failed with a quota of 160 cores: 88 of the 176
  * cores that counted as capacity were in the unreachable zone, and replicas that only run in that zone held the rest of
