--- a/src/test/java/org/hollypick/core/health/HealthTest.java
+++ b/src/test/java/org/hollypick/core/health/HealthTest.java
@@ -42,7 +42,9 @@
                 open.merge(kind, 1, Integer::sum);
             }
             assertTrue(open.values().stream().mapToInt(count -> count).sum() <= sockets);
-            assertFalse(budget.shouldCloseAfterResponse(kind), "a kind with room is crowded");
+            assertFalse(
+                    budget.shouldCloseAfterResponse(kind),
+                    "a connection is closed after its response although its kind has capacity");
         }
         for (ConnectionBudget.Kind kind : ConnectionBudget.Kind.values()) {
             while (open.getOrDefault(kind, 0) > 0) {
@@ -138,7 +140,8 @@
     }
 
     /**
-     * A few slow machines don't make this controller unhealthy; many slow responses do, until a grace period is over.
+     * A few slow machines don't make this controller unhealthy; many slow responses do, until a grace period has
+     * passed.
      */
     @Test
     void manySlowResponsesMakeThisControllerUnhealthy() {
--- a/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
+++ b/src/test/java/org/hollypick/sim/PartitionFaultsTest.java
@@ -28,7 +28,7 @@
             (eventLoop, settings) -> new Controller(eventLoop, settings, OperatorSettings.defaults());
     /** Scenarios of each kind; {@code -Dpartition.days=...} runs more outside CI. */
     private static final int SEEDS = Integer.getInteger("partition.days", 3);
-    /** A faulty variant has to be detected with one of so many seeds. */
+    /** Maximum number of seeds tried until the checker detects a faulty variant. */
     private static final int MAX_FAULTY_SEEDS = 6;
     /** Longer than an agent's lease. */
     private static final long PARTITION_MS = 25_000;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Runs the scenario until the consequences of its faults have ended, and then long enough to detect jobs that are
-     * not answered about or are starved.
+     * Runs the scenario until the consequences of its faults have ended, and then long enough to detect jobs whose
+     * users get no answers and jobs that starve.
      */
     private static ClusterScenario runAfterFaults(ClusterScenario scenario) {
         scenario.advance(SETTLE_MS);
@@ -243,8 +243,8 @@
         scenario.workload.hasZoneConstraints = true;
         scenario.workload.submitUncancelledServices(2); // services keep their machines, which have free capacity
         scenario.advance(8_000);
-        for (int node = 0; node < 3; node++) {
-            scenario.world.addLatency("p" + node + ":1", 1_000, 80_000);
+        for (int controller = 0; controller < 3; controller++) {
+            scenario.world.addLatency("p" + controller + ":1", 1_000, 80_000);
         }
         scenario.cloud.agents().forEach(agent -> scenario.world.addLatency(agent.address, 1_000, 80_000));
         scenario.workload.submitJobs(40, 20_000);
