--- a/src/test/java/org/hollypick/sim/GraphUser.java
+++ b/src/test/java/org/hollypick/sim/GraphUser.java
@@ -174,10 +174,7 @@
             }
             nodeByTask.put(task, name);
             acceptedNodes.add(name);
-            // As an agent fetches it: the fields of the request's template, overridden by those of the node.
-            ObjectNode description = request.path("task").deepCopy();
-            description.setAll((ObjectNode) node);
-            scenario.checker.tasks.graphNodes.put(task, description);
+            scenario.checker.tasks.graphNodes.put(task, TaskChecker.describeGraphNode(request, node));
         }
     }
 
--- a/src/test/java/org/hollypick/sim/HollypickClientTest.java
+++ b/src/test/java/org/hollypick/sim/HollypickClientTest.java
@@ -156,10 +156,7 @@
                             .asText();
                     if (!task.isEmpty()) {
                         nodeIdByTask.put(task, node.path("id").asText());
-                        // As an agent reads it: the fields of the node, and for the others those of the whole request.
-                        ObjectNode description =
-                                body.path("task").isObject() ? body.path("task").deepCopy() : Codec.object();
-                        description.setAll((ObjectNode) node);
+                        ObjectNode description = TaskChecker.describeGraphNode(body, node);
                         description.put("shape", "batch");
                         description.put(
                                 "fails", failingNodes.contains(node.path("id").asText()));
--- a/src/test/java/org/hollypick/sim/TaskChecker.java
+++ b/src/test/java/org/hollypick/sim/TaskChecker.java
@@ -1,6 +1,7 @@
 package org.hollypick.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,6 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.hollypick.io.Codec;
 
 /**
  * Checks the tasks that actually run on the machines: no task runs on two machines at once, before its dependencies
@@ -181,6 +183,14 @@
                 .count();
     }
 
+    /** A graph node as an agent reads it: the fields of the request's template, overridden by those of the node. */
+    static ObjectNode describeGraphNode(JsonNode request, JsonNode node) {
+        ObjectNode description =
+                request.path("task").isObject() ? request.path("task").deepCopy() : Codec.object();
+        description.setAll((ObjectNode) node);
+        return description;
+    }
+
     /** The description of the task's job, or of its node in a graph; null if neither is known. */
     JsonNode specOf(String task) {
         JsonNode node = graphNodes.get(task);
