--- a/src/main/java/org/hollypick/cli/EtaCommand.java
+++ b/src/main/java/org/hollypick/cli/EtaCommand.java
@@ -21,14 +21,14 @@
         mixinStandardHelpOptions = true,
         description = "Tells when jobs are likely to be done: at the earliest, with even odds, at the latest, and why.")
 final class EtaCommand implements Callable<Integer> {
-    private static final HollypickClient.Times TIMES =
+    private static final HollypickClient.Times CLIENT_TIMES =
             new HollypickClient.Times(Duration.ofSeconds(20), Duration.ofSeconds(5), Duration.ofSeconds(2));
     /** Back to the line's begin, and clear it. */
     private static final String CLEAR_LINE = "\r\u001b[K";
     /** Durations below that are shown in seconds. */
-    private static final double SECONDS_BELOW = 100;
+    private static final double MAX_SHOWN_IN_SECONDS_S = 100;
     /** Durations below that, in seconds, are shown in minutes; longer ones in hours. */
-    private static final double MINUTES_BELOW_SECONDS = 6_000;
+    private static final double MAX_SHOWN_IN_MINUTES_S = 6_000;
 
     @Parameters(paramLabel = "ID", arity = "1..*")
     private List<String> ids;
@@ -48,27 +48,27 @@
     private boolean follow;
 
     static int execute(String[] args) {
-        return ClientCommands.execute(new EtaCommand(), args);
+        return CommandRunner.execute(new EtaCommand(), args);
     }
 
     @Override
     public Integer call() throws InterruptedException {
         boolean onTerminal = System.console() != null && !json;
         boolean overwrites = onTerminal && follow;
-        try (HollypickClient client = new HollypickClient(addresses, TIMES)) {
-            List<JsonNode> estimates = estimates(client);
+        try (HollypickClient client = new HollypickClient(addresses, CLIENT_TIMES)) {
+            List<JsonNode> estimates = fetchEstimates(client);
             print(estimates, onTerminal, overwrites);
             while (follow && !estimates.stream().allMatch(EtaCommand::hasEnded)) {
-                Thread.sleep(TIMES.pollEvery().toMillis());
-                estimates = estimates(client);
+                Thread.sleep(CLIENT_TIMES.pollEvery().toMillis());
+                estimates = fetchEstimates(client);
                 print(estimates, onTerminal, overwrites);
             }
         }
         System.out.print(overwrites ? "\n" : "");
-        return ClientCommands.EXIT_OK;
+        return CommandRunner.EXIT_OK;
     }
 
-    private List<JsonNode> estimates(HollypickClient client) {
+    private List<JsonNode> fetchEstimates(HollypickClient client) {
         List<JsonNode> estimates = new ArrayList<>();
         for (String id : ids) {
             estimates.add(client.estimate(id).join());
@@ -85,14 +85,14 @@
     private void print(List<JsonNode> estimates, boolean onTerminal, boolean overwrites) {
         StringJoiner text = new StringJoiner(onTerminal ? "   " : "\n");
         for (int i = 0; i < ids.size(); i++) {
-            text.add(json ? estimates.get(i).toString() : text(ids.get(i), estimates.get(i)));
+            text.add(json ? estimates.get(i).toString() : describe(ids.get(i), estimates.get(i)));
         }
         System.out.print(overwrites ? CLEAR_LINE + text : text + "\n");
         System.out.flush();
     }
 
     /** An estimate in words. */
-    static String text(String id, JsonNode estimate) {
+    static String describe(String id, JsonNode estimate) {
         String status = estimate.path("status").asText();
         JsonNode secondsLeft = estimate.path("done_in_s");
         if (!secondsLeft.isObject()) {
@@ -106,19 +106,19 @@
                 "%s %s: done in %s (%s to %s), most of it %s; %d runs known (%s)",
                 id,
                 status,
-                duration(secondsLeft.path("p50").asDouble()),
-                duration(secondsLeft.path("p10").asDouble()),
-                duration(secondsLeft.path("p90").asDouble()),
+                formatDuration(secondsLeft.path("p50").asDouble()),
+                formatDuration(secondsLeft.path("p10").asDouble()),
+                formatDuration(secondsLeft.path("p90").asDouble()),
                 estimate.path("reason").asText(),
                 history.path("n").asInt(),
                 history.path("from").asText());
     }
 
-    private static String duration(double seconds) {
-        if (seconds < SECONDS_BELOW) {
+    private static String formatDuration(double seconds) {
+        if (seconds < MAX_SHOWN_IN_SECONDS_S) {
             return Math.round(seconds) + " s";
         }
-        if (seconds < MINUTES_BELOW_SECONDS) {
+        if (seconds < MAX_SHOWN_IN_MINUTES_S) {
             return Math.round(seconds / 60) + " min";
         }
         return String.format(Locale.ROOT, "%.1f h", seconds / 3_600);
--- a/src/main/java/org/hollypick/cli/GraphCommand.java
+++ b/src/main/java/org/hollypick/cli/GraphCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits, shows and cancels graphs from the command line. Exit codes: see {@link ClientCommands}. */
+/** Submits, shows and cancels graphs from the command line. Exit codes: see {@link CommandRunner}. */
 @Command(
         name = "hollypick graph",
         mixinStandardHelpOptions = true,
@@ -23,7 +23,7 @@
     private CommandLine.Model.CommandSpec spec;
 
     static int execute(String[] args) {
-        return ClientCommands.execute(new GraphCommand(), args);
+        return CommandRunner.execute(new GraphCommand(), args);
     }
 
     @Override
@@ -49,12 +49,12 @@
                 paramLabel = "SECONDS",
                 defaultValue = "60",
                 description = "how long a call is tried (default: ${DEFAULT-VALUE})")
-        private long callSeconds;
+        private long callTimeoutS;
 
         @Override
         public Integer call() {
             HollypickClient.Times times =
-                    new HollypickClient.Times(Duration.ofSeconds(callSeconds), RESPONSE_TIMEOUT, POLL_INTERVAL);
+                    new HollypickClient.Times(Duration.ofSeconds(callTimeoutS), RESPONSE_TIMEOUT, POLL_INTERVAL);
             try (HollypickClient client = new HollypickClient(addresses, times)) {
                 return run(client);
             }
@@ -78,12 +78,12 @@
             HollypickClient.Graph graph = client.submit(spec).join();
             System.out.println(graph.id() + " accepted, " + spec.nodeIds().size() + " nodes");
             if (!wait) {
-                return ClientCommands.EXIT_OK;
+                return CommandRunner.EXIT_OK;
             }
             HollypickClient.Status status = graph.over().join();
             String reason = status.why().isEmpty() ? "" : ": " + status.why();
             System.out.println(graph.id() + " " + status.status() + reason);
-            return status.status().equals("done") ? ClientCommands.EXIT_OK : ClientCommands.EXIT_REJECTED;
+            return status.status().equals("done") ? CommandRunner.EXIT_OK : CommandRunner.EXIT_FAILED;
         }
     }
 
@@ -107,7 +107,7 @@
                     printNodes(page);
                 }
             }
-            return ClientCommands.EXIT_OK;
+            return CommandRunner.EXIT_OK;
         }
 
         private static void printNodes(JsonNode page) {
@@ -136,7 +136,7 @@
             HollypickClient.Graph graph = client.graph(id);
             String state = (node == null ? graph.withdraw() : graph.withdraw(node)).join();
             System.out.println(id + " " + state);
-            return ClientCommands.EXIT_OK;
+            return CommandRunner.EXIT_OK;
         }
     }
 }
--- a/src/main/java/org/hollypick/cli/GraphFile.java
+++ b/src/main/java/org/hollypick/cli/GraphFile.java
@@ -31,7 +31,7 @@
         JsonNode tree = parse(file);
         List<GraphSpec.Problem> problems = GraphSpec.check(tree);
         if (!problems.isEmpty()) {
-            throw new ConfigException(describe(file, problems));
+            throw new ConfigException(describeProblems(file, problems));
         }
         return GraphSpec.of(tree);
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    private static String describe(Path file, List<GraphSpec.Problem> problems) {
+    private static String describeProblems(Path file, List<GraphSpec.Problem> problems) {
         String shown = problems.stream()
                 .limit(MAX_SHOWN_PROBLEMS)
                 .map(problem -> file + ": " + problem)
--- a/src/main/java/org/hollypick/cli/Logs.java
+++ b/src/main/java/org/hollypick/cli/LogConfiguration.java
@@ -1,8 +1,8 @@
 package org.hollypick.cli;
 
 /** Configures the log: slf4j-simple on standard error, with the messages of Undertow and XNIO. */
-final class Logs {
-    private Logs() {}
+final class LogConfiguration {
+    private LogConfiguration() {}
 
     /**
      * Sets the log level. Has to run before the first logger is created. The libraries log errors only, except at
--- a/src/main/java/org/hollypick/cli/Main.java
+++ b/src/main/java/org/hollypick/cli/Main.java
@@ -45,13 +45,13 @@
     private boolean selfTest;
 
     @Option(names = "--config", paramLabel = "FILE", description = "the platform's settings, TOML")
-    private Path config;
+    private Path configFile;
 
     private Main() {}
 
     /** Runs the command that the first argument names; ends the process with a status other than 0 if it fails. */
     public static void main(String[] args) {
-        Logs.configure(System.getenv("LOG_LEVEL"));
+        LogConfiguration.configure(System.getenv("LOG_LEVEL"));
         // A controller's start loads nothing of the other commands.
         int code = switch (args.length == 0 ? "" : args[0]) {
             case "graph" -> GraphCommand.execute(Arrays.copyOfRange(args, 1, args.length));
@@ -74,10 +74,10 @@
         Settings settings;
         OperatorSettings operator;
         try {
-            if (config == null) {
+            if (configFile == null) {
                 throw new ConfigException("--config: missing");
             }
-            settings = Settings.read(config);
+            settings = Settings.read(configFile);
             operator = operatorFile == null ? OperatorSettings.defaults() : OperatorSettings.read(operatorFile);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
@@ -97,7 +97,7 @@
      */
     static Undertow serve(Settings settings, OperatorSettings operator) throws Exception {
         CompletableFuture<Undertow> started = new CompletableFuture<>();
-        Starter starter = new Starter(settings, operator, started);
+        ControllerStarter starter = new ControllerStarter(settings, operator, started);
         starter.worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -114,7 +114,7 @@
      * Starts the controller on the I/O thread. A named class, loaded before the worker runs: a lambda would be linked
      * while it runs.
      */
-    private static final class Starter implements Runnable {
+    private static final class ControllerStarter implements Runnable {
         /** Not a field of Main: that class is loaded before the log is configured. */
         private static final Logger LOG = LoggerFactory.getLogger(Main.class);
 
@@ -122,13 +122,13 @@
         private final OperatorSettings operator;
         private final CompletableFuture<Undertow> started;
         private XnioWorker worker;
-        private DefaultByteBufferPool buffers;
-        private ConnectionBudget connections;
-        private XnioEventLoop network;
+        private DefaultByteBufferPool bufferPool;
+        private ConnectionBudget connectionBudget;
+        private XnioEventLoop eventLoop;
         private Controller controller;
         private int listenAttempts;
 
-        Starter(Settings settings, OperatorSettings operator, CompletableFuture<Undertow> started) {
+        ControllerStarter(Settings settings, OperatorSettings operator, CompletableFuture<Undertow> started) {
             this.settings = settings;
             this.operator = operator;
             this.started = started;
@@ -137,15 +137,15 @@
         @Override
         public void run() {
             try {
-                buffers = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
-                connections = new ConnectionBudget(settings.maxSockets());
-                network = new XnioEventLoop(
+                bufferPool = new DefaultByteBufferPool(true, 8 * 1024, 200, 0);
+                connectionBudget = new ConnectionBudget(settings.maxSockets());
+                eventLoop = new XnioEventLoop(
                         worker.getIoThread(),
-                        buffers,
-                        connections,
+                        bufferPool,
+                        connectionBudget,
                         Set.copyOf(List.of(settings.storeAddress(), settings.cloudAddress())),
                         (int) (settings.maxSockets() * NetworkConstants.MAX_IDLE_SOCKET_SHARE));
-                controller = new Controller(network, settings, operator);
+                controller = new Controller(eventLoop, settings, operator);
                 listen();
             } catch (RuntimeException | Error e) {
                 started.completeExceptionally(e);
@@ -160,13 +160,13 @@
             try {
                 Undertow server = HttpServer.start(
                         worker,
-                        buffers,
-                        connections,
+                        bufferPool,
+                        connectionBudget,
                         settings.publicAddress(),
                         controller::handle,
                         settings.peerEndpointAddress(),
                         controller::handlePeerRequest);
-                network.after(0, controller::start);
+                eventLoop.after(0, controller::start);
                 started.complete(server);
             } catch (RuntimeException e) {
                 if (!(e.getCause() instanceof BindException)
@@ -181,7 +181,7 @@
                             settings.peerEndpointAddress(),
                             e.getCause().getMessage());
                 }
-                network.after(NetworkConstants.LISTEN_RETRY_MS, this::listen);
+                eventLoop.after(NetworkConstants.LISTEN_RETRY_MS, this::listen);
             }
         }
     }
--- a/src/main/java/org/hollypick/cli/ReplayCommand.java
+++ b/src/main/java/org/hollypick/cli/ReplayCommand.java
@@ -30,12 +30,12 @@
     private Path file;
 
     static int execute(String[] args) {
-        return ClientCommands.execute(new ReplayCommand(), args);
+        return CommandRunner.execute(new ReplayCommand(), args);
     }
 
     @Override
     public Integer call() {
-        List<PredictionEvaluation.Run> runs = read(file);
+        List<PredictionEvaluation.Run> runs = readRuns(file);
         System.out.println(
                 "| of | runs | inside 10-90 % | band, times | median error | owner's estimate | running mean | last run |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
@@ -55,7 +55,7 @@
         return 0;
     }
 
-    static List<PredictionEvaluation.Run> read(Path file) {
+    static List<PredictionEvaluation.Run> readRuns(Path file) {
         List<PredictionEvaluation.Run> runs = new ArrayList<>();
         List<String> lines;
         try {
--- a/src/main/java/org/hollypick/client/GraphSpec.java
+++ b/src/main/java/org/hollypick/client/GraphSpec.java
@@ -13,7 +13,7 @@
 /** A graph under construction, validated before it is sent. Not thread-safe. */
 public final class GraphSpec {
     /** Bytes of nodes in one request, by their JSON; the protocol allows 64 KiB. */
-    private static final int REQUEST_NODE_BYTES = 44 * 1024;
+    private static final int MAX_NODE_BYTES_PER_REQUEST = 44 * 1024;
 
     private final ObjectNode options = JsonNodeFactory.instance.objectNode();
     private final Map<String, ObjectNode> nodes = new LinkedHashMap<>();
@@ -91,11 +91,11 @@
 
     /** Adds a node; {@code awaits}: ids of the nodes that it depends on. */
     public GraphSpec node(String id, Task task, String... awaits) {
-        nodes.put(id, describeNode(id, task, List.of(awaits)));
+        nodes.put(id, toJson(id, task, List.of(awaits)));
         return this;
     }
 
-    static ObjectNode describeNode(String id, Task task, List<String> dependencies) {
+    static ObjectNode toJson(String id, Task task, List<String> dependencies) {
         ObjectNode node = JsonNodeFactory.instance.objectNode().put(WireFields.NODE_ID, id);
         node.setAll(task.fields());
         ArrayNode list = node.putArray(WireFields.DEPENDENCIES);
@@ -118,7 +118,7 @@
     /** What is wrong with it, as far as that can be known without the service. */
     public List<Problem> check() {
         ObjectNode tree = options.deepCopy();
-        tree.set(WireFields.NODES, nodeList());
+        tree.set(WireFields.NODES, nodesAsJson());
         return check(tree);
     }
 
@@ -127,22 +127,22 @@
         return GraphSpecValidator.validate(tree);
     }
 
-    private ArrayNode nodeList() {
+    private ArrayNode nodesAsJson() {
         return JsonNodeFactory.instance.arrayNode().addAll(nodes.values());
     }
 
     /** The requests that submit a valid graph, in order: parts that fit a request, the last of which seals it. */
-    List<ObjectNode> submissions() {
+    List<ObjectNode> submissionRequests() {
         List<ObjectNode> requests = new ArrayList<>();
         ArrayNode list = null;
         int bytesLeft = 0;
-        for (JsonNode node : NodeOrder.topological(nodeList())) {
+        for (JsonNode node : NodeOrder.topological(nodesAsJson())) {
             int bytes = node.toString().length() + 1;
             if (list == null || bytesLeft < bytes) {
                 ObjectNode request = options.deepCopy().put(WireFields.MORE, true);
                 list = request.putArray(WireFields.NODES);
                 requests.add(request);
-                bytesLeft = REQUEST_NODE_BYTES;
+                bytesLeft = MAX_NODE_BYTES_PER_REQUEST;
             }
             list.add(node);
             bytesLeft -= bytes;
--- a/src/main/java/org/hollypick/client/GraphSpecValidator.java
+++ b/src/main/java/org/hollypick/client/GraphSpecValidator.java
@@ -81,7 +81,7 @@
 
     private void checkTaskFields(String place, JsonNode task, Set<String> otherFields) {
         task.fieldNames().forEachRemaining(field -> {
-            if (!WireFields.TASK.contains(field) && !otherFields.contains(field)) {
+            if (!WireFields.TASK_FIELDS.contains(field) && !otherFields.contains(field)) {
                 report(place + "." + field, "unknown key");
             }
         });
--- a/src/main/java/org/hollypick/client/HollypickClient.java
+++ b/src/main/java/org/hollypick/client/HollypickClient.java
@@ -64,7 +64,7 @@
             return CompletableFuture.failedFuture(new HollypickException.Invalid(0, problems.toString()));
         }
         CompletableFuture<JsonNode> last = CompletableFuture.completedFuture(MissingNode.getInstance());
-        for (ObjectNode request : spec.submissions()) {
+        for (ObjectNode request : spec.submissionRequests()) {
             last = last.thenCompose(previous -> http.send(POST, GRAPHS_PATH, request));
         }
         return last.thenApply(response -> graph(spec.id()));
@@ -118,7 +118,7 @@
             return show(0).thenApply(response -> new Status(
                     response.path(WireFields.STATUS).asText(),
                     response.path(WireFields.COUNTS),
-                    response.path(WireFields.REASON).asText("")));
+                    response.path(WireFields.TERMINATION_REASON).asText("")));
         }
 
         /** The service's description of it, with a page of nodes that begins with that index. */
@@ -130,7 +130,7 @@
         public CompletableFuture<Status> over() {
             return status().thenCompose(status -> status.over()
                     ? CompletableFuture.completedFuture(status)
-                    : RetryingHttpClient.after(pollInterval, this::over));
+                    : RetryingHttpClient.runAfter(pollInterval, this::over));
         }
 
         /** Cancels the graph; once that completes, no node starts. Gives the graph's status. */
@@ -182,7 +182,7 @@
 
         /** One more child; ids have to be the same whenever the task runs again. */
         public Running child(String id, Task task, String... awaits) {
-            childrenRequest.withArray(WireFields.NODES).add(GraphSpec.describeNode(id, task, List.of(awaits)));
+            childrenRequest.withArray(WireFields.NODES).add(GraphSpec.toJson(id, task, List.of(awaits)));
             return this;
         }
 
--- a/src/main/java/org/hollypick/client/RetryingHttpClient.java
+++ b/src/main/java/org/hollypick/client/RetryingHttpClient.java
@@ -33,7 +33,7 @@
     private static final long MAX_RETRY_AFTER_SECONDS = 30;
 
     private final List<String> addresses;
-    private final Duration callTime;
+    private final Duration callTimeout;
     private final Duration responseTimeout;
     private final HttpClient http;
     private final AtomicInteger nextAddress = new AtomicInteger();
@@ -45,7 +45,7 @@
      * @param deadlineNanos when to give up, by {@link System#nanoTime}, or {@link #NO_DEADLINE}
      */
     private record Call(String method, String path, JsonNode body, long deadlineNanos) {
-        boolean isOverAfter(long waitMillis) {
+        boolean expiresWithin(long waitMillis) {
             return deadlineNanos != NO_DEADLINE
                     && System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis) - deadlineNanos > 0;
         }
@@ -60,7 +60,7 @@
 
     RetryingHttpClient(List<String> addresses, Duration callTime, Duration responseTimeout) {
         this.addresses = List.copyOf(addresses);
-        this.callTime = callTime;
+        this.callTimeout = callTime;
         this.responseTimeout = responseTimeout;
         this.http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
@@ -70,7 +70,7 @@
 
     /** The response's body; fails with a {@link HollypickException}. {@code body}: null for none. */
     CompletableFuture<JsonNode> send(String method, String path, JsonNode body) {
-        return attempt(new Call(method, path, body, System.nanoTime() + callTime.toNanos()), 0);
+        return attempt(new Call(method, path, body, System.nanoTime() + callTimeout.toNanos()), 0);
     }
 
     /** The same without a limit of time. */
@@ -82,7 +82,7 @@
     private CompletableFuture<JsonNode> attempt(Call call, int retries) {
         HttpRequest request;
         try {
-            request = request(call);
+            request = createRequest(call);
         } catch (IOException e) {
             return CompletableFuture.failedFuture(new HollypickException.Invalid(0, e.getMessage()));
         }
@@ -93,7 +93,7 @@
                 .thenCompose(result -> result);
     }
 
-    private HttpRequest request(Call call) throws IOException {
+    private HttpRequest createRequest(Call call) throws IOException {
         String address = addresses.get(Math.floorMod(nextAddress.get(), addresses.size()));
         HttpRequest.BodyPublisher body = call.body == null
                 ? HttpRequest.BodyPublishers.noBody()
@@ -106,7 +106,7 @@
     }
 
     private CompletableFuture<JsonNode> handleResponse(Call call, int retries, HttpResponse<byte[]> response) {
-        JsonNode body = read(response.body());
+        JsonNode body = decode(response.body());
         int status = response.statusCode();
         String error = body.path(WireFields.ERROR).asText(status + " without a reason");
         return switch (status) {
@@ -127,13 +127,13 @@
         long waitMillis = Math.max(
                 TimeUnit.SECONDS.toMillis(Math.min(failure.retryAfterSeconds, MAX_RETRY_AFTER_SECONDS)),
                 backoffMillis(retries));
-        if (call.isOverAfter(waitMillis)) {
+        if (call.expiresWithin(waitMillis)) {
             return CompletableFuture.failedFuture(new HollypickException.Unavailable(
                     failure.status,
                     "no controller of " + addresses + " took the call within its time; the last word: "
                             + failure.message));
         }
-        return after(Duration.ofMillis(waitMillis), () -> attempt(call, retries + 1));
+        return runAfter(Duration.ofMillis(waitMillis), () -> attempt(call, retries + 1));
     }
 
     /** Between half and all of a wait that doubles with each retry. */
@@ -143,12 +143,12 @@
     }
 
     /** Starts something after a wait, and completes as that does. */
-    static <T> CompletableFuture<T> after(Duration wait, Supplier<CompletableFuture<T>> action) {
+    static <T> CompletableFuture<T> runAfter(Duration wait, Supplier<CompletableFuture<T>> action) {
         Executor delayed = CompletableFuture.delayedExecutor(wait.toMillis(), TimeUnit.MILLISECONDS);
         return CompletableFuture.supplyAsync(action, delayed).thenCompose(result -> result);
     }
 
-    private static JsonNode read(byte[] bytes) {
+    private static JsonNode decode(byte[] bytes) {
         try {
             JsonNode tree = bytes.length == 0 ? null : CBOR.readTree(bytes);
             return tree == null ? MissingNode.getInstance() : tree;
--- a/src/main/java/org/hollypick/client/Task.java
+++ b/src/main/java/org/hollypick/client/Task.java
@@ -42,7 +42,7 @@
 
     /** It writes a checkpoint by itself after so many seconds of progress, and needs that long for it. */
     public Task checkpoints(double everySeconds, double savingSeconds) {
-        fields.put(WireFields.CHECKPOINT_S, everySeconds).put(WireFields.SAVE_S, savingSeconds);
+        fields.put(WireFields.CHECKPOINT_INTERVAL_S, everySeconds).put(WireFields.CHECKPOINT_SAVE_S, savingSeconds);
         return this;
     }
 
--- a/src/main/java/org/hollypick/client/WireFields.java
+++ b/src/main/java/org/hollypick/client/WireFields.java
@@ -43,13 +43,23 @@
     static final String IMAGE_GB = "pull_gb";
     static final String ESTIMATE_S = "expect_s";
     /** Seconds of progress between two checkpoints. */
-    static final String CHECKPOINT_S = "bookmark_s";
+    static final String CHECKPOINT_INTERVAL_S = "bookmark_s";
     /** Seconds that a checkpoint takes. */
-    static final String SAVE_S = "stow_s";
+    static final String CHECKPOINT_SAVE_S = "stow_s";
 
     /** All fields that describe a task. */
-    static final Set<String> TASK =
-            Set.of(CPUS, GPUS, MEMORY_GB, MACHINE_TYPES, ZONE, SPOT, IMAGE, IMAGE_GB, ESTIMATE_S, CHECKPOINT_S, SAVE_S);
+    static final Set<String> TASK_FIELDS = Set.of(
+            CPUS,
+            GPUS,
+            MEMORY_GB,
+            MACHINE_TYPES,
+            ZONE,
+            SPOT,
+            IMAGE,
+            IMAGE_GB,
+            ESTIMATE_S,
+            CHECKPOINT_INTERVAL_S,
+            CHECKPOINT_SAVE_S);
 
     // ---- requests of running tasks ----
 
@@ -71,7 +81,7 @@
     /** How many nodes are in each state. */
     static final String COUNTS = "counts";
     /** Why a graph or node didn't succeed. */
-    static final String REASON = "why";
+    static final String TERMINATION_REASON = "why";
     /** State of a node. */
     static final String STATE = "state";
 
